--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use pintally::interface::Micros;
-use pintally_accord as accord;
+use pintally_consensus as accord;
 use pintally_shares as shares;
 use pintally_shares::{Bound, Kind, LimitId};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/pintally-accord/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally_accord::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
+use pintally_consensus::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-accord/tests/decisions.rs
+++ b/crates/pintally-consensus/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Weather, World, MS};
-use pintally_accord::{Keeper, KeeperName, Output, Settings};
+use pintally_consensus::{Keeper, KeeperName, Output, Settings};
 
 const CALM: Weather = Weather { loss: 0.0, double: 0.0, late: 0.0, trouble: 0, lying: 0 };
 
--- a/crates/pintally-accord/tests/search.rs
+++ b/crates/pintally-consensus/tests/search.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use pintally_accord::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
+use pintally_consensus::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use pintally_accord as accord;
-use pintally_accord::{Keeper, KeeperName};
+use pintally_consensus as accord;
+use pintally_consensus::{Keeper, KeeperName};
 use pintally_peers::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_shares as shares;
 use pintally_shares::{Ask, Bound, Grant, Holder, Kind, Lending, Limit, LimitId, Verdict, AT_ONCE};
--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -12,8 +12,8 @@
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pintally::interface::{EngineId, Micros, RequestId};
-use pintally_accord::KeeperName;
 use pintally_config::{NodeSettings, PeerSettings, RecoverySettings};
+use pintally_consensus::KeeperName;
 use pintally_durable::{Lie, Loaded, Store, StoreSettings};
 use pintally_host::{Input, Left};
 use pintally_peerlink::{fetch, Came, Udp, Whole};
@@ -81,7 +81,7 @@
     /// Whom the node knows, as people are told.
     pub(crate) peers: Mutex<Option<pintally_peers::Status>>,
     /// Where the keeper stands, if this node is one.
-    pub(crate) keeper: Mutex<Option<pintally_accord::Status>>,
+    pub(crate) keeper: Mutex<Option<pintally_consensus::Status>>,
     /// What it lends, while it does.
     pub(crate) pools: Mutex<Option<Vec<PoolStatus>>>,
     /// How the fleet's limits stand here; told by the deciding thread.
--- a/crates/pintally-node/src/keeper.rs
+++ b/crates/pintally-node/src/keeper.rs
@@ -8,8 +8,8 @@
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use pintally::interface::Micros;
-use pintally_accord::{Keeper, KeeperName, Message, Output, Write};
 use pintally_config::KeeperSettings;
+use pintally_consensus::{Keeper, KeeperName, Message, Output, Write};
 use pintally_durable::{Store, StoreSettings};
 use pintally_peerlink::Waker;
 use pintally_shares::{Ask, Lending};
