--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -5,8 +5,8 @@
 
 use pintally::interface::Micros;
 use pintally_consensus as accord;
-use pintally_shares as shares;
-use pintally_shares::{Bound, Kind, LimitId};
+use pintally_quota as shares;
+use pintally_quota::{Bound, Kind, LimitId};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::form::{quoted, Form};
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -6,7 +6,7 @@
 use pintally_cells::CellName;
 use pintally_engine::Step;
 use pintally_permits::{MayHaveRun, RequestFacts};
-use pintally_shares::LimitId;
+use pintally_quota::LimitId;
 use serde_json::Value;
 
 /// Connection probes to an engine that has not shown yet that it has an attempt.
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -2,7 +2,7 @@
 
 use pintally::interface::Micros;
 use pintally_config::{Counts, LimitSettings, NodeSettings};
-use pintally_shares::{Ask, Grant, Holder, LimitId, LimitStatus, Verdict};
+use pintally_quota::{Ask, Grant, Holder, LimitId, LimitStatus, Verdict};
 
 use crate::host::Host;
 use crate::input::{Arrival, Command};
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -6,8 +6,8 @@
 use pintally_consensus as accord;
 use pintally_consensus::{Keeper, KeeperName};
 use pintally_peers::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
-use pintally_shares as shares;
-use pintally_shares::{Ask, Bound, Grant, Holder, Kind, Lending, Limit, LimitId, Verdict, AT_ONCE};
+use pintally_quota as shares;
+use pintally_quota::{Ask, Bound, Grant, Holder, Kind, Lending, Limit, LimitId, Verdict, AT_ONCE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -18,8 +18,8 @@
 use pintally_host::{Input, Left};
 use pintally_peerlink::{fetch, Came, Udp, Whole};
 use pintally_peers::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
+use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
-use pintally_shares::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_verdicts::{Node, Report};
 use tracing::{debug, info, warn};
 
--- a/crates/pintally-node/src/keeper.rs
+++ b/crates/pintally-node/src/keeper.rs
@@ -12,7 +12,7 @@
 use pintally_consensus::{Keeper, KeeperName, Message, Output, Write};
 use pintally_durable::{Store, StoreSettings};
 use pintally_peerlink::Waker;
-use pintally_shares::{Ask, Lending};
+use pintally_quota::{Ask, Lending};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
@@ -47,7 +47,7 @@
     /// A message for another keeper.
     To(KeeperName, Vec<u8>),
     /// Grants for a holder of this name and life.
-    Grants(String, u64, Vec<pintally_shares::Grant>),
+    Grants(String, u64, Vec<pintally_quota::Grant>),
     /// In which term it leads and lends, if it does.
     Leads(Option<u64>),
 }
--- a/crates/pintally-shares/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally_shares::{Ask, Bound, Grant, Holder, Kind, Lender, Limit, LimitId, Micros, Settings, Verdict};
+use pintally_quota::{Ask, Bound, Grant, Holder, Kind, Lender, Limit, LimitId, Micros, Settings, Verdict};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-shares/tests/decisions.rs
+++ b/crates/pintally-quota/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{level, rate, World, MS, ONE};
-use pintally_shares::{Ask, Bound, Grant, Holder, Lender, Lending, Limit, LimitId, Settings, Verdict};
+use pintally_quota::{Ask, Bound, Grant, Holder, Lender, Lending, Limit, LimitId, Settings, Verdict};
 
 /// All of a tenant's load moves from one node to another every 5 s.
 #[test]
--- a/crates/pintally-shares/tests/random.rs
+++ b/crates/pintally-quota/tests/random.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{level, rate, Broken, World};
-use pintally_shares::Bound;
+use pintally_quota::Bound;
 
 fn runs(usual: u64) -> u64 {
     std::env::var("SHARES_RUNS").ok().and_then(|r| r.parse().ok()).unwrap_or(usual)
