--- a/crates/pintally-config/src/settings.rs
+++ b/crates/pintally-config/src/settings.rs
@@ -40,7 +40,7 @@
     /// Limits that hold for the whole fleet.
     pub shared_limits: Option<LimitSettings>,
     /// Verdicts of the whole fleet on engines; none where each node judges alone.
-    pub verdicts: Option<pintally_verdicts::Settings>,
+    pub verdicts: Option<pintally_outlier_detection::Settings>,
     /// Zones and regions between which work goes by a common plan; none where all serve everyone.
     pub regions: Option<RegionSettings>,
     /// Bounds on what clients and engines may use.
--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -132,7 +132,7 @@
 }
 
 /// What was read, if it was there.
-type Shared = (Option<KeeperSettings>, Option<LimitSettings>, Option<pintally_verdicts::Settings>);
+type Shared = (Option<KeeperSettings>, Option<LimitSettings>, Option<pintally_outlier_detection::Settings>);
 
 /// Reads the forms that are there.
 pub(crate) fn read(root: &Form) -> Result<Shared, ConfigError> {
@@ -142,10 +142,10 @@
     Ok((keepers, limits, verdicts))
 }
 
-fn verdicts(form: &Form) -> Result<pintally_verdicts::Settings, ConfigError> {
-    let usual = pintally_verdicts::Settings::default();
+fn verdicts(form: &Form) -> Result<pintally_outlier_detection::Settings, ConfigError> {
+    let usual = pintally_outlier_detection::Settings::default();
     let ms = |span: Micros| span as f64 / 1e3;
-    let settings = pintally_verdicts::Settings {
+    let settings = pintally_outlier_detection::Settings {
         memory: form.millis_or("memory-ms", ms(usual.memory), 1.0, 600_000.0)?,
         strikes: form.count_or("strikes", u64::from(usual.strikes), 1, 100)? as u32,
         accusers: form.count_or("accusers", usual.accusers as u64, 1, 100)? as usize,
@@ -161,7 +161,7 @@
 }
 
 /// The form of verdicts that reads back as these settings.
-pub fn verdicts_form(s: &pintally_verdicts::Settings) -> String {
+pub fn verdicts_form(s: &pintally_outlier_detection::Settings) -> String {
     let ms = |span: Micros| span as f64 / 1e3;
     format!(
         "(verdicts (memory-ms {}) (strikes {}) (accusers {}) (rest-ms {}) (rest-most-ms {}) (step-ms {}) \
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -108,9 +108,9 @@
     /// The lender of limits has answered.
     Granted(Vec<pintally_quota::Grant>),
     /// A node has told what it saw of engines.
-    Evidence(pintally_verdicts::Node, Vec<u8>),
+    Evidence(pintally_outlier_detection::Node, Vec<u8>),
     /// Which nodes are here.
-    Nodes(Vec<pintally_verdicts::Node>),
+    Nodes(Vec<pintally_outlier_detection::Node>),
     /// People say that an engine is well.
     Cleared(String),
     /// A plan of which zone serves whom.
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pintally::interface::{EngineId, ListForm, Listing, Member, Micros, Outcome};
-use pintally_verdicts::{EngineLife, Fault, Listed as Known, Node, Report, Status, Verdicts, Witness};
+use pintally_outlier_detection::{
+    EngineLife, Fault, Listed as Known, Node, Report, Status, Verdicts, Witness,
+};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::host::Host;
--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -16,11 +16,11 @@
 use pintally_consensus::KeeperName;
 use pintally_durable::{Lie, Loaded, Store, StoreSettings};
 use pintally_host::{Input, Left};
+use pintally_outlier_detection::{Node, Report};
 use pintally_peerlink::{fetch, Came, Udp, Whole};
 use pintally_peers::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
-use pintally_verdicts::{Node, Report};
 use tracing::{debug, info, warn};
 
 use crate::keeper::{self, FromKeeper, Order, ToKeeper};
@@ -87,7 +87,7 @@
     /// How the fleet's limits stand here; told by the deciding thread.
     pub(crate) limits: Mutex<Option<Vec<LimitStatus>>>,
     /// What is believed of engines; told by the deciding thread.
-    pub(crate) verdicts: Mutex<Option<pintally_verdicts::Status>>,
+    pub(crate) verdicts: Mutex<Option<pintally_outlier_detection::Status>>,
     /// Zones, the plan, and who plans, as people are told.
     pub(crate) regions: Mutex<Option<serde_json::Value>>,
     /// What people have ordered for zones, by the register.
--- a/crates/pintally-verdicts/tests/verdicts.rs
+++ b/crates/pintally-outlier-detection/tests/verdicts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pintally_verdicts::{
+use pintally_outlier_detection::{
     EngineLife, Fault, Listed, Micros, Node, Reach, Report, Settings, Verdicts, Witness,
 };
 
