--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -18,7 +18,7 @@
 fn bounds(settings: &NodeSettings) -> String {
     let mut lines = String::new();
     let death_known = settings.peers.as_ref().map(|peers| {
-        let mut figures = pintally_peers::Settings::new("x", "x", "", peers.listen, Vec::new());
+        let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
         (figures.period, figures.suspicion) = (peers.period, peers.suspicion);
         figures.death_known_within(settings.core.nodes as usize)
     });
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -5,7 +5,7 @@
 
 use pintally_consensus as accord;
 use pintally_consensus::{Keeper, KeeperName};
-use pintally_peers::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
+use pintally_membership::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota as shares;
 use pintally_quota::{Ask, Bound, Grant, Holder, Kind, Lending, Limit, LimitId, Verdict, AT_ONCE};
 use rand::{RngExt, SeedableRng};
--- a/crates/pintally-peers/tests/bytes.rs
+++ b/crates/pintally-membership/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pintally_peers::{Life, Output, Peers, Settings, Topic, FACTS_MOST, PAYLOAD_MOST};
+use pintally_membership::{Life, Output, Peers, Settings, Topic, FACTS_MOST, PAYLOAD_MOST};
 use proptest::prelude::*;
 
 fn node(number: u16, seed: u16) -> Peers {
@@ -51,5 +51,5 @@
     assert!(one.say(Topic(99), vec![1]).is_err());
     let mut out = Vec::new();
     one.tick(0, &mut out);
-    assert!(datagrams(out).iter().all(|d| d.len() <= pintally_peers::DATAGRAM_MOST));
+    assert!(datagrams(out).iter().all(|d| d.len() <= pintally_membership::DATAGRAM_MOST));
 }
--- a/crates/pintally-peers/tests/common/mod.rs
+++ b/crates/pintally-membership/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use pintally_peers::{Life, Micros, Notice, Output, Peers, Settings, Standing};
+use pintally_membership::{Life, Micros, Notice, Output, Peers, Settings, Standing};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-peers/tests/fleet.rs
+++ b/crates/pintally-membership/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{address, settings, Net, SECOND};
-use pintally_peers::{Life, Notice, PeerName, Settings, Standing, Topic};
+use pintally_membership::{Life, Notice, PeerName, Settings, Standing, Topic};
 
 #[test]
 fn everybody_knows_everybody_from_two_seeds() {
@@ -28,7 +28,7 @@
         // Loss costs answers, and each costs a round at worst; the bound is for none.
         let bound = settings(0).death_known_within(20) * if loss > 0.0 { 3 } else { 1 };
         let known = |n: &Net| {
-            let dead = |m: &pintally_peers::Member| !m.is_here();
+            let dead = |m: &pintally_membership::Member| !m.is_here();
             let name = PeerName::from("n7");
             n.nodes.iter().filter(|n| n.up).all(|n| n.peers.member(&name).is_none_or(dead))
         };
@@ -193,7 +193,7 @@
     let mut out = Vec::new();
     net.nodes[1].peers.leave(&mut out);
     for one in out {
-        if let pintally_peers::Output::Datagram(to, bytes) = one {
+        if let pintally_membership::Output::Datagram(to, bytes) = one {
             let target = (0..5).find(|n| address(*n) == to).unwrap();
             net.nodes[target].peers.receive(net.now, address(1), &bytes, &mut Vec::new());
         }
--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -16,9 +16,9 @@
 use pintally_consensus::KeeperName;
 use pintally_durable::{Lie, Loaded, Store, StoreSettings};
 use pintally_host::{Input, Left};
+use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_outlier_detection::{Node, Report};
 use pintally_peerlink::{fetch, Came, Udp, Whole};
-use pintally_peers::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
 use tracing::{debug, info, warn};
@@ -79,7 +79,7 @@
     /// Where recovery stands, as people are told.
     pub(crate) recovery: Mutex<Option<recovery::Status>>,
     /// Whom the node knows, as people are told.
-    pub(crate) peers: Mutex<Option<pintally_peers::Status>>,
+    pub(crate) peers: Mutex<Option<pintally_membership::Status>>,
     /// Where the keeper stands, if this node is one.
     pub(crate) keeper: Mutex<Option<pintally_consensus::Status>>,
     /// What it lends, while it does.
@@ -734,7 +734,7 @@
         let stage = lock(&self.shared.fleet.answer).as_ref().map(|a| a.stage);
         if stage.is_none_or(|s| s == recovery::Stage::Serving) {
             let _ = self.fleet.peers.say(CARRIED, self.rate.to_bits().to_le_bytes().to_vec());
-            let here = |f: &&pintally_peers::Fact| {
+            let here = |f: &&pintally_membership::Fact| {
                 self.fleet.peers.member(&f.origin).is_some_and(|m| m.is_here() && self.is_near(m))
             };
             let told = self.fleet.peers.facts(CARRIED).filter(here).filter_map(|f| {
--- a/crates/pintally-node/src/regions.rs
+++ b/crates/pintally-node/src/regions.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::{bounded, Sender};
 use pintally::interface::Micros;
 use pintally_config::RegionSettings;
-use pintally_peers::{Peers, Topic};
+use pintally_membership::{Peers, Topic};
 use pintally_regions::{Order, Plan, Planner, Status, Word};
 use serde_json::json;
 use tracing::info;
