--- a/crates/pintally-cli/src/common.rs
+++ b/crates/pintally-cli/src/common.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use pintally_peerlink::order;
+use pintally_transport::order;
 use serde_json::{json, Value};
 
 use crate::told::{seconds, show, text};
--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -18,9 +18,9 @@
 use pintally_host::{Input, Left};
 use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_outlier_detection::{Node, Report};
-use pintally_peerlink::{fetch, Came, Udp, Whole};
 use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
+use pintally_transport::{fetch, Came, Udp, Whole};
 use tracing::{debug, info, warn};
 
 use crate::keeper::{self, FromKeeper, Order, ToKeeper};
@@ -797,7 +797,7 @@
 
 impl Fleet {
     /// What wakes the fleet's thread.
-    pub(crate) fn waker(&self) -> io::Result<pintally_peerlink::Waker> {
+    pub(crate) fn waker(&self) -> io::Result<pintally_transport::Waker> {
         self.udp.waker()
     }
 
--- a/crates/pintally-node/src/keeper.rs
+++ b/crates/pintally-node/src/keeper.rs
@@ -11,8 +11,8 @@
 use pintally_config::KeeperSettings;
 use pintally_consensus::{Keeper, KeeperName, Message, Output, Write};
 use pintally_durable::{Store, StoreSettings};
-use pintally_peerlink::Waker;
 use pintally_quota::{Ask, Lending};
+use pintally_transport::Waker;
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
--- a/crates/pintally-peerlink/tests/link.rs
+++ b/crates/pintally-transport/tests/link.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use pintally_peerlink::{fetch, order, Came, Udp, Whole, ORDER_MOST};
+use pintally_transport::{fetch, order, Came, Udp, Whole, ORDER_MOST};
 
 fn any() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
