--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -14,12 +14,12 @@
 use pintally::interface::{EngineId, Micros, RequestId};
 use pintally_config::{NodeSettings, PeerSettings, RecoverySettings};
 use pintally_consensus::KeeperName;
-use pintally_durable::{Lie, Loaded, Store, StoreSettings};
 use pintally_host::{Input, Left};
 use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_outlier_detection::{Node, Report};
 use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
+use pintally_storage::{Lie, Loaded, Store, StoreSettings};
 use pintally_transport::{fetch, Came, Udp, Whole};
 use tracing::{debug, info, warn};
 
--- a/crates/pintally-durable/tests/disks.rs
+++ b/crates/pintally-storage/tests/disks.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pintally_durable::{Bad, Lack, Lie, Loaded, Record, Store, StoreSettings};
+use pintally_storage::{Bad, Lack, Lie, Loaded, Record, Store, StoreSettings};
 use proptest::prelude::*;
 
 fn settings(folder: &Path, lie: Option<Lie>) -> StoreSettings {
