--- a/crates/pintally-permits/tests/permits.rs
+++ b/crates/pintally-guards/tests/permits.rs
@@ -1,7 +1,7 @@
 //! The rules, each by a case that must be denied and its neighbour that must not.
 
 use pintally::interface::{Effect, Group, Listing, Micros, Role};
-use pintally_permits::{
+use pintally_guards::{
     may_close, may_refuse, may_send, may_start, CloseReason, ConnectionFacts, Denial, Denials, EngineFacts,
     MayHaveRun, RequestFacts,
 };
--- a/crates/pintally-host/src/answers.rs
+++ b/crates/pintally-host/src/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers: each request gets one, in one place, whoever decides it.
 
 use pintally::interface::{Event, Micros, RequestId};
-use pintally_permits::may_refuse;
+use pintally_guards::may_refuse;
 
 use crate::host::Host;
 use crate::input::{Command, Final, Ticket};
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -5,7 +5,7 @@
 use pintally::interface::{Attempt, Ended, EngineId, Event, Load, Micros, Outcome, RequestId, Role};
 use pintally_cells::CellName;
 use pintally_engine::Step;
-use pintally_permits::{may_send, Denial, MayHaveRun};
+use pintally_guards::{may_send, Denial, MayHaveRun};
 use serde_json::Value;
 
 use crate::host::Host;
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -8,7 +8,7 @@
 use pintally::Router;
 use pintally_cells::{CellName, Cells};
 use pintally_config::NodeSettings;
-use pintally_permits::{may_start, Denial, Denials, EngineFacts};
+use pintally_guards::{may_start, Denial, Denials, EngineFacts};
 
 use crate::input::{Arrival, Command, Final, Input, Listed, Scope, Ticket};
 use crate::judged::Judging;
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -5,7 +5,7 @@
 use pintally::interface::{Attempt, Effect, EngineId, Micros, Outcome, RequestId};
 use pintally_cells::CellName;
 use pintally_engine::Step;
-use pintally_permits::{MayHaveRun, RequestFacts};
+use pintally_guards::{MayHaveRun, RequestFacts};
 use pintally_quota::LimitId;
 use serde_json::Value;
 
--- a/crates/pintally-host/src/refusal.rs
+++ b/crates/pintally-host/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Why requests are refused, for status pages and for people on call.
 
-use pintally_permits::{Counted, Counts};
+use pintally_guards::{Counted, Counts};
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -1,11 +1,11 @@
-//! What the host asks pintally-permits: late starts, and why requests are refused.
+//! What the host asks pintally-guards: late starts, and why requests are refused.
 
 use std::sync::Arc;
 
 use pintally::interface::*;
 use pintally_config::NodeSettings;
+use pintally_guards::Denial;
 use pintally_host::{Arrival, Command, Final, Host, Input, Listed, RefusalReason, Ticket};
-use pintally_permits::Denial;
 
 const SETTINGS: &str = r#"
 (pintally
--- a/crates/pintally-platform-node/src/acceptor.rs
+++ b/crates/pintally-platform-node/src/acceptor.rs
@@ -4,8 +4,8 @@
 use std::net::TcpStream;
 
 use pintally::interface::Micros;
+use pintally_guards::CloseReason;
 use pintally_http::RequestReader;
-use pintally_permits::CloseReason;
 use pintally_platform::{BODY_MOST, HEAD_MOST};
 
 use crate::arrivals::Arrivals;
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use pintally::interface::Micros;
+use pintally_guards::CloseReason;
 use pintally_host::{Final, Input, Ticket};
 use pintally_http::{chunk, response, response_head, LAST_CHUNK};
-use pintally_permits::CloseReason;
 use pintally_platform::{call, Ask, Call, Rejected};
 
 use crate::conn::{Client, Conn, Key, Stage, SLOW, SLOW_NO_MORE};
--- a/crates/pintally-platform-node/src/closing.rs
+++ b/crates/pintally-platform-node/src/closing.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use pintally::interface::Micros;
-use pintally_permits::{may_close, CloseReason, ConnectionFacts, Denial};
+use pintally_guards::{may_close, CloseReason, ConnectionFacts, Denial};
 
 use crate::clients::LINGER;
 use crate::conn::{Client, Conn, Key, Stage};
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use pintally::interface::{Attempt, Micros, Outcome};
+use pintally_guards::CloseReason;
 use pintally_host::{Input, Ticket};
-use pintally_permits::CloseReason;
 use pintally_platform::{attempt_head, of_transport, Progress};
 use socket2::SockRef;
 
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -10,8 +10,8 @@
 
 use pintally::interface::{Attempt, EngineId, Micros};
 use pintally_config::NodeSettings;
+use pintally_guards::{CloseReason, Counts, Denials};
 use pintally_host::{Command, Host, Input, Scope, Ticket};
-use pintally_permits::{CloseReason, Counts, Denials};
 use pintally_platform::Configuration;
 use slotmap::{KeyData, SlotMap};
 use socket2::{Domain, Protocol, Socket, Type};
--- a/crates/pintally-platform-node/src/sweep.rs
+++ b/crates/pintally-platform-node/src/sweep.rs
@@ -1,7 +1,7 @@
 //! What is looked at ten times a second: clients that say nothing, the watch, the end.
 
 use pintally::interface::{EngineId, Micros};
-use pintally_permits::CloseReason;
+use pintally_guards::CloseReason;
 
 use crate::acceptor::STILL_COME;
 use crate::closing::ClientTimes;
--- a/crates/pintally-platform-node/src/turn.rs
+++ b/crates/pintally-platform-node/src/turn.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use pintally::interface::Micros;
+use pintally_guards::CloseReason;
 use pintally_host::{Command, Host, Input};
-use pintally_permits::CloseReason;
 use slotmap::Key as _;
 
 use crate::conn::{Conn, Key};
