--- a/crates/pintally-config/src/regions.rs
+++ b/crates/pintally-config/src/regions.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use pintally::interface::Micros;
-use pintally_regions::{Map, Settings, Zone};
+use pintally_failover::{Map, Settings, Zone};
 
 use crate::form::{quoted, Form};
 use crate::{ConfigError, NodeSettings};
--- a/crates/pintally-regions/tests/regions.rs
+++ b/crates/pintally-failover/tests/regions.rs
@@ -1,6 +1,6 @@
 //! Zones in virtual time: clients, nodes and engines as rates; what nodes see reaches the leader late.
 
-use pintally_regions::{
+use pintally_failover::{
     place, Choice, Follower, Known, Local, Map, Micros, Order, Plan, Planner, Settings, Word, Zone,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -5,7 +5,7 @@
 
 use pintally::interface::{EngineId, Event, ListForm, Listing, Member, Micros, Outcome};
 use pintally_cells::CellName;
-use pintally_regions::{Choice, Follower, Local, Plan};
+use pintally_failover::{Choice, Follower, Local, Plan};
 
 use crate::host::Host;
 use crate::input::{Arrival, Command, Listed};
--- a/crates/pintally-node/src/regions.rs
+++ b/crates/pintally-node/src/regions.rs
@@ -5,8 +5,8 @@
 use crossbeam_channel::{bounded, Sender};
 use pintally::interface::Micros;
 use pintally_config::RegionSettings;
+use pintally_failover::{Order, Plan, Planner, Status, Word};
 use pintally_membership::{Peers, Topic};
-use pintally_regions::{Order, Plan, Planner, Status, Word};
 use serde_json::json;
 use tracing::info;
 
