--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -4,7 +4,7 @@
 
 use pintally_config::form::Document;
 use pintally_config::{EngineList, NodeSettings};
-use pintally_day::Day;
+use pintally_scenario::Day;
 
 use crate::{read, Failure};
 
--- a/crates/pintally-cli/src/day.rs
+++ b/crates/pintally-cli/src/day.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use comfy_table::Table;
-use pintally_day::{from_bench, run_with as play, Day, DayResult, Scale, Shape};
+use pintally_scenario::{from_bench, run_with as play, Day, DayResult, Scale, Shape};
 
 use crate::audit::print_rules;
 use crate::{read, Failure};
--- a/crates/pintally-cli/src/measure.rs
+++ b/crates/pintally-cli/src/measure.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use comfy_table::Table;
-use pintally_day::Day;
 use pintally_measure::{
     added_latency, deciding, emulated, flood, moves, open_streams, over_sockets, plans, price, recorded,
     saturation, Added, Moves, Price,
 };
+use pintally_scenario::Day;
 
 use crate::{read, Failure};
 
--- a/crates/pintally-cli/src/standin.rs
+++ b/crates/pintally-cli/src/standin.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use pintally_day::{Day, Engines};
+use pintally_scenario::{Day, Engines};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
--- a/crates/pintally-cli/src/told.rs
+++ b/crates/pintally-cli/src/told.rs
@@ -37,7 +37,7 @@
 
 /// What a node tells at a path, if it does.
 pub(crate) fn ask(node: SocketAddr, path: &str) -> Option<Value> {
-    serde_json::from_slice(&pintally_day::get(node, path)?).ok()
+    serde_json::from_slice(&pintally_scenario::get(node, path)?).ok()
 }
 
 pub(crate) fn run(args: &Args, what: What) -> Result<ExitCode, Failure> {
--- a/crates/pintally-cli/tests/fleet/limits.rs
+++ b/crates/pintally-cli/tests/fleet/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pintally_audit::{Answer, What};
-use pintally_day::{DayResult, Running};
+use pintally_scenario::{DayResult, Running};
 use serde_json::Value;
 
 use crate::by_hand::{until, Nodes, EXE};
--- a/crates/pintally-cli/tests/fleet/main.rs
+++ b/crates/pintally-cli/tests/fleet/main.rs
@@ -9,7 +9,7 @@
 
 use std::path::Path;
 
-use pintally_day::{run_with, Day, DayResult, Turns};
+use pintally_scenario::{run_with, Day, DayResult, Turns};
 
 /// Days at once: each has a handful of processes and hundreds of clients.
 static TURNS: Turns = Turns::new(3);
--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use pintally_audit::What;
-use pintally_day::{run_with, Day, DayResult};
+use pintally_scenario::{run_with, Day, DayResult};
 
 use crate::by_hand::{until, Nodes, EXE};
 
--- a/crates/pintally-cli/tests/fleet/verdicts.rs
+++ b/crates/pintally-cli/tests/fleet/verdicts.rs
@@ -7,7 +7,7 @@
 
 use pintally::interface::Role;
 use pintally_config::EngineList;
-use pintally_day::{Client, Rig, Try};
+use pintally_scenario::{Client, Rig, Try};
 use pintally_standin::{Fleet, Recorder};
 
 use crate::by_hand::{entry, until, Nodes, EXE};
--- a/crates/pintally-lab/src/clients.rs
+++ b/crates/pintally-lab/src/clients.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pintally_day::Draft;
 use pintally_emulator::Hash;
 use pintally_host::Ticket;
+use pintally_scenario::Draft;
 
 /// One try of a request.
 #[derive(Clone, Debug)]
--- a/crates/pintally-lab/src/compare.rs
+++ b/crates/pintally-lab/src/compare.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use pintally_audit::{audit, Record, Report};
-use pintally_day::{in_time, requests, with_figures, Day};
 use pintally_measure::{Interval, Spread};
+use pintally_scenario::{in_time, requests, with_figures, Day};
 
 use crate::policy::Which;
 use crate::world::World;
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/script.rs
@@ -1,6 +1,6 @@
 //! Faults of a day as acts in virtual time.
 
-use pintally_day::{Day, Fault, Kind};
+use pintally_scenario::{Day, Fault, Kind};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -9,10 +9,10 @@
 use pintally_audit::{Answer, EngineFigures, Listed as ListedAs, Record, Step as AuditStep, What};
 use pintally_cells::{CellsFile, Turn};
 use pintally_config::NodeSettings;
-use pintally_day::{specs, Day, Draft, Source};
 use pintally_emulator::{Fleet, Notice, Place, Refusal, Work, WorkId};
 use pintally_engine::Step;
 use pintally_host::{Arrival, Command, Final, Input, Listed, Order, Ticket};
+use pintally_scenario::{specs, Day, Draft, Source};
 use pintally_standin::{blocks, emulated, freed_by, tokens, EngineSpec, WIRES};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days in virtual time: the rules are kept, the same seed gives the same record, policies differ where
 //! they should and nowhere else.
 
-use pintally_day::{with_figures, Day};
 use pintally_lab::*;
+use pintally_scenario::{with_figures, Day};
 
 const DAY: &str = r#"(day (name "lab") (seed 1) (seconds 20) (settle-seconds 20)
   (zones "a" "b") (racks 4) (nodes 3 (notice-ms 200)) (slack-ms 5)
@@ -120,10 +120,10 @@
         let day = Day::parse("moving", &text).unwrap();
         let (record, kept) = pintally_lab::record(&day, Which::Module, seed).unwrap();
         assert!(kept, "{moved} moved, seed {seed}");
-        let shapes = pintally_day::Shapes::of(&day, &record);
+        let shapes = pintally_scenario::Shapes::of(&day, &record);
         assert_eq!(shapes.new.nodes, moved);
         assert!(shapes.evenness() > 0.8, "{moved} moved, seed {seed}: {shapes:?}");
-        let sends = |s: pintally_day::Shape| s.sends as f64 / s.asked as f64;
+        let sends = |s: pintally_scenario::Shape| s.sends as f64 / s.asked as f64;
         let even = sends(shapes.old) / sends(shapes.new);
         assert!((0.7..=1.4).contains(&even), "{moved} moved, seed {seed}: {shapes:?}");
     }
--- a/crates/pintally-measure/src/flood.rs
+++ b/crates/pintally-measure/src/flood.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 use std::thread;
 
-use pintally_day::{in_time, requests, run, Day, Fault, Kind};
+use pintally_scenario::{in_time, requests, run, Day, Fault, Kind};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::report::Spread;
--- a/crates/pintally-measure/src/moves.rs
+++ b/crates/pintally-measure/src/moves.rs
@@ -10,7 +10,7 @@
 
 use pintally_audit::Record;
 use pintally_cells::CellName;
-use pintally_day::{requests, run, Day, Fault, Kind, One, APART};
+use pintally_scenario::{requests, run, Day, Fault, Kind, One, APART};
 
 use crate::report::Spread;
 use crate::{error, MeasureError};
--- a/crates/pintally-measure/src/price.rs
+++ b/crates/pintally-measure/src/price.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::Role;
 use pintally_cells::{CellName, CellSpec, CellsFile, Home, Needs, TenantHome};
-use pintally_day::{in_time, requests, run, Day};
+use pintally_scenario::{in_time, requests, run, Day};
 
 use crate::flood::Interval;
 use crate::report::Spread;
--- a/crates/pintally-measure/src/stage.rs
+++ b/crates/pintally-measure/src/stage.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pintally::interface::Role;
-use pintally_day::Rig;
+use pintally_scenario::Rig;
 use pintally_standin::EngineSpec;
 
 use crate::load::Goal;
--- a/crates/pintally-day/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -11,10 +11,10 @@
 use pintally::interface::{Listing, Outcome};
 use pintally_audit::Report;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
-use pintally_day::{run_steady, Day, Running};
 use pintally_engine::{release, work, AttemptReader, Progress, Step, Work};
 use pintally_http::{chunk, response, response_head, sse_event, RequestReader, LAST_CHUNK};
 use pintally_kserve::{generate_answer, stream_end, stream_part, Ask, Form};
+use pintally_scenario::{run_steady, Day, Running};
 use serde_json::Value;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
--- a/crates/pintally-day/tests/cells.rs
+++ b/crates/pintally-scenario/tests/cells.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pintally_audit::{Answer, What};
-use pintally_day::{run_steady, Day, DayResult};
+use pintally_scenario::{run_steady, Day, DayResult};
 
 const DAY: &str = r#"
   (zones "a" "b") (racks 2) (slack-ms 800)
--- a/crates/pintally-day/tests/door.rs
+++ b/crates/pintally-scenario/tests/door.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::Role;
 use pintally_audit::Answer;
-use pintally_day::{Ended, Rig};
+use pintally_scenario::{Ended, Rig};
 
 const SETTINGS: &str = r#"(pintally
   (node (name "n0") (engines "set by the rig" (every-ms 20)))
--- a/crates/pintally-day/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::{Listing, Role};
 use pintally_audit::{Answer, Report, Step, What};
-use pintally_day::{run_steady, Day, Ended, Rig};
+use pintally_scenario::{run_steady, Day, Ended, Rig};
 
 const WAIT: Duration = Duration::from_secs(20);
 
--- a/crates/pintally-day/tests/moving.rs
+++ b/crates/pintally-scenario/tests/moving.rs
@@ -1,7 +1,7 @@
 //! A deployment on the move: nodes of the old and of the new shape before the same engines, over sockets. The
 //! rules hold, and neither shape starves the other.
 
-use pintally_day::{run_steady, Day, Shapes};
+use pintally_scenario::{run_steady, Day, Shapes};
 
 /// The example's day, shorter, with so many of its four nodes moved, more said of their shape, and so many
 /// mixed engines.
--- a/crates/pintally-day/tests/sizes.rs
+++ b/crates/pintally-scenario/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! Large days: what loads, and what does not and why.
 
-use pintally_day::{Day, NODES_MOST};
+use pintally_scenario::{Day, NODES_MOST};
 
 const POWER_DAY: &str = include_str!("../../../examples/power-day.sexp");
 
