--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -12,8 +12,8 @@
 use pintally::interface::{EngineId, Listing, Role};
 use pintally_audit::Answer;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
+use pintally_mock_engine::{Engine, Fleet, Port, Recorder};
 use pintally_scenario::{get, Client, Day, Ended, Process, Rig, Running, Try};
-use pintally_standin::{Engine, Fleet, Port, Recorder};
 use serde_json::Value;
 use tempfile::TempDir;
 
--- a/crates/pintally-cli/tests/fleet/verdicts.rs
+++ b/crates/pintally-cli/tests/fleet/verdicts.rs
@@ -7,8 +7,8 @@
 
 use pintally::interface::Role;
 use pintally_config::EngineList;
+use pintally_mock_engine::{Fleet, Recorder};
 use pintally_scenario::{Client, Rig, Try};
-use pintally_standin::{Fleet, Recorder};
 
 use crate::by_hand::{entry, until, Nodes, EXE};
 
--- a/crates/pintally-cli/tests/platform/clock.rs
+++ b/crates/pintally-cli/tests/platform/clock.rs
@@ -35,7 +35,7 @@
 /// that count as cold for an hour by one that is behind.
 #[test]
 fn an_engine_that_starts_is_cold_for_as_long_as_it_takes_whatever_the_wall_clock() {
-    let nobody = pintally_standin::Port::hold().unwrap();
+    let nobody = pintally_mock_engine::Port::hold().unwrap();
     let address = nobody.address().unwrap();
     for shift in [0, HOUR, -HOUR] {
         let stand = Stand::with_clock_shifted(&[("r0", address), ("w0", address)], shift);
@@ -51,7 +51,7 @@
 /// A node that starts behind the others' clock does not hold what started before it for cold by its own clock alone.
 #[test]
 fn a_node_that_starts_with_a_clock_behind_ages_what_has_started() {
-    let nobody = pintally_standin::Port::hold().unwrap();
+    let nobody = pintally_mock_engine::Port::hold().unwrap();
     let address = nobody.address().unwrap();
     let stand = Stand::with_clock_shifted(&[("r0", address)], -HOUR);
     stand.discovery.until_watched(1);
--- a/crates/pintally-cli/tests/platform/ends.rs
+++ b/crates/pintally-cli/tests/platform/ends.rs
@@ -314,7 +314,7 @@
     });
     stand.discovery.until_watched(1);
     // Where discovery is from now on nobody listens, for a while.
-    let held = pintally_standin::Port::hold().unwrap();
+    let held = pintally_mock_engine::Port::hold().unwrap();
     let address = held.address().unwrap();
     let mut config = stand.config.clone();
     config["discovery"] = json!(address);
--- a/crates/pintally-cli/tests/platform/guard.rs
+++ b/crates/pintally-cli/tests/platform/guard.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use pintally_standin::Port;
+use pintally_mock_engine::Port;
 
 use crate::stand::{Client, Stand, LONG};
 
--- a/crates/pintally-cli/tests/platform/main.rs
+++ b/crates/pintally-cli/tests/platform/main.rs
@@ -130,7 +130,7 @@
 #[test]
 fn what_was_never_written_never_ran() {
     let stand = Stand::new(&["r0", "w0"], 256);
-    let held = pintally_standin::Port::hold().unwrap();
+    let held = pintally_mock_engine::Port::hold().unwrap();
     let nobody = held.address().unwrap();
     stand.discovery.until_watched(1);
     stand.discovery.change(member("w9", nobody, "up"));
--- a/crates/pintally-cli/tests/platform/stand.rs
+++ b/crates/pintally-cli/tests/platform/stand.rs
@@ -13,7 +13,7 @@
 use pintally_http::{
     chunk, response, response_head, Part, Request, RequestReader, ResponseReader, LAST_CHUNK,
 };
-use pintally_standin::Port;
+use pintally_mock_engine::Port;
 use serde_json::{json, Value};
 
 /// Nothing is waited for longer than this: a test that gets here has failed.
--- a/crates/pintally-measure/src/stage.rs
+++ b/crates/pintally-measure/src/stage.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use pintally::interface::Role;
+use pintally_mock_engine::EngineSpec;
 use pintally_scenario::Rig;
-use pintally_standin::EngineSpec;
 
 use crate::load::Goal;
 use crate::{error, MeasureError};
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -6,7 +6,7 @@
 
 use pintally_audit::{Answer, What};
 use pintally_http::{request, Part, ResponseReader, SseReader};
-use pintally_standin::Recorder;
+use pintally_mock_engine::Recorder;
 use serde_json::{json, Value};
 
 /// Time to connect: longer than any node takes that lives.
--- a/crates/pintally-scenario/src/engines.rs
+++ b/crates/pintally-scenario/src/engines.rs
@@ -8,7 +8,7 @@
 
 use pintally::interface::{Listing, Role};
 use pintally_config::EngineList;
-use pintally_standin::{self as standin, EngineSpec, Fleet, Recorder};
+use pintally_mock_engine::{self as standin, EngineSpec, Fleet, Recorder};
 
 use crate::publish::{entry_of, replace};
 use crate::run::RunError;
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -11,7 +11,7 @@
 use pintally_audit::{Answer, EngineFigures, Record, What};
 use pintally_cells::{CellsFile, Move, Step};
 use pintally_config::NodeSettings;
-use pintally_standin::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, Reports};
+use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, Reports};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -9,7 +9,7 @@
 use pintally::interface::{EngineId, Listing};
 use pintally_audit::{Listed, What};
 use pintally_config::{EngineEntry, EngineList};
-use pintally_standin::{Engine, Recorder};
+use pintally_mock_engine::{Engine, Recorder};
 
 /// Replaces a file as a whole: whoever reads it sees the old one or the new one.
 pub(crate) fn replace(file: &Path, text: &str) -> io::Result<()> {
--- a/crates/pintally-scenario/src/relay.rs
+++ b/crates/pintally-scenario/src/relay.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pintally_standin::Port;
+use pintally_mock_engine::Port;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
--- a/crates/pintally-soak/src/node.rs
+++ b/crates/pintally-soak/src/node.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use pintally_http::{Part, ResponseReader};
-use pintally_standin::Port;
+use pintally_mock_engine::Port;
 use serde_json::{json, Value};
 
 use crate::record::{Incarnation, Record};
