--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -9,7 +9,7 @@
 use pintally_cells::{CellsFile, Home};
 use pintally_config::form::Document;
 use pintally_config::{ConfigError, EngineList, NodeSettings};
-use pintally_plan::{greedy, solve, steps, Group, Plan, Problem, Step, Tenant, Unsolved};
+use pintally_placement::{greedy, solve, steps, Group, Plan, Problem, Step, Tenant, Unsolved};
 
 use crate::{read, Failure};
 
--- a/crates/pintally-measure/src/plans.rs
+++ b/crates/pintally-measure/src/plans.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use pintally_plan::{greedy, solve, steps, Group, Problem, Tenant, Unsolved};
+use pintally_placement::{greedy, solve, steps, Group, Problem, Tenant, Unsolved};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/pintally-plan/tests/plans.rs
+++ b/crates/pintally-placement/tests/plans.rs
@@ -1,6 +1,6 @@
 //! Plans hold, cost no more than greedy ones, and are reached by safe steps.
 
-use pintally_plan::*;
+use pintally_placement::*;
 use proptest::prelude::*;
 
 fn group(name: &str, zone: usize, reads: f64, writes: f64, now: &[usize], spare: usize) -> Group {
