--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use comfy_table::Table;
+use pintally_benchmarks::{moves, price, MeasureError};
 use pintally_lab::fleet::{self, FleetSpec};
 use pintally_lab::{compare, play, record, size, supported, Which};
-use pintally_measure::{moves, price, MeasureError};
 use pintally_scenario::Day;
 
 use crate::measure::{print_moves, print_prices, MoveOf};
--- a/crates/pintally-cli/src/measure.rs
+++ b/crates/pintally-cli/src/measure.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use comfy_table::Table;
-use pintally_measure::{
+use pintally_benchmarks::{
     added_latency, deciding, emulated, flood, moves, open_streams, over_sockets, plans, price, recorded,
     saturation, Added, Moves, Price,
 };
@@ -334,7 +334,7 @@
                 a.own_lateness_us.to_string(),
             ]
         };
-        let texts = |values: [pintally_measure::Spread; 4]| values.map(|v| v.to_string());
+        let texts = |values: [pintally_benchmarks::Spread; 4]| values.map(|v| v.to_string());
         table.add_row(row("p50", texts([a.direct_p50_us, a.node_p50_us, a.added_p50_us, a.ratio_p50])));
         table.add_row(row("p99", texts([a.direct_p99_us, a.node_p99_us, a.added_p99_us, a.ratio_p99])));
     }
--- a/crates/pintally-lab/src/compare.rs
+++ b/crates/pintally-lab/src/compare.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use pintally_audit::{audit, Record, Report};
-use pintally_measure::{Interval, Spread};
+use pintally_benchmarks::{Interval, Spread};
 use pintally_scenario::{in_time, requests, with_figures, Day};
 
 use crate::policy::Which;
