--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pintally_figures::{wrong, Unsound};
+use pintally_validation::{wrong, Unsound};
 
 use crate::{KeeperName, Micros};
 
--- a/crates/pintally-membership/src/settings.rs
+++ b/crates/pintally-membership/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pintally_figures::{wrong, Unsound};
+use pintally_validation::{wrong, Unsound};
 
 use crate::identity::{sound, PeerName};
 use crate::Micros;
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -1,6 +1,6 @@
 //! The figures of verdicts.
 
-use pintally_figures::{wrong, Unsound};
+use pintally_validation::{wrong, Unsound};
 
 use crate::Micros;
 
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -1,6 +1,6 @@
 //! Limits, and the figures by which they are shared.
 
-use pintally_figures::{wrong, Unsound};
+use pintally_validation::{wrong, Unsound};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -1,7 +1,7 @@
 //! The figures that recovery goes by.
 
 use pintally::interface::Micros;
-use pintally_figures::{wrong, Unsound};
+use pintally_validation::{wrong, Unsound};
 
 /// A class, as far as it matters to what is let in first.
 #[derive(Clone, Copy, Debug, PartialEq)]
