--- a/crates/pintally-cli/src/main.rs
+++ b/crates/pintally-cli/src/main.rs
@@ -29,7 +29,7 @@
     /// How log lines are written, to standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogForm::Plain)]
     log: LogForm,
-    /// What is logged: error, warn, info, debug, or a filter such as `pintally_node=debug`.
+    /// What is logged: error, warn, info, debug, or a filter such as `pintally_kserve_node=debug`.
     #[arg(long, global = true, default_value = "warn")]
     log_level: String,
     #[command(subcommand)]
--- a/crates/pintally-cli/src/serve.rs
+++ b/crates/pintally-cli/src/serve.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pintally_config::NodeSettings;
-use pintally_node::Node;
+use pintally_kserve_node::Node;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -8,8 +8,8 @@
 use pintally::interface::{Listing, Role};
 use pintally_audit::{audit, EngineFigures, Report, What};
 use pintally_config::NodeSettings;
+use pintally_kserve_node::Node;
 use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder};
-use pintally_node::Node;
 use tempfile::TempDir;
 
 use crate::client::{Client, Try};
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -7,7 +7,7 @@
 
 use pintally_audit::{audit, ClassFigures, Effect, EngineFigures, Figures, Group, Record, Report, What};
 use pintally_config::NodeSettings;
-use pintally_node::Node;
+use pintally_kserve_node::Node;
 use serde::Serialize;
 
 use crate::moved::Shapes;
