--- a/crates/pintally-benchlink/src/main.rs
+++ b/crates/pintally-bench-adapter/src/main.rs
@@ -21,7 +21,7 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "pintally-benchlink: line {}: {}", self.line, self.what)
+        write!(f, "pintally-bench-adapter: line {}: {}", self.line, self.what)
     }
 }
 
--- a/crates/pintally-benchlink/tests/wire.rs
+++ b/crates/pintally-bench-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pintally-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_pintally-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
