--- a/crates/pintally-consensus/src/keeper.rs
+++ b/crates/pintally-consensus/src/keeper.rs
@@ -46,7 +46,7 @@
     /// A change of keepers is under way, or this term has agreed on nothing yet.
     Busy,
     /// It is out of bounds.
-    Unsound,
+    InvalidConfiguration,
 }
 
 impl fmt::Display for Refusal {
@@ -56,7 +56,7 @@
             Refusal::NotLeading(None) => f.write_str("no keeper leads: there is no majority, or not yet"),
             Refusal::Unsure => f.write_str("the lead was lost meanwhile: ask whether it was made"),
             Refusal::Busy => f.write_str("another change of keepers is under way"),
-            Refusal::Unsound => f.write_str("the change is out of bounds"),
+            Refusal::InvalidConfiguration => f.write_str("the change is out of bounds"),
         }
     }
 }
@@ -304,7 +304,7 @@
     /// Asks for a change of the register; `number` comes back with what became of it.
     pub fn propose(&mut self, now: Micros, number: u64, write: Write, out: &mut Vec<Output>) {
         if !write.sound() {
-            return out.push(Output::Refused(number, Refusal::Unsound));
+            return out.push(Output::Refused(number, Refusal::InvalidConfiguration));
         }
         self.enter(now, number, What::Write(write), out);
     }
@@ -316,7 +316,7 @@
         let apart = old.symmetric_difference(&new).count();
         let wished = Settings { keepers: keepers.clone(), ..self.settings.clone() };
         if apart != 1 || wished.check().is_err() {
-            return out.push(Output::Refused(number, Refusal::Unsound));
+            return out.push(Output::Refused(number, Refusal::InvalidConfiguration));
         }
         let last_change = self.saved.log.last_change();
         let own_term = self.saved.log.term_of(self.commit) == Some(self.saved.term);
--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -18,7 +18,7 @@
 pub use keeper::{Keeper, Output, Refusal};
 pub use log::{Entry, Position, What};
 pub use message::Message;
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 pub use register::{Register, Value, Write, KEYS_MOST, KEY_MOST, VALUE_MOST};
 pub use settings::{Settings, KEEPERS_MOST};
 pub use status::Status;
--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 
 use crate::{KeeperName, Micros};
 
@@ -44,17 +44,17 @@
     }
 
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
         let sound = |k: &KeeperName| !k.0.is_empty() && k.0.len() <= 64;
         let distinct: BTreeSet<&KeeperName> = self.keepers.iter().collect();
-        wrong(self.keepers.is_empty(), "there is no keeper")?;
-        wrong(self.keepers.len() > KEEPERS_MOST, "there are more than 7 keepers")?;
-        wrong(distinct.len() < self.keepers.len(), "a keeper is named twice")?;
-        wrong(!self.keepers.iter().all(sound), "a keeper's name needs 1 to 64 bytes")?;
-        wrong(self.beat < 1_000, "a leader's beat is under a millisecond")?;
-        wrong(self.election < 3 * self.beat, "the election time is under three beats")?;
-        wrong(self.doubt < self.election, "a disk is believed before an election is over")?;
-        wrong(!(0.0..=0.2).contains(&self.drift), "clocks that drift apart by over a fifth are none")
+        ensure(!self.keepers.is_empty(), "there is no keeper")?;
+        ensure(self.keepers.len() <= KEEPERS_MOST, "there are more than 7 keepers")?;
+        ensure(distinct.len() >= self.keepers.len(), "a keeper is named twice")?;
+        ensure(self.keepers.iter().all(sound), "a keeper's name needs 1 to 64 bytes")?;
+        ensure(self.beat >= 1_000, "a leader's beat is under a millisecond")?;
+        ensure(self.election >= 3 * self.beat, "the election time is under three beats")?;
+        ensure(self.doubt >= self.election, "a disk is believed before an election is over")?;
+        ensure((0.0..=0.2).contains(&self.drift), "clocks that drift apart by over a fifth are none")
     }
 
     /// For how long after it heard a leader, or started, a keeper gives nobody its vote.
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -17,7 +17,7 @@
 pub use follower::{Choice, Follower};
 pub use local::{Local, Word};
 pub use map::{Map, Settings, Zone, ZONES_MOST};
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 pub use plan::Plan;
 pub use planner::{Order, Planner, Status, ZoneStatus};
 pub use way::Known;
--- a/crates/pintally-failover/src/map.rs
+++ b/crates/pintally-failover/src/map.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 
 use crate::Micros;
 
@@ -94,23 +94,23 @@
     }
 
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
         let zones = &self.map.zones;
         let names: BTreeSet<&str> = zones.iter().map(|z| z.name.as_str()).collect();
-        wrong(zones.is_empty(), "there is no zone")?;
-        wrong(zones.len() > ZONES_MOST, "there are more than 20 zones")?;
-        wrong(names.len() < zones.len(), "a zone is in two regions, or named twice")?;
-        wrong(self.map.prices.iter().any(|p| p.2.is_nan() || p.2 < 0.0), "a price is below nothing")?;
-        wrong(self.per_engine.is_nan() || self.per_engine <= 0.0, "an engine carries nothing")?;
-        wrong(!(0.1..=1.0).contains(&self.fill), "nearly nothing of a zone may be used")?;
-        wrong(!(0.0..=1.0).contains(&self.floor), "a zone keeps more than it has")?;
-        wrong(self.lasts < 3 * self.every, "a plan ends before it was renewed three times")?;
-        wrong(self.grace < 2 * self.every, "a zone is given up before two plans have seen it bad")?;
-        wrong(
-            self.hold < self.grace || self.hold > self.hold_most,
+        ensure(!zones.is_empty(), "there is no zone")?;
+        ensure(zones.len() <= ZONES_MOST, "there are more than 20 zones")?;
+        ensure(names.len() >= zones.len(), "a zone is in two regions, or named twice")?;
+        ensure(self.map.prices.iter().all(|p| p.2 >= 0.0), "a price is below nothing")?;
+        ensure(self.per_engine > 0.0, "an engine carries nothing")?;
+        ensure((0.1..=1.0).contains(&self.fill), "nearly nothing of a zone may be used")?;
+        ensure((0.0..=1.0).contains(&self.floor), "a zone keeps more than it has")?;
+        ensure(self.lasts >= 3 * self.every, "a plan ends before it was renewed three times")?;
+        ensure(self.grace >= 2 * self.every, "a zone is given up before two plans have seen it bad")?;
+        ensure(
+            self.hold >= self.grace && self.hold <= self.hold_most,
             "a zone is tried again before it was given up, or never",
         )?;
-        wrong(self.step < 2 * self.every, "a step of the way back is over before it was seen")
+        ensure(self.step >= 2 * self.every, "a step of the way back is over before it was seen")
     }
 
     /// From the first sign that a zone is lost to all nodes following the plan without it, with words and
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -22,7 +22,7 @@
 pub use members::{Member, Standing};
 pub use packet::{DATAGRAM_MOST, WORD_MOST};
 pub use peers::{Notice, Output, Peers};
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 pub use settings::Settings;
 pub use status::{Counters, PeerStatus, Status};
 
--- a/crates/pintally-membership/src/settings.rs
+++ b/crates/pintally-membership/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 
 use crate::identity::{sound, PeerName};
 use crate::Micros;
@@ -58,19 +58,19 @@
     }
 
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
-        wrong(self.fleet.is_empty() || self.fleet.len() > 64, "the fleet's name needs 1 to 64 bytes")?;
-        wrong(!sound(&self.name), "a peer's name needs 1 to 64 bytes")?;
-        wrong(self.zone.len() > 64, "a zone's name has at most 64 bytes")?;
-        wrong(self.period < 1_000, "the period is under a millisecond")?;
-        wrong(
-            self.answer_within == 0 || self.answer_within > self.period / 2,
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
+        ensure(!self.fleet.is_empty() && self.fleet.len() <= 64, "the fleet's name needs 1 to 64 bytes")?;
+        ensure(sound(&self.name), "a peer's name needs 1 to 64 bytes")?;
+        ensure(self.zone.len() <= 64, "a zone's name has at most 64 bytes")?;
+        ensure(self.period >= 1_000, "the period is under a millisecond")?;
+        ensure(
+            self.answer_within != 0 && self.answer_within <= self.period / 2,
             "an answer must come within half a period, so that indirect probes have the other half",
         )?;
-        wrong(self.indirect > 16, "more than 16 indirect probes are a flood")?;
-        wrong(!(1.0..=100.0).contains(&self.suspicion), "suspicion lasts 1 to 100 periods")?;
-        wrong(self.repair < self.period, "repair more often than probes is a flood")?;
-        wrong(self.forget < 20 * self.repair, "what is forgotten before it is repaired comes back")
+        ensure(self.indirect <= 16, "more than 16 indirect probes are a flood")?;
+        ensure((1.0..=100.0).contains(&self.suspicion), "suspicion lasts 1 to 100 periods")?;
+        ensure(self.repair >= self.period, "repair more often than probes is a flood")?;
+        ensure(self.forget >= 20 * self.repair, "what is forgotten before it is repaired comes back")
     }
 
     /// The longest time from a peer's death to its being known to this node, with `n` nodes and no
--- a/crates/pintally-outlier-detection/src/lib.rs
+++ b/crates/pintally-outlier-detection/src/lib.rs
@@ -14,7 +14,7 @@
 mod witness;
 
 pub use evidence::Reach;
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 pub use report::{Report, Seen, SEEN_MOST};
 pub use settings::Settings;
 pub use verdicts::{EngineVerdict, Listed, Node, Status, Verdicts};
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -1,6 +1,6 @@
 //! The figures of verdicts.
 
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 
 use crate::Micros;
 
@@ -42,13 +42,13 @@
 
 impl Settings {
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
-        wrong(self.strikes == 0, "no failure at all accuses an engine")?;
-        wrong(self.accusers == 0, "nobody needs to accuse an engine")?;
-        wrong(self.memory < 2 * self.step, "evidence is forgotten within a step of the way back")?;
-        wrong(self.rest == 0 || self.rest > self.rest_most, "the rest is nothing, or over its most")?;
-        wrong(!(0.0..=0.9).contains(&self.most), "nearly all engines of a kind could be held back")?;
-        wrong(!(0.1..=1.0).contains(&self.own), "one failure would tell of the node itself")
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
+        ensure(self.strikes != 0, "no failure at all accuses an engine")?;
+        ensure(self.accusers != 0, "nobody needs to accuse an engine")?;
+        ensure(self.memory >= 2 * self.step, "evidence is forgotten within a step of the way back")?;
+        ensure(self.rest != 0 && self.rest <= self.rest_most, "the rest is nothing, or over its most")?;
+        ensure((0.0..=0.9).contains(&self.most), "nearly all engines of a kind could be held back")?;
+        ensure((0.1..=1.0).contains(&self.own), "one failure would tell of the node itself")
     }
 
     /// Failed attempts that the whole fleet pays until an engine is held back, beside what is sent while
--- a/crates/pintally-platform-node/src/list.rs
+++ b/crates/pintally-platform-node/src/list.rs
@@ -117,7 +117,7 @@
             Taken::Older => {
                 self.say(now, &format!("revision {revision} of the list is older than what holds"))
             }
-            Taken::Unsound(why) => {
+            Taken::InvalidConfiguration(why) => {
                 self.say(now, &format!("revision {revision} of the list does not hold: {why}"))
             }
             Taken::Holds(form, mut members) => {
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -93,7 +93,7 @@
     /// It is older than what holds.
     Older,
     /// It contradicts itself.
-    Unsound(&'static str),
+    InvalidConfiguration(&'static str),
     /// These entries are to be taken.
     Holds(ListForm, Vec<Listed>),
 }
@@ -117,11 +117,11 @@
             return Taken::Older;
         }
         if list.complete && list.members.is_empty() {
-            return Taken::Unsound("a whole list without an engine");
+            return Taken::InvalidConfiguration("a whole list without an engine");
         }
         let first = self.revision.is_none();
         if !list.complete && first {
-            return Taken::Unsound("changes to a list that was never told");
+            return Taken::InvalidConfiguration("changes to a list that was never told");
         }
         if !list.complete && (list.members.is_empty() || self.revision == Some(list.revision)) {
             self.revision = Some(list.revision);
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -265,12 +265,15 @@
     };
     let (up, gone) = (member("s-1", "up", 7), member("s-1", "removed", 0));
     let mut follower = Follower::default();
-    assert!(matches!(follower.take(list(3, false, vec![up.clone()]).unwrap()), Taken::Unsound(_)));
+    assert!(matches!(
+        follower.take(list(3, false, vec![up.clone()]).unwrap()),
+        Taken::InvalidConfiguration(_)
+    ));
     let Taken::Holds(_, members) = follower.take(list(3, true, vec![up.clone()]).unwrap()) else { panic!() };
     assert_eq!((members[0].member.listing, members[0].member.started), (Listing::Serving, Some(7000)));
     assert!(matches!(follower.take(list(3, false, vec![]).unwrap()), Taken::Same));
     assert!(matches!(follower.take(list(2, true, vec![up.clone()]).unwrap()), Taken::Older));
-    assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::Unsound(_)));
+    assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::InvalidConfiguration(_)));
     assert_eq!(follower.revision(), Some(3));
     let Taken::Holds(_, members) = follower.take(list(4, false, vec![gone]).unwrap()) else { panic!() };
     assert_eq!(members[0].member.listing, Listing::Gone);
--- a/crates/pintally-quota/src/lib.rs
+++ b/crates/pintally-quota/src/lib.rs
@@ -19,7 +19,7 @@
 pub use lending::Lending;
 pub use limit::{Bound, Kind, Limit, LimitId, Settings};
 pub use message::{Ask, Grant, AT_ONCE};
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 
 /// Microseconds of a clock that never goes back.
 pub type Micros = u64;
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -1,6 +1,6 @@
 //! Limits, and the figures by which they are shared.
 
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
@@ -79,14 +79,14 @@
 
 impl Settings {
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
-        wrong(self.nodes == 0, "a fleet has one node at least")?;
-        wrong(!(0.0..0.9).contains(&self.reserve), "floors take nearly all of a hard limit")?;
-        wrong(!(0.0..=1.0).contains(&self.over), "a soft limit is exceeded by more than itself")?;
-        wrong(self.every == 0, "a share is asked for all the time")?;
-        wrong(self.lease < 4 * self.every, "a lease ends before it was asked for four times")?;
-        wrong(self.burst < 10_000, "what is not used at once is lost")?;
-        wrong(!(0.0..=0.2).contains(&self.drift), "clocks that drift apart by over a fifth are none")
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
+        ensure(self.nodes != 0, "a fleet has one node at least")?;
+        ensure((0.0..0.9).contains(&self.reserve), "floors take nearly all of a hard limit")?;
+        ensure((0.0..=1.0).contains(&self.over), "a soft limit is exceeded by more than itself")?;
+        ensure(self.every != 0, "a share is asked for all the time")?;
+        ensure(self.lease >= 4 * self.every, "a lease ends before it was asked for four times")?;
+        ensure(self.burst >= 10_000, "what is not used at once is lost")?;
+        ensure((0.0..=0.2).contains(&self.drift), "clocks that drift apart by over a fifth are none")
     }
 
     /// What a node may use of a limit without asking anybody.
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -15,7 +15,7 @@
 pub use capacity::{share, Capacity, Fleet};
 pub use gate::{Gate, Plan, Verdict};
 pub use list::{merge, Merged};
-pub use pintally_validation::Unsound;
+pub use pintally_validation::InvalidConfiguration;
 pub use settings::{ClassWorth, Settings};
 pub use stage::{Answer, Input, Memory, Output, Recovery, Stage};
 pub use status::Status;
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -1,7 +1,7 @@
 //! The figures that recovery goes by.
 
 use pintally::interface::Micros;
-use pintally_validation::{wrong, Unsound};
+use pintally_validation::{ensure, InvalidConfiguration};
 
 /// A class, as far as it matters to what is let in first.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,15 +43,15 @@
 
 impl Settings {
     /// Checks that the figures go together.
-    pub fn check(&self) -> Result<(), Unsound> {
-        wrong(self.expected == 0, "a fleet has one node at least")?;
-        wrong(!(0.001..=1.0).contains(&self.cold_from), "a cold engine does some part of its work")?;
-        wrong(!(0.01..=1.0).contains(&self.textless), "an engine without texts does some part of its work")?;
-        wrong(!(0.001..=1e6).contains(&self.per_engine), "an engine carries some requests a second")?;
-        wrong(self.ask == 0 || self.rounds == 0, "somebody must be asked, at least once")?;
-        wrong(self.answer_within == 0, "an answer takes some time")?;
-        wrong(
-            self.careful_most < self.warm_after,
+    pub fn check(&self) -> Result<(), InvalidConfiguration> {
+        ensure(self.expected != 0, "a fleet has one node at least")?;
+        ensure((0.001..=1.0).contains(&self.cold_from), "a cold engine does some part of its work")?;
+        ensure((0.01..=1.0).contains(&self.textless), "an engine without texts does some part of its work")?;
+        ensure((0.001..=1e6).contains(&self.per_engine), "an engine carries some requests a second")?;
+        ensure(self.ask != 0 && self.rounds != 0, "somebody must be asked, at least once")?;
+        ensure(self.answer_within != 0, "an answer takes some time")?;
+        ensure(
+            self.careful_most >= self.warm_after,
             "the careful stage must not end before an engine that started with it is warm",
         )
     }
--- a/crates/pintally-validation/src/lib.rs
+++ b/crates/pintally-validation/src/lib.rs
@@ -1,23 +1,28 @@
-//! What the settings of the fleet's packages share: figures that do not go together, and how that is told.
+//! Validation of settings whose figures depend on each other, shared by the packages of the fleet.
 
 use std::fmt;
 
-/// Figures that do not go together.
+/// A configuration whose figures contradict each other; the text names the violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unsound(pub &'static str);
+pub struct InvalidConfiguration(pub &'static str);
 
-impl fmt::Display for Unsound {
+impl fmt::Display for InvalidConfiguration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Unsound {}
+impl std::error::Error for InvalidConfiguration {}
 
-/// An error that says so where something is bad.
-pub fn wrong(bad: bool, what: &'static str) -> Result<(), Unsound> {
-    match bad {
-        true => Err(Unsound(what)),
-        false => Ok(()),
+/// Returns an error with this text unless the condition holds.
+///
+/// # Errors
+///
+/// [`InvalidConfiguration`] if `valid` is false.
+pub fn ensure(valid: bool, violated_rule: &'static str) -> Result<(), InvalidConfiguration> {
+    if valid {
+        Ok(())
+    } else {
+        Err(InvalidConfiguration(violated_rule))
     }
 }
