--- a/crates/pintally-audit/src/index.rs
+++ b/crates/pintally-audit/src/index.rs
@@ -10,14 +10,14 @@
 /// and this many times, as a message passes several threads on its way,
 const LATE_HOPS: u64 = 8;
 /// beside itself this much at the most.
-const LATE_MOST: u64 = 2_000_000;
+const MAX_LATE: u64 = 2_000_000;
 
 /// What a lateness of the machine may have added to a time, both in microseconds.
 ///
 /// Guards against a verdict on the machine: where it stood still for a second, nodes, engines and clients
 /// stood with it, and the whole second is nobody's. The hops behind it are bounded.
 pub fn late_allowance(us: u64) -> u64 {
-    us + (us * (LATE_HOPS - 1)).min(LATE_MOST)
+    us + (us * (LATE_HOPS - 1)).min(MAX_LATE)
 }
 
 /// One try of a client.
--- a/crates/pintally-benchmarks/src/streams.rs
+++ b/crates/pintally-benchmarks/src/streams.rs
@@ -38,7 +38,7 @@
 
 /// Streams that are opened at a time, and how many may fail before no more are tried.
 const GROUP: usize = 200;
-const MISSES_MOST: usize = 400;
+const MAX_MISSES: usize = 400;
 
 struct Process(Child);
 
@@ -78,7 +78,7 @@
     let before_kib = resident(node.0.id())?;
     let mut open = Vec::new();
     let mut misses = 0;
-    while open.len() < wanted && misses < MISSES_MOST {
+    while open.len() < wanted && misses < MAX_MISSES {
         // In small groups: a node turns away what it cannot start in time.
         let group = GROUP.min(wanted - open.len());
         let asked: Vec<Option<TcpStream>> = (0..group).map(|i| stream(address, open.len() + i)).collect();
--- a/crates/pintally-cells/src/edge.rs
+++ b/crates/pintally-cells/src/edge.rs
@@ -11,7 +11,7 @@
 /// A tenant is told to come back after this many milliseconds for each time over that it is.
 const COME_BACK_MS: u64 = 250;
 /// And after this long at the most.
-const COME_BACK_MOST_MS: u64 = 2000;
+const MAX_COME_BACK_MS: u64 = 2000;
 
 /// What the edge says of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -101,13 +101,13 @@
     /// Whether a request of a tenant has a place in a cell whose part counts only by `share` now, as
     /// when it has lost engines. Takes nothing yet.
     pub fn ask(&self, cell: &CellName, tenant: Option<&str>, share: f64) -> Place {
-        let Some(c) = self.cells.get(cell) else { return Place::None(COME_BACK_MOST_MS) };
+        let Some(c) = self.cells.get(cell) else { return Place::None(MAX_COME_BACK_MS) };
         let part = ((c.part as f64 * share.clamp(0.0, 1.0)) as usize).max(1);
         let own = c.tenants.get(&tenant.map(str::to_string)).copied().unwrap_or(0);
         let others = c.tenants.iter().filter(|(t, n)| **n > 0 && t.as_deref() != tenant).count();
         let fair = part / (others + 1);
         let over =
-            |times: usize| Place::None((times as u64 * COME_BACK_MS).clamp(COME_BACK_MS, COME_BACK_MOST_MS));
+            |times: usize| Place::None((times as u64 * COME_BACK_MS).clamp(COME_BACK_MS, MAX_COME_BACK_MS));
         // A cell that has lost engines borrows nothing: places would not help it.
         if share < 1.0 && c.all >= part && own >= fair.max(1) {
             return over(own / fair.max(1));
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -19,7 +19,7 @@
 /// While it fails, one harmless request goes in so often, to see whether it still does;
 const TRIAL_EVERY: Micros = 1_000_000;
 /// each good end halves the time to the next, down to this.
-const TRIAL_LEAST: Micros = 60_000;
+const MIN_TRIAL: Micros = 60_000;
 /// A cell that sheds and is not late opens to this much more of what comes each second;
 const OPENS: f64 = 0.1;
 /// late, it closes again by half each second, down to what its engines are.
@@ -131,7 +131,7 @@
     /// An attempt has ended in a cell that fails.
     pub fn tried(&mut self, good: bool) {
         if self.failing {
-            self.trial_every = if good { (self.trial_every / 2).max(TRIAL_LEAST) } else { TRIAL_EVERY };
+            self.trial_every = if good { (self.trial_every / 2).max(MIN_TRIAL) } else { TRIAL_EVERY };
         }
     }
 
--- a/crates/pintally-cells/src/strain.rs
+++ b/crates/pintally-cells/src/strain.rs
@@ -23,7 +23,7 @@
 /// Calm for so long, it asks for one pair less.
 const GIVE_UP_EVERY: Micros = 5_000_000;
 /// The most pairs that a cell asks for.
-const PAIRS_MOST: usize = 8;
+const MAX_PAIRS: usize = 8;
 
 #[derive(Clone, Debug, Default)]
 struct Felt {
@@ -71,7 +71,7 @@
             }
             let since = now.saturating_sub(felt.stepped);
             // Between the two shares it asks for neither more nor less.
-            if felt.strained && share >= STRAINED && since >= ASK_EVERY && felt.pairs < PAIRS_MOST {
+            if felt.strained && share >= STRAINED && since >= ASK_EVERY && felt.pairs < MAX_PAIRS {
                 (felt.pairs, felt.stepped, changed) = (felt.pairs + 1, now, true);
             } else if !felt.strained && felt.pairs > 0 && since >= GIVE_UP_EVERY {
                 (felt.pairs, felt.stepped, changed) = (felt.pairs - 1, now, true);
--- a/crates/pintally-config/src/form.rs
+++ b/crates/pintally-config/src/form.rs
@@ -11,9 +11,9 @@
 use crate::ConfigError;
 
 /// The largest file that is read.
-pub const FILE_MOST: usize = 16 << 20;
+pub const MAX_FILE: usize = 16 << 20;
 /// The deepest nesting that is read: the parser recurses.
-const DEPTH_MOST: usize = 64;
+const MAX_DEPTH: usize = 64;
 
 /// A text as it stands in a file.
 pub fn quoted(text: &str) -> String {
@@ -49,11 +49,11 @@
             what,
             rule: None,
         };
-        if text.len() > FILE_MOST {
-            return Err(error(0, 0, format!("the file is larger than {FILE_MOST} bytes")));
+        if text.len() > MAX_FILE {
+            return Err(error(0, 0, format!("the file is larger than {MAX_FILE} bytes")));
         }
         if let Some(line) = too_deep(text) {
-            return Err(error(line, 1, format!("lists are nested more than {DEPTH_MOST} deep")));
+            return Err(error(line, 1, format!("lists are nested more than {MAX_DEPTH} deep")));
         }
         let mut parser = Parser::from_str(text);
         let mut data = Vec::new();
@@ -109,7 +109,7 @@
             ')' | ']' if !quoted && !comment => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEPTH_MOST {
+        if depth > MAX_DEPTH {
             return Some(line);
         }
     }
--- a/crates/pintally-config/tests/bad_files.rs
+++ b/crates/pintally-config/tests/bad_files.rs
@@ -107,7 +107,7 @@
     assert!(NodeSettings::parse("deep", &deep).unwrap_err().what.contains("deep"));
     let quotes = "'".repeat(100_000);
     assert!(NodeSettings::parse("quotes", &quotes).is_err());
-    let large = " ".repeat(pintally_config::form::FILE_MOST + 1);
+    let large = " ".repeat(pintally_config::form::MAX_FILE + 1);
     assert!(NodeSettings::parse("large", &large).unwrap_err().what.contains("larger"));
 }
 
--- a/crates/pintally-consensus/src/keeper.rs
+++ b/crates/pintally-consensus/src/keeper.rs
@@ -10,16 +10,16 @@
 
 use crate::doubt::{majority, Doubt, End, Told};
 use crate::log::{Entry, Log, Position, What};
-use crate::message::{Message, CARRY_MOST};
+use crate::message::{Message, MAX_CARRY};
 use crate::register::{Register, Write};
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::{KeeperName, Micros};
 
 /// Bytes of the largest snapshot that is taken in.
-const SNAPSHOT_MOST: u32 = 4 << 20;
+const MAX_SNAPSHOT: u32 = 4 << 20;
 /// Proposals that may wait at a leader.
-const WAITING_MOST: usize = 256;
+const MAX_WAITING: usize = 256;
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -340,7 +340,7 @@
             let leader = self.leader.clone().filter(|l| *l != self.settings.name);
             return out.push(Output::Refused(number, Refusal::NotLeading(leader)));
         }
-        if self.waiting.len() >= WAITING_MOST {
+        if self.waiting.len() >= MAX_WAITING {
             return out.push(Output::Refused(number, Refusal::Busy));
         }
         if matches!(what, What::Keepers(_)) {
@@ -714,7 +714,7 @@
             let last = self.commit;
             return self.sends.push((from.clone(), Message::Appended { term, agrees: true, last, sent }));
         }
-        if of > SNAPSHOT_MOST {
+        if of > MAX_SNAPSHOT {
             return;
         }
         if self.incoming.as_ref().is_none_or(|i| i.at != at) {
@@ -788,14 +788,14 @@
             Some(before) => Message::Append {
                 term,
                 after: Position { term: before, index: progress.next - 1 },
-                entries: log.from(progress.next, CARRY_MOST),
+                entries: log.from(progress.next, MAX_CARRY),
                 commit: self.commit,
                 sent: now,
             },
             None => {
                 let of = log.snapshot.len() as u32;
                 let from = progress.snapshot.min(of);
-                let end = (from as usize + CARRY_MOST).min(of as usize);
+                let end = (from as usize + MAX_CARRY).min(of as usize);
                 let bytes = log.snapshot[from as usize..end].to_vec();
                 let keepers = log.keepers.clone();
                 Message::Snapshot { term, at: log.base, keepers, from, of, bytes, sent: now }
--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -19,8 +19,8 @@
 pub use log::{Entry, Position, What};
 pub use message::Message;
 pub use pintally_validation::InvalidConfiguration;
-pub use register::{Register, Value, Write, KEYS_MOST, KEY_MOST, VALUE_MOST};
-pub use settings::{Settings, KEEPERS_MOST};
+pub use register::{Register, Value, Write, MAX_KEY, MAX_KEYS, MAX_VALUE};
+pub use settings::{Settings, MAX_KEEPERS};
 pub use status::Status;
 
 use std::fmt;
--- a/crates/pintally-consensus/src/message.rs
+++ b/crates/pintally-consensus/src/message.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of entries, or of a snapshot's part, in one message: with what stands around them they stay
 /// below a datagram.
-pub(crate) const CARRY_MOST: usize = 640;
+pub(crate) const MAX_CARRY: usize = 640;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/pintally-consensus/src/register.rs
+++ b/crates/pintally-consensus/src/register.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of the longest key.
-pub const KEY_MOST: usize = 96;
+pub const MAX_KEY: usize = 96;
 /// Bytes of the longest value.
-pub const VALUE_MOST: usize = 400;
+pub const MAX_VALUE: usize = 400;
 /// Keys at the most.
-pub const KEYS_MOST: usize = 4096;
+pub const MAX_KEYS: usize = 4096;
 
 /// What stands under a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 impl Write {
     /// Whether it is within bounds.
     pub fn sound(&self) -> bool {
-        !self.key.is_empty() && self.key.len() <= KEY_MOST && self.value.len() <= VALUE_MOST
+        !self.key.is_empty() && self.key.len() <= MAX_KEY && self.value.len() <= MAX_VALUE
     }
 }
 
@@ -59,7 +59,7 @@
     /// Makes a change; the version that stands afterwards, or the one that stood in its way.
     pub(crate) fn apply(&mut self, write: &Write) -> Result<u64, u64> {
         let known = self.values.get(&write.key).map_or(0, |v| v.version);
-        let full = known == 0 && self.values.len() >= KEYS_MOST;
+        let full = known == 0 && self.values.len() >= MAX_KEYS;
         if full || !write.sound() || write.expect.is_some_and(|e| e != known) {
             return Err(known);
         }
--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -7,7 +7,7 @@
 use crate::{KeeperName, Micros};
 
 /// More keepers cost more messages and bear no more failures that are worth it.
-pub const KEEPERS_MOST: usize = 7;
+pub const MAX_KEEPERS: usize = 7;
 
 /// What a keeper is told. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
         let sound = |k: &KeeperName| !k.0.is_empty() && k.0.len() <= 64;
         let distinct: BTreeSet<&KeeperName> = self.keepers.iter().collect();
         ensure(!self.keepers.is_empty(), "there is no keeper")?;
-        ensure(self.keepers.len() <= KEEPERS_MOST, "there are more than 7 keepers")?;
+        ensure(self.keepers.len() <= MAX_KEEPERS, "there are more than 7 keepers")?;
         ensure(distinct.len() >= self.keepers.len(), "a keeper is named twice")?;
         ensure(self.keepers.iter().all(sound), "a keeper's name needs 1 to 64 bytes")?;
         ensure(self.beat >= 1_000, "a leader's beat is under a millisecond")?;
--- a/crates/pintally-engine/src/answer.rs
+++ b/crates/pintally-engine/src/answer.rs
@@ -7,9 +7,9 @@
 use crate::{extension, load_from_header, of_status, Step, LOAD_HEADER};
 
 /// Bounds for an answer's head, one event of it, and a whole read or error.
-const HEAD_MOST: usize = 32 << 10;
-const EVENT_MOST: usize = 1 << 20;
-const BODY_MOST: usize = 4 << 20;
+const MAX_HEAD: usize = 32 << 10;
+const MAX_EVENT: usize = 1 << 20;
+const MAX_BODY: usize = 4 << 20;
 
 /// What an attempt's bytes tell.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,8 +53,8 @@
         AttemptReader {
             step,
             slots,
-            response: ResponseReader::new(HEAD_MOST),
-            sse: SseReader::new(EVENT_MOST),
+            response: ResponseReader::new(MAX_HEAD),
+            sse: SseReader::new(MAX_EVENT),
             status: 0,
             vouched: false,
             load: None,
@@ -98,7 +98,7 @@
             }
             Part::Body(bytes) if self.status == 200 && self.step != Step::Read => self.events(&bytes, out),
             Part::Body(bytes) => {
-                if self.body.len() + bytes.len() > BODY_MOST {
+                if self.body.len() + bytes.len() > MAX_BODY {
                     return self.end(Outcome::Broken, None, false, out);
                 }
                 self.body.extend_from_slice(&bytes);
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -16,7 +16,7 @@
 pub use flow::{place, Placed};
 pub use follower::{Choice, Follower};
 pub use local::{Local, Word};
-pub use map::{Map, Settings, Zone, ZONES_MOST};
+pub use map::{Map, Settings, Zone, MAX_ZONES};
 pub use pintally_validation::InvalidConfiguration;
 pub use plan::Plan;
 pub use planner::{Order, Planner, Status, ZoneStatus};
--- a/crates/pintally-failover/src/local.rs
+++ b/crates/pintally-failover/src/local.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::map::ZONES_MOST;
+use crate::map::MAX_ZONES;
 use crate::Micros;
 
 /// What was seen fades with this half-life.
@@ -27,7 +27,7 @@
     /// Reads a word; nothing if it is none.
     pub fn decode(bytes: &[u8]) -> Option<Word> {
         let word: Word = postcard::from_bytes(bytes).ok()?;
-        (word.offered.is_finite() && word.offered >= 0.0 && word.zones.len() <= ZONES_MOST).then_some(word)
+        (word.offered.is_finite() && word.offered >= 0.0 && word.zones.len() <= MAX_ZONES).then_some(word)
     }
 }
 
--- a/crates/pintally-failover/src/map.rs
+++ b/crates/pintally-failover/src/map.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 
 /// Zones at the most: a plan fits into one small fact.
-pub const ZONES_MOST: usize = 20;
+pub const MAX_ZONES: usize = 20;
 
 /// A zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
         let zones = &self.map.zones;
         let names: BTreeSet<&str> = zones.iter().map(|z| z.name.as_str()).collect();
         ensure(!zones.is_empty(), "there is no zone")?;
-        ensure(zones.len() <= ZONES_MOST, "there are more than 20 zones")?;
+        ensure(zones.len() <= MAX_ZONES, "there are more than 20 zones")?;
         ensure(names.len() >= zones.len(), "a zone is in two regions, or named twice")?;
         ensure(self.map.prices.iter().all(|p| p.2 >= 0.0), "a price is below nothing")?;
         ensure(self.per_engine > 0.0, "an engine carries nothing")?;
--- a/crates/pintally-failover/src/plan.rs
+++ b/crates/pintally-failover/src/plan.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::map::ZONES_MOST;
+use crate::map::MAX_ZONES;
 
 /// Who may go where, decided by one leader in its term. Parts are of 255.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
             let sum: u32 = row.iter().map(|(_, part)| u32::from(*part)).sum();
             row.len() <= 4 && sum <= 255 && row.iter().all(|(zone, _)| usize::from(*zone) < zones)
         };
-        let fits = zones <= ZONES_MOST && plan.rows.len() == zones && plan.open.len() == zones;
+        let fits = zones <= MAX_ZONES && plan.rows.len() == zones && plan.open.len() == zones;
         (fits && plan.rows.iter().all(sound)).then_some(plan)
     }
 
--- a/crates/pintally-host/src/letting.rs
+++ b/crates/pintally-host/src/letting.rs
@@ -23,11 +23,11 @@
 /// The longest distance between two calls is this part of the time.
 const EVERY_PART: Micros = 8;
 /// The shortest distance.
-const EVERY_LEAST: Micros = 10_000;
+const MIN_EVERY: Micros = 10_000;
 /// Calls at the fixed distance; further ones at distances that double.
 const STEADY: u32 = 16;
 /// Calls after which nobody expects a word any more.
-const MOST: u32 = 23;
+const MAX_RELEASE_CALLS: u32 = 23;
 /// So many of those that wait go on calling for all, at this part of the time each.
 const SCOUTS: usize = 2;
 const SCOUT_PART: Micros = 4;
@@ -35,13 +35,13 @@
 const ANEW: u32 = 4;
 /// What waits is called anew a little apart, and so much at one word.
 const APART: Micros = 1_000;
-const ANEW_MOST: usize = 512;
+const MAX_ANEW: usize = 512;
 /// Calls may begin this part of the time after the last outcome while an attempt is out, in eighths.
 const GUARD_EIGHTHS: Micros = 5;
 /// What has just been sent is given this part of the time to arrive before a state is let go.
 const SETTLE_PART: Micros = 16;
 /// The most that are let go at once; what comes beyond it is called once and not repeated.
-const OPEN_MOST: usize = 65_536;
+const MAX_OPEN: usize = 65_536;
 
 /// A timer of the host.
 pub(crate) type Timer = (Micros, u64);
@@ -122,7 +122,7 @@
     /// Everything of a request is let go from now on; its time runs since then.
     pub(crate) fn begin(&mut self, now: Micros, id: &RequestId, holder: EngineId, since: Micros) {
         let left = since.saturating_add(self.within).saturating_sub(now);
-        let every = (left / CALLS).min(self.within / EVERY_PART).max(EVERY_LEAST);
+        let every = (left / CALLS).min(self.within / EVERY_PART).max(MIN_EVERY);
         let open = Open {
             holder,
             every,
@@ -152,7 +152,7 @@
     /// void then.
     pub(crate) fn anew(&mut self, now: Micros) -> Vec<(RequestId, Option<Timer>, Micros)> {
         let mut anew = Vec::new();
-        for id in self.late.iter().take(ANEW_MOST).cloned().collect::<Vec<_>>() {
+        for id in self.late.iter().take(MAX_ANEW).cloned().collect::<Vec<_>>() {
             self.late.remove(&id);
             self.scouts.remove(&id);
             let Some(open) = self.open.get_mut(&id) else { continue };
@@ -182,7 +182,7 @@
 
     /// And how many of them an engine's word is still expected for.
     pub(crate) fn expected(&self) -> usize {
-        self.open.values().filter(|open| open.calls < MOST).count()
+        self.open.values().filter(|open| open.calls < MAX_RELEASE_CALLS).count()
     }
 
     /// Something came from an engine, or something sent to it failed.
@@ -211,10 +211,10 @@
         id: &RequestId,
         engines: impl Iterator<Item = (&'a EngineId, Listing)>,
     ) -> Option<Call> {
-        let spare = self.open.len() <= OPEN_MOST;
+        let spare = self.open.len() <= MAX_OPEN;
         let open = self.open.get_mut(id)?;
         open.timer = None;
-        let spent = open.calls >= MOST;
+        let spent = open.calls >= MAX_RELEASE_CALLS;
         if open.calls >= STEADY {
             self.late.insert(id.clone());
             // A few look out for all that wait.
@@ -223,7 +223,7 @@
             }
         }
         let after = match self.scouts.contains(id) {
-            true => (self.within / SCOUT_PART).max(EVERY_LEAST),
+            true => (self.within / SCOUT_PART).max(MIN_EVERY),
             // It waits until an engine is heard.
             false if spent => return None,
             false => open.every << open.calls.saturating_sub(STEADY - 1),
@@ -262,8 +262,8 @@
         open.last = now;
         // Guards against both: kept connections that are silent behind a cut, and new ones that come up late.
         let anew = open.made % 2 == 1;
-        open.calls = (open.calls + 1).min(MOST);
-        let last = open.calls == MOST && !std::mem::replace(&mut open.told, true);
+        open.calls = (open.calls + 1).min(MAX_RELEASE_CALLS);
+        let last = open.calls == MAX_RELEASE_CALLS && !std::mem::replace(&mut open.told, true);
         let engine = best.map(|(engine, _)| engine.clone());
         if let Some(engine) = &engine {
             *open.asked.entry(engine.clone()).or_default() += 1;
--- a/crates/pintally-host/src/letting/tests.rs
+++ b/crates/pintally-host/src/letting/tests.rs
@@ -43,7 +43,7 @@
             assert!(before.len() >= fit, "{} calls of {within} us from {first}", before.len());
             let different: std::collections::BTreeSet<_> = before.iter().map(|c| &c.1).collect();
             assert_eq!(different.len(), before.len());
-            assert_eq!(all.len(), MOST as usize);
+            assert_eq!(all.len(), MAX_RELEASE_CALLS as usize);
             letting.end(&id("x"));
         }
     }
@@ -138,7 +138,7 @@
 fn without_any_engine_it_goes_on_looking() {
     let mut letting = Letting::new(500_000);
     letting.begin(0, &id("x"), EngineId("e".into()), 0);
-    for n in 0..MOST + 5 {
+    for n in 0..MAX_RELEASE_CALLS + 5 {
         let call = letting.call(0, &id("x"), std::iter::empty());
         let Some(Call { engine: None, after: Some(after), .. }) = call else { panic!("it ends") };
         match n {
--- a/crates/pintally-host/src/releases.rs
+++ b/crates/pintally-host/src/releases.rs
@@ -17,17 +17,17 @@
 /// The first distance between two tries; it doubles with each.
 const FIRST: Micros = 50_000;
 /// Tries after which no word is expected any more: the last one is some twelve seconds after the first.
-const MOST: u32 = 9;
+const MAX_RELEASE_ATTEMPTS: u32 = 9;
 /// From so many on an engine that is heard is called anew, this long after the last try at the soonest.
 const LATE: u32 = 4;
 const RESTED: Micros = 250_000;
 /// And so many of its states at one word.
-const ANEW_MOST: usize = 512;
+const MAX_ANEW: usize = 512;
 /// Further calls for a state that may come into being behind one that was heard, each half of the time for
 /// what is held later than the one before.
 const BEHIND: u32 = 3;
 /// The most releases that wait for an answer; beyond it they are not repeated.
-const OPEN_MOST: usize = 65_536;
+const MAX_OPEN: usize = 65_536;
 
 /// A release that was not heard yet.
 struct Open {
@@ -59,7 +59,7 @@
 impl Releases {
     /// A release goes out for the first time.
     pub(crate) fn begin(&mut self, now: Micros, id: &RequestId, engine: &EngineId, sure: bool) {
-        if self.len < OPEN_MOST {
+        if self.len < MAX_OPEN {
             let behind = if sure { 0 } else { BEHIND };
             let open = Open { tries: 1, behind, last: now, timer: None };
             let before = self.open.entry(engine.clone()).or_default().insert(id.clone(), open);
@@ -91,7 +91,7 @@
             return Verdict::Done;
         }
         open.last = now;
-        if open.tries >= MOST {
+        if open.tries >= MAX_RELEASE_ATTEMPTS {
             return Verdict::Lost;
         }
         let after = FIRST << (open.tries - 1);
@@ -109,7 +109,7 @@
     /// What is to be tried anew at an engine that has been heard, with timers that are void then, and when.
     pub(crate) fn anew(&mut self, now: Micros, engine: &EngineId) -> Vec<(RequestId, Option<Timer>, Micros)> {
         let Some(all) = self.open.get_mut(engine) else { return Vec::new() };
-        let late = all.iter_mut().filter(|(_, open)| open.tries >= LATE).take(ANEW_MOST);
+        let late = all.iter_mut().filter(|(_, open)| open.tries >= LATE).take(MAX_ANEW);
         late.map(|(id, open)| {
             open.tries = 1;
             (id.clone(), open.timer.take(), open.last.saturating_add(RESTED).max(now))
@@ -146,6 +146,6 @@
 
     /// And for how many of them a word is still expected.
     pub(crate) fn expected(&self) -> usize {
-        self.open.values().flat_map(BTreeMap::values).filter(|open| open.tries < MOST).count()
+        self.open.values().flat_map(BTreeMap::values).filter(|open| open.tries < MAX_RELEASE_ATTEMPTS).count()
     }
 }
--- a/crates/pintally-http/src/body.rs
+++ b/crates/pintally-http/src/body.rs
@@ -3,7 +3,7 @@
 use crate::{Headers, HttpError};
 
 /// The longest line that gives a chunk's size, and the most trailer bytes.
-const LINE_MOST: usize = 1024;
+const MAX_LINE: usize = 1024;
 
 /// How the rest of a body is framed.
 pub(crate) enum Framing {
@@ -96,7 +96,7 @@
                     let Some(end) = line_end(rest)? else { return Ok(used) };
                     used += end + 2;
                     *seen += end + 2;
-                    if *seen > LINE_MOST {
+                    if *seen > MAX_LINE {
                         return Err(HttpError::HeadTooLarge);
                     }
                     if end == 0 {
@@ -118,9 +118,9 @@
 
 /// Where the first line ends, if it is all there.
 fn line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
-    match buffer.windows(2).take(LINE_MOST).position(|w| w == b"\r\n") {
+    match buffer.windows(2).take(MAX_LINE).position(|w| w == b"\r\n") {
         Some(end) => Ok(Some(end)),
-        None if buffer.len() > LINE_MOST => Err(HttpError::Malformed("a line is too long")),
+        None if buffer.len() > MAX_LINE => Err(HttpError::Malformed("a line is too long")),
         None => Ok(None),
     }
 }
--- a/crates/pintally-http/src/lib.rs
+++ b/crates/pintally-http/src/lib.rs
@@ -16,7 +16,7 @@
 use std::fmt;
 
 /// The most header lines of a message.
-pub(crate) const HEADERS_MOST: usize = 64;
+pub(crate) const MAX_HEADERS: usize = 64;
 
 /// Headers in the order they came, names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/pintally-http/src/request.rs
+++ b/crates/pintally-http/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests as a server reads them: whole, within bounds.
 
 use crate::body::Framing;
-use crate::{Headers, HttpError, HEADERS_MOST};
+use crate::{Headers, HttpError, MAX_HEADERS};
 
 /// A whole request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     }
 
     fn read_head(&mut self) -> Result<bool, HttpError> {
-        let mut space = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut space);
         let length = match parsed.parse(&self.buffer) {
             Ok(httparse::Status::Complete(length)) if length <= self.head_most => length,
--- a/crates/pintally-http/src/response.rs
+++ b/crates/pintally-http/src/response.rs
@@ -1,10 +1,10 @@
 //! Responses as a client reads them: the head, then the body as it comes.
 
 use crate::body::Framing;
-use crate::{Headers, HttpError, HEADERS_MOST};
+use crate::{Headers, HttpError, MAX_HEADERS};
 
 /// The most body bytes that one call hands out.
-const PART_MOST: usize = 1 << 20;
+const MAX_PART: usize = 1 << 20;
 
 /// A part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,8 +91,8 @@
         }
         let Some(framing) = &mut self.framing else { return self.read_head() };
         let mut body = Vec::new();
-        let end = self.buffer.len().min(PART_MOST);
-        let used = framing.take(&self.buffer[..end], &mut body, PART_MOST)?;
+        let end = self.buffer.len().min(MAX_PART);
+        let used = framing.take(&self.buffer[..end], &mut body, MAX_PART)?;
         self.buffer.drain(..used);
         if matches!(framing, Framing::Chunk(left) if *left > self.chunk_most) {
             return Err(HttpError::BodyTooLarge);
@@ -109,7 +109,7 @@
 
     fn read_head(&mut self) -> Result<Option<Part>, HttpError> {
         loop {
-            let mut space = [httparse::EMPTY_HEADER; HEADERS_MOST];
+            let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut parsed = httparse::Response::new(&mut space);
             let length = match parsed.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(length)) if length <= self.head_most => length,
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -16,7 +16,7 @@
 use crate::wait::{wait, Client, Waker};
 
 /// What is read from a client after a refusal, so that it sees the refusal before a reset.
-const DRAIN_MOST: usize = 1 << 20;
+const MAX_DRAIN: usize = 1 << 20;
 const DRAIN_FOR: Duration = Duration::from_millis(500);
 
 /// Room that a connection's request takes; given back when it is dropped.
@@ -287,7 +287,7 @@
 fn drain(stream: &mut TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.set_read_timeout(Some(DRAIN_FOR));
-    let (by, mut left, mut buffer) = (Instant::now() + DRAIN_FOR, DRAIN_MOST, [0u8; 16 << 10]);
+    let (by, mut left, mut buffer) = (Instant::now() + DRAIN_FOR, MAX_DRAIN, [0u8; 16 << 10]);
     while left > 0 && Instant::now() < by {
         match stream.read(&mut buffer) {
             Ok(n) if n > 0 => left = left.saturating_sub(n),
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 
 use crate::errand::{Errand, Errands};
-use crate::fleet::LEFT_MOST;
+use crate::fleet::MAX_LEFT;
 use crate::shared::{Mail, Mailbox, Message, Shared};
 
 /// Messages taken in one go before timers are looked at.
@@ -128,7 +128,7 @@
             return;
         }
         self.at = now;
-        shared.fleet.keep_left(host.would_leave(LEFT_MOST));
+        shared.fleet.keep_left(host.would_leave(MAX_LEFT));
     }
 }
 
--- a/crates/pintally-kserve-node/src/errand.rs
+++ b/crates/pintally-kserve-node/src/errand.rs
@@ -22,9 +22,9 @@
 use crate::wait::{wait_for_many, Waker};
 
 /// The longest answer to an errand.
-const ANSWER_MOST: usize = 1 << 20;
+const MAX_ANSWER: usize = 1 << 20;
 /// Errands that may wait to be taken in, and again that many for their engine's turn.
-const WAITING_MOST: usize = 1 << 14;
+const MAX_WAITING: usize = 1 << 14;
 /// One engine has at most this part of the places.
 const PART: usize = 4;
 
@@ -72,7 +72,7 @@
 
 /// A way for errands from the deciding thread to the one that runs them.
 pub(crate) fn way() -> std::io::Result<(Errands, Queue)> {
-    let (sender, receiver) = bounded(WAITING_MOST);
+    let (sender, receiver) = bounded(MAX_WAITING);
     let waker = Arc::new(Waker::new()?);
     Ok((Errands { sender: Some(sender), waker: waker.clone() }, Queue { receiver, waker }))
 }
@@ -202,7 +202,7 @@
         loop {
             match self.reader.next_part() {
                 Ok(Some(Part::Head(status, _))) => self.status = status,
-                Ok(Some(Part::Body(bytes))) if self.body.len() + bytes.len() <= ANSWER_MOST => {
+                Ok(Some(Part::Body(bytes))) if self.body.len() + bytes.len() <= MAX_ANSWER => {
                     self.body.extend(bytes);
                 }
                 Ok(Some(Part::Body(_))) | Err(_) => return Some(End::Failed),
@@ -254,7 +254,7 @@
     let (mut lines, mut out, mut buffer) = (Lines::new(most), Vec::<Out>::new(), vec![0u8; 16 << 10]);
     loop {
         let mut closed = false;
-        while lines.waiting < WAITING_MOST && !closed {
+        while lines.waiting < MAX_WAITING && !closed {
             match queue.receiver.try_recv() {
                 Ok(errand) => lines.push(errand),
                 Err(TryRecvError::Empty) => break,
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -45,7 +45,7 @@
 /// The number of people's orders among whole texts.
 const ORDER: u8 = 128;
 /// Engines that people may clear before the fleet's thread has told of them.
-const ASKED_MOST: usize = 64;
+const MAX_ASKED: usize = 64;
 /// An order that nobody has answered by then is of unknown effect.
 const ORDER_WITHIN: Duration = Duration::from_secs(3);
 /// The number of the list among whole texts.
@@ -62,7 +62,7 @@
 const TURN: Duration = Duration::from_millis(20);
 
 /// The most read states that are kept for the next life.
-pub(crate) const LEFT_MOST: usize = 4096;
+pub(crate) const MAX_LEFT: usize = 4096;
 /// Keys of the node's records.
 const KEY_LIST: &str = "list";
 const KEY_CARRIED: &str = "carried";
@@ -201,7 +201,7 @@
     usual.iter_mut().zip(told).filter(|(_, t)| t.is_finite() && *t > 0.0).for_each(|(u, t)| *u = t);
     let seen = text(KEY_PEERS).unwrap_or_default();
     let left = text(KEY_LEFT).and_then(|t| serde_json::from_str::<Vec<(String, String)>>(&t).ok());
-    let left = left.unwrap_or_default().into_iter().take(LEFT_MOST);
+    let left = left.unwrap_or_default().into_iter().take(MAX_LEFT);
     Before {
         left: left.map(|(e, n)| (EngineId(e.into()), RequestId(n.into()))).collect(),
         list: text(KEY_LIST),
@@ -323,7 +323,7 @@
             return keeper::Answer::no("this node has no verdicts in its settings");
         }
         let mut waiting = lock(&shared.fleet.cleared);
-        if waiting.len() >= ASKED_MOST {
+        if waiting.len() >= MAX_ASKED {
             return keeper::Answer::no("too many engines are cleared at once");
         }
         waiting.push(engine);
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -30,7 +30,7 @@
 /// How often it is told where the keeper stands.
 const TELL_EVERY: Micros = 100_000;
 /// Orders that wait for what becomes of them.
-const ORDERS_MOST: usize = 64;
+const MAX_ORDERS: usize = 64;
 
 /// To the keeper.
 pub(crate) enum ToKeeper {
@@ -163,7 +163,7 @@
             ToKeeper::Asks(name, life, asks) => return self.lend(&name, life, &asks),
             ToKeeper::Order(order, answer) => {
                 self.number += 1;
-                if self.orders.len() >= ORDERS_MOST {
+                if self.orders.len() >= MAX_ORDERS {
                     self.orders.pop_front();
                 }
                 self.orders.push_back((self.number, answer));
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -19,9 +19,9 @@
 use crate::wait::{wait, Client, Waker};
 
 /// The most mail that a request can have open: an attempt, its cancel, an answer and the end.
-const MAIL_MOST: usize = 8;
+const MAX_MAIL: usize = 8;
 /// The longest answer that is gathered before it goes out whole.
-const WHOLE_MOST: usize = 16 << 20;
+const MAX_WHOLE: usize = 16 << 20;
 
 /// What a client has asked.
 pub(crate) struct Asked {
@@ -60,7 +60,7 @@
     asked: &Asked,
     arrival: Arrival,
 ) -> bool {
-    let (sender, mail) = bounded(MAIL_MOST);
+    let (sender, mail) = bounded(MAX_MAIL);
     let ticket = arrival.ticket;
     let mailbox = Mailbox { mail: sender, waker: waker.clone() };
     // The last quarter of the channel is for what already runs.
@@ -140,7 +140,7 @@
     /// the answer has grown too long.
     pub(crate) fn flush(&mut self) -> bool {
         if self.asked.form != Form::Stream {
-            return self.text.len() <= WHOLE_MOST;
+            return self.text.len() <= MAX_WHOLE;
         }
         if self.text.is_empty() || self.gone || self.answered {
             return !self.gone;
--- a/crates/pintally-kserve-node/src/pool.rs
+++ b/crates/pintally-kserve-node/src/pool.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 /// Idle connections kept for each engine.
-const IDLE_MOST: usize = 64;
+const MAX_IDLE: usize = 64;
 
 #[derive(Default)]
 struct Line {
@@ -20,7 +20,7 @@
 
 impl Line {
     fn keep(&mut self, stream: TcpStream) {
-        if self.idle.len() < IDLE_MOST {
+        if self.idle.len() < MAX_IDLE {
             self.idle.push((stream, Instant::now()));
         }
     }
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use pintally::interface::ListForm;
 use pintally_cells::CellsFile;
-use pintally_config::form::FILE_MOST;
+use pintally_config::form::MAX_FILE;
 use pintally_config::EngineList;
 use pintally_host::{Applied, Input, ListFollower};
 use pintally_recovery::{merge, Merged};
@@ -201,7 +201,7 @@
 
 fn read(path: &str) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    File::open(path)?.take(FILE_MOST as u64 + 1).read_to_end(&mut text)?;
+    File::open(path)?.take(MAX_FILE as u64 + 1).read_to_end(&mut text)?;
     Ok(text)
 }
 
--- a/crates/pintally-kserve/src/ask.rs
+++ b/crates/pintally-kserve/src/ask.rs
@@ -8,9 +8,9 @@
 /// A header with the milliseconds that the client waits; the shorter of it and the parameter holds.
 pub const DEADLINE_HEADER: &str = "x-request-timeout-ms";
 /// The longest id, class or tenant name that is taken.
-const NAME_MOST: usize = 256;
+const MAX_NAME: usize = 256;
 /// The longest wait that a client may ask for: an hour.
-const DEADLINE_MOST: u64 = 3_600_000;
+const MAX_DEADLINE: u64 = 3_600_000;
 
 /// The endpoint, which settles the form of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,9 +109,7 @@
         }
         match ask.deadline_ms {
             Some(0) => return wrong("the deadline is 0 ms"),
-            Some(ms) if ms > DEADLINE_MOST => {
-                return wrong(format!("the deadline is over {DEADLINE_MOST} ms"))
-            }
+            Some(ms) if ms > MAX_DEADLINE => return wrong(format!("the deadline is over {MAX_DEADLINE} ms")),
             _ => {}
         }
         if ask.max_tokens == Some(0) {
@@ -125,18 +123,18 @@
 fn name(map: &Map<String, Value>, key: &str) -> Result<Option<String>, AskError> {
     match map.get(key) {
         None | Some(Value::Null) => Ok(None),
-        Some(Value::String(s)) if s.len() <= NAME_MOST && !s.chars().any(char::is_control) => {
+        Some(Value::String(s)) if s.len() <= MAX_NAME && !s.chars().any(char::is_control) => {
             Ok(Some(s.clone()).filter(|s| !s.is_empty()))
         }
-        Some(_) => wrong(format!("`{key}` must be a text of at most {NAME_MOST} bytes")),
+        Some(_) => wrong(format!("`{key}` must be a text of at most {MAX_NAME} bytes")),
     }
 }
 
 /// A key that is a number, or a text whose hash serves as one.
 fn key(map: &Map<String, Value>, key: &str) -> Result<Option<u64>, AskError> {
     match map.get(key) {
-        Some(Value::String(s)) if s.len() <= NAME_MOST => Ok(Some(xxh3_64(s.as_bytes()) >> 11)),
-        Some(Value::String(_)) => wrong(format!("`{key}` is longer than {NAME_MOST} bytes")),
+        Some(Value::String(s)) if s.len() <= MAX_NAME => Ok(Some(xxh3_64(s.as_bytes()) >> 11)),
+        Some(Value::String(_)) => wrong(format!("`{key}` is longer than {MAX_NAME} bytes")),
         _ => whole(map, key),
     }
 }
--- a/crates/pintally-membership/src/facts.rs
+++ b/crates/pintally-membership/src/facts.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{sound, Life, PeerName};
-use crate::members::MEMBERS_MOST;
+use crate::members::MAX_MEMBERS;
 
 /// Bytes of a fact at the most: several fit into a datagram.
-pub const PAYLOAD_MOST: usize = 400;
+pub const MAX_PAYLOAD: usize = 400;
 /// Topics that one node may speak on.
-pub const FACTS_MOST: usize = 16;
+pub const MAX_FACTS: usize = 16;
 
 /// What a fact is about; each package of the fleet has its own numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     }
 
     pub(crate) fn sound(&self) -> bool {
-        sound(&self.origin) && self.payload.len() <= PAYLOAD_MOST && self.version > 0
+        sound(&self.origin) && self.payload.len() <= MAX_PAYLOAD && self.version > 0
     }
 }
 
@@ -54,8 +54,8 @@
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::TooLong => write!(f, "a fact holds at most {PAYLOAD_MOST} bytes"),
-            Refused::TooMany => write!(f, "a node speaks on at most {FACTS_MOST} topics"),
+            Refused::TooLong => write!(f, "a fact holds at most {MAX_PAYLOAD} bytes"),
+            Refused::TooMany => write!(f, "a node speaks on at most {MAX_FACTS} topics"),
         }
     }
 }
@@ -82,7 +82,7 @@
         let key = (fact.origin.clone(), fact.topic);
         match self.all.get(&key) {
             Some(known) if known.rank() >= fact.rank() => false,
-            None if self.count(&fact.origin) >= FACTS_MOST || self.all.len() >= MEMBERS_MOST * 4 => false,
+            None if self.count(&fact.origin) >= MAX_FACTS || self.all.len() >= MAX_MEMBERS * 4 => false,
             _ => {
                 self.all.insert(key, fact);
                 true
--- a/crates/pintally-membership/src/health.rs
+++ b/crates/pintally-membership/src/health.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 
 /// The worst it can be: everything then takes nine times as long.
-const MOST: u32 = 8;
+const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
 
 /// How much a node has reason to doubt itself.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,7 +20,7 @@
     /// Something that a sound node would not see: a probe that even helpers could not report on, a
     /// suspicion of itself, a tick that came late.
     pub(crate) fn worse(&mut self, by: u32) {
-        self.doubt = (self.doubt + by).min(MOST);
+        self.doubt = (self.doubt + by).min(MAX_LOCAL_HEALTH_SCORE);
     }
 
     /// A span, stretched by the doubt.
--- a/crates/pintally-membership/src/identity.rs
+++ b/crates/pintally-membership/src/identity.rs
@@ -32,9 +32,9 @@
 }
 
 /// Bytes of the longest name.
-pub(crate) const NAME_MOST: usize = 64;
+pub(crate) const MAX_NAME: usize = 64;
 
 /// Whether a name may be used on the wire.
 pub(crate) fn sound(name: &PeerName) -> bool {
-    !name.0.is_empty() && name.0.len() <= NAME_MOST
+    !name.0.is_empty() && name.0.len() <= MAX_NAME
 }
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -17,10 +17,10 @@
 mod spread;
 mod status;
 
-pub use facts::{Fact, Refused, Topic, FACTS_MOST, PAYLOAD_MOST};
+pub use facts::{Fact, Refused, Topic, MAX_FACTS, MAX_PAYLOAD};
 pub use identity::{Life, PeerName};
 pub use members::{Member, Standing};
-pub use packet::{DATAGRAM_MOST, WORD_MOST};
+pub use packet::{MAX_DATAGRAM, MAX_WORD};
 pub use peers::{Notice, Output, Peers};
 pub use pintally_validation::InvalidConfiguration;
 pub use settings::Settings;
--- a/crates/pintally-membership/src/members.rs
+++ b/crates/pintally-membership/src/members.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 /// Peers that are kept in mind.
-pub(crate) const MEMBERS_MOST: usize = 4096;
+pub(crate) const MAX_MEMBERS: usize = 4096;
 
 /// How a peer stands. Of two words on one incarnation the later in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -146,7 +146,7 @@
                 Some(Some(before))
             }
             None => {
-                if self.all.len() >= MEMBERS_MOST {
+                if self.all.len() >= MAX_MEMBERS {
                     return None;
                 }
                 let member = Member { word, since: now, until: 0, accusers: BTreeSet::new() };
--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -10,9 +10,9 @@
 use crate::members::Word;
 
 /// Bytes of a packet at the most: below what common links carry in one piece.
-pub const DATAGRAM_MOST: usize = 1400;
+pub const MAX_DATAGRAM: usize = 1400;
 /// Bytes of what is told to one peer alone: with its head it fills a datagram.
-pub const WORD_MOST: usize = 1100;
+pub const MAX_WORD: usize = 1100;
 /// The wire's version, first in every packet.
 const VERSION: u8 = 1;
 
--- a/crates/pintally-membership/src/peers.rs
+++ b/crates/pintally-membership/src/peers.rs
@@ -7,14 +7,14 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::facts::{Fact, Facts, Refused, Topic, FACTS_MOST, PAYLOAD_MOST};
+use crate::facts::{Fact, Facts, Refused, Topic, MAX_FACTS, MAX_PAYLOAD};
 use crate::health::Health;
 use crate::identity::{Life, PeerName};
 use crate::members::{Member, Members, Standing, Word};
 use crate::packet::{
-    digest_of_fact, digest_of_word, fleet_number, piece, Body, Packet, Unread, DATAGRAM_MOST, WORD_MOST,
+    digest_of_fact, digest_of_word, fleet_number, piece, Body, Packet, Unread, MAX_DATAGRAM, MAX_WORD,
 };
-use crate::probe::{Errand, Probe, ERRANDS_MOST};
+use crate::probe::{Errand, Probe, MAX_ERRANDS};
 use crate::settings::Settings;
 use crate::spread::{News, Spread};
 use crate::status::{Counters, PeerStatus, Status};
@@ -23,9 +23,9 @@
 /// A tick this many periods late tells of a process that stood still.
 const STOOD_STILL: u64 = 3;
 /// Entries of a digest in one packet.
-const DIGEST_MOST: usize = 70;
+const MAX_DIGEST: usize = 70;
 /// Raising its boot so often within the time in which a death is known, a node shares its name.
-const RAISES_MOST: u32 = 3;
+const MAX_RAISES: u32 = 3;
 /// Own periods between two calls of the seeds by a node that knows nobody, or few.
 const CALL_EVERY: u64 = 4;
 
@@ -229,7 +229,7 @@
         let Some(to) = self.members.get(whom).filter(|m| m.is_here()).map(|m| self.route(m)) else {
             return false;
         };
-        if payload.len() > WORD_MOST || self.stepped_back {
+        if payload.len() > MAX_WORD || self.stepped_back {
             return false;
         }
         self.send(to, Body::Word { topic, payload }, out);
@@ -238,7 +238,7 @@
 
     /// Says something on a topic; an empty payload takes it back.
     pub fn say(&mut self, topic: Topic, payload: Vec<u8>) -> Result<(), Refused> {
-        if payload.len() > PAYLOAD_MOST {
+        if payload.len() > MAX_PAYLOAD {
             return Err(Refused::TooLong);
         }
         let key = (self.me.name.clone(), topic);
@@ -247,7 +247,7 @@
         {
             return Ok(());
         }
-        if self.facts.get(&key).is_none() && self.facts.count(&key.0) >= FACTS_MOST {
+        if self.facts.get(&key).is_none() && self.facts.count(&key.0) >= MAX_FACTS {
             return Err(Refused::TooMany);
         }
         self.said.insert(topic, payload.clone());
@@ -480,8 +480,8 @@
         known.extend(self.members.iter().map(|m| digest_of_word(&m.word)));
         known.extend(self.facts.iter().map(digest_of_fact));
         known.sort_unstable();
-        let of = known.len().div_ceil(DIGEST_MOST) as u16;
-        for (part, some) in known.chunks(DIGEST_MOST).enumerate() {
+        let of = known.len().div_ceil(MAX_DIGEST) as u16;
+        for (part, some) in known.chunks(MAX_DIGEST).enumerate() {
             let body = Body::Digest { part: part as u16, of, known: some.to_vec(), answer };
             self.send(to, body, out);
         }
@@ -536,7 +536,7 @@
                 }
             }
             Body::Ask { number, whom, address } => {
-                if self.errands.len() < ERRANDS_MOST {
+                if self.errands.len() < MAX_ERRANDS {
                     let own = self.next_number();
                     let address = self.members.get(&whom).map_or(address, |m| self.route(m));
                     let by = now + self.settings.answer_within;
@@ -546,7 +546,7 @@
             }
             Body::Digest { part, of, known, answer } => self.differ(from, (part, of), &known, answer, out),
             Body::News => {}
-            Body::Word { topic, payload } if payload.len() <= PAYLOAD_MOST => {
+            Body::Word { topic, payload } if payload.len() <= MAX_PAYLOAD => {
                 out.push(Output::Notice(Notice::Told(name, topic, payload)));
             }
             Body::Word { .. } => self.counters.garbled += 1,
@@ -632,7 +632,7 @@
             self.raises = (0, now);
         }
         self.raises.0 += 1;
-        if self.raises.0 > RAISES_MOST && word.life.mark < self.me.life.mark {
+        if self.raises.0 > MAX_RAISES && word.life.mark < self.me.life.mark {
             self.stepped_back = true;
             out.push(Output::Notice(Notice::SteppedBack));
             return;
@@ -674,7 +674,7 @@
         answer: bool,
         out: &mut Vec<Output>,
     ) {
-        if of == 0 || part >= of || known.len() > DIGEST_MOST || !known.is_sorted() {
+        if of == 0 || part >= of || known.len() > MAX_DIGEST || !known.is_sorted() {
             self.counters.garbled += 1;
             return;
         }
@@ -745,7 +745,7 @@
                     None => 0,
                 },
             };
-            if length + size > DATAGRAM_MOST {
+            if length + size > MAX_DATAGRAM {
                 match news {
                     News::Member(_) => packet.words.pop().map(|_| ()),
                     News::Fact(..) => packet.facts.pop().map(|_| ()),
@@ -764,7 +764,7 @@
         let mut length = packet.encode().len();
         for word in words {
             let size = 64 + word.name.0.len() + word.zone.len();
-            if length + size > DATAGRAM_MOST {
+            if length + size > MAX_DATAGRAM {
                 self.put(to, &packet, out);
                 packet = self.packet(Body::News);
                 length = 128;
@@ -774,7 +774,7 @@
         }
         for fact in facts {
             let size = 48 + fact.origin.0.len() + fact.payload.len();
-            if length + size > DATAGRAM_MOST {
+            if length + size > MAX_DATAGRAM {
                 self.put(to, &packet, out);
                 packet = self.packet(Body::News);
                 length = 128;
@@ -809,7 +809,7 @@
 
     fn put(&mut self, to: SocketAddr, packet: &Packet, out: &mut Vec<Output>) {
         let bytes = packet.encode();
-        if bytes.is_empty() || bytes.len() > DATAGRAM_MOST + 600 {
+        if bytes.is_empty() || bytes.len() > MAX_DATAGRAM + 600 {
             return;
         }
         self.counters.sent += 1;
--- a/crates/pintally-membership/src/probe.rs
+++ b/crates/pintally-membership/src/probe.rs
@@ -30,4 +30,4 @@
 }
 
 /// Probes for others at once: more are not taken on.
-pub(crate) const ERRANDS_MOST: usize = 256;
+pub(crate) const MAX_ERRANDS: usize = 256;
--- a/crates/pintally-membership/tests/bytes.rs
+++ b/crates/pintally-membership/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pintally_membership::{Life, Output, Peers, Settings, Topic, FACTS_MOST, PAYLOAD_MOST};
+use pintally_membership::{Life, Output, Peers, Settings, Topic, MAX_FACTS, MAX_PAYLOAD};
 use proptest::prelude::*;
 
 fn node(number: u16, seed: u16) -> Peers {
@@ -44,12 +44,12 @@
 #[test]
 fn facts_are_bounded() {
     let mut one = node(1, 2);
-    assert!(one.say(Topic(0), vec![0; PAYLOAD_MOST + 1]).is_err());
-    for topic in 0..FACTS_MOST as u8 {
+    assert!(one.say(Topic(0), vec![0; MAX_PAYLOAD + 1]).is_err());
+    for topic in 0..MAX_FACTS as u8 {
         one.say(Topic(topic), vec![topic]).unwrap();
     }
     assert!(one.say(Topic(99), vec![1]).is_err());
     let mut out = Vec::new();
     one.tick(0, &mut out);
-    assert!(datagrams(out).iter().all(|d| d.len() <= pintally_membership::DATAGRAM_MOST));
+    assert!(datagrams(out).iter().all(|d| d.len() <= pintally_membership::MAX_DATAGRAM));
 }
--- a/crates/pintally-outlier-detection/src/lib.rs
+++ b/crates/pintally-outlier-detection/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use evidence::Reach;
 pub use pintally_validation::InvalidConfiguration;
-pub use report::{Report, Seen, SEEN_MOST};
+pub use report::{Report, Seen, MAX_SEEN};
 pub use settings::Settings;
 pub use verdicts::{EngineVerdict, Listed, Node, Status, Verdicts};
 pub use witness::{Fault, Witness};
--- a/crates/pintally-outlier-detection/src/report.rs
+++ b/crates/pintally-outlier-detection/src/report.rs
@@ -5,7 +5,7 @@
 use crate::EngineLife;
 
 /// Engines in one report at the most: it fits into a fact.
-pub const SEEN_MOST: usize = 18;
+pub const MAX_SEEN: usize = 18;
 
 /// What a node saw of one engine lately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,6 +42,6 @@
     /// Reads a report; nothing if it is none, or too long.
     pub fn decode(bytes: &[u8]) -> Option<Report> {
         let report: Report = postcard::from_bytes(bytes).ok()?;
-        (report.seen.len() <= SEEN_MOST && report.zones.len() <= 16).then_some(report)
+        (report.seen.len() <= MAX_SEEN && report.zones.len() <= 16).then_some(report)
     }
 }
--- a/crates/pintally-outlier-detection/src/verdicts.rs
+++ b/crates/pintally-outlier-detection/src/verdicts.rs
@@ -17,7 +17,7 @@
 /// From this part of the engines of a kind on, lateness is overload and nobody's sickness.
 const OVERLOAD: f64 = 0.34;
 /// Reports of so many nodes are kept.
-const NODES_MOST: usize = 4096;
+const MAX_NODES: usize = 4096;
 
 /// A node that reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -137,7 +137,7 @@
 
     /// A node's report has come.
     pub fn report(&mut self, now: Micros, from: &Node, report: &Report) {
-        if self.told.len() >= NODES_MOST && !self.told.contains_key(&from.name) {
+        if self.told.len() >= MAX_NODES && !self.told.contains_key(&from.name) {
             return;
         }
         let words = report.seen.iter().map(|s| (s.engine, Word::told(now, s))).collect();
--- a/crates/pintally-outlier-detection/src/witness.rs
+++ b/crates/pintally-outlier-detection/src/witness.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::report::{Report, Seen, SEEN_MOST};
+use crate::report::{Report, Seen, MAX_SEEN};
 use crate::settings::Settings;
 use crate::{EngineLife, Micros};
 
@@ -110,7 +110,7 @@
             .collect();
         // The freshest failures first, then the freshest words in favour.
         seen.sort_by_key(|s| (s.bad_age.min(s.good_age), s.engine));
-        seen.truncate(SEEN_MOST);
+        seen.truncate(MAX_SEEN);
         report.seen = seen;
         report
     }
--- a/crates/pintally-platform-node/src/acceptor.rs
+++ b/crates/pintally-platform-node/src/acceptor.rs
@@ -6,7 +6,7 @@
 use pintally::interface::Micros;
 use pintally_guards::CloseReason;
 use pintally_http::RequestReader;
-use pintally_platform::{BODY_MOST, HEAD_MOST};
+use pintally_platform::{MAX_BODY, MAX_HEAD};
 
 use crate::arrivals::Arrivals;
 use crate::conn::{Client, Conn, Key, Stage};
@@ -25,7 +25,7 @@
 /// Descriptors that calls which let go can have when clients and attempts have all others: this part of
 /// all, and so many at the most.
 const CALLS_PART: usize = 16;
-const CALLS_MOST: usize = 8;
+const MAX_CALLS: usize = 8;
 /// After a signal to stop connections come for so long.
 pub(crate) const STILL_COME: Micros = 500_000;
 
@@ -159,7 +159,7 @@
         let flags = Flags::IN | Flags::RDHUP;
         let client = Client {
             stream,
-            reader: RequestReader::new(HEAD_MOST, BODY_MOST),
+            reader: RequestReader::new(MAX_HEAD, MAX_BODY),
             arrivals: Arrivals::default(),
             out: Vec::new(),
             gone: 0,
@@ -199,7 +199,7 @@
     /// Whether the limit leaves a descriptor for one more connection of a client or an attempt.
     fn has_descriptor(&self) -> bool {
         let sockets = self.config.limits.sockets;
-        self.has_descriptor_beside((sockets / CALLS_PART).min(CALLS_MOST))
+        self.has_descriptor_beside((sockets / CALLS_PART).min(MAX_CALLS))
     }
 
     fn has_descriptor_beside(&self, others: usize) -> bool {
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -16,7 +16,7 @@
 use crate::system::is_not_yet;
 
 /// Requests of one connection that are looked at in one turn.
-const REQUESTS_MOST: usize = 8;
+const MAX_REQUESTS: usize = 8;
 /// A connection whose end has been written is read and dropped for so long.
 pub(crate) const LINGER: Micros = 400_000;
 
@@ -73,7 +73,7 @@
 
     /// Looks at the requests that are there, until one is held.
     pub(crate) fn requests(&mut self, key: Key) {
-        for _ in 0..REQUESTS_MOST {
+        for _ in 0..MAX_REQUESTS {
             let open = |c: &&mut Client| c.stage == Stage::Open && c.takes_answers();
             let Some(client) = self.client(key).filter(open) else { break };
             match client.reader.next_request() {
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -16,7 +16,7 @@
 /// Word of a connection that was ended before it was used comes within this time.
 const AT_ONCE: Micros = 30_000;
 /// Reads of one connection in one turn.
-const READS_MOST: usize = 4;
+const MAX_READS: usize = 4;
 /// Bytes of one read: what a slow client's connection may hold beyond its bound.
 const READ_BYTES: usize = 16 << 10;
 
@@ -114,7 +114,7 @@
 
     fn engine_reads(&mut self, key: Key) {
         let mut told = Vec::new();
-        for _ in 0..READS_MOST {
+        for _ in 0..MAX_READS {
             let now = self.clock.now();
             let names = &self.config.told.names;
             let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
--- a/crates/pintally-platform-node/src/list.rs
+++ b/crates/pintally-platform-node/src/list.rs
@@ -6,7 +6,7 @@
 use pintally::interface::{ListForm, Listing, Micros, Outcome};
 use pintally_host::{Input, Listed};
 use pintally_http::{Part, ResponseReader};
-use pintally_platform::{watch, Follower, Lines, List, Taken, HEAD_MOST};
+use pintally_platform::{watch, Follower, Lines, List, Taken, MAX_HEAD};
 
 use crate::conn::{Conn, Key, Work};
 use crate::node::{Node, WATCH};
@@ -217,7 +217,7 @@
             stream,
             up: false,
             out: watch(self.watch.follower.revision()),
-            reader: ResponseReader::new(HEAD_MOST),
+            reader: ResponseReader::new(MAX_HEAD),
             lines: Lines::default(),
             status: 0,
             heard: now,
--- a/crates/pintally-platform-node/src/log.rs
+++ b/crates/pintally-platform-node/src/log.rs
@@ -3,7 +3,7 @@
 use pintally::interface::Micros;
 
 /// Lines that may be written in one second.
-const MOST: u32 = 20;
+const MAX_LINES_PER_WINDOW: u32 = 20;
 
 /// Counts lines by the second.
 #[derive(Default)]
@@ -26,7 +26,7 @@
             }
         }
         self.lines += 1;
-        self.kept_back += u64::from(self.lines > MOST);
-        self.lines <= MOST
+        self.kept_back += u64::from(self.lines > MAX_LINES_PER_WINDOW);
+        self.lines <= MAX_LINES_PER_WINDOW
     }
 }
--- a/crates/pintally-platform-node/src/poll.rs
+++ b/crates/pintally-platform-node/src/poll.rs
@@ -12,7 +12,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 /// The most events of one turn.
-const EVENTS_MOST: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 /// A socket for a connection to an address; the connection itself is begun by [`connect`].
 pub(crate) fn socket(address: SocketAddr) -> io::Result<Socket> {
@@ -48,7 +48,7 @@
 impl Poll {
     pub(crate) fn new() -> io::Result<Poll> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        Ok(Poll { epoll, events: Vec::with_capacity(EVENTS_MOST) })
+        Ok(Poll { epoll, events: Vec::with_capacity(MAX_EVENTS) })
     }
 
     pub(crate) fn add(&self, source: impl AsFd, token: u64, flags: Flags) -> io::Result<()> {
--- a/crates/pintally-platform-node/src/pool.rs
+++ b/crates/pintally-platform-node/src/pool.rs
@@ -8,7 +8,7 @@
 use crate::conn::Key;
 
 /// A connection is kept for so long whatever has been seen.
-const LEAST: Micros = 10_000;
+const MIN_IDLE_LIMIT: Micros = 10_000;
 /// A connection that has just brought an answer is not used again before this time is over. Guards against a
 /// second answer that its engine sends some milliseconds after the first: it would be taken for the answer
 /// to the next request, which nothing in an answer could tell apart.
@@ -35,7 +35,7 @@
     /// A connection was ended by its engine's side when it had been idle for so long.
     pub(crate) fn ended(&mut self, at: Micros, idle: Micros) {
         let limit = self.limit(at);
-        self.now = limit.min((idle / 2).max(LEAST));
+        self.now = limit.min((idle / 2).max(MIN_IDLE_LIMIT));
         self.seen_at = at;
     }
 
--- a/crates/pintally-platform-node/src/pool/tests.rs
+++ b/crates/pintally-platform-node/src/pool/tests.rs
@@ -13,7 +13,7 @@
     keep.ended(2 * second, 900_000);
     assert_eq!(keep.limit(3 * second), 150_000);
     keep.ended(3 * second, 0);
-    assert_eq!(keep.limit(3 * second), LEAST);
+    assert_eq!(keep.limit(3 * second), MIN_IDLE_LIMIT);
     assert!(keep.limit(30 * second) < 200_000);
     assert_eq!(keep.limit(200 * second), most);
 }
--- a/crates/pintally-platform-node/src/turn.rs
+++ b/crates/pintally-platform-node/src/turn.rs
@@ -14,7 +14,7 @@
 use crate::poll::{Flags, Happened};
 
 /// Nothing is waited for longer than this.
-const TURN_MOST: u64 = 100_000;
+const MAX_TURN: u64 = 100_000;
 
 impl Node {
     /// Runs until all is done after a signal to stop.
@@ -33,7 +33,7 @@
             ];
             let next = wakes.into_iter().flatten().min().unwrap_or(u64::MAX);
             let most = match self.ready.is_empty() {
-                true => next.saturating_sub(now).min(TURN_MOST),
+                true => next.saturating_sub(now).min(MAX_TURN),
                 false => 0,
             };
             happened.clear();
--- a/crates/pintally-platform/src/answer.rs
+++ b/crates/pintally-platform/src/answer.rs
@@ -8,11 +8,11 @@
 use pintally_wire::Names;
 use serde_json::Value;
 
-use crate::{of_answer, BODY_MOST, HEAD_MOST};
+use crate::{of_answer, MAX_BODY, MAX_HEAD};
 
 /// The most bytes of one event, and of a chunk as announced.
-const EVENT_MOST: usize = 64 << 10;
-const CHUNK_MOST: u64 = BODY_MOST as u64;
+const MAX_EVENT: usize = 64 << 10;
+const MAX_CHUNK: u64 = MAX_BODY as u64;
 /// The header and the comment that carry a load report.
 const LOAD: &str = "x-pressure";
 
@@ -51,7 +51,7 @@
 impl Default for AnswerReader {
     fn default() -> AnswerReader {
         AnswerReader {
-            response: ResponseReader::new(HEAD_MOST).with_chunk_most(CHUNK_MOST),
+            response: ResponseReader::new(MAX_HEAD).with_chunk_most(MAX_CHUNK),
             status: 0,
             turned_away: false,
             load: None,
@@ -129,7 +129,7 @@
                 self.events(names, out);
             }
             Part::Body(bytes) => {
-                if self.body.len() + bytes.len() > EVENT_MOST {
+                if self.body.len() + bytes.len() > MAX_EVENT {
                     return self.spoilt("the body is too long", out);
                 }
                 self.body.extend_from_slice(&bytes);
@@ -147,7 +147,7 @@
     /// Hands on what is whole of the stream.
     fn events(&mut self, names: &Names, out: &mut Vec<Progress>) {
         let Some(end) = last_boundary(&self.body) else {
-            if self.body.len() > EVENT_MOST {
+            if self.body.len() > MAX_EVENT {
                 self.spoilt("an event is too long", out);
             }
             return;
@@ -161,7 +161,7 @@
                     self.begun = true;
                     out.push(Progress::Events(whole));
                 }
-                if self.body.len() > EVENT_MOST {
+                if self.body.len() > MAX_EVENT {
                     self.spoilt("an event is too long", out);
                 }
             }
--- a/crates/pintally-platform/src/ask.rs
+++ b/crates/pintally-platform/src/ask.rs
@@ -14,9 +14,9 @@
 /// What the node believes of each engine beside what passed on its sockets: for people on call.
 const BELIEFS: &str = "/pintally/beliefs";
 /// The longest id.
-const ID_MOST: usize = 128;
+const MAX_ID: usize = 128;
 /// The most tokens that a label may tell.
-const TOKENS_MOST: u64 = 1 << 32;
+const MAX_TOKENS: u64 = 1 << 32;
 
 /// What a call is for.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     }
     let id = header("x-txn").filter(|id| !id.is_empty()).ok_or(bad("X-Txn is missing"))?;
     let sound = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    if id.len() > ID_MOST || !id.bytes().all(sound) {
+    if id.len() > MAX_ID || !id.bytes().all(sound) {
         return Err(bad("X-Txn is no id"));
     }
     let lane = header("x-lane").ok_or(bad("X-Lane is missing"))?;
@@ -165,7 +165,7 @@
             let count = || -> Result<Option<u64>, Rejected> {
                 let value: f64 = value.parse().map_err(|_| bad("a length in X-Labels is no number"))?;
                 match value.is_finite() && value >= 0.0 {
-                    true => Ok(Some((value as u64).min(TOKENS_MOST))),
+                    true => Ok(Some((value as u64).min(MAX_TOKENS))),
                     false => Err(bad("a length in X-Labels is no number")),
                 }
             };
--- a/crates/pintally-platform/src/config.rs
+++ b/crates/pintally-platform/src/config.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::discovery::List;
-use crate::{BODY_MOST, HEAD_MOST};
+use crate::{MAX_BODY, MAX_HEAD};
 
 /// What the machine lets a node use.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,11 +40,11 @@
 }
 
 /// The fewest descriptors and megabytes with which a node can do its work.
-const SOCKETS_LEAST: u64 = 64;
+const MIN_SOCKETS: u64 = 64;
 /// The least and the most time for the answer to a call that lets go.
-const CALL_LEAST: u64 = 50_000;
-const CALL_MOST: u64 = 500_000;
-const MEMORY_LEAST: u64 = 16;
+const MIN_CALL: u64 = 50_000;
+const MAX_CALL: u64 = 500_000;
+const MIN_MEMORY: u64 = 16;
 
 impl Configuration {
     /// Reads the file's text; an error names the field and what is wrong with it.
@@ -70,11 +70,11 @@
         };
         let (cores, memory_mb, sockets) =
             (number("cores")?, number("memory_mb")? as u64, number("sockets")? as u64);
-        if sockets < SOCKETS_LEAST {
-            return Err(format!("`limits.sockets` is {sockets}, at least {SOCKETS_LEAST} are needed"));
+        if sockets < MIN_SOCKETS {
+            return Err(format!("`limits.sockets` is {sockets}, at least {MIN_SOCKETS} are needed"));
         }
-        if memory_mb < MEMORY_LEAST {
-            return Err(format!("`limits.memory_mb` is {memory_mb}, at least {MEMORY_LEAST} are needed"));
+        if memory_mb < MIN_MEMORY {
+            return Err(format!("`limits.memory_mb` is {memory_mb}, at least {MIN_MEMORY} are needed"));
         }
         let known = match root.get("known") {
             None | Some(Value::Null) => None,
@@ -113,8 +113,8 @@
         let limits = HostLimits {
             connections: self.clients_most(),
             held,
-            head_bytes: HEAD_MOST,
-            body_bytes: BODY_MOST,
+            head_bytes: MAX_HEAD,
+            body_bytes: MAX_BODY,
             bodies_bytes: self.bodies_most(),
             receive: 2_500_000,
             write: 10_000_000,
@@ -125,7 +125,7 @@
             streams: self.limits.sockets,
             // A call to let go that is not answered by then is counted as unheard; the next ones do not
             // wait for it.
-            errand: (told.settings.release_within / 4).clamp(CALL_LEAST, CALL_MOST),
+            errand: (told.settings.release_within / 4).clamp(MIN_CALL, MAX_CALL),
             errands: 1,
             // A stream that has gone silent has to end before its client has waited 5 s.
             stall: 4_600_000,
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -10,7 +10,7 @@
 
 /// The most bytes of one object of a watch: indented entries take some 400 bytes each, so that 20,000
 /// engines fit.
-const LINE_MOST: usize = 8 << 20;
+const MAX_LINE: usize = 8 << 20;
 
 #[derive(Clone, Debug, Deserialize)]
 struct Raw {
@@ -149,8 +149,8 @@
 impl Lines {
     /// Takes in bytes; an object over the bound is an error.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), String> {
-        if self.buffer.len() > LINE_MOST {
-            return Err(format!("an object of the list is longer than {LINE_MOST} bytes"));
+        if self.buffer.len() > MAX_LINE {
+            return Err(format!("an object of the list is longer than {MAX_LINE} bytes"));
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
--- a/crates/pintally-platform/src/lib.rs
+++ b/crates/pintally-platform/src/lib.rs
@@ -18,6 +18,6 @@
 pub use outgoing::{attempt_head, release, watch};
 
 /// The most bytes of a message's body.
-pub const BODY_MOST: usize = 256 << 10;
+pub const MAX_BODY: usize = 256 << 10;
 /// The most bytes of a message's head.
-pub const HEAD_MOST: usize = 16 << 10;
+pub const MAX_HEAD: usize = 16 << 10;
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -169,7 +169,7 @@
 }
 
 fn call(head: &str, body: &str) -> Result<Call, Rejected> {
-    let (config, mut reader) = (config(), RequestReader::new(HEAD_MOST, BODY_MOST));
+    let (config, mut reader) = (config(), RequestReader::new(MAX_HEAD, MAX_BODY));
     reader.push(format!("{head}content-length: {}\r\n\r\n{body}", body.len()).as_bytes());
     let request = reader.next_request().expect("it can be read").expect("it is whole");
     pintally_platform::call(&config.told.names, 7, request)
--- a/crates/pintally-recovery/src/capacity.rs
+++ b/crates/pintally-recovery/src/capacity.rs
@@ -39,7 +39,7 @@
 }
 
 /// Engines in one telling: so many fit into a word between peers.
-pub(crate) const TOLD_MOST: usize = 56;
+pub(crate) const MAX_TOLD: usize = 56;
 /// Ages are told in so many microseconds, up to the largest that fits.
 const AGE_UNIT: Micros = 10_000;
 
@@ -81,17 +81,17 @@
     /// there are more than fit.
     pub(crate) fn tell(&self, now: Micros) -> Vec<u64> {
         let turn = match self.heard.len() {
-            0..=TOLD_MOST => 0,
-            more => (now / 1_000_000) as usize * TOLD_MOST % more,
+            0..=MAX_TOLD => 0,
+            more => (now / 1_000_000) as usize * MAX_TOLD % more,
         };
-        let all = self.heard.iter().cycle().skip(turn).take(self.heard.len().min(TOLD_MOST));
+        let all = self.heard.iter().cycle().skip(turn).take(self.heard.len().min(MAX_TOLD));
         let age = |since: Micros| (now.saturating_sub(since) / AGE_UNIT).min(u64::from(u16::MAX));
         all.map(|(mark, since)| u64::from(*mark) << 16 | age(*since)).collect()
     }
 
     /// What somebody has told.
     pub(crate) fn told(&mut self, now: Micros, told: &[u64]) {
-        for one in told.iter().take(TOLD_MOST) {
+        for one in told.iter().take(MAX_TOLD) {
             let (mark, age) = ((one >> 16) as Mark, (one & 0xffff) * AGE_UNIT);
             let since = now.saturating_sub(age);
             let stale = self.lost.get(&mark).is_some_and(|lost| since <= *lost);
@@ -197,7 +197,7 @@
         };
         let (mut teller, mut node) = (all(), all());
         engines.iter().for_each(|e| teller.heard(1_000_000, e));
-        assert!(teller.tell(2_000_000).len() <= TOLD_MOST);
+        assert!(teller.tell(2_000_000).len() <= MAX_TOLD);
         // One engine was lost here after the other node had heard it.
         node.lost(3_000_000, &engines[7]);
         for second in 4..9 {
--- a/crates/pintally-recovery/src/wards.rs
+++ b/crates/pintally-recovery/src/wards.rs
@@ -25,10 +25,10 @@
 const STALE: Micros = 2_000_000;
 /// Bytes of one word, and words of one turn.
 const WORD_BYTES: usize = 1_000;
-const WORDS_MOST: usize = 8;
+const MAX_WORDS: usize = 8;
 /// The most that is kept for one ward, and for all.
-const WARD_MOST: usize = 4_096;
-const ALL_MOST: usize = 65_536;
+const MAX_WARD: usize = 4_096;
+const MAX_ALL: usize = 65_536;
 
 /// A word: the life that tells, and some of what it holds.
 #[derive(Serialize, Deserialize)]
@@ -84,7 +84,7 @@
             if bytes + size > WORD_BYTES && !word.held.is_empty() {
                 words.extend(serde_json::to_vec(&word).ok());
                 (word.held, bytes) = (Vec::new(), 0);
-                if words.len() == WORDS_MOST {
+                if words.len() == MAX_WORDS {
                     break;
                 }
             }
@@ -138,7 +138,7 @@
         // Whoever tells is not dead.
         ward.dead = None;
         for (engine, name) in word.held {
-            if ward.held.len() >= WARD_MOST || self.kept >= ALL_MOST {
+            if ward.held.len() >= MAX_WARD || self.kept >= MAX_ALL {
                 return;
             }
             let one = (EngineId(engine.into()), RequestId(name.into()));
@@ -281,20 +281,20 @@
         let many = held(5_000);
         teller.tell(60 * MS, 7, &many, &["g".into()]);
         let words = teller.tell(200 * MS, 7, &many, &["g".into()]);
-        assert_eq!(words.len(), WORDS_MOST);
+        assert_eq!(words.len(), MAX_WORDS);
         assert!(words.iter().all(|w| w.len() <= 1_100), "{:?}", words.iter().map(Vec::len).max());
         for turn in 0..80 {
             let now = 250 * MS + turn * 20 * MS;
             teller.tell(now, 7, &many, &["g".into()]).iter().for_each(|w| guardian.told(now, "n0", w));
         }
-        assert!(guardian.kept <= WARD_MOST);
+        assert!(guardian.kept <= MAX_WARD);
         for other in 0..40 {
             let name = format!("n{other}");
             let held = (0..2_000).map(|n| ("r".into(), format!("{name}-{n}"))).collect();
             let word = serde_json::to_vec(&Word { life: 1, held }).unwrap();
             guardian.told(10_000 * MS, &name, &word);
         }
-        assert_eq!(guardian.kept, ALL_MOST);
+        assert_eq!(guardian.kept, MAX_ALL);
         // Nothing of what cannot be read is kept.
         guardian.told(10_000 * MS, "n0", b"{\"life\":");
         for other in 0..40 {
--- a/crates/pintally-scenario/src/from_bench.rs
+++ b/crates/pintally-scenario/src/from_bench.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-use crate::spec::NODES_MOST;
+use crate::spec::MAX_NODES;
 
 /// How large the day is to be against the bench's.
 #[derive(Clone, Copy, Debug)]
@@ -100,9 +100,9 @@
         self.servers = servers.len();
         let fleet = self.scale.fleet;
         let scaled = |n: usize, least: usize| ((n as f64 * fleet).round() as usize).max(least);
-        let count = scaled(nodes, 1).min(NODES_MOST);
-        if scaled(nodes, 1) > NODES_MOST {
-            self.note(format!("a day has {NODES_MOST} nodes at most"));
+        let count = scaled(nodes, 1).min(MAX_NODES);
+        if scaled(nodes, 1) > MAX_NODES {
+            self.note(format!("a day has {MAX_NODES} nodes at most"));
         }
         if count != nodes {
             self.note(format!("{nodes} nodes became {count}"));
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -30,7 +30,7 @@
 /// The stack of a client's thread.
 const CLIENT_STACK: usize = 160 << 10;
 /// Clients that wait at once; more are not made, and counted as such.
-const CLIENTS_MOST: u64 = 20_000;
+const MAX_CLIENTS: u64 = 20_000;
 
 /// Blocks of loopback addresses: where nodes connect from, and where they reach each other.
 const SOURCES: u8 = 1;
@@ -513,7 +513,7 @@
     }
 
     fn send(&mut self, number: u64, draft: Draft) {
-        if self.clients.open.fetch_add(1, Ordering::AcqRel) >= CLIENTS_MOST {
+        if self.clients.open.fetch_add(1, Ordering::AcqRel) >= MAX_CLIENTS {
             self.clients.open.fetch_sub(1, Ordering::AcqRel);
             warn!("too many clients wait: one is not made");
             return;
@@ -620,8 +620,8 @@
     #[test]
     fn a_thousand_nodes_have_addresses_of_their_own() {
         let all: BTreeSet<IpAddr> =
-            (0..crate::NODES_MOST).flat_map(|n| [own_address(SOURCES, n), own_address(LINKS, n)]).collect();
-        assert_eq!(all.len(), 2 * crate::NODES_MOST);
+            (0..crate::MAX_NODES).flat_map(|n| [own_address(SOURCES, n), own_address(LINKS, n)]).collect();
+        assert_eq!(all.len(), 2 * crate::MAX_NODES);
         assert!(all.iter().all(|at| at.is_loopback() && *at != IpAddr::V4(Ipv4Addr::LOCALHOST)));
     }
 }
--- a/crates/pintally-scenario/src/relay.rs
+++ b/crates/pintally-scenario/src/relay.rs
@@ -20,9 +20,9 @@
 /// How often the relay looks whether links have changed.
 const LOOK: Duration = Duration::from_millis(5);
 /// Datagrams that wait at a stalled link; later ones are lost.
-const WAITING_MOST: usize = 20_000;
+const MAX_WAITING: usize = 20_000;
 /// Connections that are led at once; later ones are closed.
-const LED_MOST: usize = 1024;
+const MAX_LED: usize = 1024;
 /// Each of them is bounded by this time.
 const STEP: Duration = Duration::from_secs(12);
 /// Stack of a relay's thread.
@@ -177,7 +177,7 @@
         }
         if link.stalled {
             let waiting = waiting.entry((from, to)).or_default();
-            if waiting.len() < WAITING_MOST {
+            if waiting.len() < MAX_WAITING {
                 waiting.push_back(buffer[..n].to_vec());
             }
             continue;
@@ -193,7 +193,7 @@
 fn connections(relays: &Arc<Relays>, to: usize) {
     while let Ok((stream, source)) = relays.doors[to].tcp.accept() {
         let Some(&from) = relays.nodes.get(&source.ip()) else { continue };
-        if relays.led.fetch_add(1, Ordering::AcqRel) >= LED_MOST {
+        if relays.led.fetch_add(1, Ordering::AcqRel) >= MAX_LED {
             relays.led.fetch_sub(1, Ordering::AcqRel);
             continue;
         }
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -11,7 +11,7 @@
 use crate::faults;
 
 /// The most nodes of a day on one machine.
-pub const NODES_MOST: usize = 1024;
+pub const MAX_NODES: usize = 1024;
 
 /// A scripted day.
 #[derive(Clone, Debug)]
@@ -238,7 +238,7 @@
             return Err(root.error("a day needs a zone"));
         }
         let nodes = root.need("nodes")?;
-        let count = nodes.count(1, NODES_MOST as u64)? as usize;
+        let count = nodes.count(1, MAX_NODES as u64)? as usize;
         let own = Document::parse("", "(node (engines \"\"))")?;
         let cells_form = root.maybe("cells")?;
         let settings = NodeSettings::read(&root, &own.only("node")?)?;
--- a/crates/pintally-scenario/src/traffic.rs
+++ b/crates/pintally-scenario/src/traffic.rs
@@ -12,7 +12,7 @@
 /// Bytes that stand for one token, at clients and engines alike.
 const BYTES: u64 = 4;
 /// Sessions between turns; beyond it the oldest is given up.
-const OPEN_MOST: usize = 4096;
+const MAX_OPEN: usize = 4096;
 
 /// One request before it has a node.
 #[derive(Clone, Debug)]
@@ -117,7 +117,7 @@
         };
         if session.turns > 0 {
             self.open.push(session);
-            if self.open.len() > OPEN_MOST {
+            if self.open.len() > MAX_OPEN {
                 self.open.remove(0);
             }
         }
--- a/crates/pintally-scenario/tests/sizes.rs
+++ b/crates/pintally-scenario/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! Large days: what loads, and what does not and why.
 
-use pintally_scenario::{Day, NODES_MOST};
+use pintally_scenario::{Day, MAX_NODES};
 
 const POWER_DAY: &str = include_str!("../../../examples/power-day.sexp");
 
@@ -29,14 +29,14 @@
 /// is refused with its bound.
 #[test]
 fn a_thousand_nodes_and_engines_load_and_what_is_beyond_is_named() {
-    for nodes in [350, NODES_MOST] {
+    for nodes in [350, MAX_NODES] {
         let day = with(nodes, 1024, false).expect("it loads");
         assert_eq!(day.nodes, nodes);
         let engines: usize = day.engines.iter().map(|e| e.count).sum();
         assert_eq!(engines, 1024);
     }
-    let beyond = with(NODES_MOST + 1, 16, false).expect_err("one too many");
+    let beyond = with(MAX_NODES + 1, 16, false).expect_err("one too many");
     assert!(beyond.contains("1024"), "{beyond}");
     // With links between them, each a process, there may be as many.
-    assert_eq!(with(NODES_MOST, 16, true).expect("it loads").nodes, NODES_MOST);
+    assert_eq!(with(MAX_NODES, 16, true).expect("it loads").nodes, MAX_NODES);
 }
--- a/crates/pintally-soak/src/run.rs
+++ b/crates/pintally-soak/src/run.rs
@@ -30,7 +30,7 @@
 /// How long after the last request what is held may take to be let go, and answers to come.
 const SETTLE: Duration = Duration::from_millis(4_500);
 /// What a note of the record may lag behind what it tells of.
-const LATE_LEAST: Duration = Duration::from_millis(25);
+const MIN_LATE: Duration = Duration::from_millis(25);
 const INSPECT_EVERY: Duration = Duration::from_millis(150);
 
 /// What a run is like.
@@ -172,7 +172,7 @@
 fn report(stage: &Stage, late: Duration, timing: Timing) -> Report {
     let books = stage.record.take_books();
     // Threads of nodes are woken as late as those here.
-    let violations = Judge { books: &books, late: late * 2 + LATE_LEAST, timing }.verdict();
+    let violations = Judge { books: &books, late: late * 2 + MIN_LATE, timing }.verdict();
     let asked = books.asks.values().filter(|ask| ask.end != AskEnd::Unsent).count();
     let whole = |end: &AskEnd| matches!(end, AskEnd::Answered { status: 200, whole: true, .. });
     Report {
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -16,5 +16,5 @@
 pub use disk::{BufferedFile, Disk};
 pub use lies::{Lie, LyingFile};
 pub use loaded::{Lack, Loaded};
-pub use record::{Bad, Record, KEY_MOST, PAYLOAD_MOST};
+pub use record::{Bad, Record, MAX_KEY, MAX_PAYLOAD};
 pub use store::{Health, Store, StoreSettings};
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a record's key.
-pub const KEY_MOST: usize = 128;
+pub const MAX_KEY: usize = 128;
 /// Bytes of what a record holds.
-pub const PAYLOAD_MOST: usize = 16 << 20;
+pub const MAX_PAYLOAD: usize = 16 << 20;
 
 /// A record as it was kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/pintally-storage/src/store.rs
+++ b/crates/pintally-storage/src/store.rs
@@ -14,7 +14,7 @@
 use crate::disk::{BufferedFile, Disk};
 use crate::lies::{Lie, LyingFile};
 use crate::loaded::{Lack, Loaded};
-use crate::record::{Record, KEY_MOST, PAYLOAD_MOST};
+use crate::record::{Record, MAX_KEY, MAX_PAYLOAD};
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 /// Copies of everything.
@@ -25,7 +25,7 @@
 type Entry = (String, Vec<u8>);
 
 /// Records that wait for a commit; further keys are dropped and counted.
-const WAITING_MOST: usize = 65_536;
+const MAX_WAITING: usize = 65_536;
 
 /// Where and how often a node keeps its state.
 #[derive(Clone, Debug)]
@@ -102,12 +102,12 @@
     /// Keeps a payload under a key, in place of what stood there; an empty one takes it back. Does not
     /// wait for the disk: a power loss before the next commit ends loses it.
     pub fn put(&self, key: &str, payload: Vec<u8>) {
-        if key.is_empty() || key.len() > KEY_MOST || payload.len() > PAYLOAD_MOST {
+        if key.is_empty() || key.len() > MAX_KEY || payload.len() > MAX_PAYLOAD {
             self.shared.queue().health.dropped += 1;
             return;
         }
         let mut queue = self.shared.queue();
-        if queue.waiting.len() >= WAITING_MOST && !queue.waiting.contains_key(key) {
+        if queue.waiting.len() >= MAX_WAITING && !queue.waiting.contains_key(key) {
             queue.health.dropped += 1;
             return;
         }
--- a/crates/pintally-transport/src/lib.rs
+++ b/crates/pintally-transport/src/lib.rs
@@ -6,4 +6,4 @@
 mod whole;
 
 pub use udp::{Came, Udp, Waker};
-pub use whole::{fetch, order, Whole, ORDER_MOST, TEXT_MOST};
+pub use whole::{fetch, order, Whole, MAX_ORDER, MAX_TEXT};
--- a/crates/pintally-transport/src/udp.rs
+++ b/crates/pintally-transport/src/udp.rs
@@ -7,7 +7,7 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
 /// Bytes of the largest datagram that is taken in.
-const MOST: usize = 4096;
+const MAX_DATAGRAM_BYTES: usize = 4096;
 
 /// What came.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
 
     /// The next datagram; waits for it until a time.
     pub fn receive(&self, until: Instant) -> io::Result<Came> {
-        let mut buffer = [0u8; MOST];
+        let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer) {
                 Ok((n, from)) => return Ok(Came::Datagram(from, buffer[..n].to_vec())),
--- a/crates/pintally-transport/src/whole.rs
+++ b/crates/pintally-transport/src/whole.rs
@@ -11,9 +11,9 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 /// Bytes of the longest text.
-pub const TEXT_MOST: usize = 16 << 20;
+pub const MAX_TEXT: usize = 16 << 20;
 /// Bytes of the longest order.
-pub const ORDER_MOST: usize = 4096;
+pub const MAX_ORDER: usize = 4096;
 /// From this number on a text of the asker follows.
 const ORDERS: u8 = 128;
 /// Whoever orders waits so long for what became of it.
@@ -87,8 +87,8 @@
     stream.set_write_timeout(Some(STEP))?;
     let mut what = [0u8];
     stream.read_exact(&mut what)?;
-    let asked = if what[0] >= ORDERS { take(&mut stream, ORDER_MOST)? } else { Vec::new() };
-    match text(what[0], &asked).filter(|t| t.len() <= TEXT_MOST) {
+    let asked = if what[0] >= ORDERS { take(&mut stream, MAX_ORDER)? } else { Vec::new() };
+    match text(what[0], &asked).filter(|t| t.len() <= MAX_TEXT) {
         Some(text) => give(&mut stream, &text),
         None => Ok(()),
     }
@@ -135,7 +135,7 @@
 pub fn fetch(own: IpAddr, from: SocketAddr, what: u8) -> io::Result<Vec<u8>> {
     let mut stream = reach(own, from, STEP)?;
     stream.write_all(&[what])?;
-    take(&mut stream, TEXT_MOST)
+    take(&mut stream, MAX_TEXT)
 }
 
 /// Gives a node an order by its number, from 128 on, and waits for what becomes of it.
@@ -143,5 +143,5 @@
     let mut stream = reach(Ipv4Addr::UNSPECIFIED.into(), node, ORDER_WITHIN)?;
     stream.write_all(&[what.max(ORDERS)])?;
     give(&mut stream, text)?;
-    take(&mut stream, TEXT_MOST)
+    take(&mut stream, MAX_TEXT)
 }
--- a/crates/pintally-transport/tests/link.rs
+++ b/crates/pintally-transport/tests/link.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use pintally_transport::{fetch, order, Came, Udp, Whole, ORDER_MOST};
+use pintally_transport::{fetch, order, Came, Udp, Whole, MAX_ORDER};
 
 fn any() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
@@ -71,7 +71,7 @@
             .unwrap();
     assert_eq!(order(at, 128, b"abc").unwrap(), b"cba");
     assert!(order(at, 129, b"abc").is_err(), "nobody takes it");
-    assert!(order(at, 128, &vec![0; ORDER_MOST + 1]).is_err(), "longer than orders are");
+    assert!(order(at, 128, &vec![0; MAX_ORDER + 1]).is_err(), "longer than orders are");
     let one = Udp::bind(any()).unwrap();
     one.waker().unwrap().wake();
     let came = one.receive(Instant::now() + Duration::from_secs(5)).unwrap();
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -26,7 +26,7 @@
 const PATIENCE: f64 = 4.0;
 /// First and longest time for which a failing engine is left alone.
 const SHUT_FIRST: Micros = 500_000;
-const SHUT_MOST: Micros = 8_000_000;
+const MAX_SHUT: Micros = 8_000_000;
 /// How often engines and discovery are looked after, and how often held requests are.
 const WATCH_EVERY: Micros = 500_000;
 const SWEEP_EVERY: Micros = 50_000;
@@ -37,7 +37,7 @@
 /// Part of the budget given out by estimate; of it where all want one engine, as where MOST begin alike.
 const COLD_SPREAD: f64 = 0.8;
 const COLD_HERD: f64 = 0.75;
-const MOST: f64 = 0.5;
+const MAJORITY_SHARE: f64 = 0.5;
 /// Share of a cold engine's budget in use: a warm engine answers less on the mean than it could.
 const COLD_SHARE: f64 = 1.2;
 /// A report of this occupancy, or a mark of fullness younger than this, counts as full.
@@ -54,7 +54,7 @@
 /// add is spent waiting at the node, where the order can still be chosen.
 const TARGET: f64 = 0.5;
 /// A full engine's report weighs at least as much as this many own streams.
-const STREAMS_LEAST: f64 = 8.0;
+const MIN_STREAMS: f64 = 8.0;
 /// What a request's probes may cost, in points, and the most of them.
 const PROBE_COST: f64 = 0.01;
 const PROBES: f64 = 3.0;
@@ -68,8 +68,8 @@
 /// And up to so many own streams more where no engine tells its load: own ones tell little of it.
 const NEAR_SILENT: f64 = 5.0;
 /// A reader without writers in its rack has so much writing at hand, and none has more, in writers.
-const LEAST_AT_HAND: f64 = 0.02;
-const MOST_AT_HAND: f64 = 1.3;
+const MIN_AT_HAND: f64 = 0.02;
+const MAX_AT_HAND: f64 = 1.3;
 /// How evenly prompts without a shared beginning are read, though rather where little is at hand.
 const EVEN: f64 = 0.5;
 /// A mixed engine's own writing at hand, in writers: what it reads itself slows its answers.
@@ -81,12 +81,12 @@
 const SHRINK: f64 = 0.94;
 /// And no more and no fewer of them than these for each reader that is well, over all nodes.
 const FLIGHT_EACH: f64 = 15.0;
-const FLIGHT_LEAST: f64 = 4.0;
+const MIN_FLIGHT: f64 = 4.0;
 /// While no engine that writes has room, no more than this for each of them.
 const FLIGHT_FULL: f64 = 2.5;
 /// First tokens further apart than this count as several, up to so many.
 const SAMPLE_EVERY: f64 = 100_000.0;
-const SAMPLES_MOST: f64 = 5.0;
+const MAX_SAMPLES: f64 = 5.0;
 
 /// Decides for one node. Feed it every event with the time at which it came.
 pub struct Router {
@@ -233,7 +233,7 @@
         if engine.fails == 2 {
             acts.push(Action::Log(format!("engine {} fails: left alone for a while", engine.id.0)));
         }
-        let span = (SHUT_FIRST << engine.fails.min(8)).min(SHUT_MOST);
+        let span = (SHUT_FIRST << engine.fails.min(8)).min(MAX_SHUT);
         engine.fails += 1;
         engine.shut_until = engine.shut_until.max(now + span);
     }
@@ -259,7 +259,7 @@
     /// How many times slower than its pool an engine is; an old finding fades, so it is tried again.
     fn lag(&self, now: Micros, index: usize) -> f64 {
         let engine = &self.engines[index];
-        let age = now.saturating_sub(engine.lag_at) as f64 / SHUT_MOST as f64;
+        let age = now.saturating_sub(engine.lag_at) as f64 / MAX_SHUT as f64;
         1.0 + (engine.lag - 1.0).max(0.0) * 0.5f64.powf(age * 2.0)
     }
 
@@ -377,7 +377,7 @@
             let drawn = (xxh3_64_with_seed(e.id.0.as_bytes(), key) as f64 + 1.0) / u64::MAX as f64;
             let hand = match e.role {
                 Role::Mixed => MIXED_AT_HAND,
-                _ => self.racks.get(&e.rack).map_or(LEAST_AT_HAND, at_hand),
+                _ => self.racks.get(&e.rack).map_or(MIN_AT_HAND, at_hand),
             };
             -drawn.ln() / if request.prefix.is_some() { hand } else { 1.0 / (EVEN + hand) }
         };
@@ -407,7 +407,11 @@
     fn crowd(&self, request: &Request) -> f64 {
         let seen = request.prefix.and_then(|p| self.popular.get(&p)).map_or(0.0, |n| *n);
         let part = seen / self.gauges.arrivals.max(1.0);
-        (part * self.writers() / self.homes(request)).max(if part > MOST { 1.0 / COLD_HERD } else { 1.0 })
+        (part * self.writers() / self.homes(request)).max(if part > MAJORITY_SHARE {
+            1.0 / COLD_HERD
+        } else {
+            1.0
+        })
     }
 
     /// Listed engines that write.
@@ -563,7 +567,7 @@
     fn far_cost(&self, now: Micros, rack: u64) -> f64 {
         let near = self.gauges.near.0;
         let part = |(far, at): (f64, Micros)| {
-            let age = now.saturating_sub(at) as f64 / SHUT_MOST as f64;
+            let age = now.saturating_sub(at) as f64 / MAX_SHUT as f64;
             ((far - near) / (self.tightest() * TARGET)).clamp(0.0, 2.0) * 0.5f64.powf(age)
         };
         // A rack's own link where this node knows it, else the mean of all.
@@ -572,7 +576,7 @@
 
     /// A rack whose link this node has seen two states or more cross lately.
     fn knows(&self, now: Micros, rack: u64) -> Option<&Rack> {
-        self.racks.get(&rack).filter(|r| r.heard >= 2 && now < r.far.1 + SHUT_MOST)
+        self.racks.get(&rack).filter(|r| r.heard >= 2 && now < r.far.1 + MAX_SHUT)
     }
 
     fn choose_writer(&mut self, now: Micros, live: &Live) -> Option<usize> {
@@ -590,7 +594,7 @@
             }
         }
         // Of many nodes each has next to no streams: reports keep a least weight against them.
-        let scale = if told > 0.0 { (own / told).max(STREAMS_LEAST) } else { 0.0 };
+        let scale = if told > 0.0 { (own / told).max(MIN_STREAMS) } else { 0.0 };
         let mean = (known > 0.0).then(|| told / known);
         // Pure writers first; a failing one last.
         let rack = self.engines[reader].rack;
@@ -791,7 +795,7 @@
     fn paced(&mut self, now: Micros, on_target: bool) {
         let readers = self.engines.iter().filter(|e| e.serving() && e.role != Role::Writer).count() as f64;
         let nodes = f64::from(self.settings.nodes.max(1));
-        let most_steps = SAMPLES_MOST - (SAMPLES_MOST - 1.0) * self.few();
+        let most_steps = MAX_SAMPLES - (MAX_SAMPLES - 1.0) * self.few();
         let gauges = &mut self.gauges;
         let many = (now.saturating_sub(gauges.paced_at) as f64 / SAMPLE_EVERY).clamp(1.0, most_steps);
         gauges.paced_at = now;
@@ -799,8 +803,8 @@
             true => gauges.flight + (GROW * many / gauges.flight.max(1.0)).min(gauges.flight / 2.0),
             false => gauges.flight * SHRINK.powf(many),
         };
-        let (least, most) = (FLIGHT_LEAST * readers / nodes, FLIGHT_EACH * readers / nodes);
-        gauges.flight = gauges.flight.max(least).min(most.max(FLIGHT_LEAST));
+        let (least, most) = (MIN_FLIGHT * readers / nodes, FLIGHT_EACH * readers / nodes);
+        gauges.flight = gauges.flight.max(least).min(most.max(MIN_FLIGHT));
     }
 
     /// Takes in how long a state took to where its answer began, or did not begin.
@@ -811,7 +815,7 @@
             return blend(&mut self.gauges.near);
         }
         let own = self.racks.entry(rack).or_default();
-        if now >= own.far.1 + SHUT_MOST {
+        if now >= own.far.1 + MAX_SHUT {
             (own.far, own.heard) = (self.gauges.far, 0);
         }
         own.heard += 1;
@@ -859,7 +863,7 @@
                 // Guards against engines that are full for one tenant only: they have told room.
                 let room = engine.told(now, REPORT_FOR).is_some_and(|told| told < CROWDED);
                 if room && live.request.tenant.is_some() {
-                    engine.spurned = (live.request.tenant, now + SHUT_MOST);
+                    engine.spurned = (live.request.tenant, now + MAX_SHUT);
                 } else {
                     engine.full_until = now + FULL_FOR;
                 }
@@ -1064,7 +1068,7 @@
         let most = match (open, ready) {
             (0, _) => FLIGHT_FULL / nodes * f64::from(able),
             (_, 0) => 0.0,
-            _ => self.gauges.flight.max(FLIGHT_LEAST / nodes * f64::from(readers)),
+            _ => self.gauges.flight.max(MIN_FLIGHT / nodes * f64::from(readers)),
         };
         let most = most.max(FLIGHT_FULL / nodes);
         let gap = self.gauges.lead.max(self.tightest() * TARGET) / most.fract();
@@ -1116,5 +1120,5 @@
 
 /// Writers of a rack for each of its readers: what one of them can feed from near.
 fn at_hand(rack: &Rack) -> f64 {
-    (rack.writers / rack.readers.max(1.0)).clamp(LEAST_AT_HAND, MOST_AT_HAND)
+    (rack.writers / rack.readers.max(1.0)).clamp(MIN_AT_HAND, MAX_AT_HAND)
 }
