--- a/crates/pintally-audit/src/index.rs
+++ b/crates/pintally-audit/src/index.rs
@@ -198,9 +198,9 @@
         t.answers.is_empty() && self.went_down(t.node, t.at.saturating_sub(slack), to)
     }
 
-    pub(crate) fn effect(&self, class: &str) -> Effect {
+    pub(crate) fn effect(&self, class: &str) -> Idempotency {
         // A class without a name is handled as one that must not run twice.
-        self.figures.classes.iter().find(|c| c.name == class).map_or(Effect::Unsafe, |c| c.effect)
+        self.figures.classes.iter().find(|c| c.name == class).map_or(Idempotency::Unsafe, |c| c.effect)
     }
 
     pub(crate) fn engine(&self, name: &str) -> Option<&EngineFigures> {
--- a/crates/pintally-audit/src/lib.rs
+++ b/crates/pintally-audit/src/lib.rs
@@ -13,8 +13,8 @@
 mod twice;
 
 pub use record::{
-    read_record, Answer, ClassFigures, Effect, EngineFigures, Figures, FreedBy, Group, Listed, Record,
-    RecordError, Step, What,
+    read_record, Answer, ClassFigures, EngineFigures, Figures, FreedBy, Idempotency, IdempotencyScope,
+    Listed, Record, RecordError, Step, What,
 };
 
 pub use index::late_allowance;
--- a/crates/pintally-audit/src/record.rs
+++ b/crates/pintally-audit/src/record.rs
@@ -95,16 +95,16 @@
 #[allow(missing_docs)]
 pub struct ClassFigures {
     pub name: String,
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Effect {
+pub enum Idempotency {
     Safe,
-    Keyed { group: Group, window_us: u64 },
+    Keyed { group: IdempotencyScope, window_us: u64 },
     Unsafe,
 }
 
@@ -112,7 +112,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Group {
+pub enum IdempotencyScope {
     All,
     Zone,
     Rack,
--- a/crates/pintally-audit/tests/stood.rs
+++ b/crates/pintally-audit/tests/stood.rs
@@ -1,13 +1,13 @@
 //! A process that stands still keeps no time, and nothing else is forgiven for it.
 
-use pintally_audit::{audit, Answer, ClassFigures, Effect, Figures, Record, What};
+use pintally_audit::{audit, Answer, ClassFigures, Figures, Idempotency, Record, What};
 
 fn record(middle: Vec<(u64, What)>) -> Vec<Record> {
     let figures = Figures {
         drain_grace_us: 1_000_000,
         release_within_us: 500_000,
         slack_us: 100_000,
-        classes: vec![ClassFigures { name: "hint".into(), effect: Effect::Safe }],
+        classes: vec![ClassFigures { name: "hint".into(), effect: Idempotency::Safe }],
         engines: Vec::new(),
     };
     let mut all = vec![Record { at: 0, what: What::Figures(figures) }];
--- a/crates/pintally-bench-adapter/src/wire.rs
+++ b/crates/pintally-bench-adapter/src/wire.rs
@@ -207,15 +207,15 @@
     Some(match message {
         Incoming::Update { form, hosts, .. } => {
             let form = match form {
-                Form::Update => ListForm::Change,
-                Form::Replace | Form::Restored => ListForm::Full,
-                Form::Unavailable => ListForm::Failed,
+                Form::Update => ListUpdate::Change,
+                Form::Replace | Form::Restored => ListUpdate::Full,
+                Form::Unavailable => ListUpdate::Failed,
             };
             Event::Members(form, hosts.unwrap_or_default().into_iter().map(member).collect())
         }
         Incoming::Demand(d) => Event::Arrived(request(names, *d)),
         Incoming::HeadReceived { txn, r#try, .. } => Event::FirstToken(request_id(&txn), r#try),
-        Incoming::Ended(e) => Event::Ended(Ended {
+        Incoming::Ended(e) => Event::AttemptEnd(AttemptEnd {
             id: request_id(&e.txn),
             attempt: e.r#try,
             outcome: outcome(e.state_code, e.detail)?,
@@ -257,7 +257,7 @@
     RequestId(text.into())
 }
 
-fn member(host: Host) -> Member {
+fn member(host: Host) -> Endpoint {
     let entry = Entry {
         engine: host.engine,
         zone: host.campus,
--- a/crates/pintally-benchmarks/src/emulator.rs
+++ b/crates/pintally-benchmarks/src/emulator.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use pintally_emulator::{Cost, Fleet, Kind, Micros, Notice, Place, Spec, Telling, Wires, Work, WorkId};
+use pintally_emulator::{Cost, EngineRole, Fleet, Micros, Notice, Place, Spec, Telling, Wires, Work, WorkId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -40,7 +40,7 @@
     Emulated { engines, per_second, speed, token_ns, served }
 }
 
-fn spec(kind: Kind) -> Spec {
+fn spec(kind: EngineRole) -> Spec {
     Spec {
         kind,
         slots: 64,
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::new(wires, seed);
     let readers = (engines / 3).max(1);
     for n in 0..engines.max(2) {
-        let kind = if n < readers { Kind::Reader } else { Kind::Writer };
+        let kind = if n < readers { EngineRole::Reader } else { EngineRole::Writer };
         fleet.add(spec(kind), Place { zone: n as u32 % 3, rack: n as u32 % 12 });
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/pintally-benchmarks/src/flood.rs
+++ b/crates/pintally-benchmarks/src/flood.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 use std::thread;
 
-use pintally_scenario::{in_time, requests, run, Day, Fault, Kind};
+use pintally_scenario::{in_time, requests, run, Day, Fault, FaultKind};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::report::Spread;
@@ -80,7 +80,7 @@
     quiet.faults.clear();
     let mut flooded = quiet.clone();
     flooded.faults.push(Fault {
-        kind: Kind::TenantFlood,
+        kind: FaultKind::TenantFlood,
         at: day.length / 6,
         length: day.length,
         part: 0.0,
--- a/crates/pintally-benchmarks/src/moves.rs
+++ b/crates/pintally-benchmarks/src/moves.rs
@@ -10,7 +10,7 @@
 
 use pintally_audit::Record;
 use pintally_cells::CellName;
-use pintally_scenario::{requests, run, Day, Fault, Kind, One, APART};
+use pintally_scenario::{requests, run, Day, Fault, FaultKind, One, APART};
 
 use crate::report::Spread;
 use crate::{error, MeasureError};
@@ -92,7 +92,7 @@
     let with = |over: Duration| {
         let mut day = day.clone();
         day.faults = vec![Fault {
-            kind: Kind::MoveTenant,
+            kind: FaultKind::MoveTenant,
             at: from,
             length,
             part: 0.0,
--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -2,13 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use pintally::interface::{Effect, EngineId, Listing, Load, Member, Micros, Outcome, Role, Settings};
+use pintally::interface::{
+    Endpoint, EndpointState, EngineId, Idempotency, LoadReport, Micros, Outcome, Role, Settings,
+};
 
 use crate::edge::{Edge, Place};
 use crate::file::CellsFile;
 use crate::health::{Ladder, Level};
 use crate::loans::{counted, Has, Lendable, Loans};
-use crate::pace::Pace;
+use crate::pace::MoveRateController;
 use crate::strain::Strain;
 use crate::trust::Trust;
 use crate::CellName;
@@ -53,7 +55,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Spread {
     /// The members of each cell, borrowed ones among them, marked as just started when they are new.
-    pub cells: BTreeMap<CellName, Vec<Member>>,
+    pub cells: BTreeMap<CellName, Vec<Endpoint>>,
     /// What people on call should hear.
     pub notes: Vec<String>,
 }
@@ -86,7 +88,7 @@
     safe: Vec<bool>,
     trust: Trust,
     strain: Strain,
-    pace: Pace,
+    pace: MoveRateController,
     /// Tenants whose moves are held back.
     held: Vec<String>,
     ladders: BTreeMap<CellName, Ladder>,
@@ -95,7 +97,7 @@
     /// engines, takes all of them for lost and then climbs for many seconds while nothing is wrong.
     listed: bool,
     /// The list of engines as it holds: each with its cell.
-    members: BTreeMap<EngineId, (Member, Role, Option<CellName>)>,
+    members: BTreeMap<EngineId, (Endpoint, Role, Option<CellName>)>,
     /// When each loan was made.
     borrowed: BTreeMap<EngineId, Micros>,
 }
@@ -110,10 +112,10 @@
             places,
             room: (room as f64 * HELD) as usize,
             worths,
-            safe: core.classes.iter().map(|c| c.effect == Effect::Safe).collect(),
+            safe: core.classes.iter().map(|c| c.effect == Idempotency::Safe).collect(),
             trust: Trust::default(),
             strain: Strain::default(),
-            pace: Pace::default(),
+            pace: MoveRateController::default(),
             held: Vec::new(),
             ladders: BTreeMap::new(),
             loans: Loans::default(),
@@ -157,7 +159,7 @@
     }
 
     /// Takes in the list of engines, whole: each with its role and its cell's name.
-    pub fn list(&mut self, now: Micros, members: Vec<(Member, Role, Option<CellName>)>) -> Spread {
+    pub fn list(&mut self, now: Micros, members: Vec<(Endpoint, Role, Option<CellName>)>) -> Spread {
         self.listed |= !members.is_empty();
         self.members = members.into_iter().map(|m| (m.0.engine.clone(), m)).collect();
         let members = &self.members;
@@ -173,7 +175,7 @@
         engine: &EngineId,
         tenant: Option<usize>,
         outcome: Outcome,
-        load: Option<&Load>,
+        load: Option<&LoadReport>,
     ) {
         self.trust.ended(now, engine, tenant, outcome, load);
         let own = self.members.get(engine).and_then(|(.., own)| own.as_ref());
@@ -236,7 +238,7 @@
         let serving: Vec<Lendable> = self
             .members
             .values()
-            .filter(|(m, ..)| m.listing == Listing::Serving && !self.trust.is_failing(&m.engine))
+            .filter(|(m, ..)| m.listing == EndpointState::Serving && !self.trust.is_failing(&m.engine))
             .map(|(m, role, cell)| Lendable {
                 engine: m.engine.clone(),
                 role: *role,
@@ -272,7 +274,7 @@
                     // Its memory holds nothing of this cell's texts: it starts as a cold one does.
                     member.started = member.started.max(self.borrowed.get(&member.engine).copied());
                 }
-                if member.listing == Listing::Serving {
+                if member.listing == EndpointState::Serving {
                     has.add(*role);
                     weights.push((*role, self.trust.weight(now, &member.engine)));
                 }
--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-use pintally::interface::{Effect, Group, Settings};
+use pintally::interface::{Idempotency, IdempotencyScope, Settings};
 use pintally_config::form::{quoted, Document, Form};
 use pintally_config::ConfigError;
 
@@ -274,8 +274,9 @@
         if self.cells.len() < 2 {
             return Ok(());
         }
-        let narrow =
-            |c: &&pintally::interface::Class| matches!(c.effect, Effect::Keyed(Group::Zone | Group::Rack, _));
+        let narrow = |c: &&pintally::interface::Class| {
+            matches!(c.effect, Idempotency::Keyed(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
+        };
         match core.classes.iter().find(narrow) {
             None => Ok(()),
             Some(class) => Err(root.breaks(
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -24,7 +24,7 @@
 pub use health::{Ladder, Level};
 pub use loans::{Lendable, Loans};
 pub use moves::{Move, Step};
-pub use pace::Pace;
+pub use pace::MoveRateController;
 pub use strain::Strain;
 pub use trust::Trust;
 
--- a/crates/pintally-cells/src/pace.rs
+++ b/crates/pintally-cells/src/pace.rs
@@ -20,11 +20,11 @@
 
 /// How far each move has come at this node.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct MoveRateController {
     moves: BTreeMap<String, Going>,
 }
 
-impl Pace {
+impl MoveRateController {
     /// The share of a tenant's sessions that are over here, at a time and with the receiving cell
     /// pressed or not.
     pub fn share(&mut self, one: &Move, unix_ms: u64, pressed: bool) -> f64 {
--- a/crates/pintally-cells/src/trust.rs
+++ b/crates/pintally-cells/src/trust.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally::interface::{EngineId, Load, Micros, Outcome};
+use pintally::interface::{EngineId, LoadReport, Micros, Outcome};
 
 /// Ends count for half after this time.
 const HALF: f64 = 10_000_000.0;
@@ -113,7 +113,7 @@
         engine: &EngineId,
         tenant: Option<usize>,
         outcome: Outcome,
-        load: Option<&Load>,
+        load: Option<&LoadReport>,
     ) {
         let seen = self.engines.entry(engine.clone()).or_default();
         if let Some(load) = load {
--- a/crates/pintally-cells/tests/common/mod.rs
+++ b/crates/pintally-cells/tests/common/mod.rs
@@ -1,15 +1,15 @@
 //! What tests of cells share.
 
-use pintally::interface::{EngineId, Listing, Member};
+use pintally::interface::{Endpoint, EndpointState, EngineId};
 
 /// An engine that serves.
-pub fn member(name: &str) -> Member {
-    Member {
+pub fn member(name: &str) -> Endpoint {
+    Endpoint {
         engine: EngineId(name.into()),
         zone: String::new(),
         kind: String::new(),
         rack: 0,
-        listing: Listing::Serving,
+        listing: EndpointState::Serving,
         weight: 1.0,
         started: None,
     }
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -15,12 +15,12 @@
     EngineId(name.into())
 }
 
-fn idle() -> Load {
-    Load { queue: Some(0.0), slots: Some(0.2), ..Load::default() }
+fn idle() -> LoadReport {
+    LoadReport { queue: Some(0.0), slots: Some(0.2), ..LoadReport::default() }
 }
 
-fn full() -> Load {
-    Load { queue: Some(9.0), slots: Some(1.0), ..Load::default() }
+fn full() -> LoadReport {
+    LoadReport { queue: Some(9.0), slots: Some(1.0), ..LoadReport::default() }
 }
 
 // ---- trust ----
@@ -262,7 +262,7 @@
 
 #[test]
 fn a_move_waits_while_its_new_cell_is_late_and_then_goes_on_at_its_pace() {
-    let (mut pace, both) = (Pace::default(), a_move(Step::Both { since: 1000 }));
+    let (mut pace, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
     assert_eq!(pace.share(&both, 1000, false), 0.0);
     assert!((pace.share(&both, 3000, false) - 0.2).abs() < 1e-9);
     assert!((pace.share(&both, 8000, true) - 0.2).abs() < 1e-9);
@@ -272,12 +272,12 @@
     assert!((pace.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
     assert_eq!(pace.share(&done, 60_000, false), 1.0);
     // A node that hears of it late goes at the pace from then on.
-    let mut late = Pace::default();
+    let mut late = MoveRateController::default();
     assert_eq!(late.share(&a_move(Step::Prepare), 5000, false), 0.0);
     assert!((late.share(&both, 6000, false) - 0.1).abs() < 1e-9);
     assert!((late.share(&both, 9000, false) - 0.4).abs() < 1e-9);
     // A node that restarts begins at the file's share.
-    assert!((Pace::default().share(&both, 6000, true) - 0.5).abs() < 1e-9);
+    assert!((MoveRateController::default().share(&both, 6000, true) - 0.5).abs() < 1e-9);
 }
 
 #[test]
@@ -320,7 +320,7 @@
     /// before the file lets it.
     #[test]
     fn a_held_move_never_turns_back_and_never_runs_ahead(steps in prop::collection::vec((0u64..3000, any::<bool>(), any::<bool>()), 1..60)) {
-        let (mut pace, mut unix, mut last) = (Pace::default(), 1000u64, 0.0f64);
+        let (mut pace, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
         for (passed, back, pressed) in steps {
             unix = if back { unix.saturating_sub(passed / 8).max(1000) } else { unix + passed };
             let both = a_move(Step::Both { since: 1000 });
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use comfy_table::Table;
-use pintally::interface::Listing;
+use pintally::interface::EndpointState;
 use pintally_cells::{CellsFile, Home};
 use pintally_config::form::Document;
 use pintally_config::{ConfigError, EngineList, NodeSettings};
@@ -86,7 +86,7 @@
     zones.sort_unstable();
     zones.dedup();
     let mut groups: BTreeMap<String, Group> = BTreeMap::new();
-    for engine in list.engines.iter().filter(|e| e.listing == Listing::Serving) {
+    for engine in list.engines.iter().filter(|e| e.listing == EndpointState::Serving) {
         let Some((reads, writes)) = demand.kinds.get(&engine.kind) else {
             notes.push(format!(
                 "engine {} is of the unknown kind `{}` and is left out",
--- a/crates/pintally-cli/src/soak.rs
+++ b/crates/pintally-cli/src/soak.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use pintally_soak::{soak, Kind, Options, Report};
+use pintally_soak::{soak, FaultKind, Options, Report};
 
 use crate::Failure;
 
@@ -108,7 +108,7 @@
     if troubles {
         report.troubles.iter().for_each(|trouble| println!("  {trouble}"));
     }
-    let mut kinds: BTreeMap<Kind, usize> = BTreeMap::new();
+    let mut kinds: BTreeMap<FaultKind, usize> = BTreeMap::new();
     report.violations.iter().for_each(|violation| *kinds.entry(violation.kind).or_default() += 1);
     for (kind, count) in kinds {
         println!("  {kind:?}: {count}");
--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use pintally::interface::{EngineId, Listing, Role};
+use pintally::interface::{EndpointState, EngineId, Role};
 use pintally_audit::Answer;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
 use pintally_mock_engine::{Engine, Fleet, Port, Recorder};
-use pintally_scenario::{get, Client, Day, Ended, Process, Rig, Running, Try};
+use pintally_scenario::{get, AttemptResult, Client, Day, Process, Rig, Running, Try};
 use serde_json::Value;
 use tempfile::TempDir;
 
@@ -80,7 +80,7 @@
     /// Starts all of them with one list, and waits until each knows the others.
     pub fn start_all(&mut self) {
         for node in 0..self.settings.len() {
-            self.list(node, &engines(1, &[Listing::Serving; 4]));
+            self.list(node, &engines(1, &[EndpointState::Serving; 4]));
             self.start(node);
         }
         until("all know all", 10, || self.is_whole());
@@ -140,14 +140,14 @@
         kind: engine.spec.kind.clone(),
         rack: 0,
         cell: None,
-        listing: Listing::Serving,
+        listing: EndpointState::Serving,
         weight: 1.0,
         started_unix_ms: None,
     }
 }
 
-fn engines(version: u64, listings: &[Listing]) -> EngineList {
-    let entry = |n: usize, listing: Listing| EngineEntry {
+fn engines(version: u64, listings: &[EndpointState]) -> EngineList {
+    let entry = |n: usize, listing: EndpointState| EngineEntry {
         id: EngineId(format!("e{n}").as_str().into()),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         zone: "a".into(),
@@ -187,7 +187,7 @@
 /// list file is older.
 #[test]
 fn a_drain_that_one_node_knew_reaches_the_others_and_survives_them() {
-    use Listing::{Draining, Serving};
+    use EndpointState::{Draining, Serving};
     let mut fleet = Nodes::new(3);
     let old = engines(4, &[Serving; 4]);
     fleet.list(0, &engines(5, &[Draining, Serving, Serving, Serving]));
@@ -234,7 +234,7 @@
     twin.peers.as_mut().unwrap().listen = at;
     twin.engines_file = fleet.folder.path().join("engines-twin.sexp").to_string_lossy().into_owned();
     twin.recovery.as_mut().unwrap().store = None;
-    fs::write(&twin.engines_file, engines(1, &[Listing::Serving; 4]).render()).unwrap();
+    fs::write(&twin.engines_file, engines(1, &[EndpointState::Serving; 4]).render()).unwrap();
     let own = Arc::new(twin.clone());
     let second = Process::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
     let back = |at: SocketAddr| -> Value {
@@ -284,7 +284,10 @@
     let at = fleet.settings[0].listen;
     let served = |n: u32| {
         let client = Client { recorder: recorder.clone() };
-        matches!(client.attempt(&ask(at, n, Duration::from_secs(2))), Ended::Answered(Answer::Served, _))
+        matches!(
+            client.attempt(&ask(at, n, Duration::from_secs(2))),
+            AttemptResult::Answered(Answer::Served, _)
+        )
     };
     until("it serves", 10, || served(1));
     // Prompts are read, and no writer says anything any more.
@@ -375,7 +378,7 @@
     let mut tries = 0;
     while !matches!(
         client.attempt(&ask(fleet.settings[0].listen, tries, Duration::from_secs(2))),
-        Ended::Answered(Answer::Served, _)
+        AttemptResult::Answered(Answer::Served, _)
     ) {
         tries += 1;
         assert!(began.elapsed() < Duration::from_secs(3), "nothing served after {tries} tries");
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -1,6 +1,6 @@
 //! What a file of settings may not say, and the rule that it would break.
 
-use pintally::interface::{Class, Effect, Role, Settings};
+use pintally::interface::{Class, Idempotency, Role, Settings};
 
 use crate::form::Form;
 use crate::{ClassSettings, ConfigError, NodeSettings};
@@ -44,7 +44,7 @@
             ),
         ));
     }
-    if let Effect::Keyed(_, window) = class.effect {
+    if let Idempotency::Keyed(_, window) = class.effect {
         if core.max_attempts > 1 && window < more.patience {
             return Err(form.breaks(
                 TWICE,
--- a/crates/pintally-config/src/members.rs
+++ b/crates/pintally-config/src/members.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use pintally::interface::{EngineId, Listing, Member, Micros};
+use pintally::interface::{Endpoint, EndpointState, EngineId, Micros};
 
 use crate::form::{quoted, Document};
 use crate::ConfigError;
@@ -33,7 +33,7 @@
     /// The cell that it belongs to; spare if none.
     pub cell: Option<String>,
     /// Whether it takes work.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// Its registered weight.
     pub weight: f64,
     /// When it last started, in milliseconds of Unix time; `None` if long ago.
@@ -62,9 +62,9 @@
                 .parse()
                 .map_err(|_| form.error(format!("`address` is `{address}`, not an address and port")))?;
             let listing = match form.text_or("state", "serving")?.as_str() {
-                "serving" => Listing::Serving,
-                "draining" => Listing::Draining,
-                "gone" => Listing::Gone,
+                "serving" => EndpointState::Serving,
+                "draining" => EndpointState::Draining,
+                "gone" => EndpointState::Gone,
                 other => {
                     return Err(form.error(format!("`state` is `{other}`, not serving, draining or gone")))
                 }
@@ -93,9 +93,9 @@
         let mut out = format!("(engines (version {})", self.version);
         for e in &self.engines {
             let state = match e.listing {
-                Listing::Serving => "serving",
-                Listing::Draining => "draining",
-                Listing::Gone => "gone",
+                EndpointState::Serving => "serving",
+                EndpointState::Draining => "draining",
+                EndpointState::Gone => "gone",
             };
             let _ = write!(
                 out,
@@ -122,8 +122,8 @@
 
 impl EngineEntry {
     /// The entry as the core takes it; `clock` turns Unix milliseconds into the node's time.
-    pub fn member(&self, clock: impl Fn(u64) -> Micros) -> Member {
-        Member {
+    pub fn member(&self, clock: impl Fn(u64) -> Micros) -> Endpoint {
+        Endpoint {
             engine: self.id.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
--- a/crates/pintally-config/src/settings.rs
+++ b/crates/pintally-config/src/settings.rs
@@ -2,7 +2,10 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use pintally::interface::{Class, Discovery, Effect, Group, Kind, Micros, Reports, Role, Settings, Tenant};
+use pintally::interface::{
+    Class, DiscoveryMode, EngineKind, Idempotency, IdempotencyScope, LoadReporting, Micros, Role, Settings,
+    Tenant,
+};
 
 use crate::form::{Document, Form};
 use crate::{
@@ -174,7 +177,7 @@
             let memory_tokens = form.count_or("memory-tokens", 0, 0, 1 << 40)?;
             slots.push(form.count_or("slots", 0, 0, 1 << 20)?);
             form.finish()?;
-            core.kinds.push(Kind { name, role, memory_tokens });
+            core.kinds.push(EngineKind { name, role, memory_tokens });
         }
         check::kinds(root, &core)?;
         let (peers, recovery) = fleet::read(root)?;
@@ -257,8 +260,8 @@
         classes: Vec::new(),
         tenants: Vec::new(),
         kinds: Vec::new(),
-        discovery: Discovery::Pushed,
-        reports: Reports::Inline,
+        discovery: DiscoveryMode::Pushed,
+        reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
         may_cancel: true,
@@ -291,14 +294,14 @@
 pub fn shape(form: &Form, s: &mut Settings) -> Result<(), ConfigError> {
     let ms = |span: Micros| span as f64 / 1e3;
     let reports = match s.reports {
-        Reports::Inline => "inline",
-        Reports::OnProbe => "on-probe",
-        Reports::Off => "off",
+        LoadReporting::Inline => "inline",
+        LoadReporting::OnProbe => "on-probe",
+        LoadReporting::Off => "off",
     };
     s.reports = match form.text_or("reports", reports)?.as_str() {
-        "inline" => Reports::Inline,
-        "on-probe" => Reports::OnProbe,
-        "off" => Reports::Off,
+        "inline" => LoadReporting::Inline,
+        "on-probe" => LoadReporting::OnProbe,
+        "off" => LoadReporting::Off,
         other => return Err(form.error(format!("`reports` is `{other}`, not inline, on-probe or off"))),
     };
     s.weights = form.yes_or("weights", s.weights)?;
@@ -321,18 +324,18 @@
     let name = form.text()?;
     let effect = form.need("effect")?;
     let kind = effect.text()?;
-    let keyed = |f: &Form| -> Result<Effect, ConfigError> {
+    let keyed = |f: &Form| -> Result<Idempotency, ConfigError> {
         let group = match f.text_or("group", "")?.as_str() {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "rack" => Group::Rack,
+            "all" => IdempotencyScope::All,
+            "zone" => IdempotencyScope::Zone,
+            "rack" => IdempotencyScope::Rack,
             other => return Err(f.error(format!("`group` is `{other}`, not all, zone or rack"))),
         };
-        Ok(Effect::Keyed(group, f.millis_or("window-ms", 0.0, 1.0, 86_400_000.0)?))
+        Ok(Idempotency::Keyed(group, f.millis_or("window-ms", 0.0, 1.0, 86_400_000.0)?))
     };
     let effect_value = match kind.as_str() {
-        "safe" => Effect::Safe,
-        "unsafe" => Effect::Unsafe,
+        "safe" => Idempotency::Safe,
+        "unsafe" => Idempotency::Unsafe,
         "keyed" => keyed(&effect)?,
         other => return Err(effect.error(format!("`effect` is `{other}`, not safe, keyed or unsafe"))),
     };
--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -6,7 +6,7 @@
 use pintally::interface::Micros;
 use pintally_consensus as accord;
 use pintally_quota as shares;
-use pintally_quota::{Bound, Kind, LimitId};
+use pintally_quota::{Bound, LimitId, LimitKind};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::form::{quoted, Form};
@@ -77,7 +77,7 @@
 
     /// As the lender and the holders take it.
     pub fn limit(&self) -> shares::Limit {
-        let kind = if self.counts == Counts::Streams { Kind::Level } else { Kind::Rate };
+        let kind = if self.counts == Counts::Streams { LimitKind::Level } else { LimitKind::Rate };
         shares::Limit { kind, bound: self.bound, most: self.most }
     }
 }
--- a/crates/pintally-config/tests/bad_files.rs
+++ b/crates/pintally-config/tests/bad_files.rs
@@ -1,7 +1,7 @@
 //! Files that must be refused at load, each with the line and the reason, and the rule where one is
 //! at stake.
 
-use pintally::interface::Reports;
+use pintally::interface::LoadReporting;
 use pintally_config::{EngineList, NodeSettings};
 
 const GOOD: &str = r#"(pintally
@@ -29,9 +29,9 @@
     assert!(!read(GOOD).unwrap().core.writers_read);
     let told = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
     let core = read(&told).unwrap().core;
-    assert!(core.writers_read && core.reports == Reports::Off && !core.may_probe);
+    assert!(core.writers_read && core.reports == LoadReporting::Off && !core.may_probe);
     let example = std::fs::read_to_string("../../examples/node-silent.sexp").unwrap();
-    assert_eq!(read(&example).unwrap().core.reports, Reports::Off);
+    assert_eq!(read(&example).unwrap().core.reports, LoadReporting::Off);
     let error = read(&told.replace("(role writer)", "(role mixed)")).unwrap_err();
     assert!(error.what.contains("no `kind` is a writer"), "{error}");
 }
--- a/crates/pintally-emulator/src/engine.rs
+++ b/crates/pintally-emulator/src/engine.rs
@@ -10,7 +10,7 @@
 use crate::memory::{Hash, Memory};
 use crate::notice::{FreedBy, Notice, Refusal};
 use crate::report::{Report, Teller};
-use crate::spec::{Kind, Spec};
+use crate::spec::{EngineRole, Spec};
 use crate::Micros;
 
 /// Names one piece of work in a whole run.
@@ -227,9 +227,9 @@
     pub fn submit(&mut self, now: Micros, work: Work, out: &mut Vec<Notice>) {
         let refuse = |why| Notice::Refused(work.id, why);
         let fits = match self.spec.kind {
-            Kind::Reader => work.reads_only,
-            Kind::Writer => work.fetches.is_some(),
-            Kind::Mixed => true,
+            EngineRole::Reader => work.reads_only,
+            EngineRole::Writer => work.fetches.is_some(),
+            EngineRole::Mixed => true,
         };
         if !self.up {
             return out.push(refuse(Refusal::Down));
--- a/crates/pintally-emulator/src/faults.rs
+++ b/crates/pintally-emulator/src/faults.rs
@@ -4,7 +4,7 @@
 
 /// How load reports are made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum ReportAccuracy {
     /// As the engine's figures say.
     #[default]
     Honest,
@@ -32,7 +32,7 @@
     /// Share of the transfers to it that break half-way.
     pub breaks: f64,
     /// How load reports are made.
-    pub reports: Reports,
+    pub reports: ReportAccuracy,
 }
 
 impl Default for Faults {
@@ -44,7 +44,7 @@
             paused_until: 0,
             leaks: 0.0,
             breaks: 0.0,
-            reports: Reports::Honest,
+            reports: ReportAccuracy::Honest,
         }
     }
 }
--- a/crates/pintally-emulator/src/lib.rs
+++ b/crates/pintally-emulator/src/lib.rs
@@ -20,13 +20,13 @@
 mod spec;
 
 pub use engine::{Arrival, Engine, Work, WorkId};
-pub use faults::{Faults, Reports};
+pub use faults::{Faults, ReportAccuracy};
 pub use fleet::{Fleet, Place};
 pub use links::{FlowId, LinkId, Links};
 pub use memory::{Hash, Memory};
 pub use notice::{FreedBy, Notice, Refusal};
 pub use report::Report;
-pub use spec::{Cold, Cost, Kind, Spec, Telling, Wires};
+pub use spec::{Cold, Cost, EngineRole, Spec, Telling, Wires};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/crates/pintally-emulator/src/report.rs
+++ b/crates/pintally-emulator/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::faults::Reports;
+use crate::faults::ReportAccuracy;
 use crate::spec::Telling;
 use crate::Micros;
 
@@ -46,7 +46,7 @@
         &mut self,
         telling: &Telling,
         now: Micros,
-        how: Reports,
+        how: ReportAccuracy,
         mut draw: impl FnMut() -> f64,
     ) -> Report {
         let slot = |at: Micros| at / telling.every.max(1);
@@ -54,10 +54,10 @@
         let old = self.seen.iter().rev().find(|(at, _)| slot(*at) < by);
         let true_state = old.map_or(Report::default(), |(_, r)| *r);
         match how {
-            Reports::Stale => return self.told,
-            Reports::Idle => return Report::default(),
-            Reports::Full => return Report { running: 1e3, waiting: 1e3, memory: 1.0, backlog: 1e6 },
-            Reports::Honest => {}
+            ReportAccuracy::Stale => return self.told,
+            ReportAccuracy::Idle => return Report::default(),
+            ReportAccuracy::Full => return Report { running: 1e3, waiting: 1e3, memory: 1.0, backlog: 1e6 },
+            ReportAccuracy::Honest => {}
         }
         let mut off = |v: f64| if telling.noise > 0.0 { v * (1.0 + telling.noise * draw()) } else { v };
         self.told = Report {
--- a/crates/pintally-emulator/src/spec.rs
+++ b/crates/pintally-emulator/src/spec.rs
@@ -4,7 +4,7 @@
 
 /// What an engine does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EngineRole {
     /// Reads prompts.
     Reader,
     /// Fetches read states and writes answers.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
     /// What it does.
-    pub kind: Kind,
+    pub kind: EngineRole,
     /// Requests that run at once.
     pub slots: usize,
     /// Requests that may wait.
--- a/crates/pintally-emulator/tests/common/mod.rs
+++ b/crates/pintally-emulator/tests/common/mod.rs
@@ -11,7 +11,7 @@
     Cost { step: 4000.0, read_token: 50.0, write_token: 100.0, context: 20.0 }
 }
 
-pub fn spec(kind: Kind) -> Spec {
+pub fn spec(kind: EngineRole) -> Spec {
     Spec {
         kind,
         slots: 8,
--- a/crates/pintally-emulator/tests/engines.rs
+++ b/crates/pintally-emulator/tests/engines.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_prompt_is_read_in_chunks_and_a_known_one_is_not_read_again() {
-    let mut w = World::new(&[spec(Kind::Reader)], 1);
+    let mut w = World::new(&[spec(EngineRole::Reader)], 1);
     w.submit(0, read(1, 7, 1280), None);
     w.until(1_000_000);
     // Chunks of 512, 512 and 256 tokens: three steps.
@@ -24,7 +24,7 @@
 #[test]
 fn answers_slow_each_other_and_long_contexts_slow_all() {
     let alone = |answers: u64, prompt: u64| {
-        let mut w = World::new(&[Spec { budget: 100_000, blocks: 4000, ..spec(Kind::Mixed) }], 1);
+        let mut w = World::new(&[Spec { budget: 100_000, blocks: 4000, ..spec(EngineRole::Mixed) }], 1);
         (0..answers).for_each(|n| w.submit(0, both(n, n + 1, prompt, 100), None));
         w.until(60_000_000);
         w.at(|n| *n == Notice::Done(0, 0)).unwrap() - w.at(|n| *n == Notice::Token(0, 1)).unwrap()
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_state_moves_from_reader_to_writer_once() {
-    let mut w = World::new(&[spec(Kind::Reader), spec(Kind::Writer)], 1);
+    let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.submit(0, read(1, 7, 320), None);
     w.until(500_000);
     w.submit(1, fetch(2, 1, 7, 320, 5), Some(0));
@@ -54,7 +54,7 @@
 
 #[test]
 fn repeats_are_dropped_within_the_window_only() {
-    let mut w = World::new(&[Spec { dedup: 1_000_000, ..spec(Kind::Mixed) }], 1);
+    let mut w = World::new(&[Spec { dedup: 1_000_000, ..spec(EngineRole::Mixed) }], 1);
     let keyed = |id| Work { key: Some(9), ..both(id, 1, 64, 2) };
     w.submit(0, keyed(1), None);
     w.until(900_000);
@@ -69,7 +69,7 @@
 
 #[test]
 fn what_is_told_is_late_as_told() {
-    let mut w = World::new(&[Spec { slots: 2, ..spec(Kind::Mixed) }], 1);
+    let mut w = World::new(&[Spec { slots: 2, ..spec(EngineRole::Mixed) }], 1);
     w.until(1_000_000);
     (0..6).for_each(|n| w.submit(0, both(n, n + 1, 64, 400), None));
     // The first began a step at once; the second joins when that is over.
@@ -80,7 +80,7 @@
     // It looks every 100 ms and tells what is 50 ms old: from 1,150,000 on.
     assert_eq!(w.fleet.report(1_149_999, 0).waiting, 0.0);
     assert_eq!(w.fleet.report(1_150_000, 0).waiting, 4.0);
-    for (how, waiting) in [(Reports::Idle, 0.0), (Reports::Full, 1e3)] {
+    for (how, waiting) in [(ReportAccuracy::Idle, 0.0), (ReportAccuracy::Full, 1e3)] {
         w.fleet.fault(0, |f| f.reports = how);
         assert_eq!(w.fleet.report(1_150_000, 0).waiting, waiting);
     }
@@ -92,8 +92,8 @@
 /// moved whole, and is answered.
 #[test]
 fn a_kept_text_evicted_while_a_decode_waits_for_its_state() {
-    let small = Spec { slots: 1, blocks: 60, ..spec(Kind::Mixed) };
-    let mut w = World::new(&[spec(Kind::Reader), small], 1);
+    let small = Spec { slots: 1, blocks: 60, ..spec(EngineRole::Mixed) };
+    let mut w = World::new(&[spec(EngineRole::Reader), small], 1);
     w.submit(1, both(1, 7, 320, 1), None);
     w.submit(0, read(2, 7, 320), None);
     w.until(500_000);
@@ -112,7 +112,7 @@
 #[test]
 fn a_just_started_engine_in_a_burst_is_slow_and_falls_over_if_too_much_comes() {
     let cold = Cold { from: 0.2, warm_after: 10_000_000, tip_multiple: 2.0, tip_window: 1_000_000 };
-    let fresh = Spec { cold: Some(cold), blocks: 4000, queue: 64, ..spec(Kind::Reader) };
+    let fresh = Spec { cold: Some(cold), blocks: 4000, queue: 64, ..spec(EngineRole::Reader) };
     let play = |reads: u64| {
         let mut w = World::new(std::slice::from_ref(&fresh), 1);
         w.act(|f, now, out| f.crash(now, 0, out));
@@ -136,7 +136,7 @@
 
 #[test]
 fn memory_full_of_states_that_nobody_fetches_comes_back_when_they_expire() {
-    let mut w = World::new(&[Spec { blocks: 100, ..spec(Kind::Reader) }], 1);
+    let mut w = World::new(&[Spec { blocks: 100, ..spec(EngineRole::Reader) }], 1);
     (0..5).for_each(|n| w.submit(0, read(n, n + 1, 320), None));
     w.until(1_000_000);
     assert_eq!(w.fleet.engine(0).states(), 5);
@@ -150,7 +150,7 @@
     let expired = w.said.iter().filter(|(.., n)| matches!(n, Notice::Freed(_, FreedBy::Expired)));
     assert_eq!(expired.count(), 5);
     // A leak is for good.
-    let mut leaky = World::new(&[Spec { blocks: 100, ..spec(Kind::Reader) }], 1);
+    let mut leaky = World::new(&[Spec { blocks: 100, ..spec(EngineRole::Reader) }], 1);
     leaky.fleet.fault(0, |f| f.leaks = 1.0);
     (0..5).for_each(|n| leaky.submit(0, read(n, n + 1, 330), None));
     leaky.until(20_000_000);
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_transfer_whose_reader_dies_halfway_ends_its_work_and_leaves_nothing() {
-    let mut w = World::new(&[spec(Kind::Reader), spec(Kind::Writer)], 1);
+    let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.submit(0, read(1, 7, 3200), None);
     w.until(1_000_000);
     w.submit(1, fetch(2, 1, 7, 3200, 5), Some(0));
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_transfer_that_breaks_halfway_leaves_the_state_where_it_was() {
-    let mut w = World::new(&[spec(Kind::Reader), spec(Kind::Writer)], 1);
+    let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.fleet.fault(1, |f| f.breaks = 1.0);
     w.submit(0, read(1, 7, 320), None);
     w.until(500_000);
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_pause_holds_everything_and_ageing_slows_it() {
-    let mut w = World::new(&[spec(Kind::Mixed)], 1);
+    let mut w = World::new(&[spec(EngineRole::Mixed)], 1);
     w.fleet.fault(0, |f| f.paused_until = 700_000);
     w.submit(0, both(1, 1, 64, 2), None);
     w.until(2_000_000);
@@ -205,7 +205,7 @@
 /// Three answers that outgrow memory together: the newest gives way, and all are whole in the end.
 #[test]
 fn the_newest_answer_gives_way_and_is_made_again_without_repeating_a_token() {
-    let mut w = World::new(&[Spec { blocks: 60, ..spec(Kind::Mixed) }], 1);
+    let mut w = World::new(&[Spec { blocks: 60, ..spec(EngineRole::Mixed) }], 1);
     (0..3).for_each(|n| w.submit(0, both(n, n + 1, 160, 400), None));
     w.until(30_000_000);
     assert!(w.said.iter().any(|(.., n)| matches!(n, Notice::Preempted(_))));
@@ -282,7 +282,7 @@
     fn any_history_adds_up(seed in any::<u64>(), steps in prop::collection::vec((0u8..12, 0u64..6, 1u64..500, 0u64..300_000), 1..120)) {
         let play = || {
             let small = |kind| Spec { blocks: 80, slots: 3, queue: 4, dedup: 2_000_000, ..spec(kind) };
-            let mut w = World::new(&[small(Kind::Reader), small(Kind::Writer), small(Kind::Mixed), small(Kind::Mixed)], seed);
+            let mut w = World::new(&[small(EngineRole::Reader), small(EngineRole::Writer), small(EngineRole::Mixed), small(EngineRole::Mixed)], seed);
             w.fleet.fault(1, |f| f.breaks = 0.3);
             w.fleet.fault(2, |f| f.noisy = 0.5);
             let mut id = 0;
--- a/crates/pintally-emulator/tests/theory.rs
+++ b/crates/pintally-emulator/tests/theory.rs
@@ -34,7 +34,8 @@
     seed: u64,
 ) -> Seen {
     let cost = Cost { step: STEP as f64, read_token: 0.0, write_token: 0.0, context: 0.0 };
-    let queue = Spec { slots, queue: 1 << 20, blocks: 1 << 20, budget: 1 << 20, cost, ..spec(Kind::Mixed) };
+    let queue =
+        Spec { slots, queue: 1 << 20, blocks: 1 << 20, budget: 1 << 20, cost, ..spec(EngineRole::Mixed) };
     let mut engine = Engine::new(queue, seed);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let per_micro = load * slots as f64 / (mean * STEP as f64);
--- a/crates/pintally-engine/src/answer.rs
+++ b/crates/pintally-engine/src/answer.rs
@@ -1,6 +1,6 @@
 //! What comes back of an attempt, from bytes cut anywhere to progress and an outcome.
 
-use pintally::interface::{Load, Outcome};
+use pintally::interface::{LoadReport, Outcome};
 use pintally_http::{Part, ResponseReader, SseReader};
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
         /// Prompt tokens found kept.
         kept: u64,
         /// The engine's load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
         /// `kv_transfer_params` of a read.
         state: Option<Value>,
         /// The connection may be used again.
@@ -39,7 +39,7 @@
     sse: SseReader,
     status: u16,
     vouched: bool,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     kept: u64,
     body: Vec<u8>,
     whole: bool,
--- a/crates/pintally-engine/src/load.rs
+++ b/crates/pintally-engine/src/load.rs
@@ -1,6 +1,6 @@
 //! Load reports: out of the ORCA header with an answer, or out of the metrics of a probe.
 
-use pintally::interface::Load;
+use pintally::interface::LoadReport;
 use serde_json::Value;
 
 /// The header that carries a load report with an answer.
@@ -13,7 +13,7 @@
 const BACKLOG: &str = "prompt_tokens_waiting_thousands";
 
 /// Puts one metric into a load; `slots` are an engine's slots, 0 if not known.
-fn put(load: &mut Load, name: &str, value: f64, slots: u64) {
+fn put(load: &mut LoadReport, name: &str, value: f64, slots: u64) {
     if !value.is_finite() || value < 0.0 {
         return;
     }
@@ -27,8 +27,8 @@
 }
 
 /// The load in a header's value: `JSON {...}` or `TEXT name=value, ...`; `None` if it tells nothing.
-pub fn load_from_header(value: &str, slots: u64) -> Option<Load> {
-    let mut load = Load::default();
+pub fn load_from_header(value: &str, slots: u64) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     let (form, rest) = value.trim().split_once(char::is_whitespace)?;
     match form.to_ascii_uppercase().as_str() {
         "JSON" => {
@@ -46,19 +46,19 @@
         }
         _ => return None,
     }
-    (load != Load::default()).then_some(load)
+    (load != LoadReport::default()).then_some(load)
 }
 
 /// The load in a page of metrics as Prometheus reads them; `None` if it tells nothing.
-pub fn load_from_metrics(page: &str, slots: u64) -> Option<Load> {
-    let mut load = Load::default();
+pub fn load_from_metrics(page: &str, slots: u64) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     for line in page.lines().filter(|l| !l.starts_with('#')) {
         let Some(line) = line.strip_prefix("vllm:") else { continue };
         let Some((series, value)) = line.rsplit_once(' ') else { continue };
         let name = series.split('{').next().unwrap_or("").trim();
         put(&mut load, name, value.trim().parse().unwrap_or(-1.0), slots);
     }
-    (load != Load::default()).then_some(load)
+    (load != LoadReport::default()).then_some(load)
 }
 
 #[cfg(test)]
@@ -70,7 +70,7 @@
         let json = r#"JSON {"named_metrics":{"num_requests_running":4,"num_requests_waiting":2,"kv_cache_usage_perc":0.5}}"#;
         let text = "TEXT named_metrics.num_requests_running=4, named_metrics.num_requests_waiting=2, named_metrics.kv_cache_usage_perc=0.5";
         let page = "# TYPE x gauge\nvllm:num_requests_running{model_name=\"m\"} 4.0\nvllm:num_requests_waiting{model_name=\"m\"} 2\nvllm:kv_cache_usage_perc 0.5\n";
-        let want = Load { slots: Some(0.5), queue: Some(2.0), memory: Some(0.5), backlog: None };
+        let want = LoadReport { slots: Some(0.5), queue: Some(2.0), memory: Some(0.5), backlog: None };
         assert_eq!(load_from_header(json, 8), Some(want));
         assert_eq!(load_from_header(text, 8), Some(want));
         assert_eq!(load_from_metrics(page, 8), Some(want));
--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts of a request: whether one may be sent, may still start when its connection is up, and
 //! whether the request may be refused.
 
-use pintally::interface::{Effect, Group, Listing, Micros, Role};
+use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 
 use crate::Denial;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
     /// What running it twice would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Its final answer is given, or its client has left.
     pub over: bool,
     /// An attempt of it is out.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFacts<'a> {
     /// What the list says of it.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// What it does.
     pub role: Role,
     /// Its zone.
@@ -67,7 +67,7 @@
     if request.over {
         return Err(Denial::RequestOver);
     }
-    if engine.listing != Listing::Serving {
+    if engine.listing != EndpointState::Serving {
         return Err(Denial::EngineNotServing);
     }
     if now >= request.deadline {
@@ -83,13 +83,13 @@
 fn may_repeat(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
     let Some(first) = request.may_have_run else { return Ok(()) };
     match request.effect {
-        Effect::Safe => Ok(()),
-        Effect::Unsafe => Err(Denial::MayRunTwice),
-        Effect::Keyed(group, window) => {
+        Idempotency::Safe => Ok(()),
+        Idempotency::Unsafe => Err(Denial::MayRunTwice),
+        Idempotency::Keyed(group, window) => {
             let inside = match group {
-                Group::All => true,
-                Group::Zone => first.zone == engine.zone,
-                Group::Rack => first.rack == engine.rack,
+                IdempotencyScope::All => true,
+                IdempotencyScope::Zone => first.zone == engine.zone,
+                IdempotencyScope::Rack => first.rack == engine.rack,
             };
             if !inside {
                 return Err(Denial::OutsideGroup);
@@ -105,8 +105,8 @@
 /// Whether a request may be refused: a refusal tells the client that trying again is harmless.
 pub fn may_refuse(request: &RequestFacts<'_>) -> Result<(), Denial> {
     let harmless = match request.effect {
-        Effect::Safe | Effect::Keyed(Group::All, _) => true,
-        Effect::Keyed(..) | Effect::Unsafe => request.may_have_run.is_none(),
+        Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
+        Idempotency::Keyed(..) | Idempotency::Unsafe => request.may_have_run.is_none(),
     };
     match harmless {
         true => Ok(()),
--- a/crates/pintally-guards/tests/permits.rs
+++ b/crates/pintally-guards/tests/permits.rs
@@ -1,6 +1,6 @@
 //! The rules, each by a case that must be denied and its neighbour that must not.
 
-use pintally::interface::{Effect, Group, Listing, Micros, Role};
+use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 use pintally_guards::{
     may_close, may_refuse, may_send, may_start, CloseReason, ConnectionFacts, Denial, Denials, EngineFacts,
     MayHaveRun, RequestFacts,
@@ -11,7 +11,7 @@
 const DEADLINE: Micros = 5_000_000;
 const NOW: Micros = 1_000_000;
 
-fn request(effect: Effect, may_have_run: Option<&MayHaveRun>) -> RequestFacts<'_> {
+fn request(effect: Idempotency, may_have_run: Option<&MayHaveRun>) -> RequestFacts<'_> {
     RequestFacts {
         effect,
         over: false,
@@ -24,7 +24,7 @@
 }
 
 fn engine(role: Role) -> EngineFacts<'static> {
-    EngineFacts { listing: Listing::Serving, role, zone: "a", rack: 1 }
+    EngineFacts { listing: EndpointState::Serving, role, zone: "a", rack: 1 }
 }
 
 fn ran(sent: Micros, zone: &str, rack: u64) -> MayHaveRun {
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_send_needs_an_open_request_and_an_engine_that_serves() {
-    let good = request(Effect::Unsafe, None);
+    let good = request(Idempotency::Unsafe, None);
     let writer = engine(Role::Writer);
     assert_eq!(may_send(NOW, &good, &writer), Ok(()));
     let over = RequestFacts { over: true, ..good };
@@ -46,7 +46,7 @@
     assert_eq!(may_send(NOW, &spent, &writer), Err(Denial::AttemptsSpent));
     assert_eq!(may_send(DEADLINE - 1, &good, &writer), Ok(()));
     assert_eq!(may_send(DEADLINE, &good, &writer), Err(Denial::NoTimeLeft));
-    for listing in [Listing::Draining, Listing::Gone] {
+    for listing in [EndpointState::Draining, EndpointState::Gone] {
         for role in [Role::Reader, Role::Writer, Role::Mixed] {
             let gone = EngineFacts { listing, ..engine(role) };
             assert_eq!(may_send(NOW, &good, &gone), Err(Denial::EngineNotServing));
@@ -58,20 +58,20 @@
 #[test]
 fn what_may_have_run_is_repeated_only_where_that_does_no_harm() {
     let (writer, first) = (engine(Role::Writer), ran(NOW, "a", 1));
-    assert_eq!(may_send(NOW, &request(Effect::Safe, Some(&first)), &writer), Ok(()));
-    assert_eq!(may_send(NOW, &request(Effect::Unsafe, Some(&first)), &writer), Err(Denial::MayRunTwice));
+    assert_eq!(may_send(NOW, &request(Idempotency::Safe, Some(&first)), &writer), Ok(()));
+    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &writer), Err(Denial::MayRunTwice));
     let mixed = engine(Role::Mixed);
-    assert_eq!(may_send(NOW, &request(Effect::Unsafe, Some(&first)), &mixed), Err(Denial::MayRunTwice));
-    assert_eq!(may_send(NOW, &request(Effect::Unsafe, Some(&first)), &engine(Role::Reader)), Ok(()));
+    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &mixed), Err(Denial::MayRunTwice));
+    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &engine(Role::Reader)), Ok(()));
     for (group, zone, rack, inside) in [
-        (Group::All, "b", 2, true),
-        (Group::Zone, "a", 2, true),
-        (Group::Zone, "b", 1, false),
-        (Group::Rack, "b", 1, true),
-        (Group::Rack, "a", 2, false),
+        (IdempotencyScope::All, "b", 2, true),
+        (IdempotencyScope::Zone, "a", 2, true),
+        (IdempotencyScope::Zone, "b", 1, false),
+        (IdempotencyScope::Rack, "b", 1, true),
+        (IdempotencyScope::Rack, "a", 2, false),
     ] {
         let first = ran(NOW, zone, rack);
-        let keyed = request(Effect::Keyed(group, WINDOW), Some(&first));
+        let keyed = request(Idempotency::Keyed(group, WINDOW), Some(&first));
         let expected = if inside { Ok(()) } else { Err(Denial::OutsideGroup) };
         assert_eq!(may_send(NOW + WINDOW - 1, &keyed, &writer), expected);
         let expected = if inside { Err(Denial::WindowOver) } else { expected };
@@ -84,11 +84,11 @@
 fn a_refusal_promises_that_nothing_has_run() {
     let first = ran(NOW, "a", 1);
     for (effect, after_effect) in [
-        (Effect::Safe, true),
-        (Effect::Keyed(Group::All, WINDOW), true),
-        (Effect::Keyed(Group::Zone, WINDOW), false),
-        (Effect::Keyed(Group::Rack, WINDOW), false),
-        (Effect::Unsafe, false),
+        (Idempotency::Safe, true),
+        (Idempotency::Keyed(IdempotencyScope::All, WINDOW), true),
+        (Idempotency::Keyed(IdempotencyScope::Zone, WINDOW), false),
+        (Idempotency::Keyed(IdempotencyScope::Rack, WINDOW), false),
+        (Idempotency::Unsafe, false),
     ] {
         assert_eq!(may_refuse(&request(effect, None)), Ok(()));
         let expected = if after_effect { Ok(()) } else { Err(Denial::RefusalAfterEffect) };
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, Ended, EngineId, Event, Load, Micros, Outcome, RequestId, Role};
+use pintally::interface::{
+    Attempt, AttemptEnd, EngineId, Event, LoadReport, Micros, Outcome, RequestId, Role,
+};
 use pintally_cells::CellName;
 use pintally_engine::Step;
 use pintally_guards::{may_send, Denial, MayHaveRun};
@@ -65,8 +67,9 @@
             // Guards against an attempt that is spent on a state which has been let go: the core hears
             // what the writer would say, and has the prompt read again.
             self.counters.never_sent += 1;
-            let event = Ended { id, attempt, outcome: Outcome::NoState, last: false, kept: 0, load: None };
-            self.owed.push_back((cell.clone(), Event::Ended(event)));
+            let event =
+                AttemptEnd { id, attempt, outcome: Outcome::NoState, last: false, kept: 0, load: None };
+            self.owed.push_back((cell.clone(), Event::AttemptEnd(event)));
             return;
         }
         self.counters.attempts += 1;
@@ -145,7 +148,7 @@
         ticket: Ticket,
         attempt: Attempt,
         outcome: Outcome,
-        told: (u64, Option<Load>, Option<Arc<Value>>),
+        told: (u64, Option<LoadReport>, Option<Arc<Value>>),
         out: &mut Vec<Command>,
     ) {
         let (kept, load, state) = told;
@@ -200,13 +203,13 @@
             self.answer(&id, Final::Cut, out);
         }
         let last = over || ended.started || outcome == Outcome::Served;
-        let event = Ended { id: id.clone(), attempt, outcome, last, kept, load };
-        self.event(now, &cell, Event::Ended(event), out);
+        let event = AttemptEnd { id: id.clone(), attempt, outcome, last, kept, load };
+        self.event(now, &cell, Event::AttemptEnd(event), out);
         self.release_unsure(&id, out);
     }
 }
 
 fn never_sent(id: RequestId, attempt: Attempt) -> Event {
     let outcome = Outcome::NeverSent;
-    Event::Ended(Ended { id, attempt, outcome, last: false, kept: 0, load: None })
+    Event::AttemptEnd(AttemptEnd { id, attempt, outcome, last: false, kept: 0, load: None })
 }
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -1,6 +1,6 @@
 //! The host's cells: one core for each, the engines that each has, and where requests go.
 
-use pintally::interface::{EngineId, Event, ListForm, Listing, Micros, Role};
+use pintally::interface::{EndpointState, EngineId, Event, ListUpdate, Micros, Role};
 use pintally::Router;
 use pintally_cells::{Ask, CellName, CellStatus, Cells, CellsFile, Spread, Verdict};
 
@@ -55,10 +55,10 @@
         }
     }
 
-    pub(crate) fn list(&mut self, now: Micros, form: ListForm, list: Vec<Listed>, out: &mut Vec<Command>) {
+    pub(crate) fn list(&mut self, now: Micros, form: ListUpdate, list: Vec<Listed>, out: &mut Vec<Command>) {
         self.fleet_changed = true;
-        if form == ListForm::Full {
-            self.places.values_mut().for_each(|p| p.listing = Listing::Gone);
+        if form == ListUpdate::Full {
+            self.places.values_mut().for_each(|p| p.listing = EndpointState::Gone);
             self.members.clear();
         }
         let mut list = list;
@@ -88,13 +88,13 @@
         }
         if !self.divided() {
             self.list_to_cores(now, form, list, out);
-        } else if form != ListForm::Failed {
+        } else if form != ListUpdate::Failed {
             self.list_to_cells(now, out);
         }
         // An engine that has left the list may still run and hold something of this node.
-        if self.places.values().any(|p| p.listing == Listing::Gone) {
+        if self.places.values().any(|p| p.listing == EndpointState::Gone) {
             let used = self.engines_in_use();
-            self.places.retain(|engine, p| p.listing != Listing::Gone || used.contains(engine));
+            self.places.retain(|engine, p| p.listing != EndpointState::Gone || used.contains(engine));
             let places = &self.places;
             self.members.retain(|engine, _| places.contains_key(engine));
             self.letting.retain(|engine| places.contains_key(engine));
@@ -156,7 +156,7 @@
             if !all && before.as_ref() == self.handed.get(&cell) {
                 continue;
             }
-            self.event(now, &cell, Event::Members(ListForm::Full, members), out);
+            self.event(now, &cell, Event::Members(ListUpdate::Full, members), out);
         }
         self.watch_cells(now);
     }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use pintally::interface::{Action, Effect, EngineId, Event, Listing, Micros, Request, RequestId, Role};
+use pintally::interface::{
+    Action, EndpointState, EngineId, Event, Idempotency, Micros, Request, RequestId, Role,
+};
 use pintally::Router;
 use pintally_cells::{CellName, Cells};
 use pintally_config::NodeSettings;
@@ -28,7 +30,7 @@
     pub(crate) address: SocketAddr,
     pub(crate) role: Role,
     pub(crate) slots: u64,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
     pub(crate) zone: Arc<str>,
     pub(crate) rack: u64,
 }
@@ -193,7 +195,7 @@
     }
 
     /// What the list says of an engine, if it knows it.
-    pub fn listing(&self, engine: &EngineId) -> Option<Listing> {
+    pub fn listing(&self, engine: &EngineId) -> Option<EndpointState> {
         self.places.get(engine).map(|p| p.listing)
     }
 
@@ -203,18 +205,18 @@
     }
 
     /// What its cores believe of the engines that they know.
-    pub fn beliefs(&self, now: Micros) -> Vec<pintally::Belief> {
+    pub fn beliefs(&self, now: Micros) -> Vec<pintally::EngineEstimate> {
         self.routers.values().flat_map(|r| r.beliefs(now)).collect()
     }
 
     /// What its cores believe of the way of requests as a whole.
-    pub fn paces(&self) -> Vec<pintally::Pace> {
+    pub fn paces(&self) -> Vec<pintally::AdmissionEstimate> {
         self.routers.values().map(pintally::Router::pace).collect()
     }
 
     /// Engines that take work, by the list.
     pub fn serving(&self) -> usize {
-        self.places.values().filter(|p| p.listing == Listing::Serving).count()
+        self.places.values().filter(|p| p.listing == EndpointState::Serving).count()
     }
 
     /// Whether a name is one of this life's own requests.
@@ -291,7 +293,7 @@
                 }
             }
             Input::FirstToken(ticket, attempt) => self.first_token(now, ticket, attempt, out),
-            Input::Ended { ticket, attempt, outcome, kept, load, state } => {
+            Input::AttemptEnd { ticket, attempt, outcome, kept, load, state } => {
                 self.ended(now, ticket, attempt, outcome, (kept, load, state), out)
             }
             Input::Left(ticket) => self.left(now, ticket, out),
@@ -422,7 +424,7 @@
             cell: cell.clone(),
             tenant: arrival.tenant,
             // A class that nobody named must not run twice.
-            effect: aims.map_or(Effect::Unsafe, |class| class.effect),
+            effect: aims.map_or(Idempotency::Unsafe, |class| class.effect),
             may_have_run: None,
             bytes: arrival.bytes,
             aim: now.saturating_add(aim),
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, ListForm, Load, Member, Micros, Outcome, RequestId};
+use pintally::interface::{Attempt, Endpoint, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId};
 use pintally_cells::{CellName, CellsFile};
 use pintally_engine::Step;
 use serde_json::Value;
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// As the core takes it.
-    pub member: Member,
+    pub member: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
     /// The cell that it belongs to; spare if none.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Word of the fleet.
-    List(ListForm, Vec<Listed>),
+    List(ListUpdate, Vec<Listed>),
     /// The list that holds is the source's own, read in this life, and not one that was kept.
     Fresh,
     /// A version of the cells file.
@@ -83,7 +83,7 @@
     /// The answer of an attempt has begun.
     FirstToken(Ticket, Attempt),
     /// An attempt has ended.
-    Ended {
+    AttemptEnd {
         /// The request.
         ticket: Ticket,
         /// The attempt.
@@ -93,14 +93,14 @@
         /// Prompt tokens found kept.
         kept: u64,
         /// The engine's load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
         /// What fetches the read state, with [`Outcome::Read`].
         state: Option<Arc<Value>>,
     },
     /// The client has left.
     Left(Ticket),
     /// A probe's result.
-    Probed(EngineId, bool, Option<Load>),
+    Probed(EngineId, bool, Option<LoadReport>),
     /// The release of a state, named and sent as in [`Command::Release`], was heard by that engine, or not.
     Released(RequestId, EngineId, bool),
     /// Something on the way back to service after a start.
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pintally::interface::{EngineId, ListForm, Listing, Member, Micros, Outcome};
+use pintally::interface::{Endpoint, EndpointState, EngineId, ListUpdate, Micros, Outcome};
 use pintally_outlier_detection::{
     EngineLife, Fault, Listed as Known, Node, Report, Status, Verdicts, Witness,
 };
@@ -62,7 +62,9 @@
         let Some(judging) = &mut self.judging else { return };
         judging.lives.clear();
         let mut known = BTreeMap::new();
-        for (engine, listed) in self.members.iter().filter(|(_, l)| l.member.listing == Listing::Serving) {
+        for (engine, listed) in
+            self.members.iter().filter(|(_, l)| l.member.listing == EndpointState::Serving)
+        {
             let address = listed.address.to_string();
             let life = EngineLife::of(&engine.0, &address, listed.started_unix_ms.unwrap_or(0));
             let zone = zone_number(&listed.member.zone);
@@ -74,10 +76,10 @@
     }
 
     /// An engine as the core is to be told of it.
-    pub(crate) fn as_judged(&self, mut member: Member) -> Member {
+    pub(crate) fn as_judged(&self, mut member: Endpoint) -> Endpoint {
         let held = self.judging.as_ref().is_some_and(|j| j.held.contains(&member.engine));
-        if held && member.listing == Listing::Serving {
-            member.listing = Listing::Draining;
+        if held && member.listing == EndpointState::Serving {
+            member.listing = EndpointState::Draining;
         }
         member
     }
@@ -153,7 +155,7 @@
         judging.held = held;
         let changed: Vec<Listed> = changed.iter().filter_map(|e| self.members.get(e).cloned()).collect();
         if !changed.is_empty() {
-            self.list(now, ListForm::Change, changed, out);
+            self.list(now, ListUpdate::Change, changed, out);
         }
         self.timers.set(now + EVERY, Due::Verdicts);
     }
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, Effect, EngineId, Micros, Outcome, RequestId};
+use pintally::interface::{Attempt, EngineId, Idempotency, Micros, Outcome, RequestId};
 use pintally_cells::CellName;
 use pintally_engine::Step;
 use pintally_guards::{MayHaveRun, RequestFacts};
@@ -44,7 +44,7 @@
     pub(crate) cell: CellName,
     pub(crate) tenant: Option<usize>,
     /// What running it twice would do.
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     /// Its first attempt that may have run.
     pub(crate) may_have_run: Option<MayHaveRun>,
     /// Bytes that it holds.
--- a/crates/pintally-host/src/letting.rs
+++ b/crates/pintally-host/src/letting.rs
@@ -15,7 +15,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use pintally::interface::{EngineId, Listing, Micros, RequestId};
+use pintally::interface::{EndpointState, EngineId, Micros, RequestId};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// What has to be left at the first call of the time is spent on so many calls.
@@ -209,7 +209,7 @@
         &mut self,
         now: Micros,
         id: &RequestId,
-        engines: impl Iterator<Item = (&'a EngineId, Listing)>,
+        engines: impl Iterator<Item = (&'a EngineId, EndpointState)>,
     ) -> Option<Call> {
         let spare = self.open.len() <= MAX_OPEN;
         let open = self.open.get_mut(id)?;
@@ -234,7 +234,7 @@
         // Guards against a call into the same cut: first those that answered last, spread over all that
         // did so lately; those behind whose last word something failed come last, and none comes twice
         // before all have been called.
-        let rank = |engine: &EngineId, listing: Listing| {
+        let rank = |engine: &EngineId, listing: EndpointState| {
             let seen = reach.get(engine).copied().unwrap_or_default();
             let sound = match (seen.heard, seen.failed) {
                 (Some(heard), failed) if failed.is_none_or(|f| f < heard) => 0,
@@ -242,10 +242,10 @@
                 _ => 2,
             };
             let listed = match listing {
-                Listing::Serving => 0,
-                _ if *engine == open.holder && listing != Listing::Gone => 0,
-                Listing::Draining => 1,
-                Listing::Gone => 2,
+                EndpointState::Serving => 0,
+                _ if *engine == open.holder && listing != EndpointState::Gone => 0,
+                EndpointState::Draining => 1,
+                EndpointState::Gone => 2,
             };
             let age = seen.heard.map_or(Micros::MAX, |at| now.saturating_sub(at) / within);
             let again = open.asked.get(engine).copied().unwrap_or(0);
--- a/crates/pintally-host/src/letting/tests.rs
+++ b/crates/pintally-host/src/letting/tests.rs
@@ -14,7 +14,7 @@
 fn calls(letting: &mut Letting, from: Micros, name: &str, known: &[EngineId]) -> Vec<(Micros, EngineId)> {
     let (mut now, mut calls) = (from, Vec::new());
     loop {
-        match letting.call(now, &id(name), known.iter().map(|e| (e, Listing::Serving))) {
+        match letting.call(now, &id(name), known.iter().map(|e| (e, EndpointState::Serving))) {
             Some(Call { engine, after, last, .. }) => {
                 calls.push((now, engine.expect("some are known")));
                 now += after.expect("it is repeated");
@@ -87,7 +87,7 @@
     for n in 0..400 {
         let name = format!("request-{n}");
         letting.begin(1_000_000, &id(&name), gone.clone(), 1_000_000);
-        let now = known.iter().map(|e| (e, Listing::Serving));
+        let now = known.iter().map(|e| (e, EndpointState::Serving));
         if let Some(Call { engine: Some(engine), .. }) = letting.call(1_000_000, &id(&name), now) {
             *counts.entry(engine).or_default() += 1;
         }
@@ -102,7 +102,7 @@
 fn without_any_word_a_few_go_on_and_the_first_word_calls_for_all() {
     let mut letting = Letting::new(500_000);
     let known = engines(3);
-    let all = || known.iter().map(|e| (e, Listing::Serving));
+    let all = || known.iter().map(|e| (e, EndpointState::Serving));
     let mut now = 0;
     for n in 0..40 {
         letting.begin(0, &id(&format!("x{n}")), known[0].clone(), 0);
--- a/crates/pintally-host/src/list.rs
+++ b/crates/pintally-host/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally::interface::{EngineId, ListForm, Listing, Micros};
+use pintally::interface::{EndpointState, EngineId, ListUpdate, Micros};
 use pintally_cells::CellName;
 use pintally_config::{ConfigError, EngineEntry, EngineList};
 
@@ -14,7 +14,7 @@
     /// The same as before.
     Same,
     /// These entries are new or other than before; what is missing is among them as gone.
-    Changes(ListForm, Vec<Listed>),
+    Changes(ListUpdate, Vec<Listed>),
     /// It cannot be read: the old list holds. Told once for the same mistake.
     Bad(Option<ConfigError>),
     /// It is older than the list that holds, which goes on holding. Told once for the same version.
@@ -50,7 +50,7 @@
         }
         self.older = None;
         let first = self.version.replace(list.version).is_none();
-        let form = if first { ListForm::Full } else { ListForm::Change };
+        let form = if first { ListUpdate::Full } else { ListUpdate::Change };
         let mut next = BTreeMap::new();
         let mut changes = Vec::new();
         for entry in list.engines {
@@ -60,8 +60,8 @@
             next.insert(entry.id.clone(), entry);
         }
         for (id, old) in &self.entries {
-            if !next.contains_key(id) && old.listing != Listing::Gone {
-                let gone = EngineEntry { listing: Listing::Gone, ..old.clone() };
+            if !next.contains_key(id) && old.listing != EndpointState::Gone {
+                let gone = EngineEntry { listing: EndpointState::Gone, ..old.clone() };
                 changes.push(listed(&gone, &clock));
             }
         }
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -1,6 +1,6 @@
 //! The host's part in recovery: what it hears of engines goes in, what is let in comes out.
 
-use pintally::interface::{EngineId, ListForm, Listing, Micros};
+use pintally::interface::{EndpointState, EngineId, ListUpdate, Micros};
 use pintally_recovery::{Answer, Input as Heard, Output, Recovery, Stage, Status, Verdict};
 
 use crate::host::Host;
@@ -87,9 +87,9 @@
             recovering.cold_since = Some(now);
         }
         let all: Vec<Listed> =
-            self.members.values().filter(|l| l.member.listing != Listing::Gone).cloned().collect();
+            self.members.values().filter(|l| l.member.listing != EndpointState::Gone).cloned().collect();
         if !all.is_empty() {
-            self.list(now, ListForm::Change, all, out);
+            self.list(now, ListUpdate::Change, all, out);
         }
     }
 
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally::interface::{EngineId, Event, ListForm, Listing, Member, Micros, Outcome};
+use pintally::interface::{Endpoint, EndpointState, EngineId, Event, ListUpdate, Micros, Outcome};
 use pintally_cells::CellName;
 use pintally_failover::{Choice, Follower, Local, Plan};
 
@@ -55,7 +55,7 @@
     /// Engines of these that take work. Guards against a node that counts itself cold for ever because it
     /// never hears the engines of other zones.
     pub(crate) fn serving_near(&self) -> Vec<EngineId> {
-        let serves = self.places.iter().filter(|(_, p)| p.listing == Listing::Serving);
+        let serves = self.places.iter().filter(|(_, p)| p.listing == EndpointState::Serving);
         serves.map(|(engine, _)| engine).filter(|engine| self.is_near(engine)).cloned().collect()
     }
 
@@ -68,21 +68,21 @@
     pub(crate) fn list_to_zones(
         &mut self,
         now: Micros,
-        form: ListForm,
-        members: &[Member],
+        form: ListUpdate,
+        members: &[Endpoint],
         out: &mut Vec<Command>,
     ) -> bool {
         let Some(regional) = &mut self.regional else { return false };
         let cells = regional.zones.clone();
-        let mut lists: Vec<Vec<Member>> = vec![Vec::new(); cells.len()];
-        if form == ListForm::Full {
+        let mut lists: Vec<Vec<Endpoint>> = vec![Vec::new(); cells.len()];
+        if form == ListUpdate::Full {
             regional.placed.clear();
         }
         for member in members {
             let zone = cells.iter().position(|c| *c.0 == *member.zone);
             let before = regional.placed.get(&member.engine).copied();
             if let Some(before) = before.filter(|b| Some(*b) != zone) {
-                lists[before].push(Member { listing: Listing::Gone, ..member.clone() });
+                lists[before].push(Endpoint { listing: EndpointState::Gone, ..member.clone() });
             }
             match zone {
                 Some(zone) => {
@@ -97,7 +97,7 @@
         }
         for (cell, list) in cells.iter().zip(lists) {
             self.core_of(cell);
-            if form != ListForm::Change || !list.is_empty() {
+            if form != ListUpdate::Change || !list.is_empty() {
                 self.event(now, cell, Event::Members(form, list), out);
             }
         }
@@ -160,7 +160,7 @@
         let word = regional.local.word(now).encode();
         let mut engines = vec![0.0; regional.zones.len()];
         for (engine, zone) in &regional.placed {
-            let serving = self.places.get(engine).is_some_and(|p| p.listing == Listing::Serving);
+            let serving = self.places.get(engine).is_some_and(|p| p.listing == EndpointState::Serving);
             engines[*zone] += f64::from(u8::from(serving));
         }
         let at = now + regional.every;
@@ -172,11 +172,11 @@
     pub(crate) fn list_to_cores(
         &mut self,
         now: Micros,
-        form: ListForm,
+        form: ListUpdate,
         list: Vec<Listed>,
         out: &mut Vec<Command>,
     ) {
-        let members: Vec<Member> = list.into_iter().map(|one| self.as_judged(one.member)).collect();
+        let members: Vec<Endpoint> = list.into_iter().map(|one| self.as_judged(one.member)).collect();
         if self.list_to_zones(now, form, &members, out) {
             return;
         }
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/host.rs
@@ -58,7 +58,7 @@
     out: BTreeMap<Ticket, (Order, Micros, bool)>,
     cancelled: BTreeSet<Ticket>,
     states: BTreeSet<(String, EngineId)>,
-    listing: BTreeMap<&'static str, Listing>,
+    listing: BTreeMap<&'static str, EndpointState>,
     stopped: bool,
     over: BTreeSet<Ticket>,
 }
@@ -77,20 +77,20 @@
             out: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             states: BTreeSet::new(),
-            listing: ENGINES.iter().map(|e| (e.0, Listing::Serving)).collect(),
+            listing: ENGINES.iter().map(|e| (e.0, EndpointState::Serving)).collect(),
             stopped: false,
             over: BTreeSet::new(),
         };
-        world.list(ListForm::Full);
+        world.list(ListUpdate::Full);
         if divided {
             world.handle(Input::Cells(Box::new(file)));
         }
         world
     }
 
-    fn list(&mut self, form: ListForm) {
+    fn list(&mut self, form: ListUpdate) {
         let members = ENGINES.iter().map(|(id, kind, zone)| {
-            let member = Member {
+            let member = Endpoint {
                 engine: EngineId((*id).into()),
                 zone: zone.to_string(),
                 kind: kind.to_string(),
@@ -175,7 +175,7 @@
         assert!(client.answer.is_none() && !client.gone, "an attempt after the end");
         assert!(!self.over.contains(&order.ticket), "an attempt after all was over");
         assert!(!self.out.contains_key(&order.ticket), "two attempts at once");
-        assert_eq!(self.listing[&*order.engine.0], Listing::Serving, "an attempt at a drained engine");
+        assert_eq!(self.listing[&*order.engine.0], EndpointState::Serving, "an attempt at a drained engine");
         assert!(order.timeout > 0 && self.now + order.timeout <= client.due);
         if let Some(zone) = &client.ran {
             assert!(client.class == 0 || client.class == 2, "an effect might happen twice, first in {zone}");
@@ -221,7 +221,7 @@
             client.ran = Some(zone.to_string());
         }
         let attempt = order.attempt;
-        self.handle(Input::Ended { ticket, attempt, outcome, kept: 0, load: None, state });
+        self.handle(Input::AttemptEnd { ticket, attempt, outcome, kept: 0, load: None, state });
     }
 
     fn fetched(&mut self, order: &Order) {
@@ -350,12 +350,17 @@
             }
             9 => {
                 let engine = ENGINES[usize::from(which) % ENGINES.len()].0;
-                let states = [Listing::Serving, Listing::Draining, Listing::Gone, Listing::Serving];
+                let states = [
+                    EndpointState::Serving,
+                    EndpointState::Draining,
+                    EndpointState::Gone,
+                    EndpointState::Serving,
+                ];
                 self.listing.insert(engine, states[usize::from(amount) % 4]);
-                if self.listing[engine] == Listing::Gone {
+                if self.listing[engine] == EndpointState::Gone {
                     self.states.retain(|(_, e)| &*e.0 != engine);
                 }
-                self.list(if amount % 8 == 0 { ListForm::Full } else { ListForm::Change });
+                self.list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Change });
             }
             // Word that fits nothing: of what is over, of what never was, twice.
             10 => {
@@ -363,7 +368,14 @@
                 if !self.out.contains_key(&ticket) {
                     self.handle(Input::FirstToken(ticket, 0));
                     let (outcome, state) = (Outcome::Served, None);
-                    self.handle(Input::Ended { ticket, attempt: 9, outcome, kept: 0, load: None, state });
+                    self.handle(Input::AttemptEnd {
+                        ticket,
+                        attempt: 9,
+                        outcome,
+                        kept: 0,
+                        load: None,
+                        state,
+                    });
                 }
             }
             _ => self.pass(Micros::from(amount) * 10),
@@ -385,7 +397,7 @@
         assert_eq!(self.host.held(), 0, "requests are left in the ledger");
         assert!(self.stopped, "it never said that it has stopped");
         let listing = &self.listing;
-        self.states.retain(|(_, e)| listing[&*e.0] != Listing::Gone);
+        self.states.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
         assert!(self.states.is_empty(), "states are left pinned: {:?}", self.states);
         assert_eq!(self.host.open().1, 0, "releases are left open");
         let c = self.host.counters();
--- a/crates/pintally-host/tests/list.rs
+++ b/crates/pintally-host/tests/list.rs
@@ -1,6 +1,6 @@
 //! Following the list of engines: changes only, nothing from a bad text, never back in time.
 
-use pintally::interface::{ListForm, Listing};
+use pintally::interface::{EndpointState, ListUpdate};
 use pintally_host::{Applied, ListFollower};
 
 fn list(version: u64, engines: &[(&str, &str)]) -> String {
@@ -11,7 +11,7 @@
     text + ")"
 }
 
-fn apply(follower: &mut ListFollower, text: &str) -> Option<(ListForm, Vec<(String, Listing)>)> {
+fn apply(follower: &mut ListFollower, text: &str) -> Option<(ListUpdate, Vec<(String, EndpointState)>)> {
     match follower.apply("list", text, |ms| ms) {
         Applied::Changes(form, changes) => {
             let mut changes: Vec<_> =
@@ -27,12 +27,12 @@
 fn the_first_list_is_whole_and_later_ones_are_changes() {
     let mut follower = ListFollower::default();
     let first = apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).unwrap();
-    assert_eq!(first.0, ListForm::Full);
+    assert_eq!(first.0, ListUpdate::Full);
     assert_eq!(first.1.len(), 2);
     assert!(apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).is_none());
     let next = apply(&mut follower, &list(2, &[("a", "draining"), ("c", "serving")])).unwrap();
-    let want = [("a", Listing::Draining), ("b", Listing::Gone), ("c", Listing::Serving)];
-    assert_eq!(next, (ListForm::Change, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
+    let want = [("a", EndpointState::Draining), ("b", EndpointState::Gone), ("c", EndpointState::Serving)];
+    assert_eq!(next, (ListUpdate::Change, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
     // One that is gone is told once.
     assert!(apply(&mut follower, &list(3, &[("a", "draining"), ("c", "serving")])).is_none());
     assert_eq!(follower.len(), 2);
@@ -63,6 +63,6 @@
     // What is kept over a restart holds the same way.
     let kept = follower.kept().unwrap();
     let mut again = ListFollower::default();
-    assert_eq!(apply(&mut again, &kept).unwrap().1, vec![("a".to_string(), Listing::Draining)]);
+    assert_eq!(apply(&mut again, &kept).unwrap().1, vec![("a".to_string(), EndpointState::Draining)]);
     assert!(apply(&mut again, &old).is_none());
 }
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -17,9 +17,9 @@
 
 const START: Micros = 1_000_000;
 
-fn listed(id: &str, kind: &str, listing: Listing) -> Listed {
+fn listed(id: &str, kind: &str, listing: EndpointState) -> Listed {
     Listed {
-        member: Member {
+        member: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
             kind: kind.into(),
@@ -37,8 +37,8 @@
 fn host() -> Host {
     let settings = Arc::new(NodeSettings::parse("test", SETTINGS).expect("they are sound"));
     let mut host = Host::new(settings, 7);
-    let all = vec![listed("r0", "r", Listing::Serving), listed("w0", "w", Listing::Serving)];
-    host.handle(START, Input::List(ListForm::Full, all), &mut Vec::new());
+    let all = vec![listed("r0", "r", EndpointState::Serving), listed("w0", "w", EndpointState::Serving)];
+    host.handle(START, Input::List(ListUpdate::Full, all), &mut Vec::new());
     host
 }
 
@@ -63,8 +63,8 @@
     assert_eq!(sent.may_start(START + 1, 1), Ok(()));
     assert_eq!(sent.may_start(START + 1_000_000, 1), Err(Denial::NoTimeLeft));
     assert_eq!(sent.may_start(START, 2), Err(Denial::RequestOver), "nobody knows it");
-    let drained = vec![listed("r0", "r", Listing::Draining)];
-    sent.handle(START + 2, Input::List(ListForm::Change, drained), &mut Vec::new());
+    let drained = vec![listed("r0", "r", EndpointState::Draining)];
+    sent.handle(START + 2, Input::List(ListUpdate::Change, drained), &mut Vec::new());
     assert_eq!(sent.may_start(START + 3, 1), Err(Denial::EngineNotServing));
     assert_eq!((sent.withheld().total(), sent.denials().total()), (2, 0));
 
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -28,12 +28,12 @@
 /// A list of engines; those that begin with `r` read.
 fn listed(engines: &[&str]) -> Vec<Listed> {
     let listed = |(n, name): (usize, &&str)| Listed {
-        member: Member {
+        member: Endpoint {
             engine: EngineId((*name).into()),
             zone: "a".into(),
             kind: name[..1].into(),
             rack: 1,
-            listing: Listing::Serving,
+            listing: EndpointState::Serving,
             weight: 1.0,
             started: None,
         },
@@ -53,7 +53,7 @@
         let settings = NodeSettings::parse("test", SETTINGS).expect("they are sound");
         let host = Host::new(Arc::new(settings), 7).with_scope(scope);
         let mut node = Node { host, now: 1_000_000, out: Vec::new() };
-        node.tell(Input::List(ListForm::Full, listed(engines)));
+        node.tell(Input::List(ListUpdate::Full, listed(engines)));
         node
     }
 
@@ -89,7 +89,7 @@
         self.now += 10 * MS;
         let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
         let (ticket, attempt) = (order.ticket, order.attempt);
-        self.tell(Input::Ended { ticket, attempt, outcome, kept: 0, load: None, state });
+        self.tell(Input::AttemptEnd { ticket, attempt, outcome, kept: 0, load: None, state });
     }
 
     /// The attempt that was commanded last, and the releases so far by request and port.
@@ -394,7 +394,7 @@
 #[test]
 fn what_an_engine_off_the_list_holds_is_let_go_by_another() {
     let (mut node, fetch) = Node::with_a_state(&["r0", "w0"]);
-    node.tell(Input::List(ListForm::Full, listed(&["w0"])));
+    node.tell(Input::List(ListUpdate::Full, listed(&["w0"])));
     node.tell(Input::Left(1));
     node.end(&fetch, Outcome::Cancelled);
     assert_eq!(node.releases().last(), Some(&("x".to_string(), 4000)));
@@ -540,11 +540,11 @@
     let all = vec![lost("r0", "a.0"), lost("w9", "b.0"), lost("r9", "c.1"), own];
     node.host = Host::new(Arc::new(settings), 7).with_left(all);
     node.out.clear();
-    node.tell(Input::List(ListForm::Full, listed(&["r0", "w0"])));
+    node.tell(Input::List(ListUpdate::Full, listed(&["r0", "w0"])));
     assert_eq!(node.releases(), [("a.0".to_string(), 4000)]);
     let kept: Vec<_> = node.host.would_leave(16).into_iter().map(|l| l.1 .0.to_string()).collect();
     assert_eq!(kept, ["a.0", "b.0", "c.1"], "what is not heard yet is kept for one more life");
-    node.tell(Input::List(ListForm::Change, listed(&["r9"])));
+    node.tell(Input::List(ListUpdate::Change, listed(&["r9"])));
     assert_eq!(node.releases().len(), 2);
     for (engine, name) in [("r0", "a.0"), ("r9", "c.1")] {
         node.tell(Input::Released(RequestId(name.into()), EngineId(engine.into()), true));
@@ -563,13 +563,13 @@
     both[1].address = both[0].address;
     node.arrive(1, "x");
     node.end(&node.attempt(), Outcome::Read);
-    both[0].member.listing = Listing::Draining;
-    node.tell(Input::List(ListForm::Full, both.clone()));
+    both[0].member.listing = EndpointState::Draining;
+    node.tell(Input::List(ListUpdate::Full, both.clone()));
     node.arrive(2, "y");
     assert_eq!(&*node.attempt().engine.0, "r1");
     node.end(&node.attempt(), Outcome::Read);
     both.remove(0);
-    node.tell(Input::List(ListForm::Full, both));
+    node.tell(Input::List(ListUpdate::Full, both));
     for ticket in [1, 2] {
         node.tell(Input::Left(ticket));
     }
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use pintally::interface::{Load, Micros, Outcome};
+use pintally::interface::{LoadReport, Micros, Outcome};
 use pintally_engine::{of_transport, work, AttemptReader, Phase, Progress, Step, Work};
 use pintally_host::{Input, Order};
 use serde_json::Value;
@@ -23,7 +23,7 @@
 struct End {
     outcome: Outcome,
     kept: u64,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     state: Option<Value>,
     reusable: bool,
 }
@@ -82,7 +82,7 @@
         outcome = ?end.outcome, took_us = began.elapsed().as_micros() as u64, "attempt ended"
     );
     life.out = None;
-    life.shared.tell(Input::Ended {
+    life.shared.tell(Input::AttemptEnd {
         ticket: order.ticket,
         attempt: order.attempt,
         outcome: end.outcome,
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -168,7 +168,7 @@
                         let (ticket, attempt, outcome) = (order.ticket, order.attempt, Outcome::NeverSent);
                         if !self.mail(ticket, Mail::Attempt(order)) {
                             let (kept, load, state) = (0, None, None);
-                            unsent.push(Input::Ended { ticket, attempt, outcome, kept, load, state });
+                            unsent.push(Input::AttemptEnd { ticket, attempt, outcome, kept, load, state });
                         }
                     }
                     Command::Cancel(ticket, attempt) => {
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -246,7 +246,7 @@
     let classes = core
         .classes
         .iter()
-        .map(|c| ClassWorth { worth: c.worth, once: c.effect == pintally::interface::Effect::Unsafe });
+        .map(|c| ClassWorth { worth: c.worth, once: c.effect == pintally::interface::Idempotency::Unsafe });
     let figures = recovery::Settings {
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
         // each zone, as far as a node can know.
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -257,7 +257,14 @@
         }
         if let Some(attempt) = self.out.take() {
             let (ticket, outcome) = (self.ticket, Outcome::Broken);
-            self.shared.tell(Input::Ended { ticket, attempt, outcome, kept: 0, load: None, state: None });
+            self.shared.tell(Input::AttemptEnd {
+                ticket,
+                attempt,
+                outcome,
+                kept: 0,
+                load: None,
+                state: None,
+            });
         }
         self.leave();
     }
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, RecvTimeoutError};
-use pintally::interface::ListForm;
+use pintally::interface::ListUpdate;
 use pintally_cells::CellsFile;
 use pintally_config::form::MAX_FILE;
 use pintally_config::EngineList;
@@ -61,7 +61,7 @@
             Some(Err(e)) => {
                 let file = &settings.engines_file;
                 warn!(file, error = %e, "the list of engines cannot be read: the old list holds");
-                shared.tell(Input::List(ListForm::Failed, Vec::new()));
+                shared.tell(Input::List(ListUpdate::Failed, Vec::new()));
             }
         }
         if let Some(text) = shared.fleet.take_offered() {
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use pintally::interface::{
-    Attempt, Effect, EngineId, ListForm, Listing, Load, Micros, Outcome, RequestId, Role,
+    Attempt, EndpointState, EngineId, Idempotency, ListUpdate, LoadReport, Micros, Outcome, RequestId, Role,
 };
 use pintally_config::NodeSettings;
 use pintally_engine::Step;
@@ -23,9 +23,9 @@
 struct Known {
     address: SocketAddr,
     role: Role,
-    listing: Listing,
+    listing: EndpointState,
     open: u64,
-    load: Load,
+    load: LoadReport,
 }
 
 struct Asked {
@@ -68,7 +68,8 @@
 
     /// An engine that does a role, or both.
     fn pick(&mut self, role: Role) -> Option<EngineId> {
-        let does = |k: &Known| k.listing == Listing::Serving && (k.role == role || k.role == Role::Mixed);
+        let does =
+            |k: &Known| k.listing == EndpointState::Serving && (k.role == role || k.role == Role::Mixed);
         let able: Vec<&EngineId> = self.engines.iter().filter(|(_, k)| does(k)).map(|(e, _)| e).collect();
         if able.is_empty() {
             return None;
@@ -101,7 +102,7 @@
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
         let asked = Asked {
             id: RequestId(format!("{}-{}", self.settings.name, a.ticket).into()),
-            safe: safe.is_some_and(|c| c.effect == Effect::Safe),
+            safe: safe.is_some_and(|c| c.effect == Idempotency::Safe),
             streamed: a.streamed,
             max_tokens: a.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
             by: now + left,
@@ -224,8 +225,8 @@
     fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::List(form, list) => {
-                if form == ListForm::Full {
-                    self.engines.values_mut().for_each(|k| k.listing = Listing::Gone);
+                if form == ListUpdate::Full {
+                    self.engines.values_mut().for_each(|k| k.listing = EndpointState::Gone);
                 }
                 for one in list {
                     let kinds = &self.settings.core.kinds;
@@ -235,7 +236,7 @@
                         role: kind.role,
                         listing: one.member.listing,
                         open: 0,
-                        load: Load::default(),
+                        load: LoadReport::default(),
                     });
                     known.listing = one.member.listing;
                 }
@@ -254,7 +255,7 @@
                     self.due.remove(&(by, ticket));
                 }
             }
-            Input::Ended { ticket, attempt, outcome, load, state, .. } => {
+            Input::AttemptEnd { ticket, attempt, outcome, load, state, .. } => {
                 let engine = self.open.get(&ticket).and_then(|a| a.out.as_ref()).map(|o| o.1.clone());
                 if let (Some(load), Some(known)) = (load, engine.and_then(|e| self.engines.get_mut(&e))) {
                     known.load = load;
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -7,7 +7,7 @@
 use pintally_consensus::{Keeper, KeeperName};
 use pintally_membership::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota as shares;
-use pintally_quota::{Ask, Bound, Grant, Holder, Kind, Lending, Limit, LimitId, Verdict, AT_ONCE};
+use pintally_quota::{Ask, Bound, Grant, Holder, Lending, Limit, LimitId, LimitKind, Verdict, AT_ONCE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -156,7 +156,7 @@
         let names: Vec<String> = (0..spec.nodes).map(|n| format!("n{n}")).collect();
         let seeds: Vec<SocketAddr> = (0..3.min(spec.nodes)).map(address).collect();
         let figures = shares::Settings { nodes: spec.nodes as u32, ..shares::Settings::default() };
-        let limit = Limit { kind: Kind::Rate, bound: Bound::Hard, most: spec.limit };
+        let limit = Limit { kind: LimitKind::Rate, bound: Bound::Hard, most: spec.limit };
         let weights: Vec<f64> = (0..spec.nodes).map(|n| 1.0 + 19.0 * n as f64 / spec.nodes as f64).collect();
         let sum: f64 = weights.iter().sum();
         let keepers: Vec<&str> = names.iter().take(3).map(String::as_str).collect();
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/script.rs
@@ -1,6 +1,6 @@
 //! Faults of a day as acts in virtual time.
 
-use pintally_scenario::{Day, Fault, Kind};
+use pintally_scenario::{Day, Fault, FaultKind};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
@@ -18,7 +18,7 @@
     /// An engine forgets what it keeps.
     Forget(usize),
     /// An engine's load reports are as they are, old, or say that it idles.
-    Reports(usize, pintally_emulator::Reports),
+    Reports(usize, pintally_emulator::ReportAccuracy),
     /// An engine does nothing for a time.
     Pause(usize, u64),
     /// Clients send so many times as much.
@@ -32,21 +32,21 @@
 }
 
 /// Whether a kind of fault can be played in virtual time.
-pub fn supported(kind: Kind) -> bool {
+pub fn supported(kind: FaultKind) -> bool {
     matches!(
         kind,
-        Kind::Crash
-            | Kind::Restart
-            | Kind::Hang
-            | Kind::Slow
-            | Kind::SlowLinks
-            | Kind::Drain
-            | Kind::Forget
-            | Kind::StaleReports
-            | Kind::LyingReports
-            | Kind::Burst
-            | Kind::HotText
-            | Kind::MoveTenant
+        FaultKind::Crash
+            | FaultKind::Restart
+            | FaultKind::Hang
+            | FaultKind::Slow
+            | FaultKind::SlowLinks
+            | FaultKind::Drain
+            | FaultKind::Forget
+            | FaultKind::StaleReports
+            | FaultKind::LyingReports
+            | FaultKind::Burst
+            | FaultKind::HotText
+            | FaultKind::MoveTenant
     )
 }
 
@@ -60,8 +60,8 @@
     for fault in day.faults.iter().filter(|f| supported(f.kind)) {
         let (from, to) = (fault.at.as_micros() as u64, (fault.at + fault.length).as_micros() as u64);
         match fault.kind {
-            Kind::Burst => acts.extend([(from, Act::Rate(fault.size)), (to, Act::Rate(1.0))]),
-            Kind::MoveTenant => {
+            FaultKind::Burst => acts.extend([(from, Act::Rate(fault.size)), (to, Act::Rate(1.0))]),
+            FaultKind::MoveTenant => {
                 let (tenant, cell) =
                     (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
                 let told = (fault.size * 1e3) as u64;
@@ -71,7 +71,7 @@
                 acts.push((from + third, Act::Move(tenant.clone(), false)));
                 acts.push((to, Act::Move(tenant, true)));
             }
-            Kind::HotText => acts.extend([(from, Act::Hot(fault.size.min(1.0))), (to, Act::Hot(0.0))]),
+            FaultKind::HotText => acts.extend([(from, Act::Hot(fault.size.min(1.0))), (to, Act::Hot(0.0))]),
             _ => {
                 for engine in struck(fault, engines, rng) {
                     acts.extend(of_engine(fault, engine, from, to));
@@ -94,21 +94,21 @@
 }
 
 fn of_engine(fault: &Fault, engine: usize, from: u64, to: u64) -> Vec<(u64, Act)> {
-    use pintally_emulator::Reports;
+    use pintally_emulator::ReportAccuracy;
     let both = |begin: Act, end: Act| vec![(from, begin), (to, end)];
     match fault.kind {
-        Kind::Crash => both(Act::Up(engine, false), Act::Up(engine, true)),
-        Kind::Restart => vec![(from, Act::Up(engine, false)), (from + 100_000, Act::Up(engine, true))],
-        Kind::Slow => both(Act::Slow(engine, fault.size.max(1.0)), Act::Slow(engine, 1.0)),
-        Kind::SlowLinks => both(Act::Links(engine, fault.size.max(1.0)), Act::Links(engine, 1.0)),
-        Kind::Drain => both(Act::Drain(engine, true), Act::Drain(engine, false)),
-        Kind::Hang => vec![(from, Act::Pause(engine, to))],
-        Kind::Forget => vec![(from, Act::Forget(engine))],
-        Kind::StaleReports => {
-            both(Act::Reports(engine, Reports::Stale), Act::Reports(engine, Reports::Honest))
+        FaultKind::Crash => both(Act::Up(engine, false), Act::Up(engine, true)),
+        FaultKind::Restart => vec![(from, Act::Up(engine, false)), (from + 100_000, Act::Up(engine, true))],
+        FaultKind::Slow => both(Act::Slow(engine, fault.size.max(1.0)), Act::Slow(engine, 1.0)),
+        FaultKind::SlowLinks => both(Act::Links(engine, fault.size.max(1.0)), Act::Links(engine, 1.0)),
+        FaultKind::Drain => both(Act::Drain(engine, true), Act::Drain(engine, false)),
+        FaultKind::Hang => vec![(from, Act::Pause(engine, to))],
+        FaultKind::Forget => vec![(from, Act::Forget(engine))],
+        FaultKind::StaleReports => {
+            both(Act::Reports(engine, ReportAccuracy::Stale), Act::Reports(engine, ReportAccuracy::Honest))
         }
-        Kind::LyingReports => {
-            both(Act::Reports(engine, Reports::Idle), Act::Reports(engine, Reports::Honest))
+        FaultKind::LyingReports => {
+            both(Act::Reports(engine, ReportAccuracy::Idle), Act::Reports(engine, ReportAccuracy::Honest))
         }
         _ => Vec::new(),
     }
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, ListForm, Listing, Load, Member, Micros, Outcome, RequestId};
+use pintally::interface::{
+    Attempt, Endpoint, EndpointState, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
+};
 use pintally_audit::{Answer, EngineFigures, Listed as ListedAs, Record, Step as AuditStep, What};
 use pintally_cells::{CellsFile, Turn};
 use pintally_config::NodeSettings;
@@ -75,7 +77,7 @@
     fleet: Fleet,
     specs: Vec<EngineSpec>,
     index: HashMap<EngineId, usize>,
-    listing: Vec<Listing>,
+    listing: Vec<EndpointState>,
     started: Vec<Option<Micros>>,
     nodes: Vec<Box<dyn Policy>>,
     wakes: BTreeSet<(Micros, usize)>,
@@ -128,7 +130,7 @@
             events: BTreeMap::new(),
             fleet,
             index,
-            listing: vec![Listing::Serving; specs.len()],
+            listing: vec![EndpointState::Serving; specs.len()],
             started: vec![None; specs.len()],
             wakes: BTreeSet::new(),
             wake_of: vec![None; nodes.len()],
@@ -415,7 +417,7 @@
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
         let mut list = Vec::new();
         for (n, spec) in self.specs.iter().enumerate() {
-            let member = Member {
+            let member = Endpoint {
                 engine: EngineId(spec.id.as_str().into()),
                 zone: spec.zone.clone(),
                 kind: spec.kind.clone(),
@@ -434,15 +436,15 @@
         let at = self.now + after;
         for one in &list {
             let listing = match one.member.listing {
-                Listing::Serving => ListedAs::Serving,
-                Listing::Draining => ListedAs::Draining,
-                Listing::Gone => ListedAs::Gone,
+                EndpointState::Serving => ListedAs::Serving,
+                EndpointState::Draining => ListedAs::Draining,
+                EndpointState::Gone => ListedAs::Gone,
             };
             let (node, engine) = (format!("n{node}"), one.member.engine.0.to_string());
             let started = one.member.started.is_some();
             self.record.push(Record { at, what: What::Listed { node, engine, listing, started } });
         }
-        self.at(at, Event::Tell(node, Box::new(Input::List(ListForm::Full, list))));
+        self.at(at, Event::Tell(node, Box::new(Input::List(ListUpdate::Full, list))));
     }
 
     /// A tenant's move takes a step: a version of the file that nodes see one after the other, the last
@@ -519,14 +521,14 @@
         let load = told.then(|| self.load(flight.engine));
         let state = state.map(|work| Arc::new(json!({ "engine": flight.engine, "work": work })));
         let (node, ticket, attempt) = key;
-        let input = Input::Ended { ticket, attempt, outcome, kept, load, state };
+        let input = Input::AttemptEnd { ticket, attempt, outcome, kept, load, state };
         self.at(self.now + hop, Event::Tell(node, Box::new(input)));
     }
 
-    fn load(&mut self, engine: usize) -> Load {
+    fn load(&mut self, engine: usize) -> LoadReport {
         let r = self.fleet.report(self.now, engine);
         let slots = self.specs[engine].slots.max(1) as f64;
-        Load {
+        LoadReport {
             slots: Some(r.running / slots),
             queue: Some(r.waiting),
             memory: Some(r.memory),
@@ -546,7 +548,7 @@
             }
             Notice::Fell => {
                 self.fell += 1;
-                self.listing[engine] = Listing::Gone;
+                self.listing[engine] = EndpointState::Gone;
                 self.publish();
                 self.at(self.now + UP_AGAIN, Event::Act(Act::Up(engine, true)));
             }
@@ -631,12 +633,12 @@
         match act {
             Act::Up(engine, false) => {
                 self.fleet.crash(self.now, engine, &mut self.said);
-                self.listing[engine] = Listing::Gone;
+                self.listing[engine] = EndpointState::Gone;
                 self.publish();
             }
             Act::Up(engine, true) => {
                 self.fleet.start(self.now, engine, true);
-                (self.listing[engine], self.started[engine]) = (Listing::Serving, Some(self.now));
+                (self.listing[engine], self.started[engine]) = (EndpointState::Serving, Some(self.now));
                 self.note(What::Started { engine: self.specs[engine].id.clone() });
                 self.publish();
             }
@@ -646,8 +648,9 @@
             Act::Forget(engine) => self.fleet.forget(engine),
             Act::Reports(engine, how) => self.fleet.fault(engine, |f| f.reports = how),
             Act::Drain(engine, drains) => {
-                if self.listing[engine] != Listing::Gone {
-                    self.listing[engine] = if drains { Listing::Draining } else { Listing::Serving };
+                if self.listing[engine] != EndpointState::Gone {
+                    self.listing[engine] =
+                        if drains { EndpointState::Draining } else { EndpointState::Serving };
                     self.publish();
                 }
             }
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use crate::fleet::lock;
-use crate::{serve, EngineSpec, Faults, Fleet, Port, Recorder, Reports, Role};
+use crate::{serve, EngineSpec, Faults, Fleet, Port, Recorder, ReportAccuracy, Role};
 
 /// Tokens in a block of memory.
 pub(crate) const BLOCK: u64 = 16;
@@ -137,9 +137,9 @@
             fleet.fault(self.number, |f| {
                 f.slow = faults.slow;
                 f.reports = match faults.reports {
-                    Reports::Honest => emulator::Reports::Honest,
-                    Reports::Stale => emulator::Reports::Stale,
-                    Reports::Lying => emulator::Reports::Idle,
+                    ReportAccuracy::Honest => emulator::ReportAccuracy::Honest,
+                    ReportAccuracy::Stale => emulator::ReportAccuracy::Stale,
+                    ReportAccuracy::Lying => emulator::ReportAccuracy::Idle,
                 };
             });
         });
@@ -240,9 +240,9 @@
     let micros = |d: Duration| d.as_micros() as u64;
     emulator::Spec {
         kind: match spec.role {
-            Role::Reader => emulator::Kind::Reader,
-            Role::Writer => emulator::Kind::Writer,
-            Role::Mixed => emulator::Kind::Mixed,
+            Role::Reader => emulator::EngineRole::Reader,
+            Role::Writer => emulator::EngineRole::Writer,
+            Role::Mixed => emulator::EngineRole::Mixed,
         },
         slots: spec.slots.max(1),
         queue: spec.queue,
--- a/crates/pintally-mock-engine/src/lib.rs
+++ b/crates/pintally-mock-engine/src/lib.rs
@@ -16,5 +16,5 @@
 pub use engine::{emulated, Engine};
 pub use fleet::{Fleet, Recorder, WIRES};
 pub use port::Port;
-pub use spec::{EngineSpec, Faults, Reports, Role};
+pub use spec::{EngineSpec, Faults, ReportAccuracy, Role};
 pub use text::{blocks, tokens};
--- a/crates/pintally-mock-engine/src/spec.rs
+++ b/crates/pintally-mock-engine/src/spec.rs
@@ -56,7 +56,7 @@
 
 /// How load reports are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum ReportAccuracy {
     /// From the true state, as often as the engine's figures say.
     Honest,
     /// The last one is repeated.
@@ -83,7 +83,7 @@
     /// States move this many times slower.
     pub links: f64,
     /// How load reports are made.
-    pub reports: Reports,
+    pub reports: ReportAccuracy,
 }
 
 impl Default for Faults {
@@ -96,7 +96,7 @@
             full_for: None,
             fail_after: None,
             links: 1.0,
-            reports: Reports::Honest,
+            reports: ReportAccuracy::Honest,
         }
     }
 }
--- a/crates/pintally-platform-node/src/acceptor.rs
+++ b/crates/pintally-platform-node/src/acceptor.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Missed {
     /// All of its last answer is written.
-    Ended(Micros),
+    AttemptEnd(Micros),
     /// It never brought a request.
     Silent(Micros),
     /// It has rested for a while.
@@ -62,7 +62,7 @@
         let partial = client.reader.is_partial();
         match client.stage {
             Stage::Busy(_) => None,
-            Stage::Closing => Some(Missed::Ended(client.used)),
+            Stage::Closing => Some(Missed::AttemptEnd(client.used)),
             Stage::Open if client.served == 0 && !partial => Some(Missed::Silent(client.since)),
             Stage::Open if client.served == 0 => Some(Missed::Partial(client.since)),
             Stage::Open if now >= client.used + QUIET && !partial => Some(Missed::Quiet(client.used)),
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -85,7 +85,14 @@
     }
 
     fn over(&mut self, ticket: Ticket, attempt: u32, outcome: Outcome) {
-        self.inputs.push_back(Input::Ended { ticket, attempt, outcome, kept: 0, load: None, state: None });
+        self.inputs.push_back(Input::AttemptEnd {
+            ticket,
+            attempt,
+            outcome,
+            kept: 0,
+            load: None,
+            state: None,
+        });
     }
 
     /// Lets go of what is held for a request.
@@ -232,7 +239,7 @@
         key: Key,
         outcome: Outcome,
         kept: u64,
-        load: Option<pintally::interface::Load>,
+        load: Option<pintally::interface::LoadReport>,
         reusable: bool,
     ) {
         let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
@@ -249,7 +256,7 @@
                 tracing::debug!(ticket, attempt, engine = %engine.0, ?step, ?outcome, kept, ?load, reusable, why, idle_ms,
                     "an attempt has ended");
                 let state = (outcome == Outcome::Read).then(|| std::sync::Arc::new(Value::Null));
-                let ended = Input::Ended { ticket, attempt, outcome, kept, load, state };
+                let ended = Input::AttemptEnd { ticket, attempt, outcome, kept, load, state };
                 match outcome {
                     Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled => {
                         let heard_at = self.clock.now().saturating_add(CLOSE_LEAD);
--- a/crates/pintally-platform-node/src/list.rs
+++ b/crates/pintally-platform-node/src/list.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use pintally::interface::{ListForm, Listing, Micros, Outcome};
+use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
 use pintally_host::{Input, Listed};
 use pintally_http::{Part, ResponseReader};
 use pintally_platform::{watch, Follower, Lines, List, Taken, MAX_HEAD};
@@ -135,7 +135,7 @@
         }
     }
 
-    fn list(&mut self, form: ListForm, members: Vec<Listed>) {
+    fn list(&mut self, form: ListUpdate, members: Vec<Listed>) {
         self.feed(Input::List(form, members));
         // Guards against a send that outlives the word of a drain while it waits for its connection.
         let waiting: Vec<Key> = self
@@ -145,7 +145,7 @@
                 Conn::Engine(e) => {
                     !e.up
                         && matches!(e.work, Some(Work::Attempt { .. }))
-                        && self.host.listing(&e.engine) != Some(Listing::Serving)
+                        && self.host.listing(&e.engine) != Some(EndpointState::Serving)
                 }
                 Conn::Client(_) => false,
             })
--- a/crates/pintally-platform-node/src/starts/tests.rs
+++ b/crates/pintally-platform-node/src/starts/tests.rs
@@ -1,6 +1,6 @@
 //! Starts under clocks that are right, ahead and behind.
 
-use pintally::interface::{Listing, Member};
+use pintally::interface::{Endpoint, EndpointState};
 
 use super::*;
 
@@ -11,12 +11,12 @@
 
 fn listed(id: &str, started: Micros) -> Listed {
     Listed {
-        member: Member {
+        member: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
             kind: "m1".into(),
             rack: 0,
-            listing: Listing::Serving,
+            listing: EndpointState::Serving,
             weight: 1.0,
             started: Some(started),
         },
--- a/crates/pintally-platform-node/src/sweep.rs
+++ b/crates/pintally-platform-node/src/sweep.rs
@@ -56,7 +56,7 @@
     }
 
     /// What the core believes of each engine, and what passed on its sockets.
-    fn believed(&self, now: Micros) -> impl Iterator<Item = (pintally::Belief, Tally)> + '_ {
+    fn believed(&self, now: Micros) -> impl Iterator<Item = (pintally::EngineEstimate, Tally)> + '_ {
         let tally = |e: &EngineId| self.tallies.get(e).copied().unwrap_or_default();
         self.host.beliefs(now).into_iter().map(move |b| {
             let t = tally(&b.engine);
--- a/crates/pintally-platform/src/answer.rs
+++ b/crates/pintally-platform/src/answer.rs
@@ -3,7 +3,7 @@
 //! Only whole events whose lines can be read are handed on, so that noise inside a chunk, or a
 //! chunk whose size does not fit, never reaches a client as though an engine had said it.
 
-use pintally::interface::{Load, Outcome};
+use pintally::interface::{LoadReport, Outcome};
 use pintally_http::{Headers, HttpError, Part, ResponseReader};
 use pintally_wire::Names;
 use serde_json::Value;
@@ -28,7 +28,7 @@
         /// Prompt tokens found kept.
         kept: u64,
         /// The engine's load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
         /// The connection may be used again.
         reusable: bool,
     },
@@ -39,7 +39,7 @@
     response: ResponseReader,
     status: u16,
     turned_away: bool,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     kept: u64,
     body: Vec<u8>,
     /// An event's data has been handed on.
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pintally::interface::ListForm;
+use pintally::interface::ListUpdate;
 use pintally_host::Listed;
 use pintally_wire::Entry;
 use serde::Deserialize;
@@ -95,7 +95,7 @@
     /// It contradicts itself.
     InvalidConfiguration(&'static str),
     /// These entries are to be taken.
-    Holds(ListForm, Vec<Listed>),
+    Holds(ListUpdate, Vec<Listed>),
 }
 
 /// The version that holds.
@@ -128,7 +128,7 @@
             return Taken::Same;
         }
         self.revision = Some(list.revision);
-        let form = if list.complete { ListForm::Full } else { ListForm::Change };
+        let form = if list.complete { ListUpdate::Full } else { ListUpdate::Change };
         Taken::Holds(form, list.members)
     }
 }
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -1,6 +1,6 @@
 //! The protocol's codecs: bytes cut anywhere, hostile bytes, each row of what a client may send.
 
-use pintally::interface::{Listing, Outcome};
+use pintally::interface::{EndpointState, Outcome};
 use pintally_http::{chunk, response, response_head, RequestReader, LAST_CHUNK};
 use pintally_platform::*;
 use proptest::prelude::*;
@@ -270,13 +270,13 @@
         Taken::InvalidConfiguration(_)
     ));
     let Taken::Holds(_, members) = follower.take(list(3, true, vec![up.clone()]).unwrap()) else { panic!() };
-    assert_eq!((members[0].member.listing, members[0].member.started), (Listing::Serving, Some(7000)));
+    assert_eq!((members[0].member.listing, members[0].member.started), (EndpointState::Serving, Some(7000)));
     assert!(matches!(follower.take(list(3, false, vec![]).unwrap()), Taken::Same));
     assert!(matches!(follower.take(list(2, true, vec![up.clone()]).unwrap()), Taken::Older));
     assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::InvalidConfiguration(_)));
     assert_eq!(follower.revision(), Some(3));
     let Taken::Holds(_, members) = follower.take(list(4, false, vec![gone]).unwrap()) else { panic!() };
-    assert_eq!(members[0].member.listing, Listing::Gone);
+    assert_eq!(members[0].member.listing, EndpointState::Gone);
     assert!(list(5, true, vec![up.clone(), up]).is_err(), "an engine listed twice");
     assert!(List::parse(b"{\"revision\":1}").is_err());
 }
--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -1,6 +1,6 @@
 //! What is promised, as figures.
 
-use crate::limit::{Bound, Kind, Limit, Settings};
+use crate::limit::{Bound, Limit, LimitKind, Settings};
 use crate::Micros;
 
 /// What is promised for one limit.
@@ -30,8 +30,8 @@
             Bound::Soft => limit.most + floors,
         };
         let burst = match limit.kind {
-            Kind::Rate => at_once * self.burst as f64 / 1e6,
-            Kind::Level => 0.0,
+            LimitKind::Rate => at_once * self.burst as f64 / 1e6,
+            LimitKind::Level => 0.0,
         };
         let returns_within = self.debited_for(limit);
         Bounds { at_once, each_more: floor, burst, floor, returns_within }
--- a/crates/pintally-quota/src/holder.rs
+++ b/crates/pintally-quota/src/holder.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::limit::{Bound, Kind, Limit, LimitId, Settings};
+use crate::limit::{Bound, Limit, LimitId, LimitKind, Settings};
 use crate::message::{Ask, Grant};
 use crate::Micros;
 
@@ -113,8 +113,8 @@
         held.offered(now, cost);
         let has = held.has(now, &settings);
         let (room, lacks) = match held.limit.kind {
-            Kind::Rate => (held.level > 0.0, -held.level + 1e-6),
-            Kind::Level => (held.level + cost <= has + 1e-6, 0.0),
+            LimitKind::Rate => (held.level > 0.0, -held.level + 1e-6),
+            LimitKind::Level => (held.level + cost <= has + 1e-6, 0.0),
         };
         if room {
             return Verdict::Admit;
@@ -124,7 +124,7 @@
         held.urgent = true;
         let soon = 2 * settings.every;
         let after = match held.limit.kind {
-            Kind::Rate if has > 0.0 => (lacks / has * 1e6) as Micros,
+            LimitKind::Rate if has > 0.0 => (lacks / has * 1e6) as Micros,
             _ => soon,
         };
         Verdict::Refuse(after.clamp(1_000, settings.lease.max(soon)))
@@ -136,13 +136,13 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         held.settle(now, &settings);
         held.admitted += 1;
-        held.level += if held.limit.kind == Kind::Level { cost } else { -cost };
+        held.level += if held.limit.kind == LimitKind::Level { cost } else { -cost };
     }
 
     /// Counts what has ended of what is counted at once.
     pub fn give_back(&mut self, now: Micros, id: LimitId, cost: f64) {
         let settings = self.settings;
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.limit.kind == Kind::Level) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| h.limit.kind == LimitKind::Level) else { return };
         held.settle(now, &settings);
         held.level = (held.level - cost).max(0.0);
     }
@@ -220,7 +220,7 @@
         let one = |(id, h): (&LimitId, &Held)| LimitStatus {
             name: self.names.get(id).cloned().unwrap_or_else(|| "".into()),
             bound: if h.limit.bound == Bound::Hard { "hard" } else { "soft" },
-            counts: if h.limit.kind == Kind::Rate { "a second" } else { "at once" },
+            counts: if h.limit.kind == LimitKind::Rate { "a second" } else { "at once" },
             most: h.limit.most,
             has: h.has(now, &self.settings),
             floor: self.settings.floor(&h.limit),
@@ -280,7 +280,7 @@
         if self.at == 0 {
             self.at = now;
         }
-        if now > self.at && self.limit.kind == Kind::Rate {
+        if now > self.at && self.limit.kind == LimitKind::Rate {
             // A lease that ended in between counts up to its end.
             let middle = self.until.clamp(self.at, now);
             for (from, to) in [(self.at, middle), (middle, now)] {
@@ -309,14 +309,14 @@
         let Some(target) = self.down_to else { return };
         match self.limit.kind {
             // What is owed is paid first: otherwise the next holder would begin where this one went ahead.
-            Kind::Rate if self.level < 0.0 => {}
-            Kind::Rate => {
+            LimitKind::Rate if self.level < 0.0 => {}
+            LimitKind::Rate => {
                 let cap = (settings.floor(&self.limit) + f64::from(target)) * settings.burst as f64 / 1e6;
                 (self.share, self.down_to, self.level) = (target, None, self.level.min(cap));
                 // Others wait for it: the lender hears of it soon.
                 self.urgent = true;
             }
-            Kind::Level => {
+            LimitKind::Level => {
                 let needed = (self.level - settings.floor(&self.limit)).max(0.0) as f32;
                 self.share = self.share.min(target.max(needed));
                 if self.share <= target {
@@ -327,7 +327,7 @@
     }
 
     fn offered(&mut self, now: Micros, cost: f64) {
-        if self.limit.kind == Kind::Rate {
+        if self.limit.kind == LimitKind::Rate {
             self.demand = self.demand_now(now) + cost * std::f64::consts::LN_2 / (HALF_LIFE / 1e6);
             self.demand_at = now;
         }
@@ -341,15 +341,15 @@
     /// What it could use beside its floor.
     fn wants(&self, now: Micros, settings: &Settings) -> f64 {
         let use_now = match self.limit.kind {
-            Kind::Rate => self.demand_now(now),
-            Kind::Level => self.level + self.turned_away,
+            LimitKind::Rate => self.demand_now(now),
+            LimitKind::Level => self.level + self.turned_away,
         };
         if use_now < NONE * self.limit.most.min(1.0) {
             return 0.0;
         }
         let wanted = match self.limit.kind {
-            Kind::Rate => use_now * HEADROOM,
-            Kind::Level => (use_now * HEADROOM).ceil(),
+            LimitKind::Rate => use_now * HEADROOM,
+            LimitKind::Level => (use_now * HEADROOM).ceil(),
         };
         (wanted - settings.floor(&self.limit)).clamp(0.0, self.limit.most)
     }
--- a/crates/pintally-quota/src/lender.rs
+++ b/crates/pintally-quota/src/lender.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::limit::{Kind, Limit, LimitId, Settings};
+use crate::limit::{Limit, LimitId, LimitKind, Settings};
 use crate::message::{Ask, Grant};
 use crate::Micros;
 
@@ -103,7 +103,7 @@
         let others: f64 = pool.parts.iter().filter(|(k, _)| **k != key).map(|(_, p)| p.debit).sum();
         let free = if known_all { (lendable - others).max(0.0) } else { holds };
         let mut target = pool.fair(&key, lendable);
-        if pool.limit.kind == Kind::Level {
+        if pool.limit.kind == LimitKind::Level {
             target = target.floor();
             if target < 1.0 && wants >= 1.0 && holds < 1.0 && free >= 1.0 {
                 // Where there is less than one for each, the first to ask has one, and gives it back after use.
@@ -114,7 +114,7 @@
             target = holds;
         }
         let share = if target > holds { target.min(free.max(holds)) } else { target };
-        let share = rounded_down(if pool.limit.kind == Kind::Level { share.floor() } else { share });
+        let share = rounded_down(if pool.limit.kind == LimitKind::Level { share.floor() } else { share });
         if let Some(part) = pool.parts.get_mut(&key) {
             part.debit = holds.max(f64::from(share));
         }
@@ -153,8 +153,8 @@
         let sum: f64 = wants.iter().sum();
         if sum <= lendable {
             let spare = match self.limit.kind {
-                Kind::Rate => (lendable - sum) * SPREAD / wants.len() as f64,
-                Kind::Level => 0.0,
+                LimitKind::Rate => (lendable - sum) * SPREAD / wants.len() as f64,
+                LimitKind::Level => 0.0,
             };
             return own + spare;
         }
--- a/crates/pintally-quota/src/lib.rs
+++ b/crates/pintally-quota/src/lib.rs
@@ -17,7 +17,7 @@
 pub use holder::{Holder, LimitStatus, Verdict};
 pub use lender::{Lender, PoolStatus};
 pub use lending::Lending;
-pub use limit::{Bound, Kind, Limit, LimitId, Settings};
+pub use limit::{Bound, Limit, LimitId, LimitKind, Settings};
 pub use message::{Ask, Grant, AT_ONCE};
 pub use pintally_validation::InvalidConfiguration;
 
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -11,7 +11,7 @@
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum LimitKind {
     /// So much a second.
     Rate,
     /// So many at once.
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// What it counts.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// What gives way.
     pub bound: Bound,
     /// How much for the whole fleet, a second or at once.
@@ -93,11 +93,11 @@
     pub fn floor(&self, limit: &Limit) -> f64 {
         let nodes = f64::from(self.nodes.max(1));
         match (limit.bound, limit.kind) {
-            (Bound::Hard, Kind::Rate) => limit.most * self.reserve / nodes,
+            (Bound::Hard, LimitKind::Rate) => limit.most * self.reserve / nodes,
             // Half a stream is none: what does not make a whole one for each node stays with the lender.
-            (Bound::Hard, Kind::Level) => (limit.most * self.reserve / nodes).floor(),
-            (Bound::Soft, Kind::Rate) => limit.most * self.over / nodes,
-            (Bound::Soft, Kind::Level) => (limit.most * self.over / nodes).floor(),
+            (Bound::Hard, LimitKind::Level) => (limit.most * self.reserve / nodes).floor(),
+            (Bound::Soft, LimitKind::Rate) => limit.most * self.over / nodes,
+            (Bound::Soft, LimitKind::Level) => (limit.most * self.over / nodes).floor(),
         }
     }
 
@@ -115,9 +115,9 @@
         let lease = (self.lease as f64 * (1.0 + 2.0 * self.drift)) as Micros;
         lease
             + match (limit.kind, limit.bound) {
-                (Kind::Level, _) => (self.hold as f64 * (1.0 + 2.0 * self.drift)) as Micros,
-                (Kind::Rate, Bound::Hard) => 0,
-                (Kind::Rate, Bound::Soft) => (self.fade as f64 * (1.0 + 2.0 * self.drift)) as Micros,
+                (LimitKind::Level, _) => (self.hold as f64 * (1.0 + 2.0 * self.drift)) as Micros,
+                (LimitKind::Rate, Bound::Hard) => 0,
+                (LimitKind::Rate, Bound::Soft) => (self.fade as f64 * (1.0 + 2.0 * self.drift)) as Micros,
             }
     }
 }
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -4,7 +4,9 @@
 
 use std::collections::BTreeMap;
 
-use pintally_quota::{Ask, Bound, Grant, Holder, Kind, Lender, Limit, LimitId, Micros, Settings, Verdict};
+use pintally_quota::{
+    Ask, Bound, Grant, Holder, Lender, Limit, LimitId, LimitKind, Micros, Settings, Verdict,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -205,7 +207,7 @@
         let clock = self.clock(k);
         let before = self.nodes[k].holder.share(clock, ONE) > 0.0;
         let mut expected = self.nodes[k].load * 0.005;
-        if self.limit.kind == Kind::Level {
+        if self.limit.kind == LimitKind::Level {
             // Each runs for half a second.
             expected *= 2.0;
             let now = self.now;
@@ -294,7 +296,7 @@
         if sum > most * (1.0 + 1e-6) {
             return Err(format!("at {} ms all have {sum:.3} of {most:.3}", self.now / MS));
         }
-        if self.limit.kind == Kind::Rate {
+        if self.limit.kind == LimitKind::Rate {
             let each = self.lives as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
             let over = (bounds.at_once - self.limit.most) * self.now as f64 / 1e6;
             if self.excess > bounds.burst + each + over + more * bounds.each_more * self.now as f64 / 1e6 {
@@ -322,9 +324,9 @@
 }
 
 pub fn rate(most: f64, bound: Bound) -> Limit {
-    Limit { kind: Kind::Rate, bound, most }
+    Limit { kind: LimitKind::Rate, bound, most }
 }
 
 pub fn level(most: f64, bound: Bound) -> Limit {
-    Limit { kind: Kind::Level, bound, most }
+    Limit { kind: LimitKind::Level, bound, most }
 }
--- a/crates/pintally-recovery/src/list.rs
+++ b/crates/pintally-recovery/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally::interface::Listing;
+use pintally::interface::EndpointState;
 use pintally_config::{EngineEntry, EngineList};
 
 /// What came of a claim.
@@ -35,7 +35,7 @@
             // list says which.
             None => {
                 let engine =
-                    EngineEntry { listing: graver(entry.listing, Listing::Draining), ..entry.clone() };
+                    EngineEntry { listing: graver(entry.listing, EndpointState::Draining), ..entry.clone() };
                 all.insert(entry.id.clone(), engine);
             }
             Some(known) => {
@@ -47,7 +47,7 @@
     for entry in &held.engines {
         if !claim.engines.iter().any(|e| e.id == entry.id) {
             if let Some(known) = all.get_mut(&entry.id) {
-                known.listing = graver(known.listing, Listing::Draining);
+                known.listing = graver(known.listing, EndpointState::Draining);
             }
         }
     }
@@ -58,11 +58,11 @@
     }
 }
 
-fn graver(one: Listing, other: Listing) -> Listing {
-    let weight = |l: Listing| match l {
-        Listing::Serving => 0,
-        Listing::Draining => 1,
-        Listing::Gone => 2,
+fn graver(one: EndpointState, other: EndpointState) -> EndpointState {
+    let weight = |l: EndpointState| match l {
+        EndpointState::Serving => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Gone => 2,
     };
     if weight(other) > weight(one) {
         other
@@ -76,7 +76,7 @@
     use super::*;
     use pintally::interface::EngineId;
 
-    fn entry(id: &str, listing: Listing) -> EngineEntry {
+    fn entry(id: &str, listing: EndpointState) -> EngineEntry {
         EngineEntry {
             id: EngineId(id.into()),
             address: "127.0.0.1:1".parse().unwrap(),
@@ -90,14 +90,14 @@
         }
     }
 
-    fn list(version: u64, engines: &[(&str, Listing)]) -> EngineList {
+    fn list(version: u64, engines: &[(&str, EndpointState)]) -> EngineList {
         EngineList { version, engines: engines.iter().map(|(id, l)| entry(id, *l)).collect() }
     }
 
     #[test]
     fn the_newer_list_wins_wherever_it_was() {
-        let old = list(4, &[("a", Listing::Serving)]);
-        let new = list(5, &[("a", Listing::Draining)]);
+        let old = list(4, &[("a", EndpointState::Serving)]);
+        let new = list(5, &[("a", EndpointState::Draining)]);
         assert_eq!(merge(Some(&old), &new), Merged::Took(new.clone()));
         assert_eq!(merge(Some(&new), &old), Merged::Kept);
         assert_eq!(merge(None, &old), Merged::Took(old));
@@ -106,12 +106,12 @@
     /// Guards against a drain that is undone by another text of the same version.
     #[test]
     fn a_drain_that_anybody_knew_is_never_undone() {
-        use Listing::{Draining, Gone, Serving};
+        use EndpointState::{Draining, Gone, Serving};
         let one = list(7, &[("a", Draining), ("b", Serving), ("c", Serving)]);
         let two = list(7, &[("a", Serving), ("b", Gone), ("d", Serving)]);
         for (held, claim) in [(&one, &two), (&two, &one)] {
             let Merged::United(list) = merge(Some(held), claim) else { panic!("they differ") };
-            let said: Vec<(&str, Listing)> =
+            let said: Vec<(&str, EndpointState)> =
                 list.engines.iter().map(|e| (e.id.0.as_ref(), e.listing)).collect();
             assert_eq!(said, [("a", Draining), ("b", Gone), ("c", Draining), ("d", Draining)]);
             assert_eq!(merge(Some(&list), claim), Merged::Kept, "the union is where it ends");
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -40,7 +40,7 @@
 
 /// How a try has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptResult {
     /// No connection could be had: nobody has taken it.
     NoNode,
     /// A final answer, and the time to come back that it names.
@@ -67,8 +67,10 @@
 
 impl Client {
     /// Makes one try and waits for its end.
-    pub fn attempt(&self, t: &Try) -> Ended {
-        let Ok(mut stream) = TcpStream::connect_timeout(&t.address, CONNECT) else { return Ended::NoNode };
+    pub fn attempt(&self, t: &Try) -> AttemptResult {
+        let Ok(mut stream) = TcpStream::connect_timeout(&t.address, CONNECT) else {
+            return AttemptResult::NoNode;
+        };
         let _ = stream.set_nodelay(true);
         let deadline_ms = t.patience.as_millis() as u64;
         let body = json!({
@@ -110,11 +112,11 @@
             Heard::Stream { whole: false } => (Answer::Cut, None),
             Heard::Left => {
                 self.recorder.note(What::Left { request });
-                return Ended::Left;
+                return AttemptResult::Left;
             }
             Heard::Nothing => {
                 self.recorder.note(What::Unanswered { request });
-                return Ended::Unanswered;
+                return AttemptResult::Unanswered;
             }
         };
         self.recorder.note(What::Answered { request: request.clone(), answer });
@@ -123,7 +125,7 @@
         if matches!(stream.read(&mut [0u8; 64]), Ok(n) if n > 0) {
             self.recorder.note(What::Extra { request });
         }
-        Ended::Answered(answer, after)
+        AttemptResult::Answered(answer, after)
     }
 
     fn listen(&self, t: &Try, stream: &mut TcpStream, begin: Instant) -> Heard {
--- a/crates/pintally-scenario/src/engines.rs
+++ b/crates/pintally-scenario/src/engines.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pintally::interface::{Listing, Role};
+use pintally::interface::{EndpointState, Role};
 use pintally_config::EngineList;
 use pintally_mock_engine::{self as standin, EngineSpec, Fleet, Recorder};
 
@@ -83,7 +83,7 @@
     /// Writes the list of engines for a node to watch.
     pub fn write_list(&self, path: &str) -> io::Result<()> {
         let engines = self.fleet.engines();
-        let entries = engines.iter().map(|e| entry_of(e, Listing::Serving, None)).collect();
+        let entries = engines.iter().map(|e| entry_of(e, EndpointState::Serving, None)).collect();
         replace(Path::new(path), &EngineList { version: 1, engines: entries }.render())
     }
 
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -11,47 +11,47 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::script::{Act, Link, MoveStep, Pairs, Script, Target};
-use crate::spec::{Fault, Kind};
+use crate::spec::{Fault, FaultKind};
 
 /// Name, kind, and the usual size.
-const KINDS: [(&str, Kind, f64); 33] = [
-    ("crash", Kind::Crash, 0.0),
-    ("restart", Kind::Restart, 0.0),
-    ("hang", Kind::Hang, 0.0),
-    ("silent", Kind::Silent, 0.0),
-    ("slow", Kind::Slow, 4.0),
-    ("replace", Kind::Replace, 1500.0),
-    ("drain", Kind::Drain, 0.0),
-    ("forget", Kind::Forget, 0.0),
-    ("slow-connect", Kind::SlowConnect, 150.0),
-    ("full-for-tenant", Kind::FullForTenant, 0.0),
-    ("slow-links", Kind::SlowLinks, 5.0),
-    ("zone-cut", Kind::ZoneCut, 0.0),
-    ("late-list", Kind::LateList, 2000.0),
-    ("stale-reports", Kind::StaleReports, 0.0),
-    ("lying-reports", Kind::LyingReports, 0.0),
-    ("node-kill", Kind::NodeKill, 0.0),
-    ("node-roll", Kind::NodeRoll, 500.0),
-    ("heedless-retries", Kind::HeedlessRetries, 0.0),
-    ("leave-early", Kind::LeaveEarly, 0.3),
-    ("burst", Kind::Burst, 3.0),
-    ("hot-text", Kind::HotText, 0.3),
-    ("tenant-flood", Kind::TenantFlood, 10.0),
-    ("move-tenant", Kind::MoveTenant, 0.0),
-    ("bad-release", Kind::BadRelease, 400.0),
-    ("power", Kind::Power, 0.0),
-    ("zone-power", Kind::ZonePower, 0.0),
-    ("zone-dark", Kind::ZoneDark, 0.0),
-    ("node-pause", Kind::NodePause, 0.0),
-    ("peer-cut", Kind::PeerCut, 0.0),
-    ("peer-one-way", Kind::PeerOneWay, 0.0),
-    ("peer-side", Kind::PeerSide, 0.0),
-    ("peer-stall", Kind::PeerStall, 0.0),
-    ("peer-loss", Kind::PeerLoss, 0.2),
+const KINDS: [(&str, FaultKind, f64); 33] = [
+    ("crash", FaultKind::Crash, 0.0),
+    ("restart", FaultKind::Restart, 0.0),
+    ("hang", FaultKind::Hang, 0.0),
+    ("silent", FaultKind::Silent, 0.0),
+    ("slow", FaultKind::Slow, 4.0),
+    ("replace", FaultKind::Replace, 1500.0),
+    ("drain", FaultKind::Drain, 0.0),
+    ("forget", FaultKind::Forget, 0.0),
+    ("slow-connect", FaultKind::SlowConnect, 150.0),
+    ("full-for-tenant", FaultKind::FullForTenant, 0.0),
+    ("slow-links", FaultKind::SlowLinks, 5.0),
+    ("zone-cut", FaultKind::ZoneCut, 0.0),
+    ("late-list", FaultKind::LateList, 2000.0),
+    ("stale-reports", FaultKind::StaleReports, 0.0),
+    ("lying-reports", FaultKind::LyingReports, 0.0),
+    ("node-kill", FaultKind::NodeKill, 0.0),
+    ("node-roll", FaultKind::NodeRoll, 500.0),
+    ("heedless-retries", FaultKind::HeedlessRetries, 0.0),
+    ("leave-early", FaultKind::LeaveEarly, 0.3),
+    ("burst", FaultKind::Burst, 3.0),
+    ("hot-text", FaultKind::HotText, 0.3),
+    ("tenant-flood", FaultKind::TenantFlood, 10.0),
+    ("move-tenant", FaultKind::MoveTenant, 0.0),
+    ("bad-release", FaultKind::BadRelease, 400.0),
+    ("power", FaultKind::Power, 0.0),
+    ("zone-power", FaultKind::ZonePower, 0.0),
+    ("zone-dark", FaultKind::ZoneDark, 0.0),
+    ("node-pause", FaultKind::NodePause, 0.0),
+    ("peer-cut", FaultKind::PeerCut, 0.0),
+    ("peer-one-way", FaultKind::PeerOneWay, 0.0),
+    ("peer-side", FaultKind::PeerSide, 0.0),
+    ("peer-stall", FaultKind::PeerStall, 0.0),
+    ("peer-loss", FaultKind::PeerLoss, 0.2),
 ];
 
 /// The name of a kind.
-pub(crate) fn name(kind: Kind) -> &'static str {
+pub(crate) fn name(kind: FaultKind) -> &'static str {
     KINDS.iter().find(|k| k.1 == kind).map_or("", |k| k.0)
 }
 
@@ -93,16 +93,16 @@
     {
         return Err(form.error(format!("no cell is named `{cell}`")));
     }
-    if *kind == Kind::MoveTenant && (cell.is_none() || tenant.is_none()) {
+    if *kind == FaultKind::MoveTenant && (cell.is_none() || tenant.is_none()) {
         return Err(form.error("`move-tenant` needs a `tenant` and the `cell` that it moves to"));
     }
-    if *kind == Kind::TenantFlood && tenant.is_none() {
+    if *kind == FaultKind::TenantFlood && tenant.is_none() {
         return Err(form.error("`tenant-flood` needs a `tenant`"));
     }
-    if *kind == Kind::FullForTenant && settings.core.tenants.is_empty() {
+    if *kind == FaultKind::FullForTenant && settings.core.tenants.is_empty() {
         return Err(form.error("`full-for-tenant` needs a `tenant` in the day"));
     }
-    if *kind == Kind::ZoneCut && zones.len() < 2 {
+    if *kind == FaultKind::ZoneCut && zones.len() < 2 {
         return Err(form.error("`zone-cut` needs two zones"));
     }
     let seconds = |key: &str, default: f64| -> Result<Duration, ConfigError> {
@@ -160,33 +160,33 @@
         None => names[rng.random_range(0..names.len())].clone(),
     };
     match fault.kind {
-        Kind::ZoneCut => {
+        FaultKind::ZoneCut => {
             let zone = pick(on.zones);
             script.add(from, Act::Cut(zone.clone(), true));
             script.add(to, Act::Cut(zone, false));
         }
-        Kind::LateList => {
+        FaultKind::LateList => {
             script.add(from, Act::ListDelay(Duration::from_secs_f64(fault.size / 1e3)));
             script.add(to, Act::ListDelay(Duration::ZERO));
         }
-        Kind::HeedlessRetries => {
+        FaultKind::HeedlessRetries => {
             script.add(from, Act::Heedless(true));
             script.add(to, Act::Heedless(false));
         }
-        Kind::LeaveEarly => {
+        FaultKind::LeaveEarly => {
             script.add(from, Act::LeaveEarly(fault.size.min(1.0)));
             script.add(to, Act::LeaveEarly(0.0));
         }
-        Kind::Burst => {
+        FaultKind::Burst => {
             script.add(from, Act::Rate(fault.size));
             script.add(to, Act::Rate(1.0));
         }
-        Kind::TenantFlood => {
+        FaultKind::TenantFlood => {
             let tenant = fault.name.clone().unwrap_or_default();
             script.add(from, Act::Flood(Some((tenant, fault.size))));
             script.add(to, Act::Flood(None));
         }
-        Kind::MoveTenant => {
+        FaultKind::MoveTenant => {
             let (tenant, to_cell) =
                 (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
             // Announced, then all sessions go, over a third of the time if not told, then it is done.
@@ -196,11 +196,11 @@
             script.add(from + fault.length / 3, Act::Move(tenant.clone(), MoveStep::Both));
             script.add(to, Act::Move(tenant, MoveStep::Done));
         }
-        Kind::HotText => {
+        FaultKind::HotText => {
             script.add(from, Act::HotText(fault.size.min(1.0)));
             script.add(to, Act::HotText(0.0));
         }
-        Kind::NodeKill => {
+        FaultKind::NodeKill => {
             let mut nodes: Vec<usize> = (0..on.nodes).collect();
             nodes.shuffle(rng);
             // One node is left to serve, where there is more than one.
@@ -211,7 +211,7 @@
                 script.add(to, Act::StartNode(node));
             }
         }
-        Kind::NodeRoll => {
+        FaultKind::NodeRoll => {
             let step = fault.length / on.nodes.max(1) as u32;
             for node in 0..on.nodes {
                 let at = from + step * node as u32;
@@ -219,11 +219,11 @@
                 script.add(at + Duration::from_secs_f64(fault.size / 1e3), Act::StartNode(node));
             }
         }
-        Kind::Power => power(fault, on, rng, script),
-        Kind::ZonePower | Kind::ZoneDark => {
+        FaultKind::Power => power(fault, on, rng, script),
+        FaultKind::ZonePower | FaultKind::ZoneDark => {
             let zone = pick(on.zones);
             let number = on.zones.iter().position(|z| *z == zone);
-            let nodes = if fault.kind == Kind::ZonePower { on.nodes } else { 0 };
+            let nodes = if fault.kind == FaultKind::ZonePower { on.nodes } else { 0 };
             for node in (0..nodes).filter(|n| Some(n % on.zones.len()) == number) {
                 script.add(from, Act::KillNode(node));
                 script.add(to, Act::StartNode(node));
@@ -233,7 +233,7 @@
                 script.add(to, Act::Start(Target(engine.clone())));
             }
         }
-        Kind::NodePause => {
+        FaultKind::NodePause => {
             let mut nodes: Vec<usize> = (0..on.nodes).collect();
             nodes.shuffle(rng);
             let many = ((on.nodes as f64 * fault.part).round() as usize).max(1);
@@ -242,19 +242,23 @@
                 script.add(to, Act::Pause(node, false));
             }
         }
-        Kind::PeerCut | Kind::PeerOneWay | Kind::PeerSide | Kind::PeerStall | Kind::PeerLoss => {
+        FaultKind::PeerCut
+        | FaultKind::PeerOneWay
+        | FaultKind::PeerSide
+        | FaultKind::PeerStall
+        | FaultKind::PeerLoss => {
             let cut = Link { cut: true, ..Link::default() };
             let (pairs, link) = match fault.kind {
-                Kind::PeerCut => (Pairs::Across, cut),
-                Kind::PeerOneWay => (Pairs::OneWay, cut),
-                Kind::PeerSide => (Pairs::Side, cut),
-                Kind::PeerStall => (Pairs::All, Link { stalled: true, ..Link::default() }),
+                FaultKind::PeerCut => (Pairs::Across, cut),
+                FaultKind::PeerOneWay => (Pairs::OneWay, cut),
+                FaultKind::PeerSide => (Pairs::Side, cut),
+                FaultKind::PeerStall => (Pairs::All, Link { stalled: true, ..Link::default() }),
                 _ => (Pairs::All, Link { loss: fault.size.min(1.0), ..Link::default() }),
             };
             script.add(from, Act::Link(pairs, link, true));
             script.add(to, Act::Link(pairs, link, false));
         }
-        Kind::FullForTenant => {
+        FaultKind::FullForTenant => {
             let tenant = pick(on.tenants);
             for target in on.draw(fault, rng) {
                 script.add(from, Act::FullFor(target.clone(), Some(tenant.clone())));
@@ -295,18 +299,18 @@
             script.add(to, end);
         };
         match fault.kind {
-            Kind::Crash => both(script, Act::Crash(target.clone()), Act::Start(target)),
-            Kind::Restart => {
+            FaultKind::Crash => both(script, Act::Crash(target.clone()), Act::Start(target)),
+            FaultKind::Restart => {
                 // Down for a moment only: most nodes hear of it when it is back.
                 script.add(turn, Act::Crash(target.clone()));
                 script.add(turn + Duration::from_millis(100), Act::Start(target));
             }
-            Kind::Hang => both(script, Act::Hang(target.clone(), true), Act::Hang(target, false)),
-            Kind::Silent => both(script, Act::Silent(target.clone(), true), Act::Silent(target, false)),
-            Kind::Slow => {
+            FaultKind::Hang => both(script, Act::Hang(target.clone(), true), Act::Hang(target, false)),
+            FaultKind::Silent => both(script, Act::Silent(target.clone(), true), Act::Silent(target, false)),
+            FaultKind::Slow => {
                 both(script, Act::Slow(target.clone(), fault.size.max(1.0)), Act::Slow(target, 1.0))
             }
-            Kind::SlowConnect => {
+            FaultKind::SlowConnect => {
                 let delay = Duration::from_secs_f64(fault.size / 1e3);
                 both(
                     script,
@@ -314,18 +318,20 @@
                     Act::SlowConnect(target, Duration::ZERO),
                 );
             }
-            Kind::SlowLinks => {
+            FaultKind::SlowLinks => {
                 both(script, Act::Links(target.clone(), fault.size.max(1.0)), Act::Links(target, 1.0))
             }
-            Kind::BadRelease => {
+            FaultKind::BadRelease => {
                 let after = Some(Duration::from_secs_f64(fault.size / 1e3));
                 both(script, Act::FailAfter(target.clone(), after), Act::FailAfter(target, None));
             }
-            Kind::StaleReports => both(script, Act::Stale(target.clone(), true), Act::Stale(target, false)),
-            Kind::LyingReports => both(script, Act::Lie(target.clone(), true), Act::Lie(target, false)),
-            Kind::Drain => both(script, Act::Drain(target.clone()), Act::Undrain(target)),
-            Kind::Forget => script.add(turn, Act::Forget(target)),
-            Kind::Replace => {
+            FaultKind::StaleReports => {
+                both(script, Act::Stale(target.clone(), true), Act::Stale(target, false))
+            }
+            FaultKind::LyingReports => both(script, Act::Lie(target.clone(), true), Act::Lie(target, false)),
+            FaultKind::Drain => both(script, Act::Drain(target.clone()), Act::Undrain(target)),
+            FaultKind::Forget => script.add(turn, Act::Forget(target)),
+            FaultKind::Replace => {
                 let drain = Duration::from_secs_f64(fault.size / 1e3);
                 script.add(turn, Act::Replace(target.clone()));
                 script.add(turn + drain, Act::Remove(target));
--- a/crates/pintally-scenario/src/lib.rs
+++ b/crates/pintally-scenario/src/lib.rs
@@ -18,7 +18,7 @@
 mod traffic;
 mod worth;
 
-pub use client::{Client, Ended, Try};
+pub use client::{AttemptResult, Client, Try};
 pub use cores::{Turn, Turns};
 
 pub use engines::{specs, Engines};
@@ -27,6 +27,6 @@
 pub use process::{get, Process};
 pub use rig::Rig;
 pub use run::{run, run_steady, run_with, with_figures, DayResult, Launch, RunError, Running};
-pub use spec::{ClassTraffic, Day, EngineGroup, Fault, Kind, Traffic, APART, MAX_NODES};
+pub use spec::{ClassTraffic, Day, EngineGroup, Fault, FaultKind, Traffic, APART, MAX_NODES};
 pub use traffic::{Draft, Source};
 pub use worth::{in_time, requests, One};
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -7,17 +7,17 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pintally::interface::Listing;
+use pintally::interface::EndpointState;
 use pintally_audit::{Answer, EngineFigures, Record, What};
 use pintally_cells::{CellsFile, Move, Step};
 use pintally_config::NodeSettings;
-use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, Reports};
+use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, ReportAccuracy};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
 use tracing::{debug, warn};
 
-use crate::client::{Client, Ended, Try};
+use crate::client::{AttemptResult, Client, Try};
 use crate::engines;
 use crate::faults::{stage, Stage};
 use crate::publish::Publisher;
@@ -173,7 +173,7 @@
             let id = spec.id.clone();
             let engine = self.fleet.add(spec, false)?;
             self.enter(&engine);
-            self.publisher.set(&engine, Listing::Serving, false);
+            self.publisher.set(&engine, EndpointState::Serving, false);
             self.stand_for.insert(Target(id.clone()), id);
         }
         Ok(())
@@ -366,13 +366,13 @@
             Act::Crash(target) => {
                 let Some(engine) = self.engine(&target) else { return Ok(()) };
                 engine.crash();
-                self.publisher.set(&engine, Listing::Gone, false);
+                self.publisher.set(&engine, EndpointState::Gone, false);
                 self.publish();
             }
             Act::Start(target) => {
                 let Some(engine) = self.engine(&target) else { return Ok(()) };
                 engine.start(true);
-                self.publisher.set(&engine, Listing::Serving, true);
+                self.publisher.set(&engine, EndpointState::Serving, true);
                 self.publish();
             }
             Act::Hang(t, on) => with(self, &t, &|f| f.hang = on),
@@ -382,20 +382,20 @@
             Act::Links(t, factor) => with(self, &t, &|f| f.links = factor),
             Act::FailAfter(t, after) => with(self, &t, &|f| f.fail_after = after),
             Act::FullFor(t, tenant) => with(self, &t, &|f| f.full_for = tenant.clone()),
-            Act::Stale(t, on) => {
-                with(self, &t, &|f| f.reports = if on { Reports::Stale } else { Reports::Honest })
-            }
-            Act::Lie(t, on) => {
-                with(self, &t, &|f| f.reports = if on { Reports::Lying } else { Reports::Honest })
-            }
+            Act::Stale(t, on) => with(self, &t, &|f| {
+                f.reports = if on { ReportAccuracy::Stale } else { ReportAccuracy::Honest }
+            }),
+            Act::Lie(t, on) => with(self, &t, &|f| {
+                f.reports = if on { ReportAccuracy::Lying } else { ReportAccuracy::Honest }
+            }),
             Act::Forget(target) => {
                 if let Some(engine) = self.engine(&target) {
                     engine.forget();
                 }
             }
             Act::Drain(target) | Act::Undrain(target) if self.engine(&target).is_none_or(|e| !e.is_up()) => {}
-            Act::Drain(target) => self.list(&target, Listing::Draining),
-            Act::Undrain(target) => self.list(&target, Listing::Serving),
+            Act::Drain(target) => self.list(&target, EndpointState::Draining),
+            Act::Undrain(target) => self.list(&target, EndpointState::Serving),
             Act::Replace(target) => self.replace(&target)?,
             Act::Remove(target) => self.remove(&target),
             Act::Cut(zone, cut) => self.fleet.cut(&zone, cut),
@@ -481,7 +481,7 @@
         f(&mut self.clients.manners.lock().unwrap_or_else(|e| e.into_inner()));
     }
 
-    fn list(&mut self, target: &Target, listing: Listing) {
+    fn list(&mut self, target: &Target, listing: EndpointState) {
         let Some(engine) = self.engine(target) else { return };
         self.publisher.set(&engine, listing, false);
         self.publish();
@@ -495,8 +495,8 @@
         let spec = EngineSpec { id: id.clone(), ..old.spec.clone() };
         let fresh = self.fleet.add(spec, true).map_err(|e| RunError(format!("{id} cannot listen: {e}")))?;
         self.enter(&fresh);
-        self.publisher.set(&fresh, Listing::Serving, true);
-        self.publisher.set(&old, Listing::Draining, false);
+        self.publisher.set(&fresh, EndpointState::Serving, true);
+        self.publisher.set(&old, EndpointState::Draining, false);
         // Until the old one goes, faults that name the place mean the new one.
         self.stand_for.insert(Target(format!("{}~old", target.0)), old.spec.id.clone());
         self.stand_for.insert(target.clone(), id);
@@ -507,7 +507,7 @@
     fn remove(&mut self, target: &Target) {
         let Some(id) = self.stand_for.remove(&Target(format!("{}~old", target.0))) else { return };
         let Some(old) = self.fleet.engine(&id) else { return };
-        self.publisher.set(&old, Listing::Gone, false);
+        self.publisher.set(&old, EndpointState::Gone, false);
         self.publish();
         old.crash();
     }
@@ -574,18 +574,20 @@
             let ended = self.client.attempt(&one);
             tries += 1;
             let wait = match ended {
-                Ended::NoNode => {
+                AttemptResult::NoNode => {
                     self.no_node.fetch_add(1, Ordering::Relaxed);
                     self.retry_wait
                 }
-                Ended::Answered(Answer::Served, _) | Ended::Left => return,
-                Ended::Answered(Answer::Refused, after) => match after.filter(|_| draft.heeds && !heedless) {
-                    Some(after) => after,
-                    None => self.retry_wait,
-                },
+                AttemptResult::Answered(Answer::Served, _) | AttemptResult::Left => return,
+                AttemptResult::Answered(Answer::Refused, after) => {
+                    match after.filter(|_| draft.heeds && !heedless) {
+                        Some(after) => after,
+                        None => self.retry_wait,
+                    }
+                }
                 // Whoever tries again after a failure takes the risk of a second effect upon himself.
-                Ended::Answered(..) | Ended::Unanswered if heedless => self.retry_wait,
-                Ended::Answered(..) | Ended::Unanswered => return,
+                AttemptResult::Answered(..) | AttemptResult::Unanswered if heedless => self.retry_wait,
+                AttemptResult::Answered(..) | AttemptResult::Unanswered => return,
             };
             let most = if heedless { self.retries + 2 } else { self.retries };
             if tries > most {
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use pintally::interface::{EngineId, Listing};
+use pintally::interface::{EndpointState, EngineId};
 use pintally_audit::{Listed, What};
 use pintally_config::{EngineEntry, EngineList};
 use pintally_mock_engine::{Engine, Recorder};
@@ -20,7 +20,7 @@
 }
 
 /// What a list says of an engine.
-pub(crate) fn entry_of(engine: &Engine, listing: Listing, started_unix_ms: Option<u64>) -> EngineEntry {
+pub(crate) fn entry_of(engine: &Engine, listing: EndpointState, started_unix_ms: Option<u64>) -> EngineEntry {
     EngineEntry {
         id: EngineId(engine.spec.id.as_str().into()),
         address: engine.address,
@@ -91,7 +91,7 @@
     }
 
     /// Enters an engine, or changes what the list says of it.
-    pub(crate) fn set(&mut self, engine: &Engine, listing: Listing, started: bool) {
+    pub(crate) fn set(&mut self, engine: &Engine, listing: EndpointState, started: bool) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let id = EngineId(engine.spec.id.as_str().into());
         let old = self.entries.get(&id).and_then(|e| e.started_unix_ms);
@@ -118,9 +118,9 @@
             let old = self.told[node].insert(entry.id.clone(), entry.clone());
             if old.as_ref() != Some(entry) {
                 let listing = match entry.listing {
-                    Listing::Serving => Listed::Serving,
-                    Listing::Draining => Listed::Draining,
-                    Listing::Gone => Listed::Gone,
+                    EndpointState::Serving => Listed::Serving,
+                    EndpointState::Draining => Listed::Draining,
+                    EndpointState::Gone => Listed::Gone,
                 };
                 let started = entry.started_unix_ms.is_some()
                     && old.and_then(|o| o.started_unix_ms) != entry.started_unix_ms;
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pintally::interface::{Listing, Role};
+use pintally::interface::{EndpointState, Role};
 use pintally_audit::{audit, EngineFigures, Report, What};
 use pintally_config::NodeSettings;
 use pintally_kserve_node::Node;
@@ -48,7 +48,7 @@
         let mut publisher = Publisher::new(folder.path(), 1, recorder.clone());
         for spec in engines {
             let engine = fleet.add(spec, false).map_err(|e| fail(&e))?;
-            publisher.set(&engine, Listing::Serving, false);
+            publisher.set(&engine, EndpointState::Serving, false);
         }
         let held = Port::hold().and_then(|p| Ok((p.address()?, p)));
         let (address, port) = held.map_err(|e| fail(&e))?;
@@ -133,7 +133,7 @@
     }
 
     /// Changes what the list says of an engine, and writes it.
-    pub fn list(&mut self, id: &str, listing: Listing, started: bool) -> Result<(), RunError> {
+    pub fn list(&mut self, id: &str, listing: EndpointState, started: bool) -> Result<(), RunError> {
         let engine = self.engine(id)?;
         self.publisher.set(&engine, listing, started);
         self.publish()
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -5,7 +5,9 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use pintally_audit::{audit, ClassFigures, Effect, EngineFigures, Figures, Group, Record, Report, What};
+use pintally_audit::{
+    audit, ClassFigures, EngineFigures, Figures, Idempotency, IdempotencyScope, Record, Report, What,
+};
 use pintally_config::NodeSettings;
 use pintally_kserve_node::Node;
 use serde::Serialize;
@@ -172,14 +174,14 @@
     mut record: Vec<Record>,
 ) -> Vec<Record> {
     use pintally::interface as core;
-    let effect = |e: &core::Effect| match e {
-        core::Effect::Safe => Effect::Safe,
-        core::Effect::Unsafe => Effect::Unsafe,
-        core::Effect::Keyed(group, window_us) => Effect::Keyed {
+    let effect = |e: &core::Idempotency| match e {
+        core::Idempotency::Safe => Idempotency::Safe,
+        core::Idempotency::Unsafe => Idempotency::Unsafe,
+        core::Idempotency::Keyed(group, window_us) => Idempotency::Keyed {
             group: match group {
-                core::Group::All => Group::All,
-                core::Group::Zone => Group::Zone,
-                core::Group::Rack => Group::Rack,
+                core::IdempotencyScope::All => IdempotencyScope::All,
+                core::IdempotencyScope::Zone => IdempotencyScope::Zone,
+                core::IdempotencyScope::Rack => IdempotencyScope::Rack,
             },
             window_us: *window_us,
         },
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -131,7 +131,7 @@
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum FaultKind {
     Crash,
     Restart,
     Hang,
@@ -171,7 +171,7 @@
 #[derive(Clone, Debug)]
 pub struct Fault {
     /// What kind.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pintally::interface::{Listing, Outcome};
+use pintally::interface::{EndpointState, Outcome};
 use pintally_audit::Report;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
 use pintally_engine::{release, work, AttemptReader, Progress, Step, Work};
@@ -85,11 +85,11 @@
     fn pick(&self, kind: &str) -> Option<EngineEntry> {
         let mut all: Vec<EngineEntry> = self.engines().into_iter().filter(|e| e.kind == kind).collect();
         if self.fault == Fault::SendsToDrained {
-            if let Some(drained) = all.iter().find(|e| e.listing == Listing::Draining) {
+            if let Some(drained) = all.iter().find(|e| e.listing == EndpointState::Draining) {
                 return Some(drained.clone());
             }
         }
-        all.retain(|e| e.listing == Listing::Serving);
+        all.retain(|e| e.listing == EndpointState::Serving);
         let cold = all.iter().position(|e| e.started_unix_ms.is_some());
         match cold.filter(|_| self.fault == Fault::RushesCold) {
             Some(at) => Some(all.swap_remove(at)),
--- a/crates/pintally-scenario/tests/door.rs
+++ b/crates/pintally-scenario/tests/door.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::Role;
 use pintally_audit::Answer;
-use pintally_scenario::{Ended, Rig};
+use pintally_scenario::{AttemptResult, Rig};
 
 const SETTINGS: &str = r#"(pintally
   (node (name "n0") (engines "set by the rig" (every-ms 20)))
@@ -86,7 +86,7 @@
     assert_eq!(counters.bad_requests, cases.len() as u64);
     assert_eq!(counters.host.taken, 0, "a bad message reached the host");
     // And the node serves on.
-    assert_eq!(rig.client.attempt(&rig.ask("good", "hint")), Ended::Answered(Answer::Served, None));
+    assert_eq!(rig.client.attempt(&rig.ask("good", "hint")), AttemptResult::Answered(Answer::Served, None));
 }
 
 #[test]
@@ -204,7 +204,7 @@
     let begin = Instant::now();
     let report = rig.finish().unwrap();
     assert!(begin.elapsed() < Duration::from_secs(5), "{:?}", begin.elapsed());
-    assert!(matches!(waits.join().unwrap(), Ended::Answered(Answer::Failed | Answer::Refused, _)));
+    assert!(matches!(waits.join().unwrap(), AttemptResult::Answered(Answer::Failed | Answer::Refused, _)));
     assert!(report.rules.kept(), "{:#?}", report.rules);
 }
 
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -4,9 +4,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pintally::interface::{Listing, Role};
+use pintally::interface::{EndpointState, Role};
 use pintally_audit::{Answer, Report, Step, What};
-use pintally_scenario::{run_steady, Day, Ended, Rig};
+use pintally_scenario::{run_steady, AttemptResult, Day, Rig};
 
 const WAIT: Duration = Duration::from_secs(20);
 
@@ -44,7 +44,7 @@
     for (id, streamed) in [("a", true), ("b", false)] {
         let mut ask = rig.ask(id, "hint");
         ask.streamed = streamed;
-        assert_eq!(rig.client.attempt(&ask), Ended::Answered(Answer::Served, None));
+        assert_eq!(rig.client.attempt(&ask), AttemptResult::Answered(Answer::Served, None));
     }
     let record = rig.fleet.recorder.so_far();
     assert_eq!(record.iter().filter(|r| took(Step::Read)(&r.what)).count(), 2);
@@ -66,7 +66,7 @@
     let What::Ran { engine, .. } = ran.what else { unreachable!() };
     rig.engine(&engine).unwrap().crash();
     let ended = waits.join().unwrap();
-    assert!(matches!(ended, Ended::Answered(Answer::Cut | Answer::Failed, _)), "{ended:?}");
+    assert!(matches!(ended, AttemptResult::Answered(Answer::Cut | Answer::Failed, _)), "{ended:?}");
     let runs = rig.fleet.recorder.so_far().iter().filter(|r| took(Step::Fetch)(&r.what)).count();
     assert_eq!(runs, 1, "it went to a second writer");
     kept(&rig.finish().unwrap());
@@ -84,7 +84,7 @@
     let fetch = rig.fleet.recorder.wait_for(WAIT, took(Step::Fetch)).expect("it was never fetched");
     let What::Took { engine, .. } = fetch.what else { unreachable!() };
     rig.engine(&engine).unwrap().crash();
-    assert_eq!(waits.join().unwrap(), Ended::Answered(Answer::Failed, None));
+    assert_eq!(waits.join().unwrap(), AttemptResult::Answered(Answer::Failed, None));
     kept(&rig.finish().unwrap());
 }
 
@@ -102,7 +102,7 @@
     let What::Held { engine, .. } = held.what else { unreachable!() };
     rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.links = 1.0));
     rig.engine(&engine).unwrap().crash();
-    assert_eq!(waits.join().unwrap(), Ended::Answered(Answer::Served, None));
+    assert_eq!(waits.join().unwrap(), AttemptResult::Answered(Answer::Served, None));
     let reads = rig.fleet.recorder.so_far().iter().filter(|r| took(Step::Read)(&r.what)).count();
     assert!(reads >= 2, "it was read only once");
     kept(&rig.finish().unwrap());
@@ -119,7 +119,7 @@
         ask.streamed = streamed;
         let begin = Instant::now();
         let ended = rig.client.attempt(&ask);
-        assert!(matches!(ended, Ended::Answered(Answer::Refused | Answer::Failed, _)), "{ended:?}");
+        assert!(matches!(ended, AttemptResult::Answered(Answer::Refused | Answer::Failed, _)), "{ended:?}");
         // The class waits six seconds.
         assert!(
             begin.elapsed() < Duration::from_millis(2500) + rig.fleet.recorder.lateness(),
@@ -138,7 +138,7 @@
     rig.engine("w0").unwrap().fault(|f| f.hang = true);
     let mut ask = rig.ask("leaves", "hint");
     ask.leaves = Some(Duration::from_millis(300));
-    assert_eq!(rig.client.attempt(&ask), Ended::Left);
+    assert_eq!(rig.client.attempt(&ask), AttemptResult::Left);
     // Freed, not only told to: the message is seen a moment before the state is gone.
     let freed = |w: &What| matches!(w, What::Freed { .. });
     assert!(rig.fleet.recorder.wait_for(WAIT, freed).is_some(), "the state was never let go");
@@ -159,7 +159,7 @@
         let begin = Instant::now();
         assert_eq!(
             rig.client.attempt(&rig.ask(&format!("q{n}"), "hint")),
-            Ended::Answered(Answer::Served, None)
+            AttemptResult::Answered(Answer::Served, None)
         );
         assert!(begin.elapsed() < Duration::from_secs(3) + rig.fleet.recorder.lateness());
     }
@@ -170,7 +170,7 @@
 #[test]
 fn a_killed_node_comes_back_with_the_list_it_had() {
     let mut rig = rig(1, 1);
-    assert_eq!(rig.client.attempt(&rig.ask("before", "hint")), Ended::Answered(Answer::Served, None));
+    assert_eq!(rig.client.attempt(&rig.ask("before", "hint")), AttemptResult::Answered(Answer::Served, None));
     rig.engine("w0").unwrap().fault(|f| f.hang = true);
     let ask = rig.ask("inside", "hint");
     let client = rig.client.clone();
@@ -178,12 +178,12 @@
     let inside = |w: &What| matches!(w, What::Took { request, step: Step::Fetch, .. } if request == "inside");
     rig.fleet.recorder.wait_for(WAIT, inside).expect("it was never sent");
     rig.kill_node();
-    assert_eq!(waits.join().unwrap(), Ended::Unanswered);
+    assert_eq!(waits.join().unwrap(), AttemptResult::Unanswered);
     rig.engine("w0").unwrap().fault(|f| f.hang = false);
     // The list itself is gone: what was kept is all there is.
     std::fs::remove_file(rig.list_file()).unwrap();
     rig.start_node().unwrap();
-    assert_eq!(rig.client.attempt(&rig.ask("after", "hint")), Ended::Answered(Answer::Served, None));
+    assert_eq!(rig.client.attempt(&rig.ask("after", "hint")), AttemptResult::Answered(Answer::Served, None));
     let report = rig.finish().unwrap();
     kept(&report);
     assert_eq!((report.served, report.died), (2, 1));
@@ -209,7 +209,7 @@
         assert!(Instant::now() < by, "the sound list was not taken in");
         thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(rig.client.attempt(&rig.ask("x", "hint")), Ended::Answered(Answer::Served, None));
+    assert_eq!(rig.client.attempt(&rig.ask("x", "hint")), AttemptResult::Answered(Answer::Served, None));
     kept(&rig.finish().unwrap());
 }
 
@@ -230,9 +230,9 @@
         .recorder
         .wait_for(WAIT, |w| matches!(w, What::Ran { engine, .. } if engine == "w1"))
         .expect("w1 idles");
-    rig.list("w1", Listing::Draining, false).unwrap();
+    rig.list("w1", EndpointState::Draining, false).unwrap();
     for one in burst {
-        assert_eq!(one.join().unwrap(), Ended::Answered(Answer::Served, None));
+        assert_eq!(one.join().unwrap(), AttemptResult::Answered(Answer::Served, None));
     }
     // Every millisecond counts against the drain, not only the grace.
     let record = rig.fleet.recorder.so_far();
@@ -342,9 +342,14 @@
         ask.patience = Duration::from_millis(2000);
         let begin = Instant::now();
         match rig.client.attempt(&ask) {
-            Ended::Answered(Answer::Served, _) => assert!(Instant::now() < by, "the list was not taken in"),
+            AttemptResult::Answered(Answer::Served, _) => {
+                assert!(Instant::now() < by, "the list was not taken in")
+            }
             ended => {
-                assert!(matches!(ended, Ended::Answered(Answer::Refused | Answer::Failed, _)), "{ended:?}");
+                assert!(
+                    matches!(ended, AttemptResult::Answered(Answer::Refused | Answer::Failed, _)),
+                    "{ended:?}"
+                );
                 assert!(
                     begin.elapsed() < Duration::from_millis(3000) + rig.fleet.recorder.lateness(),
                     "{:?}",
--- a/crates/pintally-sim/src/calls.rs
+++ b/crates/pintally-sim/src/calls.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pintally::interface::{EngineId, Listing, RequestId};
+use pintally::interface::{EndpointState, EngineId, RequestId};
 use pintally_engine::Step;
 use pintally_host::Input;
 use rand::RngExt;
 
 use crate::check::Place;
 use crate::mutation::Mutation;
-use crate::plan::{Frees, Kind};
+use crate::plan::{FaultKind, Frees};
 use crate::world::{engine_id, Call, Event, Flight, World, CONNECT, HOP, LOOK};
 use crate::MS;
 
@@ -19,7 +19,7 @@
         let again = self.calls.values().any(|c| c.node == node && c.id == id);
         let dropped = self.is(Mutation::ReleasesNothing)
             || self.is(Mutation::ReleasesOnce) && again
-            || self.is(Mutation::ReleasesToServingOnly) && self.engines[n].listing != Listing::Serving;
+            || self.is(Mutation::ReleasesToServingOnly) && self.engines[n].listing != EndpointState::Serving;
         if dropped {
             return;
         }
@@ -41,7 +41,7 @@
                 self.calls.insert(number, call);
                 return self.soon(2 * HOP, Event::CallOver(number, false));
             }
-            None if self.struck(Kind::LateConnections, n) => {
+            None if self.struck(FaultKind::LateConnections, n) => {
                 Some(self.rng.random_range(1..1_000) * MS).filter(|at| *at < CONNECT)
             }
             None => Some(3 * HOP),
@@ -65,7 +65,7 @@
             Frees::State => self.engines[engine].held.retain(|s| s.name != id),
             Frees::Request => self.free(&id),
         }
-        if !self.struck(Kind::DeafCalls, engine) {
+        if !self.struck(FaultKind::DeafCalls, engine) {
             self.soon(HOP, Event::CallOver(number, true));
         }
     }
@@ -130,7 +130,7 @@
                 let at_work =
                     |f: &Flight| f.id == state.request && (f.came || f.carried) && !f.closed && there(f);
                 let hears = |n: &usize| {
-                    let known = self.nodes[node].told[*n].is_some_and(|l| l != Listing::Gone);
+                    let known = self.nodes[node].told[*n].is_some_and(|l| l != EndpointState::Gone);
                     known && self.engines[*n].works() && self.reaches(node, *n)
                 };
                 // Where fewer than half of the engines can hear a call, finding one takes longer.
--- a/crates/pintally-sim/src/engines.rs
+++ b/crates/pintally-sim/src/engines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use pintally::interface::{Listing, RequestId};
+use pintally::interface::{EndpointState, RequestId};
 
 use crate::Micros;
 
@@ -20,7 +20,7 @@
 pub(crate) struct Engine {
     pub(crate) reads: bool,
     pub(crate) zone: usize,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
     pub(crate) started: Option<Micros>,
     /// Its process runs; its machine is there; it does its work. Each counts how many troubles say otherwise.
     pub(crate) dead: u32,
@@ -40,7 +40,7 @@
         Engine {
             reads,
             zone,
-            listing: Listing::Serving,
+            listing: EndpointState::Serving,
             started: None,
             dead: 0,
             away: 0,
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pintally::interface::{Listing, Outcome};
+use pintally::interface::{EndpointState, Outcome};
 use pintally_engine::Step;
 use pintally_host::{state_name, Input, Order};
 use rand::RngExt;
@@ -11,7 +11,7 @@
 use crate::check::{Place, Rule};
 use crate::engines::State;
 use crate::mutation::Mutation;
-use crate::plan::{Frees, Kind};
+use crate::plan::{FaultKind, Frees};
 use crate::world::{Event, Flight, Word, World, CONNECT, HOP, KEEP, STALL};
 use crate::MS;
 
@@ -40,7 +40,7 @@
         let engine = self.number(&order.engine);
         let open = self.flights.values().any(|f| f.place == place && !f.closed);
         self.checks.sent(place, open);
-        if self.nodes[node].told[engine] != Some(Listing::Serving) {
+        if self.nodes[node].told[engine] != Some(EndpointState::Serving) {
             let what = format!("request {} goes to e{engine}, which takes nothing new", order.request.0);
             self.checks.broke(Rule::Drain, Some(&order.request), what);
         }
@@ -60,7 +60,7 @@
             Some(silent) => (Some(0), silent || !reached),
             None if !reached => (None, true),
             None if self.engines[engine].dead > 0 => (None, false),
-            None if self.struck(Kind::LateConnections, engine) => match self.rng.random_bool(0.5) {
+            None if self.struck(FaultKind::LateConnections, engine) => match self.rng.random_bool(0.5) {
                 true => (Some(self.rng.random_range(1..1_000) * MS), false),
                 false => (None, true),
             },
@@ -136,7 +136,7 @@
             return;
         }
         let (engine, step) = (f.engine, f.step);
-        if self.struck(Kind::Full, engine) {
+        if self.struck(FaultKind::Full, engine) {
             return self.word_later(flight, Word::End(Outcome::Full));
         }
         let span = match step {
@@ -147,7 +147,7 @@
         if step == Step::Fetch && !self.fetch(flight) {
             return self.word_later(flight, Word::End(Outcome::NoState));
         }
-        if self.struck(Kind::Errors, engine) {
+        if self.struck(FaultKind::Errors, engine) {
             return self.word_later(flight, Word::End(Outcome::Error));
         }
         self.soon(span, Event::Ready(flight));
@@ -195,7 +195,7 @@
             self.engines[engine].held.push(State { request: id.clone(), name, owner });
             self.say(format!("{} is read at e{engine}", id.0));
         }
-        let lost = self.struck(Kind::LoseAnswers, engine);
+        let lost = self.struck(FaultKind::LoseAnswers, engine);
         self.word_later(flight, Word::End(if lost { Outcome::Broken } else { Outcome::Read }));
     }
 
@@ -206,7 +206,8 @@
         if self.engines[engine].life != f.life || f.closed {
             return;
         }
-        let breaks = self.struck(Kind::BreakStreams, engine) || self.struck(Kind::LoseAnswers, engine);
+        let breaks =
+            self.struck(FaultKind::BreakStreams, engine) || self.struck(FaultKind::LoseAnswers, engine);
         self.word_later(flight, Word::End(if breaks { Outcome::Broken } else { Outcome::Served }));
     }
 
@@ -262,7 +263,7 @@
         };
         let state =
             (told == Outcome::Read).then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
-        let ended = Input::Ended { ticket: place.2, attempt, outcome: told, kept: 0, load: None, state };
+        let ended = Input::AttemptEnd { ticket: place.2, attempt, outcome: told, kept: 0, load: None, state };
         self.tell(place.0, place.1, ended);
     }
 
--- a/crates/pintally-sim/src/lib.rs
+++ b/crates/pintally-sim/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use check::{Broken, Rule};
 pub use mutation::{Mutation, MUTATIONS};
-pub use plan::{Ask, Frees, Kind, Plan, Trouble};
+pub use plan::{Ask, FaultKind, Frees, Plan, Trouble};
 pub use search::{mutations, run, shrink, Found};
 pub use world::{play, Played};
 
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -1,12 +1,12 @@
 //! Nodes: their lives, what they are told, and what they command.
 
-use pintally::interface::{EngineId, ListForm, Listing, Member, Outcome};
+use pintally::interface::{Endpoint, EndpointState, EngineId, ListUpdate, Outcome};
 use pintally_host::{Command, Host, Input, Listed, Scope, Ticket};
 use rand::RngExt;
 
 use crate::check::Place;
 use crate::mutation::Mutation;
-use crate::plan::{Frees, Kind};
+use crate::plan::{FaultKind, Frees};
 use crate::world::{engine_id, settings, Event, World, HOP, START};
 use crate::MS;
 
@@ -143,14 +143,14 @@
         for (n, engine) in self.engines.iter().enumerate() {
             self.nodes[node].told[n] = Some(engine.listing);
             let listing = match engine.listing {
-                Listing::Draining if deaf => Listing::Serving,
+                EndpointState::Draining if deaf => EndpointState::Serving,
                 other => other,
             };
-            if listing == Listing::Gone {
+            if listing == EndpointState::Gone {
                 continue;
             }
             members.push(Listed {
-                member: Member {
+                member: Endpoint {
                     engine: engine_id(n),
                     zone: format!("z{}", engine.zone),
                     kind: if engine.reads { "r" } else { "w" }.into(),
@@ -164,7 +164,7 @@
                 started_unix_ms: None,
             });
         }
-        self.tell(node, life, Input::List(ListForm::Full, members));
+        self.tell(node, life, Input::List(ListUpdate::Full, members));
     }
 
     /// The list has changed: nodes hear of it.
@@ -186,7 +186,7 @@
     }
 
     /// Whether a trouble of a kind strikes an engine now, by its part.
-    pub(crate) fn struck(&mut self, kind: Kind, engine: usize) -> bool {
+    pub(crate) fn struck(&mut self, kind: FaultKind, engine: usize) -> bool {
         let all = self.engines.len();
         let part = self
             .active
--- a/crates/pintally-sim/src/plan.rs
+++ b/crates/pintally-sim/src/plan.rs
@@ -15,7 +15,7 @@
 
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum FaultKind {
     /// A machine says nothing more, and nothing reaches it; its engine goes on.
     Vanish,
     /// An engine's process dies and refuses; it is back, empty, at the end.
@@ -47,28 +47,28 @@
 }
 
 /// All kinds.
-pub const KINDS: [Kind; 14] = [
-    Kind::Vanish,
-    Kind::Die,
-    Kind::Hang,
-    Kind::Cut,
-    Kind::LoseAnswers,
-    Kind::LateConnections,
-    Kind::Drain,
-    Kind::LateLists,
-    Kind::Stop,
-    Kind::Kill,
-    Kind::Full,
-    Kind::Errors,
-    Kind::DeafCalls,
-    Kind::BreakStreams,
+pub const KINDS: [FaultKind; 14] = [
+    FaultKind::Vanish,
+    FaultKind::Die,
+    FaultKind::Hang,
+    FaultKind::Cut,
+    FaultKind::LoseAnswers,
+    FaultKind::LateConnections,
+    FaultKind::Drain,
+    FaultKind::LateLists,
+    FaultKind::Stop,
+    FaultKind::Kill,
+    FaultKind::Full,
+    FaultKind::Errors,
+    FaultKind::DeafCalls,
+    FaultKind::BreakStreams,
 ];
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trouble {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When it begins and ends, in milliseconds.
     pub from_ms: u64,
     #[allow(missing_docs)]
@@ -215,7 +215,7 @@
     }
 }
 
-fn trouble(kind: Kind, length: u64, rng: &mut impl Rng) -> Trouble {
+fn trouble(kind: FaultKind, length: u64, rng: &mut impl Rng) -> Trouble {
     let from_ms = rng.random_range(200..length);
     let longest = if rng.random_bool(0.3) { 8_000 } else { 2_500 };
     Trouble {
--- a/crates/pintally-sim/src/troubles.rs
+++ b/crates/pintally-sim/src/troubles.rs
@@ -1,10 +1,10 @@
 //! Troubles, as they begin and end.
 
-use pintally::interface::{Listing, Outcome};
+use pintally::interface::{EndpointState, Outcome};
 use pintally_host::Input;
 
 use crate::engines::Engine;
-use crate::plan::Kind;
+use crate::plan::FaultKind;
 use crate::world::{Event, Word, World, STOP};
 use crate::MS;
 
@@ -28,15 +28,15 @@
             }
         }
         match (trouble.kind, on) {
-            (Kind::Vanish, true) => {
+            (FaultKind::Vanish, true) => {
                 self.engines[engine].away += 1;
                 self.fall_silent(|_, e| e == engine);
             }
-            (Kind::Vanish, false) => self.engines[engine].away -= 1,
-            (Kind::Die, true) => self.die(engine),
-            (Kind::Die, false) => self.return_of(engine),
-            (Kind::Hang, true) => self.engines[engine].hung += 1,
-            (Kind::Hang, false) => {
+            (FaultKind::Vanish, false) => self.engines[engine].away -= 1,
+            (FaultKind::Die, true) => self.die(engine),
+            (FaultKind::Die, false) => self.return_of(engine),
+            (FaultKind::Hang, true) => self.engines[engine].hung += 1,
+            (FaultKind::Hang, false) => {
                 self.engines[engine].hung -= 1;
                 if self.engines[engine].works() {
                     for (flight, begun) in std::mem::take(&mut self.engines[engine].waiting) {
@@ -47,32 +47,32 @@
                     }
                 }
             }
-            (Kind::Cut, true) => {
+            (FaultKind::Cut, true) => {
                 self.cuts.push((node, zone));
                 let zones: Vec<usize> = self.engines.iter().map(|e| e.zone).collect();
                 self.fall_silent(|n, e| n == node && zones[e] == zone);
             }
-            (Kind::Cut, false) => {
+            (FaultKind::Cut, false) => {
                 if let Some(at) = self.cuts.iter().position(|c| *c == (node, zone)) {
                     self.cuts.remove(at);
                 }
             }
-            (Kind::Drain, true) => self.drain(engine),
-            (Kind::Drain, false) => {
-                if self.engines[engine].listing == Listing::Draining {
-                    self.engines[engine].listing = Listing::Gone;
+            (FaultKind::Drain, true) => self.drain(engine),
+            (FaultKind::Drain, false) => {
+                if self.engines[engine].listing == EndpointState::Draining {
+                    self.engines[engine].listing = EndpointState::Gone;
                     self.die(engine);
                     // Back as a new start, a second later.
                     self.listed();
                     self.soon(1_000 * MS, Event::Trouble(number, false));
-                } else if self.engines[engine].listing == Listing::Gone {
-                    self.engines[engine].listing = Listing::Serving;
+                } else if self.engines[engine].listing == EndpointState::Gone {
+                    self.engines[engine].listing = EndpointState::Serving;
                     self.return_of(engine);
                     self.listed();
                 }
             }
-            (Kind::LateLists, true) => self.nodes[node].deaf_until = trouble.to_ms * MS,
-            (Kind::Stop, true) => {
+            (FaultKind::LateLists, true) => self.nodes[node].deaf_until = trouble.to_ms * MS,
+            (FaultKind::Stop, true) => {
                 let life = self.nodes[node].life;
                 if self.nodes[node].host.is_some() {
                     self.nodes[node].stopping = true;
@@ -80,7 +80,7 @@
                     self.tell(node, life, Input::Stop);
                 }
             }
-            (Kind::Kill, true) => self.kill(node),
+            (FaultKind::Kill, true) => self.kill(node),
             _ => {}
         }
     }
@@ -134,10 +134,10 @@
     /// An engine drains, if others of its role still take work.
     pub(crate) fn drain(&mut self, engine: usize) {
         let reads = self.engines[engine].reads;
-        let serving = |e: &&Engine| e.reads == reads && e.listing == Listing::Serving;
+        let serving = |e: &&Engine| e.reads == reads && e.listing == EndpointState::Serving;
         let others = self.engines.iter().filter(serving).count() > 1;
-        if others && self.engines[engine].listing == Listing::Serving {
-            self.engines[engine].listing = Listing::Draining;
+        if others && self.engines[engine].listing == EndpointState::Serving {
+            self.engines[engine].listing = EndpointState::Draining;
             self.listed();
         }
     }
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use pintally::interface::{Effect, EngineId, Group, Listing, Outcome, RequestId};
+use pintally::interface::{EndpointState, EngineId, Idempotency, IdempotencyScope, Outcome, RequestId};
 use pintally_config::NodeSettings;
 use pintally_engine::Step;
 use pintally_host::{Host, Input, Ticket};
@@ -120,7 +120,7 @@
     pub(crate) zone: usize,
     pub(crate) tickets: Ticket,
     /// What it was told of each engine.
-    pub(crate) told: Vec<Option<Listing>>,
+    pub(crate) told: Vec<Option<EndpointState>>,
     /// Lists wait until then.
     pub(crate) deaf_until: Micros,
     pub(crate) stopping: bool,
@@ -189,7 +189,7 @@
     );
     let mut settings = NodeSettings::parse("sim", &text).expect("the settings of a plan are sound");
     // Settings of a node by hand want a window over the deadline; other platforms' may be shorter.
-    settings.core.classes[1].effect = Effect::Keyed(Group::All, plan.window_ms * MS);
+    settings.core.classes[1].effect = Idempotency::Keyed(IdempotencyScope::All, plan.window_ms * MS);
     Arc::new(settings)
 }
 
--- a/crates/pintally-sim/tests/hard_cases.rs
+++ b/crates/pintally-sim/tests/hard_cases.rs
@@ -1,6 +1,6 @@
 //! Days by hand: the overlaps that are feared most, each with what it must keep.
 
-use pintally_sim::{play, Ask, Frees, Kind, Plan, Played, Trouble};
+use pintally_sim::{play, Ask, FaultKind, Frees, Plan, Played, Trouble};
 
 /// A day of 8 s with three nodes before four readers and four writers in two zones, 25 requests a second.
 fn day(seed: u64, troubles: Vec<Trouble>) -> Plan {
@@ -28,7 +28,7 @@
     }
 }
 
-fn trouble(kind: Kind, whom: usize, from_ms: u64, to_ms: u64) -> Trouble {
+fn trouble(kind: FaultKind, whom: usize, from_ms: u64, to_ms: u64) -> Trouble {
     Trouble { kind, from_ms, to_ms, whom, zone: 0, part: 1.0 }
 }
 
@@ -56,30 +56,32 @@
 #[test]
 fn a_rolling_deploy_while_a_node_dies() {
     let mut all: Vec<_> =
-        (0..8).map(|e| trouble(Kind::Drain, e, 500 + e as u64 * 800, 1_100 + e as u64 * 800)).collect();
-    all.push(trouble(Kind::Kill, 1, 2_000, 4_000));
+        (0..8).map(|e| trouble(FaultKind::Drain, e, 500 + e as u64 * 800, 1_100 + e as u64 * 800)).collect();
+    all.push(trouble(FaultKind::Kill, 1, 2_000, 4_000));
     kept("deploy", 0.9, &all, as_it_is);
 }
 
 #[test]
 fn every_node_is_restarted_within_ten_seconds() {
-    let all: Vec<_> =
-        (0..3).map(|n| trouble(Kind::Stop, n, 500 + n as u64 * 2_500, 1_000 + n as u64 * 2_500)).collect();
+    let all: Vec<_> = (0..3)
+        .map(|n| trouble(FaultKind::Stop, n, 500 + n as u64 * 2_500, 1_000 + n as u64 * 2_500))
+        .collect();
     kept("restarts", 0.9, &all, as_it_is);
 }
 
 #[test]
 fn all_nodes_die_at_once_while_a_zone_cannot_be_reached() {
-    let mut all: Vec<_> = (0..3).map(|n| trouble(Kind::Kill, n, 3_000, 3_100)).collect();
-    all.extend((0..3).map(|n| trouble(Kind::Cut, n, 2_500, 5_000)));
+    let mut all: Vec<_> = (0..3).map(|n| trouble(FaultKind::Kill, n, 3_000, 3_100)).collect();
+    all.extend((0..3).map(|n| trouble(FaultKind::Cut, n, 2_500, 5_000)));
     kept("deaths", 0.7, &all, as_it_is);
 }
 
 /// A read that waits at an engine which hangs is given up, read elsewhere, and done after all.
 #[test]
 fn readers_hang_in_turn_and_go_on() {
-    let all: Vec<_> =
-        (0..4).map(|e| trouble(Kind::Hang, e, 500 + e as u64 * 1_500, 1_900 + e as u64 * 1_500)).collect();
+    let all: Vec<_> = (0..4)
+        .map(|e| trouble(FaultKind::Hang, e, 500 + e as u64 * 1_500, 1_900 + e as u64 * 1_500))
+        .collect();
     kept("hangs", 0.8, &all, as_it_is);
 }
 
@@ -87,7 +89,7 @@
 #[test]
 fn most_writers_fall_silent_together_again_and_again() {
     let at = |n: u64| 600 + n * 2_600;
-    let all = (0..3).flat_map(|n| (4..7).map(move |e| trouble(Kind::Vanish, e, at(n), at(n) + 1_800)));
+    let all = (0..3).flat_map(|n| (4..7).map(move |e| trouble(FaultKind::Vanish, e, at(n), at(n) + 1_800)));
     kept("silence", 0.6, &all.collect::<Vec<_>>(), as_it_is);
 }
 
@@ -95,12 +97,12 @@
 /// against calls that go out on new connections alone. (Where all are late no call can be heard in time.)
 #[test]
 fn slow_connections_lost_answers_and_late_lists_cross() {
-    let late = |e| Trouble { part: 0.4, ..trouble(Kind::LateConnections, e, 1_000, 6_000) };
+    let late = |e| Trouble { part: 0.4, ..trouble(FaultKind::LateConnections, e, 1_000, 6_000) };
     let mut all: Vec<_> = (0..8).map(late).collect();
-    all.extend((0..8).map(|e| Trouble { part: 0.2, ..trouble(Kind::LoseAnswers, e, 2_000, 7_000) }));
-    all.push(trouble(Kind::LateLists, 0, 1_500, 4_500));
-    all.push(trouble(Kind::Drain, 0, 2_000, 3_000));
-    all.push(trouble(Kind::Drain, 5, 2_500, 3_500));
+    all.extend((0..8).map(|e| Trouble { part: 0.2, ..trouble(FaultKind::LoseAnswers, e, 2_000, 7_000) }));
+    all.push(trouble(FaultKind::LateLists, 0, 1_500, 4_500));
+    all.push(trouble(FaultKind::Drain, 0, 2_000, 3_000));
+    all.push(trouble(FaultKind::Drain, 5, 2_500, 3_500));
     kept("crossed", 0.5, &all, as_it_is);
 }
 
@@ -117,7 +119,7 @@
 /// Nobody is asked for anything behind a cut from every engine: what is held is let go all the same.
 #[test]
 fn a_cut_from_every_engine_ends_in_silence() {
-    let mut all: Vec<_> = (0..3).map(|n| trouble(Kind::Cut, n, 4_000, 15_000)).collect();
-    all.extend((0..3).map(|n| Trouble { zone: 1, ..trouble(Kind::Cut, n, 4_000, 15_000) }));
+    let mut all: Vec<_> = (0..3).map(|n| trouble(FaultKind::Cut, n, 4_000, 15_000)).collect();
+    all.extend((0..3).map(|n| Trouble { zone: 1, ..trouble(FaultKind::Cut, n, 4_000, 15_000) }));
     kept("cut", 0.4, &all, |plan| plan.asks.retain(|a| a.at_ms < 6_000));
 }
--- a/crates/pintally-sim/tests/seeds.rs
+++ b/crates/pintally-sim/tests/seeds.rs
@@ -1,6 +1,6 @@
 //! Seeds in CI: no rule broken, the same play twice, broken nodes found, and days cut down.
 
-use pintally_sim::{play, run, shrink, Ask, Frees, Kind, Mutation, Plan, Rule, Trouble, MUTATIONS};
+use pintally_sim::{play, run, shrink, Ask, FaultKind, Frees, Mutation, Plan, Rule, Trouble, MUTATIONS};
 
 const THREADS: usize = 8;
 
@@ -43,7 +43,7 @@
     let at_stake = (0..2).map(|n| ask(2_720 + n * 20, 100 + n));
     let cut = |whom| {
         let from_ms = if whom < 2 { 3_000 } else { 2_700 };
-        Trouble { kind: Kind::Vanish, from_ms, to_ms: 3_100, whom, zone: 0, part: 1.0 }
+        Trouble { kind: FaultKind::Vanish, from_ms, to_ms: 3_100, whom, zone: 0, part: 1.0 }
     };
     Plan {
         seed,
--- a/crates/pintally-soak/src/judge.rs
+++ b/crates/pintally-soak/src/judge.rs
@@ -31,7 +31,7 @@
 
 /// Which invariant was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FaultKind {
     /// A request got no final answer, or too late.
     Lost,
     /// A request that must not run twice did, or two attempts were out at once.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Which.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Whose: a request's id, a node.
     pub whose: String,
     /// What was seen.
@@ -97,14 +97,14 @@
         for bad in &self.books.bad_clients {
             let by = bad.connected + BAD_OWED + self.late;
             if bad.served_at.is_none_or(|at| at > by) && !self.node_ended(bad.node, bad.connected, by) {
-                found.push(violation(Kind::BadClient, format!("node {}", bad.node), format!("{bad:?}")));
+                found.push(violation(FaultKind::BadClient, format!("node {}", bad.node), format!("{bad:?}")));
             }
         }
         for (node, what) in &self.books.process_faults {
-            found.push(violation(Kind::Process, format!("node {node}"), what.clone()));
+            found.push(violation(FaultKind::Process, format!("node {node}"), what.clone()));
         }
         for (node, what) in &self.books.denied {
-            found.push(violation(Kind::Denied, format!("node {node}"), what.clone()));
+            found.push(violation(FaultKind::Denied, format!("node {node}"), what.clone()));
         }
         found
     }
@@ -121,7 +121,7 @@
 
     fn judge_answer(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
         let by = ask.sent + ask.patience + ANSWER_SLACK + self.late;
-        let lost = |seen: String| violation(Kind::Lost, id.into(), seen);
+        let lost = |seen: String| violation(FaultKind::Lost, id.into(), seen);
         match ask.end {
             AskEnd::Unsent => {}
             AskEnd::Open | AskEnd::Dropped { .. } if ask.left.is_some() => {}
@@ -147,7 +147,7 @@
                 if let Some(finished) = finished.filter(|_| !whole && ask.left.is_none()) {
                     if !self.excused_by_end(ask, at) {
                         found.push(violation(
-                            Kind::StreamCut,
+                            FaultKind::StreamCut,
                             id.into(),
                             format!("finished at {finished:?}, and cut off: {ask:?}; {begun:?}"),
                         ));
@@ -158,7 +158,7 @@
                 let cut = own.is_some_and(|b| b.cut_by_node.is_some());
                 if cut && !whole && ask.left.is_none() && ask.prompt_reader && !self.excused_by_end(ask, at) {
                     found.push(violation(
-                        Kind::StreamCut,
+                        FaultKind::StreamCut,
                         id.into(),
                         format!("cut off while its engine wrote: {ask:?}; {begun:?}"),
                     ));
@@ -181,7 +181,7 @@
     fn judge_effects(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
         if let Some(second) = begun.iter().find(|b| b.second_copy) {
             found.push(violation(
-                Kind::Duplicate,
+                FaultKind::Duplicate,
                 id.into(),
                 format!("a second copy: {second:?}; {begun:?}"),
             ));
@@ -195,26 +195,26 @@
             Class::Keyed => *last > *first + self.timing.keyed_window + WINDOW_SLACK + self.late,
         };
         if twice {
-            found.push(violation(Kind::Duplicate, id.into(), format!("{:?}: {begun:?}", ask.class)));
+            found.push(violation(FaultKind::Duplicate, id.into(), format!("{:?}: {begun:?}", ask.class)));
         }
         if ask.class == Class::Once
             && matches!(ask.end, AskEnd::Answered { status: 503 | 429, .. })
             && ask.left.is_none()
         {
-            found.push(violation(Kind::RefusedAfterEffect, id.into(), format!("{ask:?}; {begun:?}")));
+            found.push(violation(FaultKind::RefusedAfterEffect, id.into(), format!("{ask:?}; {begun:?}")));
         }
     }
 
     fn judge_attempts(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
         for attempt in begun {
             if ask.left.is_some_and(|left| attempt.begun > left + LEFT_SLACK + self.late) {
-                found.push(violation(Kind::BegunForNobody, id.into(), format!("{ask:?}; {attempt:?}")));
+                found.push(violation(FaultKind::BegunForNobody, id.into(), format!("{ask:?}; {attempt:?}")));
             }
             // A resent request's first sending is not known any more.
             let left = (ask.sent + ask.patience).saturating_sub(attempt.begun);
             let told_too_much = attempt.told_left.is_some_and(|told| told > left + TOLD_SLACK + self.late);
             if told_too_much && !ask.resent {
-                found.push(violation(Kind::ToldTooMuch, id.into(), format!("{ask:?}; {attempt:?}")));
+                found.push(violation(FaultKind::ToldTooMuch, id.into(), format!("{ask:?}; {attempt:?}")));
             }
             let told = self
                 .books
@@ -231,7 +231,11 @@
                         + DRAIN_SLACK
                         + self.late
             }) {
-                found.push(violation(Kind::Drain, id.into(), format!("told at {counts:?}: {attempt:?}")));
+                found.push(violation(
+                    FaultKind::Drain,
+                    id.into(),
+                    format!("told at {counts:?}: {attempt:?}"),
+                ));
             }
         }
     }
@@ -254,7 +258,7 @@
                 && !self.node_ended(ask.node, from, to)
             {
                 let seen = format!("for {:?}: {ask:?}; {:?}", held.longest, self.books.begun.get(id));
-                found.push(violation(Kind::Pinned, id.clone(), seen));
+                found.push(violation(FaultKind::Pinned, id.clone(), seen));
             }
         }
     }
@@ -273,12 +277,12 @@
             .collect();
         if late.len() * STREAMS_PER_LATE > streams.len() {
             let seen = format!("{} of {} streams: {late:?}", late.len(), streams.len());
-            found.push(violation(Kind::HeldBack, "all".into(), seen));
+            found.push(violation(FaultKind::HeldBack, "all".into(), seen));
         }
     }
 }
 
-fn violation(kind: Kind, whose: String, seen: String) -> Violation {
+fn violation(kind: FaultKind, whose: String, seen: String) -> Violation {
     Violation { kind, whose, seen }
 }
 
--- a/crates/pintally-soak/src/lib.rs
+++ b/crates/pintally-soak/src/lib.rs
@@ -16,5 +16,5 @@
 mod timing;
 mod trouble;
 
-pub use judge::{Kind, Violation};
+pub use judge::{FaultKind, Violation};
 pub use run::{soak, Options, Report};
