--- a/crates/pintally-wire/src/labels.rs
+++ b/crates/pintally-wire/src/labels.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use pintally::interface::{EngineId, Listing, Load, Member, Micros};
+use pintally::interface::{Endpoint, EndpointState, EngineId, LoadReport, Micros};
 
 /// What turns the names of an instance's events into indices.
 #[derive(Clone, Debug, Default)]
@@ -36,8 +36,8 @@
     }
 
     /// A load report as a row, in the order of the settings' fields.
-    pub fn load(&self, row: &[Option<f64>]) -> Load {
-        let mut load = Load::default();
+    pub fn load(&self, row: &[Option<f64>]) -> LoadReport {
+        let mut load = LoadReport::default();
         for (name, value) in self.fields.iter().zip(row) {
             put(&mut load, name, *value);
         }
@@ -45,8 +45,8 @@
     }
 
     /// A load report as `name=value` pairs; `None` if any of it cannot be read or nothing is told.
-    pub fn load_of_pairs(&self, text: &str) -> Option<Load> {
-        let mut load = Load::default();
+    pub fn load_of_pairs(&self, text: &str) -> Option<LoadReport> {
+        let mut load = LoadReport::default();
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
             let value: f64 = value.trim().parse().ok()?;
@@ -55,11 +55,11 @@
             }
             put(&mut load, name.trim(), Some(value));
         }
-        (load != Load::default()).then_some(load)
+        (load != LoadReport::default()).then_some(load)
     }
 }
 
-fn put(load: &mut Load, name: &str, value: Option<f64>) {
+fn put(load: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "busy" | "util" => load.slots = value,
         "q" | "queue" => load.queue = value,
@@ -70,11 +70,11 @@
 }
 
 /// What a list's word for an engine's state means; an unknown word takes it out of service.
-pub fn listing(word: &str) -> Listing {
+pub fn listing(word: &str) -> EndpointState {
     match word {
-        "SERVING" | "up" => Listing::Serving,
-        "DRAINING" | "draining" => Listing::Draining,
-        _ => Listing::Gone,
+        "SERVING" | "up" => EndpointState::Serving,
+        "DRAINING" | "draining" => EndpointState::Draining,
+        _ => EndpointState::Gone,
     }
 }
 
@@ -99,8 +99,8 @@
 
 impl Entry {
     /// The entry as the core takes it.
-    pub fn member(self) -> Member {
-        Member {
+    pub fn member(self) -> Endpoint {
+        Endpoint {
             engine: EngineId(self.engine.into()),
             zone: self.zone,
             kind: self.kind,
--- a/crates/pintally-wire/src/settings.rs
+++ b/crates/pintally-wire/src/settings.rs
@@ -168,21 +168,21 @@
             None => return Err("settings: `duty_by_kind` is shorter than `machine_types`".into()),
         };
         let memory_tokens = count(info.memory_tokens.get(i).copied());
-        kinds.push(Kind { name: name.clone(), role, memory_tokens });
+        kinds.push(EngineKind { name: name.clone(), role, memory_tokens });
     }
     let mut classes = Vec::new();
     for (i, p) in conf.profiles.iter().enumerate() {
         let effect = match (p.effect.as_str(), p.group.as_deref()) {
-            ("repeatable", _) => Effect::Safe,
-            ("once", _) => Effect::Unsafe,
+            ("repeatable", _) => Idempotency::Safe,
+            ("once", _) => Idempotency::Unsafe,
             ("by_key", group) => {
                 let group = match group {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    Some("cell") => Group::Rack,
+                    Some("all") => IdempotencyScope::All,
+                    Some("zone") => IdempotencyScope::Zone,
+                    Some("cell") => IdempotencyScope::Rack,
                     _ => return Err("settings: unknown or missing `group` in `profiles`".into()),
                 };
-                Effect::Keyed(group, micros(p.dedup_window))
+                Idempotency::Keyed(group, micros(p.dedup_window))
             }
             (other, _) => return Err(format!("settings: unknown value `{other}` for `effect`")),
         };
@@ -218,14 +218,14 @@
         tenants,
         kinds,
         discovery: match conf.discovery.as_str() {
-            "pushed" => Discovery::Pushed,
-            "on_request" => Discovery::OnRequest,
+            "pushed" => DiscoveryMode::Pushed,
+            "on_request" => DiscoveryMode::OnRequest,
             other => return Err(format!("settings: unknown value `{other}` for `discovery`")),
         },
         reports: match conf.feedback.source.as_str() {
-            "inline" => Reports::Inline,
-            "on_probe" => Reports::OnProbe,
-            _ => Reports::Off,
+            "inline" => LoadReporting::Inline,
+            "on_probe" => LoadReporting::OnProbe,
+            _ => LoadReporting::Off,
         },
         weights: conf.weight_kind != "off",
         writers_read: conf.family_info.read_in_place,
--- a/src/belief.rs
+++ b/src/belief.rs
@@ -5,11 +5,11 @@
 
 /// What a router believes of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Belief {
+pub struct EngineEstimate {
     /// The engine.
     pub engine: EngineId,
     /// What the list says of it.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// Attempts that are out there and have not begun to answer.
     pub out: usize,
     /// Attempts that write there.
@@ -30,7 +30,7 @@
 
 /// What a router believes of the way of requests as a whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
+pub struct AdmissionEstimate {
     /// How many requests may be on their way to a first token.
     pub flight: f64,
     /// The usual time from the first send to the first token.
@@ -49,8 +49,8 @@
 
 impl Router {
     /// What it believes of the way of requests as a whole.
-    pub fn pace(&self) -> Pace {
-        Pace {
+    pub fn pace(&self) -> AdmissionEstimate {
+        AdmissionEstimate {
             flight: self.gauges.flight,
             lead: self.gauges.lead as Micros,
             live: self.live.len(),
@@ -68,8 +68,8 @@
     }
 
     /// What it believes now of each engine that it knows.
-    pub fn beliefs(&self, now: Micros) -> Vec<Belief> {
-        let belief = |e: &crate::state::Engine| Belief {
+    pub fn beliefs(&self, now: Micros) -> Vec<EngineEstimate> {
+        let belief = |e: &crate::state::Engine| EngineEstimate {
             engine: e.id.clone(),
             listing: e.listing,
             out: e.pending.len(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -30,7 +30,7 @@
 
 /// A kind of machine.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct EngineKind {
     /// The kind's name in discovery.
     pub name: String,
     /// What engines of this kind do.
@@ -41,7 +41,7 @@
 
 /// The part of the fleet that drops repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum IdempotencyScope {
     /// Every engine.
     All,
     /// The engines of one zone.
@@ -52,11 +52,11 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated freely.
     Safe,
     /// Repeats are dropped inside the group, for the window from the first send that may have run.
-    Keyed(Group, Micros),
+    Keyed(IdempotencyScope, Micros),
     /// Harm: it must not run twice.
     Unsafe,
 }
@@ -67,7 +67,7 @@
     /// Its name.
     pub name: String,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The first token is wanted within this time.
     pub aim: Micros,
     /// The aim grows by this much for each 1,000 prompt tokens.
@@ -91,7 +91,7 @@
 
 /// How word of the fleet reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Pushed,
     /// Changes arrive only to a subscriber.
@@ -100,7 +100,7 @@
 
 /// How load reports reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// With outcomes and probe results.
     Inline,
     /// With probe results only.
@@ -123,11 +123,11 @@
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// The kinds of machine.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<EngineKind>,
     /// How word of the fleet comes.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// How load reports come.
-    pub reports: Reports,
+    pub reports: LoadReporting,
     /// Whether registered weights compare engines.
     pub weights: bool,
     /// Whether a writer reads a prompt itself when there is no state to fetch.
@@ -165,7 +165,7 @@
 
 /// What discovery says of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listing {
+pub enum EndpointState {
     /// It takes work.
     Serving,
     /// It finishes what it has.
@@ -177,7 +177,7 @@
 
 /// One entry of the list of engines.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct Endpoint {
     /// The engine.
     pub engine: EngineId,
     /// Its zone.
@@ -187,7 +187,7 @@
     /// Its rack.
     pub rack: u64,
     /// Its state.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// Its registered weight.
     pub weight: f64,
     /// When it last started, if lately.
@@ -196,7 +196,7 @@
 
 /// How a list of engines is to be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum ListUpdate {
     /// Changed entries only.
     Change,
     /// All entries; whoever is missing is gone.
@@ -232,7 +232,7 @@
 
 /// A load report; what an engine does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Share of slots in use.
     pub slots: Option<f64>,
     /// Requests that wait.
@@ -270,7 +270,7 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
     /// The attempt.
@@ -282,24 +282,24 @@
     /// Prompt tokens found kept.
     pub kept: u64,
     /// The engine's load.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// What a node learns.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Word of the fleet.
-    Members(ListForm, Vec<Member>),
+    Members(ListUpdate, Vec<Endpoint>),
     /// A client's request.
     Arrived(Request),
     /// The answer of an attempt has begun.
     FirstToken(RequestId, Attempt),
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptEnd(AttemptEnd),
     /// The client has left.
     Withdrawn(RequestId),
     /// A probe's result: whether the engine answered, and its load.
-    Probed(EngineId, bool, Option<Load>),
+    Probed(EngineId, bool, Option<LoadReport>),
     /// A timer has come due.
     Elapsed(Timer),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod rules;
 mod state;
 
-pub use belief::{Belief, Pace};
+pub use belief::{AdmissionEstimate, EngineEstimate};
 pub use rules::Router;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -136,7 +136,7 @@
             Event::Members(form, members) => self.members(now, form, members, acts),
             Event::Arrived(request) => self.arrived(now, request),
             Event::FirstToken(id, attempt) => self.first_token(now, &id, attempt),
-            Event::Ended(ended) => self.ended(now, ended, acts),
+            Event::AttemptEnd(ended) => self.ended(now, ended, acts),
             Event::Withdrawn(id) => self.close(&id, None, acts),
             Event::Probed(id, answered, load) => self.probed(now, &id, answered, load),
             Event::Elapsed(Timer::Sweep) => self.gauges.sweeping = false,
@@ -145,19 +145,19 @@
         self.pump(now, acts);
     }
 
-    fn members(&mut self, now: Micros, form: ListForm, members: Vec<Member>, acts: &mut Vec<Action>) {
+    fn members(&mut self, now: Micros, form: ListUpdate, members: Vec<Endpoint>, acts: &mut Vec<Action>) {
         if !self.gauges.watching {
             self.gauges.watching = true;
             self.gauges.rated_at = now;
             acts.push(Action::Wake(Timer::Watch, WATCH_EVERY));
-            if self.settings.discovery == Discovery::OnRequest {
+            if self.settings.discovery == DiscoveryMode::OnRequest {
                 self.gauges.asked_at = now;
                 acts.push(Action::Follow);
             }
         } else {
-            self.gauges.subscribed = form != ListForm::Failed;
+            self.gauges.subscribed = form != ListUpdate::Failed;
         }
-        if form == ListForm::Failed {
+        if form == ListUpdate::Failed {
             return;
         }
         let mut seen = BTreeSet::new();
@@ -181,9 +181,9 @@
                 engine.shut_until = 0;
             }
         }
-        let missing = |index: &usize| form == ListForm::Full && !seen.contains(index);
+        let missing = |index: &usize| form == ListUpdate::Full && !seen.contains(index);
         for index in (0..self.engines.len()).filter(missing) {
-            self.engines[index].listing = Listing::Gone;
+            self.engines[index].listing = EndpointState::Gone;
         }
         count(&mut self.racks, &mut self.engines);
     }
@@ -289,7 +289,7 @@
         (pool.samples >= 5).then(|| usual.mul_add(PATIENCE, self.tightest() * TARGET) as Micros)
     }
 
-    fn probed(&mut self, now: Micros, id: &EngineId, answered: bool, load: Option<Load>) {
+    fn probed(&mut self, now: Micros, id: &EngineId, answered: bool, load: Option<LoadReport>) {
         let Some(&index) = self.by_id.get(id) else { return };
         if let Some(load) = load {
             self.engines[index].report = Some((now, load));
@@ -318,13 +318,13 @@
             pool.engines = warm.max(1.0);
         }
         let s = &self.settings;
-        if s.discovery == Discovery::OnRequest
+        if s.discovery == DiscoveryMode::OnRequest
             && (!self.gauges.subscribed || now > self.gauges.asked_at + s.ask_within / 2)
         {
             self.gauges.asked_at = now;
             acts.push(Action::Follow);
         }
-        if s.may_probe && s.reports == Reports::OnProbe {
+        if s.may_probe && s.reports == LoadReporting::OnProbe {
             // All engines that write, where own traffic pays for it: over many nodes it would outweigh it.
             let wants = |i: &usize| self.engines[*i].serving() && self.engines[*i].role != Role::Reader;
             let all: Vec<usize> = (0..self.engines.len()).filter(wants).collect();
@@ -518,7 +518,7 @@
 
     /// No engine tells its load.
     fn silent(&self) -> bool {
-        self.settings.reports == Reports::Off
+        self.settings.reports == LoadReporting::Off
     }
 
     /// How far a node sees the fleet's traffic in its own: 1 for few nodes, next to 0 for many.
@@ -632,7 +632,7 @@
         });
         let aim = if request.resumed { request.patience } else { aim };
         // A class that nobody named must not run twice.
-        let effect = class.map_or(Effect::Unsafe, |c| c.effect);
+        let effect = class.map_or(Idempotency::Unsafe, |c| c.effect);
         let over_share = self.over_share(now, request.tenant);
         // Guards against retry storms: a prompt that was turned away lately has its aim counted from
         // its first try, so that a retry that can only be late does not go before fresh requests.
@@ -656,14 +656,14 @@
         let engine = &self.engines[index];
         let steps = if engine.role == Role::Reader { 2 } else { 1 };
         let effect_kept = match (live.ran, live.effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (Some(_), Effect::Unsafe) => false,
-            (Some((first, sent)), Effect::Keyed(group, window)) => {
+            (None, _) | (_, Idempotency::Safe) => true,
+            (Some(_), Idempotency::Unsafe) => false,
+            (Some((first, sent)), Idempotency::Keyed(group, window)) => {
                 let first = &self.engines[first];
                 let inside = match group {
-                    Group::All => true,
-                    Group::Zone => first.zone == engine.zone,
-                    Group::Rack => first.rack == engine.rack,
+                    IdempotencyScope::All => true,
+                    IdempotencyScope::Zone => first.zone == engine.zone,
+                    IdempotencyScope::Rack => first.rack == engine.rack,
                 };
                 // Guards against a repeat that connects so late that its engine has forgotten the first.
                 inside && now + self.settings.connect_within < sent + window
@@ -694,7 +694,7 @@
         // Time-outs guard against engines that fall silent. What might have run and must not run
         // twice keeps the whole time: giving it up early would gain nothing. A blind node knows of no
         // better reader, and what it moves is read twice and crowds out what others keep.
-        let repeatable = step == READ || live.effect == Effect::Safe;
+        let repeatable = step == READ || live.effect == Idempotency::Safe;
         let timeout = match self.patience(step, unread) {
             _ if step == READ && self.blind() => left,
             Some(span) if repeatable && live.attempts + 2 < self.settings.max_attempts => span.min(left),
@@ -823,8 +823,8 @@
         blend(&mut self.gauges.far);
     }
 
-    fn ended(&mut self, now: Micros, ended: Ended, acts: &mut Vec<Action>) {
-        let Ended { id, attempt, outcome, last, kept, load } = ended;
+    fn ended(&mut self, now: Micros, ended: AttemptEnd, acts: &mut Vec<Action>) {
+        let AttemptEnd { id, attempt, outcome, last, kept, load } = ended;
         let Some(mut live) = self.live.remove(&id) else {
             // An attempt of a request that is long over may still leave a state behind.
             if outcome == Outcome::Read {
@@ -993,7 +993,7 @@
         let Some(live) = self.live.get(id) else { return };
         self.turned.insert((live.request.session, live.request.prompt_tokens), live.first);
         let refusable = match live.effect {
-            Effect::Safe | Effect::Keyed(Group::All, _) => true,
+            Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
             _ => live.ran.is_none(),
         };
         let answer =
--- a/src/state.rs
+++ b/src/state.rs
@@ -63,7 +63,7 @@
     /// As the list tells it, and against the mean of its role.
     pub(crate) registered: f64,
     pub(crate) weight: f64,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
     /// Cold until then: told by discovery, or seen to come back after failing.
     pub(crate) cold_until: Micros,
     pub(crate) started: Option<Micros>,
@@ -87,7 +87,7 @@
     pub(crate) full_until: Micros,
     /// The tenant that was turned away for itself, and until when that counts.
     pub(crate) spurned: (Option<usize>, Micros),
-    pub(crate) report: Option<(Micros, Load)>,
+    pub(crate) report: Option<(Micros, LoadReport)>,
     /// How many times slower than its pool, and when that was last seen.
     pub(crate) lag: f64,
     pub(crate) lag_at: Micros,
@@ -154,7 +154,7 @@
 
 pub(crate) struct Live {
     pub(crate) request: Request,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) arrived: Micros,
     /// When the client first asked, as far as this node knows.
     pub(crate) first: Micros,
@@ -213,7 +213,7 @@
     pub(crate) fn new(
         now: Micros,
         request: Request,
-        effect: Effect,
+        effect: Idempotency,
         first: Micros,
         aim: Micros,
         over_share: bool,
@@ -250,7 +250,7 @@
 }
 
 impl Engine {
-    pub(crate) fn new(now: Micros, member: &Member, role: Role) -> Engine {
+    pub(crate) fn new(now: Micros, member: &Endpoint, role: Role) -> Engine {
         Engine {
             id: member.engine.clone(),
             zone: member.zone.clone(),
@@ -282,7 +282,7 @@
     }
 
     pub(crate) fn serving(&self) -> bool {
-        self.listing == Listing::Serving
+        self.listing == EndpointState::Serving
     }
 }
 
@@ -290,7 +290,7 @@
 /// that is gone, and with which no request has anything to do any more, is used again.
 pub(crate) fn settle(router: &mut Router, engine: Engine) -> usize {
     let used: BTreeSet<usize> = router.live.values().flat_map(Live::places).collect();
-    let free = |i: &usize| router.engines[*i].listing == Listing::Gone && !used.contains(i);
+    let free = |i: &usize| router.engines[*i].listing == EndpointState::Gone && !used.contains(i);
     let index = (0..router.engines.len()).find(free).unwrap_or(router.engines.len());
     router.by_id.insert(engine.id.clone(), index);
     match router.engines.get_mut(index) {
--- a/tests/cold_admission.rs
+++ b/tests/cold_admission.rs
@@ -46,9 +46,9 @@
     unseen: bool,
 }
 
-fn engines(from: usize, to: usize, started: Option<Micros>) -> Vec<Member> {
+fn engines(from: usize, to: usize, started: Option<Micros>) -> Vec<Endpoint> {
     let names = (from..to).flat_map(|i| [(format!("r{i}"), i), (format!("w{i}"), i)]);
-    names.map(|(name, i)| Member { started, ..member(&name, "near", (i % 2) as u64) }).collect()
+    names.map(|(name, i)| Endpoint { started, ..member(&name, "near", (i % 2) as u64) }).collect()
 }
 
 /// How much of the traffic each node sees: some see several times the mean.
@@ -93,7 +93,7 @@
                 node.now = now;
                 under_way.clear();
             }
-            node.members(ListForm::Change, engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)));
+            node.members(ListUpdate::Change, engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)));
         }
         let wanted = rate * if told { BURST } else { 1.0 } * STEP as f64 / 1e6;
         let whole = wanted.floor() as usize;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(name: &str, effect: Effect) -> Class {
+pub fn class(name: &str, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
         effect,
@@ -21,8 +21,8 @@
     }
 }
 
-pub fn kind(name: &str, role: Role) -> Kind {
-    Kind { name: name.into(), role, memory_tokens: 100_000 }
+pub fn kind(name: &str, role: Role) -> EngineKind {
+    EngineKind { name: name.into(), role, memory_tokens: 100_000 }
 }
 
 /// Classes 0 safe, 1 unsafe, 2 keyed by rack; kinds `r`, `w` and `m`.
@@ -32,14 +32,14 @@
         node: 0,
         nodes: 2,
         classes: vec![
-            class("safe", Effect::Safe),
-            class("unsafe", Effect::Unsafe),
-            class("keyed", Effect::Keyed(Group::Rack, 2 * SECOND)),
+            class("safe", Idempotency::Safe),
+            class("unsafe", Idempotency::Unsafe),
+            class("keyed", Idempotency::Keyed(IdempotencyScope::Rack, 2 * SECOND)),
         ],
         tenants: vec![],
         kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
-        discovery: Discovery::Pushed,
-        reports: Reports::Inline,
+        discovery: DiscoveryMode::Pushed,
+        reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
         may_cancel: true,
@@ -68,13 +68,13 @@
 }
 
 /// An entry: the kind is the first letter of the name.
-pub fn member(name: &str, zone: &str, rack: u64) -> Member {
-    Member {
+pub fn member(name: &str, zone: &str, rack: u64) -> Endpoint {
+    Endpoint {
         engine: engine(name),
         zone: zone.into(),
         kind: name[..1].into(),
         rack,
-        listing: Listing::Serving,
+        listing: EndpointState::Serving,
         weight: 1.0,
         started: None,
     }
@@ -103,7 +103,7 @@
     pub acts: Vec<Action>,
     classes: BTreeMap<RequestId, usize>,
     deadlines: BTreeMap<RequestId, Micros>,
-    members: BTreeMap<EngineId, Member>,
+    members: BTreeMap<EngineId, Endpoint>,
     /// Attempts by request: where, and the outcome once there is one.
     pub attempts: BTreeMap<RequestId, Vec<(EngineId, Micros, Option<Outcome>)>>,
     pub finals: BTreeMap<RequestId, Action>,
@@ -117,7 +117,7 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Node {
+    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Node {
         let mut node = Node {
             router: Router::new(settings.clone(), 7),
             settings,
@@ -133,7 +133,7 @@
             started: BTreeSet::new(),
             timers: vec![],
         };
-        node.members(ListForm::Full, members);
+        node.members(ListUpdate::Full, members);
         node
     }
 
@@ -155,10 +155,10 @@
         acts
     }
 
-    pub fn members(&mut self, form: ListForm, members: Vec<Member>) -> Vec<Action> {
-        if form == ListForm::Full {
+    pub fn members(&mut self, form: ListUpdate, members: Vec<Endpoint>) -> Vec<Action> {
+        if form == ListUpdate::Full {
             for member in self.members.values_mut() {
-                member.listing = Listing::Gone;
+                member.listing = EndpointState::Gone;
             }
         }
         for member in &members {
@@ -198,7 +198,7 @@
             }
         }
         let attempt = attempt as Attempt;
-        self.tell(Event::Ended(Ended { id: request, attempt, outcome, last, kept, load: None }))
+        self.tell(Event::AttemptEnd(AttemptEnd { id: request, attempt, outcome, last, kept, load: None }))
     }
 
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
@@ -270,8 +270,8 @@
         never_ran || self.role(&attempt.0) == Role::Reader
     }
 
-    fn effect(&self, request: &RequestId) -> Effect {
-        self.settings.classes.get(self.classes[request]).map_or(Effect::Unsafe, |c| c.effect)
+    fn effect(&self, request: &RequestId) -> Idempotency {
+        self.settings.classes.get(self.classes[request]).map_or(Idempotency::Unsafe, |c| c.effect)
     }
 
     fn check(&mut self, act: &Action) {
@@ -280,22 +280,22 @@
                 assert!(!self.is_over(request), "{request:?} is over and is sent");
                 assert!(*timeout > 0 && self.now < self.deadlines[request]);
                 let member = self.members[engine].clone();
-                assert_eq!(member.listing, Listing::Serving, "{engine:?} drains and is sent to");
+                assert_eq!(member.listing, EndpointState::Serving, "{engine:?} drains and is sent to");
                 let effect = self.effect(request);
                 let attempts = self.attempts.entry(request.clone()).or_default().clone();
                 assert!(attempts.len() < self.settings.max_attempts as usize);
                 assert!(attempts.iter().all(|a| a.2.is_some()), "two attempts of {request:?} are out");
                 if let Some(first) = attempts.iter().find(|a| !self.harmless(a)) {
                     match effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("{request:?} may have run and is sent again"),
-                        Effect::Keyed(group, window) => {
+                        Idempotency::Safe => {}
+                        Idempotency::Unsafe => panic!("{request:?} may have run and is sent again"),
+                        Idempotency::Keyed(group, window) => {
                             let from = &self.members[&first.0];
                             assert!(self.now <= first.1 + window, "outside the window");
                             assert!(match group {
-                                Group::All => true,
-                                Group::Zone => from.zone == member.zone,
-                                Group::Rack => from.rack == member.rack,
+                                IdempotencyScope::All => true,
+                                IdempotencyScope::Zone => from.zone == member.zone,
+                                IdempotencyScope::Rack => from.rack == member.rack,
                             });
                         }
                     }
@@ -308,7 +308,7 @@
                 let attempts = self.attempts.get(request).cloned().unwrap_or_default();
                 let may_have_run = attempts.iter().any(|a| !self.harmless(a));
                 let allowed = match self.effect(request) {
-                    Effect::Safe | Effect::Keyed(Group::All, _) => true,
+                    Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
                     _ => !may_have_run,
                 };
                 assert!(allowed, "{request:?} may have run and is refused");
@@ -329,7 +329,7 @@
                 assert!(*after > 0);
                 self.timers.push((self.now + after, *timer));
             }
-            Action::Follow => assert_eq!(self.settings.discovery, Discovery::OnRequest),
+            Action::Follow => assert_eq!(self.settings.discovery, DiscoveryMode::OnRequest),
             Action::Log(text) => assert!(!text.is_empty()),
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -40,14 +40,14 @@
 fn varied() -> impl Strategy<Value = Settings> {
     (any::<(bool, bool, bool, bool)>(), 2u32..7, 0usize..3, 1u32..4, 0usize..3).prop_map(
         |((may_cancel, may_probe, retry_advice, asked), max_attempts, group, nodes, reports)| {
-            let group = [Group::All, Group::Zone, Group::Rack][group];
+            let group = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Rack][group];
             // Few nodes, or so many that each sees next to nothing.
             let nodes = if nodes == 3 { 150 } else { nodes };
             let mut settings =
                 Settings { may_cancel, may_probe, retry_advice, max_attempts, nodes, ..settings() };
-            settings.classes[2] = class("keyed", Effect::Keyed(group, SECOND));
-            settings.discovery = if asked { Discovery::OnRequest } else { Discovery::Pushed };
-            settings.reports = [Reports::Inline, Reports::OnProbe, Reports::Off][reports];
+            settings.classes[2] = class("keyed", Idempotency::Keyed(group, SECOND));
+            settings.discovery = if asked { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
+            settings.reports = [LoadReporting::Inline, LoadReporting::OnProbe, LoadReporting::Off][reports];
             settings.tenants = vec![Tenant { name: "t".into(), quota_per_s: 2.0 }];
             settings
         },
@@ -58,7 +58,7 @@
     vec!["r1", "r2", "w1", "w2", "m1", "r3", "w3", "m2"]
 }
 
-fn entry(index: usize) -> Member {
+fn entry(index: usize) -> Endpoint {
     let zone = if index < 4 { "near" } else { "far" };
     member(names()[index], zone, index as u64 / 2)
 }
@@ -137,12 +137,12 @@
                 }
             }
             Step::List { full, engine, listing, restarted } => {
-                let listing = [Listing::Serving, Listing::Draining, Listing::Gone][listing];
+                let listing = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][listing];
                 let started = restarted.then_some(node.now);
-                let changed = Member { listing, started, ..entry(engine) };
+                let changed = Endpoint { listing, started, ..entry(engine) };
                 match full {
-                    true => node.members(ListForm::Full, (0..engine).map(entry).chain([changed]).collect()),
-                    false => node.members(ListForm::Change, vec![changed]),
+                    true => node.members(ListUpdate::Full, (0..engine).map(entry).chain([changed]).collect()),
+                    false => node.members(ListUpdate::Change, vec![changed]),
                 };
             }
             Step::Fire { watch } => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,11 +7,11 @@
 use common::*;
 use pintally::interface::*;
 
-fn pair() -> Vec<Member> {
+fn pair() -> Vec<Endpoint> {
     vec![member("r1", "near", 1), member("w1", "near", 1)]
 }
 
-fn fleet() -> Vec<Member> {
+fn fleet() -> Vec<Endpoint> {
     let mut members = vec![];
     for i in 1..=4 {
         members.push(member(&format!("r{i}"), "near", i % 2));
@@ -155,8 +155,8 @@
     node.now += SECOND;
     let started = Some(node.now - 100 * MS);
     let restarted =
-        fleet().into_iter().find(|m| *m.engine.0 == *holder).map(|m| Member { started, ..m }).unwrap();
-    node.members(ListForm::Change, vec![restarted]);
+        fleet().into_iter().find(|m| *m.engine.0 == *holder).map(|m| Endpoint { started, ..m }).unwrap();
+    node.members(ListUpdate::Change, vec![restarted]);
     node.arrive(request("b", 0, 1));
     assert_eq!(node.at("b"), Some(home.as_str()));
 }
@@ -222,7 +222,14 @@
 fn events_of_unknown_requests_change_nothing_but_a_state_is_let_go() {
     let mut node = Node::new(settings(), pair());
     let ended = |outcome| {
-        Event::Ended(Ended { id: id("ghost"), attempt: 3, outcome, last: false, kept: 0, load: None })
+        Event::AttemptEnd(AttemptEnd {
+            id: id("ghost"),
+            attempt: 3,
+            outcome,
+            last: false,
+            kept: 0,
+            load: None,
+        })
     };
     assert!(node.tell(Event::FirstToken(id("ghost"), 0)).is_empty());
     assert!(node.tell(Event::Withdrawn(id("ghost"))).is_empty());
@@ -351,7 +358,10 @@
         settings(),
         vec![member("r1", "near", 1), member("r2", "near", 1), member("w1", "near", 1)],
     );
-    node.members(ListForm::Change, vec![Member { listing: Listing::Draining, ..member("r1", "near", 1) }]);
+    node.members(
+        ListUpdate::Change,
+        vec![Endpoint { listing: EndpointState::Draining, ..member("r1", "near", 1) }],
+    );
     for session in 0..6 {
         let name = format!("a{session}");
         node.arrive(request(&name, 0, session));
@@ -359,11 +369,11 @@
         serve(&mut node, &name);
     }
     // A full list without an engine means that it is gone.
-    node.members(ListForm::Full, vec![member("r1", "near", 1), member("w1", "near", 1)]);
+    node.members(ListUpdate::Full, vec![member("r1", "near", 1), member("w1", "near", 1)]);
     node.arrive(request("b", 0, 9));
     assert_eq!(node.at("b"), Some("r1"));
     // A list that could not be had changes nothing.
-    node.tell(Event::Members(ListForm::Failed, vec![]));
+    node.tell(Event::Members(ListUpdate::Failed, vec![]));
     node.arrive(request("c", 0, 10));
     assert_eq!(node.at("c"), Some("r1"));
 }
@@ -374,8 +384,8 @@
 fn a_cold_engine_gets_little_and_a_warm_one_its_share() {
     let started = |node: &Node| Some(node.now);
     let mut node = Node::new(settings(), pair());
-    let cold = Member { started: started(&node), ..member("r2", "near", 1) };
-    node.members(ListForm::Change, vec![cold]);
+    let cold = Endpoint { started: started(&node), ..member("r2", "near", 1) };
+    node.members(ListUpdate::Change, vec![cold]);
     let mut sends = 0;
     for session in 0..40 {
         let name = format!("c{session}");
@@ -439,9 +449,9 @@
     let mut router = pintally::Router::new(settings(), 7);
     let mut acts = Vec::new();
     for round in 0..5_000 {
-        let gone = Member { listing: Listing::Gone, ..member(&format!("r{round}"), "near", 1) };
+        let gone = Endpoint { listing: EndpointState::Gone, ..member(&format!("r{round}"), "near", 1) };
         let new = vec![member(&format!("r{}", round + 1), "near", 1), gone];
-        router.handle(SECOND + round, Event::Members(ListForm::Change, new), &mut acts);
+        router.handle(SECOND + round, Event::Members(ListUpdate::Change, new), &mut acts);
     }
     assert!(router.beliefs(9 * SECOND).len() <= 3, "{}", router.beliefs(9 * SECOND).len());
 }
@@ -705,7 +715,7 @@
     for i in 0..5 {
         node.arrive(request(&format!("hung{i}"), 0, i));
     }
-    node.members(ListForm::Change, vec![member("r2", "near", 1)]);
+    node.members(ListUpdate::Change, vec![member("r2", "near", 1)]);
     node.end("hung0", Outcome::Broken);
     for i in 0..4 {
         let name = format!("next{i}");
@@ -715,12 +725,12 @@
 }
 
 /// A session whose unseen prompt goes to this engine of the fleet.
-fn session_of(home: &str, members: &[Member]) -> u64 {
+fn session_of(home: &str, members: &[Endpoint]) -> u64 {
     key_of(&[home], members, |session| request("x", 0, session))
 }
 
 /// The first key whose request goes to one of these readers.
-fn key_of(homes: &[&str], members: &[Member], ask: impl Fn(u64) -> Request) -> u64 {
+fn key_of(homes: &[&str], members: &[Endpoint], ask: impl Fn(u64) -> Request) -> u64 {
     let goes = |key: &u64| {
         let mut node = Node::new(settings(), members.to_vec());
         node.arrive(ask(*key));
@@ -730,7 +740,7 @@
 }
 
 fn report(node: &mut Node, name: &str, memory: f64) {
-    let load = Load { memory: Some(memory), ..Load::default() };
+    let load = LoadReport { memory: Some(memory), ..LoadReport::default() };
     node.tell(Event::Probed(engine(name), true, Some(load)));
 }
 
@@ -842,8 +852,8 @@
         for turn in 0.. {
             if node.now >= begin && !told {
                 told = true;
-                let cold = Member { started: Some(begin), ..member(target, "near", 1) };
-                node.members(ListForm::Change, vec![cold]);
+                let cold = Endpoint { started: Some(begin), ..member(target, "near", 1) };
+                node.members(ListUpdate::Change, vec![cold]);
             }
             if node.now >= begin + 9 * SECOND {
                 break;
@@ -913,7 +923,7 @@
 
 #[test]
 fn one_of_many_nodes_probes_no_more_than_its_own_traffic_pays_for() {
-    let shape = Settings { reports: Reports::OnProbe, ..one_of_many() };
+    let shape = Settings { reports: LoadReporting::OnProbe, ..one_of_many() };
     let members = (0..60).map(|i| member(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
     let mut node = Node::new(shape, members);
     let mut all = 0;
@@ -949,7 +959,7 @@
         let acts = node.arrive(request("a", 0, session));
         assert_eq!(probes(&acts).contains(&"r1"), nodes > 10);
         for (name, waits) in [("r1", queue), ("r2", 0.0)] {
-            let load = Load { queue: Some(waits), slots: Some(0.5), ..Load::default() };
+            let load = LoadReport { queue: Some(waits), slots: Some(0.5), ..LoadReport::default() };
             node.tell(Event::Probed(engine(name), true, Some(load)));
         }
         assert_eq!(node.at("a"), expected, "{nodes} nodes, {queue} wait");
@@ -968,7 +978,7 @@
         node.arrive(request("usual", 0, 900));
         node.now += 100 * MS;
         serve(&mut node, "usual");
-        let load = Load { backlog: Some(100.0), ..Load::default() };
+        let load = LoadReport { backlog: Some(100.0), ..LoadReport::default() };
         node.tell(Event::Probed(engine("r1"), true, Some(load)));
         node.now += waited;
         node.arrive(request("a", 0, session));
@@ -1030,7 +1040,7 @@
 #[test]
 fn many_nodes_agree_on_a_sessions_home_whatever_each_has_seen() {
     let names = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
-    let members: Vec<Member> = names.iter().map(|n| member(n, "near", 1)).collect();
+    let members: Vec<Endpoint> = names.iter().map(|n| member(n, "near", 1)).collect();
     let shared = |name: &str, own| Request { prefix: Some(7), prefix_tokens: 1_500, ..request(name, 0, own) };
     let mut homes = BTreeSet::new();
     for session in 0..8 {
@@ -1185,7 +1195,7 @@
 #[test]
 fn homes_of_shared_beginnings_lie_where_writers_are_and_other_prompts_elsewhere() {
     // Guards against states that all cross the one link of a rack without writers.
-    let mut members: Vec<Member> = (1..=4).map(|i| member(&format!("r{i}"), "near", i / 3)).collect();
+    let mut members: Vec<Endpoint> = (1..=4).map(|i| member(&format!("r{i}"), "near", i / 3)).collect();
     members.extend((1..=4).map(|i| member(&format!("w{i}"), "near", 0)));
     let (mut near, mut plain) = (0, 0);
     for key in 0..200 {
@@ -1235,7 +1245,7 @@
     let mut members = vec![member("w1", "near", 1), member("r6", "near", 2)];
     members.extend((1..=5).map(|i| member(&format!("r{i}"), "near", 1)));
     members.extend((2..=6).map(|i| member(&format!("w{i}"), "near", 2)));
-    for (reports, mostly) in [(Reports::Off, false), (Reports::Inline, true)] {
+    for (reports, mostly) in [(LoadReporting::Off, false), (LoadReporting::Inline, true)] {
         let mut node = Node::new(Settings { reports, nodes: 200, ..settings() }, members.clone());
         let (mut near, mut read) = (0, 0);
         for i in 0..400 {
@@ -1287,7 +1297,7 @@
     let shared =
         |name: &str, key| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, key) };
     for (took, passed) in [(50 * MS, false), (1_500 * MS, true)] {
-        let mut node = Node::new(Settings { reports: Reports::Off, ..settings() }, members.clone());
+        let mut node = Node::new(Settings { reports: LoadReporting::Off, ..settings() }, members.clone());
         // A home of the rack with few writers, and what its states take over the link.
         let key = key_of(&near, &members, |key| shared("x", key));
         let (mut first, mut last) = (String::new(), String::new());
@@ -1321,7 +1331,7 @@
 fn writers_are_compared_in_streams_whatever_unit_their_weights_have() {
     // Guards against weights of 22 that make 22 streams count as one: near writers won whatever they had.
     for unit in [1.0, 22.0] {
-        let at = |name: &str, rack| Member { weight: unit, ..member(name, "near", rack) };
+        let at = |name: &str, rack| Endpoint { weight: unit, ..member(name, "near", rack) };
         let members = vec![at("r1", 1), at("w1", 1), at("w2", 2), at("w3", 2)];
         let mut node = Node::new(settings(), members);
         let mut near = 0;
@@ -1341,7 +1351,7 @@
 fn a_popular_beginning_does_not_push_its_cold_home_over() {
     // A recorded rule broken: 26 of 46 nodes each sent one prompt of a hot beginning to its home within 1.5 s of
     // its start. Reads are spread only where prompts begin differently.
-    let members: Vec<Member> = ["r1", "r2", "w1", "w2"].map(|name| member(name, "near", 1)).into();
+    let members: Vec<Endpoint> = ["r1", "r2", "w1", "w2"].map(|name| member(name, "near", 1)).into();
     let key = key_of(&["r2"], &members, |key| Request {
         prefix: Some(key),
         prefix_tokens: 1_500,
