--- a/crates/pintally-accord/src/keeper.rs
+++ b/crates/pintally-accord/src/keeper.rs
@@ -870,3 +870,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/pintally-accord/tests/golden.rs
@@ -0,0 +1,120 @@
+//! Messages and log entries as bytes: nodes of different builds read each other's.
+
+use std::fmt::Debug;
+
+use pintally_accord::{Entry, KeeperName, Message, Position, Refusal, Value, What, Write};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+const GOLDEN: &str = include_str!("golden/messages.txt");
+
+/// The bytes that the golden file holds under a name.
+fn golden(name: &str) -> Vec<u8> {
+    let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+    let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+#[track_caller]
+fn assert_bytes(name: &str, bytes: &[u8]) {
+    assert_eq!(bytes, golden(name), "bytes of {name}");
+}
+
+/// Asserts that a value is written as, and read from, the golden bytes of that name.
+#[track_caller]
+fn assert_stable<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
+    assert_bytes(name, &postcard::to_stdvec(&value).unwrap());
+    assert_eq!(postcard::from_bytes::<T>(&golden(name)).unwrap(), value, "value of {name}");
+}
+
+const LAST: Position = Position { term: 300, index: 70_000 };
+
+fn members() -> Vec<KeeperName> {
+    ["n1", "n2", "n3"].map(KeeperName::from).to_vec()
+}
+
+fn write(expect: Option<u64>) -> Write {
+    Write { key: "limit/tenant-a".into(), value: vec![0, 1, 254, 255], expect }
+}
+
+fn entries() -> Vec<Entry> {
+    let contents = [
+        What::Nothing,
+        What::Keepers(members()),
+        What::Write(write(None)),
+        What::Write(write(Some(129))),
+        What::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
+    ];
+    contents.into_iter().zip(299..).map(|(what, term)| Entry { term, what }).collect()
+}
+
+#[test]
+fn log_entry_bytes_are_stable() {
+    let names = ["entry_nothing", "entry_members", "entry_write", "entry_write_expecting", "entry_delete"];
+    names.into_iter().zip(entries()).for_each(|(name, entry)| assert_stable(name, entry));
+    assert_stable("value", Value { version: 130, bytes: vec![7, 0, 255] });
+}
+
+#[test]
+fn vote_request_bytes_are_stable() {
+    assert_stable("vote_request", Message::AskVote { term: 301, last: LAST, before: false });
+    assert_stable("pre_vote_request", Message::AskVote { term: 301, last: LAST, before: true });
+}
+
+#[test]
+fn vote_response_bytes_are_stable() {
+    assert_stable("vote_granted", Message::Vote { term: 301, given: true, before: false });
+    assert_stable("vote_denied", Message::Vote { term: 302, given: false, before: false });
+    assert_stable("pre_vote_granted", Message::Vote { term: 301, given: true, before: true });
+}
+
+#[test]
+fn append_entries_request_bytes_are_stable() {
+    let request =
+        |entries| Message::Append { term: 301, after: LAST, entries, commit: 69_999, sent: 1 << 40 };
+    assert_stable("append_entries", request(entries()));
+    assert_stable("heartbeat", request(Vec::new()));
+}
+
+#[test]
+fn append_entries_response_bytes_are_stable() {
+    let response = |agrees| Message::Appended { term: 301, agrees, last: 70_005, sent: 1 << 40 };
+    assert_stable("append_entries_success", response(true));
+    assert_stable("append_entries_conflict", response(false));
+}
+
+#[test]
+fn install_snapshot_bytes_are_stable() {
+    let chunk = Message::Snapshot {
+        term: 301,
+        at: LAST,
+        keepers: members(),
+        from: 640,
+        of: 1_000,
+        bytes: vec![0, 128, 255],
+        sent: 1 << 40,
+    };
+    assert_stable("install_snapshot", chunk);
+    assert_stable(
+        "install_snapshot_response",
+        Message::Taken { term: 301, at: LAST, upto: 643, sent: 1 << 40 },
+    );
+}
+
+#[test]
+fn state_query_bytes_are_stable() {
+    let response = |empty, keepers| Message::Hold { term: 301, last: LAST, empty, keepers };
+    assert_stable("state_query", Message::Ask);
+    assert_stable("state_response", response(false, members()));
+    assert_stable("state_response_empty", response(true, Vec::new()));
+}
+
+#[test]
+fn proposal_refusal_bytes_are_stable() {
+    assert_stable("refusal_not_leader", Refusal::NotLeading(Some("n2".into())));
+    assert_stable("refusal_no_leader", Refusal::NotLeading(None));
+    assert_stable("refusal_unsure", Refusal::Unsure);
+    assert_stable("refusal_busy", Refusal::Busy);
+    assert_stable("refusal_out_of_bounds", Refusal::Unsound);
+}
