--- /dev/null
+++ b/crates/pintally-shares/tests/golden.rs
@@ -0,0 +1,66 @@
+//! Messages between holders and the lender as bytes: nodes of different builds read each other's.
+
+use std::fmt::Debug;
+
+use pintally_shares::{Ask, Bound, Grant, Kind, LimitId};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+const GOLDEN: &str = include_str!("golden/messages.txt");
+
+/// The bytes that the golden file holds under a name.
+fn golden(name: &str) -> Vec<u8> {
+    let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+    let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+#[track_caller]
+fn assert_bytes(name: &str, bytes: &[u8]) {
+    assert_eq!(bytes, golden(name), "bytes of {name}");
+}
+
+/// Asserts that a value is written as, and read from, the golden bytes of that name.
+#[track_caller]
+fn assert_stable<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
+    assert_bytes(name, &postcard::to_stdvec(&value).unwrap());
+    assert_eq!(postcard::from_bytes::<T>(&golden(name)).unwrap(), value, "value of {name}");
+}
+
+const LIMIT: LimitId = LimitId(0xfedc_ba98);
+/// The sender's life stands before the asks and grants of one message.
+const LIFE: u64 = 1 << 40;
+
+fn ask() -> Ask {
+    Ask { limit: LIMIT, number: 300, holds: 0.1, wants: 1.5e9 }
+}
+
+fn grant() -> Grant {
+    Grant { limit: LIMIT, number: 300, share: 12.25, most: 0.1 }
+}
+
+#[test]
+fn ask_bytes_are_stable() {
+    assert_stable("ask", ask());
+    let nothing = Ask { limit: LimitId(0), number: 1, holds: 0.0, wants: 0.0 };
+    assert_stable("ask_message", (LIFE, vec![ask(), nothing]));
+    assert_stable("ask_message_empty", (LIFE, Vec::<Ask>::new()));
+}
+
+#[test]
+fn grant_bytes_are_stable() {
+    assert_stable("grant", grant());
+    let nothing = Grant { limit: LimitId(1), number: 2, share: 0.0, most: f64::MAX };
+    assert_stable("grant_message", (LIFE, vec![grant(), nothing]));
+    assert_stable("grant_message_empty", (LIFE, Vec::<Grant>::new()));
+}
+
+#[test]
+fn limit_bytes_are_stable() {
+    assert_stable("limit_id", LIMIT);
+    assert_stable("kind_rate", Kind::Rate);
+    assert_stable("kind_level", Kind::Level);
+    assert_stable("bound_hard", Bound::Hard);
+    assert_stable("bound_soft", Bound::Soft);
+}
