--- a/crates/pintally-peers/src/packet.rs
+++ b/crates/pintally-peers/src/packet.rs
@@ -119,3 +119,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
