--- /dev/null
+++ b/crates/pintally-regions/tests/golden.rs
@@ -0,0 +1,49 @@
+//! Words and plans as bytes: nodes of different builds read each other's.
+
+use pintally_regions::{Local, Plan, Word};
+
+const GOLDEN: &str = include_str!("golden/words.txt");
+
+/// The bytes that the golden file holds under a name.
+fn golden(name: &str) -> Vec<u8> {
+    let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+    let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+#[track_caller]
+fn assert_bytes(name: &str, bytes: &[u8]) {
+    assert_eq!(bytes, golden(name), "bytes of {name}");
+}
+
+#[test]
+fn word_bytes_are_stable() {
+    let full = Word { offered: 12.25, zones: vec![(300, 255, 0), (0, 0, 0), (65_000, 1, 128)] };
+    for (name, word) in [("word", full), ("word_empty", Word::default())] {
+        assert_bytes(name, &word.encode());
+        assert_eq!(Word::decode(&golden(name)), Some(word), "word of {name}");
+    }
+}
+
+/// What a node has counted, as it is told.
+#[test]
+fn local_word_bytes_are_stable() {
+    let mut local = Local::new(3);
+    (0..4).for_each(|_| local.offered(0));
+    (0..4).for_each(|n| local.ended(0, 1, n == 0));
+    local.late(0, 1);
+    let word = local.word(0);
+    assert_bytes("local_word", &word.encode());
+    assert_eq!(Word::decode(&golden("local_word")), Some(word));
+}
+
+#[test]
+fn plan_bytes_are_stable() {
+    let rows = vec![vec![(0, 200), (2, 55)], Vec::new(), vec![(2, 255)]];
+    let full = Plan { term: 301, number: 1 << 40, rows, open: vec![255, 0, 128] };
+    for (name, plan) in [("plan", full), ("plan_empty", Plan::default())] {
+        assert_bytes(name, &plan.encode());
+        assert_eq!(Plan::decode(&golden(name), plan.rows.len()), Some(plan), "plan of {name}");
+    }
+}
