--- /dev/null
+++ b/crates/pintally-cells/tests/golden.rs
@@ -0,0 +1,66 @@
+//! The cells file and its kept copy as text: a later build reads what an earlier one has written.
+
+use pintally::interface::{Discovery, Reports, Settings, Tenant};
+use pintally_cells::{CellSpec, CellsFile, Home, Move, Needs, Step, TenantHome};
+
+const GOLDEN: &str = include_str!("golden/cells.txt");
+
+fn core() -> Settings {
+    let tenant = |name: &str| Tenant { name: name.to_string(), quota_per_s: 0.0 };
+    Settings {
+        zone: String::new(),
+        node: 0,
+        nodes: 1,
+        classes: Vec::new(),
+        tenants: ["t", "u", "v\"w", "x"].map(tenant).to_vec(),
+        kinds: Vec::new(),
+        discovery: Discovery::Pushed,
+        reports: Reports::Inline,
+        weights: true,
+        writers_read: false,
+        may_cancel: true,
+        may_probe: true,
+        probe_price: 0.0,
+        retry_advice: true,
+        max_retry_after: 1_000_000,
+        max_attempts: 6,
+        cold_from: 0.3,
+        warm_after: 0,
+        tip_multiple: 2.5,
+        tip_window: 1,
+        connect_within: 0,
+        release_within: 500_000,
+        ask_within: 0,
+        usual: [0.0; 3],
+    }
+}
+
+fn cell(name: &str, weight: f64, readers: usize, fallback: Option<&str>) -> CellSpec {
+    let needs = Needs { readers, writers: 3 };
+    CellSpec { name: name.into(), weight, needs, fallback: fallback.map(Into::into) }
+}
+
+fn step(tenant: &str, step: Step) -> Move {
+    Move { tenant: tenant.into(), to: vec!["b".into(), "c d".into()], over_ms: 1_000, step }
+}
+
+fn file() -> CellsFile {
+    let home = |tenant: &str, home| TenantHome { tenant: tenant.into(), home };
+    CellsFile {
+        version: 300,
+        cells: vec![cell("a", 1.0, 2, Some("b")), cell("b", 0.25, 1, None), cell("c d", 0.0, 100, None)],
+        tenants: vec![home("t", Home::Pinned(vec!["a".into(), "b".into()])), home("v\"w", Home::Shards(2))],
+        moves: vec![
+            step("t", Step::Prepare),
+            step("u", Step::Both { since: 5_000 }),
+            step("v\"w", Step::Done { since: 5_000 }),
+            step("x", Step::Back { since: 5_000, at: 6_000 }),
+        ],
+    }
+}
+
+#[test]
+fn cells_file_text_is_stable() {
+    assert_eq!(file().render(), GOLDEN);
+    assert_eq!(CellsFile::parse("cells", GOLDEN, &core()).unwrap(), file());
+}
