--- a/crates/pintally-node/src/fleet.rs
+++ b/crates/pintally-node/src/fleet.rs
@@ -806,3 +806,6 @@
         self.udp.address()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pintally-node/src/keeper.rs
+++ b/crates/pintally-node/src/keeper.rs
@@ -331,3 +331,6 @@
         done
     }
 }
+
+#[cfg(test)]
+mod tests;
