--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -55,8 +55,8 @@
              majority hears each other\n  a lead surely ends {:.2} s after its last answered word",
             keepers.names.len(),
             (keepers.names.len() - 1) / 2,
-            figures.led_again_within() as f64 / 1e6,
-            figures.lead_lasts() as f64 / 1e6
+            figures.max_election_duration() as f64 / 1e6,
+            figures.leader_lease() as f64 / 1e6
         );
     }
     if let Some(verdicts) = &settings.verdicts {
--- a/crates/pintally-consensus/src/doubt.rs
+++ b/crates/pintally-consensus/src/doubt.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::log::Position;
-use crate::{KeeperName, Micros};
+use crate::{Micros, ReplicaName};
 
 /// What another keeper has said since the start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -15,7 +15,7 @@
     pub(crate) term: u64,
     pub(crate) last: Position,
     pub(crate) empty: bool,
-    pub(crate) keepers: Vec<KeeperName>,
+    pub(crate) keepers: Vec<ReplicaName>,
 }
 
 /// What is known while a keeper doubts.
@@ -24,7 +24,7 @@
     pub(crate) since: Micros,
     /// The disk showed no harm.
     pub(crate) clean: bool,
-    pub(crate) told: BTreeMap<KeeperName, Told>,
+    pub(crate) told: BTreeMap<ReplicaName, Told>,
     pub(crate) next_ask: Micros,
 }
 
@@ -44,11 +44,11 @@
 
 impl Doubt {
     /// Whether and how it ends. `own` is what the disk had.
-    pub(crate) fn end(&self, now: Micros, me: &KeeperName, own: &Told, patience: Micros) -> Option<End> {
+    pub(crate) fn end(&self, now: Micros, me: &ReplicaName, own: &Told, patience: Micros) -> Option<End> {
         // Whoever holds most knows best who the keepers are.
         let all = || self.told.values().chain([own]);
         let keepers = &all().max_by_key(|t| (!t.empty, t.last))?.keepers;
-        let others: Vec<&KeeperName> = keepers.iter().filter(|k| *k != me).collect();
+        let others: Vec<&ReplicaName> = keepers.iter().filter(|k| *k != me).collect();
         let heard = others.iter().filter(|k| self.told.contains_key(**k)).count();
         let mine = keepers.contains(me);
         if all().all(|t| t.empty) {
--- a/crates/pintally-consensus/src/keeper.rs
+++ b/crates/pintally-consensus/src/keeper.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::doubt::{majority, Doubt, End, Told};
-use crate::log::{Entry, Log, Position, What};
+use crate::log::{Entry, Log, LogCommand, Position};
 use crate::message::{Message, MAX_CARRY};
-use crate::register::{Register, Write};
+use crate::register::{KeyValueStore, Write};
 use crate::settings::Settings;
 use crate::status::Status;
-use crate::{KeeperName, Micros};
+use crate::{Micros, ReplicaName};
 
 /// Bytes of the largest snapshot that is taken in.
 const MAX_SNAPSHOT: u32 = 4 << 20;
@@ -27,36 +27,40 @@
     /// Make these bytes safe before anything that comes after them is done.
     Save(Vec<u8>),
     /// Send this to a keeper.
-    Send(KeeperName, Message),
+    Send(ReplicaName, Message),
     /// A proposal has been agreed on and made; the version that stands, or the one in its way.
     Done(u64, Result<u64, u64>),
     /// A proposal came to nothing here; it may still be made by a later leader where that is said.
-    Refused(u64, Refusal),
+    Refused(u64, ProposalError),
     /// The register, or who the keepers are, has changed.
     Changed,
 }
 
 /// Why a proposal came to nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum ProposalError {
     /// Another keeper leads, if anybody is known to.
-    NotLeading(Option<KeeperName>),
+    NotLeader(Option<ReplicaName>),
     /// The lead was lost before it was agreed on: it may be made, or not.
-    Unsure,
+    LeadershipLost,
     /// A change of keepers is under way, or this term has agreed on nothing yet.
     Busy,
     /// It is out of bounds.
-    InvalidConfiguration,
+    OutOfBounds,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for ProposalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::NotLeading(Some(leader)) => write!(f, "{leader} leads the keepers"),
-            Refusal::NotLeading(None) => f.write_str("no keeper leads: there is no majority, or not yet"),
-            Refusal::Unsure => f.write_str("the lead was lost meanwhile: ask whether it was made"),
-            Refusal::Busy => f.write_str("another change of keepers is under way"),
-            Refusal::InvalidConfiguration => f.write_str("the change is out of bounds"),
+            ProposalError::NotLeader(Some(leader)) => write!(f, "{leader} leads the keepers"),
+            ProposalError::NotLeader(None) => {
+                f.write_str("no keeper leads: there is no majority, or not yet")
+            }
+            ProposalError::LeadershipLost => {
+                f.write_str("the lead was lost meanwhile: ask whether it was made")
+            }
+            ProposalError::Busy => f.write_str("another change of keepers is under way"),
+            ProposalError::OutOfBounds => f.write_str("the change is out of bounds"),
         }
     }
 }
@@ -65,7 +69,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Saved {
     term: u64,
-    voted: Option<KeeperName>,
+    voted: Option<ReplicaName>,
     formed: bool,
     log: Log,
 }
@@ -85,7 +89,7 @@
 enum Standing {
     Follows,
     /// Asks for votes: whether nothing is given away yet, and who would, or does, give theirs.
-    Stands(bool, BTreeSet<KeeperName>),
+    Stands(bool, BTreeSet<ReplicaName>),
     Leads,
 }
 
@@ -98,11 +102,11 @@
 
 /// One keeper.
 #[derive(Clone)]
-pub struct Keeper {
+pub struct Replica {
     settings: Settings,
     rng: ChaCha8Rng,
     saved: Saved,
-    register: Register,
+    register: KeyValueStore,
     commit: u64,
     applied: u64,
     standing: Standing,
@@ -111,40 +115,40 @@
     clean: bool,
     /// What others were seen to hold after a start: nobody gets a vote who has less.
     debt: Position,
-    leader: Option<KeeperName>,
+    leader: Option<ReplicaName>,
     /// Until then nobody gets a vote: there is a leader, or there was one before the start.
     loyal_until: Micros,
     stand_at: Micros,
     next_beat: Micros,
-    others: BTreeMap<KeeperName, Progress>,
-    joining: Option<KeeperName>,
+    others: BTreeMap<ReplicaName, Progress>,
+    joining: Option<ReplicaName>,
     waiting: BTreeMap<u64, (u64, u64)>,
     incoming: Option<Incoming>,
     led_since: Micros,
     dirty: bool,
     changed: bool,
     done: Vec<Output>,
-    sends: Vec<(KeeperName, Message)>,
+    sends: Vec<(ReplicaName, Message)>,
 }
 
-impl Keeper {
+impl Replica {
     /// A keeper at the start of a process. `saved` is what the disk gave back of the last
     /// [`Output::Save`]; `clean` says that the disk showed no harm.
-    pub fn new(settings: Settings, saved: Option<&[u8]>, clean: bool, seed: u64, now: Micros) -> Keeper {
+    pub fn new(settings: Settings, saved: Option<&[u8]>, clean: bool, seed: u64, now: Micros) -> Replica {
         let read: Option<Saved> = saved.and_then(|bytes| postcard::from_bytes(bytes).ok());
         let clean = clean && read.is_some();
         let mut saved = read.unwrap_or_default();
-        let mut register = Register::decode(&saved.log.snapshot);
+        let mut register = KeyValueStore::decode(&saved.log.snapshot);
         if register.is_none() {
             saved = Saved::default();
-            register = Some(Register::default());
+            register = Some(KeyValueStore::default());
         }
         if !saved.formed {
             saved.log.keepers = settings.keepers.clone();
         }
         let commit = saved.log.base.index;
         let doubt = Doubt { since: now, clean, told: BTreeMap::new(), next_ask: now };
-        let mut keeper = Keeper {
+        let mut keeper = Replica {
             rng: ChaCha8Rng::seed_from_u64(seed),
             register: register.unwrap_or_default(),
             commit,
@@ -176,7 +180,7 @@
     // ---- what it knows ----
 
     /// The register as far as it is agreed on here; it may be behind.
-    pub fn register(&self) -> &Register {
+    pub fn register(&self) -> &KeyValueStore {
         &self.register
     }
 
@@ -198,7 +202,7 @@
     }
 
     /// Who leads, as far as it knows.
-    pub fn leader(&self) -> Option<&KeeperName> {
+    pub fn leader(&self) -> Option<&ReplicaName> {
         self.leader.as_ref()
     }
 
@@ -208,7 +212,7 @@
     }
 
     /// Who the keepers are, as far as it knows.
-    pub fn keepers(&self) -> &[KeeperName] {
+    pub fn keepers(&self) -> &[ReplicaName] {
         self.saved.log.keepers_at(u64::MAX)
     }
 
@@ -218,7 +222,7 @@
     }
 
     /// Whether it does not vote yet.
-    pub fn doubts(&self) -> bool {
+    pub fn is_recovering_votes(&self) -> bool {
         self.doubt.is_some()
     }
 
@@ -292,7 +296,7 @@
         let since = *heard.get(majority(keepers.len()) - 1)?;
         // Alone it is its own majority.
         let since = if since == Micros::MAX { self.next_beat } else { since };
-        Some(since.saturating_add(self.settings.lead_lasts()))
+        Some(since.saturating_add(self.settings.leader_lease()))
     }
 
     fn is_keeper(&self) -> bool {
@@ -304,46 +308,46 @@
     /// Asks for a change of the register; `number` comes back with what became of it.
     pub fn propose(&mut self, now: Micros, number: u64, write: Write, out: &mut Vec<Output>) {
         if !write.sound() {
-            return out.push(Output::Refused(number, Refusal::InvalidConfiguration));
+            return out.push(Output::Refused(number, ProposalError::OutOfBounds));
         }
-        self.enter(now, number, What::Write(write), out);
+        self.enter(now, number, LogCommand::Write(write), out);
     }
 
     /// Asks for another set of keepers: one more, or one fewer. One that comes catches up first.
-    pub fn change(&mut self, now: Micros, number: u64, keepers: Vec<KeeperName>, out: &mut Vec<Output>) {
+    pub fn change(&mut self, now: Micros, number: u64, keepers: Vec<ReplicaName>, out: &mut Vec<Output>) {
         let (old, new): (BTreeSet<_>, BTreeSet<_>) =
             (self.keepers().iter().cloned().collect(), keepers.iter().cloned().collect());
         let apart = old.symmetric_difference(&new).count();
         let wished = Settings { keepers: keepers.clone(), ..self.settings.clone() };
         if apart != 1 || wished.check().is_err() {
-            return out.push(Output::Refused(number, Refusal::InvalidConfiguration));
+            return out.push(Output::Refused(number, ProposalError::OutOfBounds));
         }
         let last_change = self.saved.log.last_change();
         let own_term = self.saved.log.term_of(self.commit) == Some(self.saved.term);
         if self.standing == Standing::Leads && (self.commit < last_change || !own_term) {
-            return out.push(Output::Refused(number, Refusal::Busy));
+            return out.push(Output::Refused(number, ProposalError::Busy));
         }
         if let Some(new) = new.difference(&old).next() {
             let caught_up = self.others.get(new).is_some_and(|p| p.matched >= self.commit);
             if self.standing == Standing::Leads && !caught_up {
                 self.joining = Some(new.clone());
                 self.follow_up();
-                out.push(Output::Refused(number, Refusal::Busy));
+                out.push(Output::Refused(number, ProposalError::Busy));
                 return self.finish(out);
             }
         }
-        self.enter(now, number, What::Keepers(keepers), out);
+        self.enter(now, number, LogCommand::ChangeReplicas(keepers), out);
     }
 
-    fn enter(&mut self, now: Micros, number: u64, what: What, out: &mut Vec<Output>) {
+    fn enter(&mut self, now: Micros, number: u64, what: LogCommand, out: &mut Vec<Output>) {
         if self.leads(now).is_none() {
             let leader = self.leader.clone().filter(|l| *l != self.settings.name);
-            return out.push(Output::Refused(number, Refusal::NotLeading(leader)));
+            return out.push(Output::Refused(number, ProposalError::NotLeader(leader)));
         }
         if self.waiting.len() >= MAX_WAITING {
-            return out.push(Output::Refused(number, Refusal::Busy));
+            return out.push(Output::Refused(number, ProposalError::Busy));
         }
-        if matches!(what, What::Keepers(_)) {
+        if matches!(what, LogCommand::ChangeReplicas(_)) {
             self.joining = None;
         }
         self.saved.log.entries.push(Entry { term: self.saved.term, what });
@@ -357,7 +361,7 @@
 
     // ---- time ----
 
-    /// When [`Keeper::tick`] has something to do.
+    /// When [`Replica::tick`] has something to do.
     pub fn next_wake(&self) -> Micros {
         match (&self.doubt, &self.standing) {
             (Some(doubt), _) => doubt.next_ask,
@@ -393,13 +397,13 @@
             return;
         }
         doubt.next_ask = now + self.settings.beat;
-        let mut all: BTreeSet<KeeperName> = self.keepers().iter().cloned().collect();
+        let mut all: BTreeSet<ReplicaName> = self.keepers().iter().cloned().collect();
         all.extend(self.settings.keepers.iter().cloned());
         if let Some(doubt) = &self.doubt {
             all.extend(doubt.told.values().flat_map(|t| t.keepers.iter().cloned()));
         }
         all.remove(&self.settings.name);
-        self.sends.extend(all.into_iter().map(|k| (k, Message::Ask)));
+        self.sends.extend(all.into_iter().map(|k| (k, Message::RecoveryRequest)));
     }
 
     /// Looks whether the doubt has an end.
@@ -475,12 +479,12 @@
         self.standing = Standing::Stands(before, BTreeSet::from([self.settings.name.clone()]));
         let last = self.last();
         for keeper in self.fellows() {
-            self.sends.push((keeper, Message::AskVote { term, last, before }));
+            self.sends.push((keeper, Message::RequestVote { term, last, before }));
         }
         self.count_votes(now);
     }
 
-    fn fellows(&self) -> Vec<KeeperName> {
+    fn fellows(&self) -> Vec<ReplicaName> {
         self.keepers().iter().filter(|k| **k != self.settings.name).cloned().collect()
     }
 
@@ -504,7 +508,7 @@
         self.others.clear();
         // The first log of all begins with who the keepers are, so that a base is never needed for it.
         let first = self.last().index == 0;
-        let what = if first { What::Keepers(self.keepers().to_vec()) } else { What::Nothing };
+        let what = if first { LogCommand::ChangeReplicas(self.keepers().to_vec()) } else { LogCommand::Noop };
         self.saved.log.entries.push(Entry { term: self.saved.term, what });
         self.dirty = true;
         self.next_beat = now + self.settings.beat;
@@ -522,7 +526,7 @@
         if self.standing == Standing::Leads {
             self.leader = None;
             for (_, number) in std::mem::take(&mut self.waiting).into_values() {
-                self.done.push(Output::Refused(number, Refusal::Unsure));
+                self.done.push(Output::Refused(number, ProposalError::LeadershipLost));
             }
         }
         self.joining = None;
@@ -533,16 +537,16 @@
     // ---- messages ----
 
     /// Takes a message of another keeper in.
-    pub fn receive(&mut self, now: Micros, from: &KeeperName, message: Message, out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Micros, from: &ReplicaName, message: Message, out: &mut Vec<Output>) {
         if *from == self.settings.name {
             return;
         }
         match message {
-            Message::Ask => {
+            Message::RecoveryRequest => {
                 let Told { term, last, empty, keepers } = self.holds();
-                self.sends.push((from.clone(), Message::Hold { term, last, empty, keepers }));
+                self.sends.push((from.clone(), Message::RecoveryResponse { term, last, empty, keepers }));
             }
-            Message::Hold { term, last, empty, keepers } => {
+            Message::RecoveryResponse { term, last, empty, keepers } => {
                 if let Some(doubt) = &mut self.doubt {
                     doubt.told.insert(from.clone(), Told { term, last, empty, keepers });
                     self.settle(now);
@@ -550,24 +554,26 @@
             }
             // Until it knows what it has promised it promises nothing, and confirms nothing.
             _ if self.doubt.is_some() => {}
-            Message::AskVote { term, last, before } => self.asked(now, from, term, last, before),
-            Message::Vote { term, given, before } => self.voted(now, from, term, given, before),
-            Message::Append { term, after, entries, commit, sent } => {
+            Message::RequestVote { term, last, before } => self.asked(now, from, term, last, before),
+            Message::RequestVoteResponse { term, given, before } => {
+                self.voted(now, from, term, given, before)
+            }
+            Message::AppendEntries { term, after, entries, commit, sent } => {
                 if self.follows(now, from, term, sent) {
                     self.append(now, from, after, entries, commit, sent);
                 }
             }
-            Message::Appended { term, agrees, last, sent } => {
+            Message::AppendEntriesResponse { term, agrees, last, sent } => {
                 if self.heard(now, from, term, sent) {
                     self.appended(now, from, agrees, last);
                 }
             }
-            Message::Snapshot { term, at, keepers, from: start, of, bytes, sent } => {
+            Message::InstallSnapshot { term, at, keepers, from: start, of, bytes, sent } => {
                 if self.follows(now, from, term, sent) {
                     self.take_part(from, (at, keepers), (start, of, bytes), sent);
                 }
             }
-            Message::Taken { term, at, upto, sent } => {
+            Message::InstallSnapshotResponse { term, at, upto, sent } => {
                 if self.heard(now, from, term, sent) && at == self.saved.log.base {
                     if let Some(progress) = self.others.get_mut(from) {
                         progress.snapshot = upto;
@@ -579,7 +585,7 @@
         self.finish(out);
     }
 
-    fn asked(&mut self, now: Micros, from: &KeeperName, term: u64, last: Position, before: bool) {
+    fn asked(&mut self, now: Micros, from: &ReplicaName, term: u64, last: Position, before: bool) {
         // Guards against a keeper that was cut off and, back again, topples a leader that is well; the
         // lease of the lead rests on it.
         let led = self.standing == Standing::Leads && self.leads(now).is_some();
@@ -590,7 +596,7 @@
         if before {
             let given = term > self.saved.term && enough;
             let term = if given { term } else { self.saved.term };
-            return self.sends.push((from.clone(), Message::Vote { term, given, before }));
+            return self.sends.push((from.clone(), Message::RequestVoteResponse { term, given, before }));
         }
         if term > self.saved.term {
             self.step_back(now, term);
@@ -602,10 +608,11 @@
             self.dirty = true;
             self.put_off(now);
         }
-        self.sends.push((from.clone(), Message::Vote { term: self.saved.term, given, before }));
+        self.sends
+            .push((from.clone(), Message::RequestVoteResponse { term: self.saved.term, given, before }));
     }
 
-    fn voted(&mut self, now: Micros, from: &KeeperName, term: u64, given: bool, before: bool) {
+    fn voted(&mut self, now: Micros, from: &ReplicaName, term: u64, given: bool, before: bool) {
         if !given {
             if term > self.saved.term {
                 self.step_back(now, term);
@@ -622,9 +629,9 @@
     }
 
     /// A leader's word: whether it leads in this keeper's eyes.
-    fn follows(&mut self, now: Micros, from: &KeeperName, term: u64, sent: Micros) -> bool {
+    fn follows(&mut self, now: Micros, from: &ReplicaName, term: u64, sent: Micros) -> bool {
         if term < self.saved.term {
-            let no = Message::Appended { term: self.saved.term, agrees: false, last: 0, sent };
+            let no = Message::AppendEntriesResponse { term: self.saved.term, agrees: false, last: 0, sent };
             self.sends.push((from.clone(), no));
             return false;
         }
@@ -638,7 +645,7 @@
     }
 
     /// A follower's word: whether it is about this lead.
-    fn heard(&mut self, now: Micros, from: &KeeperName, term: u64, sent: Micros) -> bool {
+    fn heard(&mut self, now: Micros, from: &ReplicaName, term: u64, sent: Micros) -> bool {
         if term > self.saved.term {
             self.step_back(now, term);
         }
@@ -656,7 +663,7 @@
     fn append(
         &mut self,
         now: Micros,
-        from: &KeeperName,
+        from: &ReplicaName,
         after: Position,
         entries: Vec<Entry>,
         commit: u64,
@@ -666,7 +673,7 @@
         let log = &mut self.saved.log;
         let mut answer = |agrees, last| {
             let term = self.saved.term;
-            self.sends.push((from.clone(), Message::Appended { term, agrees, last, sent }));
+            self.sends.push((from.clone(), Message::AppendEntriesResponse { term, agrees, last, sent }));
         };
         let known = after.index <= log.base.index || log.term_of(after.index) == Some(after.term);
         if !known {
@@ -703,8 +710,8 @@
 
     fn take_part(
         &mut self,
-        from: &KeeperName,
-        (at, keepers): (Position, Vec<KeeperName>),
+        from: &ReplicaName,
+        (at, keepers): (Position, Vec<ReplicaName>),
         (start, of, bytes): (u32, u32, Vec<u8>),
         sent: Micros,
     ) {
@@ -712,7 +719,9 @@
         if at.index <= self.commit {
             // Everything before what is agreed on here is the same everywhere.
             let last = self.commit;
-            return self.sends.push((from.clone(), Message::Appended { term, agrees: true, last, sent }));
+            return self
+                .sends
+                .push((from.clone(), Message::AppendEntriesResponse { term, agrees: true, last, sent }));
         }
         if of > MAX_SNAPSHOT {
             return;
@@ -726,20 +735,25 @@
         }
         let upto = incoming.bytes.len() as u32;
         if upto < of {
-            return self.sends.push((from.clone(), Message::Taken { term, at, upto, sent }));
+            return self
+                .sends
+                .push((from.clone(), Message::InstallSnapshotResponse { term, at, upto, sent }));
         }
         let whole = self.incoming.take().map(|i| i.bytes).unwrap_or_default();
-        let Some(register) = Register::decode(&whole) else { return };
+        let Some(register) = KeyValueStore::decode(&whole) else { return };
         self.register = register;
         self.saved.log = Log { base: at, keepers, snapshot: whole, entries: Vec::new() };
         self.saved.formed = true;
         (self.commit, self.applied) = (at.index, at.index);
         (self.dirty, self.changed) = (true, true);
         self.pay();
-        self.sends.push((from.clone(), Message::Appended { term, agrees: true, last: at.index, sent }));
+        self.sends.push((
+            from.clone(),
+            Message::AppendEntriesResponse { term, agrees: true, last: at.index, sent },
+        ));
     }
 
-    fn appended(&mut self, now: Micros, from: &KeeperName, agrees: bool, last: u64) {
+    fn appended(&mut self, now: Micros, from: &ReplicaName, agrees: bool, last: u64) {
         let own = self.last().index;
         let Some(progress) = self.others.get_mut(from) else { return };
         if agrees {
@@ -763,7 +777,7 @@
 
     /// Reckons with those that are keepers now, and with the one that is to be.
     fn follow_up(&mut self) {
-        let mut wanted: BTreeSet<KeeperName> = self.fellows().into_iter().collect();
+        let mut wanted: BTreeSet<ReplicaName> = self.fellows().into_iter().collect();
         wanted.extend(self.joining.clone());
         wanted.remove(&self.settings.name);
         self.others.retain(|k, _| wanted.contains(k));
@@ -781,11 +795,11 @@
     }
 
     /// Sends a keeper what it lacks, or a sign of life.
-    fn bring(&mut self, now: Micros, whom: &KeeperName) {
+    fn bring(&mut self, now: Micros, whom: &ReplicaName) {
         let Some(progress) = self.others.get(whom) else { return };
         let (log, term) = (&self.saved.log, self.saved.term);
         let message = match log.term_of(progress.next - 1) {
-            Some(before) => Message::Append {
+            Some(before) => Message::AppendEntries {
                 term,
                 after: Position { term: before, index: progress.next - 1 },
                 entries: log.from(progress.next, MAX_CARRY),
@@ -798,7 +812,7 @@
                 let end = (from as usize + MAX_CARRY).min(of as usize);
                 let bytes = log.snapshot[from as usize..end].to_vec();
                 let keepers = log.keepers.clone();
-                Message::Snapshot { term, at: log.base, keepers, from, of, bytes, sent: now }
+                Message::InstallSnapshot { term, at: log.base, keepers, from, of, bytes, sent: now }
             }
         };
         self.sends.push((whom.clone(), message));
@@ -834,13 +848,13 @@
             self.applied += 1;
             let Some(entry) = self.saved.log.get(self.applied) else { break };
             let made = match &entry.what {
-                What::Write(write) => self.register.apply(write),
-                What::Nothing | What::Keepers(_) => Ok(self.applied),
+                LogCommand::Write(write) => self.register.apply(write),
+                LogCommand::Noop | LogCommand::ChangeReplicas(_) => Ok(self.applied),
             };
             self.changed = true;
             if let Some((term, number)) = self.waiting.remove(&self.applied) {
                 let own = term == entry.term;
-                let lost = Output::Refused(number, Refusal::Unsure);
+                let lost = Output::Refused(number, ProposalError::LeadershipLost);
                 self.done.push(if own { Output::Done(number, made) } else { lost });
             }
         }
--- a/crates/pintally-consensus/src/keeper/tests.rs
+++ b/crates/pintally-consensus/src/keeper/tests.rs
@@ -17,8 +17,8 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-fn register() -> Register {
-    let mut register = Register::default();
+fn register() -> KeyValueStore {
+    let mut register = KeyValueStore::default();
     for (key, value) in
         [("limit/a", &[1u8, 255][..]), ("limit/b", &[2]), ("limit/a", &[3, 0]), ("limit/b", &[])]
     {
@@ -29,13 +29,13 @@
 }
 
 fn saved() -> Saved {
-    let members = |names: &[&str]| names.iter().map(|n| KeeperName::from(*n)).collect::<Vec<_>>();
+    let members = |names: &[&str]| names.iter().map(|n| ReplicaName::from(*n)).collect::<Vec<_>>();
     let write = Write { key: "limit/c".into(), value: vec![9], expect: Some(0) };
     let entry = |term, what| Entry { term, what };
     let entries = vec![
-        entry(300, What::Nothing),
-        entry(300, What::Keepers(members(&["n1", "n2", "n3"]))),
-        entry(301, What::Write(write)),
+        entry(300, LogCommand::Noop),
+        entry(300, LogCommand::ChangeReplicas(members(&["n1", "n2", "n3"]))),
+        entry(301, LogCommand::Write(write)),
     ];
     let log = Log {
         base: Position { term: 299, index: 70_000 },
@@ -49,9 +49,9 @@
 #[test]
 fn register_snapshot_bytes_are_stable() {
     assert_bytes("register", &register().encode());
-    assert_eq!(Register::decode(&golden("register")), Some(register()));
-    assert_bytes("register_empty", &Register::default().encode());
-    assert_eq!(Register::decode(&golden("register_empty")), Some(Register::default()));
+    assert_eq!(KeyValueStore::decode(&golden("register")), Some(register()));
+    assert_bytes("register_empty", &KeyValueStore::default().encode());
+    assert_eq!(KeyValueStore::decode(&golden("register_empty")), Some(KeyValueStore::default()));
 }
 
 #[test]
@@ -67,7 +67,7 @@
 #[test]
 fn replica_starts_from_persisted_state() {
     let settings = Settings::new("n1", &["n1", "n2", "n3"]);
-    let keeper = Keeper::new(settings, Some(&golden("state")), true, 1, 0);
+    let keeper = Replica::new(settings, Some(&golden("state")), true, 1, 0);
     assert_eq!(keeper.register(), &register());
     let status = keeper.status(0);
     assert_eq!((status.term, status.commit, status.last), (301, 70_000, 70_003));
--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -3,7 +3,7 @@
 //! Terms, votes and a replicated log after Raft (Ongaro and Ousterhout 2014; changes of members one at a
 //! time and votes asked before they are cast after Ongaro's thesis of 2014); leases of the lead after
 //! Gray and Cheriton (1989). What differs: a keeper that was restarted does not believe its disk. It
-//! asks the others what they hold and votes only for logs that have as much ([`Keeper`]). Bytes, time and
+//! asks the others what they hold and votes only for logs that have as much ([`Replica`]). Bytes, time and
 //! randomness are handed in; what is to be saved and sent comes out, in this order. `docs/accord.md` has
 //! the proofs and bounds.
 
@@ -15,12 +15,12 @@
 mod settings;
 mod status;
 
-pub use keeper::{Keeper, Output, Refusal};
-pub use log::{Entry, Position, What};
+pub use keeper::{Output, ProposalError, Replica};
+pub use log::{Entry, LogCommand, Position};
 pub use message::Message;
 pub use pintally_validation::InvalidConfiguration;
-pub use register::{Register, Value, Write, MAX_KEY, MAX_KEYS, MAX_VALUE};
-pub use settings::{Settings, MAX_KEEPERS};
+pub use register::{KeyValueStore, Value, Write, MAX_KEYS, MAX_KEY_BYTES, MAX_VALUE_BYTES};
+pub use settings::{Settings, MAX_REPLICAS};
 pub use status::Status;
 
 use std::fmt;
@@ -33,15 +33,15 @@
 
 /// A keeper's name: its node's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct KeeperName(pub Arc<str>);
+pub struct ReplicaName(pub Arc<str>);
 
-impl From<&str> for KeeperName {
-    fn from(name: &str) -> KeeperName {
-        KeeperName(name.into())
+impl From<&str> for ReplicaName {
+    fn from(name: &str) -> ReplicaName {
+        ReplicaName(name.into())
     }
 }
 
-impl fmt::Display for KeeperName {
+impl fmt::Display for ReplicaName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
--- a/crates/pintally-consensus/src/log.rs
+++ b/crates/pintally-consensus/src/log.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::register::Write;
-use crate::KeeperName;
+use crate::ReplicaName;
 
 /// A place in the log. Of two logs the one that ends at the greater position has every entry that can
 /// have been agreed on.
@@ -17,11 +17,11 @@
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum What {
+pub enum LogCommand {
     /// A new leader's first entry: with it everything before is agreed on.
-    Nothing,
+    Noop,
     /// Who the keepers are from here on.
-    Keepers(Vec<KeeperName>),
+    ChangeReplicas(Vec<ReplicaName>),
     /// A change of the register.
     Write(Write),
 }
@@ -32,7 +32,7 @@
     /// The term in which it was made.
     pub term: u64,
     /// What it says.
-    pub what: What,
+    pub what: LogCommand,
 }
 
 /// All entries that are kept, and what stands for those before.
@@ -41,7 +41,7 @@
     /// The last entry that the snapshot covers.
     pub(crate) base: Position,
     /// Who the keepers are there.
-    pub(crate) keepers: Vec<KeeperName>,
+    pub(crate) keepers: Vec<ReplicaName>,
     /// The register there, as bytes.
     pub(crate) snapshot: Vec<u8>,
     pub(crate) entries: Vec<Entry>,
@@ -67,10 +67,10 @@
     }
 
     /// Who the keepers are, by the entries up to an index.
-    pub(crate) fn keepers_at(&self, index: u64) -> &[KeeperName] {
+    pub(crate) fn keepers_at(&self, index: u64) -> &[ReplicaName] {
         let upto = (index.saturating_sub(self.base.index) as usize).min(self.entries.len());
         let told = self.entries[..upto].iter().rev().find_map(|e| match &e.what {
-            What::Keepers(keepers) => Some(keepers.as_slice()),
+            LogCommand::ChangeReplicas(keepers) => Some(keepers.as_slice()),
             _ => None,
         });
         told.unwrap_or(&self.keepers)
@@ -78,7 +78,7 @@
 
     /// The last entry that changes the keepers, if the log holds one.
     pub(crate) fn last_change(&self) -> u64 {
-        let found = self.entries.iter().rposition(|e| matches!(e.what, What::Keepers(_)));
+        let found = self.entries.iter().rposition(|e| matches!(e.what, LogCommand::ChangeReplicas(_)));
         found.map_or(0, |at| self.base.index + 1 + at as u64)
     }
 
@@ -117,9 +117,9 @@
     /// Bytes on the wire, at the most.
     fn size(&self) -> usize {
         16 + match &self.what {
-            What::Nothing => 0,
-            What::Keepers(keepers) => keepers.iter().map(|k| k.0.len() + 2).sum(),
-            What::Write(write) => write.key.len() + write.value.len() + 24,
+            LogCommand::Noop => 0,
+            LogCommand::ChangeReplicas(keepers) => keepers.iter().map(|k| k.0.len() + 2).sum(),
+            LogCommand::Write(write) => write.key.len() + write.value.len() + 24,
         }
     }
 }
--- a/crates/pintally-consensus/src/message.rs
+++ b/crates/pintally-consensus/src/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Entry, Position};
-use crate::{KeeperName, Micros};
+use crate::{Micros, ReplicaName};
 
 /// Bytes of entries, or of a snapshot's part, in one message: with what stands around them they stay
 /// below a datagram.
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// I want to lead in this term; `before`: I would, if enough would give me their vote.
-    AskVote {
+    RequestVote {
         /// The term.
         term: u64,
         /// Where my log ends.
@@ -22,7 +22,7 @@
         before: bool,
     },
     /// You have my vote, or not.
-    Vote {
+    RequestVoteResponse {
         /// The term for which it is; where it is refused, the term that I know.
         term: u64,
         /// Whether it is given.
@@ -31,7 +31,7 @@
         before: bool,
     },
     /// I lead; these entries follow that position.
-    Append {
+    AppendEntries {
         /// The leader's term.
         term: u64,
         /// What comes right before.
@@ -44,7 +44,7 @@
         sent: Micros,
     },
     /// Answer to entries or a snapshot.
-    Appended {
+    AppendEntriesResponse {
         /// The term that the follower knows.
         term: u64,
         /// Whether its log agrees up to `last`; otherwise it may agree up to there.
@@ -55,13 +55,13 @@
         sent: Micros,
     },
     /// I lead; your log ends before mine begins: a part of what stands for the earlier entries.
-    Snapshot {
+    InstallSnapshot {
         /// The leader's term.
         term: u64,
         /// What it covers.
         at: Position,
         /// Who the keepers are there.
-        keepers: Vec<KeeperName>,
+        keepers: Vec<ReplicaName>,
         /// From this byte on.
         from: u32,
         /// Of so many.
@@ -72,7 +72,7 @@
         sent: Micros,
     },
     /// I have the snapshot up to this byte.
-    Taken {
+    InstallSnapshotResponse {
         /// The term that the follower knows.
         term: u64,
         /// Which snapshot.
@@ -83,9 +83,9 @@
         sent: Micros,
     },
     /// I was started anew: what do you hold?
-    Ask,
+    RecoveryRequest,
     /// This.
-    Hold {
+    RecoveryResponse {
         /// The latest term that I know.
         term: u64,
         /// Where my log ends.
@@ -93,6 +93,6 @@
         /// I have never held anything.
         empty: bool,
         /// Who the keepers are, as far as I know.
-        keepers: Vec<KeeperName>,
+        keepers: Vec<ReplicaName>,
     },
 }
--- a/crates/pintally-consensus/src/register.rs
+++ b/crates/pintally-consensus/src/register.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of the longest key.
-pub const MAX_KEY: usize = 96;
+pub const MAX_KEY_BYTES: usize = 96;
 /// Bytes of the longest value.
-pub const MAX_VALUE: usize = 400;
+pub const MAX_VALUE_BYTES: usize = 400;
 /// Keys at the most.
 pub const MAX_KEYS: usize = 4096;
 
@@ -35,17 +35,17 @@
 impl Write {
     /// Whether it is within bounds.
     pub fn sound(&self) -> bool {
-        !self.key.is_empty() && self.key.len() <= MAX_KEY && self.value.len() <= MAX_VALUE
+        !self.key.is_empty() && self.key.len() <= MAX_KEY_BYTES && self.value.len() <= MAX_VALUE_BYTES
     }
 }
 
 /// Values by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Register {
+pub struct KeyValueStore {
     values: BTreeMap<String, Value>,
 }
 
-impl Register {
+impl KeyValueStore {
     /// What stands under a key.
     pub fn get(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
@@ -72,9 +72,9 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub(crate) fn decode(bytes: &[u8]) -> Option<Register> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<KeyValueStore> {
         if bytes.is_empty() {
-            return Some(Register::default());
+            return Some(KeyValueStore::default());
         }
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -4,18 +4,18 @@
 
 use pintally_validation::{ensure, InvalidConfiguration};
 
-use crate::{KeeperName, Micros};
+use crate::{Micros, ReplicaName};
 
 /// More keepers cost more messages and bear no more failures that are worth it.
-pub const MAX_KEEPERS: usize = 7;
+pub const MAX_REPLICAS: usize = 7;
 
 /// What a keeper is told. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Its name.
-    pub name: KeeperName,
+    pub name: ReplicaName,
     /// All keepers at the first start of the fleet; later the register itself says who they are.
-    pub keepers: Vec<KeeperName>,
+    pub keepers: Vec<ReplicaName>,
     /// Between two words of a leader.
     pub beat: Micros,
     /// A keeper that hears no leader for this time up to twice of it stands for the lead.
@@ -34,7 +34,7 @@
     pub fn new(name: &str, keepers: &[&str]) -> Settings {
         Settings {
             name: name.into(),
-            keepers: keepers.iter().map(|k| KeeperName::from(*k)).collect(),
+            keepers: keepers.iter().map(|k| ReplicaName::from(*k)).collect(),
             beat: 100_000,
             election: 600_000,
             doubt: 5_000_000,
@@ -45,10 +45,10 @@
 
     /// Checks that the figures go together.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        let sound = |k: &KeeperName| !k.0.is_empty() && k.0.len() <= 64;
-        let distinct: BTreeSet<&KeeperName> = self.keepers.iter().collect();
+        let sound = |k: &ReplicaName| !k.0.is_empty() && k.0.len() <= 64;
+        let distinct: BTreeSet<&ReplicaName> = self.keepers.iter().collect();
         ensure(!self.keepers.is_empty(), "there is no keeper")?;
-        ensure(self.keepers.len() <= MAX_KEEPERS, "there are more than 7 keepers")?;
+        ensure(self.keepers.len() <= MAX_REPLICAS, "there are more than 7 keepers")?;
         ensure(distinct.len() >= self.keepers.len(), "a keeper is named twice")?;
         ensure(self.keepers.iter().all(sound), "a keeper's name needs 1 to 64 bytes")?;
         ensure(self.beat >= 1_000, "a leader's beat is under a millisecond")?;
@@ -64,14 +64,14 @@
 
     /// How long the lead surely lasts after a majority answered to what was sent at some time: a
     /// follower counts its loyalty by its own clock, which may be fast.
-    pub fn lead_lasts(&self) -> Micros {
+    pub fn leader_lease(&self) -> Micros {
         (self.election as f64 * (1.0 - 2.0 * self.drift)).max(0.0) as Micros
     }
 
     /// The longest time from the loss of a leader to the next one, with a majority that hears each
     /// other, no message lost and no two that stand at once: loyalty, the spread of the time-outs, two
     /// rounds of votes.
-    pub fn led_again_within(&self) -> Micros {
+    pub fn max_election_duration(&self) -> Micros {
         2 * self.election + 2 * self.beat
     }
 }
--- a/crates/pintally-consensus/src/status.rs
+++ b/crates/pintally-consensus/src/status.rs
@@ -7,7 +7,7 @@
 pub struct Status {
     /// Its name.
     pub name: String,
-    /// `leads`, `follows`, `stands` or `doubts`.
+    /// `leads`, `follows`, `stands` or `is_recovering_votes`.
     pub standing: &'static str,
     /// Why it does not vote yet, or why there is no leader that it knows of.
     pub why: Option<String>,
--- a/crates/pintally-consensus/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally_consensus::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
+use pintally_consensus::{Entry, Message, Micros, Output, Replica, ReplicaName, Settings, Write};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -23,7 +23,7 @@
 }
 
 pub struct Node {
-    pub keeper: Option<Keeper>,
+    pub keeper: Option<Replica>,
     /// All that was ever saved, the newest last.
     pub disk: Vec<Vec<u8>>,
     pub lies: bool,
@@ -31,11 +31,11 @@
     pub rate: f64,
     pub offset: Micros,
     pub paused_until: Micros,
-    pub mail: Vec<(KeeperName, Message)>,
+    pub mail: Vec<(ReplicaName, Message)>,
 }
 
 enum Event {
-    Mail(usize, KeeperName, Message),
+    Mail(usize, ReplicaName, Message),
     Wake(usize),
     Trouble,
     Propose,
@@ -46,7 +46,7 @@
     pub now: Micros,
     pub rng: ChaCha8Rng,
     pub nodes: Vec<Node>,
-    pub names: Vec<KeeperName>,
+    pub names: Vec<ReplicaName>,
     pub weather: Weather,
     pub cut: Vec<Vec<bool>>,
     pub settings: Settings,
@@ -66,7 +66,7 @@
 impl World {
     pub fn new(n: usize, seed: u64, weather: Weather) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let names: Vec<KeeperName> = (0..n).map(|k| KeeperName::from(format!("k{k}").as_str())).collect();
+        let names: Vec<ReplicaName> = (0..n).map(|k| ReplicaName::from(format!("k{k}").as_str())).collect();
         let mut settings = Settings::new("k0", &[]);
         settings.keepers = names.clone();
         settings.keep = 6;
@@ -130,7 +130,7 @@
         let seed = self.rng.random();
         let node = &mut self.nodes[k];
         let saved = node.disk.last().cloned();
-        node.keeper = Some(Keeper::new(settings, saved.as_deref(), saved.is_some(), seed, clock));
+        node.keeper = Some(Replica::new(settings, saved.as_deref(), saved.is_some(), seed, clock));
         self.wake(k);
     }
 
--- a/crates/pintally-consensus/tests/decisions.rs
+++ b/crates/pintally-consensus/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Weather, World, MS};
-use pintally_consensus::{Keeper, KeeperName, Output, Settings};
+use pintally_consensus::{Output, Replica, ReplicaName, Settings};
 
 const CALM: Weather = Weather { loss: 0.0, double: 0.0, late: 0.0, trouble: 0, lying: 0 };
 
@@ -24,7 +24,7 @@
         run_for(&mut world, 4_000);
         let first = leader(&world).expect("somebody leads");
         world.kill(first);
-        let (killed, bound) = (world.now, world.settings.led_again_within());
+        let (killed, bound) = (world.now, world.settings.max_election_duration());
         while leader(&world).is_none() {
             run_for(&mut world, 10);
             // Two that stand at once share the votes; then one more round is needed.
@@ -65,11 +65,11 @@
     world.start(lost);
     run_for(&mut world, 15_000);
     assert_eq!(leader(&world), None, "one that knows and one that lost all are no majority");
-    assert!(world.nodes[lost].keeper.as_ref().unwrap().doubts());
+    assert!(world.nodes[lost].keeper.as_ref().unwrap().is_recovering_votes());
     world.start(other);
     run_for(&mut world, 6_000);
     assert!(leader(&world).is_some());
-    assert!(!world.nodes[lost].keeper.as_ref().unwrap().doubts());
+    assert!(!world.nodes[lost].keeper.as_ref().unwrap().is_recovering_votes());
 }
 
 /// One keeper dead for good and another restarted with its disk well: the register comes back.
@@ -112,7 +112,7 @@
     run_for(&mut world, 12_000);
     let lead = leader(&world).expect("somebody leads");
     let names = world.names.clone();
-    let change = |world: &mut World, k: usize, keepers: Vec<KeeperName>| {
+    let change = |world: &mut World, k: usize, keepers: Vec<ReplicaName>| {
         let (clock, mut out) = (world.clock(k), Vec::new());
         world.nodes[k].keeper.as_mut().unwrap().change(clock, 1, keepers, &mut out);
         let refused = out.iter().any(|o| matches!(o, Output::Refused(..)));
@@ -126,7 +126,7 @@
     run_for(&mut world, 1_000);
     assert_eq!(world.nodes[3].keeper.as_ref().unwrap().keepers().len(), 4);
     // The leader makes itself leave, and another leads.
-    let rest: Vec<KeeperName> = names.iter().filter(|n| **n != names[lead]).cloned().collect();
+    let rest: Vec<ReplicaName> = names.iter().filter(|n| **n != names[lead]).cloned().collect();
     assert!(change(&mut world, lead, rest));
     run_for(&mut world, 4_000);
     let next = leader(&world).expect("somebody leads");
@@ -154,8 +154,8 @@
 #[test]
 fn garbled_state_of_a_disk_is_no_state() {
     let settings = Settings::new("a", &["a", "b", "c"]);
-    let keeper = Keeper::new(settings, Some(&[1, 2, 3, 255, 255]), true, 1, 0);
-    assert!(keeper.doubts());
+    let keeper = Replica::new(settings, Some(&[1, 2, 3, 255, 255]), true, 1, 0);
+    assert!(keeper.is_recovering_votes());
     assert_eq!(keeper.last().index, 0);
 }
 
--- a/crates/pintally-consensus/tests/golden.rs
+++ b/crates/pintally-consensus/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use pintally_consensus::{Entry, KeeperName, Message, Position, Refusal, Value, What, Write};
+use pintally_consensus::{Entry, LogCommand, Message, Position, ProposalError, ReplicaName, Value, Write};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -30,8 +30,8 @@
 
 const LAST: Position = Position { term: 300, index: 70_000 };
 
-fn members() -> Vec<KeeperName> {
-    ["n1", "n2", "n3"].map(KeeperName::from).to_vec()
+fn members() -> Vec<ReplicaName> {
+    ["n1", "n2", "n3"].map(ReplicaName::from).to_vec()
 }
 
 fn write(expect: Option<u64>) -> Write {
@@ -40,11 +40,11 @@
 
 fn entries() -> Vec<Entry> {
     let contents = [
-        What::Nothing,
-        What::Keepers(members()),
-        What::Write(write(None)),
-        What::Write(write(Some(129))),
-        What::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
+        LogCommand::Noop,
+        LogCommand::ChangeReplicas(members()),
+        LogCommand::Write(write(None)),
+        LogCommand::Write(write(Some(129))),
+        LogCommand::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
     ];
     contents.into_iter().zip(299..).map(|(what, term)| Entry { term, what }).collect()
 }
@@ -58,35 +58,35 @@
 
 #[test]
 fn vote_request_bytes_are_stable() {
-    assert_stable("vote_request", Message::AskVote { term: 301, last: LAST, before: false });
-    assert_stable("pre_vote_request", Message::AskVote { term: 301, last: LAST, before: true });
+    assert_stable("vote_request", Message::RequestVote { term: 301, last: LAST, before: false });
+    assert_stable("pre_vote_request", Message::RequestVote { term: 301, last: LAST, before: true });
 }
 
 #[test]
 fn vote_response_bytes_are_stable() {
-    assert_stable("vote_granted", Message::Vote { term: 301, given: true, before: false });
-    assert_stable("vote_denied", Message::Vote { term: 302, given: false, before: false });
-    assert_stable("pre_vote_granted", Message::Vote { term: 301, given: true, before: true });
+    assert_stable("vote_granted", Message::RequestVoteResponse { term: 301, given: true, before: false });
+    assert_stable("vote_denied", Message::RequestVoteResponse { term: 302, given: false, before: false });
+    assert_stable("pre_vote_granted", Message::RequestVoteResponse { term: 301, given: true, before: true });
 }
 
 #[test]
 fn append_entries_request_bytes_are_stable() {
     let request =
-        |entries| Message::Append { term: 301, after: LAST, entries, commit: 69_999, sent: 1 << 40 };
+        |entries| Message::AppendEntries { term: 301, after: LAST, entries, commit: 69_999, sent: 1 << 40 };
     assert_stable("append_entries", request(entries()));
     assert_stable("heartbeat", request(Vec::new()));
 }
 
 #[test]
 fn append_entries_response_bytes_are_stable() {
-    let response = |agrees| Message::Appended { term: 301, agrees, last: 70_005, sent: 1 << 40 };
+    let response = |agrees| Message::AppendEntriesResponse { term: 301, agrees, last: 70_005, sent: 1 << 40 };
     assert_stable("append_entries_success", response(true));
     assert_stable("append_entries_conflict", response(false));
 }
 
 #[test]
 fn install_snapshot_bytes_are_stable() {
-    let chunk = Message::Snapshot {
+    let chunk = Message::InstallSnapshot {
         term: 301,
         at: LAST,
         keepers: members(),
@@ -98,23 +98,23 @@
     assert_stable("install_snapshot", chunk);
     assert_stable(
         "install_snapshot_response",
-        Message::Taken { term: 301, at: LAST, upto: 643, sent: 1 << 40 },
+        Message::InstallSnapshotResponse { term: 301, at: LAST, upto: 643, sent: 1 << 40 },
     );
 }
 
 #[test]
 fn state_query_bytes_are_stable() {
-    let response = |empty, keepers| Message::Hold { term: 301, last: LAST, empty, keepers };
-    assert_stable("state_query", Message::Ask);
+    let response = |empty, keepers| Message::RecoveryResponse { term: 301, last: LAST, empty, keepers };
+    assert_stable("state_query", Message::RecoveryRequest);
     assert_stable("state_response", response(false, members()));
     assert_stable("state_response_empty", response(true, Vec::new()));
 }
 
 #[test]
 fn proposal_refusal_bytes_are_stable() {
-    assert_stable("refusal_not_leader", Refusal::NotLeading(Some("n2".into())));
-    assert_stable("refusal_no_leader", Refusal::NotLeading(None));
-    assert_stable("refusal_unsure", Refusal::Unsure);
-    assert_stable("refusal_busy", Refusal::Busy);
-    assert_stable("refusal_out_of_bounds", Refusal::InvalidConfiguration);
+    assert_stable("refusal_not_leader", ProposalError::NotLeader(Some("n2".into())));
+    assert_stable("refusal_no_leader", ProposalError::NotLeader(None));
+    assert_stable("refusal_unsure", ProposalError::LeadershipLost);
+    assert_stable("refusal_busy", ProposalError::Busy);
+    assert_stable("refusal_out_of_bounds", ProposalError::OutOfBounds);
 }
--- a/crates/pintally-consensus/tests/search.rs
+++ b/crates/pintally-consensus/tests/search.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use pintally_consensus::{Entry, Keeper, KeeperName, Message, Micros, Output, Settings, Write};
+use pintally_consensus::{Entry, Message, Micros, Output, Replica, ReplicaName, Settings, Write};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 struct World {
     clocks: [Micros; 3],
-    keepers: [Keeper; 3],
+    keepers: [Replica; 3],
     disks: [Vec<Vec<u8>>; 3],
     mail: Vec<(usize, usize, Message)>,
     agreed: BTreeMap<u64, Entry>,
@@ -36,7 +36,7 @@
 
 impl World {
     fn new(budget: Budget) -> World {
-        let keepers = [0, 1, 2].map(|k| Keeper::new(settings(k), None, false, k as u64, 0));
+        let keepers = [0, 1, 2].map(|k| Replica::new(settings(k), None, false, k as u64, 0));
         let mut world = World {
             clocks: [0; 3],
             keepers,
@@ -53,7 +53,7 @@
         while !world.mail.is_empty() {
             world.deliver(0, true);
         }
-        assert!(world.keepers.iter().all(|k| !k.doubts()));
+        assert!(world.keepers.iter().all(|k| !k.is_recovering_votes()));
         world.mail.clear();
         world
     }
@@ -97,7 +97,7 @@
         let mut out = Vec::new();
         // A little time passes with everything that happens.
         self.clocks[to] += 1;
-        self.keepers[to].receive(self.clocks[to], &KeeperName::from(NAMES[from]), message, &mut out);
+        self.keepers[to].receive(self.clocks[to], &ReplicaName::from(NAMES[from]), message, &mut out);
         self.carry_out(to, out);
     }
 
@@ -162,7 +162,7 @@
                         w.disks[k].truncate(keep);
                         let saved = w.disks[k].last().cloned();
                         let clean = saved.is_some();
-                        w.keepers[k] = Keeper::new(settings(k), saved.as_deref(), clean, 7, w.clocks[k]);
+                        w.keepers[k] = Replica::new(settings(k), saved.as_deref(), clean, 7, w.clocks[k]);
                         w.wake(k);
                     });
                 }
@@ -184,10 +184,10 @@
 fn timeless(message: &Message) -> Message {
     let mut message = message.clone();
     match &mut message {
-        Message::Append { sent, .. }
-        | Message::Appended { sent, .. }
-        | Message::Snapshot { sent, .. }
-        | Message::Taken { sent, .. } => *sent = 0,
+        Message::AppendEntries { sent, .. }
+        | Message::AppendEntriesResponse { sent, .. }
+        | Message::InstallSnapshot { sent, .. }
+        | Message::InstallSnapshotResponse { sent, .. } => *sent = 0,
         _ => {}
     }
     message
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -13,7 +13,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pintally::interface::{EngineId, Micros, RequestId};
 use pintally_config::{NodeSettings, PeerSettings, RecoverySettings};
-use pintally_consensus::KeeperName;
+use pintally_consensus::ReplicaName;
 use pintally_host::{Input, Left};
 use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_outlier_detection::{Node, Report};
@@ -557,7 +557,7 @@
             }
             Notice::Told(from, HELD, bytes) => self.guardian(|g, now| g.told(now, &from.0, &bytes)),
             Notice::Told(from, KEEPERS, bytes) => {
-                self.to_keeper(ToKeeper::From(KeeperName(from.0.clone()), bytes));
+                self.to_keeper(ToKeeper::From(ReplicaName(from.0.clone()), bytes));
             }
             Notice::Told(from, ASKS, bytes) => {
                 if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<Ask>)>(&bytes) {
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use pintally::interface::Micros;
 use pintally_config::KeeperSettings;
-use pintally_consensus::{Keeper, KeeperName, Message, Output, Write};
+use pintally_consensus::{Message, Output, Replica, ReplicaName, Write};
 use pintally_quota::{Ask, Lending};
 use pintally_storage::{Store, StoreSettings};
 use pintally_transport::Waker;
@@ -35,7 +35,7 @@
 /// To the keeper.
 pub(crate) enum ToKeeper {
     /// Another keeper's message.
-    From(KeeperName, Vec<u8>),
+    From(ReplicaName, Vec<u8>),
     /// A holder asks for shares: its name, its life, what it asks for.
     Asks(String, u64, Vec<Ask>),
     /// People's order, and where the answer goes.
@@ -45,7 +45,7 @@
 /// From the keeper, to the fleet's thread.
 pub(crate) enum FromKeeper {
     /// A message for another keeper.
-    To(KeeperName, Vec<u8>),
+    To(ReplicaName, Vec<u8>),
     /// Grants for a holder of this name and life.
     Grants(String, u64, Vec<pintally_quota::Grant>),
     /// In which term it leads and lends, if it does.
@@ -82,7 +82,7 @@
 
 struct Running<'a> {
     shared: &'a Arc<Shared>,
-    keeper: Keeper,
+    keeper: Replica,
     store: Option<Store>,
     /// What could not be made safe yet: until it is, nothing is said.
     unsaved: Option<Vec<u8>>,
@@ -122,7 +122,7 @@
     }
     let clean = loaded.as_ref().is_some_and(|l| l.lacks.is_empty());
     let figures = settings.figures(&shared.settings.name);
-    let keeper = Keeper::new(figures, saved.as_deref(), clean, seed, shared.clock.now());
+    let keeper = Replica::new(figures, saved.as_deref(), clean, seed, shared.clock.now());
     let mut running = Running {
         shared,
         keeper,
@@ -179,7 +179,7 @@
             Order::Clear(_) | Order::Rehearse(_) => {}
             Order::Zone(zone, word) => self.order_zone(now, zone, word, out),
             Order::Keepers(names) => {
-                let names = names.iter().map(|n| KeeperName::from(n.as_str())).collect();
+                let names = names.iter().map(|n| ReplicaName::from(n.as_str())).collect();
                 self.keeper.change(now, self.number, names, out);
             }
             Order::Limit(name, most) => {
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use pintally_consensus as accord;
-use pintally_consensus::{Keeper, KeeperName};
+use pintally_consensus::{Replica, ReplicaName};
 use pintally_membership::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota as shares;
 use pintally_quota::{Ask, Bound, Grant, Holder, Lending, Limit, LimitId, LimitKind, Verdict, AT_ONCE};
@@ -44,7 +44,7 @@
     peers: Peers,
     alive: bool,
     woken_for: Micros,
-    keeper: Option<Keeper>,
+    keeper: Option<Replica>,
     lending: Lending,
     /// In which term it has said that it leads.
     said: Option<u64>,
@@ -58,7 +58,7 @@
 enum Event {
     Datagram(usize, SocketAddr, Vec<u8>),
     Peers(usize),
-    Keeper(usize),
+    Replica(usize),
     Step,
 }
 
@@ -165,7 +165,7 @@
             let zone = format!("zone-{}", n % 3);
             let settings = Settings::new("lab", &names[n], &zone, address(n), seeds.clone());
             let keeper = (n < 3).then(|| {
-                Keeper::new(accord::Settings::new(&names[n], &keepers), None, false, rng.random(), 1)
+                Replica::new(accord::Settings::new(&names[n], &keepers), None, false, rng.random(), 1)
             });
             Node {
                 peers: Peers::new(settings, Life { boot: 1, mark: life }, rng.random(), 1),
@@ -201,7 +201,7 @@
         for n in 0..world.nodes.len() {
             world.push(n as Micros * 37, Event::Peers(n));
             if world.nodes[n].keeper.is_some() {
-                world.push(1, Event::Keeper(n));
+                world.push(1, Event::Replica(n));
             }
         }
         world.push(STEP, Event::Step);
@@ -243,14 +243,14 @@
                 self.nodes[n].woken_for = Micros::MAX;
                 self.carry_out(n, out);
             }
-            Event::Keeper(n) if self.nodes[n].alive => {
+            Event::Replica(n) if self.nodes[n].alive => {
                 let mut out = Vec::new();
                 if let Some(keeper) = &mut self.nodes[n].keeper {
                     keeper.tick(now, &mut out);
                 }
                 self.keeper_says(n, out);
-                let wake = self.nodes[n].keeper.as_ref().map_or(now, Keeper::next_wake);
-                self.push(wake.saturating_sub(now).max(1_000), Event::Keeper(n));
+                let wake = self.nodes[n].keeper.as_ref().map_or(now, Replica::next_wake);
+                self.push(wake.saturating_sub(now).max(1_000), Event::Replica(n));
             }
             Event::Step => {
                 self.push(STEP, Event::Step);
@@ -308,7 +308,7 @@
             }
             Notice::Suspected(name) => self.false_suspicions += u64::from(self.nodes[number(&name)].alive),
             Notice::Told(from, KEEPERS, bytes) => {
-                let (mut out, from) = (Vec::new(), KeeperName(from.0.clone()));
+                let (mut out, from) = (Vec::new(), ReplicaName(from.0.clone()));
                 if let (Some(keeper), Ok(message)) = (&mut self.nodes[n].keeper, postcard::from_bytes(&bytes))
                 {
                     keeper.receive(now, &from, message, &mut out);
