--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -6,7 +6,7 @@
 use pintally::interface::Micros;
 use pintally_consensus as accord;
 use pintally_quota as shares;
-use pintally_quota::{Bound, LimitId, LimitKind};
+use pintally_quota::{Enforcement, LimitId, LimitKind};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::form::{quoted, Form};
@@ -64,7 +64,7 @@
     /// What it counts.
     pub counts: Counts,
     /// What gives way when nodes cannot hear each other.
-    pub bound: Bound,
+    pub bound: Enforcement,
     /// How much for the whole fleet.
     pub most: f64,
 }
@@ -77,7 +77,7 @@
 
     /// As the lender and the holders take it.
     pub fn limit(&self) -> shares::Limit {
-        let kind = if self.counts == Counts::Streams { LimitKind::Level } else { LimitKind::Rate };
+        let kind = if self.counts == Counts::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
         shares::Limit { kind, bound: self.bound, most: self.most }
     }
 }
@@ -114,7 +114,7 @@
             if let Some(tenant) = &limit.tenant {
                 write!(f, " (tenant {})", quoted(tenant))?;
             }
-            let bound = if limit.bound == Bound::Hard { "hard" } else { "soft" };
+            let bound = if limit.bound == Enforcement::Hard { "hard" } else { "soft" };
             write!(f, " (bound {bound}) (most {:?}))", limit.most)?;
         }
         f.write_str(")")
@@ -239,8 +239,8 @@
         return Err(counts.error(format!("`{word}` is not requests, tokens, streams or retries")));
     };
     let bound = match form.text_or("bound", "hard")?.as_str() {
-        "hard" => Bound::Hard,
-        "soft" => Bound::Soft,
+        "hard" => Enforcement::Hard,
+        "soft" => Enforcement::Soft,
         other => return Err(form.error(format!("`bound` is `{other}`, not hard or soft"))),
     };
     let most = form.need("most")?;
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -106,7 +106,7 @@
     /// Something on the way back to service after a start.
     Recovery(pintally_recovery::Input),
     /// The lender of limits has answered.
-    Granted(Vec<pintally_quota::Grant>),
+    Granted(Vec<pintally_quota::LeaseGrant>),
     /// A node has told what it saw of engines.
     Evidence(pintally_outlier_detection::Node, Vec<u8>),
     /// Which nodes are here.
@@ -203,7 +203,7 @@
     /// A stage of recovery has begun.
     Stage(pintally_recovery::Stage),
     /// Ask the lender of limits for shares.
-    AskShares(Vec<pintally_quota::Ask>),
+    AskShares(Vec<pintally_quota::LeaseRequest>),
     /// Tell the fleet what this node saw of engines; empty takes it back.
     Testify(Vec<u8>),
     /// Tell whoever plans what this node sees of zones; and engines that take work, by zone.
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -2,7 +2,7 @@
 
 use pintally::interface::Micros;
 use pintally_config::{Counts, LimitSettings, NodeSettings};
-use pintally_quota::{Ask, Grant, Holder, LimitId, LimitStatus, Verdict};
+use pintally_quota::{Admission, LeaseGrant, LeaseRequest, LimitId, LimitStatus, QuotaHolder};
 
 use crate::host::Host;
 use crate::input::{Arrival, Command};
@@ -13,7 +13,7 @@
 
 /// A node's shares, and the rules by which they are used.
 pub(crate) struct Limiting {
-    pub(crate) holder: Holder,
+    pub(crate) holder: QuotaHolder,
     every: Micros,
     rules: Rules,
 }
@@ -36,7 +36,7 @@
     fn new(settings: &NodeSettings, limits: &LimitSettings) -> Limiting {
         let tenants = &settings.core.tenants;
         let mut limiting = Limiting {
-            holder: Holder::new(
+            holder: QuotaHolder::new(
                 limits.figures,
                 limits.limits.iter().map(|l| (l.id(), l.name.clone(), l.limit())),
             ),
@@ -90,7 +90,7 @@
             limiting.rules.of(arrival.tenant).filter_map(|(id, c)| Some((id, c, cost(c)?))).collect();
         let mut wait = None;
         for (id, _, cost) in &costs {
-            if let Verdict::Refuse(after) = limiting.holder.ask(now, *id, *cost) {
+            if let Admission::Reject(after) = limiting.holder.ask(now, *id, *cost) {
                 wait = wait.max(Some(after));
             }
         }
@@ -121,7 +121,7 @@
         let Some(limiting) = &mut self.limiting else { return true };
         let Limiting { holder, rules, .. } = limiting;
         let retries = || rules.of(tenant).filter(|(_, c)| *c == Counts::Retries).map(|(id, _)| id);
-        let free = retries().all(|id| holder.ask(now, id, 1.0) == Verdict::Admit);
+        let free = retries().all(|id| holder.ask(now, id, 1.0) == Admission::Admit);
         if free {
             retries().for_each(|id| holder.take(now, id, 1.0));
         }
@@ -129,7 +129,7 @@
     }
 
     /// The lender has answered.
-    pub(crate) fn granted(&mut self, now: Micros, grants: &[Grant]) {
+    pub(crate) fn granted(&mut self, now: Micros, grants: &[LeaseGrant]) {
         if let Some(limiting) = &mut self.limiting {
             grants.iter().for_each(|grant| limiting.holder.granted(now, grant));
         }
@@ -137,7 +137,7 @@
 
     pub(crate) fn shares_due(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(limiting) = &mut self.limiting else { return };
-        let asks: Vec<Ask> = limiting.holder.asks(now);
+        let asks: Vec<LeaseRequest> = limiting.holder.asks(now);
         if !asks.is_empty() {
             out.push(Command::AskShares(asks));
         }
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -26,7 +26,7 @@
     pub(crate) look: Sender<()>,
     pub(crate) stopped: Sender<()>,
     pub(crate) ask: Sender<u64>,
-    pub(crate) shares: Sender<Vec<pintally_quota::Ask>>,
+    pub(crate) shares: Sender<Vec<pintally_quota::LeaseRequest>>,
     pub(crate) testify: Sender<Vec<u8>>,
     pub(crate) zones: Sender<(Vec<u8>, Vec<f64>)>,
 }
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -17,7 +17,7 @@
 use pintally_host::{Input, Left};
 use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_outlier_detection::{Node, Report};
-use pintally_quota::{Ask, Grant, LimitStatus, PoolStatus, AT_ONCE};
+use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
 use pintally_storage::{Lie, Loaded, Store, StoreSettings};
 use pintally_transport::{fetch, Came, Udp, Whole};
@@ -375,7 +375,7 @@
     /// Numbers of peers to be asked how the fleet is.
     pub(crate) ask: Receiver<u64>,
     /// Shares to be asked for.
-    pub(crate) shares: Receiver<Vec<Ask>>,
+    pub(crate) shares: Receiver<Vec<LeaseRequest>>,
     /// What this node sees of zones, and engines that take work there.
     pub(crate) zone_words: Receiver<(Vec<u8>, Vec<f64>)>,
     /// What this node saw of engines.
@@ -560,12 +560,12 @@
                 self.to_keeper(ToKeeper::From(ReplicaName(from.0.clone()), bytes));
             }
             Notice::Told(from, ASKS, bytes) => {
-                if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<Ask>)>(&bytes) {
+                if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<LeaseRequest>)>(&bytes) {
                     self.to_keeper(ToKeeper::Asks(from.to_string(), life, asks));
                 }
             }
             Notice::Told(_, GRANTS, bytes) => {
-                if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<Grant>)>(&bytes) {
+                if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<LeaseGrant>)>(&bytes) {
                     self.granted(life, grants);
                 }
             }
@@ -654,7 +654,7 @@
     }
 
     /// Grants are for one life: another one of the same name holds shares of its own.
-    fn granted(&self, life: u64, grants: Vec<Grant>) {
+    fn granted(&self, life: u64, grants: Vec<LeaseGrant>) {
         if life == self.fleet.peers.life().mark {
             self.shared.tell(Input::Granted(grants));
         }
@@ -676,11 +676,11 @@
         }
     }
 
-    fn ask_for(&mut self, asks: &[Ask], out: &mut Vec<Output>) {
+    fn ask_for(&mut self, asks: &[LeaseRequest], out: &mut Vec<Output>) {
         let lender = self.fleet.peers.highest(LENDER).cloned();
         *lock(&self.shared.fleet.lender) = lender.as_ref().map(ToString::to_string);
         let (Some(lender), life) = (lender, self.fleet.peers.life().mark) else { return };
-        for asks in asks.chunks(AT_ONCE) {
+        for asks in asks.chunks(MAX_ENTRIES_PER_MESSAGE) {
             if *lender.0 == *self.shared.settings.name {
                 self.to_keeper(ToKeeper::Asks(lender.to_string(), life, asks.to_vec()));
             } else if let Ok(bytes) = postcard::to_stdvec(&(life, asks)) {
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -10,7 +10,7 @@
 use pintally::interface::Micros;
 use pintally_config::KeeperSettings;
 use pintally_consensus::{Message, Output, Replica, ReplicaName, Write};
-use pintally_quota::{Ask, Lending};
+use pintally_quota::{LeaderGranter, LeaseRequest};
 use pintally_storage::{Store, StoreSettings};
 use pintally_transport::Waker;
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
     /// Another keeper's message.
     From(ReplicaName, Vec<u8>),
     /// A holder asks for shares: its name, its life, what it asks for.
-    Asks(String, u64, Vec<Ask>),
+    Asks(String, u64, Vec<LeaseRequest>),
     /// People's order, and where the answer goes.
     Order(Order, Sender<Answer>),
 }
@@ -47,7 +47,7 @@
     /// A message for another keeper.
     To(ReplicaName, Vec<u8>),
     /// Grants for a holder of this name and life.
-    Grants(String, u64, Vec<pintally_quota::Grant>),
+    Grants(String, u64, Vec<pintally_quota::LeaseGrant>),
     /// In which term it leads and lends, if it does.
     Leads(Option<u64>),
 }
@@ -86,7 +86,7 @@
     store: Option<Store>,
     /// What could not be made safe yet: until it is, nothing is said.
     unsaved: Option<Vec<u8>>,
-    lending: Option<Lending>,
+    lending: Option<LeaderGranter>,
     out: Sender<FromKeeper>,
     waker: Waker,
     orders: VecDeque<(u64, Sender<Answer>)>,
@@ -130,7 +130,7 @@
         unsaved: None,
         lending: shared.settings.shared_limits.as_ref().map(|limits| {
             let known = limits.limits.iter().map(|l| (l.id(), l.limit()));
-            Lending::new(limits.figures, known.collect())
+            LeaderGranter::new(limits.figures, known.collect())
         }),
         out,
         waker,
@@ -223,7 +223,7 @@
         if now >= self.told_at + TELL_EVERY {
             self.told_at = now;
             *lock(&self.shared.fleet.keeper) = Some(self.keeper.status(now));
-            *lock(&self.shared.fleet.pools) = self.lending.as_ref().and_then(Lending::status);
+            *lock(&self.shared.fleet.pools) = self.lending.as_ref().and_then(LeaderGranter::status);
         }
     }
 
@@ -261,7 +261,7 @@
         }
     }
 
-    fn lend(&mut self, name: &str, life: u64, asks: &[Ask]) {
+    fn lend(&mut self, name: &str, life: u64, asks: &[LeaseRequest]) {
         // Guards against a keeper that was paused between its last look and this ask.
         let now = self.shared.clock.now();
         self.lead(now);
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -7,7 +7,10 @@
 use pintally_consensus::{Replica, ReplicaName};
 use pintally_membership::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
 use pintally_quota as shares;
-use pintally_quota::{Ask, Bound, Grant, Holder, Lending, Limit, LimitId, LimitKind, Verdict, AT_ONCE};
+use pintally_quota::{
+    Admission, Enforcement, LeaderGranter, LeaseGrant, LeaseRequest, Limit, LimitId, LimitKind, QuotaHolder,
+    MAX_ENTRIES_PER_MESSAGE,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -45,12 +48,12 @@
     alive: bool,
     woken_for: Micros,
     keeper: Option<Replica>,
-    lending: Lending,
+    lending: LeaderGranter,
     /// In which term it has said that it leads.
     said: Option<u64>,
     /// What each would have with the limit divided: what may be used, as of when.
     divided: (f64, Micros),
-    holder: Holder,
+    holder: QuotaHolder,
     load: f64,
     life: u64,
 }
@@ -156,7 +159,7 @@
         let names: Vec<String> = (0..spec.nodes).map(|n| format!("n{n}")).collect();
         let seeds: Vec<SocketAddr> = (0..3.min(spec.nodes)).map(address).collect();
         let figures = shares::Settings { nodes: spec.nodes as u32, ..shares::Settings::default() };
-        let limit = Limit { kind: LimitKind::Rate, bound: Bound::Hard, most: spec.limit };
+        let limit = Limit { kind: LimitKind::Rate, bound: Enforcement::Hard, most: spec.limit };
         let weights: Vec<f64> = (0..spec.nodes).map(|n| 1.0 + 19.0 * n as f64 / spec.nodes as f64).collect();
         let sum: f64 = weights.iter().sum();
         let keepers: Vec<&str> = names.iter().take(3).map(String::as_str).collect();
@@ -172,10 +175,10 @@
                 alive: true,
                 woken_for: Micros::MAX,
                 keeper,
-                lending: Lending::new(figures, vec![(LIMIT, limit)]),
+                lending: LeaderGranter::new(figures, vec![(LIMIT, limit)]),
                 said: None,
                 divided: (0.0, 1),
-                holder: Holder::new(figures, [(LIMIT, "limit".to_string(), limit)]),
+                holder: QuotaHolder::new(figures, [(LIMIT, "limit".to_string(), limit)]),
                 load: 1.2 * spec.limit * weights[n] / sum,
                 life,
             }
@@ -316,12 +319,12 @@
                 self.keeper_says(n, out);
             }
             Notice::Told(from, ASKS, bytes) => {
-                if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<Ask>)>(&bytes) {
+                if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<LeaseRequest>)>(&bytes) {
                     self.lend(n, &from.0, life, &asks);
                 }
             }
             Notice::Told(_, GRANTS, bytes) => {
-                if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<Grant>)>(&bytes) {
+                if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<LeaseGrant>)>(&bytes) {
                     self.granted(n, life, &grants);
                 }
             }
@@ -364,7 +367,7 @@
         }
     }
 
-    fn lend(&mut self, n: usize, name: &str, life: u64, asks: &[Ask]) {
+    fn lend(&mut self, n: usize, name: &str, life: u64, asks: &[LeaseRequest]) {
         self.lead(n);
         let now = self.now;
         let node = &mut self.nodes[n];
@@ -382,7 +385,7 @@
         self.carry_out(n, out);
     }
 
-    fn granted(&mut self, n: usize, life: u64, grants: &[Grant]) {
+    fn granted(&mut self, n: usize, life: u64, grants: &[LeaseGrant]) {
         let now = self.now;
         if self.nodes[n].life == life {
             grants.iter().for_each(|g| self.nodes[n].holder.granted(now, g));
@@ -412,7 +415,7 @@
                 self.admitted_divided += 1.0;
             }
             let holder = &mut self.nodes[n].holder;
-            if holder.ask(now, LIMIT, 1.0) == Verdict::Admit {
+            if holder.ask(now, LIMIT, 1.0) == Admission::Admit {
                 holder.take(now, LIMIT, 1.0);
                 self.admitted += 1.0;
             }
@@ -426,7 +429,7 @@
         let Some(lender) = node.peers.highest(LENDER).cloned() else { return };
         let life = node.life;
         let mut out = Vec::new();
-        for asks in asks.chunks(AT_ONCE) {
+        for asks in asks.chunks(MAX_ENTRIES_PER_MESSAGE) {
             if *lender.0 == *own {
                 self.lend(n, &own, life, asks);
             } else if let Ok(bytes) = postcard::to_stdvec(&(life, asks)) {
--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -1,6 +1,6 @@
 //! What is promised, as figures.
 
-use crate::limit::{Bound, Limit, LimitKind, Settings};
+use crate::limit::{Enforcement, Limit, LimitKind, Settings};
 use crate::Micros;
 
 /// What is promised for one limit.
@@ -26,12 +26,12 @@
         let floor = self.floor(limit);
         let floors = floor * f64::from(self.nodes.max(1));
         let at_once = match limit.bound {
-            Bound::Hard => limit.most,
-            Bound::Soft => limit.most + floors,
+            Enforcement::Hard => limit.most,
+            Enforcement::Soft => limit.most + floors,
         };
         let burst = match limit.kind {
             LimitKind::Rate => at_once * self.burst as f64 / 1e6,
-            LimitKind::Level => 0.0,
+            LimitKind::Concurrency => 0.0,
         };
         let returns_within = self.debited_for(limit);
         Bounds { at_once, each_more: floor, burst, floor, returns_within }
--- a/crates/pintally-quota/src/holder.rs
+++ b/crates/pintally-quota/src/holder.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use crate::limit::{Bound, Limit, LimitId, LimitKind, Settings};
-use crate::message::{Ask, Grant};
+use crate::limit::{Enforcement, Limit, LimitId, LimitKind, Settings};
+use crate::message::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 
 /// Demand is counted with this half-life.
@@ -20,11 +20,11 @@
 
 /// Whether something may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It may.
     Admit,
     /// It may not; asking again after this time may help.
-    Refuse(Micros),
+    Reject(Micros),
 }
 
 /// How one limit stands at this node.
@@ -82,7 +82,7 @@
 
 /// A node's shares of all limits.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct QuotaHolder {
     settings: Settings,
     held: BTreeMap<LimitId, Held>,
     names: BTreeMap<LimitId, Arc<str>>,
@@ -90,12 +90,15 @@
     active: BTreeSet<LimitId>,
 }
 
-impl Holder {
+impl QuotaHolder {
     /// A node that holds nothing but its floors. What it held in a life before is never taken up again:
     /// it stays debited until its lease is over.
-    pub fn new(settings: Settings, limits: impl IntoIterator<Item = (LimitId, String, Limit)>) -> Holder {
+    pub fn new(
+        settings: Settings,
+        limits: impl IntoIterator<Item = (LimitId, String, Limit)>,
+    ) -> QuotaHolder {
         let (held, names, active) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        let mut holder = Holder { settings, held, names, active };
+        let mut holder = QuotaHolder { settings, held, names, active };
         for (id, name, limit) in limits {
             holder.names.insert(id, name.into());
             holder.held.insert(id, Held::new(limit));
@@ -104,20 +107,20 @@
     }
 
     /// Whether something that costs so much may begin under a limit. It is not counted yet: that is
-    /// [`Holder::take`], once all limits that it falls under have room.
-    pub fn ask(&mut self, now: Micros, id: LimitId, cost: f64) -> Verdict {
+    /// [`QuotaHolder::take`], once all limits that it falls under have room.
+    pub fn ask(&mut self, now: Micros, id: LimitId, cost: f64) -> Admission {
         let settings = self.settings;
-        let Some(held) = self.held.get_mut(&id) else { return Verdict::Admit };
+        let Some(held) = self.held.get_mut(&id) else { return Admission::Admit };
         self.active.insert(id);
         held.settle(now, &settings);
         held.offered(now, cost);
         let has = held.has(now, &settings);
         let (room, lacks) = match held.limit.kind {
             LimitKind::Rate => (held.level > 0.0, -held.level + 1e-6),
-            LimitKind::Level => (held.level + cost <= has + 1e-6, 0.0),
+            LimitKind::Concurrency => (held.level + cost <= has + 1e-6, 0.0),
         };
         if room {
-            return Verdict::Admit;
+            return Admission::Admit;
         }
         held.refused += 1;
         held.turned_away += cost;
@@ -127,7 +130,7 @@
             LimitKind::Rate if has > 0.0 => (lacks / has * 1e6) as Micros,
             _ => soon,
         };
-        Verdict::Refuse(after.clamp(1_000, settings.lease.max(soon)))
+        Admission::Reject(after.clamp(1_000, settings.lease.max(soon)))
     }
 
     /// Counts what begins.
@@ -136,19 +139,21 @@
         let Some(held) = self.held.get_mut(&id) else { return };
         held.settle(now, &settings);
         held.admitted += 1;
-        held.level += if held.limit.kind == LimitKind::Level { cost } else { -cost };
+        held.level += if held.limit.kind == LimitKind::Concurrency { cost } else { -cost };
     }
 
     /// Counts what has ended of what is counted at once.
     pub fn give_back(&mut self, now: Micros, id: LimitId, cost: f64) {
         let settings = self.settings;
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.limit.kind == LimitKind::Level) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| h.limit.kind == LimitKind::Concurrency) else {
+            return;
+        };
         held.settle(now, &settings);
         held.level = (held.level - cost).max(0.0);
     }
 
     /// What is to be asked for now.
-    pub fn asks(&mut self, now: Micros) -> Vec<Ask> {
+    pub fn asks(&mut self, now: Micros) -> Vec<LeaseRequest> {
         let settings = self.settings;
         let mut asks = Vec::new();
         let mut resting = Vec::new();
@@ -168,7 +173,12 @@
             held.turned_away = 0.0;
             held.number += 1;
             held.asked = Some((held.number, now, held.share));
-            asks.push(Ask { limit: *id, number: held.number, holds: held.share, wants: wants as f32 });
+            asks.push(LeaseRequest {
+                limit: *id,
+                number: held.number,
+                holds: held.share,
+                wants: wants as f32,
+            });
         }
         resting.iter().for_each(|id| {
             self.active.remove(id);
@@ -177,7 +187,7 @@
     }
 
     /// Takes a lender's answer in.
-    pub fn granted(&mut self, now: Micros, grant: &Grant) {
+    pub fn granted(&mut self, now: Micros, grant: &LeaseGrant) {
         let settings = self.settings;
         let Some(held) = self.held.get_mut(&grant.limit) else { return };
         // Guards against a grant for an ask that another has followed: the lender does not reckon with
@@ -219,7 +229,7 @@
     pub fn status(&self, now: Micros) -> Vec<LimitStatus> {
         let one = |(id, h): (&LimitId, &Held)| LimitStatus {
             name: self.names.get(id).cloned().unwrap_or_else(|| "".into()),
-            bound: if h.limit.bound == Bound::Hard { "hard" } else { "soft" },
+            bound: if h.limit.bound == Enforcement::Hard { "hard" } else { "soft" },
             counts: if h.limit.kind == LimitKind::Rate { "a second" } else { "at once" },
             most: h.limit.most,
             has: h.has(now, &self.settings),
@@ -263,8 +273,8 @@
             return share;
         }
         match self.limit.bound {
-            Bound::Hard => 0.0,
-            Bound::Soft => {
+            Enforcement::Hard => 0.0,
+            Enforcement::Soft => {
                 let gone = (now - self.until) as f64 / settings.fade.max(1) as f64;
                 share * (1.0 - gone).max(0.0)
             }
@@ -295,8 +305,8 @@
         }
         self.at = self.at.max(now);
         let lost = match self.limit.bound {
-            Bound::Hard => now >= self.until,
-            Bound::Soft => now >= self.until + settings.fade,
+            Enforcement::Hard => now >= self.until,
+            Enforcement::Soft => now >= self.until + settings.fade,
         };
         if lost {
             (self.share, self.down_to) = (0.0, None);
@@ -316,7 +326,7 @@
                 // Others wait for it: the lender hears of it soon.
                 self.urgent = true;
             }
-            LimitKind::Level => {
+            LimitKind::Concurrency => {
                 let needed = (self.level - settings.floor(&self.limit)).max(0.0) as f32;
                 self.share = self.share.min(target.max(needed));
                 if self.share <= target {
@@ -342,14 +352,14 @@
     fn wants(&self, now: Micros, settings: &Settings) -> f64 {
         let use_now = match self.limit.kind {
             LimitKind::Rate => self.demand_now(now),
-            LimitKind::Level => self.level + self.turned_away,
+            LimitKind::Concurrency => self.level + self.turned_away,
         };
         if use_now < NONE * self.limit.most.min(1.0) {
             return 0.0;
         }
         let wanted = match self.limit.kind {
             LimitKind::Rate => use_now * HEADROOM,
-            LimitKind::Level => (use_now * HEADROOM).ceil(),
+            LimitKind::Concurrency => (use_now * HEADROOM).ceil(),
         };
         (wanted - settings.floor(&self.limit)).clamp(0.0, self.limit.most)
     }
--- a/crates/pintally-quota/src/lender.rs
+++ b/crates/pintally-quota/src/lender.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::limit::{Limit, LimitId, LimitKind, Settings};
-use crate::message::{Ask, Grant};
+use crate::message::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 
 /// Of what nobody wants, this part is spread over those that ask, so that a sudden wish finds something
@@ -49,21 +49,21 @@
 
 /// What one leader of the keepers lends while it leads. A new lead begins with nothing known.
 #[derive(Clone, Debug)]
-pub struct Lender {
+pub struct LeaseGranter {
     settings: Settings,
     since: Micros,
     pools: BTreeMap<LimitId, Pool>,
 }
 
-impl Lender {
+impl LeaseGranter {
     /// A lender that knows nothing of what was lent before `since`.
     pub fn new(
         settings: Settings,
         limits: impl IntoIterator<Item = (LimitId, Limit)>,
         since: Micros,
-    ) -> Lender {
+    ) -> LeaseGranter {
         let pool = |(id, limit)| (id, Pool { limit, parts: BTreeMap::new() });
-        Lender { settings, since, pools: limits.into_iter().map(pool).collect() }
+        LeaseGranter { settings, since, pools: limits.into_iter().map(pool).collect() }
     }
 
     /// A limit is another from now on. Shares follow as they are asked for again.
@@ -75,7 +75,7 @@
 
     /// Answers an ask of the holder with this name and life. None if it is no news, or no limit of this
     /// fleet.
-    pub fn ask(&mut self, now: Micros, name: &str, life: u64, ask: &Ask) -> Option<Grant> {
+    pub fn ask(&mut self, now: Micros, name: &str, life: u64, ask: &LeaseRequest) -> Option<LeaseGrant> {
         let settings = self.settings;
         let since = self.since;
         let pool = self.pools.get_mut(&ask.limit)?;
@@ -103,7 +103,7 @@
         let others: f64 = pool.parts.iter().filter(|(k, _)| **k != key).map(|(_, p)| p.debit).sum();
         let free = if known_all { (lendable - others).max(0.0) } else { holds };
         let mut target = pool.fair(&key, lendable);
-        if pool.limit.kind == LimitKind::Level {
+        if pool.limit.kind == LimitKind::Concurrency {
             target = target.floor();
             if target < 1.0 && wants >= 1.0 && holds < 1.0 && free >= 1.0 {
                 // Where there is less than one for each, the first to ask has one, and gives it back after use.
@@ -114,11 +114,12 @@
             target = holds;
         }
         let share = if target > holds { target.min(free.max(holds)) } else { target };
-        let share = rounded_down(if pool.limit.kind == LimitKind::Level { share.floor() } else { share });
+        let share =
+            rounded_down(if pool.limit.kind == LimitKind::Concurrency { share.floor() } else { share });
         if let Some(part) = pool.parts.get_mut(&key) {
             part.debit = holds.max(f64::from(share));
         }
-        Some(Grant { limit: ask.limit, number: ask.number, share, most: pool.limit.most })
+        Some(LeaseGrant { limit: ask.limit, number: ask.number, share, most: pool.limit.most })
     }
 
     /// How each limit that anybody holds stands.
@@ -154,7 +155,7 @@
         if sum <= lendable {
             let spare = match self.limit.kind {
                 LimitKind::Rate => (lendable - sum) * SPREAD / wants.len() as f64,
-                LimitKind::Level => 0.0,
+                LimitKind::Concurrency => 0.0,
             };
             return own + spare;
         }
--- a/crates/pintally-quota/src/lending.rs
+++ b/crates/pintally-quota/src/lending.rs
@@ -1,8 +1,8 @@
 //! A keeper that lends while it leads, and what becomes of its lender when its lead lapses.
 
-use crate::lender::{Lender, PoolStatus};
+use crate::lender::{LeaseGranter, PoolStatus};
 use crate::limit::{Limit, LimitId, Settings};
-use crate::message::{Ask, Grant};
+use crate::message::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 
 /// A keeper's lending: one lender for each term in which it leads.
@@ -11,17 +11,17 @@
 /// and reckoned from the term's beginning would lend all that is lent already a second time. Nobody else
 /// can have led in between, or the term would be another; so its lender goes on with what it knows.
 #[derive(Clone, Debug)]
-pub struct Lending {
+pub struct LeaderGranter {
     settings: Settings,
     limits: Vec<(LimitId, Limit)>,
-    lender: Option<(u64, Lender)>,
+    lender: Option<(u64, LeaseGranter)>,
     leads: bool,
 }
 
-impl Lending {
+impl LeaderGranter {
     /// One that does not lead.
-    pub fn new(settings: Settings, limits: Vec<(LimitId, Limit)>) -> Lending {
-        Lending { settings, limits, lender: None, leads: false }
+    pub fn new(settings: Settings, limits: Vec<(LimitId, Limit)>) -> LeaderGranter {
+        LeaderGranter { settings, limits, lender: None, leads: false }
     }
 
     /// The term in which the keeper surely leads now, if it does; whether a new lender has begun.
@@ -31,7 +31,7 @@
             return false;
         };
         // What it knows begins now, however long the term is old.
-        self.lender = Some((term, Lender::new(self.settings, self.limits.iter().copied(), now)));
+        self.lender = Some((term, LeaseGranter::new(self.settings, self.limits.iter().copied(), now)));
         true
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Answers asks of a holder; nothing while it does not lead.
-    pub fn ask(&mut self, now: Micros, name: &str, life: u64, asks: &[Ask]) -> Vec<Grant> {
+    pub fn ask(&mut self, now: Micros, name: &str, life: u64, asks: &[LeaseRequest]) -> Vec<LeaseGrant> {
         match &mut self.lender {
             Some((_, lender)) if self.leads => {
                 asks.iter().filter_map(|ask| lender.ask(now, name, life, ask)).collect()
--- a/crates/pintally-quota/src/lib.rs
+++ b/crates/pintally-quota/src/lib.rs
@@ -14,11 +14,11 @@
 mod message;
 
 pub use bounds::Bounds;
-pub use holder::{Holder, LimitStatus, Verdict};
-pub use lender::{Lender, PoolStatus};
-pub use lending::Lending;
-pub use limit::{Bound, Limit, LimitId, LimitKind, Settings};
-pub use message::{Ask, Grant, AT_ONCE};
+pub use holder::{Admission, LimitStatus, QuotaHolder};
+pub use lender::{LeaseGranter, PoolStatus};
+pub use lending::LeaderGranter;
+pub use limit::{Enforcement, Limit, LimitId, LimitKind, Settings};
+pub use message::{LeaseGrant, LeaseRequest, MAX_ENTRIES_PER_MESSAGE};
 pub use pintally_validation::InvalidConfiguration;
 
 /// Microseconds of a clock that never goes back.
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -15,12 +15,12 @@
     /// So much a second.
     Rate,
     /// So many at once.
-    Level,
+    Concurrency,
 }
 
 /// What gives way when nodes cannot hear each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Bound {
+pub enum Enforcement {
     /// The limit holds; what cannot be asked for is refused.
     Hard,
     /// Service goes on; the limit is exceeded by a stated part.
@@ -33,7 +33,7 @@
     /// What it counts.
     pub kind: LimitKind,
     /// What gives way.
-    pub bound: Bound,
+    pub bound: Enforcement,
     /// How much for the whole fleet, a second or at once.
     pub most: f64,
 }
@@ -93,19 +93,19 @@
     pub fn floor(&self, limit: &Limit) -> f64 {
         let nodes = f64::from(self.nodes.max(1));
         match (limit.bound, limit.kind) {
-            (Bound::Hard, LimitKind::Rate) => limit.most * self.reserve / nodes,
+            (Enforcement::Hard, LimitKind::Rate) => limit.most * self.reserve / nodes,
             // Half a stream is none: what does not make a whole one for each node stays with the lender.
-            (Bound::Hard, LimitKind::Level) => (limit.most * self.reserve / nodes).floor(),
-            (Bound::Soft, LimitKind::Rate) => limit.most * self.over / nodes,
-            (Bound::Soft, LimitKind::Level) => (limit.most * self.over / nodes).floor(),
+            (Enforcement::Hard, LimitKind::Concurrency) => (limit.most * self.reserve / nodes).floor(),
+            (Enforcement::Soft, LimitKind::Rate) => limit.most * self.over / nodes,
+            (Enforcement::Soft, LimitKind::Concurrency) => (limit.most * self.over / nodes).floor(),
         }
     }
 
     /// What there is to lend of a limit.
     pub fn lendable(&self, limit: &Limit) -> f64 {
         match limit.bound {
-            Bound::Hard => limit.most - self.floor(limit) * f64::from(self.nodes.max(1)),
-            Bound::Soft => limit.most,
+            Enforcement::Hard => limit.most - self.floor(limit) * f64::from(self.nodes.max(1)),
+            Enforcement::Soft => limit.most,
         }
     }
 
@@ -115,9 +115,11 @@
         let lease = (self.lease as f64 * (1.0 + 2.0 * self.drift)) as Micros;
         lease
             + match (limit.kind, limit.bound) {
-                (LimitKind::Level, _) => (self.hold as f64 * (1.0 + 2.0 * self.drift)) as Micros,
-                (LimitKind::Rate, Bound::Hard) => 0,
-                (LimitKind::Rate, Bound::Soft) => (self.fade as f64 * (1.0 + 2.0 * self.drift)) as Micros,
+                (LimitKind::Concurrency, _) => (self.hold as f64 * (1.0 + 2.0 * self.drift)) as Micros,
+                (LimitKind::Rate, Enforcement::Hard) => 0,
+                (LimitKind::Rate, Enforcement::Soft) => {
+                    (self.fade as f64 * (1.0 + 2.0 * self.drift)) as Micros
+                }
             }
     }
 }
--- a/crates/pintally-quota/src/message.rs
+++ b/crates/pintally-quota/src/message.rs
@@ -5,11 +5,11 @@
 use crate::limit::LimitId;
 
 /// Asks, or grants, in one message: with what stands around them they stay below a datagram.
-pub const AT_ONCE: usize = 40;
+pub const MAX_ENTRIES_PER_MESSAGE: usize = 40;
 
 /// A holder asks for a share, and by this gives back what it holds no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Of which limit.
     pub limit: LimitId,
     /// Counts the asks of this holder's life for this limit. A grant for an earlier one is void.
@@ -22,7 +22,7 @@
 
 /// A lender's answer to one ask.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// Of which limit.
     pub limit: LimitId,
     /// Which ask it answers.
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 
 use pintally_quota::{
-    Ask, Bound, Grant, Holder, Lender, Limit, LimitId, LimitKind, Micros, Settings, Verdict,
+    Admission, Enforcement, LeaseGrant, LeaseGranter, LeaseRequest, Limit, LimitId, LimitKind, Micros,
+    QuotaHolder, Settings,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +27,7 @@
 }
 
 pub struct Node {
-    pub holder: Holder,
+    pub holder: QuotaHolder,
     pub life: u64,
     pub rate: f64,
     pub offset: Micros,
@@ -36,12 +37,12 @@
     /// Offered a second.
     pub load: f64,
     pub running: Vec<Micros>,
-    image: Holder,
+    image: QuotaHolder,
 }
 
 enum Event {
-    Ask(usize, String, u64, Ask),
-    Grant(usize, u64, Grant),
+    LeaseRequest(usize, String, u64, LeaseRequest),
+    LeaseGrant(usize, u64, LeaseGrant),
 }
 
 pub struct World {
@@ -51,7 +52,7 @@
     /// Nodes that the settings reckon with; the others are twins.
     pub limit: Limit,
     pub settings: Settings,
-    pub lender: Option<Lender>,
+    pub lender: Option<LeaseGranter>,
     pub next_lender: Micros,
     pub broken: Broken,
     pub loss: f64,
@@ -107,7 +108,7 @@
 
     pub fn add(&mut self, load: f64) {
         self.lives += 1;
-        let holder = Holder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
+        let holder = QuotaHolder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
         let drift = self.settings.drift;
         self.nodes.push(Node {
             image: holder.clone(),
@@ -139,8 +140,8 @@
             let after = self.rng.random_range(MS..most);
             self.serial += 1;
             let event = match &event {
-                Event::Ask(k, name, life, ask) => Event::Ask(*k, name.clone(), *life, *ask),
-                Event::Grant(k, life, grant) => Event::Grant(*k, *life, *grant),
+                Event::LeaseRequest(k, name, life, ask) => Event::LeaseRequest(*k, name.clone(), *life, *ask),
+                Event::LeaseGrant(k, life, grant) => Event::LeaseGrant(*k, *life, *grant),
             };
             self.queue.insert((self.now + after, self.serial), event);
         }
@@ -148,7 +149,7 @@
 
     pub fn restart(&mut self, k: usize) {
         self.lives += 1;
-        let fresh = Holder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
+        let fresh = QuotaHolder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
         let disk = self.broken == Broken::SharesFromDisk;
         let node = &mut self.nodes[k];
         node.holder = if disk { node.image.clone() } else { fresh };
@@ -168,7 +169,7 @@
         if self.lender.is_none() && self.now >= self.next_lender {
             let back = if self.broken == Broken::NoWait { self.now.min(100_000 * MS) } else { 0 };
             let since = self.now - back;
-            self.lender = Some(Lender::new(self.settings, [(ONE, self.limit)], since));
+            self.lender = Some(LeaseGranter::new(self.settings, [(ONE, self.limit)], since));
         }
         if self.troubles {
             self.trouble();
@@ -179,15 +180,15 @@
         while self.queue.first_key_value().is_some_and(|(at, _)| at.0 <= self.now) {
             let Some((_, event)) = self.queue.pop_first() else { break };
             match event {
-                Event::Ask(k, name, life, ask) => {
+                Event::LeaseRequest(k, name, life, ask) => {
                     let (now, cut) = (self.now, self.nodes[k].cut);
                     let grant =
                         self.lender.as_mut().filter(|_| !cut).and_then(|l| l.ask(now, &name, life, &ask));
                     if let Some(grant) = grant {
-                        self.push(Event::Grant(k, life, grant));
+                        self.push(Event::LeaseGrant(k, life, grant));
                     }
                 }
-                Event::Grant(k, life, grant) => {
+                Event::LeaseGrant(k, life, grant) => {
                     let clock = self.clock(k);
                     let node = &mut self.nodes[k];
                     if node.life == life && !node.cut && self.now >= node.paused_until {
@@ -207,7 +208,7 @@
         let clock = self.clock(k);
         let before = self.nodes[k].holder.share(clock, ONE) > 0.0;
         let mut expected = self.nodes[k].load * 0.005;
-        if self.limit.kind == LimitKind::Level {
+        if self.limit.kind == LimitKind::Concurrency {
             // Each runs for half a second.
             expected *= 2.0;
             let now = self.now;
@@ -222,7 +223,7 @@
             }
             expected -= 1.0;
             let node = &mut self.nodes[k];
-            if node.holder.ask(clock, ONE, 1.0) == Verdict::Admit {
+            if node.holder.ask(clock, ONE, 1.0) == Admission::Admit {
                 node.holder.take(clock, ONE, 1.0);
                 node.running.push(self.now + 500 * MS);
                 self.admitted += 1.0;
@@ -245,7 +246,7 @@
         let life = self.nodes[k].life;
         self.ended_leases += u64::from(before && self.nodes[k].holder.share(clock, ONE) <= 0.0);
         if !self.nodes[k].cut {
-            asks.into_iter().for_each(|ask| self.push(Event::Ask(k, format!("n{k}"), life, ask)));
+            asks.into_iter().for_each(|ask| self.push(Event::LeaseRequest(k, format!("n{k}"), life, ask)));
         }
         self.check()
     }
@@ -323,10 +324,10 @@
     }
 }
 
-pub fn rate(most: f64, bound: Bound) -> Limit {
+pub fn rate(most: f64, bound: Enforcement) -> Limit {
     Limit { kind: LimitKind::Rate, bound, most }
 }
 
-pub fn level(most: f64, bound: Bound) -> Limit {
-    Limit { kind: LimitKind::Level, bound, most }
+pub fn level(most: f64, bound: Enforcement) -> Limit {
+    Limit { kind: LimitKind::Concurrency, bound, most }
 }
--- a/crates/pintally-quota/tests/decisions.rs
+++ b/crates/pintally-quota/tests/decisions.rs
@@ -3,12 +3,15 @@
 mod common;
 
 use common::{level, rate, World, MS, ONE};
-use pintally_quota::{Ask, Bound, Grant, Holder, Lender, Lending, Limit, LimitId, Settings, Verdict};
+use pintally_quota::{
+    Admission, Enforcement, LeaderGranter, LeaseGrant, LeaseGranter, LeaseRequest, Limit, LimitId,
+    QuotaHolder, Settings,
+};
 
 /// All of a tenant's load moves from one node to another every 5 s.
 #[test]
 fn shares_follow_a_load_that_moves() {
-    let mut world = World::new(5, 1, rate(100.0, Bound::Hard));
+    let mut world = World::new(5, 1, rate(100.0, Enforcement::Hard));
     world.run(6_000).unwrap();
     let before = world.admitted;
     for k in 0..10 {
@@ -25,7 +28,7 @@
 
 #[test]
 fn shares_do_not_swing_while_demand_is_steady() {
-    let mut world = World::new(4, 2, rate(400.0, Bound::Hard));
+    let mut world = World::new(4, 2, rate(400.0, Enforcement::Hard));
     for node in &mut world.nodes {
         node.load = 80.0;
     }
@@ -49,7 +52,7 @@
 /// 40 nodes and a limit of one a second: each gets its turn, and the sum is used.
 #[test]
 fn small_limits_are_shared_among_many_nodes() {
-    let mut world = World::new(40, 3, rate(1.0, Bound::Hard));
+    let mut world = World::new(40, 3, rate(1.0, Enforcement::Hard));
     for node in &mut world.nodes {
         node.load = 0.1;
     }
@@ -63,7 +66,7 @@
 
 #[test]
 fn streams_at_once_fewer_than_nodes_go_round() {
-    let mut world = World::new(8, 4, level(3.0, Bound::Hard));
+    let mut world = World::new(8, 4, level(3.0, Enforcement::Hard));
     for node in &mut world.nodes {
         node.load = 3.0;
     }
@@ -76,7 +79,7 @@
 
 #[test]
 fn a_node_that_is_cut_off_lives_on_its_floor() {
-    let limit = rate(100.0, Bound::Hard);
+    let limit = rate(100.0, Enforcement::Hard);
     let mut world = World::new(4, 5, limit);
     for node in &mut world.nodes {
         node.load = 24.0;
@@ -89,7 +92,7 @@
     let status = world.nodes[0].holder.status(world.clock(0));
     assert!(!status[0].leased && status[0].age_ms > Some(4_000), "{status:?}");
     // And a soft one keeps its part beyond.
-    let soft = rate(100.0, Bound::Soft);
+    let soft = rate(100.0, Enforcement::Soft);
     assert_eq!(world.settings.floor(&soft), 100.0 * world.settings.over / 4.0);
 }
 
@@ -97,10 +100,10 @@
 #[test]
 fn a_dead_nodes_share_returns_only_when_its_lease_is_surely_over() {
     let settings = Settings { nodes: 2, ..Settings::default() };
-    let limit = rate(100.0, Bound::Hard);
-    let mut lender = Lender::new(settings, [(ONE, limit)], 0);
+    let limit = rate(100.0, Enforcement::Hard);
+    let mut lender = LeaseGranter::new(settings, [(ONE, limit)], 0);
     let mut now = settings.debited_for(&limit) + 1;
-    let ask = |number, holds| Ask { limit: ONE, number, holds, wants: 100.0 };
+    let ask = |number, holds| LeaseRequest { limit: ONE, number, holds, wants: 100.0 };
     let first = lender.ask(now, "a", 1, &ask(1, 0.0)).unwrap();
     assert!(f64::from(first.share) <= 80.0 && first.share > 79.0, "{first:?}");
     let died = now;
@@ -124,9 +127,9 @@
 #[test]
 fn what_is_late_or_doubled_changes_nothing() {
     let settings = Settings { nodes: 1, ..Settings::default() };
-    let limit = rate(100.0, Bound::Hard);
-    let mut lender = Lender::new(settings, [(ONE, limit)], 0);
-    let mut holder = Holder::new(settings, [(ONE, "one".into(), limit)]);
+    let limit = rate(100.0, Enforcement::Hard);
+    let mut lender = LeaseGranter::new(settings, [(ONE, limit)], 0);
+    let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
     let mut now = 10_000 * MS;
     for _ in 0..50 {
         holder.ask(now, ONE, 1.0);
@@ -139,22 +142,22 @@
     assert!(held > 0.0);
     now += 1_000 * MS;
     let second = holder.asks(now)[0];
-    holder.granted(now, &Grant { share: 1e9, ..grant });
+    holder.granted(now, &LeaseGrant { share: 1e9, ..grant });
     assert_eq!(holder.share(now, ONE), held, "a grant for an earlier ask is void");
     lender.ask(now, "a", 1, &second).unwrap();
     assert_eq!(lender.ask(now, "a", 1, &first), None, "late");
     for bad in [f32::NAN, -1.0, f32::INFINITY] {
-        assert_eq!(lender.ask(now, "a", 1, &Ask { number: 99, holds: bad, ..second }), None);
-        holder.granted(now, &Grant { share: bad, number: second.number, ..grant });
+        assert_eq!(lender.ask(now, "a", 1, &LeaseRequest { number: 99, holds: bad, ..second }), None);
+        holder.granted(now, &LeaseGrant { share: bad, number: second.number, ..grant });
         assert_eq!(holder.share(now, ONE), held);
     }
-    assert_eq!(lender.ask(now, "a", 1, &Ask { limit: LimitId(77), ..second }), None);
+    assert_eq!(lender.ask(now, "a", 1, &LeaseRequest { limit: LimitId(77), ..second }), None);
 }
 
 /// The limit is changed while traffic flows: all have come down within the time that a lease takes.
 #[test]
 fn a_limit_that_is_lowered_holds_within_a_lease() {
-    let mut world = World::new(4, 6, rate(100.0, Bound::Hard));
+    let mut world = World::new(4, 6, rate(100.0, Enforcement::Hard));
     for node in &mut world.nodes {
         node.load = 40.0;
     }
@@ -173,14 +176,14 @@
 #[test]
 fn a_refusal_says_when_asking_again_may_help() {
     let settings = Settings { nodes: 1, ..Settings::default() };
-    let limit = Limit { most: 10.0, ..rate(10.0, Bound::Hard) };
-    let mut holder = Holder::new(settings, [(ONE, "one".into(), limit)]);
-    assert!(matches!(holder.ask(1_000, ONE, 1.0), Verdict::Refuse(_)), "a new life has saved nothing");
-    assert_eq!(holder.ask(1_000 * MS, ONE, 1.0), Verdict::Admit);
+    let limit = Limit { most: 10.0, ..rate(10.0, Enforcement::Hard) };
+    let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
+    assert!(matches!(holder.ask(1_000, ONE, 1.0), Admission::Reject(_)), "a new life has saved nothing");
+    assert_eq!(holder.ask(1_000 * MS, ONE, 1.0), Admission::Admit);
     (0..4).for_each(|_| holder.take(1_000 * MS, ONE, 1.0));
-    let Verdict::Refuse(after) = holder.ask(1_000 * MS, ONE, 1.0) else { panic!("it owes") };
+    let Admission::Reject(after) = holder.ask(1_000 * MS, ONE, 1.0) else { panic!("it owes") };
     let then = 1_000 * MS + after + 1_000;
-    assert_eq!(holder.ask(then, ONE, 1.0), Verdict::Admit);
+    assert_eq!(holder.ask(then, ONE, 1.0), Admission::Admit);
 }
 
 #[test]
@@ -195,15 +198,15 @@
 #[test]
 fn a_decision_costs_little_whatever_the_number_of_limits() {
     let settings = Settings { nodes: 40, ..Settings::default() };
-    let limits = (0..10_000u32).map(|n| (LimitId(n), format!("limit-{n}"), rate(1_000.0, Bound::Hard)));
-    let mut holder = Holder::new(settings, limits);
+    let limits = (0..10_000u32).map(|n| (LimitId(n), format!("limit-{n}"), rate(1_000.0, Enforcement::Hard)));
+    let mut holder = QuotaHolder::new(settings, limits);
     let mut now = 1_000 * MS;
     let began = std::time::Instant::now();
     let mut admitted = 0u32;
     for n in 0..200_000u32 {
         now += 50;
         let id = LimitId(n % 16);
-        if holder.ask(now, id, 1.0) == Verdict::Admit {
+        if holder.ask(now, id, 1.0) == Admission::Admit {
             holder.take(now, id, 1.0);
             admitted += 1;
         }
@@ -220,11 +223,11 @@
 #[test]
 fn a_lapse_of_the_lead_lends_nothing_twice() {
     let settings = Settings { nodes: 2, ..Settings::default() };
-    let limit = rate(100.0, Bound::Hard);
-    let mut lending = Lending::new(settings, vec![(ONE, limit)]);
+    let limit = rate(100.0, Enforcement::Hard);
+    let mut lending = LeaderGranter::new(settings, vec![(ONE, limit)]);
     assert!(lending.lead(0, Some(3)));
     let mut now = settings.debited_for(&limit) + 1;
-    let ask = |number| [Ask { limit: ONE, number, holds: 0.0, wants: 100.0 }];
+    let ask = |number| [LeaseRequest { limit: ONE, number, holds: 0.0, wants: 100.0 }];
     assert!(lending.ask(now, "a", 1, &ask(1))[0].share > 79.0);
     now += 100 * MS;
     assert!(!lending.lead(now, None));
--- a/crates/pintally-quota/tests/golden.rs
+++ b/crates/pintally-quota/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use pintally_quota::{Ask, Bound, Grant, LimitId, LimitKind};
+use pintally_quota::{Enforcement, LeaseGrant, LeaseRequest, LimitId, LimitKind};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -32,35 +32,35 @@
 /// The sender's life stands before the asks and grants of one message.
 const LIFE: u64 = 1 << 40;
 
-fn ask() -> Ask {
-    Ask { limit: LIMIT, number: 300, holds: 0.1, wants: 1.5e9 }
+fn ask() -> LeaseRequest {
+    LeaseRequest { limit: LIMIT, number: 300, holds: 0.1, wants: 1.5e9 }
 }
 
-fn grant() -> Grant {
-    Grant { limit: LIMIT, number: 300, share: 12.25, most: 0.1 }
+fn grant() -> LeaseGrant {
+    LeaseGrant { limit: LIMIT, number: 300, share: 12.25, most: 0.1 }
 }
 
 #[test]
 fn ask_bytes_are_stable() {
     assert_stable("ask", ask());
-    let nothing = Ask { limit: LimitId(0), number: 1, holds: 0.0, wants: 0.0 };
+    let nothing = LeaseRequest { limit: LimitId(0), number: 1, holds: 0.0, wants: 0.0 };
     assert_stable("ask_message", (LIFE, vec![ask(), nothing]));
-    assert_stable("ask_message_empty", (LIFE, Vec::<Ask>::new()));
+    assert_stable("ask_message_empty", (LIFE, Vec::<LeaseRequest>::new()));
 }
 
 #[test]
 fn grant_bytes_are_stable() {
     assert_stable("grant", grant());
-    let nothing = Grant { limit: LimitId(1), number: 2, share: 0.0, most: f64::MAX };
+    let nothing = LeaseGrant { limit: LimitId(1), number: 2, share: 0.0, most: f64::MAX };
     assert_stable("grant_message", (LIFE, vec![grant(), nothing]));
-    assert_stable("grant_message_empty", (LIFE, Vec::<Grant>::new()));
+    assert_stable("grant_message_empty", (LIFE, Vec::<LeaseGrant>::new()));
 }
 
 #[test]
 fn limit_bytes_are_stable() {
     assert_stable("limit_id", LIMIT);
     assert_stable("kind_rate", LimitKind::Rate);
-    assert_stable("kind_level", LimitKind::Level);
-    assert_stable("bound_hard", Bound::Hard);
-    assert_stable("bound_soft", Bound::Soft);
+    assert_stable("kind_level", LimitKind::Concurrency);
+    assert_stable("bound_hard", Enforcement::Hard);
+    assert_stable("bound_soft", Enforcement::Soft);
 }
--- a/crates/pintally-quota/tests/random.rs
+++ b/crates/pintally-quota/tests/random.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{level, rate, Broken, World};
-use pintally_quota::Bound;
+use pintally_quota::Enforcement;
 
 fn runs(usual: u64) -> u64 {
     std::env::var("SHARES_RUNS").ok().and_then(|r| r.parse().ok()).unwrap_or(usual)
@@ -12,9 +12,9 @@
 fn world(seed: u64, broken: Broken) -> World {
     let n = [2, 3, 5, 8][(seed % 4) as usize];
     let limit = match seed % 3 {
-        0 => rate(50.0, Bound::Hard),
-        1 => rate(3.0, Bound::Soft),
-        _ => level(24.0, Bound::Hard),
+        0 => rate(50.0, Enforcement::Hard),
+        1 => rate(3.0, Enforcement::Soft),
+        _ => level(24.0, Enforcement::Hard),
     };
     let mut world = World::new(n, seed, limit);
     world.broken = broken;
