--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -20,7 +20,7 @@
     let death_known = settings.peers.as_ref().map(|peers| {
         let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
         (figures.period, figures.suspicion) = (peers.period, peers.suspicion);
-        figures.death_known_within(settings.core.nodes as usize)
+        figures.max_failure_detection_time(settings.core.nodes as usize)
     });
     if let Some(within) = death_known {
         lines += &format!(
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -82,7 +82,7 @@
         outcome = ?end.outcome, took_us = began.elapsed().as_micros() as u64, "attempt ended"
     );
     life.out = None;
-    life.shared.tell(Input::AttemptEnd {
+    life.shared.send_input(Input::AttemptEnd {
         ticket: order.ticket,
         attempt: order.attempt,
         outcome: end.outcome,
@@ -154,7 +154,7 @@
             match step {
                 Progress::Text(text) if order.step != Step::Read => {
                     if !std::mem::replace(&mut started, true) {
-                        life.shared.tell(Input::FirstToken(order.ticket, order.attempt));
+                        life.shared.send_input(Input::FirstToken(order.ticket, order.attempt));
                     }
                     life.push_text(&text);
                 }
--- a/crates/pintally-kserve-node/src/errand.rs
+++ b/crates/pintally-kserve-node/src/errand.rs
@@ -224,7 +224,7 @@
     fn tell(self, shared: &Shared, end: End) {
         let at = self.errand.address();
         let answer = matches!(end, End::Answered(_)).then_some((self.status, &self.body[..]));
-        word(self.errand, answer).into_iter().for_each(|word| shared.tell(word));
+        word(self.errand, answer).into_iter().for_each(|word| shared.send_input(word));
         if matches!(end, End::Answered(true)) {
             shared.pool.keep(at, self.stream);
         }
@@ -268,7 +268,7 @@
             let begun = shared.pool.for_errand(at, !errand.anew());
             let Ok((stream, up)) = begun else {
                 lines.done(at);
-                word(errand, None).into_iter().for_each(|word| shared.tell(word));
+                word(errand, None).into_iter().for_each(|word| shared.send_input(word));
                 continue;
             };
             let (unsent, reader) = (errand.bytes(), ResponseReader::new(16 << 10));
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -15,7 +15,9 @@
 use pintally_config::{NodeSettings, PeerSettings, RecoverySettings};
 use pintally_consensus::ReplicaName;
 use pintally_host::{Input, Left};
-use pintally_membership::{Life, Member, Notice, Output, PeerName, Peers, Settings, Topic};
+use pintally_membership::{
+    Member, Membership, MembershipEvent, Output, PeerName, ProcessIncarnation, Settings, Topic,
+};
 use pintally_outlier_detection::{Node, Report};
 use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
@@ -166,7 +168,7 @@
     /// Read states that the life before may have left at engines.
     pub(crate) left: Vec<Left>,
     memory: Memory,
-    life: Life,
+    life: ProcessIncarnation,
     /// Where peers were.
     seen: Vec<SocketAddr>,
 }
@@ -207,7 +209,7 @@
         list: text(KEY_LIST),
         usual,
         memory: Memory { carried: number(KEY_CARRIED).map_or(0.0, f64::from_bits), lacks },
-        life: Life { boot, mark: seed },
+        life: ProcessIncarnation { boot, mark: seed },
         seen: seen.lines().filter_map(|a| a.parse().ok()).take(16).collect(),
         store,
     }
@@ -272,7 +274,7 @@
 /// The fleet's side of a node.
 pub(crate) struct Fleet {
     udp: Udp,
-    peers: Peers,
+    peers: Membership,
     /// Hands out texts until it is dropped.
     _whole: Whole,
     memory: Memory,
@@ -309,7 +311,7 @@
     figures.repair = settings.repair;
     figures.forget = settings.forget;
     figures.check().map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
-    let peers = Peers::new(figures, before.life, seed, shared.clock.now());
+    let peers = Membership::new(figures, before.life, seed, shared.clock.now());
     Ok(Fleet { udp, peers, _whole: whole, memory: before.memory.clone(), keeper })
 }
 
@@ -346,7 +348,7 @@
 
 /// What a node without peers does at its start: it goes by what its disk has.
 pub(crate) fn alone(shared: &Shared, before: &Before) {
-    shared.tell(Input::Recovery(recovery::Input::Read(before.memory.clone())));
+    shared.send_input(Input::Recovery(recovery::Input::Read(before.memory.clone())));
 }
 
 struct Running<'a> {
@@ -386,7 +388,7 @@
 
 /// Runs until the node ends.
 pub(crate) fn run(shared: &Arc<Shared>, fleet: Fleet, mail: &Mail, look: Sender<()>) {
-    shared.tell(Input::Recovery(recovery::Input::Read(fleet.memory.clone())));
+    shared.send_input(Input::Recovery(recovery::Input::Read(fleet.memory.clone())));
     let carried = fleet.memory.carried;
     let mut running = Running {
         shared,
@@ -426,13 +428,13 @@
         }
         for number in mail.ask.try_iter() {
             let Some(name) = self.names.get(number as usize).cloned() else { continue };
-            self.fleet.peers.tell(&name, HOW, Vec::new(), &mut out);
+            self.fleet.peers.send_direct(&name, HOW, Vec::new(), &mut out);
         }
         for one in mail.keeper.try_iter() {
             self.keeper_says(one, &mut out);
         }
         for report in mail.testimonies.try_iter() {
-            if self.fleet.peers.say(EVIDENCE, report).is_err() {
+            if self.fleet.peers.publish(EVIDENCE, report).is_err() {
                 debug!("there is no room for what this node saw of engines");
             }
         }
@@ -441,17 +443,17 @@
         }
         let plan = self.regions.as_mut().and_then(|r| r.plan(now, self.shared, &self.fleet.peers));
         if let Some(plan) = plan {
-            self.shared.tell(Input::Plan(plan.clone()));
-            if self.fleet.peers.say(PLAN, plan).is_err() {
+            self.shared.send_input(Input::Plan(plan.clone()));
+            if self.fleet.peers.publish(PLAN, plan).is_err() {
                 debug!("there is no room for the plan of zones");
             }
         }
         for engine in std::mem::take(&mut *lock(&self.shared.fleet.cleared)) {
-            self.shared.tell(Input::Cleared(engine.clone()));
+            self.shared.send_input(Input::Cleared(engine.clone()));
             // Each word is another one, though it may be of the same engine.
             let mut word = now.to_le_bytes().to_vec();
             word.extend_from_slice(engine.as_bytes());
-            let _ = self.fleet.peers.say(CLEARED, word);
+            let _ = self.fleet.peers.publish(CLEARED, word);
         }
         for asks in mail.shares.try_iter() {
             self.ask_for(&asks, &mut out);
@@ -487,7 +489,7 @@
                 Output::Datagram(to, bytes) => {
                     self.fleet.udp.send(to, &bytes);
                 }
-                Output::Notice(notice) => known |= self.notice(notice),
+                Output::Event(notice) => known |= self.notice(notice),
             }
         }
         if known {
@@ -496,53 +498,53 @@
     }
 
     /// Takes a notice in; whether it changes who is here.
-    fn notice(&mut self, notice: Notice) -> bool {
+    fn notice(&mut self, notice: MembershipEvent) -> bool {
         match notice {
-            Notice::Up(name, life) => {
+            MembershipEvent::MemberUp(name, life) => {
                 info!(peer = %name, boot = life.boot, "a peer is here");
                 self.guardian(|g, _| g.up(&name.0, life.mark));
                 return true;
             }
-            Notice::Down(name) => {
+            MembershipEvent::MemberDown(name) => {
                 info!(peer = %name, "a peer is dead");
                 self.guardian(|g, now| g.down(now, &name.0));
                 return true;
             }
-            Notice::Left(name) => {
+            MembershipEvent::MemberLeft(name) => {
                 info!(peer = %name, "a peer has left");
                 self.guardian(|g, _| g.left(&name.0));
                 return true;
             }
-            Notice::Suspected(name) => debug!(peer = %name, "a peer is suspected"),
-            Notice::Fact(origin, LIST) => self.list_of(&origin),
-            Notice::Fact(origin, EVIDENCE) => self.evidence_of(&origin),
-            Notice::Fact(origin, PLAN) => {
+            MembershipEvent::MemberSuspected(name) => debug!(peer = %name, "a peer is suspected"),
+            MembershipEvent::FactReceived(origin, LIST) => self.list_of(&origin),
+            MembershipEvent::FactReceived(origin, EVIDENCE) => self.evidence_of(&origin),
+            MembershipEvent::FactReceived(origin, PLAN) => {
                 let fact = self.fleet.peers.fact(&origin, PLAN);
                 if let (Some(fact), Some(regions)) = (fact, &mut self.regions) {
                     let plan = fact.payload.clone();
                     if regions.heard(&plan) {
-                        self.shared.tell(Input::Plan(plan));
+                        self.shared.send_input(Input::Plan(plan));
                     }
                 }
             }
-            Notice::Fact(origin, CLEARED) => {
+            MembershipEvent::FactReceived(origin, CLEARED) => {
                 let fact = self.fleet.peers.fact(&origin, CLEARED);
                 let engine = fact.and_then(|f| std::str::from_utf8(f.payload.get(8..)?).ok());
                 if let Some(engine) = engine {
-                    self.shared.tell(Input::Cleared(engine.to_string()));
+                    self.shared.send_input(Input::Cleared(engine.to_string()));
                 }
             }
-            Notice::Fact(..) => {}
-            Notice::Told(from, HOW, _) => {
+            MembershipEvent::FactReceived(..) => {}
+            MembershipEvent::DirectMessage(from, HOW, _) => {
                 let (answer, list) = (lock(&self.shared.fleet.answer).clone(), self.list_held());
                 let answer = answer.map(|a| Answer { list, ..a });
                 if let Some(bytes) = answer.and_then(|a| serde_json::to_vec(&a).ok()) {
                     let mut out = Vec::new();
-                    self.fleet.peers.tell(&from, SO, bytes, &mut out);
+                    self.fleet.peers.send_direct(&from, SO, bytes, &mut out);
                     self.carry_out(out);
                 }
             }
-            Notice::Told(from, SO, bytes) => {
+            MembershipEvent::DirectMessage(from, SO, bytes) => {
                 let number = self.number(&from);
                 if let Ok(answer) = serde_json::from_slice::<Answer>(&bytes) {
                     // A peer in full service goes by the same list: it need not come from its source again.
@@ -550,40 +552,42 @@
                         && answer.list.is_some()
                         && answer.list == self.list_held()
                     {
-                        self.shared.tell(Input::Fresh);
+                        self.shared.send_input(Input::Fresh);
                     }
-                    self.shared.tell(Input::Recovery(recovery::Input::Answered(number, answer)));
+                    self.shared.send_input(Input::Recovery(recovery::Input::Answered(number, answer)));
                 }
             }
-            Notice::Told(from, HELD, bytes) => self.guardian(|g, now| g.told(now, &from.0, &bytes)),
-            Notice::Told(from, KEEPERS, bytes) => {
+            MembershipEvent::DirectMessage(from, HELD, bytes) => {
+                self.guardian(|g, now| g.told(now, &from.0, &bytes))
+            }
+            MembershipEvent::DirectMessage(from, KEEPERS, bytes) => {
                 self.to_keeper(ToKeeper::From(ReplicaName(from.0.clone()), bytes));
             }
-            Notice::Told(from, ASKS, bytes) => {
+            MembershipEvent::DirectMessage(from, ASKS, bytes) => {
                 if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<LeaseRequest>)>(&bytes) {
                     self.to_keeper(ToKeeper::Asks(from.to_string(), life, asks));
                 }
             }
-            Notice::Told(_, GRANTS, bytes) => {
+            MembershipEvent::DirectMessage(_, GRANTS, bytes) => {
                 if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<LeaseGrant>)>(&bytes) {
                     self.granted(life, grants);
                 }
             }
-            Notice::Told(from, ZONE_WORD, word) => {
+            MembershipEvent::DirectMessage(from, ZONE_WORD, word) => {
                 let zone = self.fleet.peers.member(&from).map(|m| m.zone().to_string());
                 if let (Some(zone), Some(regions)) = (zone, &mut self.regions) {
                     regions.word(self.shared.clock.now(), &from.0, &zone, &word);
                 }
             }
-            Notice::Told(..) => {}
-            Notice::DiskWentBack { own, now } => {
+            MembershipEvent::DirectMessage(..) => {}
+            MembershipEvent::StoredIncarnationOutdated { own, now } => {
                 warn!(own, now, "peers remember a later life of this node: its disk went back, or was lost");
                 self.shared.fleet.keep(KEY_BOOT, now.to_le_bytes().to_vec());
             }
-            Notice::SteppedBack => {
+            MembershipEvent::SteppedBack => {
                 warn!("another process runs under this node's name: no peer is told anything")
             }
-            Notice::StoodStill(span) => warn!(ms = span / 1000, "this process has stood still"),
+            MembershipEvent::StoodStill(span) => warn!(ms = span / 1000, "this process has stood still"),
         }
         false
     }
@@ -601,14 +605,14 @@
         wards.next = now + TELL_EVERY;
         for (ward, held) in wards.guardian.due(now) {
             info!(peer = %ward, states = held.len(), "a peer stays dead: what it held is let go");
-            self.shared.tell(Input::Inherited(held));
+            self.shared.send_input(Input::Inherited(held));
         }
         let held = lock(&self.shared.fleet.left).clone();
         let here = self.fleet.peers.members().filter(|m| m.is_here()).map(|m| &*m.name().0);
         let guardians = Teller::guardians(&self.shared.settings.name, here);
         for word in wards.teller.tell(now, self.fleet.peers.life().mark, &held, &guardians) {
             for guardian in &guardians {
-                self.fleet.peers.tell(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
+                self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
             }
         }
     }
@@ -619,7 +623,7 @@
         let Some(member) = self.fleet.peers.member(origin) else { return };
         let node = Node { name: origin.to_string(), zone: member.zone().to_string() };
         let report = fact.map(|f| f.payload.clone()).unwrap_or_else(|| Report::default().encode());
-        self.shared.tell(Input::Evidence(node, report));
+        self.shared.send_input(Input::Evidence(node, report));
     }
 
     fn to_keeper(&self, one: ToKeeper) {
@@ -631,14 +635,14 @@
     fn keeper_says(&mut self, one: FromKeeper, out: &mut Vec<Output>) {
         match one {
             FromKeeper::To(to, bytes) => {
-                self.fleet.peers.tell(&PeerName(to.0.clone()), KEEPERS, bytes, out);
+                self.fleet.peers.send_direct(&PeerName(to.0.clone()), KEEPERS, bytes, out);
             }
             FromKeeper::Grants(name, life, grants) if name == self.shared.settings.name => {
                 self.granted(life, grants);
             }
             FromKeeper::Grants(name, life, grants) => {
                 if let Ok(bytes) = postcard::to_stdvec(&(life, grants)) {
-                    self.fleet.peers.tell(&PeerName::from(name.as_str()), GRANTS, bytes, out);
+                    self.fleet.peers.send_direct(&PeerName::from(name.as_str()), GRANTS, bytes, out);
                 }
             }
             FromKeeper::Leads(term) => {
@@ -646,7 +650,7 @@
                     regions.leads(self.shared.clock.now(), term);
                 }
                 let said = term.map(|t| t.to_le_bytes().to_vec()).unwrap_or_default();
-                if self.fleet.peers.say(LENDER, said).is_err() {
+                if self.fleet.peers.publish(LENDER, said).is_err() {
                     debug!("there is no room for the word of who leads");
                 }
             }
@@ -656,7 +660,7 @@
     /// Grants are for one life: another one of the same name holds shares of its own.
     fn granted(&self, life: u64, grants: Vec<LeaseGrant>) {
         if life == self.fleet.peers.life().mark {
-            self.shared.tell(Input::Granted(grants));
+            self.shared.send_input(Input::Granted(grants));
         }
     }
 
@@ -670,7 +674,7 @@
         match lender {
             Some(lender) if *lender.0 == *own.name => regions.word(now, &own.name, &own.core.zone, &word),
             Some(lender) => {
-                self.fleet.peers.tell(&lender, ZONE_WORD, word, out);
+                self.fleet.peers.send_direct(&lender, ZONE_WORD, word, out);
             }
             None => {}
         }
@@ -684,7 +688,7 @@
             if *lender.0 == *self.shared.settings.name {
                 self.to_keeper(ToKeeper::Asks(lender.to_string(), life, asks.to_vec()));
             } else if let Ok(bytes) = postcard::to_stdvec(&(life, asks)) {
-                self.fleet.peers.tell(&lender, ASKS, bytes, out);
+                self.fleet.peers.send_direct(&lender, ASKS, bytes, out);
             }
         }
     }
@@ -710,7 +714,7 @@
         self.shared.fleet.keep(KEY_PEERS, at.join("\n").into_bytes());
         if self.shared.settings.verdicts.is_some() {
             let node = |m: &&Member| Node { name: m.name().to_string(), zone: m.zone().to_string() };
-            self.shared.tell(Input::Nodes(here.iter().map(node).collect()));
+            self.shared.send_input(Input::Nodes(here.iter().map(node).collect()));
         }
         // Where zones have cores of their own, a node shares its zone's engines with the nodes there.
         let near: Vec<&Member> = here.iter().copied().filter(|m| self.is_near(m)).collect();
@@ -718,7 +722,7 @@
         let asked = if near.is_empty() { here } else { near };
         let asked: Vec<PeerName> = asked.into_iter().map(|m| m.name().clone()).collect();
         let numbers: Vec<u64> = asked.iter().map(|n| self.number(n)).collect();
-        self.shared.tell(Input::Recovery(recovery::Input::Peers(count, numbers)));
+        self.shared.send_input(Input::Recovery(recovery::Input::Peers(count, numbers)));
     }
 
     /// Whether a peer sends to the same engines.
@@ -733,8 +737,8 @@
         self.rate += BLEND * (fresh as f64 - self.rate);
         let stage = lock(&self.shared.fleet.answer).as_ref().map(|a| a.stage);
         if stage.is_none_or(|s| s == recovery::Stage::Serving) {
-            let _ = self.fleet.peers.say(CARRIED, self.rate.to_bits().to_le_bytes().to_vec());
-            let here = |f: &&pintally_membership::Fact| {
+            let _ = self.fleet.peers.publish(CARRIED, self.rate.to_bits().to_le_bytes().to_vec());
+            let here = |f: &&pintally_membership::GossipFact| {
                 self.fleet.peers.member(&f.origin).is_some_and(|m| m.is_here() && self.is_near(m))
             };
             let told = self.fleet.peers.facts(CARRIED).filter(here).filter_map(|f| {
@@ -750,7 +754,7 @@
         if let Some((version, sum)) = self.list_held() {
             let mut payload = version.to_le_bytes().to_vec();
             payload.extend(sum.to_le_bytes());
-            let _ = self.fleet.peers.say(LIST, payload);
+            let _ = self.fleet.peers.publish(LIST, payload);
         }
         // A list that could not be fetched when it was told of is asked for again.
         let origins: Vec<PeerName> = self.fleet.peers.facts(LIST).map(|f| f.origin.clone()).collect();
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -118,7 +118,7 @@
     /// The client has left: told once.
     pub(crate) fn leave(&mut self) {
         if !std::mem::replace(&mut self.gone, true) && !self.answered {
-            self.shared.tell(Input::Left(self.ticket));
+            self.shared.send_input(Input::Left(self.ticket));
         }
     }
 
@@ -257,7 +257,7 @@
         }
         if let Some(attempt) = self.out.take() {
             let (ticket, outcome) = (self.ticket, Outcome::Broken);
-            self.shared.tell(Input::AttemptEnd {
+            self.shared.send_input(Input::AttemptEnd {
                 ticket,
                 attempt,
                 outcome,
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -173,7 +173,7 @@
         let by = Instant::now() + bound;
         self.shared.close();
         self.door.wake();
-        self.shared.tell(Input::Stop);
+        self.shared.send_input(Input::Stop);
         let _ = self.stopped.recv_deadline(by);
         // The last answers are on their way out of the clients' threads.
         while self.shared.open_connections() > 0 && Instant::now() < by {
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -6,7 +6,7 @@
 use pintally::interface::Micros;
 use pintally_config::RegionSettings;
 use pintally_failover::{Order, Plan, Planner, Status, Word};
-use pintally_membership::{Peers, Topic};
+use pintally_membership::{Membership, Topic};
 use serde_json::json;
 use tracing::info;
 
@@ -73,7 +73,7 @@
     }
 
     /// The next plan, if it is due and this node leads.
-    pub(crate) fn plan(&mut self, now: Micros, shared: &Arc<Shared>, peers: &Peers) -> Option<Vec<u8>> {
+    pub(crate) fn plan(&mut self, now: Micros, shared: &Arc<Shared>, peers: &Membership) -> Option<Vec<u8>> {
         if now < self.next {
             return None;
         }
@@ -106,7 +106,7 @@
             let dry = map.zone(&zone).and_then(|z| Some(self.planner.as_ref()?.rehearse(now, z)));
             let _ = to.try_send(dry);
         }
-        self.tell(shared, plan.as_ref());
+        self.forward_plan(shared, plan.as_ref());
         plan.map(|plan| {
             let bytes = plan.encode();
             self.latest = Some(plan);
@@ -114,7 +114,7 @@
         })
     }
 
-    fn tell(&self, shared: &Arc<Shared>, plan: Option<&Plan>) {
+    fn forward_plan(&self, shared: &Arc<Shared>, plan: Option<&Plan>) {
         let names = &self.settings.figures.map.zones;
         let followed = plan.or(self.latest.as_ref()).map(|plan| {
             let part =
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -205,7 +205,7 @@
 
     /// Tells the host something. It waits where the channel is full: the deciding thread never waits
     /// for the one that calls, so the wait ends.
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn send_input(&self, input: Input) {
         let _ = self.decide.send(Message::Host(input));
     }
 }
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -61,7 +61,7 @@
             Some(Err(e)) => {
                 let file = &settings.engines_file;
                 warn!(file, error = %e, "the list of engines cannot be read: the old list holds");
-                shared.tell(Input::List(ListUpdate::Failed, Vec::new()));
+                shared.send_input(Input::List(ListUpdate::Failed, Vec::new()));
             }
         }
         if let Some(text) = shared.fleet.take_offered() {
@@ -106,7 +106,7 @@
         Ok(cells) if cells.version >= *version => {
             *version = cells.version;
             info!(file, version = cells.version, cells = cells.cells.len(), "file of cells taken in");
-            shared.tell(Input::Cells(Box::new(cells)));
+            shared.send_input(Input::Cells(Box::new(cells)));
             return true;
         }
         Ok(cells) => {
@@ -158,7 +158,7 @@
     let changed = take(shared, follower, file, together.as_deref().unwrap_or(text));
     let same = EngineList::parse(file, &String::from_utf8_lossy(text)).ok().map(|l| l.version);
     if source && same.is_some() && same == follower.version() {
-        shared.tell(Input::Fresh);
+        shared.send_input(Input::Fresh);
     }
     if !changed {
         return;
@@ -184,7 +184,7 @@
         Applied::Same => false,
         Applied::Changes(form, changes) => {
             info!(file, changes = changes.len(), engines = follower.len(), "list of engines taken in");
-            shared.tell(Input::List(form, changes));
+            shared.send_input(Input::List(form, changes));
             true
         }
         Applied::Bad(Some(error)) => {
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -5,7 +5,9 @@
 
 use pintally_consensus as accord;
 use pintally_consensus::{Replica, ReplicaName};
-use pintally_membership::{Life, Notice, Output, PeerName, Peers, Settings, Topic};
+use pintally_membership::{
+    Membership, MembershipEvent, Output, PeerName, ProcessIncarnation, Settings, Topic,
+};
 use pintally_quota as shares;
 use pintally_quota::{
     Admission, Enforcement, LeaderGranter, LeaseGrant, LeaseRequest, Limit, LimitId, LimitKind, QuotaHolder,
@@ -44,7 +46,7 @@
 }
 
 struct Node {
-    peers: Peers,
+    peers: Membership,
     alive: bool,
     woken_for: Micros,
     keeper: Option<Replica>,
@@ -60,7 +62,7 @@
 
 enum Event {
     Datagram(usize, SocketAddr, Vec<u8>),
-    Peers(usize),
+    Membership(usize),
     Replica(usize),
     Step,
 }
@@ -171,7 +173,7 @@
                 Replica::new(accord::Settings::new(&names[n], &keepers), None, false, rng.random(), 1)
             });
             Node {
-                peers: Peers::new(settings, Life { boot: 1, mark: life }, rng.random(), 1),
+                peers: Membership::new(settings, ProcessIncarnation { boot: 1, mark: life }, rng.random(), 1),
                 alive: true,
                 woken_for: Micros::MAX,
                 keeper,
@@ -202,7 +204,7 @@
             spec,
         };
         for n in 0..world.nodes.len() {
-            world.push(n as Micros * 37, Event::Peers(n));
+            world.push(n as Micros * 37, Event::Membership(n));
             if world.nodes[n].keeper.is_some() {
                 world.push(1, Event::Replica(n));
             }
@@ -238,7 +240,7 @@
                 self.nodes[to].peers.receive(now, from, &bytes, &mut out);
                 self.carry_out(to, out);
             }
-            Event::Peers(n) if self.nodes[n].alive => {
+            Event::Membership(n) if self.nodes[n].alive => {
                 let mut out = Vec::new();
                 if self.nodes[n].peers.next_wake() <= now {
                     self.nodes[n].peers.tick(now, &mut out);
@@ -270,7 +272,7 @@
         let at = self.nodes[n].peers.next_wake().max(self.now + 1);
         if at < self.nodes[n].woken_for {
             self.nodes[n].woken_for = at;
-            self.push(at - self.now, Event::Peers(n));
+            self.push(at - self.now, Event::Membership(n));
         }
     }
 
@@ -278,7 +280,7 @@
         for one in out {
             match one {
                 Output::Datagram(to, bytes) => self.datagram(n, to, bytes),
-                Output::Notice(notice) => self.notice(n, notice),
+                Output::Event(notice) => self.notice(n, notice),
             }
         }
         self.wake(n);
@@ -298,19 +300,21 @@
         self.push(after, Event::Datagram(to, address(from), bytes));
     }
 
-    fn notice(&mut self, n: usize, notice: Notice) {
+    fn notice(&mut self, n: usize, notice: MembershipEvent) {
         let now = self.now;
         let number = |name: &PeerName| name.0[1..].parse::<usize>().unwrap_or(0);
         match notice {
-            Notice::Down(name) => {
+            MembershipEvent::MemberDown(name) => {
                 let who = number(&name);
                 if self.nodes[who].alive {
                     self.false_deaths += 1;
                 }
                 self.told_of_death(who, n);
             }
-            Notice::Suspected(name) => self.false_suspicions += u64::from(self.nodes[number(&name)].alive),
-            Notice::Told(from, KEEPERS, bytes) => {
+            MembershipEvent::MemberSuspected(name) => {
+                self.false_suspicions += u64::from(self.nodes[number(&name)].alive)
+            }
+            MembershipEvent::DirectMessage(from, KEEPERS, bytes) => {
                 let (mut out, from) = (Vec::new(), ReplicaName(from.0.clone()));
                 if let (Some(keeper), Ok(message)) = (&mut self.nodes[n].keeper, postcard::from_bytes(&bytes))
                 {
@@ -318,12 +322,12 @@
                 }
                 self.keeper_says(n, out);
             }
-            Notice::Told(from, ASKS, bytes) => {
+            MembershipEvent::DirectMessage(from, ASKS, bytes) => {
                 if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<LeaseRequest>)>(&bytes) {
                     self.lend(n, &from.0, life, &asks);
                 }
             }
-            Notice::Told(_, GRANTS, bytes) => {
+            MembershipEvent::DirectMessage(_, GRANTS, bytes) => {
                 if let Ok((life, grants)) = postcard::from_bytes::<(u64, Vec<LeaseGrant>)>(&bytes) {
                     self.granted(n, life, &grants);
                 }
@@ -347,7 +351,7 @@
         for one in out {
             if let accord::Output::Send(to, message) = one {
                 let bytes = postcard::to_stdvec(&message).unwrap_or_default();
-                self.nodes[n].peers.tell(&PeerName(to.0.clone()), KEEPERS, bytes, &mut peers_out);
+                self.nodes[n].peers.send_direct(&PeerName(to.0.clone()), KEEPERS, bytes, &mut peers_out);
             }
         }
         self.lead(n);
@@ -363,7 +367,7 @@
         if term != node.said {
             node.said = term;
             let said = term.map(|term| term.to_le_bytes().to_vec()).unwrap_or_default();
-            let _ = node.peers.say(LENDER, said);
+            let _ = node.peers.publish(LENDER, said);
         }
     }
 
@@ -380,7 +384,7 @@
         }
         let mut out = Vec::new();
         if let Ok(bytes) = postcard::to_stdvec(&(life, grants)) {
-            node.peers.tell(&PeerName::from(name), GRANTS, bytes, &mut out);
+            node.peers.send_direct(&PeerName::from(name), GRANTS, bytes, &mut out);
         }
         self.carry_out(n, out);
     }
@@ -433,7 +437,7 @@
             if *lender.0 == *own {
                 self.lend(n, &own, life, asks);
             } else if let Ok(bytes) = postcard::to_stdvec(&(life, asks)) {
-                self.nodes[n].peers.tell(&lender, ASKS, bytes, &mut out);
+                self.nodes[n].peers.send_direct(&lender, ASKS, bytes, &mut out);
             }
         }
         self.carry_out(n, out);
--- a/crates/pintally-membership/src/facts.rs
+++ b/crates/pintally-membership/src/facts.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::identity::{sound, Life, PeerName};
+use crate::identity::{sound, PeerName, ProcessIncarnation};
 use crate::members::MAX_MEMBERS;
 
 /// Bytes of a fact at the most: several fit into a datagram.
-pub const MAX_PAYLOAD: usize = 400;
+pub const MAX_PAYLOAD_BYTES: usize = 400;
 /// Topics that one node may speak on.
 pub const MAX_FACTS: usize = 16;
 
@@ -19,66 +19,66 @@
 
 /// Something that a node says of itself, or of what it knows. Only its origin makes new versions of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
+pub struct GossipFact {
     /// Who says it.
     pub origin: PeerName,
     /// What it is about.
     pub topic: Topic,
     /// In which life it was said; a later life's word wins whatever its version.
-    pub life: Life,
+    pub life: ProcessIncarnation,
     /// Counts the versions within a life.
     pub version: u64,
     /// What is said; empty where it was taken back.
     pub payload: Vec<u8>,
 }
 
-impl Fact {
-    fn rank(&self) -> (Life, u64) {
+impl GossipFact {
+    fn rank(&self) -> (ProcessIncarnation, u64) {
         (self.life, self.version)
     }
 
     pub(crate) fn sound(&self) -> bool {
-        sound(&self.origin) && self.payload.len() <= MAX_PAYLOAD && self.version > 0
+        sound(&self.origin) && self.payload.len() <= MAX_PAYLOAD_BYTES && self.version > 0
     }
 }
 
 /// Why a fact was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum GossipError {
     /// It is longer than a fact may be.
     TooLong,
     /// The node speaks on too many topics.
     TooMany,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for GossipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::TooLong => write!(f, "a fact holds at most {MAX_PAYLOAD} bytes"),
-            Refused::TooMany => write!(f, "a node speaks on at most {MAX_FACTS} topics"),
+            GossipError::TooLong => write!(f, "a fact holds at most {MAX_PAYLOAD_BYTES} bytes"),
+            GossipError::TooMany => write!(f, "a node speaks on at most {MAX_FACTS} topics"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for GossipError {}
 
 /// All facts that are known, the newest of each origin and topic.
 #[derive(Default)]
 pub(crate) struct Facts {
-    all: BTreeMap<(PeerName, Topic), Fact>,
+    all: BTreeMap<(PeerName, Topic), GossipFact>,
 }
 
 impl Facts {
-    pub(crate) fn get(&self, key: &(PeerName, Topic)) -> Option<&Fact> {
+    pub(crate) fn get(&self, key: &(PeerName, Topic)) -> Option<&GossipFact> {
         self.all.get(key)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Fact> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &GossipFact> {
         self.all.values()
     }
 
     /// Takes a fact in if it is newer; whether it was.
-    pub(crate) fn take(&mut self, fact: Fact) -> bool {
+    pub(crate) fn take(&mut self, fact: GossipFact) -> bool {
         let key = (fact.origin.clone(), fact.topic);
         match self.all.get(&key) {
             Some(known) if known.rank() >= fact.rank() => false,
--- a/crates/pintally-membership/src/identity.rs
+++ b/crates/pintally-membership/src/identity.rs
@@ -24,7 +24,7 @@
 /// One life of a process. Boots are counted on the node's disk; the mark is drawn at each start, so that
 /// two lives with one number (a disk that was lost or went back, a node started twice) are told apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct ProcessIncarnation {
     /// Which life it is, as far as the node knows; raised when peers remember a later one.
     pub boot: u64,
     /// Drawn at random at the start.
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -17,11 +17,11 @@
 mod spread;
 mod status;
 
-pub use facts::{Fact, Refused, Topic, MAX_FACTS, MAX_PAYLOAD};
-pub use identity::{Life, PeerName};
-pub use members::{Member, Standing};
+pub use facts::{GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
+pub use identity::{PeerName, ProcessIncarnation};
+pub use members::{Member, MemberState};
 pub use packet::{MAX_DATAGRAM, MAX_WORD};
-pub use peers::{Notice, Output, Peers};
+pub use peers::{Membership, MembershipEvent, Output};
 pub use pintally_validation::InvalidConfiguration;
 pub use settings::Settings;
 pub use status::{Counters, PeerStatus, Status};
--- a/crates/pintally-membership/src/members.rs
+++ b/crates/pintally-membership/src/members.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::identity::{sound, Life, PeerName};
+use crate::identity::{sound, PeerName, ProcessIncarnation};
 use crate::Micros;
 
 /// Peers that are kept in mind.
@@ -14,7 +14,7 @@
 
 /// How a peer stands. Of two words on one incarnation the later in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers, as far as is known.
     Alive,
     /// Somebody had no answer, and it has not spoken for itself yet.
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Word {
     pub(crate) name: PeerName,
-    pub(crate) life: Life,
+    pub(crate) life: ProcessIncarnation,
     pub(crate) incarnation: u32,
-    pub(crate) standing: Standing,
+    pub(crate) standing: MemberState,
     /// Of a suspect: who says so, as a number.
     pub(crate) accuser: u64,
     pub(crate) address: SocketAddr,
@@ -40,7 +40,7 @@
 
 impl Word {
     /// What orders two words on one peer: a later life, then a later incarnation, then the graver word.
-    pub(crate) fn rank(&self) -> (Life, u32, Standing) {
+    pub(crate) fn rank(&self) -> (ProcessIncarnation, u32, MemberState) {
         (self.life, self.incarnation, self.standing)
     }
 
@@ -83,12 +83,12 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> MemberState {
         self.word.standing
     }
 
     /// Which of its lives this is.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> ProcessIncarnation {
         self.word.life
     }
 
@@ -99,7 +99,7 @@
 
     /// Whether it is to be reckoned with: what is only suspected still counts.
     pub fn is_here(&self) -> bool {
-        matches!(self.word.standing, Standing::Alive | Standing::Suspect)
+        matches!(self.word.standing, MemberState::Alive | MemberState::Suspect)
     }
 }
 
@@ -130,7 +130,7 @@
 
     /// Takes a word in if it wins; what stood before, if it did. A stranger beyond the most is not let
     /// in, so that nobody can fill a node's memory with names.
-    pub(crate) fn take(&mut self, now: Micros, word: Word) -> Option<Option<Standing>> {
+    pub(crate) fn take(&mut self, now: Micros, word: Word) -> Option<Option<MemberState>> {
         match self.all.get_mut(&word.name) {
             Some(member) => {
                 if !word.beats(&member.word) {
--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::facts::{Fact, Topic};
-use crate::identity::{Life, PeerName};
+use crate::facts::{GossipFact, Topic};
+use crate::identity::{PeerName, ProcessIncarnation};
 use crate::members::Word;
 
 /// Bytes of a packet at the most: below what common links carry in one piece.
@@ -23,11 +23,11 @@
     pub(crate) fleet: u64,
     /// The sender.
     pub(crate) from: PeerName,
-    pub(crate) life: Life,
+    pub(crate) life: ProcessIncarnation,
     pub(crate) body: Body,
     /// News on peers, the sender itself among them while it is new.
     pub(crate) words: Vec<Word>,
-    pub(crate) facts: Vec<Fact>,
+    pub(crate) facts: Vec<GossipFact>,
 }
 
 /// What a packet is for.
@@ -71,7 +71,7 @@
 }
 
 /// The same of a fact.
-pub(crate) fn digest_of_fact(fact: &Fact) -> (u64, u32) {
+pub(crate) fn digest_of_fact(fact: &GossipFact) -> (u64, u32) {
     (piece(1, &fact.origin, fact.topic.0), said(&(fact.life, fact.version)))
 }
 
@@ -112,7 +112,7 @@
         }
         let sound = crate::identity::sound(&packet.from)
             && packet.words.iter().all(Word::sound)
-            && packet.facts.iter().all(Fact::sound);
+            && packet.facts.iter().all(GossipFact::sound);
         match sound {
             true => Ok(packet),
             false => Err(Unread::Garbled),
--- a/crates/pintally-membership/src/packet/tests.rs
+++ b/crates/pintally-membership/src/packet/tests.rs
@@ -1,7 +1,7 @@
 //! Packets as bytes: nodes of different builds read each other's.
 
 use super::*;
-use crate::members::Standing;
+use crate::members::MemberState;
 
 const GOLDEN: &str = include_str!("../../tests/golden/packets.txt");
 
@@ -18,24 +18,24 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-const LIFE: Life = Life { boot: 3, mark: 1 << 40 };
+const LIFE: ProcessIncarnation = ProcessIncarnation { boot: 3, mark: 1 << 40 };
 
-fn update(name: &str, standing: Standing, address: &str) -> Word {
+fn update(name: &str, standing: MemberState, address: &str) -> Word {
     let (address, zone) = (address.parse().unwrap(), "zone-a".into());
     Word { name: name.into(), life: LIFE, incarnation: 300, standing, accuser: u64::MAX, address, zone }
 }
 
 fn updates() -> Vec<Word> {
     vec![
-        update("n1", Standing::Alive, "10.1.2.3:7000"),
-        update("n2", Standing::Suspect, "[2001:db8::1]:65535"),
-        update("n3", Standing::Dead, "127.0.0.1:1"),
-        update("n4", Standing::Left, "127.0.0.1:2"),
+        update("n1", MemberState::Alive, "10.1.2.3:7000"),
+        update("n2", MemberState::Suspect, "[2001:db8::1]:65535"),
+        update("n3", MemberState::Dead, "127.0.0.1:1"),
+        update("n4", MemberState::Left, "127.0.0.1:2"),
     ]
 }
 
-fn fact(payload: &[u8]) -> Fact {
-    Fact { origin: "n1".into(), topic: Topic(34), life: LIFE, version: 129, payload: payload.to_vec() }
+fn fact(payload: &[u8]) -> GossipFact {
+    GossipFact { origin: "n1".into(), topic: Topic(34), life: LIFE, version: 129, payload: payload.to_vec() }
 }
 
 fn packet(body: Body) -> Packet {
--- a/crates/pintally-membership/src/peers.rs
+++ b/crates/pintally-membership/src/peers.rs
@@ -7,10 +7,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::facts::{Fact, Facts, Refused, Topic, MAX_FACTS, MAX_PAYLOAD};
+use crate::facts::{Facts, GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
 use crate::health::Health;
-use crate::identity::{Life, PeerName};
-use crate::members::{Member, Members, Standing, Word};
+use crate::identity::{PeerName, ProcessIncarnation};
+use crate::members::{Member, MemberState, Members, Word};
 use crate::packet::{
     digest_of_fact, digest_of_word, fleet_number, piece, Body, Packet, Unread, MAX_DATAGRAM, MAX_WORD,
 };
@@ -35,27 +35,27 @@
     /// Send these bytes there.
     Datagram(SocketAddr, Vec<u8>),
     /// Something has changed.
-    Notice(Notice),
+    Event(MembershipEvent),
 }
 
 /// What has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum MembershipEvent {
     /// A peer is there: new, or back, or in a new life.
-    Up(PeerName, Life),
+    MemberUp(PeerName, ProcessIncarnation),
     /// A peer is suspected.
-    Suspected(PeerName),
+    MemberSuspected(PeerName),
     /// A peer is dead, as far as anybody knows.
-    Down(PeerName),
+    MemberDown(PeerName),
     /// A peer has said that it goes.
-    Left(PeerName),
+    MemberLeft(PeerName),
     /// Somebody said something new.
-    Fact(PeerName, Topic),
+    FactReceived(PeerName, Topic),
     /// A peer said something to this node alone.
-    Told(PeerName, Topic, Vec<u8>),
+    DirectMessage(PeerName, Topic, Vec<u8>),
     /// Peers remember a later boot of this node than its disk did: the disk went back or was lost. The
     /// number that holds from here on is to be kept.
-    DiskWentBack {
+    StoredIncarnationOutdated {
         /// What the disk said.
         own: u64,
         /// What holds now.
@@ -68,7 +68,7 @@
 }
 
 /// A node's part in its fleet.
-pub struct Peers {
+pub struct Membership {
     settings: Settings,
     fleet: u64,
     me: Word,
@@ -88,28 +88,28 @@
     periods: u64,
     /// How often the boot was raised lately, and since when that counts.
     raises: (u32, Micros),
-    stepped_back: bool,
+    has_yielded_name: bool,
     /// What this process has said, to be said again under another number.
     said: BTreeMap<Topic, Vec<u8>>,
     version: u64,
     counters: Counters,
 }
 
-impl Peers {
+impl Membership {
     /// A node that knows its seeds and nobody else. `life` holds what its disk knows of its boots.
-    pub fn new(settings: Settings, life: Life, seed: u64, now: Micros) -> Peers {
+    pub fn new(settings: Settings, life: ProcessIncarnation, seed: u64, now: Micros) -> Membership {
         let me = Word {
             name: settings.name.clone(),
             life,
             incarnation: 0,
-            standing: Standing::Alive,
+            standing: MemberState::Alive,
             accuser: 0,
             address: settings.address,
             zone: settings.zone.as_str().into(),
         };
         let mut spread = Spread::default();
         spread.add(News::Member(me.name.clone()));
-        Peers {
+        Membership {
             fleet: fleet_number(&settings.fleet),
             rng: ChaCha8Rng::seed_from_u64(seed),
             health: Health::default(),
@@ -125,7 +125,7 @@
             last_tick: now,
             periods: 0,
             raises: (0, now),
-            stepped_back: false,
+            has_yielded_name: false,
             said: BTreeMap::new(),
             version: 0,
             counters: Counters::default(),
@@ -152,7 +152,7 @@
     }
 
     /// This node's own life.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> ProcessIncarnation {
         self.me.life
     }
 
@@ -162,26 +162,28 @@
     }
 
     /// Whether it has stepped back for another process of its name.
-    pub fn stepped_back(&self) -> bool {
-        self.stepped_back
+    pub fn has_yielded_name(&self) -> bool {
+        self.has_yielded_name
     }
 
     /// What was said on a topic, by whom; what was taken back is left out.
-    pub fn facts(&self, topic: Topic) -> impl Iterator<Item = &Fact> {
+    pub fn facts(&self, topic: Topic) -> impl Iterator<Item = &GossipFact> {
         self.facts.iter().filter(move |f| f.topic == topic && !f.payload.is_empty())
     }
 
     /// What one peer said on a topic, unless it took that back.
-    pub fn fact(&self, origin: &PeerName, topic: Topic) -> Option<&Fact> {
+    pub fn fact(&self, origin: &PeerName, topic: Topic) -> Option<&GossipFact> {
         self.facts.get(&(origin.clone(), topic)).filter(|f| !f.payload.is_empty())
     }
 
     /// Of those that are here, this node among them, who has said the highest number on a topic. Numbers
     /// are told as eight bytes, the least first.
     pub fn highest(&self, topic: Topic) -> Option<&PeerName> {
-        let here =
-            |f: &&Fact| f.origin == self.me.name || self.members.get(&f.origin).is_some_and(Member::is_here);
-        let number = |f: &&Fact| <[u8; 8]>::try_from(f.payload.as_slice()).map_or(0, u64::from_le_bytes);
+        let here = |f: &&GossipFact| {
+            f.origin == self.me.name || self.members.get(&f.origin).is_some_and(Member::is_here)
+        };
+        let number =
+            |f: &&GossipFact| <[u8; 8]>::try_from(f.payload.as_slice()).map_or(0, u64::from_le_bytes);
         self.facts(topic).filter(here).max_by_key(number).map(|f| &f.origin)
     }
 
@@ -209,7 +211,7 @@
             name: self.me.name.to_string(),
             boot: self.me.life.boot,
             doubt: self.health.doubt(),
-            stepped_back: self.stepped_back,
+            has_yielded_name: self.has_yielded_name,
             peers: peers.collect(),
             facts: self.facts.iter().count(),
             news: self.spread.len(),
@@ -225,11 +227,17 @@
     // ---- what it says ----
 
     /// Says something to one peer alone, once; whether there is such a peer here. It may be lost.
-    pub fn tell(&mut self, whom: &PeerName, topic: Topic, payload: Vec<u8>, out: &mut Vec<Output>) -> bool {
+    pub fn send_direct(
+        &mut self,
+        whom: &PeerName,
+        topic: Topic,
+        payload: Vec<u8>,
+        out: &mut Vec<Output>,
+    ) -> bool {
         let Some(to) = self.members.get(whom).filter(|m| m.is_here()).map(|m| self.route(m)) else {
             return false;
         };
-        if payload.len() > MAX_WORD || self.stepped_back {
+        if payload.len() > MAX_WORD || self.has_yielded_name {
             return false;
         }
         self.send(to, Body::Word { topic, payload }, out);
@@ -237,9 +245,9 @@
     }
 
     /// Says something on a topic; an empty payload takes it back.
-    pub fn say(&mut self, topic: Topic, payload: Vec<u8>) -> Result<(), Refused> {
-        if payload.len() > MAX_PAYLOAD {
-            return Err(Refused::TooLong);
+    pub fn publish(&mut self, topic: Topic, payload: Vec<u8>) -> Result<(), GossipError> {
+        if payload.len() > MAX_PAYLOAD_BYTES {
+            return Err(GossipError::TooLong);
         }
         let key = (self.me.name.clone(), topic);
         if self.said.get(&topic) == Some(&payload)
@@ -248,7 +256,7 @@
             return Ok(());
         }
         if self.facts.get(&key).is_none() && self.facts.count(&key.0) >= MAX_FACTS {
-            return Err(Refused::TooMany);
+            return Err(GossipError::TooMany);
         }
         self.said.insert(topic, payload.clone());
         self.utter(topic, payload);
@@ -258,31 +266,31 @@
     fn utter(&mut self, topic: Topic, payload: Vec<u8>) {
         self.version += 1;
         let (origin, life, version) = (self.me.name.clone(), self.me.life, self.version);
-        if self.facts.take(Fact { origin: origin.clone(), topic, life, version, payload }) {
-            self.spread.add(News::Fact(origin, topic));
+        if self.facts.take(GossipFact { origin: origin.clone(), topic, life, version, payload }) {
+            self.spread.add(News::GossipFact(origin, topic));
         }
     }
 
     /// Says goodbye to everybody that is here; nothing is to be asked of it afterwards.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
-        self.me.standing = Standing::Left;
+        self.me.standing = MemberState::Left;
         let to: Vec<SocketAddr> =
             self.members.iter().filter(|m| m.is_here()).map(|m| self.route(m)).collect();
         for address in to {
             self.send(address, Body::Leaving, out);
         }
-        self.stepped_back = true;
+        self.has_yielded_name = true;
     }
 
     // ---- time ----
 
-    /// When [`Peers::tick`] has something to do.
+    /// When [`Membership::tick`] has something to do.
     pub fn next_wake(&self) -> Micros {
         let probe =
             self.probe.as_ref().map(|p| if p.asked == 0 { p.help_at.min(p.ends_at) } else { p.ends_at });
         let errand = self.errands.values().map(|e| e.by).min();
         let suspect =
-            self.members.iter().filter(|m| m.standing() == Standing::Suspect).map(|m| m.until).min();
+            self.members.iter().filter(|m| m.standing() == MemberState::Suspect).map(|m| m.until).min();
         [probe, errand, suspect]
             .into_iter()
             .flatten()
@@ -293,7 +301,7 @@
 
     /// Does what has come due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.stepped_back {
+        if self.has_yielded_name {
             (self.next_probe, self.next_repair) = (Micros::MAX, Micros::MAX);
             self.probe = None;
             self.errands.clear();
@@ -341,11 +349,11 @@
                 m.until = m.until.max(until);
             }
         }
-        out.push(Output::Notice(Notice::StoodStill(late)));
+        out.push(Output::Event(MembershipEvent::StoodStill(late)));
     }
 
     fn suspects(&self) -> impl Iterator<Item = PeerName> + '_ {
-        self.members.iter().filter(|m| m.standing() == Standing::Suspect).map(|m| m.name().clone())
+        self.members.iter().filter(|m| m.standing() == MemberState::Suspect).map(|m| m.name().clone())
     }
 
     fn errands_due(&mut self, now: Micros, out: &mut Vec<Output>) {
@@ -383,7 +391,7 @@
             return;
         };
         let accuser = piece(2, &self.me.name, 0);
-        self.accuse(now, Word { standing: Standing::Suspect, accuser, ..word }, out);
+        self.accuse(now, Word { standing: MemberState::Suspect, accuser, ..word }, out);
     }
 
     /// Somebody says that a peer is suspect.
@@ -392,9 +400,11 @@
         let n = self.here();
         let (least, most) = (self.settings.suspicion_least(n), self.settings.suspicion_most(n));
         let (least, most) = (self.health.stretch(least), self.health.stretch(most));
-        let fresh = matches!(self.members.take(now, word), Some(before) if before != Some(Standing::Suspect));
+        let fresh =
+            matches!(self.members.take(now, word), Some(before) if before != Some(MemberState::Suspect));
         let asked = self.settings.indirect.max(1);
-        let Some(member) = self.members.get_mut(&name).filter(|m| m.standing() == Standing::Suspect) else {
+        let Some(member) = self.members.get_mut(&name).filter(|m| m.standing() == MemberState::Suspect)
+        else {
             return;
         };
         // Each of the first accusers is told on, so that others can count them too.
@@ -409,7 +419,7 @@
         let until = member.since + span;
         member.until = if fresh { until } else { member.until.min(until) };
         if fresh {
-            out.push(Output::Notice(Notice::Suspected(name.clone())));
+            out.push(Output::Event(MembershipEvent::MemberSuspected(name.clone())));
         }
         if shared {
             self.spread.add(News::Member(name));
@@ -420,7 +430,7 @@
         let names: Vec<PeerName> = self.suspects().collect();
         for name in names {
             let Some(member) = self.members.get(&name).filter(|m| m.until <= now) else { continue };
-            let word = Word { standing: Standing::Dead, ..member.word.clone() };
+            let word = Word { standing: MemberState::Dead, ..member.word.clone() };
             self.hear(now, word, out);
         }
     }
@@ -435,7 +445,8 @@
             self.members.iter().filter(|m| m.is_here()).map(|m| self.route(m)).collect();
         let mut seeds: Vec<SocketAddr> = self.settings.seeds.clone();
         // Guards against a fleet that stays in halves after a cut: those thought dead are called as well.
-        seeds.extend(self.members.iter().filter(|m| m.standing() == Standing::Dead).map(|m| self.route(m)));
+        seeds
+            .extend(self.members.iter().filter(|m| m.standing() == MemberState::Dead).map(|m| self.route(m)));
         seeds.retain(|s| *s != self.me.address && !here.contains(s));
         seeds.sort_unstable();
         seeds.dedup();
@@ -496,7 +507,7 @@
             Err(Unread::Garbled) => return self.counters.garbled += 1,
             Err(Unread::Foreign) => return self.counters.foreign += 1,
         };
-        if self.stepped_back {
+        if self.has_yielded_name {
             return;
         }
         self.counters.received += 1;
@@ -546,13 +557,13 @@
             }
             Body::Digest { part, of, known, answer } => self.differ(from, (part, of), &known, answer, out),
             Body::News => {}
-            Body::Word { topic, payload } if payload.len() <= MAX_PAYLOAD => {
-                out.push(Output::Notice(Notice::Told(name, topic, payload)));
+            Body::Word { topic, payload } if payload.len() <= MAX_PAYLOAD_BYTES => {
+                out.push(Output::Event(MembershipEvent::DirectMessage(name, topic, payload)));
             }
             Body::Word { .. } => self.counters.garbled += 1,
             Body::Leaving => {
                 if let Some(member) = self.members.get(&name).filter(|m| m.life() == life) {
-                    let word = Word { standing: Standing::Left, ..member.word.clone() };
+                    let word = Word { standing: MemberState::Left, ..member.word.clone() };
                     self.hear(now, word, out);
                 }
             }
@@ -575,10 +586,10 @@
             return self.hear_of_me(now, word, out);
         }
         let name = word.name.clone();
-        if word.standing == Standing::Suspect {
+        if word.standing == MemberState::Suspect {
             let known = self.members.get(&name).map(|m| m.word.clone());
             let same = known.as_ref().is_some_and(|k| {
-                (k.life, k.incarnation, k.standing) == (word.life, word.incarnation, Standing::Suspect)
+                (k.life, k.incarnation, k.standing) == (word.life, word.incarnation, MemberState::Suspect)
             });
             if same || known.is_none_or(|k| word.beats(&k)) {
                 self.accuse(now, word, out);
@@ -588,7 +599,7 @@
         let (standing, life) = (word.standing, word.life);
         let known = self.members.get(&name).map(|m| (m.is_here(), m.life()));
         // A peer that was never here is not mourned.
-        if known.is_none() && matches!(standing, Standing::Dead | Standing::Left) {
+        if known.is_none() && matches!(standing, MemberState::Dead | MemberState::Left) {
             self.members.take(now, word);
             return;
         }
@@ -598,14 +609,14 @@
         self.spread.add(News::Member(name.clone()));
         let was_here = known.is_some_and(|(here, old)| here && old == life);
         match standing {
-            Standing::Alive if !was_here => {
+            MemberState::Alive if !was_here => {
                 // Somewhere in what is left of the round, so that a newcomer is not first for everyone.
                 let place = (self.rng.next_u32() as usize) % (self.round.len() + 1);
                 self.round.insert(place, name.clone());
-                out.push(Output::Notice(Notice::Up(name, life)));
+                out.push(Output::Event(MembershipEvent::MemberUp(name, life)));
             }
-            Standing::Dead => out.push(Output::Notice(Notice::Down(name))),
-            Standing::Left => out.push(Output::Notice(Notice::Left(name))),
+            MemberState::Dead => out.push(Output::Event(MembershipEvent::MemberDown(name))),
+            MemberState::Left => out.push(Output::Event(MembershipEvent::MemberLeft(name))),
             _ => {}
         }
     }
@@ -614,7 +625,7 @@
     /// process under its name.
     fn hear_of_me(&mut self, now: Micros, word: Word, out: &mut Vec<Output>) {
         if word.life == self.me.life {
-            if word.standing != Standing::Alive && word.incarnation >= self.me.incarnation {
+            if word.standing != MemberState::Alive && word.incarnation >= self.me.incarnation {
                 self.me.incarnation = word.incarnation + 1;
                 self.counters.refuted += 1;
                 self.health.worse(1);
@@ -627,21 +638,21 @@
         }
         // Later than this life is known to be. A disk that went back explains it once or twice; a
         // process that goes on raising its own number as well is another one that lives now.
-        let span = 4 * self.settings.death_known_within(self.here());
+        let span = 4 * self.settings.max_failure_detection_time(self.here());
         if now > self.raises.1 + span {
             self.raises = (0, now);
         }
         self.raises.0 += 1;
         if self.raises.0 > MAX_RAISES && word.life.mark < self.me.life.mark {
-            self.stepped_back = true;
-            out.push(Output::Notice(Notice::SteppedBack));
+            self.has_yielded_name = true;
+            out.push(Output::Event(MembershipEvent::SteppedBack));
             return;
         }
         let own = self.me.life.boot;
         self.me.life.boot = word.life.boot + 1;
         self.me.incarnation = 0;
         self.counters.disk_went_back += 1;
-        out.push(Output::Notice(Notice::DiskWentBack { own, now: self.me.life.boot }));
+        out.push(Output::Event(MembershipEvent::StoredIncarnationOutdated { own, now: self.me.life.boot }));
         self.spread.add(News::Member(self.me.name.clone()));
         // What it has said in this life is said again under the new number.
         for (topic, payload) in self.said.clone() {
@@ -649,7 +660,7 @@
         }
     }
 
-    fn learn(&mut self, now: Micros, fact: Fact, repairing: bool, out: &mut Vec<Output>) {
+    fn learn(&mut self, now: Micros, fact: GossipFact, repairing: bool, out: &mut Vec<Output>) {
         let (origin, topic) = (fact.origin.clone(), fact.topic);
         if origin == self.me.name {
             if fact.life.mark == self.me.life.mark {
@@ -660,8 +671,8 @@
         }
         if self.facts.take(fact) {
             self.counters.repaired += u64::from(repairing);
-            self.spread.add(News::Fact(origin.clone(), topic));
-            out.push(Output::Notice(Notice::Fact(origin, topic)));
+            self.spread.add(News::GossipFact(origin.clone(), topic));
+            out.push(Output::Event(MembershipEvent::FactReceived(origin, topic)));
         }
     }
 
@@ -693,7 +704,8 @@
                 words.push(word.clone());
             }
         }
-        let facts: Vec<Fact> = self.facts.iter().filter(|f| lacks(digest_of_fact(f))).cloned().collect();
+        let facts: Vec<GossipFact> =
+            self.facts.iter().filter(|f| lacks(digest_of_fact(f))).cloned().collect();
         let wants = known.iter().any(|k| !own.contains(k));
         self.send_all(from, words, facts, out);
         // Both may lack something: the other side compares as well, once.
@@ -723,7 +735,7 @@
         let mut packet = self.packet(body);
         // Guards against a suspect that hears last of it: whoever is written to hears first what is
         // said of itself (Lifeguard's buddy system).
-        let about = self.members.iter().find(|m| m.standing() != Standing::Alive && self.route(m) == to);
+        let about = self.members.iter().find(|m| m.standing() != MemberState::Alive && self.route(m) == to);
         packet.words.extend(about.map(|m| m.word.clone()));
         let mut length = packet.encode().len();
         let peers = self.members.here();
@@ -737,7 +749,7 @@
                     }
                     _ => 0,
                 },
-                News::Fact(origin, topic) => match self.facts.get(&(origin.clone(), *topic)) {
+                News::GossipFact(origin, topic) => match self.facts.get(&(origin.clone(), *topic)) {
                     Some(fact) => {
                         packet.facts.push(fact.clone());
                         48 + fact.origin.0.len() + fact.payload.len()
@@ -748,7 +760,7 @@
             if length + size > MAX_DATAGRAM {
                 match news {
                     News::Member(_) => packet.words.pop().map(|_| ()),
-                    News::Fact(..) => packet.facts.pop().map(|_| ()),
+                    News::GossipFact(..) => packet.facts.pop().map(|_| ()),
                 };
                 break;
             }
@@ -759,7 +771,7 @@
     }
 
     /// Sends pieces that a comparison has found, in as many packets as it takes.
-    fn send_all(&mut self, to: SocketAddr, words: Vec<Word>, facts: Vec<Fact>, out: &mut Vec<Output>) {
+    fn send_all(&mut self, to: SocketAddr, words: Vec<Word>, facts: Vec<GossipFact>, out: &mut Vec<Output>) {
         let mut packet = self.packet(Body::News);
         let mut length = packet.encode().len();
         for word in words {
--- a/crates/pintally-membership/src/settings.rs
+++ b/crates/pintally-membership/src/settings.rs
@@ -76,7 +76,7 @@
     /// The longest time from a peer's death to its being known to this node, with `n` nodes and no
     /// message lost: every peer is probed once in a round of `n - 1` periods, a round begins anew in
     /// another order (so two rounds at worst), then the suspicion runs out. Word of others comes sooner.
-    pub fn death_known_within(&self, n: usize) -> Micros {
+    pub fn max_failure_detection_time(&self, n: usize) -> Micros {
         let rounds = 2 * n.saturating_sub(1).max(1) as u64 * self.period;
         rounds + self.suspicion_most(n)
     }
--- a/crates/pintally-membership/src/spread.rs
+++ b/crates/pintally-membership/src/spread.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum News {
     Member(PeerName),
-    Fact(PeerName, Topic),
+    GossipFact(PeerName, Topic),
 }
 
 /// News that is still passed on, and how often each piece has been.
--- a/crates/pintally-membership/src/status.rs
+++ b/crates/pintally-membership/src/status.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::members::Standing;
+use crate::members::MemberState;
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -41,7 +41,7 @@
     /// Where peers reach it.
     pub address: String,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Which life it is in.
     pub boot: u64,
     /// For how long it has stood so, in milliseconds.
@@ -58,7 +58,8 @@
     /// How much it doubts itself, 0 to 8.
     pub doubt: u32,
     /// It has stepped back, because another process runs under its name.
-    pub stepped_back: bool,
+    #[serde(rename = "stepped_back")]
+    pub has_yielded_name: bool,
     /// The others.
     pub peers: Vec<PeerStatus>,
     /// Facts that it knows.
--- a/crates/pintally-membership/tests/bytes.rs
+++ b/crates/pintally-membership/tests/bytes.rs
@@ -2,13 +2,15 @@
 
 use std::net::SocketAddr;
 
-use pintally_membership::{Life, Output, Peers, Settings, Topic, MAX_FACTS, MAX_PAYLOAD};
+use pintally_membership::{
+    Membership, Output, ProcessIncarnation, Settings, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES,
+};
 use proptest::prelude::*;
 
-fn node(number: u16, seed: u16) -> Peers {
+fn node(number: u16, seed: u16) -> Membership {
     let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], 7000 + n));
     let settings = Settings::new("test", &format!("n{number}"), "a", at(number), vec![at(seed)]);
-    Peers::new(settings, Life { boot: 1, mark: number.into() }, number.into(), 0)
+    Membership::new(settings, ProcessIncarnation { boot: 1, mark: number.into() }, number.into(), 0)
 }
 
 fn datagrams(out: Vec<Output>) -> Vec<Vec<u8>> {
@@ -30,7 +32,7 @@
     fn a_flipped_bit_is_seen(place in any::<prop::sample::Index>(), bit in 0u8..8) {
         let (mut one, mut two) = (node(1, 2), node(2, 1));
         let mut out = Vec::new();
-        one.say(Topic(3), vec![9; 100]).unwrap();
+        one.publish(Topic(3), vec![9; 100]).unwrap();
         one.tick(0, &mut out);
         let mut bytes = datagrams(out).remove(0);
         let place = place.index(bytes.len());
@@ -44,11 +46,11 @@
 #[test]
 fn facts_are_bounded() {
     let mut one = node(1, 2);
-    assert!(one.say(Topic(0), vec![0; MAX_PAYLOAD + 1]).is_err());
+    assert!(one.publish(Topic(0), vec![0; MAX_PAYLOAD_BYTES + 1]).is_err());
     for topic in 0..MAX_FACTS as u8 {
-        one.say(Topic(topic), vec![topic]).unwrap();
+        one.publish(Topic(topic), vec![topic]).unwrap();
     }
-    assert!(one.say(Topic(99), vec![1]).is_err());
+    assert!(one.publish(Topic(99), vec![1]).is_err());
     let mut out = Vec::new();
     one.tick(0, &mut out);
     assert!(datagrams(out).iter().all(|d| d.len() <= pintally_membership::MAX_DATAGRAM));
--- a/crates/pintally-membership/tests/common/mod.rs
+++ b/crates/pintally-membership/tests/common/mod.rs
@@ -5,15 +5,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use pintally_membership::{Life, Micros, Notice, Output, Peers, Settings, Standing};
+use pintally_membership::{
+    MemberState, Membership, MembershipEvent, Micros, Output, ProcessIncarnation, Settings,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 pub const SECOND: Micros = 1_000_000;
 
 pub struct Node {
-    pub peers: Peers,
-    pub notices: Vec<(Micros, Notice)>,
+    pub peers: Membership,
+    pub notices: Vec<(Micros, MembershipEvent)>,
     pub up: bool,
     /// It stands still until then; what comes waits.
     pub paused_until: Micros,
@@ -57,23 +59,23 @@
             fleet: "test".into(),
         };
         for number in 0..nodes {
-            net.add(settings(number), Life { boot: 1, mark: 1000 + number as u64 });
+            net.add(settings(number), ProcessIncarnation { boot: 1, mark: 1000 + number as u64 });
         }
         net
     }
 
-    pub fn add(&mut self, settings: Settings, life: Life) -> usize {
+    pub fn add(&mut self, settings: Settings, life: ProcessIncarnation) -> usize {
         settings.check().expect("sound settings");
         let seed = self.rng.next_u64();
-        let peers = Peers::new(settings, life, seed, self.now);
+        let peers = Membership::new(settings, life, seed, self.now);
         self.nodes.push(Node { peers, notices: Vec::new(), up: true, paused_until: 0 });
         self.nodes.len() - 1
     }
 
     /// A node starts anew in place of a dead one.
-    pub fn restart(&mut self, number: usize, life: Life) {
+    pub fn restart(&mut self, number: usize, life: ProcessIncarnation) {
         let seed = self.rng.next_u64();
-        let peers = Peers::new(settings(number), life, seed, self.now);
+        let peers = Membership::new(settings(number), life, seed, self.now);
         self.nodes[number] = Node { peers, notices: Vec::new(), up: true, paused_until: 0 };
     }
 
@@ -94,7 +96,7 @@
     fn carry_out(&mut self, number: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Output::Notice(notice) => self.nodes[number].notices.push((self.now, notice)),
+                Output::Event(notice) => self.nodes[number].notices.push((self.now, notice)),
                 Output::Datagram(to, bytes) => {
                     let Some(target) =
                         (0..self.nodes.len()).rev().find(|n| address_of(&self.nodes[*n]) == to)
@@ -171,15 +173,15 @@
 
     /// Whether every node that runs knows every other one that runs as alive, and counts nobody else.
     pub fn whole(&self) -> bool {
-        let up: Vec<&Node> = self.nodes.iter().filter(|n| n.up && !n.peers.stepped_back()).collect();
+        let up: Vec<&Node> = self.nodes.iter().filter(|n| n.up && !n.peers.has_yielded_name()).collect();
         up.iter().all(|n| {
             n.peers.here() == up.len()
-                && n.peers.members().filter(|m| m.is_here()).all(|m| m.standing() == Standing::Alive)
+                && n.peers.members().filter(|m| m.is_here()).all(|m| m.standing() == MemberState::Alive)
         })
     }
 
     pub fn downs(&self) -> usize {
-        let down = |n: &&(Micros, Notice)| matches!(n.1, Notice::Down(_));
+        let down = |n: &&(Micros, MembershipEvent)| matches!(n.1, MembershipEvent::MemberDown(_));
         self.nodes.iter().map(|n| n.notices.iter().filter(down).count()).sum()
     }
 }
--- a/crates/pintally-membership/tests/fleet.rs
+++ b/crates/pintally-membership/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{address, settings, Net, SECOND};
-use pintally_membership::{Life, Notice, PeerName, Settings, Standing, Topic};
+use pintally_membership::{MemberState, MembershipEvent, PeerName, ProcessIncarnation, Settings, Topic};
 
 #[test]
 fn everybody_knows_everybody_from_two_seeds() {
@@ -26,7 +26,7 @@
         net.nodes[7].up = false;
         let died = net.now;
         // Loss costs answers, and each costs a round at worst; the bound is for none.
-        let bound = settings(0).death_known_within(20) * if loss > 0.0 { 3 } else { 1 };
+        let bound = settings(0).max_failure_detection_time(20) * if loss > 0.0 { 3 } else { 1 };
         let known = |n: &Net| {
             let dead = |m: &pintally_membership::Member| !m.is_here();
             let name = PeerName::from("n7");
@@ -50,12 +50,12 @@
     net.nodes[3].paused_until = 40 * SECOND;
     net.run(39 * SECOND);
     let name = PeerName::from("n3");
-    assert!(net.nodes[0].peers.member(&name).is_some_and(|m| m.standing() == Standing::Dead));
+    assert!(net.nodes[0].peers.member(&name).is_some_and(|m| m.standing() == MemberState::Dead));
     let back = net.run_until(60 * SECOND, Net::whole);
     assert!(back.is_some(), "the node is not taken back");
     let own = &net.nodes[3].notices;
-    assert!(own.iter().any(|n| matches!(n.1, Notice::StoodStill(late) if late > 15 * SECOND)));
-    assert!(!own.iter().any(|n| matches!(n.1, Notice::Down(_))), "it has mourned: {own:?}");
+    assert!(own.iter().any(|n| matches!(n.1, MembershipEvent::StoodStill(late) if late > 15 * SECOND)));
+    assert!(!own.iter().any(|n| matches!(n.1, MembershipEvent::MemberDown(_))), "it has mourned: {own:?}");
 }
 
 /// Guards against a disk that came back older: the node's numbers would be lower than what peers
@@ -64,14 +64,14 @@
 fn a_disk_that_went_back_is_seen_by_what_peers_remember() {
     let mut net = Net::new(6, 11);
     net.nodes[2].up = false;
-    net.restart(2, Life { boot: 9, mark: 77 });
+    net.restart(2, ProcessIncarnation { boot: 9, mark: 77 });
     net.run(15 * SECOND);
     net.nodes[2].up = false;
     net.run(16 * SECOND);
-    net.restart(2, Life { boot: 4, mark: 5 });
-    net.nodes[2].peers.say(Topic(1), b"after".to_vec()).unwrap();
+    net.restart(2, ProcessIncarnation { boot: 4, mark: 5 });
+    net.nodes[2].peers.publish(Topic(1), b"after".to_vec()).unwrap();
     net.run(30 * SECOND);
-    let went_back = Notice::DiskWentBack { own: 4, now: 10 };
+    let went_back = MembershipEvent::StoredIncarnationOutdated { own: 4, now: 10 };
     assert!(net.nodes[2].notices.iter().any(|n| n.1 == went_back), "{:?}", net.nodes[2].notices);
     assert!(net.whole());
     for node in &net.nodes {
@@ -89,9 +89,9 @@
         let mut net = Net::new(6, seed);
         net.run(10 * SECOND);
         let twin = Settings { address: address(50), ..settings(4) };
-        let twin = net.add(twin, Life { boot: 1, mark: 900 + 200 * (seed % 2) });
+        let twin = net.add(twin, ProcessIncarnation { boot: 1, mark: 900 + 200 * (seed % 2) });
         net.run(60 * SECOND);
-        let back: Vec<bool> = [4, twin].iter().map(|n| net.nodes[*n].peers.stepped_back()).collect();
+        let back: Vec<bool> = [4, twin].iter().map(|n| net.nodes[*n].peers.has_yielded_name()).collect();
         assert_eq!(back.iter().filter(|b| **b).count(), 1, "seed {seed}: {back:?}");
         let others = [0, 1, 2, 3, 5];
         for n in others {
@@ -99,7 +99,8 @@
         }
         let harmed = others.iter().flat_map(|n| &net.nodes[*n].notices);
         let own = PeerName::from("n4");
-        let wrong = harmed.filter(|n| matches!(&n.1, Notice::Down(name) if *name != own)).count();
+        let wrong =
+            harmed.filter(|n| matches!(&n.1, MembershipEvent::MemberDown(name) if *name != own)).count();
         assert_eq!(wrong, 0, "seed {seed}: others were mourned");
     }
 }
@@ -108,7 +109,7 @@
 fn another_fleet_under_the_same_addresses_is_told_apart() {
     let mut net = Net::new(4, 3);
     let foreign = Settings { fleet: "other".into(), ..settings(4) };
-    let foreign = net.add(foreign, Life { boot: 5, mark: 1 });
+    let foreign = net.add(foreign, ProcessIncarnation { boot: 5, mark: 1 });
     net.run(30 * SECOND);
     assert_eq!(net.nodes[foreign].peers.here(), 1);
     for n in 0..4 {
@@ -152,13 +153,13 @@
     net.loss = 0.5;
     net.doubled = 0.1;
     for n in 0..15 {
-        net.nodes[n].peers.say(Topic(2), vec![n as u8; 300]).unwrap();
+        net.nodes[n].peers.publish(Topic(2), vec![n as u8; 300]).unwrap();
     }
     let all = |net: &Net| net.nodes.iter().all(|n| n.peers.facts(Topic(2)).count() == 15);
     let at = net.run_until(80 * SECOND, all);
     assert!(at.is_some(), "not everywhere after 60 s at 50% loss");
     // Taken back, it is gone everywhere.
-    net.nodes[3].peers.say(Topic(2), Vec::new()).unwrap();
+    net.nodes[3].peers.publish(Topic(2), Vec::new()).unwrap();
     let gone = |net: &Net| net.nodes.iter().all(|n| n.peers.facts(Topic(2)).count() == 14);
     assert!(net.run_until(140 * SECOND, gone).is_some());
 }
@@ -200,7 +201,9 @@
     }
     net.nodes[1].up = false;
     net.run(40 * SECOND);
-    let suspected = |n: &&(u64, Notice)| matches!(n.1, Notice::Suspected(_) | Notice::Down(_));
+    let suspected = |n: &&(u64, MembershipEvent)| {
+        matches!(n.1, MembershipEvent::MemberSuspected(_) | MembershipEvent::MemberDown(_))
+    };
     for n in [0, 2, 3, 4] {
         assert_eq!(net.nodes[n].notices.iter().filter(suspected).count(), 0);
         assert_eq!(net.nodes[n].peers.here(), 4);
