--- a/crates/pintally-config/src/fleet.rs
+++ b/crates/pintally-config/src/fleet.rs
@@ -12,7 +12,7 @@
 const COLD: &str = "a cold engine is not pushed over";
 
 /// The kinds of disks that lie, which days and tests name.
-pub const LIES: [&str; 8] =
+pub const STORAGE_FAULTS: [&str; 8] =
     ["lost-syncs", "torn-write", "flipped-bit", "older-image", "full", "read-only", "slow", "read-errors"];
 
 /// What a node is told of its peers. Times in microseconds.
@@ -64,7 +64,7 @@
     /// So long behind a peer's death two others let go of what it held; 0 for never.
     pub inherit_after: Micros,
     /// A disk that lies, by name and seed: for days and tests only.
-    pub lie: Option<(String, u64)>,
+    pub storage_fault: Option<(String, u64)>,
 }
 
 impl fmt::Display for PeerSettings {
@@ -92,8 +92,8 @@
         write!(f, " (ask {}) (careful-most-ms {})", self.ask, ms(self.careful_most))?;
         write!(f, " (per-engine-per-s {}) (textless {})", self.per_engine, self.textless)?;
         write!(f, " (inherit-after-ms {})", ms(self.inherit_after))?;
-        if let Some((lie, seed)) = &self.lie {
-            write!(f, " (lying-disk {} (seed {seed}))", quoted(lie))?;
+        if let Some((storage_fault, seed)) = &self.storage_fault {
+            write!(f, " (lying-disk {} (seed {seed}))", quoted(storage_fault))?;
         }
         f.write_str(")")
     }
@@ -154,18 +154,18 @@
 }
 
 fn recovery(form: &Form) -> Result<RecoverySettings, ConfigError> {
-    let lie = match form.maybe("lying-disk")? {
+    let storage_fault = match form.maybe("lying-disk")? {
         None => None,
-        Some(lie) => {
-            let named = (lie.text()?, lie.count_or("seed", 1, 0, 1 << 53)?);
-            if !LIES.contains(&named.0.as_str()) {
-                return Err(lie.error(format!(
+        Some(storage_fault) => {
+            let named = (storage_fault.text()?, storage_fault.count_or("seed", 1, 0, 1 << 53)?);
+            if !STORAGE_FAULTS.contains(&named.0.as_str()) {
+                return Err(storage_fault.error(format!(
                     "`{}` is no kind of lying disk; there are {}",
                     named.0,
-                    LIES.join(", ")
+                    STORAGE_FAULTS.join(", ")
                 )));
             }
-            lie.finish()?;
+            storage_fault.finish()?;
             Some(named)
         }
     };
@@ -180,7 +180,7 @@
         inherit_after: form.millis_or("inherit-after-ms", 5_000.0, 0.0, 3_600_000.0)?,
         per_engine: form.number_or("per-engine-per-s", 2.0, 0.001, 1e6)?,
         textless: form.number_or("textless", 0.9, 0.01, 1.0)?,
-        lie,
+        storage_fault,
     };
     form.finish()?;
     Ok(settings)
--- a/crates/pintally-config/src/lib.rs
+++ b/crates/pintally-config/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use check::check;
 pub use error::ConfigError;
-pub use fleet::{PeerSettings, RecoverySettings, LIES};
+pub use fleet::{PeerSettings, RecoverySettings, STORAGE_FAULTS};
 pub use members::{EngineEntry, EngineList};
 pub use regions::RegionSettings;
 pub use settings::{shape, ClassSettings, Limits, NodeSettings};
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -21,7 +21,7 @@
 use pintally_outlier_detection::{Node, Report};
 use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
-use pintally_storage::{Lie, Loaded, Store, StoreSettings};
+use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
 use pintally_transport::{fetch, Came, Udp, Whole};
 use tracing::{debug, info, warn};
 
@@ -179,7 +179,7 @@
         Some(recovery) => open_store(recovery),
         None => (None, Loaded::default()),
     };
-    for lack in &loaded.lacks {
+    for lack in &loaded.issues {
         warn!(%lack, "something of the life before is lacking");
     }
     let text = |key: &str| loaded.get(key).and_then(|r| String::from_utf8(r.payload.clone()).ok());
@@ -188,9 +188,9 @@
         bytes.chunks_exact(8).filter_map(|c| <[u8; 8]>::try_from(c).ok()).map(u64::from_le_bytes).collect()
     };
     let number = |key: &str| numbers(key).first().copied();
-    let mut lacks: Vec<String> = loaded.lacks.iter().map(ToString::to_string).collect();
+    let mut issues: Vec<String> = loaded.issues.iter().map(ToString::to_string).collect();
     if loaded.is_empty() && store.is_some() {
-        lacks.push("there is no record of a life before".into());
+        issues.push("there is no record of a life before".into());
     }
     let boot = loaded.latest().0.max(number(KEY_BOOT).unwrap_or(0)) + 1;
     if let Some(store) = &store {
@@ -208,7 +208,7 @@
         left: left.map(|(e, n)| (EngineId(e.into()), RequestId(n.into()))).collect(),
         list: text(KEY_LIST),
         usual,
-        memory: Memory { carried: number(KEY_CARRIED).map_or(0.0, f64::from_bits), lacks },
+        memory: Memory { carried: number(KEY_CARRIED).map_or(0.0, f64::from_bits), issues },
         life: ProcessIncarnation { boot, mark: seed },
         seen: seen.lines().filter_map(|a| a.parse().ok()).take(16).collect(),
         store,
@@ -221,22 +221,25 @@
         folder: PathBuf::from(folder),
         every: Duration::from_micros(settings.every),
         within: Duration::from_micros(settings.read_within),
-        lie: settings.lie.as_ref().and_then(|(name, seed)| Some((lie(name)?, *seed))),
+        storage_fault: settings
+            .storage_fault
+            .as_ref()
+            .and_then(|(name, seed)| Some((storage_fault(name)?, *seed))),
     });
     (Some(store), loaded)
 }
 
 /// A lying disk by its name in settings.
-pub(crate) fn lie(name: &str) -> Option<Lie> {
+pub(crate) fn storage_fault(name: &str) -> Option<StorageFault> {
     Some(match name {
-        "lost-syncs" => Lie::LostSyncs,
-        "torn-write" => Lie::TornWrite,
-        "flipped-bit" => Lie::FlippedBit,
-        "older-image" => Lie::OlderImage,
-        "full" => Lie::Full,
-        "read-only" => Lie::ReadOnly,
-        "slow" => Lie::Slow(Duration::from_secs(3)),
-        "read-errors" => Lie::ReadErrors,
+        "lost-syncs" => StorageFault::LostSyncs,
+        "torn-write" => StorageFault::TornWrite,
+        "flipped-bit" => StorageFault::FlippedBit,
+        "older-image" => StorageFault::OlderImage,
+        "full" => StorageFault::Full,
+        "read-only" => StorageFault::ReadOnly,
+        "slow" => StorageFault::Slow(Duration::from_secs(3)),
+        "read-errors" => StorageFault::ReadErrors,
         _ => return None,
     })
 }
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
-use crate::fleet::{lie, lock};
+use crate::fleet::{lock, storage_fault};
 use crate::shared::Shared;
 
 /// The key of a keeper's state on its disk, and of limits in the register.
@@ -112,15 +112,17 @@
             // Nobody waits for this thread. Guards against a disk that is slow at the start and taken for lost:
             // the keeper would have no vote until all others had answered.
             within: OPEN_WITHIN,
-            lie: recovery.and_then(|r| r.lie.as_ref()).and_then(|(name, seed)| Some((lie(name)?, *seed))),
+            storage_fault: recovery
+                .and_then(|r| r.storage_fault.as_ref())
+                .and_then(|(name, seed)| Some((storage_fault(name)?, *seed))),
         })
     });
     let (store, loaded) = opened.map_or((None, None), |(store, loaded)| (Some(store), Some(loaded)));
     let saved = loaded.as_ref().and_then(|l| l.get(KEY)).map(|r| r.payload.clone());
-    for lack in loaded.iter().flat_map(|l| &l.lacks) {
+    for lack in loaded.iter().flat_map(|l| &l.issues) {
         warn!(%lack, "the keeper's disk lacks something: it is not believed");
     }
-    let clean = loaded.as_ref().is_some_and(|l| l.lacks.is_empty());
+    let clean = loaded.as_ref().is_some_and(|l| l.issues.is_empty());
     let figures = settings.figures(&shared.settings.name);
     let keeper = Replica::new(figures, saved.as_deref(), clean, seed, shared.clock.now());
     let mut running = Running {
--- a/crates/pintally-recovery/src/stage.rs
+++ b/crates/pintally-recovery/src/stage.rs
@@ -51,7 +51,7 @@
     /// Requests a second that the whole fleet carried; 0 if nothing is known.
     pub carried: f64,
     /// What is lacking, in words.
-    pub lacks: Vec<String>,
+    pub issues: Vec<String>,
 }
 
 /// What has happened.
@@ -210,7 +210,7 @@
         }
         match self.stage {
             Stage::Reading => {
-                self.memory.lacks.push("the disk did not tell in time".into());
+                self.memory.issues.push("the disk did not tell in time".into());
                 self.begin_asking(now, out);
             }
             Stage::Asking if self.round < self.settings.rounds => self.ask_more(now, out),
@@ -343,7 +343,7 @@
             stage: self.stage,
             for_ms: now.saturating_sub(self.since) / 1000,
             waits_for,
-            lacks: self.memory.lacks.clone(),
+            issues: self.memory.issues.clone(),
             fleet_lost_power: self.lost_power,
             here: self.fleet.here,
             expected: self.fleet.expected,
--- a/crates/pintally-recovery/src/status.rs
+++ b/crates/pintally-recovery/src/status.rs
@@ -14,7 +14,8 @@
     /// Why it is not further.
     pub waits_for: String,
     /// What it lacks from before.
-    pub lacks: Vec<String>,
+    #[serde(rename = "lacks")]
+    pub issues: Vec<String>,
     /// Whether it takes the whole fleet to have lost its power; none while it has not been found out.
     pub fleet_lost_power: Option<bool>,
     /// Nodes here and expected.
--- a/crates/pintally-recovery/tests/stages.rs
+++ b/crates/pintally-recovery/tests/stages.rs
@@ -72,7 +72,7 @@
 /// Guards against a fleet that takes in what it took before the loss while its engines are cold.
 #[test]
 fn a_cold_fleet_lets_in_what_it_can_carry() {
-    let memory = || Memory { carried: 100.0, lacks: Vec::new() };
+    let memory = || Memory { carried: 100.0, issues: Vec::new() };
     let mut nodes: Vec<Recovery> = (0..4).map(|_| Recovery::new(settings(4), 0, SECOND)).collect();
     let mut out = Vec::new();
     for node in &mut nodes {
@@ -111,7 +111,7 @@
 fn unsafe_requests_wait_for_a_list_from_its_source() {
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
-    node.handle(0, Input::Read(Memory { carried: 1000.0, lacks: Vec::new() }), &mut out);
+    node.handle(0, Input::Read(Memory { carried: 1000.0, issues: Vec::new() }), &mut out);
     node.handle(0, Input::Listed(engines(4), false), &mut out);
     assert_eq!(node.stage(), Stage::Careful);
     assert_eq!(node.ask(1, Some(0)), Verdict::Admit);
@@ -127,7 +127,7 @@
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(0, Input::Peers(3, vec![1, 2]), &mut out);
     node.handle(0, Input::Listed(engines(10), true), &mut out);
-    node.handle(0, Input::Read(Memory { carried: 1e12, lacks: Vec::new() }), &mut out);
+    node.handle(0, Input::Read(Memory { carried: 1e12, issues: Vec::new() }), &mut out);
     let told = |carried| Answer { stage: Stage::Careful, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
     node.handle(1, Input::Answered(1, told(60.0)), &mut out);
     node.handle(2, Input::Answered(2, told(f64::INFINITY)), &mut out);
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -215,7 +215,11 @@
         if let Some(recovery) = &mut settings.recovery {
             let folder = self.publisher.file(number).with_extension("state");
             recovery.store = Some(folder.to_string_lossy().into_owned());
-            recovery.lie = self.day.disks.get(&number).map(|lie| (lie.clone(), self.seed & 0xffff_ffff));
+            recovery.storage_fault = self
+                .day
+                .disks
+                .get(&number)
+                .map(|storage_fault| (storage_fault.clone(), self.seed & 0xffff_ffff));
         }
     }
 
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -6,7 +6,7 @@
 use pintally::interface::{Role, Settings};
 use pintally_cells::CellsFile;
 use pintally_config::form::{Document, Form};
-use pintally_config::{shape, ConfigError, NodeSettings, LIES};
+use pintally_config::{shape, ConfigError, NodeSettings, STORAGE_FAULTS};
 
 use crate::faults;
 
@@ -268,14 +268,15 @@
         }
         let mut disks = BTreeMap::new();
         for form in root.all("disk")? {
-            let (node, lie) = (form.count(0, count as u64 - 1)? as usize, form.text()?);
+            let (node, storage_fault) = (form.count(0, count as u64 - 1)? as usize, form.text()?);
             form.finish()?;
-            if !LIES.contains(&lie.as_str()) {
-                return Err(
-                    form.error(format!("`{lie}` is no kind of lying disk; there are {}", LIES.join(", ")))
-                );
+            if !STORAGE_FAULTS.contains(&storage_fault.as_str()) {
+                return Err(form.error(format!(
+                    "`{storage_fault}` is no kind of lying disk; there are {}",
+                    STORAGE_FAULTS.join(", ")
+                )));
             }
-            disks.insert(node, lie);
+            disks.insert(node, storage_fault);
         }
         let processes = nodes.yes_or("processes", false)?;
         if !processes && (settings.peers.is_some() || !disks.is_empty()) {
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -14,7 +14,7 @@
 mod store;
 
 pub use disk::{BufferedFile, Disk};
-pub use lies::{Lie, LyingFile};
-pub use loaded::{Lack, Loaded};
-pub use record::{Bad, Record, MAX_KEY, MAX_PAYLOAD};
+pub use lies::{FaultyFile, StorageFault};
+pub use loaded::{LoadIssue, Loaded};
+pub use record::{Record, RecordError, MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
 pub use store::{Health, Store, StoreSettings};
--- a/crates/pintally-storage/src/lies.rs
+++ b/crates/pintally-storage/src/lies.rs
@@ -16,7 +16,7 @@
 
 /// How a disk lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum StorageFault {
     /// A sync is acknowledged and not done; only every so manieth is.
     LostSyncs,
     /// The last write of a sync reaches the disk by half; its rest comes with the next sync.
@@ -44,29 +44,36 @@
 
 /// A file on a disk that lies.
 #[derive(Debug)]
-pub struct LyingFile {
+pub struct FaultyFile {
     file: File,
     path: PathBuf,
-    lie: Lie,
+    storage_fault: StorageFault,
     pending: Mutex<Pending>,
     syncs: AtomicU64,
     reads: AtomicU64,
 }
 
-impl LyingFile {
+impl FaultyFile {
     /// Opens a file on such a disk; what the lie does to an image is done to it first.
-    pub fn open(path: &Path, lie: Lie, seed: u64) -> io::Result<LyingFile> {
+    pub fn open(path: &Path, storage_fault: StorageFault, seed: u64) -> io::Result<FaultyFile> {
         let image = with_ending(path, "image");
-        match lie {
-            Lie::OlderImage if image.exists() => {
+        match storage_fault {
+            StorageFault::OlderImage if image.exists() => {
                 fs::copy(&image, path)?;
             }
-            Lie::FlippedBit => flip(path, seed)?,
+            StorageFault::FlippedBit => flip(path, seed)?,
             _ => {}
         }
         let file = File::options().read(true).write(true).create(true).truncate(false).open(path)?;
         let (pending, path) = (Mutex::default(), path.to_path_buf());
-        Ok(LyingFile { file, path, lie, pending, syncs: AtomicU64::new(0), reads: AtomicU64::new(0) })
+        Ok(FaultyFile {
+            file,
+            path,
+            storage_fault,
+            pending,
+            syncs: AtomicU64::new(0),
+            reads: AtomicU64::new(0),
+        })
     }
 
     fn pending(&self) -> std::sync::MutexGuard<'_, Pending> {
@@ -74,9 +81,9 @@
     }
 
     fn writable(&self) -> io::Result<()> {
-        match self.lie {
-            Lie::Full => Err(io::ErrorKind::StorageFull.into()),
-            Lie::ReadOnly => Err(io::ErrorKind::ReadOnlyFilesystem.into()),
+        match self.storage_fault {
+            StorageFault::Full => Err(io::ErrorKind::StorageFull.into()),
+            StorageFault::ReadOnly => Err(io::ErrorKind::ReadOnlyFilesystem.into()),
             _ => Ok(()),
         }
     }
@@ -102,7 +109,7 @@
     fs::write(path, bytes)
 }
 
-impl StorageBackend for LyingFile {
+impl StorageBackend for FaultyFile {
     fn len(&self) -> io::Result<u64> {
         match self.pending().len {
             Some(len) => Ok(len),
@@ -112,7 +119,7 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let reads = self.reads.fetch_add(1, Ordering::Relaxed);
-        if self.lie == Lie::ReadErrors && reads % READS_FAIL == READS_FAIL - 1 {
+        if self.storage_fault == StorageFault::ReadErrors && reads % READS_FAIL == READS_FAIL - 1 {
             return Err(io::Error::other("the disk cannot read this"));
         }
         let pending = self.pending();
@@ -130,14 +137,14 @@
     fn sync_data(&self) -> io::Result<()> {
         self.writable()?;
         let syncs = self.syncs.fetch_add(1, Ordering::Relaxed) + 1;
-        match self.lie {
-            Lie::LostSyncs if !syncs.is_multiple_of(SYNCS_KEPT) => return Ok(()),
-            Lie::Slow(span) => thread::sleep(span),
+        match self.storage_fault {
+            StorageFault::LostSyncs if !syncs.is_multiple_of(SYNCS_KEPT) => return Ok(()),
+            StorageFault::Slow(span) => thread::sleep(span),
             _ => {}
         }
         let mut pending = self.pending();
         let mut rest = None;
-        if self.lie == Lie::TornWrite {
+        if self.storage_fault == StorageFault::TornWrite {
             if let Some((at, bytes)) = pending.writes.last_mut().filter(|(_, b)| b.len() > 1) {
                 let half = bytes.len() / 2;
                 rest = Some((*at + half as u64, bytes.split_off(half)));
@@ -145,7 +152,10 @@
         }
         carry_out(&self.file, &mut pending)?;
         pending.writes.extend(rest);
-        if self.lie == Lie::OlderImage && syncs == IMAGE_AFTER && !with_ending(&self.path, "image").exists() {
+        if self.storage_fault == StorageFault::OlderImage
+            && syncs == IMAGE_AFTER
+            && !with_ending(&self.path, "image").exists()
+        {
             fs::copy(&self.path, with_ending(&self.path, "image"))?;
         }
         Ok(())
--- a/crates/pintally-storage/src/loaded.rs
+++ b/crates/pintally-storage/src/loaded.rs
@@ -7,27 +7,27 @@
 
 /// Something that a start lacks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum LoadIssue {
     /// A copy cannot be opened or read at all; why.
-    Copy(usize, String),
+    CopyUnreadable(usize, String),
     /// A copy was there and is of no use; it was set aside and a new one begun.
-    SetAside(usize, String),
+    CopyReplaced(usize, String),
     /// A record is there and cannot be believed.
-    Record(usize, String, String),
+    RecordRejected(usize, String, String),
     /// Nothing can be written: what the node learns is lost with it.
     Unwritable(String),
     /// The disk did not tell in time; the node goes on without.
-    Late,
+    TimedOut,
 }
 
-impl fmt::Display for Lack {
+impl fmt::Display for LoadIssue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Lack::Copy(copy, why) => write!(f, "copy {copy} cannot be read: {why}"),
-            Lack::SetAside(copy, why) => write!(f, "copy {copy} was set aside: {why}"),
-            Lack::Record(copy, key, why) => write!(f, "record `{key}` of copy {copy}: {why}"),
-            Lack::Unwritable(why) => write!(f, "nothing can be kept: {why}"),
-            Lack::Late => f.write_str("the disk did not tell in time"),
+            LoadIssue::CopyUnreadable(copy, why) => write!(f, "copy {copy} cannot be read: {why}"),
+            LoadIssue::CopyReplaced(copy, why) => write!(f, "copy {copy} was set aside: {why}"),
+            LoadIssue::RecordRejected(copy, key, why) => write!(f, "record `{key}` of copy {copy}: {why}"),
+            LoadIssue::Unwritable(why) => write!(f, "nothing can be kept: {why}"),
+            LoadIssue::TimedOut => f.write_str("the disk did not tell in time"),
         }
     }
 }
@@ -38,7 +38,7 @@
     /// The newest sound record of each key.
     pub records: BTreeMap<String, Record>,
     /// What is lacking.
-    pub lacks: Vec<Lack>,
+    pub issues: Vec<LoadIssue>,
 }
 
 impl Loaded {
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a record's key.
-pub const MAX_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Bytes of what a record holds.
-pub const MAX_PAYLOAD: usize = 16 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 16 << 20;
 
 /// A record as it was kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 /// Why bytes are no record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum RecordError {
     /// The checksum does not hold.
     Checksum,
     /// The checksum holds, but there is no record behind it.
@@ -36,17 +36,17 @@
     Place,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::Checksum => "the checksum does not hold",
-            Bad::Form => "it cannot be read",
-            Bad::Place => "it stands under another key",
+            RecordError::Checksum => "the checksum does not hold",
+            RecordError::Form => "it cannot be read",
+            RecordError::Place => "it stands under another key",
         })
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for RecordError {}
 
 impl Record {
     /// The record as bytes, a checksum first.
@@ -58,15 +58,15 @@
     }
 
     /// Reads a record that stood under a key.
-    pub fn decode(key: &str, bytes: &[u8]) -> Result<Record, Bad> {
-        let (sum, body) = bytes.split_at_checked(4).ok_or(Bad::Form)?;
+    pub fn decode(key: &str, bytes: &[u8]) -> Result<Record, RecordError> {
+        let (sum, body) = bytes.split_at_checked(4).ok_or(RecordError::Form)?;
         if crc32fast::hash(body).to_le_bytes() != sum {
-            return Err(Bad::Checksum);
+            return Err(RecordError::Checksum);
         }
-        let record: Record = postcard::from_bytes(body).map_err(|_| Bad::Form)?;
+        let record: Record = postcard::from_bytes(body).map_err(|_| RecordError::Form)?;
         match record.key == key {
             true => Ok(record),
-            false => Err(Bad::Place),
+            false => Err(RecordError::Place),
         }
     }
 
--- a/crates/pintally-storage/src/store.rs
+++ b/crates/pintally-storage/src/store.rs
@@ -12,9 +12,9 @@
 use tracing::warn;
 
 use crate::disk::{BufferedFile, Disk};
-use crate::lies::{Lie, LyingFile};
-use crate::loaded::{Lack, Loaded};
-use crate::record::{Record, MAX_KEY, MAX_PAYLOAD};
+use crate::lies::{FaultyFile, StorageFault};
+use crate::loaded::{LoadIssue, Loaded};
+use crate::record::{Record, MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 /// Copies of everything.
@@ -37,7 +37,7 @@
     /// The disk's tellings are waited for so long at the start; then the node goes on without.
     pub within: Duration,
     /// A disk that lies, for days and tests, with the seed of what it does.
-    pub lie: Option<(Lie, u64)>,
+    pub storage_fault: Option<(StorageFault, u64)>,
 }
 
 /// How the store fares.
@@ -94,7 +94,7 @@
             commit_all(&own, &own_settings, copies, latest);
         };
         let thread = thread::Builder::new().name("store".into()).spawn(run).ok();
-        let late = || Loaded { lacks: vec![Lack::Late], ..Loaded::default() };
+        let late = || Loaded { issues: vec![LoadIssue::TimedOut], ..Loaded::default() };
         let loaded = telling.recv_timeout(settings.within).unwrap_or_else(|_| late());
         (Store { shared, thread }, loaded)
     }
@@ -102,7 +102,7 @@
     /// Keeps a payload under a key, in place of what stood there; an empty one takes it back. Does not
     /// wait for the disk: a power loss before the next commit ends loses it.
     pub fn put(&self, key: &str, payload: Vec<u8>) {
-        if key.is_empty() || key.len() > MAX_KEY || payload.len() > MAX_PAYLOAD {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES || payload.len() > MAX_PAYLOAD_BYTES {
             self.shared.queue().health.dropped += 1;
             return;
         }
@@ -163,12 +163,12 @@
     let mut loaded = Loaded::default();
     let made = fs::create_dir_all(&settings.folder);
     if let Err(e) = made {
-        loaded.lacks.push(Lack::Unwritable(e.to_string()));
+        loaded.issues.push(LoadIssue::Unwritable(e.to_string()));
     }
     let copies: Vec<Option<Database>> =
         (0..COPIES).map(|copy| open_copy(settings, copy, &mut loaded)).collect();
     if copies.iter().all(Option::is_none) {
-        loaded.lacks.push(Lack::Unwritable("no copy can be opened".into()));
+        loaded.issues.push(LoadIssue::Unwritable("no copy can be opened".into()));
     }
     (copies, loaded)
 }
@@ -183,14 +183,14 @@
     let mut aside = path.clone().into_os_string();
     aside.push(".aside");
     if let Err(e) = fs::rename(&path, aside) {
-        loaded.lacks.push(Lack::Copy(copy, format!("{why}; it cannot be set aside: {e}")));
+        loaded.issues.push(LoadIssue::CopyUnreadable(copy, format!("{why}; it cannot be set aside: {e}")));
         return None;
     }
-    loaded.lacks.push(Lack::SetAside(copy, why));
+    loaded.issues.push(LoadIssue::CopyReplaced(copy, why));
     match read_copy(settings, &path, copy, loaded) {
         Ok(database) => Some(database),
         Err(why) => {
-            loaded.lacks.push(Lack::Copy(copy, why));
+            loaded.issues.push(LoadIssue::CopyUnreadable(copy, why));
             None
         }
     }
@@ -202,9 +202,9 @@
     copy: usize,
     loaded: &mut Loaded,
 ) -> Result<Database, String> {
-    let disk: Disk = match settings.lie {
-        Some((lie, seed)) => {
-            Box::new(LyingFile::open(path, lie, seed ^ copy as u64).map_err(|e| e.to_string())?)
+    let disk: Disk = match settings.storage_fault {
+        Some((storage_fault, seed)) => {
+            Box::new(FaultyFile::open(path, storage_fault, seed ^ copy as u64).map_err(|e| e.to_string())?)
         }
         None => {
             let file = File::options().read(true).write(true).create(true).truncate(false).open(path);
@@ -235,7 +235,7 @@
     for (key, bytes) in found {
         match Record::decode(&key, &bytes) {
             Ok(record) => loaded.take(record),
-            Err(bad) => loaded.lacks.push(Lack::Record(copy, key, bad.to_string())),
+            Err(bad) => loaded.issues.push(LoadIssue::RecordRejected(copy, key, bad.to_string())),
         }
     }
     Ok(database)
--- a/crates/pintally-storage/tests/disks.rs
+++ b/crates/pintally-storage/tests/disks.rs
@@ -4,15 +4,15 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pintally_storage::{Bad, Lack, Lie, Loaded, Record, Store, StoreSettings};
+use pintally_storage::{LoadIssue, Loaded, Record, RecordError, StorageFault, Store, StoreSettings};
 use proptest::prelude::*;
 
-fn settings(folder: &Path, lie: Option<Lie>) -> StoreSettings {
+fn settings(folder: &Path, storage_fault: Option<StorageFault>) -> StoreSettings {
     StoreSettings {
         folder: folder.to_path_buf(),
         every: Duration::from_millis(1),
         within: Duration::from_secs(5),
-        lie: lie.map(|l| (l, 7)),
+        storage_fault: storage_fault.map(|l| (l, 7)),
     }
 }
 
@@ -38,9 +38,9 @@
     let folder = tempfile::tempdir().unwrap();
     let settings = settings(folder.path(), None);
     let (first, safe) = live(&settings, 5);
-    assert!(first.is_empty() && first.lacks.is_empty() && safe);
+    assert!(first.is_empty() && first.issues.is_empty() && safe);
     let (second, _) = live(&settings, 5);
-    assert!(second.lacks.is_empty(), "{:?}", second.lacks);
+    assert!(second.issues.is_empty(), "{:?}", second.issues);
     assert_eq!(count(&second), Some(5));
     assert_eq!(second.latest().0, 1);
     let (third, _) = live(&settings, 0);
@@ -68,19 +68,19 @@
 #[test]
 fn no_kind_of_lying_disk_keeps_a_node_from_starting() {
     let lies = [
-        Lie::LostSyncs,
-        Lie::TornWrite,
-        Lie::FlippedBit,
-        Lie::OlderImage,
-        Lie::Full,
-        Lie::ReadOnly,
-        Lie::Slow(Duration::from_millis(30)),
-        Lie::ReadErrors,
+        StorageFault::LostSyncs,
+        StorageFault::TornWrite,
+        StorageFault::FlippedBit,
+        StorageFault::OlderImage,
+        StorageFault::Full,
+        StorageFault::ReadOnly,
+        StorageFault::Slow(Duration::from_millis(30)),
+        StorageFault::ReadErrors,
     ];
-    for lie in lies {
+    for storage_fault in lies {
         let folder = tempfile::tempdir().unwrap();
         live(&settings(folder.path(), None), 4);
-        let lying = settings(folder.path(), Some(lie));
+        let lying = settings(folder.path(), Some(storage_fault));
         for _ in 0..3 {
             let (loaded, _) = live(&lying, 10);
             // Whatever is told was written at some time, and is whole.
@@ -88,9 +88,9 @@
                 assert_eq!(Record::decode(&record.key, &record.encode()), Ok(record.clone()));
             }
             if let Some(count) = count(&loaded) {
-                assert!(count >= 1, "{lie:?}");
+                assert!(count >= 1, "{storage_fault:?}");
             }
-            println!("{lie:?}: {} records, lacks {:?}", loaded.records.len(), loaded.lacks);
+            println!("{storage_fault:?}: {} records, lacks {:?}", loaded.records.len(), loaded.issues);
         }
     }
 }
@@ -108,7 +108,7 @@
         bytes[place] ^= 0x10;
         std::fs::write(&file, bytes).unwrap();
         let (loaded, safe) = live(&settings, 1);
-        assert_eq!(count(&loaded), Some(6), "bit {place}: {:?}", loaded.lacks);
+        assert_eq!(count(&loaded), Some(6), "bit {place}: {:?}", loaded.issues);
         assert!(safe, "bit {place}: it goes on keeping");
     }
 }
@@ -116,7 +116,7 @@
 #[test]
 fn an_older_image_shows_in_boot_and_sequence() {
     let folder = tempfile::tempdir().unwrap();
-    let lying = settings(folder.path(), Some(Lie::OlderImage));
+    let lying = settings(folder.path(), Some(StorageFault::OlderImage));
     live(&lying, 10);
     let (second, _) = live(&lying, 10);
     assert!(count(&second).unwrap() < 10, "the image is older than what was written");
@@ -127,13 +127,13 @@
 #[test]
 fn a_slow_disk_holds_up_no_start_and_no_put() {
     let folder = tempfile::tempdir().unwrap();
-    let lying = settings(folder.path(), Some(Lie::Slow(Duration::from_secs(3))));
+    let lying = settings(folder.path(), Some(StorageFault::Slow(Duration::from_secs(3))));
     let slow = StoreSettings { within: Duration::from_millis(100), ..lying };
     let began = std::time::Instant::now();
     let (store, loaded) = Store::open(&slow);
     (0..1000).for_each(|n| store.put(&format!("k{n}"), vec![1; 100]));
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
-    assert_eq!(loaded.lacks, [Lack::Late]);
+    assert_eq!(loaded.issues, [LoadIssue::TimedOut]);
     std::mem::forget(store);
 }
 
@@ -143,7 +143,7 @@
     let file = folder.path().join("file");
     std::fs::write(&file, "x").unwrap();
     let (store, loaded) = Store::open(&settings(&file.join("below"), None));
-    assert!(loaded.lacks.iter().any(|l| matches!(l, Lack::Unwritable(_))), "{:?}", loaded.lacks);
+    assert!(loaded.issues.iter().any(|l| matches!(l, LoadIssue::Unwritable(_))), "{:?}", loaded.issues);
     store.put("key", vec![1]);
     assert!(store.flush(Duration::from_secs(5)), "it takes everything and keeps nothing");
 }
@@ -158,6 +158,6 @@
     fn a_record_under_another_key_is_refused(payload in proptest::collection::vec(any::<u8>(), 0..50), boot: u64) {
         let record = Record { key: "a".into(), boot, sequence: 1, unix_ms: 0, payload };
         prop_assert_eq!(Record::decode("a", &record.encode()), Ok(record.clone()));
-        prop_assert_eq!(Record::decode("b", &record.encode()), Err(Bad::Place));
+        prop_assert_eq!(Record::decode("b", &record.encode()), Err(RecordError::Place));
     }
 }
--- a/crates/pintally-storage/tests/golden.rs
+++ b/crates/pintally-storage/tests/golden.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pintally_storage::{Bad, Lack, Record, Store, StoreSettings};
+use pintally_storage::{LoadIssue, Record, RecordError, Store, StoreSettings};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const GOLDEN: &str = include_str!("golden/records.txt");
@@ -25,7 +25,12 @@
 
 fn settings(folder: &Path) -> StoreSettings {
     let within = Duration::from_secs(5);
-    StoreSettings { folder: folder.to_path_buf(), every: Duration::from_millis(1), within, lie: None }
+    StoreSettings {
+        folder: folder.to_path_buf(),
+        every: Duration::from_millis(1),
+        within,
+        storage_fault: None,
+    }
 }
 
 fn record(key: &str, payload: &[u8]) -> Record {
@@ -66,10 +71,10 @@
     let garbage = [&crc32fast::hash(&[255; 3]).to_le_bytes()[..], &[255; 3]].concat();
     assert_bytes("record_garbage", &garbage);
     let cases = [
-        ("list", golden("record_flipped_bit"), Bad::Checksum, "the checksum does not hold"),
-        ("list", golden("record_garbage"), Bad::Form, "it cannot be read"),
-        ("list", whole[..3].to_vec(), Bad::Form, "it cannot be read"),
-        ("carried", whole, Bad::Place, "it stands under another key"),
+        ("list", golden("record_flipped_bit"), RecordError::Checksum, "the checksum does not hold"),
+        ("list", golden("record_garbage"), RecordError::Form, "it cannot be read"),
+        ("list", whole[..3].to_vec(), RecordError::Form, "it cannot be read"),
+        ("carried", whole, RecordError::Place, "it stands under another key"),
     ];
     for (key, bytes, reason, words) in cases {
         assert_eq!(Record::decode(key, &bytes), Err(reason));
@@ -83,7 +88,7 @@
         let folder = tempfile::tempdir().unwrap();
         stored(folder.path(), &record.key, &golden(name));
         let (_store, loaded) = Store::open(&settings(folder.path()));
-        assert_eq!(loaded.lacks, []);
+        assert_eq!(loaded.issues, []);
         assert_eq!(loaded.records.get(&record.key), Some(&record), "{name}");
         assert_eq!(loaded.latest(), (3, 70_000));
     }
@@ -94,9 +99,9 @@
     let folder = tempfile::tempdir().unwrap();
     stored(folder.path(), "list", &golden("record_flipped_bit"));
     let (_store, loaded) = Store::open(&settings(folder.path()));
-    let lack = |copy| Lack::Record(copy, "list".into(), "the checksum does not hold".into());
-    assert_eq!(loaded.lacks, [lack(0), lack(1)]);
-    assert_eq!(loaded.lacks[1].to_string(), "record `list` of copy 1: the checksum does not hold");
+    let lack = |copy| LoadIssue::RecordRejected(copy, "list".into(), "the checksum does not hold".into());
+    assert_eq!(loaded.issues, [lack(0), lack(1)]);
+    assert_eq!(loaded.issues[1].to_string(), "record `list` of copy 1: the checksum does not hold");
     assert!(loaded.is_empty());
 }
 
