--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -22,7 +22,7 @@
 use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
 use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
 use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
-use pintally_transport::{fetch, Came, Udp, Whole};
+use pintally_transport::{fetch, ReceiveEvent, StreamServer, Udp};
 use tracing::{debug, info, warn};
 
 use crate::keeper::{self, FromKeeper, Order, ToKeeper};
@@ -279,7 +279,7 @@
     udp: Udp,
     peers: Membership,
     /// Hands out texts until it is dropped.
-    _whole: Whole,
+    _whole: StreamServer,
     memory: Memory,
     keeper: Option<Sender<ToKeeper>>,
 }
@@ -295,7 +295,7 @@
     let udp = Udp::bind(settings.listen)?;
     let own = shared.clone();
     let orders = keeper.clone();
-    let whole = Whole::serve(settings.listen, move |what, asked| {
+    let whole = StreamServer::serve(settings.listen, move |what, asked| {
         if what == ORDER {
             return serde_json::to_vec(&ordered(&own, orders.as_ref(), asked)).ok();
         }
@@ -471,13 +471,13 @@
         let until = wake.min(Instant::now() + TURN);
         match self.fleet.udp.receive(until) {
             // Another thread of this node has something to say.
-            Ok(Came::Datagram(_, bytes)) if bytes.is_empty() => {}
-            Ok(Came::Datagram(from, bytes)) => {
+            Ok(ReceiveEvent::Datagram(_, bytes)) if bytes.is_empty() => {}
+            Ok(ReceiveEvent::Datagram(from, bytes)) => {
                 let mut out = Vec::new();
                 self.fleet.peers.receive(self.shared.clock.now(), from, &bytes, &mut out);
                 self.carry_out(out);
             }
-            Ok(Came::Nothing) => {}
+            Ok(ReceiveEvent::Nothing) => {}
             Err(e) => {
                 warn!(error = %e, "the link to peers cannot be read");
                 std::thread::sleep(TURN);
--- a/crates/pintally-transport/src/lib.rs
+++ b/crates/pintally-transport/src/lib.rs
@@ -2,8 +2,8 @@
 //! the same port for whole texts. Everything is bounded: sizes, times, and how many texts are handed
 //! out at once.
 
+mod stream;
 mod udp;
-mod whole;
 
-pub use udp::{Came, Udp, Waker};
-pub use whole::{fetch, order, Whole, MAX_ORDER, MAX_TEXT};
+pub use stream::{fetch, order, StreamServer, MAX_ORDER_BYTES, MAX_TEXT_BYTES};
+pub use udp::{ReceiveEvent, Udp, Waker};
--- a/crates/pintally-transport/src/whole.rs
+++ b/crates/pintally-transport/src/stream.rs
@@ -11,9 +11,9 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 /// Bytes of the longest text.
-pub const MAX_TEXT: usize = 16 << 20;
+pub const MAX_TEXT_BYTES: usize = 16 << 20;
 /// Bytes of the longest order.
-pub const MAX_ORDER: usize = 4096;
+pub const MAX_ORDER_BYTES: usize = 4096;
 /// From this number on a text of the asker follows.
 const ORDERS: u8 = 128;
 /// Whoever orders waits so long for what became of it.
@@ -30,18 +30,18 @@
 
 /// Hands out whole texts until it is dropped.
 #[derive(Debug)]
-pub struct Whole {
+pub struct StreamServer {
     ends: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Whole {
+impl StreamServer {
     /// Listens on an address and hands out what `text` has for a number, and for an order's text if the
     /// number is one of orders; nothing closes the connection.
     pub fn serve(
         address: SocketAddr,
         text: impl Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static,
-    ) -> io::Result<Whole> {
+    ) -> io::Result<StreamServer> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let ends = Arc::new(AtomicBool::new(false));
@@ -68,11 +68,11 @@
             }
         };
         let thread = thread::Builder::new().name("texts".into()).stack_size(256 << 10).spawn(run)?;
-        Ok(Whole { ends, thread: Some(thread) })
+        Ok(StreamServer { ends, thread: Some(thread) })
     }
 }
 
-impl Drop for Whole {
+impl Drop for StreamServer {
     fn drop(&mut self) {
         self.ends.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
@@ -87,8 +87,8 @@
     stream.set_write_timeout(Some(STEP))?;
     let mut what = [0u8];
     stream.read_exact(&mut what)?;
-    let asked = if what[0] >= ORDERS { take(&mut stream, MAX_ORDER)? } else { Vec::new() };
-    match text(what[0], &asked).filter(|t| t.len() <= MAX_TEXT) {
+    let asked = if what[0] >= ORDERS { take(&mut stream, MAX_ORDER_BYTES)? } else { Vec::new() };
+    match text(what[0], &asked).filter(|t| t.len() <= MAX_TEXT_BYTES) {
         Some(text) => give(&mut stream, &text),
         None => Ok(()),
     }
@@ -135,7 +135,7 @@
 pub fn fetch(own: IpAddr, from: SocketAddr, what: u8) -> io::Result<Vec<u8>> {
     let mut stream = reach(own, from, STEP)?;
     stream.write_all(&[what])?;
-    take(&mut stream, MAX_TEXT)
+    take(&mut stream, MAX_TEXT_BYTES)
 }
 
 /// Gives a node an order by its number, from 128 on, and waits for what becomes of it.
@@ -143,5 +143,5 @@
     let mut stream = reach(Ipv4Addr::UNSPECIFIED.into(), node, ORDER_WITHIN)?;
     stream.write_all(&[what.max(ORDERS)])?;
     give(&mut stream, text)?;
-    take(&mut stream, MAX_TEXT)
+    take(&mut stream, MAX_TEXT_BYTES)
 }
--- a/crates/pintally-transport/src/udp.rs
+++ b/crates/pintally-transport/src/udp.rs
@@ -11,7 +11,7 @@
 
 /// What came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ReceiveEvent {
     /// A datagram, from there.
     Datagram(SocketAddr, Vec<u8>),
     /// Nothing until the time was up.
@@ -73,11 +73,11 @@
     }
 
     /// The next datagram; waits for it until a time.
-    pub fn receive(&self, until: Instant) -> io::Result<Came> {
+    pub fn receive(&self, until: Instant) -> io::Result<ReceiveEvent> {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer) {
-                Ok((n, from)) => return Ok(Came::Datagram(from, buffer[..n].to_vec())),
+                Ok((n, from)) => return Ok(ReceiveEvent::Datagram(from, buffer[..n].to_vec())),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 // A refusal of an earlier datagram comes back here: the peer's port is closed.
                 Err(e)
@@ -89,7 +89,7 @@
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() || !self.readable(left)? {
-                return Ok(Came::Nothing);
+                return Ok(ReceiveEvent::Nothing);
             }
         }
     }
--- a/crates/pintally-transport/tests/link.rs
+++ b/crates/pintally-transport/tests/link.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use pintally_transport::{fetch, order, Came, Udp, Whole, MAX_ORDER};
+use pintally_transport::{fetch, order, ReceiveEvent, StreamServer, Udp, MAX_ORDER_BYTES};
 
 fn any() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
@@ -19,15 +19,15 @@
     let (one, two) = (Udp::bind(any()).unwrap(), Udp::bind(any()).unwrap());
     assert!(one.send(two.address().unwrap(), b"word"));
     let by = Instant::now() + Duration::from_secs(5);
-    assert_eq!(two.receive(by).unwrap(), Came::Datagram(one.address().unwrap(), b"word".to_vec()));
+    assert_eq!(two.receive(by).unwrap(), ReceiveEvent::Datagram(one.address().unwrap(), b"word".to_vec()));
     let began = Instant::now();
-    assert_eq!(two.receive(began + Duration::from_millis(30)).unwrap(), Came::Nothing);
+    assert_eq!(two.receive(began + Duration::from_millis(30)).unwrap(), ReceiveEvent::Nothing);
     assert!(began.elapsed() >= Duration::from_millis(30));
     // A closed port's refusal is not an error of this socket.
     let closed = Udp::bind(any()).unwrap().address().unwrap();
     one.send(closed, b"x");
     std::thread::sleep(Duration::from_millis(20));
-    assert_eq!(one.receive(Instant::now() + Duration::from_millis(20)).unwrap(), Came::Nothing);
+    assert_eq!(one.receive(Instant::now() + Duration::from_millis(20)).unwrap(), ReceiveEvent::Nothing);
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let at = free();
     let text = vec![7u8; 300_000];
     let own = text.clone();
-    let _whole = Whole::serve(at, move |what, _: &[u8]| (what == 1).then(|| own.clone())).unwrap();
+    let _whole = StreamServer::serve(at, move |what, _: &[u8]| (what == 1).then(|| own.clone())).unwrap();
     assert_eq!(fetch(at.ip(), at, 1).unwrap(), text);
     assert!(fetch(at.ip(), at, 2).is_err(), "nothing is there under this number");
 }
@@ -66,14 +66,15 @@
 #[test]
 fn orders_are_heard_and_answered_and_who_waits_is_woken() {
     let at = free();
-    let _whole =
-        Whole::serve(at, |what, asked: &[u8]| (what == 128).then(|| asked.iter().rev().copied().collect()))
-            .unwrap();
+    let _whole = StreamServer::serve(at, |what, asked: &[u8]| {
+        (what == 128).then(|| asked.iter().rev().copied().collect())
+    })
+    .unwrap();
     assert_eq!(order(at, 128, b"abc").unwrap(), b"cba");
     assert!(order(at, 129, b"abc").is_err(), "nobody takes it");
-    assert!(order(at, 128, &vec![0; MAX_ORDER + 1]).is_err(), "longer than orders are");
+    assert!(order(at, 128, &vec![0; MAX_ORDER_BYTES + 1]).is_err(), "longer than orders are");
     let one = Udp::bind(any()).unwrap();
     one.waker().unwrap().wake();
     let came = one.receive(Instant::now() + Duration::from_secs(5)).unwrap();
-    assert!(matches!(came, Came::Datagram(_, bytes) if bytes.is_empty()));
+    assert!(matches!(came, ReceiveEvent::Datagram(_, bytes) if bytes.is_empty()));
 }
