--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -1,7 +1,7 @@
 //! The host's part in recovery: what it hears of engines goes in, what is let in comes out.
 
 use pintally::interface::{EndpointState, EngineId, ListUpdate, Micros};
-use pintally_recovery::{Answer, Input as Heard, Output, Recovery, Stage, Status, Verdict};
+use pintally_recovery::{Admission, Answer, Input as Heard, Output, Recovery, Stage, Status};
 
 use crate::host::Host;
 use crate::input::{Arrival, Command, Listed};
@@ -128,8 +128,8 @@
     pub(crate) fn kept_out(&mut self, now: Micros, arrival: &Arrival) -> Option<Option<Micros>> {
         let recovering = self.recovering.as_mut()?;
         match recovering.machine.ask(now, arrival.class) {
-            Verdict::Admit => None,
-            Verdict::Refuse(after) => Some(after),
+            Admission::Admit => None,
+            Admission::Reject(after) => Some(after),
         }
     }
 }
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -20,7 +20,9 @@
 };
 use pintally_outlier_detection::{Node, Report};
 use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
-use pintally_recovery::{self as recovery, Answer, ClassWorth, Guardian, Memory, Recovery, Teller};
+use pintally_recovery::{
+    self as recovery, Answer, BackupNode, ClassPriority, Recovery, RememberedState, ReservationPublisher,
+};
 use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
 use pintally_transport::{fetch, ReceiveEvent, StreamServer, Udp};
 use tracing::{debug, info, warn};
@@ -167,7 +169,7 @@
     pub(crate) usual: [f64; 3],
     /// Read states that the life before may have left at engines.
     pub(crate) left: Vec<Left>,
-    memory: Memory,
+    memory: RememberedState,
     life: ProcessIncarnation,
     /// Where peers were.
     seen: Vec<SocketAddr>,
@@ -208,7 +210,7 @@
         left: left.map(|(e, n)| (EngineId(e.into()), RequestId(n.into()))).collect(),
         list: text(KEY_LIST),
         usual,
-        memory: Memory { carried: number(KEY_CARRIED).map_or(0.0, f64::from_bits), issues },
+        memory: RememberedState { carried: number(KEY_CARRIED).map_or(0.0, f64::from_bits), issues },
         life: ProcessIncarnation { boot, mark: seed },
         seen: seen.lines().filter_map(|a| a.parse().ok()).take(16).collect(),
         store,
@@ -248,10 +250,10 @@
 pub(crate) fn recovery_of(settings: &NodeSettings, now: Micros) -> Option<Recovery> {
     let own = settings.recovery.as_ref()?;
     let core = &settings.core;
-    let classes = core
-        .classes
-        .iter()
-        .map(|c| ClassWorth { worth: c.worth, once: c.effect == pintally::interface::Idempotency::Unsafe });
+    let classes = core.classes.iter().map(|c| ClassPriority {
+        worth: c.worth,
+        once: c.effect == pintally::interface::Idempotency::Unsafe,
+    });
     let figures = recovery::Settings {
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
         // each zone, as far as a node can know.
@@ -280,7 +282,7 @@
     peers: Membership,
     /// Hands out texts until it is dropped.
     _whole: StreamServer,
-    memory: Memory,
+    memory: RememberedState,
     keeper: Option<Sender<ToKeeper>>,
 }
 
@@ -370,8 +372,8 @@
 
 /// What this node holds, told to its guardians, and what it keeps for its wards.
 struct Wards {
-    teller: Teller,
-    guardian: Guardian,
+    teller: ReservationPublisher,
+    guardian: BackupNode,
     next: Micros,
 }
 
@@ -405,8 +407,8 @@
         rate: 0.0,
         next_count: shared.clock.now(),
         wards: shared.settings.recovery.as_ref().filter(|r| r.inherit_after > 0).map(|r| Wards {
-            teller: Teller::default(),
-            guardian: Guardian::new(r.inherit_after),
+            teller: ReservationPublisher::default(),
+            guardian: BackupNode::new(r.inherit_after),
             next: 0,
         }),
     };
@@ -595,7 +597,7 @@
         false
     }
 
-    fn guardian(&mut self, what: impl FnOnce(&mut Guardian, Micros)) {
+    fn guardian(&mut self, what: impl FnOnce(&mut BackupNode, Micros)) {
         let now = self.shared.clock.now();
         if let Some(wards) = &mut self.wards {
             what(&mut wards.guardian, now);
@@ -612,7 +614,7 @@
         }
         let held = lock(&self.shared.fleet.left).clone();
         let here = self.fleet.peers.members().filter(|m| m.is_here()).map(|m| &*m.name().0);
-        let guardians = Teller::guardians(&self.shared.settings.name, here);
+        let guardians = ReservationPublisher::guardians(&self.shared.settings.name, here);
         for word in wards.teller.tell(now, self.fleet.peers.life().mark, &held, &guardians) {
             for guardian in &guardians {
                 self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -12,7 +12,7 @@
 use pintally_config::form::MAX_FILE;
 use pintally_config::EngineList;
 use pintally_host::{Applied, Input, ListFollower};
-use pintally_recovery::{merge, Merged};
+use pintally_recovery::{merge, ListMerge};
 use tracing::{info, warn};
 
 use crate::shared::Shared;
@@ -147,9 +147,9 @@
     let claim = EngineList::parse(file, &String::from_utf8_lossy(text)).ok()?;
     let held = EngineList::parse(file, &follower.kept()?).ok()?;
     match merge(Some(&held), &claim) {
-        Merged::United(list) => Some(list.render().into_bytes()),
-        Merged::Kept if held.version == claim.version => Some(held.render().into_bytes()),
-        Merged::Kept | Merged::Took(_) => None,
+        ListMerge::United(list) => Some(list.render().into_bytes()),
+        ListMerge::Kept if held.version == claim.version => Some(held.render().into_bytes()),
+        ListMerge::Kept | ListMerge::Took(_) => None,
     }
 }
 
--- a/crates/pintally-recovery/src/gate.rs
+++ b/crates/pintally-recovery/src/gate.rs
@@ -3,7 +3,7 @@
 
 use pintally::interface::Micros;
 
-use crate::settings::ClassWorth;
+use crate::settings::ClassPriority;
 
 /// What fits into the bucket, in seconds of its rate; never less than one request.
 const BURST_S: f64 = 0.25;
@@ -23,11 +23,11 @@
 
 /// What becomes of a request at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It goes on.
     Admit,
     /// It is refused; the time after which it may come back, where clients heed one.
-    Refuse(Option<Micros>),
+    Reject(Option<Micros>),
 }
 
 /// The gate.
@@ -48,10 +48,10 @@
 
 impl Gate {
     /// A gate that lets nobody in before its first plan.
-    pub fn new(classes: &[ClassWorth], retry_most: Micros) -> Gate {
-        let worthier = |c: &ClassWorth| classes.iter().filter(|o| o.worth > c.worth).count() as f64;
+    pub fn new(classes: &[ClassPriority], retry_most: Micros) -> Gate {
+        let worthier = |c: &ClassPriority| classes.iter().filter(|o| o.worth > c.worth).count() as f64;
         let most = classes.iter().map(worthier).fold(0.0, f64::max);
-        let reserve = |c: &ClassWorth| if most > 0.0 { RESERVE * worthier(c) / most } else { 0.0 };
+        let reserve = |c: &ClassPriority| if most > 0.0 { RESERVE * worthier(c) / most } else { 0.0 };
         Gate {
             plan: Plan { rate: Some(0.0), once: false },
             reserves: classes.iter().map(reserve).collect(),
@@ -89,10 +89,10 @@
 
     /// Whether a request of a class is let in; a class that nobody named counts as one that must never
     /// run twice and is worth least.
-    pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Verdict {
+    pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Admission {
         let Some(rate) = self.plan.rate else {
             self.counts.0 += 1;
-            return Verdict::Admit;
+            return Admission::Admit;
         };
         self.fill(now);
         let once = class.and_then(|c| self.once.get(c).copied()).unwrap_or(true);
@@ -101,9 +101,9 @@
         if (!once || self.plan.once) && self.level >= need {
             self.level -= 1.0;
             self.counts.0 += 1;
-            return Verdict::Admit;
+            return Admission::Admit;
         }
-        Verdict::Refuse(self.promise(now, rate))
+        Admission::Reject(self.promise(now, rate))
     }
 
     /// A time to come back: one after the other, as fast as they can be let in.
@@ -132,17 +132,17 @@
 mod tests {
     use super::*;
 
-    const CLASSES: [ClassWorth; 3] = [
-        ClassWorth { worth: 2.0, once: false },
-        ClassWorth { worth: 1.0, once: false },
-        ClassWorth { worth: 3.0, once: true },
+    const CLASSES: [ClassPriority; 3] = [
+        ClassPriority { worth: 2.0, once: false },
+        ClassPriority { worth: 1.0, once: false },
+        ClassPriority { worth: 3.0, once: true },
     ];
 
     fn let_in(gate: &mut Gate, from: Micros, seconds: u64, class: usize, per_s: u64) -> u64 {
         let mut admitted = 0;
         for n in 0..seconds * per_s {
             let now = from + n * 1_000_000 / per_s;
-            admitted += u64::from(gate.ask(now, Some(class)) == Verdict::Admit);
+            admitted += u64::from(gate.ask(now, Some(class)) == Admission::Admit);
         }
         admitted
     }
@@ -162,8 +162,8 @@
         let (mut low, mut high) = (0, 0);
         for n in 0..10_000u64 {
             let now = n * 1000;
-            high += u64::from(n % 20 == 0 && gate.ask(now, Some(2)) == Verdict::Admit);
-            low += u64::from(gate.ask(now, Some(1)) == Verdict::Admit);
+            high += u64::from(n % 20 == 0 && gate.ask(now, Some(2)) == Admission::Admit);
+            low += u64::from(gate.ask(now, Some(1)) == Admission::Admit);
         }
         // 50 worthy ones a second are offered, 40 fit; the others take next to nothing from them.
         assert!(high > 350, "{high} worthy of 500 offered, {low} others");
@@ -174,11 +174,11 @@
     fn what_must_not_run_twice_waits_for_a_sound_list() {
         let mut gate = Gate::new(&CLASSES, 2_000_000);
         gate.set(0, Plan { rate: Some(1000.0), once: false });
-        assert!(matches!(gate.ask(1, Some(2)), Verdict::Refuse(Some(_))));
-        assert!(matches!(gate.ask(1, None), Verdict::Refuse(Some(_))));
-        assert_eq!(gate.ask(1, Some(0)), Verdict::Admit);
+        assert!(matches!(gate.ask(1, Some(2)), Admission::Reject(Some(_))));
+        assert!(matches!(gate.ask(1, None), Admission::Reject(Some(_))));
+        assert_eq!(gate.ask(1, Some(0)), Admission::Admit);
         gate.set(2, Plan { rate: Some(1000.0), once: true });
-        assert_eq!(gate.ask(3, Some(2)), Verdict::Admit);
+        assert_eq!(gate.ask(3, Some(2)), Admission::Admit);
     }
 
     /// Guards against a wave: 2,000 clients that are refused within a second come back over all of the
@@ -190,7 +190,7 @@
         let mut back = [0u32; 60];
         for n in 0..2000u64 {
             let now = n * 500;
-            if let Verdict::Refuse(Some(after)) = gate.ask(now, Some(1)) {
+            if let Admission::Reject(Some(after)) = gate.ask(now, Some(1)) {
                 assert!((100_000..=4_000_000).contains(&after), "{after}");
                 back[((now + after) / 100_000) as usize] += 1;
             }
@@ -203,8 +203,8 @@
     #[test]
     fn an_open_gate_lets_everybody_in() {
         let mut gate = Gate::new(&CLASSES, 0);
-        assert_eq!(gate.ask(0, Some(0)), Verdict::Refuse(None));
+        assert_eq!(gate.ask(0, Some(0)), Admission::Reject(None));
         gate.set(1, Plan { rate: None, once: true });
-        assert!((0..1000).all(|n| gate.ask(n, None) == Verdict::Admit));
+        assert!((0..1000).all(|n| gate.ask(n, None) == Admission::Admit));
     }
 }
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -13,12 +13,12 @@
 mod wards;
 
 pub use capacity::{share, Capacity, Fleet};
-pub use gate::{Gate, Plan, Verdict};
-pub use list::{merge, Merged};
+pub use gate::{Admission, Gate, Plan};
+pub use list::{merge, ListMerge};
 pub use pintally_validation::InvalidConfiguration;
-pub use settings::{ClassWorth, Settings};
-pub use stage::{Answer, Input, Memory, Output, Recovery, Stage};
+pub use settings::{ClassPriority, Settings};
+pub use stage::{Answer, Input, Output, Recovery, RememberedState, Stage};
 pub use status::Status;
-pub use wards::{Guardian, Held, Teller};
+pub use wards::{BackupNode, Held, ReservationPublisher};
 
 pub use pintally::interface::Micros;
--- a/crates/pintally-recovery/src/list.rs
+++ b/crates/pintally-recovery/src/list.rs
@@ -7,7 +7,7 @@
 
 /// What came of a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Merged {
+pub enum ListMerge {
     /// What was held holds: the claim is older, or the same.
     Kept,
     /// The claim is newer and holds from here on.
@@ -20,13 +20,13 @@
 /// as after a file that was restored and written again: then each engine is what the graver of them
 /// says, since a drain that any node knew is never undone, and work sent to a draining engine breaks a
 /// rule where work kept from a sound one does not.
-pub fn merge(held: Option<&EngineList>, claim: &EngineList) -> Merged {
-    let Some(held) = held else { return Merged::Took(claim.clone()) };
+pub fn merge(held: Option<&EngineList>, claim: &EngineList) -> ListMerge {
+    let Some(held) = held else { return ListMerge::Took(claim.clone()) };
     if claim.version > held.version {
-        return Merged::Took(claim.clone());
+        return ListMerge::Took(claim.clone());
     }
     if claim.version < held.version {
-        return Merged::Kept;
+        return ListMerge::Kept;
     }
     let mut all: BTreeMap<_, EngineEntry> = held.engines.iter().map(|e| (e.id.clone(), e.clone())).collect();
     for entry in &claim.engines {
@@ -53,8 +53,8 @@
     }
     let united = EngineList { version: held.version, engines: all.into_values().collect() };
     match united.engines == held.engines {
-        true => Merged::Kept,
-        false => Merged::United(united),
+        true => ListMerge::Kept,
+        false => ListMerge::United(united),
     }
 }
 
@@ -98,9 +98,9 @@
     fn the_newer_list_wins_wherever_it_was() {
         let old = list(4, &[("a", EndpointState::Serving)]);
         let new = list(5, &[("a", EndpointState::Draining)]);
-        assert_eq!(merge(Some(&old), &new), Merged::Took(new.clone()));
-        assert_eq!(merge(Some(&new), &old), Merged::Kept);
-        assert_eq!(merge(None, &old), Merged::Took(old));
+        assert_eq!(merge(Some(&old), &new), ListMerge::Took(new.clone()));
+        assert_eq!(merge(Some(&new), &old), ListMerge::Kept);
+        assert_eq!(merge(None, &old), ListMerge::Took(old));
     }
 
     /// Guards against a drain that is undone by another text of the same version.
@@ -110,11 +110,11 @@
         let one = list(7, &[("a", Draining), ("b", Serving), ("c", Serving)]);
         let two = list(7, &[("a", Serving), ("b", Gone), ("d", Serving)]);
         for (held, claim) in [(&one, &two), (&two, &one)] {
-            let Merged::United(list) = merge(Some(held), claim) else { panic!("they differ") };
+            let ListMerge::United(list) = merge(Some(held), claim) else { panic!("they differ") };
             let said: Vec<(&str, EndpointState)> =
                 list.engines.iter().map(|e| (e.id.0.as_ref(), e.listing)).collect();
             assert_eq!(said, [("a", Draining), ("b", Gone), ("c", Draining), ("d", Draining)]);
-            assert_eq!(merge(Some(&list), claim), Merged::Kept, "the union is where it ends");
+            assert_eq!(merge(Some(&list), claim), ListMerge::Kept, "the union is where it ends");
         }
     }
 }
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -5,7 +5,7 @@
 
 /// A class, as far as it matters to what is let in first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassWorth {
+pub struct ClassPriority {
     /// What one request is worth.
     pub worth: f64,
     /// It must never run twice.
@@ -38,7 +38,7 @@
     /// Clients heed a time to come back up to this; 0 where they heed none.
     pub retry_most: Micros,
     /// The classes, in the order of the settings.
-    pub classes: Vec<ClassWorth>,
+    pub classes: Vec<ClassPriority>,
 }
 
 impl Settings {
--- a/crates/pintally-recovery/src/stage.rs
+++ b/crates/pintally-recovery/src/stage.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::capacity::{share, Capacity, Fleet};
-use crate::gate::{Gate, Plan, Verdict};
+use crate::gate::{Admission, Gate, Plan};
 use crate::settings::Settings;
 use crate::status::Status;
 
@@ -47,7 +47,7 @@
 
 /// What the disk remembers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct RememberedState {
     /// Requests a second that the whole fleet carried; 0 if nothing is known.
     pub carried: f64,
     /// What is lacking, in words.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The disk has told, or is given up on.
-    Read(Memory),
+    Read(RememberedState),
     /// So many nodes are here, this one included, and these may be asked, by number.
     Peers(usize, Vec<u64>),
     /// Somebody has answered.
@@ -88,7 +88,7 @@
     settings: Settings,
     stage: Stage,
     since: Micros,
-    memory: Memory,
+    memory: RememberedState,
     fleet: Fleet,
     known: Vec<u64>,
     /// Peers asked in this round and not heard, and all that were asked.
@@ -113,7 +113,7 @@
         Recovery {
             stage: Stage::Reading,
             since: now,
-            memory: Memory::default(),
+            memory: RememberedState::default(),
             fleet,
             known: Vec::new(),
             open: BTreeSet::new(),
@@ -165,7 +165,7 @@
     }
 
     /// Whether a request is let in.
-    pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Verdict {
+    pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Admission {
         self.gate.ask(now, class)
     }
 
--- a/crates/pintally-recovery/src/wards.rs
+++ b/crates/pintally-recovery/src/wards.rs
@@ -39,13 +39,13 @@
 
 /// Tells guardians what a node holds.
 #[derive(Debug, Default)]
-pub struct Teller {
+pub struct ReservationPublisher {
     /// What is held: since when, and when it was told last.
     known: HashMap<Held, (Micros, Option<Micros>)>,
     guardians: Vec<String>,
 }
 
-impl Teller {
+impl ReservationPublisher {
     /// Who is told of a node's states, among the peers that are here: always the same ones, and others for others.
     pub fn guardians<'a>(own: &str, here: impl Iterator<Item = &'a str>) -> Vec<String> {
         let mut all: Vec<_> = here
@@ -111,7 +111,7 @@
 
 /// What a node keeps for its wards.
 #[derive(Debug)]
-pub struct Guardian {
+pub struct BackupNode {
     wards: BTreeMap<String, Ward>,
     /// How long a death has to last.
     after: Micros,
@@ -119,10 +119,10 @@
     kept: usize,
 }
 
-impl Guardian {
+impl BackupNode {
     /// A guardian that lets go of a ward's states so long behind its death.
-    pub fn new(after: Micros) -> Guardian {
-        Guardian { wards: BTreeMap::new(), after, kept: 0 }
+    pub fn new(after: Micros) -> BackupNode {
+        BackupNode { wards: BTreeMap::new(), after, kept: 0 }
     }
 
     /// A ward has told something.
@@ -213,8 +213,8 @@
 
     /// Tells for so long, every 50 ms; every `lost`-th word is lost.
     fn tell_for(
-        teller: &mut Teller,
-        guardian: &mut Guardian,
+        teller: &mut ReservationPublisher,
+        guardian: &mut BackupNode,
         from: Micros,
         to: Micros,
         all: &[Held],
@@ -234,7 +234,7 @@
     /// Guards against states that stay until their engines give up on them, when a node never returns.
     #[test]
     fn what_a_dead_node_held_is_let_go_when_it_stays_dead() {
-        let (mut teller, mut guardian) = (Teller::default(), Guardian::new(3_000 * MS));
+        let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
         let all = held(200);
         tell_for(&mut teller, &mut guardian, 0, 2_000 * MS, &all, 3);
         assert_eq!(guardian.kept, 200);
@@ -250,7 +250,7 @@
     #[test]
     fn who_comes_back_keeps_its_own() {
         for by_word in [true, false] {
-            let (mut teller, mut guardian) = (Teller::default(), Guardian::new(3_000 * MS));
+            let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
             tell_for(&mut teller, &mut guardian, 0, 1_000 * MS, &held(3), 100);
             guardian.down(1_000 * MS, "n0");
             match by_word {
@@ -260,7 +260,7 @@
             assert!(guardian.due(60_000 * MS).is_empty());
         }
         // Another life of it is not the one that held them, and one that leaves holds nothing.
-        let (mut teller, mut guardian) = (Teller::default(), Guardian::new(3_000 * MS));
+        let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
         tell_for(&mut teller, &mut guardian, 0, 1_000 * MS, &held(3), 100);
         guardian.down(1_000 * MS, "n0");
         guardian.up("n0", 8);
@@ -275,7 +275,7 @@
     /// not told any more is forgotten.
     #[test]
     fn what_is_told_and_kept_is_bounded() {
-        let (mut teller, mut guardian) = (Teller::default(), Guardian::new(3_000 * MS));
+        let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
         assert!(teller.tell(0, 7, &held(10), &["g".into()]).is_empty(), "they may be gone in a moment");
         assert!(teller.tell(50 * MS, 7, &held(10), &[]).is_empty(), "nobody is here");
         let many = held(5_000);
@@ -309,7 +309,7 @@
         let names: Vec<String> = (0..30).map(|n| format!("n{n}")).collect();
         let of = |own: usize, gone: usize| {
             let here = names.iter().enumerate().filter(|(n, _)| *n != own && *n != gone);
-            Teller::guardians(&names[own], here.map(|(_, n)| n.as_str()))
+            ReservationPublisher::guardians(&names[own], here.map(|(_, n)| n.as_str()))
         };
         let mut counts: HashMap<String, usize> = HashMap::new();
         for own in 0..30 {
@@ -321,6 +321,6 @@
             assert_eq!(of(own, gone)[0], two[1]);
         }
         assert!(counts.values().all(|n| *n <= 8), "{counts:?}");
-        assert!(Teller::guardians("n0", std::iter::empty()).is_empty());
+        assert!(ReservationPublisher::guardians("n0", std::iter::empty()).is_empty());
     }
 }
--- a/crates/pintally-recovery/tests/golden.rs
+++ b/crates/pintally-recovery/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What nodes tell each other after a start, as bytes: nodes of different builds read each other's.
 
 use pintally::interface::{EngineId, RequestId};
-use pintally_recovery::{Answer, Guardian, Stage, Teller};
+use pintally_recovery::{Answer, BackupNode, ReservationPublisher, Stage};
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
@@ -39,12 +39,12 @@
     let held = [("engine-a", "request-1"), ("engine-b", "quote\"d")]
         .map(|(engine, name)| (EngineId(engine.into()), RequestId(name.into())));
     let guardians = ["n2".to_string()];
-    let mut teller = Teller::default();
+    let mut teller = ReservationPublisher::default();
     assert!(teller.tell(0, 1 << 40, &held, &guardians).is_empty());
     let words = teller.tell(200_000, 1 << 40, &held, &guardians);
     assert_eq!(words.len(), 1);
     assert_bytes("held_states", &words[0]);
-    let mut guardian = Guardian::new(1_000_000);
+    let mut guardian = BackupNode::new(1_000_000);
     guardian.told(200_000, "n1", &golden("held_states"));
     guardian.down(200_000, "n1");
     assert_eq!(guardian.due(1_200_000), [("n1".to_string(), held.to_vec())]);
--- a/crates/pintally-recovery/tests/stages.rs
+++ b/crates/pintally-recovery/tests/stages.rs
@@ -4,7 +4,7 @@
 
 use pintally::interface::EngineId;
 use pintally_recovery::{
-    Answer, ClassWorth, Input, Memory, Micros, Output, Recovery, Settings, Stage, Verdict,
+    Admission, Answer, ClassPriority, Input, Micros, Output, Recovery, RememberedState, Settings, Stage,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -22,7 +22,7 @@
         per_engine: 5.0,
         textless: 0.5,
         retry_most: 2 * SECOND,
-        classes: vec![ClassWorth { worth: 1.0, once: false }, ClassWorth { worth: 3.0, once: true }],
+        classes: vec![ClassPriority { worth: 1.0, once: false }, ClassPriority { worth: 3.0, once: true }],
     }
 }
 
@@ -39,11 +39,11 @@
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(1000, Input::Peers(3, vec![1, 2]), &mut out);
-    node.handle(2000, Input::Read(Memory::default()), &mut out);
+    node.handle(2000, Input::Read(RememberedState::default()), &mut out);
     assert_eq!(out, [Output::Stage(Stage::Asking), Output::Ask(1), Output::Ask(2)]);
     node.handle(3000, Input::Answered(2, serving()), &mut out);
     assert_eq!(node.stage(), Stage::Serving);
-    assert_eq!(node.ask(3001, Some(1)), Verdict::Admit);
+    assert_eq!(node.ask(3001, Some(1)), Admission::Admit);
     assert!(!out.contains(&Output::Cold), "engines are as warm as the others know them");
 }
 
@@ -59,7 +59,7 @@
         node.tick(now, &mut out);
     }
     assert!(now <= bound, "{now} of {bound}");
-    assert_eq!(node.ask(now, Some(1)), Verdict::Admit);
+    assert_eq!(node.ask(now, Some(1)), Admission::Admit);
     assert!(out.contains(&Output::Cold));
     // And in full at the latest when the careful stage must end.
     while let Some(wake) = node.next_wake() {
@@ -72,7 +72,7 @@
 /// Guards against a fleet that takes in what it took before the loss while its engines are cold.
 #[test]
 fn a_cold_fleet_lets_in_what_it_can_carry() {
-    let memory = || Memory { carried: 100.0, issues: Vec::new() };
+    let memory = || RememberedState { carried: 100.0, issues: Vec::new() };
     let mut nodes: Vec<Recovery> = (0..4).map(|_| Recovery::new(settings(4), 0, SECOND)).collect();
     let mut out = Vec::new();
     for node in &mut nodes {
@@ -97,7 +97,7 @@
                 while node.next_wake().is_some_and(|w| w <= now) {
                     node.tick(now, &mut out);
                 }
-                admitted += u32::from(node.ask(now, Some(0)) == Verdict::Admit);
+                admitted += u32::from(node.ask(now, Some(0)) == Admission::Admit);
             }
         }
         per_second.push(admitted);
@@ -111,13 +111,13 @@
 fn unsafe_requests_wait_for_a_list_from_its_source() {
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
-    node.handle(0, Input::Read(Memory { carried: 1000.0, issues: Vec::new() }), &mut out);
+    node.handle(0, Input::Read(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut out);
     node.handle(0, Input::Listed(engines(4), false), &mut out);
     assert_eq!(node.stage(), Stage::Careful);
-    assert_eq!(node.ask(1, Some(0)), Verdict::Admit);
-    assert!(matches!(node.ask(2, Some(1)), Verdict::Refuse(Some(_))));
+    assert_eq!(node.ask(1, Some(0)), Admission::Admit);
+    assert!(matches!(node.ask(2, Some(1)), Admission::Reject(Some(_))));
     node.handle(3, Input::Listed(engines(4), true), &mut out);
-    assert_eq!(node.ask(200_000, Some(1)), Verdict::Admit);
+    assert_eq!(node.ask(200_000, Some(1)), Admission::Admit);
 }
 
 /// Guards against one disk or one peer that remembers nonsense and opens the gate wide.
@@ -127,7 +127,7 @@
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(0, Input::Peers(3, vec![1, 2]), &mut out);
     node.handle(0, Input::Listed(engines(10), true), &mut out);
-    node.handle(0, Input::Read(Memory { carried: 1e12, issues: Vec::new() }), &mut out);
+    node.handle(0, Input::Read(RememberedState { carried: 1e12, issues: Vec::new() }), &mut out);
     let told = |carried| Answer { stage: Stage::Careful, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
     node.handle(1, Input::Answered(1, told(60.0)), &mut out);
     node.handle(2, Input::Answered(2, told(f64::INFINITY)), &mut out);
@@ -188,7 +188,7 @@
                 Some(node) if node.stage() == Stage::Reading => {
                     let mut out = Vec::new();
                     let node = world.nodes[n].as_mut().unwrap();
-                    node.handle(self.now, Input::Read(Memory::default()), &mut out);
+                    node.handle(self.now, Input::Read(RememberedState::default()), &mut out);
                     world.carry(n, out);
                 }
                 Some(_) if self.kills > 0 => {
