--- /dev/null
+++ b/crates/pintally-platform/tests/golden.rs
@@ -0,0 +1,282 @@
+//! Golden files of the platform protocol: what engines and clients are sent, and what is read out of a
+//! configuration, a client's request, an engine's answer and discovery's lists.
+
+use std::fmt::Write;
+use std::path::Path;
+
+use pintally::interface::{ListForm, Listing, Load, Outcome};
+use pintally_http::{Request, RequestReader};
+use pintally_platform::*;
+
+const CONFIGURATION: &str = include_str!("golden/configuration.json");
+const CLIENT_REQUEST: &str = include_str!("golden/client_request.http");
+
+/// Compares with a golden file, byte by byte.
+fn assert_golden(file: &str, got: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let want = std::fs::read_to_string(&path).expect("the golden file");
+    assert_eq!(got, want, "{file}");
+}
+
+fn configuration() -> Configuration {
+    Configuration::parse(CONFIGURATION).expect("a sound configuration")
+}
+
+fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "served",
+        Outcome::Read => "read",
+        Outcome::NoState => "no state",
+        Outcome::Full => "full",
+        Outcome::Error => "error",
+        Outcome::Unreachable => "unreachable",
+        Outcome::Broken => "broken",
+        Outcome::TimedOut => "timed out",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NeverSent => "never sent",
+    }
+}
+
+fn listing_name(listing: Listing) -> &'static str {
+    match listing {
+        Listing::Serving => "serving",
+        Listing::Draining => "draining",
+        Listing::Gone => "gone",
+    }
+}
+
+fn load_text(load: Option<Load>) -> String {
+    load.map_or("none".into(), |l| {
+        format!("slots={:?} queue={:?} memory={:?} backlog={:?}", l.slots, l.queue, l.memory, l.backlog)
+    })
+}
+
+fn request(bytes: &[u8]) -> Request {
+    let mut reader = RequestReader::new(HEAD_MOST, BODY_MOST);
+    reader.push(bytes);
+    reader.next_request().expect("a readable request").expect("a whole request")
+}
+
+fn call_of(bytes: &[u8]) -> Result<Call, Rejected> {
+    call(&configuration().told.names, 7, request(bytes))
+}
+
+#[test]
+fn configuration_values() {
+    let config = configuration();
+    assert_eq!(config.name, "n0");
+    assert_eq!(config.listen.to_string(), "127.0.0.1:3000");
+    assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
+    assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!((config.limits.cores, config.limits.memory_mb, config.limits.sockets), (0.5, 32, 256));
+    assert_eq!((config.clients_most(), config.bodies_most()), (120, 8 << 20));
+    let known = config.known.as_ref().expect("a list");
+    assert_eq!((known.revision, known.complete, known.members.len()), (4, true, 1));
+    let engine = &known.members[0];
+    assert_eq!((&*engine.member.engine.0, engine.address.to_string()), ("s-1", "127.0.0.1:3001".into()));
+    assert_eq!((engine.member.rack, engine.member.weight, engine.member.started), (3, 1.5, Some(7_000)));
+
+    let node = config.node();
+    assert_eq!((node.name.as_str(), node.listen), ("n0", config.listen));
+    let limits = &node.limits;
+    assert_eq!((limits.connections, limits.held, limits.streams, limits.errands), (120, 40, 256, 1));
+    assert_eq!((limits.head_bytes, limits.body_bytes), (16 << 10, 256 << 10));
+    assert_eq!(limits.bodies_bytes, 8 << 20);
+    assert_eq!((limits.receive, limits.write, limits.idle), (2_500_000, 10_000_000, 10_000_000));
+    assert_eq!((limits.connect, limits.keep_alive, limits.errand), (200_000, 6_000_000, 100_000));
+    assert_eq!((limits.stall, limits.answer_margin, limits.stop), (4_600_000, 20_000, 3_600_000_000));
+    let classes: Vec<_> = node.classes.iter().map(|c| (c.patience, c.max_tokens)).collect();
+    assert_eq!(classes, [(5_000_000, 256), (60_000_000, 256)]);
+    assert_eq!(node.slots, [0, 0, 0]);
+    assert_eq!((node.core.node, node.core.nodes, node.core.zone.as_str()), (1, 3, "a"));
+}
+
+#[test]
+fn configuration_seeds() {
+    for (written, seed) in [("\"0x1f\"", 0x1f), ("31", 31), ("\"31\"", 0x31)] {
+        let text = CONFIGURATION.replace("\"8c1f30d27a5be964\"", written);
+        assert_eq!(Configuration::parse(&text).expect("a sound configuration").seed, seed, "{written}");
+    }
+}
+
+#[test]
+fn configuration_errors() {
+    let mut got = String::new();
+    for (from, to) in [
+        ("\"name\": \"n0\"", "\"nome\": \"n0\""),
+        ("\"name\": \"n0\"", "\"name\": 3"),
+        ("\"127.0.0.1:3000\"", "\"here\""),
+        ("\"127.0.0.1:8500\"", "null"),
+        ("\"8c1f30d27a5be964\"", "\"xyz\""),
+        ("\"cores\": 0.5", "\"cores\": 0"),
+        ("\"memory_mb\": 32", "\"memory_mb\": 8"),
+        ("\"sockets\": 256", "\"sockets\": 63"),
+        ("\"127.0.0.1:3001\"", "\"nowhere\""),
+        ("\"me\": 1", "\"me\": 3"),
+        ("\"cold_from\": 0.3, ", ""),
+        ("\"discovery\": \"pushed\"", "\"discovery\": \"guessed\""),
+        ("\"effect\": \"once\"", "\"effect\": \"twice\""),
+        ("\"effect\": \"once\"", "\"effect\": \"by_key\""),
+        ("\"write\", \"both\"", "\"write\", \"all\""),
+        ("\"write\", \"both\"", "\"write\""),
+    ] {
+        assert!(CONFIGURATION.contains(from), "{from}");
+        let error = Configuration::parse(&CONFIGURATION.replacen(from, to, 1)).expect_err(to);
+        let _ = writeln!(got, "{error}");
+    }
+    assert_golden("configuration_errors.txt", &got);
+}
+
+#[test]
+fn client_request_values() {
+    let Ok(Call::Work(ask)) = call_of(CLIENT_REQUEST.as_bytes()) else { panic!("no request for work") };
+    let a = &ask.arrival;
+    assert_eq!(a.ticket, 7);
+    assert_eq!(a.name.as_ref().map(|n| n.0.as_ref()), Some("9b1f03aa5c7e2d41"));
+    assert_eq!((a.class, a.tenant), (Some(0), Some(0)));
+    assert_eq!((a.session, a.prefix), (Some(0x7f3a_9c21_e0b4_d655), Some(0x5c0f_6e1a_2b3d_4c59)));
+    assert_eq!((a.prompt_tokens, a.prefix_tokens, a.max_tokens), (5120, 2048, Some(800)));
+    assert_eq!((a.patience, a.streamed, a.resumed, a.bytes), (Some(4_800_000), true, true, 30));
+    assert_eq!(ask.body, b"{\"model\":\"chat\",\"stream\":true}");
+
+    // Headers with a default, and names that are no hexadecimal number.
+    let least = "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Entity: somebody\r\n\
+                 X-Labels: prefix=somewhere\r\nContent-Length: 9\r\n\r\n{\"a\":\"b\"}";
+    let Ok(Call::Work(ask)) = call_of(least.as_bytes()) else { panic!("no request for work") };
+    let a = &ask.arrival;
+    assert_eq!((a.class, a.tenant, a.patience, a.max_tokens), (Some(1), None, None, None));
+    assert_eq!((a.prompt_tokens, a.prefix_tokens, a.resumed), (2, 0, false));
+    assert_eq!((a.session, a.prefix), (Some(12_888_409_040_968_592_598), Some(13_161_270_434_569_206_740)));
+}
+
+#[test]
+fn attempt_bytes() {
+    let Ok(Call::Work(ask)) = call_of(CLIENT_REQUEST.as_bytes()) else { panic!("no request for work") };
+    let mut attempt = attempt_head(&ask.head, 900, ask.body.len());
+    attempt.extend_from_slice(&ask.body);
+    assert_golden("attempt.http", &String::from_utf8(attempt).expect("text"));
+}
+
+#[test]
+fn release_and_watch_bytes() {
+    let all = [release("9b1f03aa5c7e2d41"), watch(None), watch(Some(17))].concat();
+    assert_golden("release_and_watch.http", &String::from_utf8(all).expect("text"));
+}
+
+#[test]
+fn client_request_errors() {
+    let work = "POST /v1/chat/completions HTTP/1.1";
+    let good = "X-Txn: a1\r\nX-Lane: chat\r\n";
+    let with = |lines: &str| format!("{good}{lines}");
+    let cases = [
+        (work, "X-Lane: chat\r\n".to_string(), "{}"),
+        (work, "X-Txn: a/b\r\nX-Lane: chat\r\n".to_string(), "{}"),
+        (work, "X-Txn: a1\r\n".to_string(), "{}"),
+        (work, "X-Txn: a1\r\nX-Lane: none\r\n".to_string(), "{}"),
+        (work, with("X-Org: nobody\r\n"), "{}"),
+        (work, with("X-Remaining-Ms: soon\r\n"), "{}"),
+        (work, with("X-Txn: a2\r\n"), "{}"),
+        (work, with("X-Labels: prompt_len\r\n"), "{}"),
+        (work, with("X-Labels: prompt_len=long\r\n"), "{}"),
+        (work, with("X-Labels: prefix_len=-1\r\n"), "{}"),
+        (work, with("X-Labels: max_out=inf\r\n"), "{}"),
+        (work, good.to_string(), "{\"cut\":"),
+        ("GET /v1/chat/completions HTTP/1.1", String::new(), ""),
+        ("POST /up HTTP/1.1", String::new(), ""),
+        ("HEAD /pintally/beliefs HTTP/1.1", String::new(), ""),
+        ("GET /v1/models HTTP/1.1", String::new(), ""),
+    ];
+    let mut got = String::new();
+    for (line, headers, body) in cases {
+        let bytes = format!("{line}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
+        let rejected = call_of(bytes.as_bytes()).expect_err(&bytes);
+        let _ = writeln!(got, "{} {}", rejected.status, rejected.why);
+    }
+    assert_golden("client_request_errors.txt", &got);
+}
+
+#[test]
+fn routes() {
+    let of = |line: &str| call_of(format!("{line} HTTP/1.1\r\n\r\n").as_bytes());
+    assert!(matches!(of("GET /up"), Ok(Call::Ready)));
+    assert!(matches!(of("HEAD /up?x=1"), Ok(Call::Ready)));
+    assert!(matches!(of("GET /pintally/beliefs"), Ok(Call::Beliefs)));
+}
+
+/// What an engine's answer tells, as text; the answer comes one byte at a time.
+fn answer_text(bytes: &[u8]) -> String {
+    let (names, mut reader, mut progress) = (configuration().told.names, AnswerReader::default(), Vec::new());
+    bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut progress));
+    let mut got = String::new();
+    for one in progress {
+        let _ = match one {
+            Progress::Events(bytes) => write!(got, "events:\n{}", String::from_utf8_lossy(&bytes)),
+            Progress::Over { outcome, kept, load, reusable } => writeln!(
+                got,
+                "outcome: {}\nkept tokens: {kept}\nload: {}\nreusable: {reusable}",
+                outcome_name(outcome),
+                load_text(load)
+            ),
+        };
+    }
+    got
+}
+
+#[test]
+fn engine_answers() {
+    let answers = [
+        ("engine_stream.txt", &include_bytes!("golden/engine_stream.http")[..]),
+        ("engine_read.txt", include_bytes!("golden/engine_read.http")),
+        ("engine_turned_away.txt", include_bytes!("golden/engine_turned_away.http")),
+    ];
+    for (expected, bytes) in answers {
+        assert_golden(expected, &answer_text(bytes));
+    }
+}
+
+#[test]
+fn outcomes_of_statuses() {
+    let mut got = String::new();
+    for status in [200, 202, 400, 404, 409, 410, 429, 500, 502, 503, 504] {
+        let names = [false, true].map(|turned_away| outcome_name(of_answer(status, turned_away)));
+        let _ = writeln!(got, "{status}: {}; turned away: {}", names[0], names[1]);
+    }
+    for (phase, name) in [(Phase::Unwritten, "unwritten"), (Phase::Written, "written")] {
+        let names = [false, true].map(|timed_out| outcome_name(of_transport(phase, timed_out)));
+        let _ = writeln!(got, "{name}: {}; in time: {}", names[0], names[1]);
+    }
+    assert_golden("outcomes.txt", &got);
+}
+
+#[test]
+fn discovery_messages() {
+    let (mut lines, mut follower, mut got) = (Lines::default(), Follower::default(), String::new());
+    lines.push(include_bytes!("golden/discovery.txt")).expect("short");
+    while let Some(line) = lines.next_line() {
+        let list = match List::parse(&line) {
+            Ok(list) => list,
+            Err(error) => {
+                let _ = writeln!(got, "error: {error}");
+                continue;
+            }
+        };
+        let _ = writeln!(got, "revision {}, complete {}:", list.revision, list.complete);
+        let _ = match follower.take(list) {
+            Taken::Same => writeln!(got, "  same"),
+            Taken::Older => writeln!(got, "  older"),
+            Taken::Unsound(why) => writeln!(got, "  unsound: {why}"),
+            Taken::Holds(form, members) => {
+                let full = matches!(form, ListForm::Full);
+                let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
+                members.iter().try_for_each(|listed| {
+                    let m = &listed.member;
+                    let (id, address, state) = (&m.engine.0, listed.address, listing_name(m.listing));
+                    let _ = write!(got, "  {id} {address} zone={:?} kind={} rack={}", m.zone, m.kind, m.rack);
+                    writeln!(got, " {state} weight={} started={:?}", m.weight, m.started)
+                })
+            }
+        };
+        let _ = writeln!(got, "  follows from {:?}", follower.revision());
+    }
+    assert_golden("discovery_taken.txt", &got);
+}
