--- a/crates/pintally-cli/tests/platform/main.rs
+++ b/crates/pintally-cli/tests/platform/main.rs
@@ -6,6 +6,7 @@
 mod ends;
 mod engines_failing;
 mod given_up;
+mod golden;
 mod guard;
 mod held;
 mod stand;
