--- /dev/null
+++ b/crates/pintally-config/tests/golden/written_forms.sexp
@@ -0,0 +1,6 @@
+(peers (fleet "golden") (listen "127.0.0.1:7000") (seed "127.0.0.1:7001") (seed "127.0.0.1:7002") (reach "n1" "127.0.0.1:7101") (period-ms 400) (answer-ms 120) (indirect 2) (suspicion 5.5) (repair-ms 1900) (forget-ms 500000))
+(recovery (every-ms 150) (read-within-ms 310) (store "state") (answer-within-ms 210) (rounds 4) (ask 5) (careful-most-ms 20000) (per-engine-per-s 6.5) (textless 0.8) (inherit-after-ms 4000) (lying-disk "torn-write" (seed 11)))
+(keepers (names "n0" "n1" "n2") (beat-ms 60) (election-ms 400) (doubt-ms 1500) (drift 0.02))
+(shared-limits (lease-ms 3000) (every-ms 300) (reserve 0.2) (over 0.15) (burst-ms 900) (hold-ms 20000) (fade-ms 2500) (drift 0.02) (limit "requests" (counts requests) (bound hard) (most 100.5)) (limit "tokens" (counts tokens) (tenant "north") (bound soft) (most 5000.0)) (limit "streams" (counts streams) (bound hard) (most 64.0)) (limit "retries" (counts retries) (bound soft) (most 10.0)))
+(verdicts (memory-ms 9000) (strikes 4) (accusers 3) (rest-ms 2100) (rest-most-ms 31000) (step-ms 2200) (most 0.25) (own 0.4))
+(regions (per-engine-per-s 5.5) (fill 0.85) (floor 0.25) (every-ms 400) (lasts-ms 2500) (grace-ms 1100) (hold-ms 3000) (hold-most-ms 50000) (step-ms 2300) (zone "a" "north") (zone "b" "north") (zone "c" "south") (price "a" "b" 2.5) (no-way "b" "c") (class-stays "mark") (tenant-stays "north"))
