--- /dev/null
+++ b/crates/pintally-wire/tests/golden.rs
@@ -0,0 +1,79 @@
+//! A golden settings object with every key and word, and the labels of load reports and lists.
+
+use pintally::interface::{Discovery, Effect, Group, Listing, Reports, Role};
+use pintally_wire::{listing, settings, Told};
+use serde_json::Value;
+
+const SETTINGS: &str = include_str!("golden/settings.json");
+
+fn read(text: &str) -> Told {
+    settings(serde_json::from_str::<Value>(text).expect("JSON")).expect("a sound object")
+}
+
+#[test]
+fn settings_object() {
+    let s = read(SETTINGS).settings;
+    assert_eq!((s.node, s.nodes, s.zone.as_str()), (1, 3, "a"));
+    assert!(matches!((s.discovery, s.reports), (Discovery::OnRequest, Reports::OnProbe)));
+    assert_eq!((s.weights, s.writers_read, s.may_cancel, s.may_probe), (false, true, true, true));
+    assert_eq!((s.probe_price, s.retry_advice, s.max_retry_after), (0.25, true, 1_500_000));
+    assert_eq!((s.max_attempts, s.cold_from, s.warm_after), (5, 0.3, 14_000_000));
+    assert_eq!((s.tip_multiple, s.tip_window), (2.5, 1_500_000));
+    assert_eq!((s.connect_within, s.release_within, s.ask_within), (200_000, 400_000, 700_000));
+    assert_eq!(s.usual, [0.0; 3]);
+    let tenants: Vec<_> = s.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
+    assert_eq!(tenants, [("acme", 12.5)]);
+    let kinds: Vec<_> = s.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
+    assert_eq!(kinds, [("m1", 200_000), ("m2", 100_000), ("m3", 0)]);
+    let roles: Vec<_> = s.kinds.iter().map(|k| k.role).collect();
+    assert!(matches!(roles[..], [Role::Reader, Role::Writer, Role::Mixed]));
+    let names: Vec<_> = s.classes.iter().map(|c| c.name.as_str()).collect();
+    assert_eq!(names, ["chat", "once", "all", "zone", "cell"]);
+    let effects: Vec<&Effect> = s.classes.iter().map(|c| &c.effect).collect();
+    assert!(matches!(effects[0], Effect::Safe));
+    assert!(matches!(effects[1], Effect::Unsafe));
+    assert!(matches!(effects[2], Effect::Keyed(Group::All, 9_100_000)));
+    assert!(matches!(effects[3], Effect::Keyed(Group::Zone, 9_200_000)));
+    assert!(matches!(effects[4], Effect::Keyed(Group::Rack, 9_300_000)));
+    let chat = &s.classes[0];
+    assert_eq!((chat.aim, chat.aim_per_1000_tokens, chat.token_aim), (1_000_000, 40_000, 60_000));
+    assert_eq!((chat.worth, chat.late_share), (2.0, 0.2));
+}
+
+#[test]
+fn settings_of_sockets() {
+    let ways = read(SETTINGS).ways;
+    assert_eq!(ways.deadlines, [5_000_000, 0, 0, 0, 0]);
+    assert_eq!((ways.connect_timeout, ways.keep_alive), (200_000, 12_000_000));
+    assert_eq!((ways.drain_grace, ways.max_open), (800_000, 40));
+}
+
+#[test]
+fn other_words() {
+    let text = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
+    let s = read(&text.replace("\"off\"", "\"nominal\"")).settings;
+    assert!(matches!((s.discovery, s.reports), (Discovery::Pushed, Reports::Inline)));
+    assert!(s.weights);
+    assert!(matches!(read(&SETTINGS.replace("\"on_probe\"", "\"none\"")).settings.reports, Reports::Off));
+}
+
+#[test]
+fn labels() {
+    let names = read(SETTINGS).names;
+    assert_eq!((names.class("cell"), names.class("none")), (Some(4), None));
+    assert_eq!((names.tenant("acme"), names.tenant("none")), (Some(0), None));
+    let row = names.load(&[Some(0.5), Some(2.0), Some(0.25), Some(3.0), Some(9.0)]);
+    let pairs = names.load_of_pairs("busy=0.5, q=2,x0=0.25,x1=3,other=9").expect("a report");
+    let more = names.load_of_pairs("util=0.5,queue=2,x0=0.25,x1=3").expect("a report");
+    for load in [row, pairs, more] {
+        assert_eq!((load.slots, load.queue), (Some(0.5), Some(2.0)));
+        assert_eq!((load.memory, load.backlog), (Some(0.25), Some(3.0)));
+    }
+    for word in ["SERVING", "up"] {
+        assert!(matches!(listing(word), Listing::Serving), "{word}");
+    }
+    for word in ["DRAINING", "draining"] {
+        assert!(matches!(listing(word), Listing::Draining), "{word}");
+    }
+    assert!(matches!(listing("removed"), Listing::Gone));
+}
