--- /dev/null
+++ b/crates/pintally-kserve/tests/golden.rs
@@ -0,0 +1,77 @@
+//! Golden files of the answers of the KServe endpoints, and of what clients are told is wrong.
+
+use std::fmt::Write;
+use std::path::Path;
+
+use pintally_kserve::{
+    error, generate_answer, infer_answer, metadata, model_metadata, stream_end, stream_error, stream_part,
+    Ask, Form, DEADLINE_HEADER,
+};
+
+fn assert_golden(file: &str, got: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let want = std::fs::read_to_string(&path).expect("the golden file");
+    assert_eq!(got, want, "{file}");
+}
+
+#[test]
+fn answers() {
+    let answers = [
+        error("what is wrong", true),
+        generate_answer("m", "a1", "a \"text\""),
+        infer_answer("m", "a1", "a \"text\""),
+        stream_part("m", "a1", "a"),
+        stream_end("m", "a1"),
+        stream_error("what is wrong"),
+        metadata("1.2.3"),
+        model_metadata("m"),
+    ];
+    assert_golden("answers.jsonl", &(answers.join("\n") + "\n"));
+}
+
+#[test]
+fn request_values() {
+    let body = br#"{"id":"a1","text_input":"hi","parameters":{"class":"hint","tenant":"north","session":5,
+        "prefix":"somewhere","prefix_tokens":100,"prompt_tokens":200,"max_tokens":64,"deadline_ms":900,
+        "resumed":true}}"#;
+    let ask = Ask::parse(Form::Generate, body, Some("800")).expect("a sound body");
+    assert_eq!((ask.id.as_deref(), ask.prompt.as_str()), (Some("a1"), "hi"));
+    assert_eq!((ask.class.as_deref(), ask.tenant.as_deref()), (Some("hint"), Some("north")));
+    assert_eq!((ask.session, ask.prefix), (Some(5), Some(6_426_401_579_379_495)));
+    assert_eq!((ask.prefix_tokens, ask.prompt_tokens, ask.max_tokens), (100, Some(200), Some(64)));
+    assert_eq!((ask.deadline_ms, ask.resumed), (Some(800), true));
+    assert_eq!(DEADLINE_HEADER, "x-request-timeout-ms");
+}
+
+#[test]
+fn request_errors() {
+    let mut got = String::new();
+    for body in [
+        "[",
+        "[]",
+        "{}",
+        r#"{"text_input":"x","id":7}"#,
+        r#"{"text_input":"x","parameters":3}"#,
+        r#"{"text_input":"x","parameters":{"max_tokens":0}}"#,
+        r#"{"text_input":"x","parameters":{"max_tokens":-1}}"#,
+        r#"{"text_input":"x","parameters":{"prompt_tokens":"many"}}"#,
+        r#"{"text_input":"x","parameters":{"deadline_ms":0}}"#,
+        r#"{"text_input":"x","parameters":{"deadline_ms":3600001}}"#,
+        r#"{"text_input":"x","parameters":{"class":[]}}"#,
+        r#"{"text_input":"x","parameters":{"resumed":"yes"}}"#,
+    ] {
+        let _ = writeln!(got, "{}", Ask::parse(Form::Generate, body.as_bytes(), None).expect_err(body));
+    }
+    let header = Ask::parse(Form::Generate, br#"{"text_input":"x"}"#, Some("soon")).expect_err("a header");
+    let _ = writeln!(got, "{header}");
+    for body in [
+        "{}",
+        r#"{"inputs":[]}"#,
+        r#"{"inputs":[{"datatype":"FP32"}]}"#,
+        r#"{"inputs":[{"datatype":"BYTES","shape":[2]}]}"#,
+        r#"{"inputs":[{"datatype":"BYTES","shape":[1],"data":[1]}]}"#,
+    ] {
+        let _ = writeln!(got, "{}", Ask::parse(Form::Infer, body.as_bytes(), None).expect_err(body));
+    }
+    assert_golden("request_errors.txt", &got);
+}
