--- a/crates/pintally-cli/tests/fleet/main.rs
+++ b/crates/pintally-cli/tests/fleet/main.rs
@@ -3,6 +3,7 @@
 //! day is audited against the five rules over what crossed the sockets; its seed is printed.
 
 mod by_hand;
+mod golden;
 mod limits;
 mod regions;
 mod verdicts;
