--- a/crates/pintally-cli/tests/fleet/golden.rs
+++ b/crates/pintally-cli/tests/fleet/golden.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use pintally_day::get;
+use pintally_scenario::get;
 use serde_json::Value;
 
 use crate::by_hand::{until, Nodes};
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use pintally::interface::{Discovery, Effect, Group, Listing, Reports, Role};
+use pintally::interface::{DiscoveryMode, EndpointState, Idempotency, IdempotencyScope, LoadReporting, Role};
 use pintally_config::{verdicts_form, Counts, EngineList, NodeSettings};
-use pintally_shares::Bound;
+use pintally_quota::Enforcement;
 
 fn golden(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
@@ -46,8 +46,8 @@
 #[test]
 fn rules_form() {
     let core = read("node.sexp").core;
-    assert!(matches!(core.reports, Reports::OnProbe));
-    assert!(matches!(core.discovery, Discovery::Pushed));
+    assert!(matches!(core.reports, LoadReporting::OnProbe));
+    assert!(matches!(core.discovery, DiscoveryMode::Pushed));
     assert_eq!(
         (core.weights, core.writers_read, core.may_cancel, core.may_probe),
         (false, true, false, false)
@@ -56,7 +56,7 @@
     assert_eq!((core.max_attempts, core.cold_from, core.warm_after), (4, 0.25, 9_000_000));
     assert_eq!((core.tip_multiple, core.tip_window, core.release_within), (3.5, 1_700_000, 450_000));
     assert_eq!((core.connect_within, core.ask_within), (204_000, 0));
-    assert!(matches!(read("fleet.sexp").core.reports, Reports::Off));
+    assert!(matches!(read("fleet.sexp").core.reports, LoadReporting::Off));
     assert!(!read("fleet.sexp").core.retry_advice);
 }
 
@@ -69,12 +69,12 @@
     assert_eq!((hint.aim, hint.aim_per_1000_tokens, hint.token_aim), (900_000, 40_000, 60_000));
     assert_eq!((hint.worth, hint.late_share), (2.5, 0.2));
     assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (4_000_000, 128));
-    let effects: Vec<&Effect> = s.core.classes.iter().map(|c| &c.effect).collect();
-    assert!(matches!(effects[0], Effect::Safe));
-    assert!(matches!(effects[1], Effect::Keyed(Group::All, 9_001_000)));
-    assert!(matches!(effects[2], Effect::Keyed(Group::Zone, 9_002_000)));
-    assert!(matches!(effects[3], Effect::Keyed(Group::Rack, 9_003_000)));
-    assert!(matches!(effects[4], Effect::Unsafe));
+    let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.effect).collect();
+    assert!(matches!(effects[0], Idempotency::Safe));
+    assert!(matches!(effects[1], Idempotency::Keyed(IdempotencyScope::All, 9_001_000)));
+    assert!(matches!(effects[2], Idempotency::Keyed(IdempotencyScope::Zone, 9_002_000)));
+    assert!(matches!(effects[3], Idempotency::Keyed(IdempotencyScope::Rack, 9_003_000)));
+    assert!(matches!(effects[4], Idempotency::Unsafe));
     let tenants: Vec<_> = s.core.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
     assert_eq!(tenants, [("north", 12.5), ("south", 0.0)]);
     let kinds: Vec<_> = s.core.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
@@ -101,7 +101,7 @@
     assert_eq!((limits.stall, limits.answer_margin, limits.stop), (30_000_000, 50_000, 10_000_000));
     let core = &s.core;
     assert_eq!((core.zone.as_str(), core.node, core.nodes), ("", 0, 1));
-    assert!(matches!(core.reports, Reports::Inline));
+    assert!(matches!(core.reports, LoadReporting::Inline));
     assert_eq!((core.weights, core.writers_read, core.may_cancel, core.may_probe), (true, false, true, true));
     assert_eq!((core.probe_price, core.retry_advice, core.max_retry_after), (0.0, true, 2_000_000));
     assert_eq!((core.max_attempts, core.cold_from, core.warm_after), (6, 0.3, 14_000_000));
@@ -129,7 +129,7 @@
     assert_eq!((recovery.read_within, recovery.answer_within), (310_000, 210_000));
     assert_eq!((recovery.rounds, recovery.ask, recovery.careful_most), (4, 5, 20_000_000));
     assert_eq!((recovery.per_engine, recovery.textless, recovery.inherit_after), (6.5, 0.8, 4_000_000));
-    assert_eq!(recovery.lie, Some(("torn-write".to_string(), 11)));
+    assert_eq!(recovery.storage_fault, Some(("torn-write".to_string(), 11)));
 
     let s = read("fleet_defaults.sexp");
     let peers = s.peers.expect("peers");
@@ -137,7 +137,7 @@
     assert_eq!((peers.period, peers.answer, peers.indirect), (500_000, 150_000, 3));
     assert_eq!((peers.suspicion, peers.repair, peers.forget), (4.0, 2_000_000, 600_000_000));
     let recovery = s.recovery.expect("recovery");
-    assert_eq!((recovery.store, recovery.every, recovery.lie), (None, 200_000, None));
+    assert_eq!((recovery.store, recovery.every, recovery.storage_fault), (None, 200_000, None));
     assert_eq!((recovery.read_within, recovery.answer_within), (300_000, 200_000));
     assert_eq!((recovery.rounds, recovery.ask, recovery.careful_most), (2, 3, 30_000_000));
     assert_eq!((recovery.per_engine, recovery.textless, recovery.inherit_after), (2.0, 0.9, 5_000_000));
@@ -160,7 +160,7 @@
     for word in words {
         let text = text.replace("\"torn-write\"", &format!("\"{word}\""));
         let recovery = NodeSettings::parse("fleet.sexp", &text).expect(word).recovery.expect("recovery");
-        assert_eq!(recovery.lie, Some((word.to_string(), 11)));
+        assert_eq!(recovery.storage_fault, Some((word.to_string(), 11)));
     }
 }
 
@@ -180,7 +180,7 @@
     let counted: Vec<_> = shared.limits.iter().map(|l| l.counts).collect();
     assert_eq!(counted, [Counts::Requests, Counts::Tokens, Counts::Streams, Counts::Retries]);
     let bounds: Vec<_> = shared.limits.iter().map(|l| l.bound).collect();
-    assert_eq!(bounds, [Bound::Hard, Bound::Soft, Bound::Hard, Bound::Soft]);
+    assert_eq!(bounds, [Enforcement::Hard, Enforcement::Soft, Enforcement::Hard, Enforcement::Soft]);
     let tenants: Vec<_> = shared.limits.iter().map(|l| l.tenant.as_deref()).collect();
     assert_eq!(tenants, [None, Some("north"), None, None]);
 
@@ -251,9 +251,9 @@
     assert_eq!((first.zone.as_str(), first.kind.as_str(), first.rack), ("a", "prefill", 3));
     assert_eq!((first.cell.as_deref(), first.weight), (Some("blue"), 1.5));
     assert_eq!((first.started_unix_ms, second.started_unix_ms), (Some(1_700_000_000_000), None));
-    assert!(matches!(first.listing, Listing::Serving));
-    assert!(matches!(second.listing, Listing::Draining));
-    assert!(matches!(third.listing, Listing::Gone));
+    assert!(matches!(first.listing, EndpointState::Serving));
+    assert!(matches!(second.listing, EndpointState::Draining));
+    assert!(matches!(third.listing, EndpointState::Gone));
     assert_eq!((third.zone.as_str(), third.kind.as_str(), third.rack), ("", "", 0));
     assert_eq!((third.cell.as_deref(), third.weight), (None, 1.0));
     assert_eq!(list.render(), golden("engines_written.sexp"));
--- a/crates/pintally-guards/tests/golden.rs
+++ b/crates/pintally-guards/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The golden file of the names under which denials and closed connections are counted in status documents.
 
-use pintally_permits::{CloseReason, Counted, Counts, Denial};
+use pintally_guards::{CloseReason, Counted, Counts, Denial};
 
 fn names<K: Counted>() -> String {
     let mut counts = Counts::<K>::default();
--- a/crates/pintally-host/tests/golden.rs
+++ b/crates/pintally-host/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The golden file of the names under which refusals are counted in status documents.
 
+use pintally_guards::Counted;
 use pintally_host::{RefusalReason, Refusals};
-use pintally_permits::Counted;
 
 #[test]
 fn names_of_refusals() {
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -186,6 +186,16 @@
     (200, body.to_string())
 }
 
+/// A cell's level as the counters document spells it, whatever the variant is called.
+fn cell_level_name(level: pintally_cells::Level) -> &'static str {
+    match level {
+        pintally_cells::Level::Well => "Well",
+        pintally_cells::Level::Thin => "Thin",
+        pintally_cells::Level::Shed => "Shed",
+        pintally_cells::Level::Lost => "Lost",
+    }
+}
+
 fn counters(shared: &Shared) -> String {
     let c = shared.counters();
     let h = c.host;
@@ -194,7 +204,7 @@
         .iter()
         .map(|c| {
             serde_json::json!({
-                "cell": &*c.cell.0, "level": format!("{:?}", c.level), "share": c.capacity,
+                "cell": &*c.cell.0, "level": cell_level_name(c.level), "share": c.capacity,
                 "borrowed": c.borrowed, "strained": c.strained, "failing": c.failing,
             })
         })
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -1,11 +1,11 @@
 //! The golden file of those parts of the status documents that a healthy fleet does not show: built values as
 //! the node writes them, and every word for a state.
 
-use pintally_peers::Standing;
+use pintally_failover::Known;
+use pintally_membership::MemberState;
+use pintally_outlier_detection::{EngineVerdict, Reach};
+use pintally_quota::PoolStatus;
 use pintally_recovery::Stage;
-use pintally_regions::Known;
-use pintally_shares::PoolStatus;
-use pintally_verdicts::{EngineVerdict, Reach};
 use serde::Serialize;
 
 fn line(value: &impl Serialize) -> String {
@@ -29,7 +29,7 @@
         line(&verdict),
         line(&pool),
         line(&[Reach::Link, Reach::Zone("a".into()), Reach::Everyone]),
-        line(&[Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left]),
+        line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
         line(&[Stage::Reading, Stage::Asking, Stage::Careful, Stage::Serving]),
         line(&[Known::Alive, Known::Grey, Known::Failing, Known::Gone, Known::Unknown]),
     ];
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -138,7 +138,7 @@
                 self.answer_whole(key, response(status, &[], b""));
             }
             Ok(Call::Beliefs) => {
-                let page = self.beliefs().to_string();
+                let page = self.status_document().to_string();
                 let kind = [("content-type", "application/json")];
                 self.answer_whole(key, response(200, &kind, page.as_bytes()));
             }
--- a/crates/pintally-platform-node/src/lib.rs
+++ b/crates/pintally-platform-node/src/lib.rs
@@ -21,6 +21,7 @@
 mod reload;
 mod signals;
 mod starts;
+mod status;
 mod sweep;
 mod system;
 mod turn;
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use pintally::interface::{ListForm, Listing, Load, Outcome};
+use pintally::interface::{EndpointState, ListUpdate, LoadReport, Outcome};
 use pintally_http::{Request, RequestReader};
 use pintally_platform::*;
 
@@ -37,22 +37,22 @@
     }
 }
 
-fn listing_name(listing: Listing) -> &'static str {
+fn listing_name(listing: EndpointState) -> &'static str {
     match listing {
-        Listing::Serving => "serving",
-        Listing::Draining => "draining",
-        Listing::Gone => "gone",
+        EndpointState::Serving => "serving",
+        EndpointState::Draining => "draining",
+        EndpointState::Gone => "gone",
     }
 }
 
-fn load_text(load: Option<Load>) -> String {
+fn load_text(load: Option<LoadReport>) -> String {
     load.map_or("none".into(), |l| {
         format!("slots={:?} queue={:?} memory={:?} backlog={:?}", l.slots, l.queue, l.memory, l.backlog)
     })
 }
 
 fn request(bytes: &[u8]) -> Request {
-    let mut reader = RequestReader::new(HEAD_MOST, BODY_MOST);
+    let mut reader = RequestReader::new(MAX_HEAD, MAX_BODY);
     reader.push(bytes);
     reader.next_request().expect("a readable request").expect("a whole request")
 }
@@ -264,9 +264,9 @@
         let _ = match follower.take(list) {
             Taken::Same => writeln!(got, "  same"),
             Taken::Older => writeln!(got, "  older"),
-            Taken::Unsound(why) => writeln!(got, "  unsound: {why}"),
+            Taken::InvalidConfiguration(why) => writeln!(got, "  unsound: {why}"),
             Taken::Holds(form, members) => {
-                let full = matches!(form, ListForm::Full);
+                let full = matches!(form, ListUpdate::Full);
                 let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
                 members.iter().try_for_each(|listed| {
                     let m = &listed.member;
--- a/crates/pintally-scenario/tests/examples.rs
+++ b/crates/pintally-scenario/tests/examples.rs
@@ -2,7 +2,7 @@
 
 use pintally_cells::CellsFile;
 use pintally_config::{EngineList, NodeSettings};
-use pintally_day::Day;
+use pintally_scenario::Day;
 
 const DAYS: [&str; 7] =
     ["bad-day", "cells-day", "flood-day", "move-day", "power-day", "price-day", "region-day"];
