--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -8,7 +8,7 @@
 
 use crate::edge::{Edge, Place};
 use crate::file::CellsFile;
-use crate::health::{Ladder, Level};
+use crate::health::{CellHealth, Level};
 use crate::loans::{counted, Has, Lendable, Loans};
 use crate::pace::MoveRateController;
 use crate::strain::Strain;
@@ -29,7 +29,7 @@
 
 /// A request at the door.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// Its tenant, if any.
     pub tenant: Option<&'a str>,
     /// Its session.
@@ -42,18 +42,18 @@
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CellAdmission {
     /// Into this cell.
     Into(CellName),
     /// Into the first cell, once the heaviest tenant of the second has given up a request that waits.
     InPlaceOf(CellName, CellName),
     /// Turned away, to come back after so many milliseconds; the cell that it belongs to, and why.
-    Refused(Option<CellName>, u64, &'static str),
+    Rejected(Option<CellName>, u64, &'static str),
 }
 
 /// The engines that a cell has as of now.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct EngineAssignment {
     /// The members of each cell, borrowed ones among them, marked as just started when they are new.
     pub cells: BTreeMap<CellName, Vec<Endpoint>>,
     /// What people on call should hear.
@@ -91,7 +91,7 @@
     pace: MoveRateController,
     /// Tenants whose moves are held back.
     held: Vec<String>,
-    ladders: BTreeMap<CellName, Ladder>,
+    ladders: BTreeMap<CellName, CellHealth>,
     loans: Loans,
     /// A list of engines has come. Guards against a node that starts, knows the cells before their
     /// engines, takes all of them for lost and then climbs for many seconds while nothing is wrong.
@@ -131,7 +131,7 @@
         self.edge.divide(self.places, self.room, file.cells.iter().map(|c| (&c.name, c.weight)));
         for cell in &file.cells {
             let worths = &self.worths;
-            self.ladders.entry(cell.name.clone()).or_insert_with(|| Ladder::new(worths.iter().copied()));
+            self.ladders.entry(cell.name.clone()).or_insert_with(|| CellHealth::new(worths.iter().copied()));
         }
         let known = |name: &CellName| file.cells.iter().any(|c| c.name == *name);
         self.ladders.retain(|name, _| known(name));
@@ -147,7 +147,7 @@
     }
 
     /// Takes in another version of the file; an error says why it does not hold.
-    pub fn replace(&mut self, now: Micros, file: CellsFile) -> Result<Spread, String> {
+    pub fn replace(&mut self, now: Micros, file: CellsFile) -> Result<EngineAssignment, String> {
         if file.version < self.file.version {
             return Err(format!("version {} is older than {}, which holds", file.version, self.file.version));
         }
@@ -159,7 +159,11 @@
     }
 
     /// Takes in the list of engines, whole: each with its role and its cell's name.
-    pub fn list(&mut self, now: Micros, members: Vec<(Endpoint, Role, Option<CellName>)>) -> Spread {
+    pub fn list(
+        &mut self,
+        now: Micros,
+        members: Vec<(Endpoint, Role, Option<CellName>)>,
+    ) -> EngineAssignment {
         self.listed |= !members.is_empty();
         self.members = members.into_iter().map(|m| (m.0.engine.clone(), m)).collect();
         let members = &self.members;
@@ -199,7 +203,7 @@
     pub fn status(&self, now: Micros) -> Vec<CellStatus> {
         let lent =
             |name: &CellName| self.members.keys().filter(|e| self.loans.borrower(e) == Some(name)).count();
-        let one = |(name, ladder): (&CellName, &Ladder)| CellStatus {
+        let one = |(name, ladder): (&CellName, &CellHealth)| CellStatus {
             cell: name.clone(),
             level: ladder.level(),
             capacity: ladder.capacity(),
@@ -226,8 +230,8 @@
     }
 
     /// Makes loans, takes steps, and says which engines each cell has.
-    pub fn spread(&mut self, now: Micros) -> Spread {
-        let mut spread = Spread::default();
+    pub fn spread(&mut self, now: Micros) -> EngineAssignment {
+        let mut spread = EngineAssignment::default();
         if !self.listed {
             return spread;
         }
@@ -296,12 +300,12 @@
     }
 
     /// Where a request goes. A place is taken where there is one; [`Cells::give_back`] returns it.
-    pub fn admit(&mut self, now: Micros, ask: Ask, unix_ms: u64) -> Verdict {
+    pub fn admit(&mut self, now: Micros, ask: AdmissionRequest, unix_ms: u64) -> CellAdmission {
         let Some(home) = self.belongs(now, ask, unix_ms) else {
-            return Verdict::Refused(None, LOST_MS, "no cell");
+            return CellAdmission::Rejected(None, LOST_MS, "no cell");
         };
         let Some(ladder) = self.ladders.get_mut(&home) else {
-            return Verdict::Refused(Some(home), LOST_MS, "no cell");
+            return CellAdmission::Rejected(Some(home), LOST_MS, "no cell");
         };
         ladder.feel(now, self.strain.is_strained(now, &home));
         let (level, serves, share) = (ladder.level(), ladder.serves(ask.class), ladder.share());
@@ -312,32 +316,32 @@
                 return self.elsewhere(now, &home, ask);
             }
             self.edge.take(&home, ask.tenant, ask.bytes);
-            return Verdict::Into(home);
+            return CellAdmission::Into(home);
         }
         if !serves {
-            return Verdict::Refused(Some(home), SHED_MS, "shed");
+            return CellAdmission::Rejected(Some(home), SHED_MS, "shed");
         }
         if !self.edge.has_room(&home, ask.bytes) {
-            return Verdict::Refused(Some(home), SHED_MS, "no room for its body");
+            return CellAdmission::Rejected(Some(home), SHED_MS, "no room for its body");
         }
         match self.edge.ask(&home, ask.tenant, share) {
             Place::Free => {
                 self.edge.take(&home, ask.tenant, ask.bytes);
-                Verdict::Into(home)
+                CellAdmission::Into(home)
             }
             Place::InPlaceOf(other) => {
                 self.edge.take(&home, ask.tenant, ask.bytes);
-                Verdict::InPlaceOf(home, other)
+                CellAdmission::InPlaceOf(home, other)
             }
-            Place::None(after) => Verdict::Refused(Some(home), after, "over its part"),
+            Place::None(after) => CellAdmission::Rejected(Some(home), after, "over its part"),
         }
     }
 
     /// The cell in which a request belongs: by the file, and by how far this node has let a move come.
-    fn belongs(&mut self, now: Micros, ask: Ask, unix_ms: u64) -> Option<CellName> {
+    fn belongs(&mut self, now: Micros, ask: AdmissionRequest, unix_ms: u64) -> Option<CellName> {
         let Cells { file, pace, ladders, strain, held, .. } = self;
         file.belongs_at(ask.tenant, ask.session, |one| {
-            let level = |c: &CellName| ladders.get(c).map_or(Level::Lost, Ladder::level);
+            let level = |c: &CellName| ladders.get(c).map_or(Level::Lost, CellHealth::level);
             let worst = |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(Level::Lost);
             let full = one.to.iter().any(|c| strain.is_strained(now, c));
             // Nobody is kept in a cell that is worse off than the one to which he moves.
@@ -358,8 +362,8 @@
 
     /// A lost cell's request goes to the cell that stands in, as far as that has room of its own;
     /// what does not fit is refused at home.
-    fn elsewhere(&mut self, now: Micros, home: &CellName, ask: Ask) -> Verdict {
-        let lost = Verdict::Refused(Some(home.clone()), LOST_MS, "cell lost");
+    fn elsewhere(&mut self, now: Micros, home: &CellName, ask: AdmissionRequest) -> CellAdmission {
+        let lost = CellAdmission::Rejected(Some(home.clone()), LOST_MS, "cell lost");
         let Some(other) = self.file.cell_named(home).and_then(|c| c.fallback.clone()) else { return lost };
         let well = self.ladders.get(&other).is_some_and(|l| l.level() == Level::Well)
             && !self.strain.is_strained(now, &other);
@@ -369,7 +373,7 @@
             return lost;
         }
         self.edge.take(&other, ask.tenant, ask.bytes);
-        Verdict::Into(other)
+        CellAdmission::Into(other)
     }
 
     /// Gives a request's place back.
--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -68,7 +68,7 @@
 
 /// What an operator wants of a tenant's move.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum MoveCommand {
     /// Announce a move.
     Begin {
         /// Where to.
@@ -323,11 +323,11 @@
     }
 
     /// The next version, in which a tenant's move takes a step; an error says why it may not.
-    pub fn step(&self, tenant: &str, turn: Turn, unix_ms: u64) -> Result<CellsFile, String> {
+    pub fn step(&self, tenant: &str, turn: MoveCommand, unix_ms: u64) -> Result<CellsFile, String> {
         let mut next = CellsFile { version: self.version + 1, ..self.clone() };
         let at = next.moves.iter().position(|m| m.tenant == tenant);
         let Some(at) = at else {
-            let Turn::Begin { to, over_ms } = turn else {
+            let MoveCommand::Begin { to, over_ms } = turn else {
                 return Err(format!("tenant `{tenant}` is not on the move"));
             };
             if let Some(cell) = to.iter().find(|c| self.cell_named(c).is_none()) {
@@ -343,15 +343,19 @@
         let old = next.moves[at].clone();
         let one = &mut next.moves[at];
         one.step = match (turn, old.step) {
-            (Turn::Begin { .. }, _) => return Err(format!("tenant `{tenant}` is on the move already")),
-            (Turn::Go, Step::Prepare) => Step::Both { since: unix_ms },
-            (Turn::Done, Step::Both { since }) if old.share(unix_ms) >= 1.0 => Step::Done { since },
-            (Turn::Done, Step::Both { .. }) => {
+            (MoveCommand::Begin { .. }, _) => {
+                return Err(format!("tenant `{tenant}` is on the move already"))
+            }
+            (MoveCommand::Go, Step::Prepare) => Step::Both { since: unix_ms },
+            (MoveCommand::Done, Step::Both { since }) if old.share(unix_ms) >= 1.0 => Step::Done { since },
+            (MoveCommand::Done, Step::Both { .. }) => {
                 return Err(format!("only {:.0}% of the sessions are over", old.share(unix_ms) * 100.0))
             }
-            (Turn::Back, Step::Prepare) => Step::Back { since: unix_ms, at: unix_ms },
-            (Turn::Back, Step::Both { since } | Step::Done { since }) => Step::Back { since, at: unix_ms },
-            (Turn::Settle, Step::Done { .. }) => {
+            (MoveCommand::Back, Step::Prepare) => Step::Back { since: unix_ms, at: unix_ms },
+            (MoveCommand::Back, Step::Both { since } | Step::Done { since }) => {
+                Step::Back { since, at: unix_ms }
+            }
+            (MoveCommand::Settle, Step::Done { .. }) => {
                 next.moves.remove(at);
                 let home = Home::Pinned(old.to);
                 match next.tenants.iter_mut().find(|t| t.tenant == tenant) {
@@ -360,7 +364,7 @@
                 }
                 return Ok(next);
             }
-            (Turn::Settle, Step::Back { .. }) if old.share(unix_ms) <= 0.0 => {
+            (MoveCommand::Settle, Step::Back { .. }) if old.share(unix_ms) <= 0.0 => {
                 next.moves.remove(at);
                 return Ok(next);
             }
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -43,7 +43,7 @@
 
 /// One cell's way down and up.
 #[derive(Clone, Debug)]
-pub struct Ladder {
+pub struct CellHealth {
     level: Level,
     capacity: f64,
     /// Since when its capacity has been enough for one step up.
@@ -60,13 +60,13 @@
     classes: Vec<(f64, f64)>,
 }
 
-impl Ladder {
+impl CellHealth {
     /// A ladder for classes worth so much each.
-    pub fn new(worths: impl Iterator<Item = f64>) -> Ladder {
+    pub fn new(worths: impl Iterator<Item = f64>) -> CellHealth {
         let classes: Vec<(f64, f64)> = worths.map(|w| (0.0, w)).collect();
         let even = 1.0 / classes.len().max(1) as f64;
         let classes = classes.into_iter().map(|(_, w)| (even, w)).collect();
-        Ladder {
+        CellHealth {
             level: Level::Well,
             capacity: 1.0,
             calm: None,
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -19,9 +19,9 @@
 
 pub use assign::{cells_of, draw};
 pub use edge::{Edge, Place};
-pub use facade::{Ask, CellStatus, Cells, Spread, Verdict};
-pub use file::{CellSpec, CellsFile, Home, Needs, TenantHome, Turn};
-pub use health::{Ladder, Level};
+pub use facade::{AdmissionRequest, CellAdmission, CellStatus, Cells, EngineAssignment};
+pub use file::{CellSpec, CellsFile, Home, MoveCommand, Needs, TenantHome};
+pub use health::{CellHealth, Level};
 pub use loans::{Lendable, Loans};
 pub use moves::{Move, Step};
 pub use pace::MoveRateController;
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -284,13 +284,13 @@
     let core = core(&["t", "u", "v"]);
     let text = "(cells (version 1) (cell \"a\") (cell \"b\") (tenant \"t\" (cells \"a\")))";
     let first = CellsFile::parse("cells", text, &core).unwrap();
-    let begin = Turn::Begin { to: vec!["b".into()], over_ms: 1000 };
-    for early in [Turn::Go, Turn::Done, Turn::Back, Turn::Settle] {
+    let begin = MoveCommand::Begin { to: vec!["b".into()], over_ms: 1000 };
+    for early in [MoveCommand::Go, MoveCommand::Done, MoveCommand::Back, MoveCommand::Settle] {
         assert!(first.step("t", early, 0).is_err());
     }
-    assert!(first.step("t", Turn::Begin { to: vec!["a".into()], over_ms: 1 }, 0).is_err());
-    assert!(first.step("t", Turn::Begin { to: vec!["z".into()], over_ms: 1 }, 0).is_err());
-    let walk = |turns: &[(Turn, u64)]| {
+    assert!(first.step("t", MoveCommand::Begin { to: vec!["a".into()], over_ms: 1 }, 0).is_err());
+    assert!(first.step("t", MoveCommand::Begin { to: vec!["z".into()], over_ms: 1 }, 0).is_err());
+    let walk = |turns: &[(MoveCommand, u64)]| {
         let mut node = Cells::new(first.clone(), 10, 1 << 20, &core);
         let mut file = first.clone();
         for (turn, at) in turns {
@@ -300,18 +300,28 @@
         }
         file
     };
-    let there = walk(&[(begin.clone(), 0), (Turn::Go, 10), (Turn::Done, 1010), (Turn::Settle, 2000)]);
+    let there = walk(&[
+        (begin.clone(), 0),
+        (MoveCommand::Go, 10),
+        (MoveCommand::Done, 1010),
+        (MoveCommand::Settle, 2000),
+    ]);
     assert_eq!((there.version, there.home("t"), there.moves.len()), (5, vec!["b".into()], 0));
-    let back = walk(&[(begin.clone(), 0), (Turn::Go, 10), (Turn::Back, 500), (Turn::Settle, 5000)]);
+    let back = walk(&[
+        (begin.clone(), 0),
+        (MoveCommand::Go, 10),
+        (MoveCommand::Back, 500),
+        (MoveCommand::Settle, 5000),
+    ]);
     assert_eq!((back.home("t"), back.moves.len()), (vec!["a".into()], 0));
-    let never = walk(&[(begin.clone(), 0), (Turn::Back, 5), (Turn::Settle, 6)]);
+    let never = walk(&[(begin.clone(), 0), (MoveCommand::Back, 5), (MoveCommand::Settle, 6)]);
     assert_eq!(never.home("t"), ["a".into()]);
     // Not before its time, and not twice.
-    let going = first.step("t", begin.clone(), 0).unwrap().step("t", Turn::Go, 10).unwrap();
-    assert!(going.step("t", Turn::Done, 500).unwrap_err().contains("49%"));
+    let going = first.step("t", begin.clone(), 0).unwrap().step("t", MoveCommand::Go, 10).unwrap();
+    assert!(going.step("t", MoveCommand::Done, 500).unwrap_err().contains("49%"));
     assert!(going.step("t", begin, 500).is_err());
-    assert!(going.step("t", Turn::Go, 500).is_err());
-    assert!(going.step("t", Turn::Back, 500).unwrap().step("t", Turn::Settle, 600).is_err());
+    assert!(going.step("t", MoveCommand::Go, 500).is_err());
+    assert!(going.step("t", MoveCommand::Back, 500).unwrap().step("t", MoveCommand::Settle, 600).is_err());
 }
 
 #[test]
@@ -328,7 +338,7 @@
 
 #[test]
 fn a_cell_goes_down_at_once_and_up_step_by_step() {
-    let mut ladder = Ladder::new([1.0, 2.0, 3.0].into_iter());
+    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     assert!(ladder.update(0, 0.2, 0.2));
     assert_eq!(ladder.level(), Level::Shed);
@@ -377,11 +387,11 @@
 /// What a cell can do shows in whether it keeps up: it opens while it does, and closes when it does not.
 #[test]
 fn what_sheds_opens_while_it_keeps_up() {
-    let mut ladder = Ladder::new([1.0, 2.0, 3.0].into_iter());
+    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     ladder.update(0, 0.2, 0.2);
     ladder.feel(0, false);
-    let served = |ladder: &mut Ladder| (0..300).filter(|n| ladder.serves(Some(n % 3))).count();
+    let served = |ladder: &mut CellHealth| (0..300).filter(|n| ladder.serves(Some(n % 3))).count();
     assert_eq!(served(&mut ladder), 100);
     (1..=6).for_each(|s| ladder.feel(s * second, false));
     assert_eq!(served(&mut ladder), 300, "at 0.8 the least worthy third begins below it");
@@ -392,7 +402,7 @@
 
 #[test]
 fn what_sheds_serves_the_most_worthy() {
-    let mut ladder = Ladder::new([1.0, 2.0, 3.0].into_iter());
+    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     ladder.update(0, 0.3, 0.3);
     let mut served = [0; 3];
     for n in 0..3000 {
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -141,8 +141,8 @@
     cells.status(now).into_iter().find(|s| *s.cell.0 == *name).unwrap()
 }
 
-fn ask(class: usize) -> Ask<'static> {
-    Ask { tenant: Some("t"), session: 1, class: Some(class), bytes: 100 }
+fn ask(class: usize) -> AdmissionRequest<'static> {
+    AdmissionRequest { tenant: Some("t"), session: 1, class: Some(class), bytes: 100 }
 }
 
 /// A bad release: both writers of a cell answer every request with an error, late.
@@ -165,10 +165,10 @@
     assert_eq!((a.level, a.failing), (Level::Lost, true));
     assert_eq!(status(&cells, now, "b").level, Level::Well);
     // One harmless request a second goes in, to see; what may not be run twice never does.
-    assert_eq!(cells.admit(now, ask(1), 0), Verdict::Into("b".into()));
-    assert_eq!(cells.admit(now, ask(0), 0), Verdict::Into("a".into()));
-    assert_eq!(cells.admit(now, ask(0), 0), Verdict::Into("b".into()));
-    assert_eq!(cells.admit(now + SECOND, ask(0), 0), Verdict::Into("a".into()));
+    assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Into("b".into()));
+    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("a".into()));
+    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("b".into()));
+    assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Into("a".into()));
     // The trials go well from here on: it comes back, step by step and for good.
     let (mut at, mut levels) = (now, vec![Level::Lost]);
     for _ in 0..90 {
@@ -293,10 +293,10 @@
     let over = |cells: &mut Cells, now, unix_ms| {
         let mut over = 0;
         for session in 0..200 {
-            let ask = Ask { tenant: Some("t"), session, class: Some(1), bytes: 0 };
+            let ask = AdmissionRequest { tenant: Some("t"), session, class: Some(1), bytes: 0 };
             let verdict = cells.admit(now, ask, unix_ms);
-            over += usize::from(verdict == Verdict::Into("b".into()));
-            if let Verdict::Into(cell) = verdict {
+            over += usize::from(verdict == CellAdmission::Into("b".into()));
+            if let CellAdmission::Into(cell) = verdict {
                 cells.give_back(&cell, Some("t"), 0);
             }
         }
--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -7,7 +7,7 @@
 
 use clap::{Subcommand, ValueEnum};
 use comfy_table::Table;
-use pintally_cells::{CellName, CellsFile, Turn};
+use pintally_cells::{CellName, CellsFile, MoveCommand};
 use pintally_config::NodeSettings;
 
 use crate::told::ask;
@@ -91,12 +91,12 @@
             let turn = match turn {
                 Step::Begin => {
                     let to = to.iter().map(|c| CellName::from(c.as_str())).collect();
-                    Turn::Begin { to, over_ms: *over_ms }
+                    MoveCommand::Begin { to, over_ms: *over_ms }
                 }
-                Step::Go => Turn::Go,
-                Step::Done => Turn::Done,
-                Step::Back => Turn::Back,
-                Step::Settle => Turn::Settle,
+                Step::Go => MoveCommand::Go,
+                Step::Done => MoveCommand::Done,
+                Step::Back => MoveCommand::Back,
+                Step::Settle => MoveCommand::Settle,
             };
             step(files, tenant, turn, *write)
         }
@@ -156,7 +156,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn step(files: &Files, tenant: &str, turn: Turn, write: bool) -> Result<ExitCode, Failure> {
+fn step(files: &Files, tenant: &str, turn: MoveCommand, write: bool) -> Result<ExitCode, Failure> {
     let (settings, file, path) = load(files)?;
     if !settings.core.tenants.iter().any(|t| t.name == tenant) {
         return Err(Failure::usage(format!("no tenant is named `{tenant}` in the settings")));
--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -65,7 +65,7 @@
              holds back more than {:.0}% of a kind\n    a verdict without evidence dies within {:.0} s",
             verdicts.price(),
             verdicts.most * 100.0,
-            verdicts.dies_within() as f64 / 1e6
+            verdicts.max_ejection_time() as f64 / 1e6
         );
     }
     if let Some(regions) = &settings.regions {
--- a/crates/pintally-failover/src/flow.rs
+++ b/crates/pintally-failover/src/flow.rs
@@ -8,7 +8,7 @@
 
 /// What goes where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct FlowAssignment {
     /// From each zone to each: how much.
     pub flow: Vec<Vec<f64>>,
     /// Of each zone what found no room.
@@ -19,7 +19,7 @@
 
 /// Places what each zone needs into what each offers, at the least cost, and as much of it as can be.
 /// A price that is not finite forbids the pair.
-pub fn place(needs: &[f64], offers: &[f64], price: impl Fn(usize, usize) -> f64) -> Placed {
+pub fn place(needs: &[f64], offers: &[f64], price: impl Fn(usize, usize) -> f64) -> FlowAssignment {
     let n = needs.len().min(offers.len());
     let mut left: Vec<f64> = needs[..n].to_vec();
     let mut room: Vec<f64> = offers[..n].to_vec();
@@ -49,7 +49,7 @@
         }
     }
     left.iter_mut().for_each(|l| *l = l.max(0.0));
-    Placed { flow, left, cost }
+    FlowAssignment { flow, left, cost }
 }
 
 /// The cheapest path from a zone that needs (0..n) to one that offers (n..2n), and how much it carries.
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -8,25 +8,25 @@
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum Route {
     /// To the engines of this zone.
     Zone(usize),
     /// Nowhere: there is no room that it may use. It may come again after this time.
-    Refuse(Micros),
+    Reject(Micros),
 }
 
 /// The plan that holds here.
 #[derive(Clone, Debug)]
-pub struct Follower {
+pub struct PlanFollower {
     settings: Settings,
     home: usize,
     plan: Option<(Plan, Micros)>,
 }
 
-impl Follower {
+impl PlanFollower {
     /// A node in a zone that has heard of no plan.
-    pub fn new(settings: Settings, home: usize) -> Follower {
-        Follower { settings, home, plan: None }
+    pub fn new(settings: Settings, home: usize) -> PlanFollower {
+        PlanFollower { settings, home, plan: None }
     }
 
     /// A plan has come; whether it is the latest. An old one that arrives late does nothing.
@@ -46,12 +46,12 @@
 
     /// Where a session's requests go: the same zone for all of them while parts stay as they are, and as
     /// few of them as can be go elsewhere when parts change. `stays`: it may not leave the region.
-    pub fn choose(&self, now: Micros, session: u64, stays: bool) -> Choice {
+    pub fn choose(&self, now: Micros, session: u64, stays: bool) -> Route {
         let Some(plan) = self.plan(now) else {
             // Without word of a majority everybody serves what is near, within its own means.
-            return Choice::Zone(self.home);
+            return Route::Zone(self.home);
         };
-        let Some(row) = plan.rows.get(self.home) else { return Choice::Zone(self.home) };
+        let Some(row) = plan.rows.get(self.home) else { return Route::Zone(self.home) };
         let own = row.iter().filter(|(zone, _)| usize::from(*zone) == self.home);
         let others = row.iter().filter(|(zone, _)| usize::from(*zone) != self.home);
         let may = |zone: u8| !stays || self.settings.map.together(self.home, usize::from(zone));
@@ -59,10 +59,10 @@
         let mut place = (xxh3_64(&session.to_le_bytes()) >> 56) as u32 * 255 / 256;
         for (zone, part) in allowed {
             if place < u32::from(part) {
-                return Choice::Zone(usize::from(zone));
+                return Route::Zone(usize::from(zone));
             }
             place -= u32::from(part);
         }
-        Choice::Refuse(2 * self.settings.every)
+        Route::Reject(2 * self.settings.every)
     }
 }
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -1,7 +1,7 @@
 //! Zones and regions decided in common. Each node tells what it is asked for and how each zone's engines
-//! fare for it ([`Local`]). Whoever leads the keepers works out how much of each zone's work goes where
+//! fare for it ([`ZoneObserver`]). Whoever leads the keepers works out how much of each zone's work goes where
 //! ([`Planner`]) and tells it with its term; each node follows the latest plan until it ends
-//! ([`Follower`]), whole sessions at a time. Without a plan a node serves what is near.
+//! ([`PlanFollower`]), whole sessions at a time. Without a plan a node serves what is near.
 //!
 //! Inside a zone the core decides as ever. `docs/regions.md` has the options weighed and the bounds.
 
@@ -13,14 +13,14 @@
 mod planner;
 mod way;
 
-pub use flow::{place, Placed};
-pub use follower::{Choice, Follower};
-pub use local::{Local, Word};
+pub use flow::{place, FlowAssignment};
+pub use follower::{PlanFollower, Route};
+pub use local::{ZoneObserver, ZoneReport};
 pub use map::{Map, Settings, Zone, MAX_ZONES};
 pub use pintally_validation::InvalidConfiguration;
 pub use plan::Plan;
 pub use planner::{Order, Planner, Status, ZoneStatus};
-pub use way::Known;
+pub use way::ZoneHealth;
 
 /// Microseconds of a clock that never goes back.
 pub type Micros = u64;
--- a/crates/pintally-failover/src/local.rs
+++ b/crates/pintally-failover/src/local.rs
@@ -10,7 +10,7 @@
 
 /// One node's word, as it is spread.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct ZoneReport {
     /// Requests a second that clients bring to it.
     pub offered: f32,
     /// By zone of engines: requests that ended there lately, the part that failed and the part that was
@@ -18,15 +18,15 @@
     pub zones: Vec<(u16, u8, u8)>,
 }
 
-impl Word {
+impl ZoneReport {
     /// As bytes.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Reads a word; nothing if it is none.
-    pub fn decode(bytes: &[u8]) -> Option<Word> {
-        let word: Word = postcard::from_bytes(bytes).ok()?;
+    pub fn decode(bytes: &[u8]) -> Option<ZoneReport> {
+        let word: ZoneReport = postcard::from_bytes(bytes).ok()?;
         (word.offered.is_finite() && word.offered >= 0.0 && word.zones.len() <= MAX_ZONES).then_some(word)
     }
 }
@@ -40,16 +40,16 @@
 
 /// What this node sees.
 #[derive(Clone, Debug)]
-pub struct Local {
+pub struct ZoneObserver {
     zones: Vec<Count>,
     offered: f64,
     at: Micros,
 }
 
-impl Local {
+impl ZoneObserver {
     /// One that has seen nothing of so many zones.
-    pub fn new(zones: usize) -> Local {
-        Local { zones: vec![Count::default(); zones], offered: 0.0, at: 0 }
+    pub fn new(zones: usize) -> ZoneObserver {
+        ZoneObserver { zones: vec![Count::default(); zones], offered: 0.0, at: 0 }
     }
 
     fn fade(&mut self, now: Micros) {
@@ -87,14 +87,14 @@
     }
 
     /// What it says.
-    pub fn word(&mut self, now: Micros) -> Word {
+    pub fn word(&mut self, now: Micros) -> ZoneReport {
         self.fade(now);
         let part = |x: f64, of: f64| (255.0 * (x / of.max(1e-9)).clamp(0.0, 1.0)) as u8;
         let zone = |c: &Count| match c.ended >= 0.5 {
             true => (c.ended.min(65_000.0) as u16, part(c.failed, c.ended), part(c.late, c.ended)),
             false => (0, 0, 0),
         };
-        Word {
+        ZoneReport {
             offered: (self.offered * std::f64::consts::LN_2 / (HALF_LIFE / 1e6)) as f32,
             zones: self.zones.iter().map(zone).collect(),
         }
--- a/crates/pintally-failover/src/planner.rs
+++ b/crates/pintally-failover/src/planner.rs
@@ -4,11 +4,11 @@
 
 use serde::Serialize;
 
-use crate::flow::{place, Placed};
-use crate::local::Word;
+use crate::flow::{place, FlowAssignment};
+use crate::local::ZoneReport;
 use crate::map::Settings;
 use crate::plan::Plan;
-use crate::way::{Known, Way};
+use crate::way::{Way, ZoneHealth};
 use crate::Micros;
 
 /// Words older than this count for nothing.
@@ -43,7 +43,7 @@
 struct Told {
     zone: usize,
     at: Micros,
-    word: Word,
+    word: ZoneReport,
 }
 
 /// One zone, for people.
@@ -52,7 +52,7 @@
     /// Its name.
     pub zone: String,
     /// What is known of it.
-    pub known: Known,
+    pub known: ZoneHealth,
     /// Nodes of it that are here.
     pub nodes: usize,
     /// What it carries a second if all is well, as far as it is in use, and what comes there.
@@ -124,7 +124,7 @@
     }
 
     /// A node has told what it sees. It is in this zone.
-    pub fn word(&mut self, now: Micros, name: &str, zone: usize, word: Word) {
+    pub fn word(&mut self, now: Micros, name: &str, zone: usize, word: ZoneReport) {
         if zone < self.here.len() && (self.told.len() < 4096 || self.told.contains_key(name)) {
             self.told.insert(name.to_string(), Told { zone, at: now, word });
         }
@@ -155,15 +155,15 @@
         Seen { all, failed: failed / all.max(1e-9), late: late / all.max(1e-9) }
     }
 
-    fn known(&self, zone: usize, seen: &Seen) -> Known {
+    fn known(&self, zone: usize, seen: &Seen) -> ZoneHealth {
         let Seen { all, failed, late } = *seen;
         let here = self.here[zone] > 0;
         match (here, all >= ENOUGH) {
-            (false, true) if failed >= FAILING => Known::Gone,
-            (true, true) if failed >= FAILING => Known::Failing,
-            (_, true) if failed >= GREY || late >= LATE => Known::Grey,
-            (_, true) | (true, false) => Known::Alive,
-            (false, false) => Known::Unknown,
+            (false, true) if failed >= FAILING => ZoneHealth::Gone,
+            (true, true) if failed >= FAILING => ZoneHealth::Failing,
+            (_, true) if failed >= GREY || late >= LATE => ZoneHealth::Grey,
+            (_, true) | (true, false) => ZoneHealth::Alive,
+            (false, false) => ZoneHealth::Unknown,
         }
     }
 
@@ -172,7 +172,7 @@
         self.told.retain(|_, t| now.saturating_sub(t.at) <= WORD_LASTS);
         let zones = self.here.len();
         let seen: Vec<Seen> = (0..zones).map(|z| self.seen(z)).collect();
-        let known: Vec<Known> = (0..zones).map(|z| self.known(z, &seen[z])).collect();
+        let known: Vec<ZoneHealth> = (0..zones).map(|z| self.known(z, &seen[z])).collect();
         for (zone, known) in known.iter().enumerate() {
             match self.orders[zone] {
                 Some(Order::Out) => self.ways[zone].put_out(now),
@@ -195,7 +195,7 @@
         // A zone's floor is its own, whether it is asked for or not; a zone on its way back, or of which
         // nothing is known, takes nobody else's work.
         let offer = |z: usize| match (self.ways[z].open(), known[z]) {
-            (255, Known::Alive | Known::Grey) => {
+            (255, ZoneHealth::Alive | ZoneHealth::Grey) => {
                 (room[z] - own[z].max(self.settings.floor * room[z])).max(0.0)
             }
             _ => 0.0,
@@ -234,7 +234,13 @@
         }
     }
 
-    fn tell(&mut self, (known, seen): (&[Known], &[Seen]), offered: &[f64], room: &[f64], placed: &Placed) {
+    fn tell(
+        &mut self,
+        (known, seen): (&[ZoneHealth], &[Seen]),
+        offered: &[f64],
+        room: &[f64],
+        placed: &FlowAssignment,
+    ) {
         let names = &self.settings.map.zones;
         let status = |z: usize| {
             let Seen { all, failed: failing, late } = seen[z];
@@ -245,7 +251,7 @@
                     "{:.0}% of {all:.0} attempts there failed; it is tried again later",
                     failing * 100.0
                 ),
-                (None, 255) if known[z] == Known::Grey => {
+                (None, 255) if known[z] == ZoneHealth::Grey => {
                     format!(
                         "{:.0}% of attempts fail, {:.0}% of requests are late",
                         failing * 100.0,
--- a/crates/pintally-failover/src/way.rs
+++ b/crates/pintally-failover/src/way.rs
@@ -7,7 +7,7 @@
 
 /// What is known of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Known {
+pub enum ZoneHealth {
     /// It serves.
     Alive,
     /// It serves late, or fails a part.
@@ -53,8 +53,8 @@
     }
 
     /// Looks at what is known, and takes a step if it is time.
-    pub(crate) fn look(&mut self, now: Micros, known: Known, late: bool, settings: &Settings) {
-        let bad = matches!(known, Known::Failing | Known::Gone);
+    pub(crate) fn look(&mut self, now: Micros, known: ZoneHealth, late: bool, settings: &Settings) {
+        let bad = matches!(known, ZoneHealth::Failing | ZoneHealth::Gone);
         self.bad_since = if bad { self.bad_since.or(Some(now)) } else { None };
         let whole = self.step == STEPS.len() - 1;
         let at = now.saturating_sub(self.since);
@@ -69,7 +69,7 @@
         // Guards against steps that go faster than engines get warm: while what is let in is late, or
         // refused there, nothing more is.
         let ready = self.step == 0 || !(bad || late);
-        if !whole && at >= waits && ready && known != Known::Unknown {
+        if !whole && at >= waits && ready && known != ZoneHealth::Unknown {
             return self.go(now, self.step + 1);
         }
         if whole && at >= 4 * settings.hold_most {
--- a/crates/pintally-failover/tests/golden.rs
+++ b/crates/pintally-failover/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Words and plans as bytes: nodes of different builds read each other's.
 
-use pintally_failover::{Local, Plan, Word};
+use pintally_failover::{Plan, ZoneObserver, ZoneReport};
 
 const GOLDEN: &str = include_str!("golden/words.txt");
 
@@ -19,23 +19,23 @@
 
 #[test]
 fn word_bytes_are_stable() {
-    let full = Word { offered: 12.25, zones: vec![(300, 255, 0), (0, 0, 0), (65_000, 1, 128)] };
-    for (name, word) in [("word", full), ("word_empty", Word::default())] {
+    let full = ZoneReport { offered: 12.25, zones: vec![(300, 255, 0), (0, 0, 0), (65_000, 1, 128)] };
+    for (name, word) in [("word", full), ("word_empty", ZoneReport::default())] {
         assert_bytes(name, &word.encode());
-        assert_eq!(Word::decode(&golden(name)), Some(word), "word of {name}");
+        assert_eq!(ZoneReport::decode(&golden(name)), Some(word), "word of {name}");
     }
 }
 
 /// What a node has counted, as it is told.
 #[test]
 fn local_word_bytes_are_stable() {
-    let mut local = Local::new(3);
+    let mut local = ZoneObserver::new(3);
     (0..4).for_each(|_| local.offered(0));
     (0..4).for_each(|n| local.ended(0, 1, n == 0));
     local.late(0, 1);
     let word = local.word(0);
     assert_bytes("local_word", &word.encode());
-    assert_eq!(Word::decode(&golden("local_word")), Some(word));
+    assert_eq!(ZoneReport::decode(&golden("local_word")), Some(word));
 }
 
 #[test]
--- a/crates/pintally-failover/tests/regions.rs
+++ b/crates/pintally-failover/tests/regions.rs
@@ -1,7 +1,8 @@
 //! Zones in virtual time: clients, nodes and engines as rates; what nodes see reaches the leader late.
 
 use pintally_failover::{
-    place, Choice, Follower, Known, Local, Map, Micros, Order, Plan, Planner, Settings, Word, Zone,
+    place, Map, Micros, Order, Plan, PlanFollower, Planner, Route, Settings, Zone, ZoneHealth, ZoneObserver,
+    ZoneReport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,8 +21,8 @@
     now: Micros,
     settings: Settings,
     planner: Planner,
-    followers: Vec<Follower>,
-    locals: Vec<Local>,
+    followers: Vec<PlanFollower>,
+    locals: Vec<ZoneObserver>,
     loads: Vec<f64>,
     /// Requests a second that a zone's engines carry now; what is over it fails.
     carries: Vec<f64>,
@@ -45,8 +46,8 @@
         World {
             now,
             planner: Planner::new(settings.clone(), 1, None, now),
-            followers: (0..6).map(|n| Follower::new(settings.clone(), n % 3)).collect(),
-            locals: (0..6).map(|_| Local::new(3)).collect(),
+            followers: (0..6).map(|n| PlanFollower::new(settings.clone(), n % 3)).collect(),
+            locals: (0..6).map(|_| ZoneObserver::new(3)).collect(),
             settings,
             loads: loads.to_vec(),
             carries: vec![100.0; 3],
@@ -87,7 +88,7 @@
                 self.came[home] += 1.0;
                 self.locals[node].offered(now);
                 let session = self.rng.random();
-                if let Choice::Zone(zone) = self.followers[node].choose(now, session, false) {
+                if let Route::Zone(zone) = self.followers[node].choose(now, session, false) {
                     self.far += f64::from(u8::from(zone != home));
                     sent[zone].push((node, home));
                 }
@@ -106,7 +107,7 @@
         }
         if now.is_multiple_of(self.settings.every) {
             for node in (0..6).filter(|n| self.nodes_here[n % 3] > 0) {
-                let word = Word::decode(&self.locals[node].word(now).encode()).unwrap();
+                let word = ZoneReport::decode(&self.locals[node].word(now).encode()).unwrap();
                 self.planner.word(now, &format!("n{node}"), node % 3, word);
             }
             self.planner.world(&self.nodes_here, &[100.0; 3]);
@@ -183,13 +184,13 @@
                 now,
                 &format!("n{node}"),
                 node % 3,
-                Word { offered: 15.0, zones: vec![(0, 0, 0); 3] },
+                ZoneReport { offered: 15.0, zones: vec![(0, 0, 0); 3] },
             );
         }
         let plan = planner.plan(now);
         assert_eq!(plan.open[0], 255);
     }
-    assert_eq!(planner.status().zones[0].known, Known::Unknown);
+    assert_eq!(planner.status().zones[0].known, ZoneHealth::Unknown);
     assert!(planner.status().zones.iter().all(|z| z.takes == 0.0), "nobody sends anything there either");
 }
 
@@ -201,7 +202,7 @@
     world.carries[0] = 70.0;
     world.run(6_000);
     let status = world.planner.status().clone();
-    assert_eq!(status.zones[0].known, Known::Grey, "{status:?}");
+    assert_eq!(status.zones[0].known, ZoneHealth::Grey, "{status:?}");
     assert_eq!(status.zones[0].open, 1.0, "it is not given up");
     let near = status.goes[0].iter().find(|g| g.0 == "a").map_or(0.0, |g| g.1);
     assert!((0.4..0.95).contains(&near), "{status:?}");
@@ -287,8 +288,8 @@
 #[test]
 fn plans_carry_their_term_and_end_by_themselves() {
     let settings = settings();
-    let mut follower = Follower::new(settings.clone(), 0);
-    assert_eq!(follower.choose(1, 7, false), Choice::Zone(0), "without a plan what is near is served");
+    let mut follower = PlanFollower::new(settings.clone(), 0);
+    assert_eq!(follower.choose(1, 7, false), Route::Zone(0), "without a plan what is near is served");
     let away = |term, number| Plan {
         term,
         number,
@@ -296,11 +297,11 @@
         open: vec![0, 255, 255],
     };
     assert!(follower.hear(1, away(3, 1)));
-    assert_eq!(follower.choose(2, 7, false), Choice::Zone(2));
-    assert!(matches!(follower.choose(2, 7, true), Choice::Refuse(_)), "what must stay stays");
+    assert_eq!(follower.choose(2, 7, false), Route::Zone(2));
+    assert!(matches!(follower.choose(2, 7, true), Route::Reject(_)), "what must stay stays");
     let home = Plan { rows: vec![vec![(0, 255)], vec![], vec![]], ..away(2, 900) };
     assert!(!follower.hear(3, home), "an old one that arrives late does nothing");
-    assert_eq!(follower.choose(settings.lasts + 2, 7, false), Choice::Zone(0), "it has ended");
+    assert_eq!(follower.choose(settings.lasts + 2, 7, false), Route::Zone(0), "it has ended");
     assert!(Plan::decode(&[9; 40], 3).is_none());
     assert!(Plan::decode(&away(1, 1).encode(), 2).is_none());
 }
@@ -309,7 +310,7 @@
 #[test]
 fn a_lead_that_lapses_goes_on_with_its_plans() {
     let mut first = Planner::new(settings(), 4, None, 1);
-    let (mut follower, mut last) = (Follower::new(settings(), 0), Plan::default());
+    let (mut follower, mut last) = (PlanFollower::new(settings(), 0), Plan::default());
     for step in 1..20 {
         last = first.plan(step * 500 * MS);
         assert!(follower.hear(step * 500 * MS, last.clone()));
@@ -330,9 +331,9 @@
         rows: vec![vec![(0, own), (1, 255 - own)], vec![], vec![]],
         open: vec![255; 3],
     };
-    let mut follower = Follower::new(settings, 0);
+    let mut follower = PlanFollower::new(settings, 0);
     follower.hear(1, plan(1, 200));
-    let before: Vec<Choice> = (0..1_000).map(|s| follower.choose(2, s, false)).collect();
+    let before: Vec<Route> = (0..1_000).map(|s| follower.choose(2, s, false)).collect();
     follower.hear(3, plan(2, 180));
     let moved = (0..1_000).filter(|s| follower.choose(4, *s, false) != before[*s as usize]).count();
     assert!((40..130).contains(&moved), "{moved} of 1000 sessions moved for 8% of them");
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -2,10 +2,12 @@
 
 use pintally::interface::{EndpointState, EngineId, Event, ListUpdate, Micros, Role};
 use pintally::Router;
-use pintally_cells::{Ask, CellName, CellStatus, Cells, CellsFile, Spread, Verdict};
+use pintally_cells::{
+    AdmissionRequest, CellAdmission, CellName, CellStatus, Cells, CellsFile, EngineAssignment,
+};
 
 use crate::host::{Host, Place};
-use crate::input::{Arrival, Command, Final, Listed, Ticket};
+use crate::input::{Arrival, Command, EngineEndpoint, Final, Ticket};
 use crate::refusal::RefusalReason;
 use crate::timers::Due;
 
@@ -55,7 +57,13 @@
         }
     }
 
-    pub(crate) fn list(&mut self, now: Micros, form: ListUpdate, list: Vec<Listed>, out: &mut Vec<Command>) {
+    pub(crate) fn list(
+        &mut self,
+        now: Micros,
+        form: ListUpdate,
+        list: Vec<EngineEndpoint>,
+        out: &mut Vec<Command>,
+    ) {
         self.fleet_changed = true;
         if form == ListUpdate::Full {
             self.places.values_mut().for_each(|p| p.listing = EndpointState::Gone);
@@ -143,7 +151,7 @@
 
     /// Gives each cell's core its engines. A cell that is no more keeps none; its core ends what it
     /// has in hand. Where only time has passed a core hears of what has changed, and of nothing else.
-    fn hand_out(&mut self, now: Micros, spread: Spread, all: bool, out: &mut Vec<Command>) {
+    fn hand_out(&mut self, now: Micros, spread: EngineAssignment, all: bool, out: &mut Vec<Command>) {
         self.fleet_changed = true;
         out.extend(spread.notes.into_iter().map(Command::Log));
         for cell in spread.cells.keys() {
@@ -205,14 +213,14 @@
             self.turn_away(arrival.ticket, RefusalReason::NoPlace, Some(UNKNOWN), out);
             return None;
         };
-        let ask = Ask { tenant, session, class: arrival.class, bytes: arrival.bytes };
+        let ask = AdmissionRequest { tenant, session, class: arrival.class, bytes: arrival.bytes };
         match cells.admit(now, ask, arrival.unix_ms) {
-            Verdict::Into(cell) => Some(cell),
-            Verdict::InPlaceOf(cell, other) => {
+            CellAdmission::Into(cell) => Some(cell),
+            CellAdmission::InPlaceOf(cell, other) => {
                 self.give_way(now, &other, out);
                 Some(cell)
             }
-            Verdict::Refused(_, after_ms, _) => {
+            CellAdmission::Rejected(_, after_ms, _) => {
                 self.counters.at_the_edge += 1;
                 self.turn_away(arrival.ticket, RefusalReason::NoPlace, Some(after_ms * 1000), out);
                 None
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -12,7 +12,7 @@
 use pintally_config::NodeSettings;
 use pintally_guards::{may_start, Denial, Denials, EngineFacts};
 
-use crate::input::{Arrival, Command, Final, Input, Listed, Scope, Ticket};
+use crate::input::{Arrival, Command, EngineEndpoint, Final, Input, Scope, Ticket};
 use crate::judged::Judging;
 use crate::ledger::Entry;
 use crate::left::Left;
@@ -47,7 +47,7 @@
     pub(crate) routers: BTreeMap<CellName, Router>,
     /// The cells; without a file of them there is one, which has no name and every engine.
     pub(crate) cells: Option<Cells>,
-    pub(crate) members: BTreeMap<EngineId, Listed>,
+    pub(crate) members: BTreeMap<EngineId, EngineEndpoint>,
     /// The fleet has changed since it was last asked.
     pub(crate) fleet_changed: bool,
     /// The engines that each cell's core was last told of, and when they started: all that time alone
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -56,7 +56,7 @@
 
 /// An engine of the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct EngineEndpoint {
     /// As the core takes it.
     pub member: Endpoint,
     /// Where it listens.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Word of the fleet.
-    List(ListUpdate, Vec<Listed>),
+    List(ListUpdate, Vec<EngineEndpoint>),
     /// The list that holds is the source's own, read in this life, and not one that was kept.
     Fresh,
     /// A version of the cells file.
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -5,12 +5,12 @@
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, ListUpdate, Micros, Outcome};
 use pintally_outlier_detection::{
-    EngineLife, Fault, Listed as Known, Node, Report, Status, Verdicts, Witness,
+    EngineIncarnation, Fault, ListedEngine, Node, Observer, OutlierDetector, OutlierReport, Status,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::host::Host;
-use crate::input::{Command, Listed};
+use crate::input::{Command, EngineEndpoint};
 use crate::timers::Due;
 
 /// How often reports are weighed.
@@ -20,13 +20,13 @@
 
 /// What this node sees, and what all see.
 pub(crate) struct Judging {
-    witness: Witness,
-    verdicts: Verdicts,
+    witness: Observer,
+    verdicts: OutlierDetector,
     me: Node,
-    lives: BTreeMap<EngineId, (EngineLife, u32)>,
+    lives: BTreeMap<EngineId, (EngineIncarnation, u32)>,
     held: BTreeSet<EngineId>,
     /// What was said last: which engines, whether they failed or worked; and when.
-    said: (Vec<(EngineLife, bool)>, Micros),
+    said: (Vec<(EngineIncarnation, bool)>, Micros),
 }
 
 /// What stands for a zone in reports.
@@ -40,8 +40,8 @@
         if let Some(figures) = self.settings.verdicts {
             let me = Node { name: self.settings.name.clone(), zone: self.settings.core.zone.clone() };
             self.judging = Some(Judging {
-                witness: Witness::new(figures),
-                verdicts: Verdicts::new(figures, me.clone()),
+                witness: Observer::new(figures),
+                verdicts: OutlierDetector::new(figures, me.clone()),
                 me,
                 lives: BTreeMap::new(),
                 held: BTreeSet::new(),
@@ -66,11 +66,11 @@
             self.members.iter().filter(|(_, l)| l.member.listing == EndpointState::Serving)
         {
             let address = listed.address.to_string();
-            let life = EngineLife::of(&engine.0, &address, listed.started_unix_ms.unwrap_or(0));
+            let life = EngineIncarnation::of(&engine.0, &address, listed.started_unix_ms.unwrap_or(0));
             let zone = zone_number(&listed.member.zone);
             judging.lives.insert(engine.clone(), (life, zone));
             let name = engine.0.to_string();
-            known.insert(life, (Known { name, kind: listed.member.kind.clone() }, zone));
+            known.insert(life, (ListedEngine { name, kind: listed.member.kind.clone() }, zone));
         }
         judging.verdicts.list(known);
     }
@@ -103,7 +103,7 @@
     /// A node's report has come.
     pub(crate) fn evidence(&mut self, now: Micros, from: &Node, report: &[u8]) {
         let Some(judging) = &mut self.judging else { return };
-        if let Some(report) = Report::decode(report).filter(|_| from.name != judging.me.name) {
+        if let Some(report) = OutlierReport::decode(report).filter(|_| from.name != judging.me.name) {
             judging.verdicts.report(now, from, &report);
         }
     }
@@ -129,7 +129,7 @@
         let Some(judging) = &mut self.judging else { return };
         let accused = judging.verdicts.accused(now);
         let report = judging.witness.report(now, &accused);
-        let says: Vec<(EngineLife, bool)> =
+        let says: Vec<(EngineIncarnation, bool)> =
             report.seen.iter().map(|s| (s.engine, s.bad_age < s.good_age)).collect();
         let empty = says.is_empty() && judging.said.0.is_empty();
         if !empty && (says != judging.said.0 || now >= judging.said.1 + AGAIN) {
@@ -153,7 +153,8 @@
             out.push(Command::Log(format!("engine {} {what} by what the fleet saw", engine.0)));
         }
         judging.held = held;
-        let changed: Vec<Listed> = changed.iter().filter_map(|e| self.members.get(e).cloned()).collect();
+        let changed: Vec<EngineEndpoint> =
+            changed.iter().filter_map(|e| self.members.get(e).cloned()).collect();
         if !changed.is_empty() {
             self.list(now, ListUpdate::Change, changed, out);
         }
--- a/crates/pintally-host/src/lib.rs
+++ b/crates/pintally-host/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use counters::Counters;
 pub use host::Host;
-pub use input::{Arrival, Command, Final, Input, Listed, Order, Scope, Ticket};
+pub use input::{Arrival, Command, EngineEndpoint, Final, Input, Order, Scope, Ticket};
 pub use left::Left;
 pub use list::{Applied, ListFollower};
 pub use refusal::{RefusalReason, Refusals};
--- a/crates/pintally-host/src/list.rs
+++ b/crates/pintally-host/src/list.rs
@@ -6,7 +6,7 @@
 use pintally_cells::CellName;
 use pintally_config::{ConfigError, EngineEntry, EngineList};
 
-use crate::input::Listed;
+use crate::input::EngineEndpoint;
 
 /// What a text of the list means.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// The same as before.
     Same,
     /// These entries are new or other than before; what is missing is among them as gone.
-    Changes(ListUpdate, Vec<Listed>),
+    Changes(ListUpdate, Vec<EngineEndpoint>),
     /// It cannot be read: the old list holds. Told once for the same mistake.
     Bad(Option<ConfigError>),
     /// It is older than the list that holds, which goes on holding. Told once for the same version.
@@ -94,9 +94,9 @@
     }
 }
 
-fn listed(entry: &EngineEntry, clock: impl Fn(u64) -> Micros) -> Listed {
+fn listed(entry: &EngineEntry, clock: impl Fn(u64) -> Micros) -> EngineEndpoint {
     let cell = entry.cell.as_deref().map(CellName::from);
-    Listed {
+    EngineEndpoint {
         member: entry.member(clock),
         address: entry.address,
         cell,
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -4,7 +4,7 @@
 use pintally_recovery::{Admission, Answer, Input as Heard, Output, Recovery, Stage, Status};
 
 use crate::host::Host;
-use crate::input::{Arrival, Command, Listed};
+use crate::input::{Arrival, Command, EngineEndpoint};
 use crate::timers::Due;
 
 /// A node's recovery, its timer, and since when engines count as started anew.
@@ -86,7 +86,7 @@
         if let Some(recovering) = &mut self.recovering {
             recovering.cold_since = Some(now);
         }
-        let all: Vec<Listed> =
+        let all: Vec<EngineEndpoint> =
             self.members.values().filter(|l| l.member.listing != EndpointState::Gone).cloned().collect();
         if !all.is_empty() {
             self.list(now, ListUpdate::Change, all, out);
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -5,16 +5,16 @@
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, Event, ListUpdate, Micros, Outcome};
 use pintally_cells::CellName;
-use pintally_failover::{Choice, Follower, Local, Plan};
+use pintally_failover::{Plan, PlanFollower, Route, ZoneObserver};
 
 use crate::host::Host;
-use crate::input::{Arrival, Command, Listed};
+use crate::input::{Arrival, Command, EngineEndpoint};
 use crate::timers::Due;
 
 /// What this node sees of zones, and the plan that it follows.
 pub(crate) struct Regional {
-    follower: Follower,
-    local: Local,
+    follower: PlanFollower,
+    local: ZoneObserver,
     home: usize,
     every: Micros,
     zones: Vec<CellName>,
@@ -33,7 +33,7 @@
         let Some(home) = regions.figures.map.zone(&core.zone) else { return self };
         let names = &regions.figures.map.zones;
         self.regional = Some(Regional {
-            local: Local::new(names.len()),
+            local: ZoneObserver::new(names.len()),
             home,
             every: regions.figures.every,
             zones: names.iter().map(|z| CellName::from(z.name.as_str())).collect(),
@@ -41,7 +41,7 @@
             stay_tenants: core.tenants.iter().map(|t| regions.stay_tenants.contains(&t.name)).collect(),
             placed: BTreeMap::new(),
             far: 0,
-            follower: Follower::new(regions.figures, home),
+            follower: PlanFollower::new(regions.figures, home),
         });
         self.timers.set(now + 1, Due::Regions);
         self
@@ -117,11 +117,11 @@
         let stays =
             told(arrival.class, &regional.stay_classes) || told(arrival.tenant, &regional.stay_tenants);
         Some(match regional.follower.choose(now, session, stays) {
-            Choice::Zone(zone) => {
+            Route::Zone(zone) => {
                 regional.far += u64::from(zone != regional.home);
                 Ok(regional.zones[zone].clone())
             }
-            Choice::Refuse(after) => Err(after),
+            Route::Reject(after) => Err(after),
         })
     }
 
@@ -173,7 +173,7 @@
         &mut self,
         now: Micros,
         form: ListUpdate,
-        list: Vec<Listed>,
+        list: Vec<EngineEndpoint>,
         out: &mut Vec<Command>,
     ) {
         let members: Vec<Endpoint> = list.into_iter().map(|one| self.as_judged(one.member)).collect();
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/host.rs
@@ -8,7 +8,7 @@
 use pintally_cells::{CellName, CellsFile};
 use pintally_config::NodeSettings;
 use pintally_engine::Step;
-use pintally_host::{Arrival, Command, Final, Host, Input, Listed, Order, Ticket};
+use pintally_host::{Arrival, Command, EngineEndpoint, Final, Host, Input, Order, Ticket};
 use proptest::prelude::*;
 
 const SETTINGS: &str = r#"
@@ -99,7 +99,7 @@
                 weight: 1.0,
                 started: None,
             };
-            Listed {
+            EngineEndpoint {
                 member,
                 address: "127.0.0.1:9".parse().unwrap(),
                 cell: cell_of(id),
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -5,7 +5,7 @@
 use pintally::interface::*;
 use pintally_config::NodeSettings;
 use pintally_guards::Denial;
-use pintally_host::{Arrival, Command, Final, Host, Input, Listed, RefusalReason, Ticket};
+use pintally_host::{Arrival, Command, EngineEndpoint, Final, Host, Input, RefusalReason, Ticket};
 
 const SETTINGS: &str = r#"
 (pintally
@@ -17,8 +17,8 @@
 
 const START: Micros = 1_000_000;
 
-fn listed(id: &str, kind: &str, listing: EndpointState) -> Listed {
-    Listed {
+fn listed(id: &str, kind: &str, listing: EndpointState) -> EngineEndpoint {
+    EngineEndpoint {
         member: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -6,7 +6,7 @@
 use pintally::interface::*;
 use pintally_config::NodeSettings;
 use pintally_engine::Step;
-use pintally_host::{Arrival, Command, Final, Host, Input, Listed, Order, Scope};
+use pintally_host::{Arrival, Command, EngineEndpoint, Final, Host, Input, Order, Scope};
 use serde_json::Value;
 
 const SETTINGS: &str = r#"
@@ -26,8 +26,8 @@
 }
 
 /// A list of engines; those that begin with `r` read.
-fn listed(engines: &[&str]) -> Vec<Listed> {
-    let listed = |(n, name): (usize, &&str)| Listed {
+fn listed(engines: &[&str]) -> Vec<EngineEndpoint> {
+    let listed = |(n, name): (usize, &&str)| EngineEndpoint {
         member: Endpoint {
             engine: EngineId((*name).into()),
             zone: "a".into(),
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -8,7 +8,7 @@
 
 use pintally_host::Arrival;
 use pintally_http::{response, HttpError, Request, RequestReader};
-use pintally_kserve::{self as kserve, Ask, Form, Route, DEADLINE_HEADER};
+use pintally_kserve::{self as kserve, Form, InferenceRequest, Route, DEADLINE_HEADER};
 use tracing::debug;
 
 use crate::life::{self, Asked};
@@ -232,7 +232,7 @@
 
 fn work(shared: &Shared, stream: &mut TcpStream, waker: &Arc<Waker>, form: Form, request: &Request) -> bool {
     let settings = &shared.settings;
-    let asked = Ask::parse(form, &request.body, request.headers.get(DEADLINE_HEADER))
+    let asked = InferenceRequest::parse(form, &request.body, request.headers.get(DEADLINE_HEADER))
         .map_err(|e| e.0)
         .and_then(|ask| arrival(shared, form, &ask, request.body.len()).map(|arrival| (ask, arrival)));
     match asked {
@@ -248,7 +248,7 @@
 }
 
 /// What the host is told of a request; an error says which name is not known.
-fn arrival(shared: &Shared, form: Form, ask: &Ask, bytes: usize) -> Result<Arrival, String> {
+fn arrival(shared: &Shared, form: Form, ask: &InferenceRequest, bytes: usize) -> Result<Arrival, String> {
     let core = &shared.settings.core;
     let class = match &ask.class {
         None => None,
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -18,7 +18,7 @@
 use pintally_membership::{
     Member, Membership, MembershipEvent, Output, PeerName, ProcessIncarnation, Settings, Topic,
 };
-use pintally_outlier_detection::{Node, Report};
+use pintally_outlier_detection::{Node, OutlierReport};
 use pintally_quota::{LeaseGrant, LeaseRequest, LimitStatus, PoolStatus, MAX_ENTRIES_PER_MESSAGE};
 use pintally_recovery::{
     self as recovery, Answer, BackupNode, ClassPriority, Recovery, RememberedState, ReservationPublisher,
@@ -627,7 +627,7 @@
         let fact = self.fleet.peers.fact(origin, EVIDENCE);
         let Some(member) = self.fleet.peers.member(origin) else { return };
         let node = Node { name: origin.to_string(), zone: member.zone().to_string() };
-        let report = fact.map(|f| f.payload.clone()).unwrap_or_else(|| Report::default().encode());
+        let report = fact.map(|f| f.payload.clone()).unwrap_or_else(|| OutlierReport::default().encode());
         self.shared.send_input(Input::Evidence(node, report));
     }
 
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -11,7 +11,7 @@
 use pintally::interface::{Attempt, Micros, Outcome, RequestId};
 use pintally_host::{Arrival, Final, Input, Ticket};
 use pintally_http::{chunk, header_line, response, response_head, sse_event, LAST_CHUNK};
-use pintally_kserve::{self as kserve, Ask, Form};
+use pintally_kserve::{self as kserve, Form, InferenceRequest};
 use tracing::debug;
 
 use crate::attempt;
@@ -25,7 +25,7 @@
 
 /// What a client has asked.
 pub(crate) struct Asked {
-    pub(crate) ask: Ask,
+    pub(crate) ask: InferenceRequest,
     pub(crate) form: Form,
     pub(crate) model: String,
     pub(crate) keep_alive: bool,
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::{bounded, Sender};
 use pintally::interface::Micros;
 use pintally_config::RegionSettings;
-use pintally_failover::{Order, Plan, Planner, Status, Word};
+use pintally_failover::{Order, Plan, Planner, Status, ZoneReport};
 use pintally_membership::{Membership, Topic};
 use serde_json::json;
 use tracing::info;
@@ -62,7 +62,8 @@
     /// A node of this zone tells what it sees.
     pub(crate) fn word(&mut self, now: Micros, name: &str, zone: &str, bytes: &[u8]) {
         let zone = self.settings.figures.map.zone(zone);
-        if let (Some(planner), Some(zone), Some(word)) = (&mut self.planner, zone, Word::decode(bytes)) {
+        if let (Some(planner), Some(zone), Some(word)) = (&mut self.planner, zone, ZoneReport::decode(bytes))
+        {
             planner.word(now, name, zone, word);
         }
     }
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -1,9 +1,9 @@
 //! The golden file of those parts of the status documents that a healthy fleet does not show: built values as
 //! the node writes them, and every word for a state.
 
-use pintally_failover::Known;
+use pintally_failover::ZoneHealth;
 use pintally_membership::MemberState;
-use pintally_outlier_detection::{EngineVerdict, Reach};
+use pintally_outlier_detection::{EngineStatus, FaultScope};
 use pintally_quota::PoolStatus;
 use pintally_recovery::Stage;
 use serde::Serialize;
@@ -14,10 +14,10 @@
 
 #[test]
 fn parts_of_status_documents() {
-    let verdict = EngineVerdict {
+    let verdict = EngineStatus {
         engine: "s-1".into(),
         fault: Some("fails"),
-        reach: Some(Reach::Zone("a".into())),
+        reach: Some(FaultScope::Zone("a".into())),
         accusers: vec!["n0".into()],
         clear: vec!["n1".into()],
         step: Some("rests"),
@@ -28,10 +28,16 @@
     let got = [
         line(&verdict),
         line(&pool),
-        line(&[Reach::Link, Reach::Zone("a".into()), Reach::Everyone]),
+        line(&[FaultScope::Link, FaultScope::Zone("a".into()), FaultScope::Everyone]),
         line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
         line(&[Stage::Reading, Stage::Asking, Stage::Careful, Stage::Serving]),
-        line(&[Known::Alive, Known::Grey, Known::Failing, Known::Gone, Known::Unknown]),
+        line(&[
+            ZoneHealth::Alive,
+            ZoneHealth::Grey,
+            ZoneHealth::Failing,
+            ZoneHealth::Gone,
+            ZoneHealth::Unknown,
+        ]),
     ];
     assert_eq!(got.concat(), include_str!("golden/status_parts.jsonl"));
 }
--- a/crates/pintally-kserve/src/ask.rs
+++ b/crates/pintally-kserve/src/ask.rs
@@ -25,7 +25,7 @@
 
 /// What a client asks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct InferenceRequest {
     /// The client's own id of the request.
     pub id: Option<String>,
     /// The prompt.
@@ -66,15 +66,15 @@
     Err(AskError(what.into()))
 }
 
-impl Ask {
+impl InferenceRequest {
     /// Reads a body. `header_ms` is the value of [`DEADLINE_HEADER`], if it came.
-    pub fn parse(form: Form, body: &[u8], header_ms: Option<&str>) -> Result<Ask, AskError> {
+    pub fn parse(form: Form, body: &[u8], header_ms: Option<&str>) -> Result<InferenceRequest, AskError> {
         let value: Value = match serde_json::from_slice(body) {
             Ok(value) => value,
             Err(e) => return wrong(format!("the body is not JSON: {e}")),
         };
         let Value::Object(root) = value else { return wrong("the body must be a JSON object") };
-        let mut ask = Ask { id: name(&root, "id")?, ..Ask::default() };
+        let mut ask = InferenceRequest { id: name(&root, "id")?, ..InferenceRequest::default() };
         ask.prompt = match form {
             Form::Infer => tensor_text(&root)?,
             Form::Generate | Form::Stream => match root.get("text_input") {
@@ -179,15 +179,15 @@
     fn parameters_and_the_shorter_deadline() {
         let body =
             br#"{"id":"a","text_input":"hi","parameters":{"class":"c","session":"s","deadline_ms":900}}"#;
-        let ask = Ask::parse(Form::Generate, body, Some("300")).unwrap();
+        let ask = InferenceRequest::parse(Form::Generate, body, Some("300")).unwrap();
         assert_eq!((ask.class.as_deref(), ask.deadline_ms), (Some("c"), Some(300)));
-        assert_eq!(ask.session, Ask::parse(Form::Stream, body, None).unwrap().session);
+        assert_eq!(ask.session, InferenceRequest::parse(Form::Stream, body, None).unwrap().session);
     }
 
     #[test]
     fn infer_takes_one_text() {
         let body = br#"{"inputs":[{"name":"text_input","shape":[1,1],"datatype":"BYTES","data":[["x"]]}]}"#;
-        assert_eq!(Ask::parse(Form::Infer, body, None).unwrap().prompt, "x");
+        assert_eq!(InferenceRequest::parse(Form::Infer, body, None).unwrap().prompt, "x");
     }
 
     #[test]
@@ -203,7 +203,7 @@
             (r#"{"text_input":"x","parameters":{"deadline_ms":0}}"#, "deadline"),
             (r#"{"text_input":"x","parameters":{"class":[]}}"#, "class"),
         ] {
-            let error = Ask::parse(Form::Generate, body.as_bytes(), None).unwrap_err();
+            let error = InferenceRequest::parse(Form::Generate, body.as_bytes(), None).unwrap_err();
             assert!(error.0.contains(why), "{body}: {error}");
         }
     }
--- a/crates/pintally-kserve/src/lib.rs
+++ b/crates/pintally-kserve/src/lib.rs
@@ -8,5 +8,5 @@
 pub use answer::{
     error, generate_answer, infer_answer, metadata, model_metadata, stream_end, stream_error, stream_part,
 };
-pub use ask::{Ask, AskError, Form, DEADLINE_HEADER};
+pub use ask::{AskError, Form, InferenceRequest, DEADLINE_HEADER};
 pub use route::{route, Route};
--- a/crates/pintally-kserve/tests/golden.rs
+++ b/crates/pintally-kserve/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use pintally_kserve::{
     error, generate_answer, infer_answer, metadata, model_metadata, stream_end, stream_error, stream_part,
-    Ask, Form, DEADLINE_HEADER,
+    Form, InferenceRequest, DEADLINE_HEADER,
 };
 
 fn assert_golden(file: &str, got: &str) {
@@ -34,7 +34,7 @@
     let body = br#"{"id":"a1","text_input":"hi","parameters":{"class":"hint","tenant":"north","session":5,
         "prefix":"somewhere","prefix_tokens":100,"prompt_tokens":200,"max_tokens":64,"deadline_ms":900,
         "resumed":true}}"#;
-    let ask = Ask::parse(Form::Generate, body, Some("800")).expect("a sound body");
+    let ask = InferenceRequest::parse(Form::Generate, body, Some("800")).expect("a sound body");
     assert_eq!((ask.id.as_deref(), ask.prompt.as_str()), (Some("a1"), "hi"));
     assert_eq!((ask.class.as_deref(), ask.tenant.as_deref()), (Some("hint"), Some("north")));
     assert_eq!((ask.session, ask.prefix), (Some(5), Some(6_426_401_579_379_495)));
@@ -60,9 +60,14 @@
         r#"{"text_input":"x","parameters":{"class":[]}}"#,
         r#"{"text_input":"x","parameters":{"resumed":"yes"}}"#,
     ] {
-        let _ = writeln!(got, "{}", Ask::parse(Form::Generate, body.as_bytes(), None).expect_err(body));
+        let _ = writeln!(
+            got,
+            "{}",
+            InferenceRequest::parse(Form::Generate, body.as_bytes(), None).expect_err(body)
+        );
     }
-    let header = Ask::parse(Form::Generate, br#"{"text_input":"x"}"#, Some("soon")).expect_err("a header");
+    let header = InferenceRequest::parse(Form::Generate, br#"{"text_input":"x"}"#, Some("soon"))
+        .expect_err("a header");
     let _ = writeln!(got, "{header}");
     for body in [
         "{}",
@@ -71,7 +76,8 @@
         r#"{"inputs":[{"datatype":"BYTES","shape":[2]}]}"#,
         r#"{"inputs":[{"datatype":"BYTES","shape":[1],"data":[1]}]}"#,
     ] {
-        let _ = writeln!(got, "{}", Ask::parse(Form::Infer, body.as_bytes(), None).expect_err(body));
+        let _ =
+            writeln!(got, "{}", InferenceRequest::parse(Form::Infer, body.as_bytes(), None).expect_err(body));
     }
     assert_golden("request_errors.txt", &got);
 }
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -9,11 +9,11 @@
     Attempt, Endpoint, EndpointState, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
 };
 use pintally_audit::{Answer, EngineFigures, Listed as ListedAs, Record, Step as AuditStep, What};
-use pintally_cells::{CellsFile, Turn};
+use pintally_cells::{CellsFile, MoveCommand};
 use pintally_config::NodeSettings;
 use pintally_emulator::{Fleet, Notice, Place, Refusal, Work, WorkId};
 use pintally_engine::Step;
-use pintally_host::{Arrival, Command, Final, Input, Listed, Order, Ticket};
+use pintally_host::{Arrival, Command, EngineEndpoint, Final, Input, Order, Ticket};
 use pintally_mock_engine::{blocks, emulated, freed_by, tokens, EngineSpec, WIRES};
 use pintally_scenario::{specs, Day, Draft, Source};
 use rand::{RngExt, SeedableRng};
@@ -40,7 +40,7 @@
 
 enum Event {
     /// A client sends a request, for the first time or again.
-    Ask(u64, u32, Rc<Draft>),
+    AdmissionRequest(u64, u32, Rc<Draft>),
     /// A node learns something.
     Tell(usize, Box<Input>),
     /// An attempt reaches its engine.
@@ -239,7 +239,7 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Ask(number, tries, draft) => self.ask(number, tries, draft),
+            Event::AdmissionRequest(number, tries, draft) => self.ask(number, tries, draft),
             Event::Tell(node, input) => self.tell(node, *input),
             Event::Begin(node, order) => self.begin(node, *order),
             Event::Release(node, name, engine) => self.release(node, name, engine),
@@ -329,7 +329,7 @@
             let usual = traffic.retry_wait.as_micros() as Micros;
             let wait = after.filter(|_| one.draft.heeds).unwrap_or(usual);
             if one.tries < traffic.retries {
-                self.at(self.now + HOP + wait, Event::Ask(one.number, one.tries + 1, one.draft));
+                self.at(self.now + HOP + wait, Event::AdmissionRequest(one.number, one.tries + 1, one.draft));
             }
         }
     }
@@ -426,7 +426,7 @@
                 weight: 1.0,
                 started: self.started[n],
             };
-            list.push(Listed {
+            list.push(EngineEndpoint {
                 member,
                 address,
                 cell: spec.cell.as_deref().map(Into::into),
@@ -449,7 +449,7 @@
 
     /// A tenant's move takes a step: a version of the file that nodes see one after the other, the last
     /// of them five seconds after the first.
-    fn turn(&mut self, tenant: &str, turn: Turn) {
+    fn turn(&mut self, tenant: &str, turn: MoveCommand) {
         let unix_ms = UNIX_MS + self.now / 1000;
         // A day's script may end a move before its time; nodes then go on as the file had it.
         let Some(Ok(next)) = self.cells.as_ref().map(|c| c.step(tenant, turn, unix_ms)) else { return };
@@ -656,9 +656,11 @@
             }
             Act::Announce(tenant, cell, over) => {
                 let (to, over_ms) = (vec![cell.as_str().into()], (over / 1000).max(1));
-                self.turn(&tenant, Turn::Begin { to, over_ms });
+                self.turn(&tenant, MoveCommand::Begin { to, over_ms });
+            }
+            Act::Move(tenant, done) => {
+                self.turn(&tenant, if done { MoveCommand::Done } else { MoveCommand::Go })
             }
-            Act::Move(tenant, done) => self.turn(&tenant, if done { Turn::Done } else { Turn::Go }),
             Act::Rate(rate) => self.rate = rate,
             Act::Hot(share) => self.hot = share,
         }
--- a/crates/pintally-outlier-detection/src/evidence.rs
+++ b/crates/pintally-outlier-detection/src/evidence.rs
@@ -2,14 +2,14 @@
 
 use serde::Serialize;
 
-use crate::report::Seen;
+use crate::report::Observation;
 use crate::settings::Settings;
 use crate::witness::Fault;
 use crate::Micros;
 
 /// How far a failure reaches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub enum Reach {
+pub enum FaultScope {
     /// Some nodes' own links: others are well with it.
     Link,
     /// The nodes of this zone.
@@ -30,7 +30,7 @@
 
 impl Word {
     /// As it was told at a time, by this node's clock. What was never seen is told as the greatest age.
-    pub(crate) fn told(now: Micros, seen: &Seen) -> Word {
+    pub(crate) fn told(now: Micros, seen: &Observation) -> Word {
         let at = |age: u16| if age == u16::MAX { 0 } else { now.saturating_sub(u64::from(age) * 10_000) };
         let (bad_at, good_at) = (at(seen.bad_age), at(seen.good_age));
         Word { bad: seen.bad, bad_at, good: seen.good, good_at, fault: seen.fault }
--- a/crates/pintally-outlier-detection/src/report.rs
+++ b/crates/pintally-outlier-detection/src/report.rs
@@ -2,16 +2,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::EngineLife;
+use crate::EngineIncarnation;
 
 /// Engines in one report at the most: it fits into a fact.
-pub const MAX_SEEN: usize = 18;
+pub const MAX_OBSERVATIONS: usize = 18;
 
 /// What a node saw of one engine lately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Which.
-    pub engine: EngineLife,
+    pub engine: EngineIncarnation,
     /// Failures and successes within the memory.
     pub bad: u8,
     /// Successes.
@@ -26,22 +26,22 @@
 
 /// What a node says of engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct OutlierReport {
     /// Engines that failed it, and those that others accuse and that it saw work.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
     /// By zone of engines: how many it used lately, and how many of them fail it.
     pub zones: Vec<(u32, u8, u8)>,
 }
 
-impl Report {
+impl OutlierReport {
     /// As bytes, within the bound of a fact.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Reads a report; nothing if it is none, or too long.
-    pub fn decode(bytes: &[u8]) -> Option<Report> {
-        let report: Report = postcard::from_bytes(bytes).ok()?;
-        (report.seen.len() <= MAX_SEEN && report.zones.len() <= 16).then_some(report)
+    pub fn decode(bytes: &[u8]) -> Option<OutlierReport> {
+        let report: OutlierReport = postcard::from_bytes(bytes).ok()?;
+        (report.seen.len() <= MAX_OBSERVATIONS && report.zones.len() <= 16).then_some(report)
     }
 }
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -59,7 +59,7 @@
 
     /// The longest time for which a verdict outlives all evidence: nobody tries the engine, and it comes
     /// back by itself.
-    pub fn dies_within(&self) -> Micros {
+    pub fn max_ejection_time(&self) -> Micros {
         self.memory + 2 * self.rest_most + 2 * self.step
     }
 }
--- a/crates/pintally-outlier-detection/src/verdicts.rs
+++ b/crates/pintally-outlier-detection/src/verdicts.rs
@@ -5,12 +5,12 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::evidence::{Reach, Word};
-use crate::report::Report;
+use crate::evidence::{FaultScope, Word};
+use crate::report::OutlierReport;
 use crate::settings::Settings;
 use crate::steps::{Step, WayBack};
 use crate::witness::Fault;
-use crate::{EngineLife, Micros};
+use crate::{EngineIncarnation, Micros};
 
 /// Whoever clears an engine weighs as much as so many that accuse it.
 const CLEAR_WEIGHS: usize = 4;
@@ -30,7 +30,7 @@
 
 /// An engine of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedEngine {
     /// Its name.
     pub name: String,
     /// Its kind: engines of a kind are alike.
@@ -39,13 +39,13 @@
 
 /// What is believed of one engine.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct EngineVerdict {
+pub struct EngineStatus {
     /// Its name.
     pub engine: String,
     /// What it does.
     pub fault: Option<&'static str>,
     /// How far that reaches; none if it is on its way back and nobody accuses it now.
-    pub reach: Option<Reach>,
+    pub reach: Option<FaultScope>,
     /// Who says so.
     pub accusers: Vec<String>,
     /// Who says otherwise.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Status {
     /// Engines that anybody accuses, or that are on their way back.
-    pub engines: Vec<EngineVerdict>,
+    pub engines: Vec<EngineStatus>,
     /// Nodes whose failures tell of themselves.
     pub unsound: Vec<String>,
     /// Zones that cannot reach others: whose nodes, and where to, as the number of the engines' zone.
@@ -77,31 +77,31 @@
 struct Told {
     zone: String,
     at: Micros,
-    words: BTreeMap<EngineLife, Word>,
+    words: BTreeMap<EngineIncarnation, Word>,
     zones: Vec<(u32, u8, u8)>,
 }
 
 /// All reports, and what follows from them.
 #[derive(Clone, Debug)]
-pub struct Verdicts {
+pub struct OutlierDetector {
     settings: Settings,
     me: Node,
     told: BTreeMap<String, Told>,
-    engines: BTreeMap<EngineLife, (Listed, u32)>,
+    engines: BTreeMap<EngineIncarnation, (ListedEngine, u32)>,
     here: Vec<Node>,
-    back: BTreeMap<EngineLife, WayBack>,
-    held: BTreeSet<EngineLife>,
+    back: BTreeMap<EngineIncarnation, WayBack>,
+    held: BTreeSet<EngineIncarnation>,
     /// What was cleared by people, and when: older words do not count.
-    cleared: BTreeMap<EngineLife, Micros>,
+    cleared: BTreeMap<EngineIncarnation, Micros>,
     looked: Micros,
     held_s: f64,
     verdicts: u64,
 }
 
-impl Verdicts {
+impl OutlierDetector {
     /// A node that has heard nothing.
-    pub fn new(settings: Settings, me: Node) -> Verdicts {
-        Verdicts {
+    pub fn new(settings: Settings, me: Node) -> OutlierDetector {
+        OutlierDetector {
             settings,
             here: vec![me.clone()],
             me,
@@ -118,7 +118,7 @@
 
     /// The engines that take work, with the number that stands for their zone. Whatever is known of
     /// others, or of former lives, is dropped.
-    pub fn list(&mut self, engines: BTreeMap<EngineLife, (Listed, u32)>) {
+    pub fn list(&mut self, engines: BTreeMap<EngineIncarnation, (ListedEngine, u32)>) {
         self.engines = engines;
         let known = &self.engines;
         self.back.retain(|e, _| known.contains_key(e));
@@ -136,7 +136,7 @@
     }
 
     /// A node's report has come.
-    pub fn report(&mut self, now: Micros, from: &Node, report: &Report) {
+    pub fn report(&mut self, now: Micros, from: &Node, report: &OutlierReport) {
         if self.told.len() >= MAX_NODES && !self.told.contains_key(&from.name) {
             return;
         }
@@ -146,26 +146,26 @@
     }
 
     /// People say that an engine is well: what was said of it so far does not count any more.
-    pub fn clear(&mut self, now: Micros, engine: EngineLife) {
+    pub fn clear(&mut self, now: Micros, engine: EngineIncarnation) {
         self.cleared.insert(engine, now);
         self.back.remove(&engine);
         self.held.remove(&engine);
     }
 
     /// The life of an engine that is listed by this name.
-    pub fn life(&self, name: &str) -> Option<EngineLife> {
+    pub fn life(&self, name: &str) -> Option<EngineIncarnation> {
         self.engines.iter().find(|(_, (l, _))| l.name == name).map(|(life, _)| *life)
     }
 
     /// Engines that somebody accuses: what this node saw of them others want to know.
-    pub fn accused(&self, now: Micros) -> BTreeSet<EngineLife> {
+    pub fn accused(&self, now: Micros) -> BTreeSet<EngineIncarnation> {
         let words = self.told.values().flat_map(|t| &t.words);
         let accused = words.filter(|(_, w)| w.accuses(now, &self.settings)).map(|(e, _)| *e);
         accused.chain(self.back.keys().copied()).collect()
     }
 
     /// Weighs everything anew; the engines to which this node sends nothing.
-    pub fn tick(&mut self, now: Micros) -> &BTreeSet<EngineLife> {
+    pub fn tick(&mut self, now: Micros) -> &BTreeSet<EngineIncarnation> {
         let span = if self.looked == 0 { 0 } else { now.saturating_sub(self.looked) };
         self.looked = now;
         self.held_s += self.held.len() as f64 * span as f64 / 1e6;
@@ -190,7 +190,7 @@
                 self.back.insert(*engine, WayBack::new(now, &self.settings));
             }
         }
-        let words: Vec<(EngineLife, bool, bool)> = self
+        let words: Vec<(EngineIncarnation, bool, bool)> = self
             .back
             .iter()
             .map(|(engine, way)| {
@@ -232,7 +232,7 @@
     fn heard(
         &self,
         now: Micros,
-        engine: EngineLife,
+        engine: EngineIncarnation,
         after: Micros,
         unsound: &BTreeSet<String>,
     ) -> (Vec<(String, Word)>, Vec<String>) {
@@ -256,14 +256,14 @@
     }
 
     /// How far what is said reaches; none if it is too little.
-    fn reach(&self, accusers: &[(String, Word)], clear: &[String]) -> Option<Reach> {
+    fn reach(&self, accusers: &[(String, Word)], clear: &[String]) -> Option<FaultScope> {
         let needed = if self.here.len() < 3 { 1 } else { self.settings.accusers };
         if accusers.is_empty() {
             return None;
         }
         let enough = |accusers: usize, clear: usize| accusers >= needed && accusers >= CLEAR_WEIGHS * clear;
         if enough(accusers.len(), clear.len()) {
-            return Some(Reach::Everyone);
+            return Some(FaultScope::Everyone);
         }
         let zone_of = |name: &str| self.told.get(name).map_or("", |t| t.zone.as_str());
         let zones: BTreeSet<&str> = accusers.iter().map(|(n, _)| zone_of(n)).collect();
@@ -271,30 +271,30 @@
             let there = accusers.iter().filter(|(n, _)| zone_of(n) == zone).count();
             let against = clear.iter().filter(|n| zone_of(n) == zone).count();
             if enough(there, against) {
-                return Some(Reach::Zone(zone.to_string()));
+                return Some(FaultScope::Zone(zone.to_string()));
             }
         }
-        Some(Reach::Link)
+        Some(FaultScope::Link)
     }
 
     /// Whether it is a reason for this node to hold an engine back. Its own link it judges by itself.
-    fn concerns(&self, reach: &Reach) -> bool {
+    fn concerns(&self, reach: &FaultScope) -> bool {
         match reach {
-            Reach::Everyone => true,
-            Reach::Zone(zone) => *zone == self.me.zone,
-            Reach::Link => false,
+            FaultScope::Everyone => true,
+            FaultScope::Zone(zone) => *zone == self.me.zone,
+            FaultScope::Link => false,
         }
     }
 
     /// What is late everywhere is overloaded: no verdict on any of those.
-    fn spare_the_overloaded(&self, sick: &mut BTreeMap<EngineLife, bool>) {
+    fn spare_the_overloaded(&self, sick: &mut BTreeMap<EngineIncarnation, bool>) {
         let mut kinds: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for (engine, (listed, _)) in &self.engines {
             let count = kinds.entry(&listed.kind).or_default();
             count.0 += 1;
             count.1 += usize::from(sick.get(engine) == Some(&true));
         }
-        let kind = |e: &EngineLife| self.engines.get(e).map_or("", |(l, _)| l.kind.as_str());
+        let kind = |e: &EngineIncarnation| self.engines.get(e).map_or("", |(l, _)| l.kind.as_str());
         sick.retain(|engine, late| {
             let (all, lates) = kinds.get(kind(engine)).copied().unwrap_or((1, 0));
             !*late || (lates as f64) < OVERLOAD * all as f64
@@ -303,7 +303,7 @@
 
     /// Which engines this node holds back: by its turn, and never too many of a kind.
     fn hold(&mut self) {
-        let mut wanted: Vec<(Micros, EngineLife)> = Vec::new();
+        let mut wanted: Vec<(Micros, EngineIncarnation)> = Vec::new();
         for (engine, way) in &self.back {
             if self.turn(*engine) >= way.lets_in(self.here.len()) {
                 wanted.push((way.since, *engine));
@@ -328,7 +328,7 @@
     }
 
     /// This node's turn at an engine: all nodes work out the same order, another for each engine.
-    fn turn(&self, engine: EngineLife) -> usize {
+    fn turn(&self, engine: EngineIncarnation) -> usize {
         let rank = |name: &str| {
             let mut bytes = engine.0.to_le_bytes().to_vec();
             bytes.extend_from_slice(name.as_bytes());
@@ -350,7 +350,7 @@
                 continue;
             }
             let last = accusers.iter().max_by_key(|(_, w)| w.bad_at);
-            status.engines.push(EngineVerdict {
+            status.engines.push(EngineStatus {
                 engine: listed.name.clone(),
                 fault: last.and_then(|(_, w)| Fault::of(w.fault)).map(Fault::word),
                 reach: self.reach(&accusers, &clear),
--- a/crates/pintally-outlier-detection/src/witness.rs
+++ b/crates/pintally-outlier-detection/src/witness.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::report::{Report, Seen, MAX_SEEN};
+use crate::report::{Observation, OutlierReport, MAX_OBSERVATIONS};
 use crate::settings::Settings;
-use crate::{EngineLife, Micros};
+use crate::{EngineIncarnation, Micros};
 
 /// How an engine failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,19 +48,19 @@
 
 /// A node's own evidence.
 #[derive(Clone, Debug)]
-pub struct Witness {
+pub struct Observer {
     settings: Settings,
-    counts: BTreeMap<EngineLife, Count>,
+    counts: BTreeMap<EngineIncarnation, Count>,
 }
 
-impl Witness {
+impl Observer {
     /// One that has seen nothing.
-    pub fn new(settings: Settings) -> Witness {
-        Witness { settings, counts: BTreeMap::new() }
+    pub fn new(settings: Settings) -> Observer {
+        Observer { settings, counts: BTreeMap::new() }
     }
 
     /// An attempt has ended well, or by a fault. `zone` stands for the engine's zone.
-    pub fn saw(&mut self, now: Micros, engine: EngineLife, zone: u32, fault: Option<Fault>) {
+    pub fn saw(&mut self, now: Micros, engine: EngineIncarnation, zone: u32, fault: Option<Fault>) {
         let count = self.counts.entry(engine).or_default();
         count.zone = zone;
         match fault {
@@ -82,16 +82,16 @@
     }
 
     /// What it saw of an engine is forgotten.
-    pub fn clear(&mut self, engine: EngineLife) {
+    pub fn clear(&mut self, engine: EngineIncarnation) {
         self.counts.remove(&engine);
     }
 
     /// Its report: engines that fail it, and what it saw of those that `others` accuse.
-    pub fn report(&mut self, now: Micros, others: &BTreeSet<EngineLife>) -> Report {
+    pub fn report(&mut self, now: Micros, others: &BTreeSet<EngineIncarnation>) -> OutlierReport {
         let memory = self.settings.memory;
         self.counts.retain(|_, c| now.saturating_sub(c.bad_at.max(c.good_at)) <= memory);
         let fails = |c: &Count| c.bad_at > c.good_at && now.saturating_sub(c.bad_at) <= memory;
-        let mut report = Report::default();
+        let mut report = OutlierReport::default();
         let mut zones: BTreeMap<u32, (u8, u8)> = BTreeMap::new();
         for count in self.counts.values() {
             let zone = zones.entry(count.zone).or_default();
@@ -101,16 +101,16 @@
         report.zones =
             zones.into_iter().take(16).map(|(zone, (used, failing))| (zone, used, failing)).collect();
         let wanted = self.counts.iter().filter(|(e, c)| fails(c) || others.contains(e));
-        let mut seen: Vec<Seen> = wanted
+        let mut seen: Vec<Observation> = wanted
             .map(|(engine, c)| {
                 let age = |at: Micros| (now.saturating_sub(at) / 10_000).min(u64::from(u16::MAX)) as u16;
                 let (bad_age, good_age) = (age(c.bad_at), age(c.good_at));
-                Seen { engine: *engine, bad: c.bad, good: c.good, bad_age, good_age, fault: c.fault }
+                Observation { engine: *engine, bad: c.bad, good: c.good, bad_age, good_age, fault: c.fault }
             })
             .collect();
         // The freshest failures first, then the freshest words in favour.
         seen.sort_by_key(|s| (s.bad_age.min(s.good_age), s.engine));
-        seen.truncate(MAX_SEEN);
+        seen.truncate(MAX_OBSERVATIONS);
         report.seen = seen;
         report
     }
--- a/crates/pintally-outlier-detection/tests/verdicts.rs
+++ b/crates/pintally-outlier-detection/tests/verdicts.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use pintally_outlier_detection::{
-    EngineLife, Fault, Listed, Micros, Node, Reach, Report, Settings, Verdicts, Witness,
+    EngineIncarnation, Fault, FaultScope, ListedEngine, Micros, Node, Observer, OutlierDetector,
+    OutlierReport, Settings,
 };
 
 const MS: Micros = 1_000;
@@ -13,14 +14,14 @@
     now: Micros,
     settings: Settings,
     nodes: Vec<Node>,
-    witness: Vec<Witness>,
-    verdicts: Vec<Verdicts>,
+    witness: Vec<Observer>,
+    verdicts: Vec<OutlierDetector>,
     /// How an engine fares for a node.
     fares: Box<dyn Fn(Micros, usize, usize) -> Option<Fault>>,
-    engines: Vec<EngineLife>,
+    engines: Vec<EngineIncarnation>,
     zones: Vec<u32>,
     /// Reports on their way.
-    mail: Vec<(Micros, usize, Report)>,
+    mail: Vec<(Micros, usize, OutlierReport)>,
     delay: Micros,
     attempts: Vec<u64>,
     failed: Vec<u64>,
@@ -38,13 +39,13 @@
         let nodes: Vec<Node> = (0..nodes)
             .map(|n| Node { name: format!("n{n}"), zone: if n % 2 == 0 { "a" } else { "b" }.into() })
             .collect();
-        let lives: Vec<EngineLife> =
-            (0..engines).map(|e| EngineLife::of(&format!("e{e}"), "10.0.0.1:1", 7)).collect();
+        let lives: Vec<EngineIncarnation> =
+            (0..engines).map(|e| EngineIncarnation::of(&format!("e{e}"), "10.0.0.1:1", 7)).collect();
         let mut fleet = Fleet {
             now: 1_000 * MS,
             settings,
-            witness: nodes.iter().map(|_| Witness::new(settings)).collect(),
-            verdicts: nodes.iter().map(|n| Verdicts::new(settings, n.clone())).collect(),
+            witness: nodes.iter().map(|_| Observer::new(settings)).collect(),
+            verdicts: nodes.iter().map(|n| OutlierDetector::new(settings, n.clone())).collect(),
             nodes,
             fares: Box::new(fares),
             zones: (0..engines).map(|e| (e % 2) as u32).collect(),
@@ -63,9 +64,9 @@
     }
 
     fn list(&mut self) {
-        let list: BTreeMap<EngineLife, (Listed, u32)> = (0..self.engines.len())
+        let list: BTreeMap<EngineIncarnation, (ListedEngine, u32)> = (0..self.engines.len())
             .map(|e| {
-                let listed = Listed { name: format!("e{e}"), kind: "decode".into() };
+                let listed = ListedEngine { name: format!("e{e}"), kind: "decode".into() };
                 (self.engines[e], (listed, self.zones[e]))
             })
             .collect();
@@ -79,10 +80,10 @@
             let accused = self.verdicts[n].accused(now);
             let report = self.witness[n].report(now, &accused);
             assert!(report.encode().len() <= 400, "a report fits into a fact");
-            let (own, report) = (self.nodes[n].clone(), Report::decode(&report.encode()).unwrap());
+            let (own, report) = (self.nodes[n].clone(), OutlierReport::decode(&report.encode()).unwrap());
             self.verdicts[n].report(now, &own, &report);
             self.mail.push((now + self.delay, n, report));
-            let held: BTreeSet<EngineLife> = self.verdicts[n].tick(now).clone();
+            let held: BTreeSet<EngineIncarnation> = self.verdicts[n].tick(now).clone();
             for e in (0..self.engines.len()).filter(|e| !held.contains(&self.engines[*e])) {
                 let fault = (self.fares)(now, n, e);
                 self.attempts[e] += 1;
@@ -93,7 +94,7 @@
         }
         let (due, later) = std::mem::take(&mut self.mail).into_iter().partition(|m| m.0 <= now);
         self.mail = later;
-        let due: Vec<(Micros, usize, Report)> = due;
+        let due: Vec<(Micros, usize, OutlierReport)> = due;
         for (_, from, report) in due {
             let node = self.nodes[from].clone();
             for (n, v) in self.verdicts.iter_mut().enumerate().filter(|(n, _)| *n != from) {
@@ -113,7 +114,7 @@
         self.verdicts.iter_mut().filter_map(|v| v.tick(now).contains(&life).then_some(())).count()
     }
 
-    fn reach(&self, n: usize, e: usize) -> Option<Reach> {
+    fn reach(&self, n: usize, e: usize) -> Option<FaultScope> {
         let status = self.verdicts[n].status(self.now);
         status.engines.iter().find(|x| x.engine == format!("e{e}")).and_then(|x| x.reach.clone())
     }
@@ -126,7 +127,7 @@
         fleet.delay = 200 * MS;
         fleet.run(900);
         assert_eq!(fleet.held(3), nodes, "{nodes} nodes");
-        assert_eq!(fleet.reach(0, 3), Some(Reach::Everyone));
+        assert_eq!(fleet.reach(0, 3), Some(FaultScope::Everyone));
         assert_eq!((0..8).filter(|e| fleet.held(*e) > 0).count(), 1, "and no other is held back");
     }
 }
@@ -164,7 +165,7 @@
     let mut fleet = Fleet::new(5, 8, |_, n, e| (n == 4 && e == 1).then_some(Fault::Broke));
     fleet.run(5_000);
     assert_eq!(fleet.held(1), 0);
-    assert_eq!(fleet.reach(0, 1), Some(Reach::Link));
+    assert_eq!(fleet.reach(0, 1), Some(FaultScope::Link));
     // It is cut off from all of them.
     let mut fleet = Fleet::new(5, 8, |_, n, _| (n == 4).then_some(Fault::Unreachable));
     fleet.run(5_000);
@@ -189,7 +190,7 @@
     let (now, life) = (fleet.now, fleet.engines[5]);
     let holds: Vec<bool> = fleet.verdicts.iter_mut().map(|v| v.tick(now).contains(&life)).collect();
     assert!((0..8).all(|n| n % 2 == 0 || !holds[n]), "{holds:?}");
-    assert_eq!(fleet.reach(1, 5), Some(Reach::Zone("a".into())));
+    assert_eq!(fleet.reach(1, 5), Some(FaultScope::Zone("a".into())));
 }
 
 #[test]
@@ -208,7 +209,7 @@
     let mut fleet = Fleet::new(6, 10, |_, n, e| (e < 7 && n > 0).then_some(Fault::Broke));
     // Each node uses few engines, so that nobody looks cut off.
     fleet.settings.own = 1.0;
-    fleet.verdicts = fleet.nodes.iter().map(|n| Verdicts::new(fleet.settings, n.clone())).collect();
+    fleet.verdicts = fleet.nodes.iter().map(|n| OutlierDetector::new(fleet.settings, n.clone())).collect();
     fleet.list();
     let all = fleet.nodes.clone();
     fleet.verdicts.iter_mut().for_each(|v| v.nodes(all.clone()));
@@ -226,7 +227,7 @@
         let mut fleet = Fleet::new(5, 6, |now, _, e| (e == 0 && now < 3_000 * MS).then_some(Fault::Broke));
         fleet.delay = 600 * MS;
         fleet.run(1_950);
-        fleet.engines[0] = EngineLife::of("e0", "10.0.0.1:1", started);
+        fleet.engines[0] = EngineIncarnation::of("e0", "10.0.0.1:1", started);
         fleet.list();
         fleet.run(400);
         (0..12)
@@ -247,7 +248,7 @@
     fleet.run(900);
     assert_eq!(fleet.held(0), 4);
     // Nobody has anything to send any more.
-    let bound = fleet.settings.dies_within();
+    let bound = fleet.settings.max_ejection_time();
     let until = fleet.now + bound;
     while fleet.now < until {
         fleet.now += TICK;
@@ -285,9 +286,9 @@
 
 #[test]
 fn garbled_reports_and_figures_are_refused() {
-    assert!(Report::decode(&[255; 30]).is_none());
-    let long = Report { zones: vec![(1, 1, 1); 40], ..Report::default() };
-    assert!(Report::decode(&long.encode()).is_none());
+    assert!(OutlierReport::decode(&[255; 30]).is_none());
+    let long = OutlierReport { zones: vec![(1, 1, 1); 40], ..OutlierReport::default() };
+    assert!(OutlierReport::decode(&long.encode()).is_none());
     assert!(Settings::default().check().is_ok());
     assert!(Settings { strikes: 0, ..Settings::default() }.check().is_err());
     assert!(Settings { rest: 0, ..Settings::default() }.check().is_err());
--- a/crates/pintally-platform-node/src/list.rs
+++ b/crates/pintally-platform-node/src/list.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
-use pintally_host::{Input, Listed};
+use pintally_host::{EngineEndpoint, Input};
 use pintally_http::{Part, ResponseReader};
 use pintally_platform::{watch, Follower, Lines, List, Taken, MAX_HEAD};
 
@@ -135,7 +135,7 @@
         }
     }
 
-    fn list(&mut self, form: ListUpdate, members: Vec<Listed>) {
+    fn list(&mut self, form: ListUpdate, members: Vec<EngineEndpoint>) {
         self.feed(Input::List(form, members));
         // Guards against a send that outlives the word of a drain while it waits for its connection.
         let waiting: Vec<Key> = self
--- a/crates/pintally-platform-node/src/starts.rs
+++ b/crates/pintally-platform-node/src/starts.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 use pintally::interface::{EngineId, Micros};
-use pintally_host::Listed;
+use pintally_host::EngineEndpoint;
 
 /// Lists tell of a start with so much delay at the most.
 const LIST_DELAY_MAX: Micros = 15_000_000;
@@ -39,7 +39,7 @@
 impl Starts {
     /// Puts the starts of a list into the node's own time. `word_before` is when discovery was last heard in this
     /// process, before this list.
-    pub(crate) fn take(&mut self, now: Micros, word_before: Option<Micros>, list: &mut [Listed]) {
+    pub(crate) fn take(&mut self, now: Micros, word_before: Option<Micros>, list: &mut [EngineEndpoint]) {
         let newest = list.iter().filter_map(|one| one.member.started).max();
         if let Some(newest) = newest.filter(|newest| self.corrected(*newest) > now) {
             self.set_correction(now, newest);
--- a/crates/pintally-platform-node/src/starts/tests.rs
+++ b/crates/pintally-platform-node/src/starts/tests.rs
@@ -9,8 +9,8 @@
 /// The time that all machines share, at each test's beginning.
 const TRUE_TIME: Micros = 1_000 * HOUR;
 
-fn listed(id: &str, started: Micros) -> Listed {
-    Listed {
+fn listed(id: &str, started: Micros) -> EngineEndpoint {
+    EngineEndpoint {
         member: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
@@ -28,7 +28,7 @@
 
 /// Ages of the engines of a list, in seconds, at a node whose clock is off by so much.
 fn ages(starts: &mut Starts, now: Micros, before: Option<Micros>, list: &[(&str, Micros)]) -> Vec<u64> {
-    let mut list: Vec<Listed> = list.iter().map(|(id, at)| listed(id, *at)).collect();
+    let mut list: Vec<EngineEndpoint> = list.iter().map(|(id, at)| listed(id, *at)).collect();
     starts.take(now, before, &mut list);
     list.iter().map(|one| (now - one.member.started.expect("it is told")) / SECOND).collect()
 }
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pintally::interface::ListUpdate;
-use pintally_host::Listed;
+use pintally_host::EngineEndpoint;
 use pintally_wire::Entry;
 use serde::Deserialize;
 use serde_json::Value;
@@ -42,7 +42,7 @@
     /// Whether it is the whole list.
     pub complete: bool,
     /// Its entries.
-    pub members: Vec<Listed>,
+    pub members: Vec<EngineEndpoint>,
 }
 
 impl List {
@@ -74,7 +74,7 @@
                 // The node's clock counts from the same beginning as the platform's.
                 started: m.up_since_ms.filter(|ms| ms.is_finite()).map(|ms| (ms.max(0.0) * 1e3) as u64),
             };
-            members.push(Listed {
+            members.push(EngineEndpoint {
                 member: entry.member(),
                 address: m.host_port,
                 cell: None,
@@ -95,7 +95,7 @@
     /// It contradicts itself.
     InvalidConfiguration(&'static str),
     /// These entries are to be taken.
-    Holds(ListUpdate, Vec<Listed>),
+    Holds(ListUpdate, Vec<EngineEndpoint>),
 }
 
 /// The version that holds.
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -13,7 +13,7 @@
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
 use pintally_engine::{release, work, AttemptReader, Progress, Step, Work};
 use pintally_http::{chunk, response, response_head, sse_event, RequestReader, LAST_CHUNK};
-use pintally_kserve::{generate_answer, stream_end, stream_part, Ask, Form};
+use pintally_kserve::{generate_answer, stream_end, stream_part, Form, InferenceRequest};
 use pintally_scenario::{run_steady, Day, Running};
 use serde_json::Value;
 
@@ -108,7 +108,7 @@
 
     fn attempt(
         &self,
-        ask: &Ask,
+        ask: &InferenceRequest,
         id: &str,
         n: u32,
         step: Step,
@@ -153,7 +153,7 @@
             }
         };
         let streamed = request.target.ends_with("_stream");
-        let Ok(ask) = Ask::parse(Form::Generate, &request.body, None) else { return };
+        let Ok(ask) = InferenceRequest::parse(Form::Generate, &request.body, None) else { return };
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{serial}", self.settings.name);
         let every_fifth = serial % 5 == 4;
@@ -201,7 +201,7 @@
     }
 
     /// Read and write; whatever state is left is let go, but for the fault that forgets.
-    fn whole(&self, ask: &Ask, id: &str, n: u32) -> Option<(Outcome, String)> {
+    fn whole(&self, ask: &InferenceRequest, id: &str, n: u32) -> Option<(Outcome, String)> {
         let reader = self.pick("prefill")?;
         let (outcome, _, state) = self.attempt(ask, id, n, Step::Read, &reader, None)?;
         if outcome != Outcome::Read {
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes: their lives, what they are told, and what they command.
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, ListUpdate, Outcome};
-use pintally_host::{Command, Host, Input, Listed, Scope, Ticket};
+use pintally_host::{Command, EngineEndpoint, Host, Input, Scope, Ticket};
 use rand::RngExt;
 
 use crate::check::Place;
@@ -149,7 +149,7 @@
             if listing == EndpointState::Gone {
                 continue;
             }
-            members.push(Listed {
+            members.push(EngineEndpoint {
                 member: Endpoint {
                     engine: engine_id(n),
                     zone: format!("z{}", engine.zone),
