--- a/crates/pintally-audit/src/index.rs
+++ b/crates/pintally-audit/src/index.rs
@@ -200,7 +200,7 @@
 
     pub(crate) fn effect(&self, class: &str) -> Idempotency {
         // A class without a name is handled as one that must not run twice.
-        self.figures.classes.iter().find(|c| c.name == class).map_or(Idempotency::Unsafe, |c| c.effect)
+        self.figures.classes.iter().find(|c| c.name == class).map_or(Idempotency::NotIdempotent, |c| c.effect)
     }
 
     pub(crate) fn engine(&self, name: &str) -> Option<&EngineFigures> {
--- a/crates/pintally-audit/src/record.rs
+++ b/crates/pintally-audit/src/record.rs
@@ -103,9 +103,12 @@
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
 pub enum Idempotency {
-    Safe,
-    Keyed { group: IdempotencyScope, window_us: u64 },
-    Unsafe,
+    #[serde(rename = "safe")]
+    Idempotent,
+    #[serde(rename = "keyed")]
+    WithKey { group: IdempotencyScope, window_us: u64 },
+    #[serde(rename = "unsafe")]
+    NotIdempotent,
 }
 
 /// The part of the fleet that drops repeats.
--- a/crates/pintally-audit/src/twice.rs
+++ b/crates/pintally-audit/src/twice.rs
@@ -7,23 +7,23 @@
     let mut found = Vec::new();
     for t in index.tries.values() {
         let effect = index.effect(t.class);
-        if effect == Idempotency::Safe {
+        if effect == Idempotency::Idempotent {
             continue;
         }
         // A read has no effect, however it ends; what an engine turned away or never got has not run.
         let works = index.by_request.get(t.request).into_iter().flatten().map(|i| &index.works[*i]);
         let may_have_run: Vec<&Work> = works.filter(|w| w.step != Step::Read && !w.turned_away).collect();
         let Some(first) = may_have_run.first() else { continue };
-        if may_have_run.iter().filter(|w| w.ran).count() > 1 && effect == Idempotency::Unsafe {
+        if may_have_run.iter().filter(|w| w.ran).count() > 1 && effect == Idempotency::NotIdempotent {
             found.push(format!("request {} of class {} ran twice", t.request, t.class));
         }
         for later in &may_have_run[1..] {
             match effect {
-                Idempotency::Unsafe => found.push(format!(
+                Idempotency::NotIdempotent => found.push(format!(
                     "request {} was sent to {} though it may have run at {}",
                     t.request, later.engine, first.engine
                 )),
-                Idempotency::Keyed { group, window_us } => {
+                Idempotency::WithKey { group, window_us } => {
                     if !same_group(index, group, first.engine, later.engine) {
                         found.push(format!(
                             "request {} was repeated at {}, outside the group of {}",
@@ -34,11 +34,11 @@
                         found.push(format!("request {} was repeated after its window", t.request));
                     }
                 }
-                Idempotency::Safe => {}
+                Idempotency::Idempotent => {}
             }
         }
         let refused = t.answers.iter().any(|a| a.1 == Answer::Refused);
-        let harmless = matches!(effect, Idempotency::Keyed { group: IdempotencyScope::All, .. });
+        let harmless = matches!(effect, Idempotency::WithKey { group: IdempotencyScope::All, .. });
         if refused && !harmless {
             found.push(format!("request {} was refused though it may have run", t.request));
         }
--- a/crates/pintally-audit/tests/rules.rs
+++ b/crates/pintally-audit/tests/rules.rs
@@ -9,7 +9,7 @@
         drain_grace_us: SECOND,
         release_within_us: SECOND / 2,
         slack_us: 0,
-        classes: vec![ClassFigures { name: "safe".into(), effect: Idempotency::Safe }],
+        classes: vec![ClassFigures { name: "safe".into(), effect: Idempotency::Idempotent }],
         engines: Vec::new(),
     })
 }
--- a/crates/pintally-audit/tests/stood.rs
+++ b/crates/pintally-audit/tests/stood.rs
@@ -7,7 +7,7 @@
         drain_grace_us: 1_000_000,
         release_within_us: 500_000,
         slack_us: 100_000,
-        classes: vec![ClassFigures { name: "hint".into(), effect: Idempotency::Safe }],
+        classes: vec![ClassFigures { name: "hint".into(), effect: Idempotency::Idempotent }],
         engines: Vec::new(),
     };
     let mut all = vec![Record { at: 0, what: What::Figures(figures) }];
--- a/crates/pintally-bench-adapter/src/wire.rs
+++ b/crates/pintally-bench-adapter/src/wire.rs
@@ -207,15 +207,15 @@
     Some(match message {
         Incoming::Update { form, hosts, .. } => {
             let form = match form {
-                Form::Update => ListUpdate::Change,
+                Form::Update => ListUpdate::Delta,
                 Form::Replace | Form::Restored => ListUpdate::Full,
                 Form::Unavailable => ListUpdate::Failed,
             };
-            Event::Members(form, hosts.unwrap_or_default().into_iter().map(member).collect())
+            Event::EndpointList(form, hosts.unwrap_or_default().into_iter().map(member).collect())
         }
-        Incoming::Demand(d) => Event::Arrived(request(names, *d)),
+        Incoming::Demand(d) => Event::RequestArrived(request(names, *d)),
         Incoming::HeadReceived { txn, r#try, .. } => Event::FirstToken(request_id(&txn), r#try),
-        Incoming::Ended(e) => Event::AttemptEnd(AttemptEnd {
+        Incoming::Ended(e) => Event::AttemptEnded(AttemptEnd {
             id: request_id(&e.txn),
             attempt: e.r#try,
             outcome: outcome(e.state_code, e.detail)?,
@@ -223,15 +223,15 @@
             kept: count(e.detail),
             load: e.feedback.map(|row| names.load(&row)),
         }),
-        Incoming::Withdrawn { txn, .. } => Event::Withdrawn(request_id(&txn)),
-        Incoming::Elapsed { r#ref, .. } => Event::Elapsed(match r#ref.as_str() {
-            "sweep" => Timer::Sweep,
-            "watch" => Timer::Watch,
+        Incoming::Withdrawn { txn, .. } => Event::ClientLeft(request_id(&txn)),
+        Incoming::Elapsed { r#ref, .. } => Event::TimerFired(match r#ref.as_str() {
+            "sweep" => Timer::DispatchPending,
+            "watch" => Timer::Maintenance,
             _ => return None,
         }),
         Incoming::StatusBack { state_code, engine, feedback, .. } => {
             let load = feedback.map(|row| names.load(&row));
-            Event::Probed(EngineId(engine.into()), state_code == 0, load)
+            Event::HealthChecked(EngineId(engine.into()), state_code == 0, load)
         }
         _ => return None,
     })
@@ -275,11 +275,11 @@
         0 => Outcome::Served,
         100 => Outcome::Read,
         255 => Outcome::Error,
-        254 if count(detail) == 1 => Outcome::NoState,
-        254 => Outcome::Full,
+        254 if count(detail) == 1 => Outcome::StateNotFound,
+        254 => Outcome::Overloaded,
         253 => Outcome::TimedOut,
         252 => Outcome::Unreachable,
-        251 => Outcome::Broken,
+        251 => Outcome::ConnectionBroken,
         250 => Outcome::Cancelled,
         249 => Outcome::NeverSent,
         _ => return None,
@@ -292,21 +292,21 @@
         Action::Send(id, engine, timeout) => {
             Outgoing::Issue { node, txn: id.into(), engine: engine.into(), timeout: seconds(timeout) }
         }
-        Action::Refuse(id, pause) => {
+        Action::Reject(id, pause) => {
             Outgoing::OverloadReply { node, txn: id.into(), pause: pause.map(seconds) }
         }
         Action::Fail(id) => Outgoing::ReportFailure { node, txn: id.into() },
         Action::Cancel(id, attempt) => Outgoing::Abandon { node, txn: id.into(), r#try: attempt },
         Action::Release(id) => Outgoing::Release { node, txn: id.into() },
-        Action::Probe(engine) => Outgoing::Ping { node, engine: engine.into() },
-        Action::Wake(timer, after) => {
+        Action::HealthCheck(engine) => Outgoing::Ping { node, engine: engine.into() },
+        Action::SetTimer(timer, after) => {
             let name = match timer {
-                Timer::Sweep => "sweep",
-                Timer::Watch => "watch",
+                Timer::DispatchPending => "sweep",
+                Timer::Maintenance => "watch",
             };
             Outgoing::Timer { node, from_now: seconds(after), r#ref: name }
         }
-        Action::Follow => Outgoing::Follow { node, enable: true },
+        Action::Subscribe => Outgoing::Follow { node, enable: true },
         Action::Log(reason_text) => Outgoing::SayLog { node, reason_text },
     }
 }
--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -112,7 +112,7 @@
             places,
             room: (room as f64 * HELD) as usize,
             worths,
-            safe: core.classes.iter().map(|c| c.effect == Idempotency::Safe).collect(),
+            safe: core.classes.iter().map(|c| c.effect == Idempotency::Idempotent).collect(),
             trust: Trust::default(),
             strain: Strain::default(),
             pace: MoveRateController::default(),
--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -275,7 +275,7 @@
             return Ok(());
         }
         let narrow = |c: &&pintally::interface::Class| {
-            matches!(c.effect, Idempotency::Keyed(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
+            matches!(c.effect, Idempotency::WithKey(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
         };
         match core.classes.iter().find(narrow) {
             None => Ok(()),
--- a/crates/pintally-cells/src/trust.rs
+++ b/crates/pintally-cells/src/trust.rs
@@ -122,7 +122,7 @@
         let one = match outcome {
             Outcome::Served | Outcome::Read => Ends { good: 1.0, ..Ends::default() },
             Outcome::Error => Ends { failed: 1.0, ..Ends::default() },
-            Outcome::Broken | Outcome::Unreachable => Ends { cut: 1.0, ..Ends::default() },
+            Outcome::ConnectionBroken | Outcome::Unreachable => Ends { cut: 1.0, ..Ends::default() },
             // Too late from an engine that had room is its fault. Where it was full, or says nothing
             // of its load, it may be ours: a flood must not pass for a bad release.
             Outcome::TimedOut if seen.full == Some(false) => Ends { failed: 1.0, ..Ends::default() },
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -14,7 +14,7 @@
     let tenant = |n: &&str| Tenant { name: n.to_string(), quota_per_s: 0.0 };
     let class = |name: &str, worth: f64| Class {
         name: name.into(),
-        effect: Idempotency::Safe,
+        effect: Idempotency::Idempotent,
         aim: 1_000_000,
         aim_per_1000_tokens: 0,
         token_aim: 0,
@@ -28,7 +28,7 @@
         classes: vec![class("low", 1.0), class("mid", 2.0), class("high", 3.0)],
         tenants: tenants.iter().map(tenant).collect(),
         kinds: Vec::new(),
-        discovery: DiscoveryMode::Pushed,
+        discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
@@ -169,7 +169,7 @@
     let homeless = FILE.replace("(weight 1)", "(weight 0)");
     assert!(CellsFile::parse("cells", &homeless, &core).unwrap_err().what.contains("in no cell"));
     let mut keyed = core.clone();
-    keyed.classes[0].effect = Idempotency::Keyed(IdempotencyScope::Zone, 1_000_000);
+    keyed.classes[0].effect = Idempotency::WithKey(IdempotencyScope::Zone, 1_000_000);
     let error = CellsFile::parse("cells", FILE, &keyed).unwrap_err();
     assert!(error.rule.is_some_and(|r| r.contains("twice")), "{error}");
 }
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -66,7 +66,7 @@
         let at = n * 10_000;
         trust.ended(at, &id("full"), Some(n as usize % 2), Outcome::TimedOut, Some(&full()));
         trust.ended(at, &id("mute"), Some(n as usize % 2), Outcome::TimedOut, None);
-        for outcome in [Outcome::Full, Outcome::NoState, Outcome::Cancelled, Outcome::NeverSent] {
+        for outcome in [Outcome::Overloaded, Outcome::StateNotFound, Outcome::Cancelled, Outcome::NeverSent] {
             trust.ended(at, &id("busy"), Some(0), outcome, None);
         }
         trust.ended(at, &id("idle"), Some(n as usize % 2), Outcome::TimedOut, Some(&idle()));
@@ -82,7 +82,7 @@
     let (mut trust, engine, mut now) = (Trust::default(), id("e"), 0);
     let mut spans = Vec::new();
     for _ in 0..4 {
-        (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::Broken, None));
+        (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
         assert!(trust.is_failing(&engine));
         let began = now;
         while trust.is_failing(&engine) {
@@ -95,7 +95,7 @@
     // Twenty good ends in a row, and it begins anew.
     (0..20).for_each(|_| trust.ended(now, &engine, None, Outcome::Served, None));
     now += 100 * SECOND;
-    (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::Broken, None));
+    (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
     let began = now;
     while trust.is_failing(&engine) {
         now += SECOND;
@@ -374,7 +374,7 @@
             trust.ended(0, &id(name), None, Outcome::Unreachable, None);
         }
         trust.listed(&id(name), Some(1));
-        (0..40).for_each(|_| trust.ended(0, &id(name), None, Outcome::Broken, None));
+        (0..40).for_each(|_| trust.ended(0, &id(name), None, Outcome::ConnectionBroken, None));
         assert_eq!(trust.weight(0, &id(name)), 0.0);
     }
     trust.reached(1, &id("cut"));
--- a/crates/pintally-cells/tests/golden.rs
+++ b/crates/pintally-cells/tests/golden.rs
@@ -14,7 +14,7 @@
         classes: Vec::new(),
         tenants: ["t", "u", "v\"w", "x"].map(tenant).to_vec(),
         kinds: Vec::new(),
-        discovery: DiscoveryMode::Pushed,
+        discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -44,7 +44,7 @@
             ),
         ));
     }
-    if let Idempotency::Keyed(_, window) = class.effect {
+    if let Idempotency::WithKey(_, window) = class.effect {
         if core.max_attempts > 1 && window < more.patience {
             return Err(form.breaks(
                 TWICE,
--- a/crates/pintally-config/src/settings.rs
+++ b/crates/pintally-config/src/settings.rs
@@ -260,7 +260,7 @@
         classes: Vec::new(),
         tenants: Vec::new(),
         kinds: Vec::new(),
-        discovery: DiscoveryMode::Pushed,
+        discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
@@ -295,12 +295,12 @@
     let ms = |span: Micros| span as f64 / 1e3;
     let reports = match s.reports {
         LoadReporting::Inline => "inline",
-        LoadReporting::OnProbe => "on-probe",
+        LoadReporting::OnHealthCheck => "on-probe",
         LoadReporting::Off => "off",
     };
     s.reports = match form.text_or("reports", reports)?.as_str() {
         "inline" => LoadReporting::Inline,
-        "on-probe" => LoadReporting::OnProbe,
+        "on-probe" => LoadReporting::OnHealthCheck,
         "off" => LoadReporting::Off,
         other => return Err(form.error(format!("`reports` is `{other}`, not inline, on-probe or off"))),
     };
@@ -331,11 +331,11 @@
             "rack" => IdempotencyScope::Rack,
             other => return Err(f.error(format!("`group` is `{other}`, not all, zone or rack"))),
         };
-        Ok(Idempotency::Keyed(group, f.millis_or("window-ms", 0.0, 1.0, 86_400_000.0)?))
+        Ok(Idempotency::WithKey(group, f.millis_or("window-ms", 0.0, 1.0, 86_400_000.0)?))
     };
     let effect_value = match kind.as_str() {
-        "safe" => Idempotency::Safe,
-        "unsafe" => Idempotency::Unsafe,
+        "safe" => Idempotency::Idempotent,
+        "unsafe" => Idempotency::NotIdempotent,
         "keyed" => keyed(&effect)?,
         other => return Err(effect.error(format!("`effect` is `{other}`, not safe, keyed or unsafe"))),
     };
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -46,8 +46,8 @@
 #[test]
 fn rules_form() {
     let core = read("node.sexp").core;
-    assert!(matches!(core.reports, LoadReporting::OnProbe));
-    assert!(matches!(core.discovery, DiscoveryMode::Pushed));
+    assert!(matches!(core.reports, LoadReporting::OnHealthCheck));
+    assert!(matches!(core.discovery, DiscoveryMode::Push));
     assert_eq!(
         (core.weights, core.writers_read, core.may_cancel, core.may_probe),
         (false, true, false, false)
@@ -70,11 +70,11 @@
     assert_eq!((hint.worth, hint.late_share), (2.5, 0.2));
     assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (4_000_000, 128));
     let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.effect).collect();
-    assert!(matches!(effects[0], Idempotency::Safe));
-    assert!(matches!(effects[1], Idempotency::Keyed(IdempotencyScope::All, 9_001_000)));
-    assert!(matches!(effects[2], Idempotency::Keyed(IdempotencyScope::Zone, 9_002_000)));
-    assert!(matches!(effects[3], Idempotency::Keyed(IdempotencyScope::Rack, 9_003_000)));
-    assert!(matches!(effects[4], Idempotency::Unsafe));
+    assert!(matches!(effects[0], Idempotency::Idempotent));
+    assert!(matches!(effects[1], Idempotency::WithKey(IdempotencyScope::All, 9_001_000)));
+    assert!(matches!(effects[2], Idempotency::WithKey(IdempotencyScope::Zone, 9_002_000)));
+    assert!(matches!(effects[3], Idempotency::WithKey(IdempotencyScope::Rack, 9_003_000)));
+    assert!(matches!(effects[4], Idempotency::NotIdempotent));
     let tenants: Vec<_> = s.core.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
     assert_eq!(tenants, [("north", 12.5), ("south", 0.0)]);
     let kinds: Vec<_> = s.core.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
--- a/crates/pintally-engine/src/answer.rs
+++ b/crates/pintally-engine/src/answer.rs
@@ -73,7 +73,7 @@
             match self.response.next_part() {
                 Ok(Some(part)) => self.part(part, out),
                 Ok(None) => return,
-                Err(_) => self.end(Outcome::Broken, None, false, out),
+                Err(_) => self.end(Outcome::ConnectionBroken, None, false, out),
             }
         }
     }
@@ -85,7 +85,7 @@
         }
         match self.response.closed() {
             Ok(part) => self.part(part, out),
-            Err(_) => self.end(Outcome::Broken, None, false, out),
+            Err(_) => self.end(Outcome::ConnectionBroken, None, false, out),
         }
     }
 
@@ -99,7 +99,7 @@
             Part::Body(bytes) if self.status == 200 && self.step != Step::Read => self.events(&bytes, out),
             Part::Body(bytes) => {
                 if self.body.len() + bytes.len() > MAX_BODY {
-                    return self.end(Outcome::Broken, None, false, out);
+                    return self.end(Outcome::ConnectionBroken, None, false, out);
                 }
                 self.body.extend_from_slice(&bytes);
             }
@@ -109,7 +109,7 @@
 
     fn events(&mut self, bytes: &[u8], out: &mut Vec<Progress>) {
         if self.sse.push(bytes).is_err() {
-            return self.end(Outcome::Broken, None, false, out);
+            return self.end(Outcome::ConnectionBroken, None, false, out);
         }
         while let Some(event) = self.sse.next_event() {
             if event == b"[DONE]" {
@@ -117,7 +117,7 @@
                 continue;
             }
             let Ok(json) = serde_json::from_slice::<Value>(&event) else {
-                return self.end(Outcome::Broken, None, false, out);
+                return self.end(Outcome::ConnectionBroken, None, false, out);
             };
             if json.get("error").is_some() {
                 return self.end(Outcome::Error, None, false, out);
@@ -140,7 +140,7 @@
     fn finish(&mut self, reusable: bool, out: &mut Vec<Progress>) {
         if self.status == 200 && self.step != Step::Read {
             // A stream that ends without its last event was cut off, however tidy its end looks.
-            let outcome = if self.whole { Outcome::Served } else { Outcome::Broken };
+            let outcome = if self.whole { Outcome::Served } else { Outcome::ConnectionBroken };
             return self.end(outcome, None, reusable && self.whole, out);
         }
         let json: Value = serde_json::from_slice(&self.body).unwrap_or(Value::Null);
@@ -204,10 +204,16 @@
             outcome(Step::Both, &stream(&[text, end, "[DONE]"]), false),
             ("abc".into(), Outcome::Served)
         );
-        assert_eq!(outcome(Step::Both, &stream(&[text, end]), false), ("abc".into(), Outcome::Broken));
-        assert_eq!(outcome(Step::Fetch, &stream(&[text, "[DONE]"]), false), ("ab".into(), Outcome::Broken));
+        assert_eq!(
+            outcome(Step::Both, &stream(&[text, end]), false),
+            ("abc".into(), Outcome::ConnectionBroken)
+        );
+        assert_eq!(
+            outcome(Step::Fetch, &stream(&[text, "[DONE]"]), false),
+            ("ab".into(), Outcome::ConnectionBroken)
+        );
         let cut = &stream(&[text, end, "[DONE]"]);
-        assert_eq!(outcome(Step::Fetch, &cut[..cut.len() - 8], true).1, Outcome::Broken);
+        assert_eq!(outcome(Step::Fetch, &cut[..cut.len() - 8], true).1, Outcome::ConnectionBroken);
     }
 
     #[test]
@@ -215,9 +221,9 @@
         let read = response(200, &[], br#"{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens":4}}"#);
         assert_eq!(outcome(Step::Read, &read, false).1, Outcome::Read);
         assert_eq!(outcome(Step::Read, &response(200, &[], b"{}"), false).1, Outcome::Error);
-        assert_eq!(outcome(Step::Read, &response(429, &[], b"{}"), false).1, Outcome::Full);
+        assert_eq!(outcome(Step::Read, &response(429, &[], b"{}"), false).1, Outcome::Overloaded);
         let none = response(409, &[], br#"{"error":{"type":"no_state"}}"#);
-        assert_eq!(outcome(Step::Fetch, &none, false).1, Outcome::NoState);
-        assert_eq!(outcome(Step::Fetch, b"garbage\r\n\r\n", false).1, Outcome::Broken);
+        assert_eq!(outcome(Step::Fetch, &none, false).1, Outcome::StateNotFound);
+        assert_eq!(outcome(Step::Fetch, b"garbage\r\n\r\n", false).1, Outcome::ConnectionBroken);
     }
 }
--- a/crates/pintally-engine/src/outcome.rs
+++ b/crates/pintally-engine/src/outcome.rs
@@ -27,9 +27,9 @@
 /// The outcome of an answer that is an error.
 pub fn of_status(status: u16, no_state: bool, vouched: bool) -> Outcome {
     match status {
-        409 if no_state => Outcome::NoState,
-        429 => Outcome::Full,
-        _ if vouched => Outcome::Full,
+        409 if no_state => Outcome::StateNotFound,
+        429 => Outcome::Overloaded,
+        _ if vouched => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
@@ -39,7 +39,7 @@
     match (phase, kind) {
         (Phase::Connecting, _) => Outcome::Unreachable,
         (Phase::Sent, io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock) => Outcome::TimedOut,
-        (Phase::Sent, _) => Outcome::Broken,
+        (Phase::Sent, _) => Outcome::ConnectionBroken,
     }
 }
 
@@ -50,17 +50,17 @@
     /// Guards against an unsafe request being sent again on an answer that proves nothing.
     #[test]
     fn only_what_is_proven_counts_as_not_run() {
-        assert_eq!(of_status(409, true, false), Outcome::NoState);
+        assert_eq!(of_status(409, true, false), Outcome::StateNotFound);
         assert_eq!(of_status(409, false, false), Outcome::Error);
         assert_eq!(of_status(503, false, false), Outcome::Error);
-        assert_eq!(of_status(503, false, true), Outcome::Full);
-        assert_eq!(of_status(429, false, false), Outcome::Full);
+        assert_eq!(of_status(503, false, true), Outcome::Overloaded);
+        assert_eq!(of_status(429, false, false), Outcome::Overloaded);
         for kind in
             [io::ErrorKind::ConnectionRefused, io::ErrorKind::ConnectionReset, io::ErrorKind::TimedOut]
         {
             assert_eq!(of_transport(Phase::Connecting, kind), Outcome::Unreachable);
         }
-        assert_eq!(of_transport(Phase::Sent, io::ErrorKind::ConnectionReset), Outcome::Broken);
+        assert_eq!(of_transport(Phase::Sent, io::ErrorKind::ConnectionReset), Outcome::ConnectionBroken);
         assert_eq!(of_transport(Phase::Sent, io::ErrorKind::TimedOut), Outcome::TimedOut);
     }
 }
--- a/crates/pintally-engine/tests/golden.rs
+++ b/crates/pintally-engine/tests/golden.rs
@@ -69,10 +69,10 @@
         }
     };
     let vouched = "HTTP/1.1 503 Full\r\nx-pintally-not-run: 1\r\ncontent-length: 2\r\n\r\n{}";
-    assert!(matches!(outcome(vouched), Outcome::Full));
+    assert!(matches!(outcome(vouched), Outcome::Overloaded));
     let unvouched = "HTTP/1.1 500 Failed\r\ncontent-length: 2\r\n\r\n{}";
     assert!(matches!(outcome(unvouched), Outcome::Error));
     let body = "{\"error\":{\"type\":\"no_state\"}}";
     let no_state = format!("HTTP/1.1 409 Conflict\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    assert!(matches!(outcome(&no_state), Outcome::NoState));
+    assert!(matches!(outcome(&no_state), Outcome::StateNotFound));
 }
--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -83,9 +83,9 @@
 fn may_repeat(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
     let Some(first) = request.may_have_run else { return Ok(()) };
     match request.effect {
-        Idempotency::Safe => Ok(()),
-        Idempotency::Unsafe => Err(Denial::MayRunTwice),
-        Idempotency::Keyed(group, window) => {
+        Idempotency::Idempotent => Ok(()),
+        Idempotency::NotIdempotent => Err(Denial::MayRunTwice),
+        Idempotency::WithKey(group, window) => {
             let inside = match group {
                 IdempotencyScope::All => true,
                 IdempotencyScope::Zone => first.zone == engine.zone,
@@ -105,8 +105,8 @@
 /// Whether a request may be refused: a refusal tells the client that trying again is harmless.
 pub fn may_refuse(request: &RequestFacts<'_>) -> Result<(), Denial> {
     let harmless = match request.effect {
-        Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
-        Idempotency::Keyed(..) | Idempotency::Unsafe => request.may_have_run.is_none(),
+        Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
+        Idempotency::WithKey(..) | Idempotency::NotIdempotent => request.may_have_run.is_none(),
     };
     match harmless {
         true => Ok(()),
--- a/crates/pintally-guards/tests/permits.rs
+++ b/crates/pintally-guards/tests/permits.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_send_needs_an_open_request_and_an_engine_that_serves() {
-    let good = request(Idempotency::Unsafe, None);
+    let good = request(Idempotency::NotIdempotent, None);
     let writer = engine(Role::Writer);
     assert_eq!(may_send(NOW, &good, &writer), Ok(()));
     let over = RequestFacts { over: true, ..good };
@@ -58,11 +58,20 @@
 #[test]
 fn what_may_have_run_is_repeated_only_where_that_does_no_harm() {
     let (writer, first) = (engine(Role::Writer), ran(NOW, "a", 1));
-    assert_eq!(may_send(NOW, &request(Idempotency::Safe, Some(&first)), &writer), Ok(()));
-    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &writer), Err(Denial::MayRunTwice));
+    assert_eq!(may_send(NOW, &request(Idempotency::Idempotent, Some(&first)), &writer), Ok(()));
+    assert_eq!(
+        may_send(NOW, &request(Idempotency::NotIdempotent, Some(&first)), &writer),
+        Err(Denial::MayRunTwice)
+    );
     let mixed = engine(Role::Mixed);
-    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &mixed), Err(Denial::MayRunTwice));
-    assert_eq!(may_send(NOW, &request(Idempotency::Unsafe, Some(&first)), &engine(Role::Reader)), Ok(()));
+    assert_eq!(
+        may_send(NOW, &request(Idempotency::NotIdempotent, Some(&first)), &mixed),
+        Err(Denial::MayRunTwice)
+    );
+    assert_eq!(
+        may_send(NOW, &request(Idempotency::NotIdempotent, Some(&first)), &engine(Role::Reader)),
+        Ok(())
+    );
     for (group, zone, rack, inside) in [
         (IdempotencyScope::All, "b", 2, true),
         (IdempotencyScope::Zone, "a", 2, true),
@@ -71,7 +80,7 @@
         (IdempotencyScope::Rack, "a", 2, false),
     ] {
         let first = ran(NOW, zone, rack);
-        let keyed = request(Idempotency::Keyed(group, WINDOW), Some(&first));
+        let keyed = request(Idempotency::WithKey(group, WINDOW), Some(&first));
         let expected = if inside { Ok(()) } else { Err(Denial::OutsideGroup) };
         assert_eq!(may_send(NOW + WINDOW - 1, &keyed, &writer), expected);
         let expected = if inside { Err(Denial::WindowOver) } else { expected };
@@ -84,11 +93,11 @@
 fn a_refusal_promises_that_nothing_has_run() {
     let first = ran(NOW, "a", 1);
     for (effect, after_effect) in [
-        (Idempotency::Safe, true),
-        (Idempotency::Keyed(IdempotencyScope::All, WINDOW), true),
-        (Idempotency::Keyed(IdempotencyScope::Zone, WINDOW), false),
-        (Idempotency::Keyed(IdempotencyScope::Rack, WINDOW), false),
-        (Idempotency::Unsafe, false),
+        (Idempotency::Idempotent, true),
+        (Idempotency::WithKey(IdempotencyScope::All, WINDOW), true),
+        (Idempotency::WithKey(IdempotencyScope::Zone, WINDOW), false),
+        (Idempotency::WithKey(IdempotencyScope::Rack, WINDOW), false),
+        (Idempotency::NotIdempotent, false),
     ] {
         assert_eq!(may_refuse(&request(effect, None)), Ok(()));
         let expected = if after_effect { Ok(()) } else { Err(Denial::RefusalAfterEffect) };
--- a/crates/pintally-host/src/answers.rs
+++ b/crates/pintally-host/src/answers.rs
@@ -76,7 +76,7 @@
         let started = open.is_some_and(|o| o.1);
         self.answer(&id, if started { FinalAnswer::Cut } else { FinalAnswer::Failed }, out);
         let before = out.len();
-        self.event(now, &cell, Event::Withdrawn(id), out);
+        self.event(now, &cell, Event::ClientLeft(id), out);
         let cancelled = |c: &Command| matches!(c, Command::Cancel(t, _) if *t == ticket);
         if let Some((attempt, _)) = open.filter(|_| !out[before..].iter().any(cancelled)) {
             out.push(Command::Cancel(ticket, attempt));
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -68,8 +68,8 @@
             // what the writer would say, and has the prompt read again.
             self.counters.never_sent += 1;
             let event =
-                AttemptEnd { id, attempt, outcome: Outcome::NoState, last: false, kept: 0, load: None };
-            self.owed.push_back((cell.clone(), Event::AttemptEnd(event)));
+                AttemptEnd { id, attempt, outcome: Outcome::StateNotFound, last: false, kept: 0, load: None };
+            self.owed.push_back((cell.clone(), Event::AttemptEnded(event)));
             return;
         }
         self.counters.attempts += 1;
@@ -186,7 +186,9 @@
         }
         match outcome {
             Outcome::Cancelled | Outcome::NeverSent => {}
-            Outcome::Unreachable | Outcome::TimedOut | Outcome::Broken => self.saw(&ended.engine, false),
+            Outcome::Unreachable | Outcome::TimedOut | Outcome::ConnectionBroken => {
+                self.saw(&ended.engine, false)
+            }
             _ => self.saw(&ended.engine, true),
         }
         self.witnessed(now, &ended.engine, outcome);
@@ -204,12 +206,12 @@
         }
         let last = over || ended.started || outcome == Outcome::Served;
         let event = AttemptEnd { id: id.clone(), attempt, outcome, last, kept, load };
-        self.event(now, &cell, Event::AttemptEnd(event), out);
+        self.event(now, &cell, Event::AttemptEnded(event), out);
         self.release_unsure(&id, out);
     }
 }
 
 fn never_sent(id: RequestId, attempt: Attempt) -> Event {
     let outcome = Outcome::NeverSent;
-    Event::AttemptEnd(AttemptEnd { id, attempt, outcome, last: false, kept: 0, load: None })
+    Event::AttemptEnded(AttemptEnd { id, attempt, outcome, last: false, kept: 0, load: None })
 }
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -164,7 +164,7 @@
             if !all && before.as_ref() == self.handed.get(&cell) {
                 continue;
             }
-            self.event(now, &cell, Event::Members(ListUpdate::Full, members), out);
+            self.event(now, &cell, Event::EndpointList(ListUpdate::Full, members), out);
         }
         self.watch_cells(now);
     }
@@ -243,6 +243,6 @@
         self.counters.gave_way += 1;
         self.touched.push(ticket);
         self.answer(&id, FinalAnswer::Rejected(Some(UNKNOWN)), out);
-        self.event(now, cell, Event::Withdrawn(id), out);
+        self.event(now, cell, Event::ClientLeft(id), out);
     }
 }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -246,7 +246,7 @@
         self.now = now;
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Core(cell, timer) => self.event(now, &cell, Event::Elapsed(timer), out),
+                Due::Core(cell, timer) => self.event(now, &cell, Event::TimerFired(timer), out),
                 Due::Cells => self.cells_due(now, out),
                 Due::Answer(ticket) => self.overdue(now, ticket, out),
                 Due::Release(id, engine) => self.release_again(id, engine, out),
@@ -308,7 +308,7 @@
                 }
                 // Whoever has the engine has asked; a second cell hears of it in vain.
                 for cell in self.routers.keys().cloned().collect::<Vec<_>>() {
-                    self.event(now, &cell, Event::Probed(engine.clone(), answered, load), out);
+                    self.event(now, &cell, Event::HealthChecked(engine.clone(), answered, load), out);
                 }
             }
             Input::Released(id, engine, heard) => self.released(id, engine, heard, out),
@@ -341,7 +341,7 @@
     fn action(&mut self, now: Micros, cell: &CellName, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send(id, engine, timeout) => self.send(now, cell, id, engine, timeout, out),
-            Action::Refuse(id, after) => self.answer(&id, FinalAnswer::Rejected(after), out),
+            Action::Reject(id, after) => self.answer(&id, FinalAnswer::Rejected(after), out),
             Action::Fail(id) => self.answer(&id, FinalAnswer::Failed, out),
             Action::Cancel(id, attempt) => {
                 let Some(&ticket) = self.by_id.get(&id) else { return };
@@ -351,14 +351,14 @@
                 }
             }
             Action::Release(id) => self.release(&id, out),
-            Action::Probe(engine) => match self.places.get(&engine) {
+            Action::HealthCheck(engine) => match self.places.get(&engine) {
                 Some(place) => out.push(Command::HealthCheck(engine, place.address, place.slots)),
-                None => self.owed.push_back((cell.clone(), Event::Probed(engine, false, None))),
+                None => self.owed.push_back((cell.clone(), Event::HealthChecked(engine, false, None))),
             },
-            Action::Wake(timer, after) => {
+            Action::SetTimer(timer, after) => {
                 self.timers.set(now.saturating_add(after), Due::Core(cell.clone(), timer));
             }
-            Action::Follow => out.push(Command::ReloadEndpointList),
+            Action::Subscribe => out.push(Command::ReloadEndpointList),
             Action::Log(text) if cell.0.is_empty() => out.push(Command::Log(text)),
             Action::Log(text) => out.push(Command::Log(format!("cell {cell}: {text}"))),
         }
@@ -426,7 +426,7 @@
             cell: cell.clone(),
             tenant: arrival.tenant,
             // A class that nobody named must not run twice.
-            effect: aims.map_or(Idempotency::Unsafe, |class| class.effect),
+            effect: aims.map_or(Idempotency::NotIdempotent, |class| class.effect),
             may_have_run: None,
             bytes: arrival.bytes,
             aim: now.saturating_add(aim),
@@ -461,7 +461,7 @@
             patience: left,
             resumed: arrival.resumed,
         };
-        self.event(now, &cell, Event::Arrived(request), out);
+        self.event(now, &cell, Event::RequestArrived(request), out);
     }
 
     fn left(&mut self, now: Micros, ticket: RequestNumber, out: &mut Vec<Command>) {
@@ -474,7 +474,7 @@
         self.counters.left += 1;
         let (id, cell) = (entry.id.clone(), entry.cell.clone());
         self.timers.unset(entry.guard);
-        self.event(now, &cell, Event::Withdrawn(id), out);
+        self.event(now, &cell, Event::ClientLeft(id), out);
     }
 
     // ---- bookkeeping ----
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -91,11 +91,11 @@
         let fault = match outcome {
             Outcome::Served | Outcome::Read => None,
             Outcome::Unreachable => Some(Fault::Unreachable),
-            Outcome::Broken => Some(Fault::Broke),
+            Outcome::ConnectionBroken => Some(Fault::Broke),
             Outcome::TimedOut => Some(Fault::Late),
             Outcome::Error => Some(Fault::Wrong),
             // A full engine, a state that is gone and what this node called off tell nothing of it.
-            Outcome::Full | Outcome::NoState | Outcome::Cancelled | Outcome::NeverSent => return,
+            Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => return,
         };
         judging.witness.saw(now, life, zone, fault);
     }
@@ -156,7 +156,7 @@
         let changed: Vec<EngineEndpoint> =
             changed.iter().filter_map(|e| self.members.get(e).cloned()).collect();
         if !changed.is_empty() {
-            self.list(now, ListUpdate::Change, changed, out);
+            self.list(now, ListUpdate::Delta, changed, out);
         }
         self.timers.set(now + EVERY, Due::Verdicts);
     }
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -101,7 +101,11 @@
     pub(crate) fn note_effect(&mut self, out: &Out, outcome: Outcome) {
         let never_ran = matches!(
             outcome,
-            Outcome::Read | Outcome::Full | Outcome::NoState | Outcome::Unreachable | Outcome::NeverSent
+            Outcome::Read
+                | Outcome::Overloaded
+                | Outcome::StateNotFound
+                | Outcome::Unreachable
+                | Outcome::NeverSent
         );
         if !never_ran && out.step != Step::Read && self.may_have_run.is_none() {
             self.may_have_run = Some(out.sent.clone());
--- a/crates/pintally-host/src/list.rs
+++ b/crates/pintally-host/src/list.rs
@@ -50,7 +50,7 @@
         }
         self.older = None;
         let first = self.version.replace(list.version).is_none();
-        let form = if first { ListUpdate::Full } else { ListUpdate::Change };
+        let form = if first { ListUpdate::Full } else { ListUpdate::Delta };
         let mut next = BTreeMap::new();
         let mut changes = Vec::new();
         for entry in list.engines {
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -89,7 +89,7 @@
         let all: Vec<EngineEndpoint> =
             self.members.values().filter(|l| l.member.listing != EndpointState::Gone).cloned().collect();
         if !all.is_empty() {
-            self.list(now, ListUpdate::Change, all, out);
+            self.list(now, ListUpdate::Delta, all, out);
         }
     }
 
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -97,8 +97,8 @@
         }
         for (cell, list) in cells.iter().zip(lists) {
             self.core_of(cell);
-            if form != ListUpdate::Change || !list.is_empty() {
-                self.event(now, cell, Event::Members(form, list), out);
+            if form != ListUpdate::Delta || !list.is_empty() {
+                self.event(now, cell, Event::EndpointList(form, list), out);
             }
         }
         true
@@ -131,10 +131,10 @@
         let Some(zone) = regional.zones.iter().position(|z| z == cell) else { return };
         match outcome {
             Outcome::Served | Outcome::Read => regional.local.ended(now, zone, false),
-            Outcome::Error | Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
+            Outcome::Error | Outcome::TimedOut | Outcome::Unreachable | Outcome::ConnectionBroken => {
                 regional.local.ended(now, zone, true);
             }
-            Outcome::Full | Outcome::NoState | Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => {}
         }
     }
 
@@ -182,6 +182,6 @@
         }
         let whole = CellName::default();
         self.core_of(&whole);
-        self.event(now, &whole, Event::Members(form, members), out);
+        self.event(now, &whole, Event::EndpointList(form, members), out);
     }
 }
--- a/crates/pintally-host/src/states.rs
+++ b/crates/pintally-host/src/states.rs
@@ -40,8 +40,9 @@
         // Without a word it may have had it: then fetching is tried once more, as the writer's word that
         // there is no state costs next to nothing, and reading anew without need drowns readers.
         _ => {
-            let silent = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled);
-            if gone && outcome != Outcome::NoState {
+            let silent =
+                matches!(outcome, Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled);
+            if gone && outcome != Outcome::StateNotFound {
                 entry.lost = false;
             }
             if gone || !silent || out.arrived {
@@ -54,7 +55,7 @@
     }
     let state = match (outcome, state) {
         (Outcome::Read, Some(state)) => Some(state),
-        (Outcome::Full | Outcome::NeverSent | Outcome::Unreachable, _) => return false,
+        (Outcome::Overloaded | Outcome::NeverSent | Outcome::Unreachable, _) => return false,
         // A read that ended without word may have left a state behind.
         _ => None,
     };
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/host.rs
@@ -205,7 +205,7 @@
         let name = (format!("{}.{}", order.request.0, order.attempt), order.engine.clone());
         let mut state = None;
         let read = order.step == Step::Read;
-        let proven = matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent);
+        let proven = matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent);
         if read && (outcome == Outcome::Read || (leaves_state && !proven)) {
             self.states.insert(name);
             state = (outcome == Outcome::Read).then(|| Arc::new(serde_json::json!({ "n": order.attempt })));
@@ -215,7 +215,11 @@
         }
         let sure = matches!(
             outcome,
-            Outcome::Read | Outcome::Full | Outcome::NoState | Outcome::Unreachable | Outcome::NeverSent
+            Outcome::Read
+                | Outcome::Overloaded
+                | Outcome::StateNotFound
+                | Outcome::Unreachable
+                | Outcome::NeverSent
         );
         let client = self.clients.get_mut(&ticket).unwrap();
         if !read && !sure && client.ran.is_none() {
@@ -321,12 +325,12 @@
                 let outcome = match (order.step, started, amount % 10) {
                     (Step::Read, _, 0..=5) => Outcome::Read,
                     (_, true, 0..=6) => Outcome::Served,
-                    (_, true, _) => Outcome::Broken,
-                    (Step::Fetch, _, 0) => Outcome::NoState,
+                    (_, true, _) => Outcome::ConnectionBroken,
+                    (Step::Fetch, _, 0) => Outcome::StateNotFound,
                     (_, _, 1..=3) if order.step != Step::Read => Outcome::Served,
-                    (_, _, 6) => Outcome::Full,
+                    (_, _, 6) => Outcome::Overloaded,
                     (_, _, 7) => Outcome::Unreachable,
-                    (_, _, 8) => Outcome::Broken,
+                    (_, _, 8) => Outcome::ConnectionBroken,
                     _ => Outcome::Error,
                 };
                 self.end(ticket, outcome, amount % 3 == 0);
@@ -363,7 +367,7 @@
                 if self.listing[engine] == EndpointState::Gone {
                     self.states.retain(|(_, e)| &*e.0 != engine);
                 }
-                self.list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Change });
+                self.list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Delta });
             }
             // Word that fits nothing: of what is over, of what never was, twice.
             10 => {
--- a/crates/pintally-host/tests/list.rs
+++ b/crates/pintally-host/tests/list.rs
@@ -32,7 +32,7 @@
     assert!(apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).is_none());
     let next = apply(&mut follower, &list(2, &[("a", "draining"), ("c", "serving")])).unwrap();
     let want = [("a", EndpointState::Draining), ("b", EndpointState::Gone), ("c", EndpointState::Serving)];
-    assert_eq!(next, (ListUpdate::Change, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
+    assert_eq!(next, (ListUpdate::Delta, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
     // One that is gone is told once.
     assert!(apply(&mut follower, &list(3, &[("a", "draining"), ("c", "serving")])).is_none());
     assert_eq!(follower.len(), 2);
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -71,7 +71,7 @@
     assert_eq!(sent.may_start(START + 1_000_000, 1), Err(Denial::NoTimeLeft));
     assert_eq!(sent.may_start(START, 2), Err(Denial::RequestOver), "nobody knows it");
     let drained = vec![listed("r0", "r", EndpointState::Draining)];
-    sent.handle(START + 2, Input::EndpointList(ListUpdate::Change, drained), &mut Vec::new());
+    sent.handle(START + 2, Input::EndpointList(ListUpdate::Delta, drained), &mut Vec::new());
     assert_eq!(sent.may_start(START + 3, 1), Err(Denial::EngineNotServing));
     assert_eq!((sent.withheld().total(), sent.denials().total()), (2, 0));
 
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -217,7 +217,7 @@
 /// being let go and nobody has heard it, a second one of the same name is read and fetched undisturbed.
 #[test]
 fn a_name_used_again_keeps_its_state_while_the_first_ones_is_let_go() {
-    for first in [Outcome::Read, Outcome::Cancelled, Outcome::Broken] {
+    for first in [Outcome::Read, Outcome::Cancelled, Outcome::ConnectionBroken] {
         let mut node = Node::new(&["r0", "w0", "w1"]);
         node.arrive(1, "x");
         let read = node.attempt();
@@ -242,7 +242,7 @@
         assert_eq!(node.releases(), [], "after {first:?}");
         // A late word of the first one's calls says nothing of the second one's state.
         node.heard("w0", true);
-        node.end(&fetch, Outcome::Full);
+        node.end(&fetch, Outcome::Overloaded);
         assert_eq!((node.attempt().ticket, node.attempt().step), (2, Step::Fetch));
         // And what is left of the second one is let go like any other's.
         node.tell(Input::ClientLeft(2));
@@ -278,7 +278,7 @@
     let (mut node, first) = Node::with_a_state(&["r0", "w0", "w1"]);
     node.let_go_by(node.now + WITHIN).expect("it is let go");
     node.heard("r0", true);
-    node.end(&first, Outcome::Full);
+    node.end(&first, Outcome::Overloaded);
     let second = node.attempt();
     assert_eq!(&second.engine.0[..1], "w");
     assert_ne!(second.engine, first.engine);
@@ -373,7 +373,7 @@
 fn what_a_lost_read_may_have_left_is_let_go_while_the_next_ones_reach_nobody() {
     let mut node = Node::new(&["r0", "r1", "r2", "r3", "w0"]);
     node.arrive(1, "x");
-    node.end(&node.attempt(), Outcome::Broken);
+    node.end(&node.attempt(), Outcome::ConnectionBroken);
     let lost = node.now;
     while node.releases().is_empty() && node.now < lost + WITHIN {
         let next = node.attempt();
@@ -547,7 +547,7 @@
     assert_eq!(node.releases(), [("a.0".to_string(), 4000)]);
     let kept: Vec<_> = node.host.reservations_at_exit(16).into_iter().map(|l| l.1 .0.to_string()).collect();
     assert_eq!(kept, ["a.0", "b.0", "c.1"], "what is not heard yet is kept for one more life");
-    node.tell(Input::EndpointList(ListUpdate::Change, listed(&["r9"])));
+    node.tell(Input::EndpointList(ListUpdate::Delta, listed(&["r9"])));
     assert_eq!(node.releases().len(), 2);
     for (engine, name) in [("r0", "a.0"), ("r9", "c.1")] {
         node.tell(Input::Released(RequestId(name.into()), EngineId(engine.into()), true));
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -67,7 +67,7 @@
     let within = span(shared.settings.limits.connect.min(order.timeout));
     let end = match shared.pool.take(order.address, within) {
         // As many attempts as allowed are out there: to this node the engine is full.
-        Err(NoConnection::Limit) => Some(End::of(Outcome::Full)),
+        Err(NoConnection::Limit) => Some(End::of(Outcome::Overloaded)),
         Err(NoConnection::Io) => Some(End::of(of_transport(Phase::Connecting, ErrorKind::Other))),
         Ok(mut stream) => {
             let end = exchange(life, &order, &mut stream, times);
@@ -114,7 +114,7 @@
         let until = times.until(started);
         let client = Some((&*life.client as &dyn crate::wait::AsFdDyn, life.client_watch()));
         let Ok(ready) = wait(life.waker, client, Some((stream, !unsent.is_empty())), Some(until)) else {
-            return Some(End::of(Outcome::Broken));
+            return Some(End::of(Outcome::ConnectionBroken));
         };
         if life.shared.is_dead() {
             return None;
@@ -165,7 +165,7 @@
             }
         }
         if !life.flush() && started && end.is_none() {
-            let outcome = if life.gone { Outcome::Cancelled } else { Outcome::Broken };
+            let outcome = if life.gone { Outcome::Cancelled } else { Outcome::ConnectionBroken };
             return Some(End::of(outcome));
         }
         if end.is_some() {
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -252,7 +252,7 @@
     let core = &settings.core;
     let classes = core.classes.iter().map(|c| ClassPriority {
         worth: c.worth,
-        once: c.effect == pintally::interface::Idempotency::Unsafe,
+        once: c.effect == pintally::interface::Idempotency::NotIdempotent,
     });
     let figures = recovery::Settings {
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -258,7 +258,7 @@
             return;
         }
         if let Some(attempt) = self.out.take() {
-            let (ticket, outcome) = (self.ticket, Outcome::Broken);
+            let (ticket, outcome) = (self.ticket, Outcome::ConnectionBroken);
             self.shared.send_input(Input::AttemptEnded {
                 ticket,
                 attempt,
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -102,7 +102,7 @@
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
         let asked = Asked {
             id: RequestId(format!("{}-{}", self.settings.name, a.ticket).into()),
-            safe: safe.is_some_and(|c| c.effect == Idempotency::Safe),
+            safe: safe.is_some_and(|c| c.effect == Idempotency::Idempotent),
             streamed: a.streamed,
             max_tokens: a.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
             by: now + left,
@@ -199,18 +199,21 @@
         let read = step == Step::Read;
         if let (Outcome::Read, Some(state)) = (outcome, state) {
             asked.state = Some((attempt, engine, state));
-        } else if read && !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NeverSent) {
+        } else if read && !matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent)
+        {
             let id = asked.id.clone();
             self.release(&id, attempt, engine, out);
-        } else if matches!(outcome, Outcome::Served | Outcome::NoState) {
+        } else if matches!(outcome, Outcome::Served | Outcome::StateNotFound) {
             asked.state = None;
         }
         let Some(asked) = self.open.get(&ticket) else { return };
         if asked.over {
             return self.settle(ticket, out);
         }
-        let unsure =
-            matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled);
+        let unsure = matches!(
+            outcome,
+            Outcome::Error | Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled
+        );
         match outcome {
             Outcome::Served => self.answer(ticket, FinalAnswer::Served, out),
             _ if started => self.answer(ticket, FinalAnswer::Cut, out),
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -522,7 +522,8 @@
             let (engine, attempt) = (self.specs[flight.engine].id.clone(), flight.name.clone());
             self.note(What::Done { engine, attempt });
         }
-        let told = matches!(outcome, Outcome::Read | Outcome::Served | Outcome::Full | Outcome::NoState);
+        let told =
+            matches!(outcome, Outcome::Read | Outcome::Served | Outcome::Overloaded | Outcome::StateNotFound);
         let load = told.then(|| self.load(flight.engine));
         let state = state.map(|work| Arc::new(json!({ "engine": flight.engine, "work": work })));
         let (node, ticket, attempt) = key;
@@ -596,8 +597,8 @@
             Notice::Refused(id, why) => {
                 let Some(&key) = self.works.get(&id) else { return };
                 let outcome = match why {
-                    Refusal::Full | Refusal::TooLong => Outcome::Full,
-                    Refusal::NoState | Refusal::Repeat => Outcome::NoState,
+                    Refusal::Full | Refusal::TooLong => Outcome::Overloaded,
+                    Refusal::NoState | Refusal::Repeat => Outcome::StateNotFound,
                     Refusal::Down => Outcome::Unreachable,
                 };
                 self.turned_away(engine, key);
@@ -609,7 +610,13 @@
                 if up {
                     self.turned_away(engine, key);
                 }
-                self.end(key, if up { Outcome::NoState } else { Outcome::Broken }, 0, None, HOP);
+                self.end(
+                    key,
+                    if up { Outcome::StateNotFound } else { Outcome::ConnectionBroken },
+                    0,
+                    None,
+                    HOP,
+                );
             }
             Notice::Token(..) | Notice::Wants(..) | Notice::Preempted(_) => {}
         }
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -266,7 +266,7 @@
                 let state = (outcome == Outcome::Read).then(|| std::sync::Arc::new(Value::Null));
                 let ended = Input::AttemptEnded { ticket, attempt, outcome, kept, load, state };
                 match outcome {
-                    Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled => {
+                    Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
                         let heard_at = self.clock.now().saturating_add(CLOSE_LEAD);
                         self.given_up.push_back((heard_at, ended));
                     }
@@ -280,7 +280,7 @@
             Work::ConnectionProbe { .. } => {}
         }
         match outcome {
-            Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled | Outcome::Unreachable => {
+            Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled | Outcome::Unreachable => {
                 self.abort_engine(key);
             }
             _ => self.done_with(key, reusable),
@@ -293,7 +293,7 @@
         match outcome {
             Outcome::Served => tally.served += 1,
             Outcome::Read => tally.read += 1,
-            Outcome::Full | Outcome::NoState => tally.turned_away += 1,
+            Outcome::Overloaded | Outcome::StateNotFound => tally.turned_away += 1,
             Outcome::Cancelled | Outcome::NeverSent => {}
             _ => tally.failed += 1,
         }
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -158,7 +158,7 @@
             Progress::Over { outcome, kept, load, reusable } => {
                 // Guards against a request that never arrived whole being taken for one that ran.
                 let outcome = match outcome {
-                    Outcome::Broken => of_transport(conn.phase(), false),
+                    Outcome::ConnectionBroken => of_transport(conn.phase(), false),
                     other => other,
                 };
                 // A release is heard by whatever status that says so; an attempt has its table.
@@ -310,7 +310,7 @@
                     // A stream that waits for its client is ended as the client's, not as the engine's.
                     match self.jobs.get(&ticket).and_then(|j| j.client).filter(|_| paused) {
                         Some(client) => self.client_gone(client, CloseReason::Stuck),
-                        None => self.give_up(key, Outcome::Broken),
+                        None => self.give_up(key, Outcome::ConnectionBroken),
                     }
                 }
                 Some(Work::Attempt { .. }) => {
--- a/crates/pintally-platform/src/answer.rs
+++ b/crates/pintally-platform/src/answer.rs
@@ -118,7 +118,7 @@
     /// What came cannot be used; the connection is of no further use.
     fn spoilt(&mut self, why: &'static str, out: &mut Vec<Progress>) {
         self.why = why;
-        self.end(Outcome::Broken, false, out);
+        self.end(Outcome::ConnectionBroken, false, out);
     }
 
     fn part(&mut self, part: Part, names: &Names, out: &mut Vec<Progress>) {
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -128,7 +128,7 @@
             return Taken::Same;
         }
         self.revision = Some(list.revision);
-        let form = if list.complete { ListUpdate::Full } else { ListUpdate::Change };
+        let form = if list.complete { ListUpdate::Full } else { ListUpdate::Delta };
         Taken::Holds(form, list.members)
     }
 }
--- a/crates/pintally-platform/src/outcome.rs
+++ b/crates/pintally-platform/src/outcome.rs
@@ -28,8 +28,8 @@
     match (status, turned_away) {
         (200, false) => Outcome::Served,
         (202, false) => Outcome::Read,
-        (410, true) => Outcome::NoState,
-        (_, true) => Outcome::Full,
+        (410, true) => Outcome::StateNotFound,
+        (_, true) => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
@@ -39,7 +39,7 @@
     match (phase, timed_out) {
         (Phase::Unwritten, _) => Outcome::Unreachable,
         (Phase::Written, true) => Outcome::TimedOut,
-        (Phase::Written, false) => Outcome::Broken,
+        (Phase::Written, false) => Outcome::ConnectionBroken,
     }
 }
 
--- a/crates/pintally-platform/src/outcome/tests.rs
+++ b/crates/pintally-platform/src/outcome/tests.rs
@@ -7,15 +7,15 @@
 fn every_row_of_the_table() {
     assert_eq!(of_answer(200, false), Outcome::Served);
     assert_eq!(of_answer(202, false), Outcome::Read);
-    assert_eq!(of_answer(410, true), Outcome::NoState);
+    assert_eq!(of_answer(410, true), Outcome::StateNotFound);
     assert_eq!(of_answer(410, false), Outcome::Error);
-    assert_eq!(of_answer(503, true), Outcome::Full);
-    assert_eq!(of_answer(504, true), Outcome::Full);
+    assert_eq!(of_answer(503, true), Outcome::Overloaded);
+    assert_eq!(of_answer(504, true), Outcome::Overloaded);
     assert_eq!(of_answer(503, false), Outcome::Error);
     assert_eq!(of_answer(500, false), Outcome::Error);
     assert_eq!(of_answer(404, false), Outcome::Error);
     assert_eq!(of_transport(Phase::Unwritten, false), Outcome::Unreachable);
     assert_eq!(of_transport(Phase::Unwritten, true), Outcome::Unreachable);
-    assert_eq!(of_transport(Phase::Written, false), Outcome::Broken);
+    assert_eq!(of_transport(Phase::Written, false), Outcome::ConnectionBroken);
     assert_eq!(of_transport(Phase::Written, true), Outcome::TimedOut);
 }
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -101,7 +101,7 @@
     assert_eq!(end, Some((Outcome::Served, 4096, true)));
     assert_eq!(memory, Some(0.5));
     for cut in 1..bytes.len() {
-        assert_eq!(told(&bytes[..cut], true).1.map(|e| e.0), Some(Outcome::Broken), "cut at {cut}");
+        assert_eq!(told(&bytes[..cut], true).1.map(|e| e.0), Some(Outcome::ConnectionBroken), "cut at {cut}");
     }
     // Notices in front change nothing; a report that cannot be read is no report.
     let notice =
@@ -135,21 +135,21 @@
     ] {
         let (events, end, _) = told(&spoilt, false);
         assert_eq!(events, TOKEN);
-        assert_eq!(end, Some((Outcome::Broken, 0, false)));
+        assert_eq!(end, Some((Outcome::ConnectionBroken, 0, false)));
     }
     // A chunk that swallows the next one's size: what was whole before that is passed on, the rest is not.
     let (events, end, _) = told(&with(&swallows), false);
-    assert_eq!((events, end), ([TOKEN, TOKEN].concat(), Some((Outcome::Broken, 0, false))));
+    assert_eq!((events, end), ([TOKEN, TOKEN].concat(), Some((Outcome::ConnectionBroken, 0, false))));
     let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), b"x: y\r\n".repeat(4000)].concat();
     for opening in [b"\x16\x03\x01 noise\r\n\r\n".to_vec(), endless, b"HTTP/1.1 200 OK\r\n\r\n".to_vec()] {
         let (events, end, _) = told(&opening, true);
-        assert_eq!((events.len(), end), (0, Some((Outcome::Broken, 0, false))));
+        assert_eq!((events.len(), end), (0, Some((Outcome::ConnectionBroken, 0, false))));
     }
     // 3 GB that keep coming as one event that never ends.
     let mut long = [head, b"10000\r\n".to_vec()].concat();
     long.extend(vec![b'a'; 0x10000]);
     long.extend(b"\r\n10000\r\naaaa");
-    assert_eq!(told(&long, false).1, Some((Outcome::Broken, 0, false)));
+    assert_eq!(told(&long, false).1, Some((Outcome::ConnectionBroken, 0, false)));
 }
 
 #[test]
@@ -159,9 +159,9 @@
     let away: &[(&str, &str)] = &[("X-Turned-Away", "1")];
     assert_eq!(outcome(202, &[], b"{\"cached_tokens\":77}"), Some((Outcome::Read, 77, true)));
     assert_eq!(outcome(202, &[], b"what"), Some((Outcome::Read, 0, true)));
-    assert_eq!(outcome(410, away, b""), Some((Outcome::NoState, 0, true)));
-    assert_eq!(outcome(503, away, b""), Some((Outcome::Full, 0, true)));
-    assert_eq!(outcome(504, away, b""), Some((Outcome::Full, 0, true)));
+    assert_eq!(outcome(410, away, b""), Some((Outcome::StateNotFound, 0, true)));
+    assert_eq!(outcome(503, away, b""), Some((Outcome::Overloaded, 0, true)));
+    assert_eq!(outcome(504, away, b""), Some((Outcome::Overloaded, 0, true)));
     assert_eq!(outcome(503, &[], b""), Some((Outcome::Error, 0, true)));
     assert_eq!(outcome(500, &[], b""), Some((Outcome::Error, 0, true)));
     let loaded = response(503, &[("X-Turned-Away", "1"), ("X-Pressure", "x0=0.9,x1=12")], b"");
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -175,9 +175,9 @@
 ) -> Vec<Record> {
     use pintally::interface as core;
     let effect = |e: &core::Idempotency| match e {
-        core::Idempotency::Safe => Idempotency::Safe,
-        core::Idempotency::Unsafe => Idempotency::Unsafe,
-        core::Idempotency::Keyed(group, window_us) => Idempotency::Keyed {
+        core::Idempotency::Idempotent => Idempotency::Idempotent,
+        core::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
+        core::Idempotency::WithKey(group, window_us) => Idempotency::WithKey {
             group: match group {
                 core::IdempotencyScope::All => IdempotencyScope::All,
                 core::IdempotencyScope::Zone => IdempotencyScope::Zone,
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -137,7 +137,7 @@
         }
         let (engine, step) = (f.engine, f.step);
         if self.struck(FaultKind::Full, engine) {
-            return self.word_later(flight, Word::End(Outcome::Full));
+            return self.word_later(flight, Word::End(Outcome::Overloaded));
         }
         let span = match step {
             Step::Read => self.rng.random_range(3..160) * MS,
@@ -145,7 +145,7 @@
             Step::Both => self.rng.random_range(10..250) * MS,
         };
         if step == Step::Fetch && !self.fetch(flight) {
-            return self.word_later(flight, Word::End(Outcome::NoState));
+            return self.word_later(flight, Word::End(Outcome::StateNotFound));
         }
         if self.struck(FaultKind::Errors, engine) {
             return self.word_later(flight, Word::End(Outcome::Error));
@@ -196,7 +196,7 @@
             self.say(format!("{} is read at e{engine}", id.0));
         }
         let lost = self.struck(FaultKind::LoseAnswers, engine);
-        self.word_later(flight, Word::End(if lost { Outcome::Broken } else { Outcome::Read }));
+        self.word_later(flight, Word::End(if lost { Outcome::ConnectionBroken } else { Outcome::Read }));
     }
 
     /// An answer has ended.
@@ -208,7 +208,7 @@
         }
         let breaks =
             self.struck(FaultKind::BreakStreams, engine) || self.struck(FaultKind::LoseAnswers, engine);
-        self.word_later(flight, Word::End(if breaks { Outcome::Broken } else { Outcome::Served }));
+        self.word_later(flight, Word::End(if breaks { Outcome::ConnectionBroken } else { Outcome::Served }));
     }
 
     pub(crate) fn word_later(&mut self, flight: u64, word: Word) {
@@ -230,7 +230,11 @@
             Word::End(outcome) => {
                 let sound = matches!(
                     outcome,
-                    Outcome::Read | Outcome::Served | Outcome::Full | Outcome::NoState | Outcome::Error
+                    Outcome::Read
+                        | Outcome::Served
+                        | Outcome::Overloaded
+                        | Outcome::StateNotFound
+                        | Outcome::Error
                 );
                 self.end(flight, outcome, sound);
             }
@@ -250,7 +254,7 @@
             false if came => self.soon(HOP, Event::Closed(flight)),
             false => {}
         }
-        if matches!(outcome, Outcome::Full | Outcome::NoState) {
+        if matches!(outcome, Outcome::Overloaded | Outcome::StateNotFound) {
             self.checks.never_ran(place, flight);
         }
         if self.is(Mutation::ForgetsEnds) && self.rng.random_bool(0.01) {
@@ -258,7 +262,7 @@
         }
         let forgets = self.is(Mutation::ForgetsThatItRan) && step != Step::Read;
         let told = match outcome {
-            Outcome::TimedOut | Outcome::Broken if forgets => Outcome::Unreachable,
+            Outcome::TimedOut | Outcome::ConnectionBroken if forgets => Outcome::Unreachable,
             other => other,
         };
         let state =
--- a/crates/pintally-sim/src/troubles.rs
+++ b/crates/pintally-sim/src/troubles.rs
@@ -111,7 +111,7 @@
             .filter(|(_, f)| f.engine == engine && !f.closed && !f.silent && f.up)
             .map(|(n, _)| *n)
             .collect();
-        broken.into_iter().for_each(|f| self.word_later(f, Word::End(Outcome::Broken)));
+        broken.into_iter().for_each(|f| self.word_later(f, Word::End(Outcome::ConnectionBroken)));
         for node in &mut self.nodes {
             // Those that fell silent before hear nothing of it.
             if let Some(kept) = node.kept.get_mut(&engine) {
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -189,7 +189,7 @@
     );
     let mut settings = NodeSettings::parse("sim", &text).expect("the settings of a plan are sound");
     // Settings of a node by hand want a window over the deadline; other platforms' may be shorter.
-    settings.core.classes[1].effect = Idempotency::Keyed(IdempotencyScope::All, plan.window_ms * MS);
+    settings.core.classes[1].effect = Idempotency::WithKey(IdempotencyScope::All, plan.window_ms * MS);
     Arc::new(settings)
 }
 
@@ -357,7 +357,7 @@
                 let outcome = if f.up { Outcome::TimedOut } else { Outcome::Unreachable };
                 self.end(flight, outcome, false);
             }
-            Event::Stalled(flight) => self.end(flight, Outcome::Broken, false),
+            Event::Stalled(flight) => self.end(flight, Outcome::ConnectionBroken, false),
             Event::Closed(flight) => self.closed(flight),
             Event::Call(call) => self.call(call),
             Event::CallOver(call, heard) => self.call_over(call, heard),
--- a/crates/pintally-wire/src/settings.rs
+++ b/crates/pintally-wire/src/settings.rs
@@ -173,8 +173,8 @@
     let mut classes = Vec::new();
     for (i, p) in conf.profiles.iter().enumerate() {
         let effect = match (p.effect.as_str(), p.group.as_deref()) {
-            ("repeatable", _) => Idempotency::Safe,
-            ("once", _) => Idempotency::Unsafe,
+            ("repeatable", _) => Idempotency::Idempotent,
+            ("once", _) => Idempotency::NotIdempotent,
             ("by_key", group) => {
                 let group = match group {
                     Some("all") => IdempotencyScope::All,
@@ -182,7 +182,7 @@
                     Some("cell") => IdempotencyScope::Rack,
                     _ => return Err("settings: unknown or missing `group` in `profiles`".into()),
                 };
-                Idempotency::Keyed(group, micros(p.dedup_window))
+                Idempotency::WithKey(group, micros(p.dedup_window))
             }
             (other, _) => return Err(format!("settings: unknown value `{other}` for `effect`")),
         };
@@ -218,13 +218,13 @@
         tenants,
         kinds,
         discovery: match conf.discovery.as_str() {
-            "pushed" => DiscoveryMode::Pushed,
-            "on_request" => DiscoveryMode::OnRequest,
+            "pushed" => DiscoveryMode::Push,
+            "on_request" => DiscoveryMode::Subscribe,
             other => return Err(format!("settings: unknown value `{other}` for `discovery`")),
         },
         reports: match conf.feedback.source.as_str() {
             "inline" => LoadReporting::Inline,
-            "on_probe" => LoadReporting::OnProbe,
+            "on_probe" => LoadReporting::OnHealthCheck,
             _ => LoadReporting::Off,
         },
         weights: conf.weight_kind != "off",
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -14,7 +14,7 @@
 fn settings_object() {
     let s = read(SETTINGS).settings;
     assert_eq!((s.node, s.nodes, s.zone.as_str()), (1, 3, "a"));
-    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::OnRequest, LoadReporting::OnProbe)));
+    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Subscribe, LoadReporting::OnHealthCheck)));
     assert_eq!((s.weights, s.writers_read, s.may_cancel, s.may_probe), (false, true, true, true));
     assert_eq!((s.probe_price, s.retry_advice, s.max_retry_after), (0.25, true, 1_500_000));
     assert_eq!((s.max_attempts, s.cold_from, s.warm_after), (5, 0.3, 14_000_000));
@@ -30,11 +30,11 @@
     let names: Vec<_> = s.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(names, ["chat", "once", "all", "zone", "cell"]);
     let effects: Vec<&Idempotency> = s.classes.iter().map(|c| &c.effect).collect();
-    assert!(matches!(effects[0], Idempotency::Safe));
-    assert!(matches!(effects[1], Idempotency::Unsafe));
-    assert!(matches!(effects[2], Idempotency::Keyed(IdempotencyScope::All, 9_100_000)));
-    assert!(matches!(effects[3], Idempotency::Keyed(IdempotencyScope::Zone, 9_200_000)));
-    assert!(matches!(effects[4], Idempotency::Keyed(IdempotencyScope::Rack, 9_300_000)));
+    assert!(matches!(effects[0], Idempotency::Idempotent));
+    assert!(matches!(effects[1], Idempotency::NotIdempotent));
+    assert!(matches!(effects[2], Idempotency::WithKey(IdempotencyScope::All, 9_100_000)));
+    assert!(matches!(effects[3], Idempotency::WithKey(IdempotencyScope::Zone, 9_200_000)));
+    assert!(matches!(effects[4], Idempotency::WithKey(IdempotencyScope::Rack, 9_300_000)));
     let chat = &s.classes[0];
     assert_eq!((chat.aim, chat.aim_per_1000_tokens, chat.token_aim), (1_000_000, 40_000, 60_000));
     assert_eq!((chat.worth, chat.late_share), (2.0, 0.2));
@@ -52,7 +52,7 @@
 fn other_words() {
     let text = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
     let s = read(&text.replace("\"off\"", "\"nominal\"")).settings;
-    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Pushed, LoadReporting::Inline)));
+    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Push, LoadReporting::Inline)));
     assert!(s.weights);
     assert!(matches!(
         read(&SETTINGS.replace("\"on_probe\"", "\"none\"")).settings.reports,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -54,11 +54,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Nothing: it may be repeated freely.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside the group, for the window from the first send that may have run.
-    Keyed(IdempotencyScope, Micros),
+    WithKey(IdempotencyScope, Micros),
     /// Harm: it must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
@@ -93,9 +93,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Changes arrive unasked.
-    Pushed,
+    Push,
     /// Changes arrive only to a subscriber.
-    OnRequest,
+    Subscribe,
 }
 
 /// How load reports reach a node.
@@ -104,7 +104,7 @@
     /// With outcomes and probe results.
     Inline,
     /// With probe results only.
-    OnProbe,
+    OnHealthCheck,
     /// Not at all.
     Off,
 }
@@ -198,7 +198,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Changed entries only.
-    Change,
+    Delta,
     /// All entries; whoever is missing is gone.
     Full,
     /// The list could not be had; the old one holds.
@@ -215,15 +215,15 @@
     /// The engine sent an error back.
     Error,
     /// Turned away: slots and queue are full.
-    Full,
+    Overloaded,
     /// Turned away: there was no state to fetch.
-    NoState,
+    StateNotFound,
     /// No answer came in time.
     TimedOut,
     /// No connection could be had.
     Unreachable,
     /// The connection broke.
-    Broken,
+    ConnectionBroken,
     /// The attempt was called off.
     Cancelled,
     /// The attempt was never sent.
@@ -289,28 +289,28 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Word of the fleet.
-    Members(ListUpdate, Vec<Endpoint>),
+    EndpointList(ListUpdate, Vec<Endpoint>),
     /// A client's request.
-    Arrived(Request),
+    RequestArrived(Request),
     /// The answer of an attempt has begun.
     FirstToken(RequestId, Attempt),
     /// An attempt has ended.
-    AttemptEnd(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client has left.
-    Withdrawn(RequestId),
+    ClientLeft(RequestId),
     /// A probe's result: whether the engine answered, and its load.
-    Probed(EngineId, bool, Option<LoadReport>),
+    HealthChecked(EngineId, bool, Option<LoadReport>),
     /// A timer has come due.
-    Elapsed(Timer),
+    TimerFired(Timer),
 }
 
 /// A timer's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// Look at what is held back.
-    Sweep,
+    DispatchPending,
     /// Look at engines and discovery.
-    Watch,
+    Maintenance,
 }
 
 /// What a node does.
@@ -319,7 +319,7 @@
     /// Send the request to an engine, with a time-out.
     Send(RequestId, EngineId, Micros),
     /// Turn the request away; trying again does no harm, after the given time if any.
-    Refuse(RequestId, Option<Micros>),
+    Reject(RequestId, Option<Micros>),
     /// Tell the client that the request failed.
     Fail(RequestId),
     /// Call an attempt off.
@@ -327,11 +327,11 @@
     /// Let go of what is held for the request.
     Release(RequestId),
     /// Probe an engine.
-    Probe(EngineId),
+    HealthCheck(EngineId),
     /// Wake the router after this time.
-    Wake(Timer, Micros),
+    SetTimer(Timer, Micros),
     /// Subscribe to discovery.
-    Follow,
+    Subscribe,
     /// Say something to the people on call.
     Log(String),
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -133,14 +133,14 @@
     /// Takes in one event and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, acts: &mut Vec<Action>) {
         match event {
-            Event::Members(form, members) => self.members(now, form, members, acts),
-            Event::Arrived(request) => self.arrived(now, request),
+            Event::EndpointList(form, members) => self.members(now, form, members, acts),
+            Event::RequestArrived(request) => self.arrived(now, request),
             Event::FirstToken(id, attempt) => self.first_token(now, &id, attempt),
-            Event::AttemptEnd(ended) => self.ended(now, ended, acts),
-            Event::Withdrawn(id) => self.close(&id, None, acts),
-            Event::Probed(id, answered, load) => self.probed(now, &id, answered, load),
-            Event::Elapsed(Timer::Sweep) => self.gauges.sweeping = false,
-            Event::Elapsed(Timer::Watch) => self.watch(now, acts),
+            Event::AttemptEnded(ended) => self.ended(now, ended, acts),
+            Event::ClientLeft(id) => self.close(&id, None, acts),
+            Event::HealthChecked(id, answered, load) => self.probed(now, &id, answered, load),
+            Event::TimerFired(Timer::DispatchPending) => self.gauges.sweeping = false,
+            Event::TimerFired(Timer::Maintenance) => self.watch(now, acts),
         }
         self.pump(now, acts);
     }
@@ -149,10 +149,10 @@
         if !self.gauges.watching {
             self.gauges.watching = true;
             self.gauges.rated_at = now;
-            acts.push(Action::Wake(Timer::Watch, WATCH_EVERY));
-            if self.settings.discovery == DiscoveryMode::OnRequest {
+            acts.push(Action::SetTimer(Timer::Maintenance, WATCH_EVERY));
+            if self.settings.discovery == DiscoveryMode::Subscribe {
                 self.gauges.asked_at = now;
-                acts.push(Action::Follow);
+                acts.push(Action::Subscribe);
             }
         } else {
             self.gauges.subscribed = form != ListUpdate::Failed;
@@ -301,7 +301,7 @@
     }
 
     fn watch(&mut self, now: Micros, acts: &mut Vec<Action>) {
-        acts.push(Action::Wake(Timer::Watch, WATCH_EVERY));
+        acts.push(Action::SetTimer(Timer::Maintenance, WATCH_EVERY));
         let span = now.saturating_sub(self.gauges.rated_at) as f64 / 1e6;
         self.gauges.rated_at = now;
         let mut warm = [0.0f64; 3];
@@ -318,13 +318,13 @@
             pool.engines = warm.max(1.0);
         }
         let s = &self.settings;
-        if s.discovery == DiscoveryMode::OnRequest
+        if s.discovery == DiscoveryMode::Subscribe
             && (!self.gauges.subscribed || now > self.gauges.asked_at + s.ask_within / 2)
         {
             self.gauges.asked_at = now;
-            acts.push(Action::Follow);
+            acts.push(Action::Subscribe);
         }
-        if s.may_probe && s.reports == LoadReporting::OnProbe {
+        if s.may_probe && s.reports == LoadReporting::OnHealthCheck {
             // All engines that write, where own traffic pays for it: over many nodes it would outweigh it.
             let wants = |i: &usize| self.engines[*i].serving() && self.engines[*i].role != Role::Reader;
             let all: Vec<usize> = (0..self.engines.len()).filter(wants).collect();
@@ -632,7 +632,7 @@
         });
         let aim = if request.resumed { request.patience } else { aim };
         // A class that nobody named must not run twice.
-        let effect = class.map_or(Idempotency::Unsafe, |c| c.effect);
+        let effect = class.map_or(Idempotency::NotIdempotent, |c| c.effect);
         let over_share = self.over_share(now, request.tenant);
         // Guards against retry storms: a prompt that was turned away lately has its aim counted from
         // its first try, so that a retry that can only be late does not go before fresh requests.
@@ -656,9 +656,9 @@
         let engine = &self.engines[index];
         let steps = if engine.role == Role::Reader { 2 } else { 1 };
         let effect_kept = match (live.ran, live.effect) {
-            (None, _) | (_, Idempotency::Safe) => true,
-            (Some(_), Idempotency::Unsafe) => false,
-            (Some((first, sent)), Idempotency::Keyed(group, window)) => {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NotIdempotent) => false,
+            (Some((first, sent)), Idempotency::WithKey(group, window)) => {
                 let first = &self.engines[first];
                 let inside = match group {
                     IdempotencyScope::All => true,
@@ -694,7 +694,7 @@
         // Time-outs guard against engines that fall silent. What might have run and must not run
         // twice keeps the whole time: giving it up early would gain nothing. A blind node knows of no
         // better reader, and what it moves is read twice and crowds out what others keep.
-        let repeatable = step == READ || live.effect == Idempotency::Safe;
+        let repeatable = step == READ || live.effect == Idempotency::Idempotent;
         let timeout = match self.patience(step, unread) {
             _ if step == READ && self.blind() => left,
             Some(span) if repeatable && live.attempts + 2 < self.settings.max_attempts => span.min(left),
@@ -764,7 +764,7 @@
     fn probe(&mut self, now: Micros, engines: Vec<usize>, acts: &mut Vec<Action>) {
         for index in engines {
             self.engines[index].probed = now;
-            acts.push(Action::Probe(self.engines[index].id.clone()));
+            acts.push(Action::HealthCheck(self.engines[index].id.clone()));
         }
     }
 
@@ -859,7 +859,7 @@
                 live.tried.clear();
             }
             Outcome::Served => self.answered(now, index),
-            Outcome::Full => {
+            Outcome::Overloaded => {
                 // Guards against engines that are full for one tenant only: they have told room.
                 let room = engine.told(now, REPORT_FOR).is_some_and(|told| told < CROWDED);
                 if room && live.request.tenant.is_some() {
@@ -870,11 +870,11 @@
                 live.tried.push(index);
             }
             // A state that cannot be fetched may still wait at a reader that is cut off.
-            Outcome::NoState => {
+            Outcome::StateNotFound => {
                 live.state = None;
                 acts.push(Action::Release(id.clone()));
             }
-            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut | Outcome::Error => {
+            Outcome::Unreachable | Outcome::ConnectionBroken | Outcome::TimedOut | Outcome::Error => {
                 // A time-out at the client's deadline tells of a long line as often as of the engine.
                 let late = outcome == Outcome::TimedOut && now >= live.deadline;
                 if outcome == Outcome::TimedOut {
@@ -889,7 +889,7 @@
                 let (first, warm) = (self.engines[index].fails == 0, now >= self.engines[index].cold_until);
                 let again = out.step == READ && outcome != Outcome::Unreachable && first && warm;
                 // A single error may be the request's own, a single break the connection's: the next counts.
-                if again || (first && matches!(outcome, Outcome::Error | Outcome::Broken)) {
+                if again || (first && matches!(outcome, Outcome::Error | Outcome::ConnectionBroken)) {
                     self.engines[index].fails = 1;
                 } else if !late {
                     self.strike(now, index, acts);
@@ -913,7 +913,11 @@
         }
         let harmless = matches!(
             outcome,
-            Outcome::Read | Outcome::Full | Outcome::NoState | Outcome::Unreachable | Outcome::NeverSent
+            Outcome::Read
+                | Outcome::Overloaded
+                | Outcome::StateNotFound
+                | Outcome::Unreachable
+                | Outcome::NeverSent
         );
         if !harmless && out.step != READ && live.ran.is_none() {
             live.ran = Some((index, out.sent));
@@ -993,11 +997,11 @@
         let Some(live) = self.live.get(id) else { return };
         self.turned.insert((live.request.session, live.request.prompt_tokens), live.first);
         let refusable = match live.effect {
-            Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
+            Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
             _ => live.ran.is_none(),
         };
         let answer =
-            if refusable { Action::Refuse(id.clone(), self.advice()) } else { Action::Fail(id.clone()) };
+            if refusable { Action::Reject(id.clone(), self.advice()) } else { Action::Fail(id.clone()) };
         self.close(id, Some(answer), acts);
     }
 
@@ -1113,7 +1117,7 @@
         }
         if !self.waiting.is_empty() && !self.gauges.sweeping {
             self.gauges.sweeping = true;
-            acts.push(Action::Wake(Timer::Sweep, SWEEP_EVERY));
+            acts.push(Action::SetTimer(Timer::DispatchPending, SWEEP_EVERY));
         }
     }
 }
--- a/tests/cold_admission.rs
+++ b/tests/cold_admission.rs
@@ -93,7 +93,7 @@
                 node.now = now;
                 under_way.clear();
             }
-            node.members(ListUpdate::Change, engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)));
+            node.members(ListUpdate::Delta, engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)));
         }
         let wanted = rate * if told { BURST } else { 1.0 } * STEP as f64 / 1e6;
         let whole = wanted.floor() as usize;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,13 +32,13 @@
         node: 0,
         nodes: 2,
         classes: vec![
-            class("safe", Idempotency::Safe),
-            class("unsafe", Idempotency::Unsafe),
-            class("keyed", Idempotency::Keyed(IdempotencyScope::Rack, 2 * SECOND)),
+            class("safe", Idempotency::Idempotent),
+            class("unsafe", Idempotency::NotIdempotent),
+            class("keyed", Idempotency::WithKey(IdempotencyScope::Rack, 2 * SECOND)),
         ],
         tenants: vec![],
         kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
-        discovery: DiscoveryMode::Pushed,
+        discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
         writers_read: false,
@@ -164,13 +164,13 @@
         for member in &members {
             self.members.insert(member.engine.clone(), member.clone());
         }
-        self.tell(Event::Members(form, members))
+        self.tell(Event::EndpointList(form, members))
     }
 
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
         self.classes.insert(request.id.clone(), request.class.unwrap_or(usize::MAX));
         self.deadlines.insert(request.id.clone(), self.now + request.patience);
-        self.tell(Event::Arrived(request))
+        self.tell(Event::RequestArrived(request))
     }
 
     /// Ends the latest attempt of a request.
@@ -198,7 +198,7 @@
             }
         }
         let attempt = attempt as Attempt;
-        self.tell(Event::AttemptEnd(AttemptEnd { id: request, attempt, outcome, last, kept, load: None }))
+        self.tell(Event::AttemptEnded(AttemptEnd { id: request, attempt, outcome, last, kept, load: None }))
     }
 
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
@@ -213,11 +213,11 @@
         if let Some(since) = self.held.get_mut(&id(name)) {
             *since = self.now;
         }
-        self.tell(Event::Withdrawn(id(name)))
+        self.tell(Event::ClientLeft(id(name)))
     }
 
     pub fn sweep(&mut self) -> Vec<Action> {
-        self.tell(Event::Elapsed(Timer::Sweep))
+        self.tell(Event::TimerFired(Timer::DispatchPending))
     }
 
     /// Fires the timers that have come due.
@@ -225,7 +225,7 @@
         let due: Vec<_> = self.timers.iter().filter(|t| t.0 <= self.now).cloned().collect();
         self.timers.retain(|t| t.0 > self.now);
         for (_, timer) in due {
-            self.tell(Event::Elapsed(timer));
+            self.tell(Event::TimerFired(timer));
         }
     }
 
@@ -264,14 +264,18 @@
         let never_ran = matches!(
             attempt.2,
             Some(
-                Outcome::Read | Outcome::Full | Outcome::NoState | Outcome::Unreachable | Outcome::NeverSent
+                Outcome::Read
+                    | Outcome::Overloaded
+                    | Outcome::StateNotFound
+                    | Outcome::Unreachable
+                    | Outcome::NeverSent
             )
         );
         never_ran || self.role(&attempt.0) == Role::Reader
     }
 
     fn effect(&self, request: &RequestId) -> Idempotency {
-        self.settings.classes.get(self.classes[request]).map_or(Idempotency::Unsafe, |c| c.effect)
+        self.settings.classes.get(self.classes[request]).map_or(Idempotency::NotIdempotent, |c| c.effect)
     }
 
     fn check(&mut self, act: &Action) {
@@ -287,9 +291,9 @@
                 assert!(attempts.iter().all(|a| a.2.is_some()), "two attempts of {request:?} are out");
                 if let Some(first) = attempts.iter().find(|a| !self.harmless(a)) {
                     match effect {
-                        Idempotency::Safe => {}
-                        Idempotency::Unsafe => panic!("{request:?} may have run and is sent again"),
-                        Idempotency::Keyed(group, window) => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => panic!("{request:?} may have run and is sent again"),
+                        Idempotency::WithKey(group, window) => {
                             let from = &self.members[&first.0];
                             assert!(self.now <= first.1 + window, "outside the window");
                             assert!(match group {
@@ -303,12 +307,12 @@
                 let place = self.attempts.get_mut(request).unwrap();
                 place.push((engine.clone(), self.now, None));
             }
-            Action::Refuse(request, _) => {
+            Action::Reject(request, _) => {
                 self.answer(request, act);
                 let attempts = self.attempts.get(request).cloned().unwrap_or_default();
                 let may_have_run = attempts.iter().any(|a| !self.harmless(a));
                 let allowed = match self.effect(request) {
-                    Idempotency::Safe | Idempotency::Keyed(IdempotencyScope::All, _) => true,
+                    Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
                     _ => !may_have_run,
                 };
                 assert!(allowed, "{request:?} may have run and is refused");
@@ -321,15 +325,15 @@
                 assert!(self.settings.may_cancel);
                 assert!((*attempt as usize) < self.attempts[request].len(), "never made");
             }
-            Action::Probe(engine) => {
+            Action::HealthCheck(engine) => {
                 assert!(self.settings.may_probe);
                 assert!(self.members.contains_key(engine));
             }
-            Action::Wake(timer, after) => {
+            Action::SetTimer(timer, after) => {
                 assert!(*after > 0);
                 self.timers.push((self.now + after, *timer));
             }
-            Action::Follow => assert_eq!(self.settings.discovery, DiscoveryMode::OnRequest),
+            Action::Subscribe => assert_eq!(self.settings.discovery, DiscoveryMode::Subscribe),
             Action::Log(text) => assert!(!text.is_empty()),
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -45,9 +45,10 @@
             let nodes = if nodes == 3 { 150 } else { nodes };
             let mut settings =
                 Settings { may_cancel, may_probe, retry_advice, max_attempts, nodes, ..settings() };
-            settings.classes[2] = class("keyed", Idempotency::Keyed(group, SECOND));
-            settings.discovery = if asked { DiscoveryMode::OnRequest } else { DiscoveryMode::Pushed };
-            settings.reports = [LoadReporting::Inline, LoadReporting::OnProbe, LoadReporting::Off][reports];
+            settings.classes[2] = class("keyed", Idempotency::WithKey(group, SECOND));
+            settings.discovery = if asked { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
+            settings.reports =
+                [LoadReporting::Inline, LoadReporting::OnHealthCheck, LoadReporting::Off][reports];
             settings.tenants = vec![Tenant { name: "t".into(), quota_per_s: 2.0 }];
             settings
         },
@@ -111,13 +112,13 @@
                 }
                 let request = open[which % open.len()].clone();
                 let outcome = match outcome {
-                    _ if streaming => [Outcome::Served, Outcome::Broken][which % 2],
+                    _ if streaming => [Outcome::Served, Outcome::ConnectionBroken][which % 2],
                     0..=4 if reads(&node, &request) => Outcome::Read,
                     0..=2 => Outcome::Served,
-                    3 | 4 => Outcome::NoState,
-                    5 => Outcome::Full,
+                    3 | 4 => Outcome::StateNotFound,
+                    5 => Outcome::Overloaded,
                     6 => Outcome::Unreachable,
-                    7 => Outcome::Broken,
+                    7 => Outcome::ConnectionBroken,
                     8 => Outcome::Error,
                     _ => Outcome::TimedOut,
                 };
@@ -142,11 +143,11 @@
                 let changed = Endpoint { listing, started, ..entry(engine) };
                 match full {
                     true => node.members(ListUpdate::Full, (0..engine).map(entry).chain([changed]).collect()),
-                    false => node.members(ListUpdate::Change, vec![changed]),
+                    false => node.members(ListUpdate::Delta, vec![changed]),
                 };
             }
             Step::Fire { watch } => {
-                node.tell(Event::Elapsed(if watch { Timer::Watch } else { Timer::Sweep }));
+                node.tell(Event::TimerFired(if watch { Timer::Maintenance } else { Timer::DispatchPending }));
             }
             Step::Pass { span } => pass(&mut node, span),
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -74,7 +74,7 @@
     node.arrive(request("a", 0, 1));
     let first = node.at("a").unwrap().to_string();
     // The home is turned away once, so that the text lies elsewhere than at home.
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     let second = node.at("a").unwrap().to_string();
     assert_ne!(first, second);
     serve(&mut node, "a");
@@ -132,7 +132,7 @@
     let mut node = Node::new(settings(), fleet());
     node.arrive(request("a", 0, 1));
     let home = node.at("a").unwrap().to_string();
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     let holder = node.at("a").unwrap().to_string();
     serve(&mut node, "a");
     node.now += 30 * SECOND;
@@ -149,14 +149,14 @@
     let mut node = Node::new(settings(), fleet());
     node.arrive(request("a", 0, 1));
     let home = node.at("a").unwrap().to_string();
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     let holder = node.at("a").unwrap().to_string();
     serve(&mut node, "a");
     node.now += SECOND;
     let started = Some(node.now - 100 * MS);
     let restarted =
         fleet().into_iter().find(|m| *m.engine.0 == *holder).map(|m| Endpoint { started, ..m }).unwrap();
-    node.members(ListUpdate::Change, vec![restarted]);
+    node.members(ListUpdate::Delta, vec![restarted]);
     node.arrive(request("b", 0, 1));
     assert_eq!(node.at("b"), Some(home.as_str()));
 }
@@ -215,14 +215,14 @@
     node.end("a", Outcome::Read);
     node.now = node.deadline(&id("a")) + 4 * MS;
     node.end("a", Outcome::TimedOut);
-    assert!(matches!(node.finals[&id("a")], Action::Refuse(..)));
+    assert!(matches!(node.finals[&id("a")], Action::Reject(..)));
 }
 
 #[test]
 fn events_of_unknown_requests_change_nothing_but_a_state_is_let_go() {
     let mut node = Node::new(settings(), pair());
     let ended = |outcome| {
-        Event::AttemptEnd(AttemptEnd {
+        Event::AttemptEnded(AttemptEnd {
             id: id("ghost"),
             attempt: 3,
             outcome,
@@ -232,9 +232,9 @@
         })
     };
     assert!(node.tell(Event::FirstToken(id("ghost"), 0)).is_empty());
-    assert!(node.tell(Event::Withdrawn(id("ghost"))).is_empty());
-    assert!(node.tell(ended(Outcome::Broken)).is_empty());
-    assert!(node.tell(Event::Probed(engine("nobody"), true, None)).is_empty());
+    assert!(node.tell(Event::ClientLeft(id("ghost"))).is_empty());
+    assert!(node.tell(ended(Outcome::ConnectionBroken)).is_empty());
+    assert!(node.tell(Event::HealthChecked(engine("nobody"), true, None)).is_empty());
     assert_eq!(node.tell(ended(Outcome::Read)), vec![Action::Release(id("ghost"))]);
 }
 
@@ -245,7 +245,7 @@
         node.arrive(request("a", 0, 1));
         node.now += 2 * SECOND;
         node.sweep();
-        let Action::Refuse(_, pause) = &node.finals[&id("a")] else { panic!("not refused") };
+        let Action::Reject(_, pause) = &node.finals[&id("a")] else { panic!("not refused") };
         assert_eq!(pause.is_some(), advice);
         assert!(pause.is_none_or(|p| p > 0 && p <= node.settings.max_retry_after));
     }
@@ -255,7 +255,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    for outcome in [Outcome::Error, Outcome::Broken, Outcome::TimedOut, Outcome::Cancelled] {
+    for outcome in [Outcome::Error, Outcome::ConnectionBroken, Outcome::TimedOut, Outcome::Cancelled] {
         let mut node = Node::new(settings(), fleet());
         node.arrive(request("a", 1, 1));
         node.end("a", Outcome::Read);
@@ -267,7 +267,7 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_goes_to_another_writer() {
-    for outcome in [Outcome::Full, Outcome::Unreachable] {
+    for outcome in [Outcome::Overloaded, Outcome::Unreachable] {
         let mut node = Node::new(settings(), fleet());
         node.arrive(request("a", 1, 1));
         node.end("a", Outcome::Read);
@@ -284,10 +284,10 @@
     node.arrive(request("a", 1, 1));
     let first = node.at("a").unwrap().to_string();
     // Its word may be all that got lost: the reader has most likely read the prompt.
-    node.end("a", Outcome::Broken);
+    node.end("a", Outcome::ConnectionBroken);
     assert!(node.finals.is_empty());
     assert_eq!(node.at("a"), Some(first.as_str()));
-    node.end("a", Outcome::Broken);
+    node.end("a", Outcome::ConnectionBroken);
     assert!(node.finals.is_empty());
     assert_ne!(node.at("a"), Some(first.as_str()));
 }
@@ -297,7 +297,7 @@
     let members = vec![member("m1", "near", 1), member("m2", "near", 1)];
     let mut node = Node::new(settings(), members);
     node.arrive(request("a", 1, 1));
-    node.end("a", Outcome::Broken);
+    node.end("a", Outcome::ConnectionBroken);
     assert_eq!(node.finals[&id("a")], Action::Fail(id("a")));
 }
 
@@ -309,7 +309,7 @@
         let name = format!("k{session}");
         node.arrive(request(&name, 2, session));
         let first = node.at(&name).unwrap().to_string();
-        node.end(&name, Outcome::Broken);
+        node.end(&name, Outcome::ConnectionBroken);
         match first.as_str() {
             "m3" => assert_eq!(node.at(&name), Some("m3"), "the only one of its group"),
             _ => assert_ne!(node.at(&name), Some("m3")),
@@ -332,7 +332,7 @@
         node.arrive(request("k", 2, 1));
         // The window is 2 s, counted from the first send.
         node.now += 1_800 * MS;
-        node.end("k", Outcome::Broken);
+        node.end("k", Outcome::ConnectionBroken);
         assert_eq!(node.has_out(&id("k")), repeated, "{connect_within} us to connect");
     }
 }
@@ -343,7 +343,7 @@
     node.arrive(request("a", 0, 1));
     for _ in 0..3 {
         if node.has_out(&id("a")) {
-            node.end("a", Outcome::Broken);
+            node.end("a", Outcome::ConnectionBroken);
         }
     }
     assert!(node.attempts[&id("a")].len() <= 3);
@@ -359,7 +359,7 @@
         vec![member("r1", "near", 1), member("r2", "near", 1), member("w1", "near", 1)],
     );
     node.members(
-        ListUpdate::Change,
+        ListUpdate::Delta,
         vec![Endpoint { listing: EndpointState::Draining, ..member("r1", "near", 1) }],
     );
     for session in 0..6 {
@@ -373,7 +373,7 @@
     node.arrive(request("b", 0, 9));
     assert_eq!(node.at("b"), Some("r1"));
     // A list that could not be had changes nothing.
-    node.tell(Event::Members(ListUpdate::Failed, vec![]));
+    node.tell(Event::EndpointList(ListUpdate::Failed, vec![]));
     node.arrive(request("c", 0, 10));
     assert_eq!(node.at("c"), Some("r1"));
 }
@@ -385,7 +385,7 @@
     let started = |node: &Node| Some(node.now);
     let mut node = Node::new(settings(), pair());
     let cold = Endpoint { started: started(&node), ..member("r2", "near", 1) };
-    node.members(ListUpdate::Change, vec![cold]);
+    node.members(ListUpdate::Delta, vec![cold]);
     let mut sends = 0;
     for session in 0..40 {
         let name = format!("c{session}");
@@ -425,7 +425,7 @@
 #[test]
 fn a_single_broken_connection_leaves_an_engine_warm_and_at_work() {
     // On sockets a day of resets under sound engines had all fourteen count as cold from start to end.
-    for outcome in [Outcome::Broken, Outcome::Unreachable] {
+    for outcome in [Outcome::ConnectionBroken, Outcome::Unreachable] {
         let mut node = Node::new(settings(), vec![member("r1", "near", 1), member("w1", "near", 1)]);
         for round in 0..20 {
             let (name, next) = (format!("a{round}"), format!("b{round}"));
@@ -451,7 +451,7 @@
     for round in 0..5_000 {
         let gone = Endpoint { listing: EndpointState::Gone, ..member(&format!("r{round}"), "near", 1) };
         let new = vec![member(&format!("r{}", round + 1), "near", 1), gone];
-        router.handle(SECOND + round, Event::Members(ListUpdate::Change, new), &mut acts);
+        router.handle(SECOND + round, Event::EndpointList(ListUpdate::Delta, new), &mut acts);
     }
     assert!(router.beliefs(9 * SECOND).len() <= 3, "{}", router.beliefs(9 * SECOND).len());
 }
@@ -463,7 +463,7 @@
     let mut node = Node::new(settings(), pair());
     node.arrive(request("a", 0, 1));
     node.end("a", Outcome::Read);
-    assert!(node.end("a", Outcome::Full).contains(&Action::Release(id("a"))));
+    assert!(node.end("a", Outcome::Overloaded).contains(&Action::Release(id("a"))));
     node.arrive(request("b", 0, 2));
     node.now += 10 * MS;
     let acts = node.withdraw("b");
@@ -476,7 +476,7 @@
     let mut node = Node::new(settings(), fleet());
     node.arrive(request("a", 0, 1));
     node.end("a", Outcome::Read);
-    assert!(node.end("a", Outcome::NoState).contains(&Action::Release(id("a"))));
+    assert!(node.end("a", Outcome::StateNotFound).contains(&Action::Release(id("a"))));
     // It is read anew; whatever becomes of that, the end lets go once more.
     node.now = node.deadline(&id("a")) + MS;
     assert!(node.end("a", Outcome::TimedOut).contains(&Action::Release(id("a"))));
@@ -552,7 +552,7 @@
     let mut node = Node::new(settings(), pair());
     node.arrive(request("a", 0, 1));
     node.end("a", Outcome::Read);
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     // The writer is marked full: one request on its way is enough.
     node.arrive(request("b", 0, 2));
     node.arrive(request("c", 0, 3));
@@ -564,7 +564,7 @@
     let mut node = Node::new(settings(), pair());
     node.arrive(request("a", 0, 1));
     node.end("a", Outcome::Read);
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     node.arrive(request("b", 0, 2));
     node.arrive(request("c", 0, 3));
     let held = if node.at("b").is_some() { "c" } else { "b" };
@@ -582,7 +582,7 @@
     let mut node = Node::new(Settings { tenants, ..settings() }, pair());
     node.arrive(request("a", 0, 1));
     node.end("a", Outcome::Read);
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     node.arrive(request("b", 0, 2));
     for i in 0..4 {
         node.arrive(Request { tenant: Some(0), ..request(&format!("big{i}"), 0, 10 + i) });
@@ -637,7 +637,7 @@
     let mut node = Node::new(settings(), pair());
     node.arrive(request("first", 0, 1));
     node.end("first", Outcome::Read);
-    node.end("first", Outcome::Full);
+    node.end("first", Outcome::Overloaded);
     node.arrive(request("way", 0, 2));
     assert_eq!(node.at("way"), Some("r1"));
     node
@@ -696,14 +696,14 @@
     node.arrive(request("try", 0, 10));
     node.now += 1_000 * MS;
     node.sweep();
-    assert!(matches!(node.finals[&id("try")], Action::Refuse(..)));
+    assert!(matches!(node.finals[&id("try")], Action::Reject(..)));
     node.end("way", Outcome::Read);
-    node.end("way", Outcome::Full);
+    node.end("way", Outcome::Overloaded);
     node.arrive(request("next", 0, 3));
     node.now += 60 * MS;
     // Its client asks again; its aim has all but passed by now, so without room it ends at once.
     node.arrive(request("again", 0, 10));
-    assert!(matches!(node.finals[&id("again")], Action::Refuse(..)));
+    assert!(matches!(node.finals[&id("again")], Action::Reject(..)));
     node.arrive(request("fresh", 0, 11));
     assert!(!node.finals.contains_key(&id("fresh")));
 }
@@ -715,8 +715,8 @@
     for i in 0..5 {
         node.arrive(request(&format!("hung{i}"), 0, i));
     }
-    node.members(ListUpdate::Change, vec![member("r2", "near", 1)]);
-    node.end("hung0", Outcome::Broken);
+    node.members(ListUpdate::Delta, vec![member("r2", "near", 1)]);
+    node.end("hung0", Outcome::ConnectionBroken);
     for i in 0..4 {
         let name = format!("next{i}");
         node.arrive(request(&name, 0, 20 + i));
@@ -741,7 +741,7 @@
 
 fn report(node: &mut Node, name: &str, memory: f64) {
     let load = LoadReport { memory: Some(memory), ..LoadReport::default() };
-    node.tell(Event::Probed(engine(name), true, Some(load)));
+    node.tell(Event::HealthChecked(engine(name), true, Some(load)));
 }
 
 #[test]
@@ -767,7 +767,7 @@
         |node| report(node, "w1", 0.5),
         |node| report(node, "w1", 0.95),
         |node| {
-            node.tell(Event::Probed(engine("w1"), false, None));
+            node.tell(Event::HealthChecked(engine("w1"), false, None));
         },
         |node| {
             node.arrive(request("stalls", 0, 9));
@@ -853,7 +853,7 @@
             if node.now >= begin && !told {
                 told = true;
                 let cold = Endpoint { started: Some(begin), ..member(target, "near", 1) };
-                node.members(ListUpdate::Change, vec![cold]);
+                node.members(ListUpdate::Delta, vec![cold]);
             }
             if node.now >= begin + 9 * SECOND {
                 break;
@@ -918,18 +918,18 @@
 }
 
 fn probes(acts: &[Action]) -> Vec<&str> {
-    acts.iter().filter_map(|a| if let Action::Probe(e) = a { Some(&*e.0) } else { None }).collect()
+    acts.iter().filter_map(|a| if let Action::HealthCheck(e) = a { Some(&*e.0) } else { None }).collect()
 }
 
 #[test]
 fn one_of_many_nodes_probes_no_more_than_its_own_traffic_pays_for() {
-    let shape = Settings { reports: LoadReporting::OnProbe, ..one_of_many() };
+    let shape = Settings { reports: LoadReporting::OnHealthCheck, ..one_of_many() };
     let members = (0..60).map(|i| member(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
     let mut node = Node::new(shape, members);
     let mut all = 0;
     for _ in 0..100 {
         node.now += 500 * MS;
-        all += probes(&node.tell(Event::Elapsed(Timer::Watch))).len();
+        all += probes(&node.tell(Event::TimerFired(Timer::Maintenance))).len();
     }
     assert_eq!(all, 0, "without traffic there are no probes");
     for i in 0..100 {
@@ -940,7 +940,7 @@
         all += probes(&node.sweep()).len();
         node.end(&name, Outcome::Read);
         node.now += 500 * MS;
-        all += probes(&node.tell(Event::Elapsed(Timer::Watch))).len();
+        all += probes(&node.tell(Event::TimerFired(Timer::Maintenance))).len();
     }
     assert!((100..=600).contains(&all), "{all} probes for 100 requests");
 }
@@ -960,7 +960,7 @@
         assert_eq!(probes(&acts).contains(&"r1"), nodes > 10);
         for (name, waits) in [("r1", queue), ("r2", 0.0)] {
             let load = LoadReport { queue: Some(waits), slots: Some(0.5), ..LoadReport::default() };
-            node.tell(Event::Probed(engine(name), true, Some(load)));
+            node.tell(Event::HealthChecked(engine(name), true, Some(load)));
         }
         assert_eq!(node.at("a"), expected, "{nodes} nodes, {queue} wait");
     }
@@ -979,7 +979,7 @@
         node.now += 100 * MS;
         serve(&mut node, "usual");
         let load = LoadReport { backlog: Some(100.0), ..LoadReport::default() };
-        node.tell(Event::Probed(engine("r1"), true, Some(load)));
+        node.tell(Event::HealthChecked(engine("r1"), true, Some(load)));
         node.now += waited;
         node.arrive(request("a", 0, session));
         assert_eq!(node.at("a"), Some(expected), "{waited} us after 100,000 tokens were told");
@@ -1026,7 +1026,7 @@
             |name: &str, own| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, own) };
         let mut node = Node::new(Settings { nodes, ..settings() }, members.clone());
         node.arrive(shared("a", 50));
-        node.end("a", Outcome::Full);
+        node.end("a", Outcome::Overloaded);
         assert_eq!(node.at("a"), Some("r2"));
         serve(&mut node, "a");
         node.now += 2 * SECOND;
@@ -1144,7 +1144,7 @@
     node.arrive(of("a", 0));
     node.end("a", Outcome::Read);
     assert_eq!(node.at("a"), Some("w1"));
-    node.end("a", Outcome::Full);
+    node.end("a", Outcome::Overloaded);
     node.first_token("a");
     let mut next = |name: &str, tenant, wait| {
         node.now += wait;
@@ -1179,7 +1179,7 @@
     let members = vec![member("r1", "near", 1), member("w1", "near", 1), member("w2", "near", 1)];
     for (writers_read, outcome, next) in [
         (true, Outcome::TimedOut, "r1"),
-        (true, Outcome::Broken, "r1"),
+        (true, Outcome::ConnectionBroken, "r1"),
         (true, Outcome::Unreachable, "w"),
         (false, Outcome::TimedOut, "w"),
     ] {
