--- a/crates/pintally-bench-adapter/src/wire.rs
+++ b/crates/pintally-bench-adapter/src/wire.rs
@@ -219,8 +219,8 @@
             id: request_id(&e.txn),
             attempt: e.r#try,
             outcome: outcome(e.state_code, e.detail)?,
-            last: e.no_more.unwrap_or(false),
-            kept: count(e.detail),
+            is_final: e.no_more.unwrap_or(false),
+            cached_tokens: count(e.detail),
             load: e.feedback.map(|row| names.load(&row)),
         }),
         Incoming::Withdrawn { txn, .. } => Event::ClientLeft(request_id(&txn)),
@@ -248,7 +248,7 @@
         prompt_tokens: count(d.prompt_tokens),
         prefix_tokens: count(d.prefix_len),
         max_tokens: count(d.max_tokens),
-        patience: micros(d.ttl),
+        client_timeout: micros(d.ttl),
         resumed: d.reconnect.unwrap_or(false),
     }
 }
--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -105,7 +105,7 @@
 impl Cells {
     /// Cells for a node with so many places, and room for so many bytes of bodies.
     pub fn new(file: CellsFile, places: usize, room: usize, core: &Settings) -> Cells {
-        let worths: Vec<f64> = core.classes.iter().map(|c| c.worth).collect();
+        let worths: Vec<f64> = core.classes.iter().map(|c| c.priority_weight).collect();
         let mut cells = Cells {
             file: CellsFile::default(),
             edge: Edge::default(),
@@ -242,7 +242,7 @@
         let serving: Vec<Lendable> = self
             .members
             .values()
-            .filter(|(m, ..)| m.listing == EndpointState::Serving && !self.trust.is_failing(&m.engine))
+            .filter(|(m, ..)| m.state == EndpointState::Serving && !self.trust.is_failing(&m.engine))
             .map(|(m, role, cell)| Lendable {
                 engine: m.engine.clone(),
                 role: *role,
@@ -278,7 +278,7 @@
                     // Its memory holds nothing of this cell's texts: it starts as a cold one does.
                     member.started = member.started.max(self.borrowed.get(&member.engine).copied());
                 }
-                if member.listing == EndpointState::Serving {
+                if member.state == EndpointState::Serving {
                     has.add(*role);
                     weights.push((*role, self.trust.weight(now, &member.engine)));
                 }
--- a/crates/pintally-cells/tests/common/mod.rs
+++ b/crates/pintally-cells/tests/common/mod.rs
@@ -9,7 +9,7 @@
         zone: String::new(),
         kind: String::new(),
         rack: 0,
-        listing: EndpointState::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
         started: None,
     }
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -34,12 +34,12 @@
     class: &Class,
     more: &ClassSettings,
 ) -> Result<(), ConfigError> {
-    if class.aim > more.patience {
+    if class.latency_objective > more.patience {
         return Err(form.breaks(
             LOST,
             format!(
                 "the aim of {} ms is past the {} ms that the client waits",
-                class.aim / 1000,
+                class.latency_objective / 1000,
                 more.patience / 1000
             ),
         ));
@@ -61,13 +61,13 @@
 
 /// The figures of the rules against each other.
 pub(crate) fn rules(form: &Form, core: &Settings) -> Result<(), ConfigError> {
-    if core.tip_multiple < 1.0 {
+    if core.overload_factor < 1.0 {
         return Err(form.breaks(COLD, "`tip-multiple` under 1 leaves a cold engine no work at all"));
     }
-    if core.warm_after > 0 && core.tip_window > core.warm_after {
+    if core.slow_start_duration > 0 && core.overload_window > core.slow_start_duration {
         return Err(form.breaks(COLD, "`tip-window-ms` is longer than `warm-after-ms`"));
     }
-    if core.retry_advice && core.max_retry_after == 0 {
+    if core.clients_honour_retry_after && core.max_retry_after == 0 {
         return Err(form.error("`retry-after` is yes, but `retry-after-most-ms` is 0"));
     }
     Ok(())
@@ -79,7 +79,7 @@
     let writes = core.kinds.iter().any(|k| k.role != Role::Reader);
     let writer = core.kinds.iter().any(|k| k.role == Role::Writer);
     match (reads, writes) {
-        (true, true) if core.writers_read && !writer => {
+        (true, true) if core.writers_read_prompts && !writer => {
             Err(root.error("`writers-read` is yes, but no `kind` is a writer"))
         }
         (true, true) => Ok(()),
@@ -119,14 +119,14 @@
             ));
         }
     }
-    if limits.errand > s.core.release_within {
+    if limits.errand > s.core.release_deadline {
         return Err(breaks(
             at("limits", "errand-ms")?,
             PINNED,
             format!(
                 "a release may take {} ms, but what is held must be let go within {} ms",
                 limits.errand / 1000,
-                s.core.release_within / 1000
+                s.core.release_deadline / 1000
             ),
         ));
     }
--- a/crates/pintally-config/src/fleet.rs
+++ b/crates/pintally-config/src/fleet.rs
@@ -194,7 +194,7 @@
         Some(form) => form.breaks(rule, what),
         None => root.breaks(rule, what),
     };
-    if recovery.careful_most < s.core.warm_after {
+    if recovery.careful_most < s.core.slow_start_duration {
         let what = "`careful-most-ms` is under `warm-after-ms`: all would be let in before engines are warm";
         return Err(breaks(COLD, what.into()));
     }
--- a/crates/pintally-config/src/members.rs
+++ b/crates/pintally-config/src/members.rs
@@ -128,7 +128,7 @@
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             rack: self.rack,
-            listing: self.listing,
+            state: self.listing,
             weight: self.weight,
             started: self.started_unix_ms.map(clock).filter(|at| *at > 0),
         }
--- a/crates/pintally-config/src/regions.rs
+++ b/crates/pintally-config/src/regions.rs
@@ -120,7 +120,7 @@
         return Err(form.error(format!("the node's zone `{home}` is in no region")));
     }
     let figures = &regions.figures;
-    if 4 * figures.step < s.core.warm_after {
+    if 4 * figures.step < s.core.slow_start_duration {
         let what =
             "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
         return Err(form.breaks(COLD, what));
--- a/crates/pintally-config/src/settings.rs
+++ b/crates/pintally-config/src/settings.rs
@@ -183,7 +183,7 @@
         let (peers, recovery) = fleet::read(root)?;
         let (keepers, shared_limits, verdicts) = shared::read(root)?;
         let limits = limits(root)?;
-        core.connect_within = limits.connect;
+        core.connect_timeout = limits.connect;
         let mut settings = NodeSettings {
             name,
             listen,
@@ -263,21 +263,21 @@
         discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
-        writers_read: false,
-        may_cancel: true,
-        may_probe: true,
-        probe_price: 0.0,
-        retry_advice: true,
+        writers_read_prompts: false,
+        cancellation_allowed: true,
+        health_checks_allowed: true,
+        health_check_price: 0.0,
+        clients_honour_retry_after: true,
         max_retry_after: 2_000_000,
         max_attempts: 6,
-        cold_from: 0.3,
-        warm_after: 14_000_000,
-        tip_multiple: 2.5,
-        tip_window: 2_000_000,
-        connect_within: 250_000,
-        release_within: 500_000,
-        ask_within: 0,
-        usual: [0.0; 3],
+        slow_start_min_capacity: 0.3,
+        slow_start_duration: 14_000_000,
+        overload_factor: 2.5,
+        overload_window: 2_000_000,
+        connect_timeout: 250_000,
+        release_deadline: 500_000,
+        max_poll_interval: 0,
+        remembered_service_rates: [0.0; 3],
     };
     let empty = Document::parse("", "(rules)")?;
     let rules = match root.maybe("rules")? {
@@ -305,18 +305,18 @@
         other => return Err(form.error(format!("`reports` is `{other}`, not inline, on-probe or off"))),
     };
     s.weights = form.yes_or("weights", s.weights)?;
-    s.writers_read = form.yes_or("writers-read", s.writers_read)?;
-    s.may_cancel = form.yes_or("cancel", s.may_cancel)?;
-    s.may_probe = form.yes_or("probes", s.may_probe)?;
-    s.probe_price = form.number_or("probe-price", s.probe_price, 0.0, 100.0)?;
-    s.retry_advice = form.yes_or("retry-after", s.retry_advice)?;
+    s.writers_read_prompts = form.yes_or("writers-read", s.writers_read_prompts)?;
+    s.cancellation_allowed = form.yes_or("cancel", s.cancellation_allowed)?;
+    s.health_checks_allowed = form.yes_or("probes", s.health_checks_allowed)?;
+    s.health_check_price = form.number_or("probe-price", s.health_check_price, 0.0, 100.0)?;
+    s.clients_honour_retry_after = form.yes_or("retry-after", s.clients_honour_retry_after)?;
     s.max_retry_after = form.millis_or("retry-after-most-ms", ms(s.max_retry_after), 0.0, 600_000.0)?;
     s.max_attempts = form.count_or("attempts", s.max_attempts.into(), 1, 100)? as u32;
-    s.cold_from = form.number_or("cold-from", s.cold_from, 0.001, 1.0)?;
-    s.warm_after = form.millis_or("warm-after-ms", ms(s.warm_after), 0.0, 3_600_000.0)?;
-    s.tip_multiple = form.number_or("tip-multiple", s.tip_multiple, 0.1, 1000.0)?;
-    s.tip_window = form.millis_or("tip-window-ms", ms(s.tip_window), 1.0, 600_000.0)?;
-    s.release_within = form.millis_or("release-within-ms", ms(s.release_within), 1.0, 600_000.0)?;
+    s.slow_start_min_capacity = form.number_or("cold-from", s.slow_start_min_capacity, 0.001, 1.0)?;
+    s.slow_start_duration = form.millis_or("warm-after-ms", ms(s.slow_start_duration), 0.0, 3_600_000.0)?;
+    s.overload_factor = form.number_or("tip-multiple", s.overload_factor, 0.1, 1000.0)?;
+    s.overload_window = form.millis_or("tip-window-ms", ms(s.overload_window), 1.0, 600_000.0)?;
+    s.release_deadline = form.millis_or("release-within-ms", ms(s.release_deadline), 1.0, 600_000.0)?;
     check::rules(form, s)
 }
 
@@ -343,11 +343,11 @@
     let class = Class {
         name,
         effect: effect_value,
-        aim: form.millis_or("aim-ms", 1000.0, 1.0, 3_600_000.0)?,
-        aim_per_1000_tokens: form.millis_or("aim-per-1000-tokens-ms", 0.0, 0.0, 600_000.0)?,
-        token_aim: form.millis_or("token-aim-ms", 0.0, 0.0, 60_000.0)?,
-        worth: form.number_or("worth", 1.0, 0.0, 1e9)?,
-        late_share: form.number_or("late-share", 0.0, 0.0, 1.0)?,
+        latency_objective: form.millis_or("aim-ms", 1000.0, 1.0, 3_600_000.0)?,
+        latency_objective_per_1000_tokens: form.millis_or("aim-per-1000-tokens-ms", 0.0, 0.0, 600_000.0)?,
+        token_interval_objective: form.millis_or("token-aim-ms", 0.0, 0.0, 60_000.0)?,
+        priority_weight: form.number_or("worth", 1.0, 0.0, 1e9)?,
+        late_weight_fraction: form.number_or("late-share", 0.0, 0.0, 1.0)?,
     };
     let more = ClassSettings {
         patience: form.millis_or("patience-ms", 5000.0, 1.0, 3_600_000.0)?,
--- a/crates/pintally-config/tests/bad_files.rs
+++ b/crates/pintally-config/tests/bad_files.rs
@@ -18,7 +18,7 @@
 fn a_good_file_is_taken_with_its_defaults() {
     let settings = NodeSettings::parse("good", GOOD).unwrap();
     assert_eq!((settings.core.classes.len(), settings.core.kinds.len()), (2, 2));
-    assert_eq!((settings.core.max_attempts, settings.core.may_cancel), (6, true));
+    assert_eq!((settings.core.max_attempts, settings.core.cancellation_allowed), (6, true));
     assert_eq!(settings.classes[0].max_tokens, 256);
 }
 
@@ -26,10 +26,10 @@
 #[test]
 fn writers_that_read_are_told_and_must_be_there() {
     let read = |text: &str| NodeSettings::parse("file", text);
-    assert!(!read(GOOD).unwrap().core.writers_read);
+    assert!(!read(GOOD).unwrap().core.writers_read_prompts);
     let told = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
     let core = read(&told).unwrap().core;
-    assert!(core.writers_read && core.reports == LoadReporting::Off && !core.may_probe);
+    assert!(core.writers_read_prompts && core.reports == LoadReporting::Off && !core.health_checks_allowed);
     let example = std::fs::read_to_string("../../examples/node-silent.sexp").unwrap();
     assert_eq!(read(&example).unwrap().core.reports, LoadReporting::Off);
     let error = read(&told.replace("(role writer)", "(role mixed)")).unwrap_err();
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -49,15 +49,24 @@
     assert!(matches!(core.reports, LoadReporting::OnHealthCheck));
     assert!(matches!(core.discovery, DiscoveryMode::Push));
     assert_eq!(
-        (core.weights, core.writers_read, core.may_cancel, core.may_probe),
+        (core.weights, core.writers_read_prompts, core.cancellation_allowed, core.health_checks_allowed),
         (false, true, false, false)
     );
-    assert_eq!((core.probe_price, core.retry_advice, core.max_retry_after), (0.5, true, 1_500_000));
-    assert_eq!((core.max_attempts, core.cold_from, core.warm_after), (4, 0.25, 9_000_000));
-    assert_eq!((core.tip_multiple, core.tip_window, core.release_within), (3.5, 1_700_000, 450_000));
-    assert_eq!((core.connect_within, core.ask_within), (204_000, 0));
+    assert_eq!(
+        (core.health_check_price, core.clients_honour_retry_after, core.max_retry_after),
+        (0.5, true, 1_500_000)
+    );
+    assert_eq!(
+        (core.max_attempts, core.slow_start_min_capacity, core.slow_start_duration),
+        (4, 0.25, 9_000_000)
+    );
+    assert_eq!(
+        (core.overload_factor, core.overload_window, core.release_deadline),
+        (3.5, 1_700_000, 450_000)
+    );
+    assert_eq!((core.connect_timeout, core.max_poll_interval), (204_000, 0));
     assert!(matches!(read("fleet.sexp").core.reports, LoadReporting::Off));
-    assert!(!read("fleet.sexp").core.retry_advice);
+    assert!(!read("fleet.sexp").core.clients_honour_retry_after);
 }
 
 #[test]
@@ -66,8 +75,11 @@
     let names: Vec<_> = s.core.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(names, ["hint", "all", "zone", "rack", "mark"]);
     let hint = &s.core.classes[0];
-    assert_eq!((hint.aim, hint.aim_per_1000_tokens, hint.token_aim), (900_000, 40_000, 60_000));
-    assert_eq!((hint.worth, hint.late_share), (2.5, 0.2));
+    assert_eq!(
+        (hint.latency_objective, hint.latency_objective_per_1000_tokens, hint.token_interval_objective),
+        (900_000, 40_000, 60_000)
+    );
+    assert_eq!((hint.priority_weight, hint.late_weight_fraction), (2.5, 0.2));
     assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (4_000_000, 128));
     let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.effect).collect();
     assert!(matches!(effects[0], Idempotency::Idempotent));
@@ -102,14 +114,29 @@
     let core = &s.core;
     assert_eq!((core.zone.as_str(), core.node, core.nodes), ("", 0, 1));
     assert!(matches!(core.reports, LoadReporting::Inline));
-    assert_eq!((core.weights, core.writers_read, core.may_cancel, core.may_probe), (true, false, true, true));
-    assert_eq!((core.probe_price, core.retry_advice, core.max_retry_after), (0.0, true, 2_000_000));
-    assert_eq!((core.max_attempts, core.cold_from, core.warm_after), (6, 0.3, 14_000_000));
-    assert_eq!((core.tip_multiple, core.tip_window, core.release_within), (2.5, 2_000_000, 500_000));
-    assert_eq!(core.usual, [0.0; 3]);
+    assert_eq!(
+        (core.weights, core.writers_read_prompts, core.cancellation_allowed, core.health_checks_allowed),
+        (true, false, true, true)
+    );
+    assert_eq!(
+        (core.health_check_price, core.clients_honour_retry_after, core.max_retry_after),
+        (0.0, true, 2_000_000)
+    );
+    assert_eq!(
+        (core.max_attempts, core.slow_start_min_capacity, core.slow_start_duration),
+        (6, 0.3, 14_000_000)
+    );
+    assert_eq!(
+        (core.overload_factor, core.overload_window, core.release_deadline),
+        (2.5, 2_000_000, 500_000)
+    );
+    assert_eq!(core.remembered_service_rates, [0.0; 3]);
     let class = &core.classes[0];
-    assert_eq!((class.aim, class.aim_per_1000_tokens, class.token_aim), (1_000_000, 0, 0));
-    assert_eq!((class.worth, class.late_share), (1.0, 0.0));
+    assert_eq!(
+        (class.latency_objective, class.latency_objective_per_1000_tokens, class.token_interval_objective),
+        (1_000_000, 0, 0)
+    );
+    assert_eq!((class.priority_weight, class.late_weight_fraction), (1.0, 0.0));
     assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (5_000_000, 256));
     assert_eq!((core.kinds[0].memory_tokens, s.slots[0]), (0, 0));
 }
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -67,8 +67,14 @@
             // Guards against an attempt that is spent on a state which has been let go: the core hears
             // what the writer would say, and has the prompt read again.
             self.counters.never_sent += 1;
-            let event =
-                AttemptEnd { id, attempt, outcome: Outcome::StateNotFound, last: false, kept: 0, load: None };
+            let event = AttemptEnd {
+                id,
+                attempt,
+                outcome: Outcome::StateNotFound,
+                is_final: false,
+                cached_tokens: 0,
+                load: None,
+            };
             self.owed.push_back((cell.clone(), Event::AttemptEnded(event)));
             return;
         }
@@ -205,7 +211,8 @@
             self.answer(&id, FinalAnswer::Cut, out);
         }
         let last = over || ended.started || outcome == Outcome::Served;
-        let event = AttemptEnd { id: id.clone(), attempt, outcome, last, kept, load };
+        let event =
+            AttemptEnd { id: id.clone(), attempt, outcome, is_final: last, cached_tokens: kept, load };
         self.event(now, &cell, Event::AttemptEnded(event), out);
         self.release_unsure(&id, out);
     }
@@ -213,5 +220,5 @@
 
 fn never_sent(id: RequestId, attempt: Attempt) -> Event {
     let outcome = Outcome::NeverSent;
-    Event::AttemptEnded(AttemptEnd { id, attempt, outcome, last: false, kept: 0, load: None })
+    Event::AttemptEnded(AttemptEnd { id, attempt, outcome, is_final: false, cached_tokens: 0, load: None })
 }
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -87,7 +87,7 @@
                 address: one.address,
                 role: core.kinds[kind].role,
                 slots: self.settings.slots.get(kind).copied().unwrap_or(0),
-                listing: member.listing,
+                listing: member.state,
                 zone: member.zone.as_str().into(),
                 rack: member.rack,
             };
@@ -194,7 +194,7 @@
             Some(Ok(zone)) => return Some(zone),
             Some(Err(after)) => {
                 let core = &self.settings.core;
-                let told = core.retry_advice && core.max_retry_after > 0;
+                let told = core.clients_honour_retry_after && core.max_retry_after > 0;
                 self.counters.no_zone += 1;
                 let after = told.then(|| after.min(core.max_retry_after));
                 self.turn_away(arrival.ticket, RefusalReason::NoPlace, after, out);
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -110,7 +110,7 @@
             cells_due: None,
             seed,
             stamp: format!("{}-{:08x}", settings.name, seed as u32),
-            letting: Letting::new(settings.core.release_within),
+            letting: Letting::new(settings.core.release_deadline),
             settings,
             places: BTreeMap::new(),
             entries: BTreeMap::new(),
@@ -420,7 +420,9 @@
         let deadline = now.saturating_add(left);
         let guard = self.timers.set(deadline + margin / 2, Due::Answer(arrival.ticket));
         let aims = arrival.class.and_then(|c| self.settings.core.classes.get(c));
-        let aim = aims.map_or(left, |c| c.aim + c.aim_per_1000_tokens * arrival.prompt_tokens / 1000);
+        let aim = aims.map_or(left, |c| {
+            c.latency_objective + c.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000
+        });
         let entry = Entry {
             id: id.clone(),
             cell: cell.clone(),
@@ -458,7 +460,7 @@
             prompt_tokens: arrival.prompt_tokens,
             prefix_tokens: arrival.prefix_tokens.min(arrival.prompt_tokens),
             max_tokens,
-            patience: left,
+            client_timeout: left,
             resumed: arrival.resumed,
         };
         self.event(now, &cell, Event::RequestArrived(request), out);
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -62,8 +62,7 @@
         let Some(judging) = &mut self.judging else { return };
         judging.lives.clear();
         let mut known = BTreeMap::new();
-        for (engine, listed) in
-            self.members.iter().filter(|(_, l)| l.member.listing == EndpointState::Serving)
+        for (engine, listed) in self.members.iter().filter(|(_, l)| l.member.state == EndpointState::Serving)
         {
             let address = listed.address.to_string();
             let life = EngineIncarnation::of(&engine.0, &address, listed.started_unix_ms.unwrap_or(0));
@@ -78,8 +77,8 @@
     /// An engine as the core is to be told of it.
     pub(crate) fn as_judged(&self, mut member: Endpoint) -> Endpoint {
         let held = self.judging.as_ref().is_some_and(|j| j.held.contains(&member.engine));
-        if held && member.listing == EndpointState::Serving {
-            member.listing = EndpointState::Draining;
+        if held && member.state == EndpointState::Serving {
+            member.state = EndpointState::Draining;
         }
         member
     }
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -98,7 +98,7 @@
         let core = &self.settings.core;
         // Spread a little, so that those turned away together do not come back together.
         let after = after + arrival.ticket.wrapping_mul(0x9e37_79b9) % (after / 4 + 1);
-        let told = core.retry_advice && core.max_retry_after > 0;
+        let told = core.clients_honour_retry_after && core.max_retry_after > 0;
         Err(told.then(|| after.min(core.max_retry_after)))
     }
 
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -87,7 +87,7 @@
             recovering.cold_since = Some(now);
         }
         let all: Vec<EngineEndpoint> =
-            self.members.values().filter(|l| l.member.listing != EndpointState::Gone).cloned().collect();
+            self.members.values().filter(|l| l.member.state != EndpointState::Gone).cloned().collect();
         if !all.is_empty() {
             self.list(now, ListUpdate::Delta, all, out);
         }
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -82,7 +82,7 @@
             let zone = cells.iter().position(|c| *c.0 == *member.zone);
             let before = regional.placed.get(&member.engine).copied();
             if let Some(before) = before.filter(|b| Some(*b) != zone) {
-                lists[before].push(Endpoint { listing: EndpointState::Gone, ..member.clone() });
+                lists[before].push(Endpoint { state: EndpointState::Gone, ..member.clone() });
             }
             match zone {
                 Some(zone) => {
--- a/crates/pintally-host/src/states.rs
+++ b/crates/pintally-host/src/states.rs
@@ -211,7 +211,7 @@
             }
             return;
         }
-        let within = self.settings.core.release_within;
+        let within = self.settings.core.release_deadline;
         match self.releases.heard(self.now, &id, &engine, heard, within) {
             Verdict::Done => {}
             Verdict::Lost => self.counters.releases_lost += 1,
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/host.rs
@@ -97,7 +97,7 @@
                 zone: zone.to_string(),
                 kind: kind.to_string(),
                 rack: 0,
-                listing: self.listing[id],
+                state: self.listing[id],
                 weight: 1.0,
                 started: None,
             };
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -26,7 +26,7 @@
             zone: "a".into(),
             kind: kind.into(),
             rack: 0,
-            listing,
+            state: listing,
             weight: 1.0,
             started: None,
         },
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -35,7 +35,7 @@
             zone: "a".into(),
             kind: name[..1].into(),
             rack: 1,
-            listing: EndpointState::Serving,
+            state: EndpointState::Serving,
             weight: 1.0,
             started: None,
         },
@@ -566,7 +566,7 @@
     both[1].address = both[0].address;
     node.arrive(1, "x");
     node.end(&node.attempt(), Outcome::Read);
-    both[0].member.listing = EndpointState::Draining;
+    both[0].member.state = EndpointState::Draining;
     node.tell(Input::EndpointList(ListUpdate::Full, both.clone()));
     node.arrive(2, "y");
     assert_eq!(&*node.attempt().engine.0, "r1");
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -251,7 +251,7 @@
     let own = settings.recovery.as_ref()?;
     let core = &settings.core;
     let classes = core.classes.iter().map(|c| ClassPriority {
-        worth: c.worth,
+        worth: c.priority_weight,
         once: c.effect == pintally::interface::Idempotency::NotIdempotent,
     });
     let figures = recovery::Settings {
@@ -266,11 +266,11 @@
         answer_within: own.answer_within,
         rounds: own.rounds,
         careful_most: own.careful_most,
-        cold_from: core.cold_from,
-        warm_after: core.warm_after,
+        cold_from: core.slow_start_min_capacity,
+        warm_after: core.slow_start_duration,
         per_engine: own.per_engine,
         textless: own.textless,
-        retry_most: if core.retry_advice { core.max_retry_after } else { 0 },
+        retry_most: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
         classes: classes.collect(),
     };
     Some(Recovery::new(figures, now, own.read_within))
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -64,7 +64,7 @@
         let mut before = fleet::read_before(&settings, seed);
         let mut settings = settings;
         if settings.recovery.is_some() {
-            Arc::make_mut(&mut settings).core.usual = before.usual;
+            Arc::make_mut(&mut settings).core.remembered_service_rates = before.usual;
         }
         let shared = Arc::new(Shared::new(settings.clone(), decide));
         shared.fleet.keep_in(&mut before);
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -237,11 +237,11 @@
                     let known = self.engines.entry(one.member.engine.clone()).or_insert(Known {
                         address: one.address,
                         role: kind.role,
-                        listing: one.member.listing,
+                        listing: one.member.state,
                         open: 0,
                         load: LoadReport::default(),
                     });
-                    known.listing = one.member.listing;
+                    known.listing = one.member.state;
                 }
             }
             Input::RequestArrived(arrival) => self.arrived(now, arrival, out),
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -427,7 +427,7 @@
                 zone: spec.zone.clone(),
                 kind: spec.kind.clone(),
                 rack: spec.rack,
-                listing: self.listing[n],
+                state: self.listing[n],
                 weight: 1.0,
                 started: self.started[n],
             };
@@ -440,7 +440,7 @@
         }
         let at = self.now + after;
         for one in &list {
-            let listing = match one.member.listing {
+            let listing = match one.member.state {
                 EndpointState::Serving => ListedAs::Serving,
                 EndpointState::Draining => ListedAs::Draining,
                 EndpointState::Gone => ListedAs::Gone,
--- a/crates/pintally-platform-node/src/starts/tests.rs
+++ b/crates/pintally-platform-node/src/starts/tests.rs
@@ -16,7 +16,7 @@
             zone: "a".into(),
             kind: "m1".into(),
             rack: 0,
-            listing: EndpointState::Serving,
+            state: EndpointState::Serving,
             weight: 1.0,
             started: Some(started),
         },
--- a/crates/pintally-platform/src/config.rs
+++ b/crates/pintally-platform/src/config.rs
@@ -125,7 +125,7 @@
             streams: self.limits.sockets,
             // A call to let go that is not answered by then is counted as unheard; the next ones do not
             // wait for it.
-            errand: (told.settings.release_within / 4).clamp(MIN_CALL, MAX_CALL),
+            errand: (told.settings.release_deadline / 4).clamp(MIN_CALL, MAX_CALL),
             errands: 1,
             // A stream that has gone silent has to end before its client has waited 5 s.
             stall: 4_600_000,
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -44,7 +44,7 @@
         }
         Configuration::parse(&all.to_string())
     };
-    let within = |time| with(time).expect("it is sound").told.settings.release_within;
+    let within = |time| with(time).expect("it is sound").told.settings.release_deadline;
     assert_eq!(within(None), 500_000);
     assert_eq!(within(Some(0.into())), 500_000);
     assert_eq!(within(Some((-1).into())), 500_000);
@@ -270,13 +270,13 @@
         Taken::InvalidConfiguration(_)
     ));
     let Taken::Holds(_, members) = follower.take(list(3, true, vec![up.clone()]).unwrap()) else { panic!() };
-    assert_eq!((members[0].member.listing, members[0].member.started), (EndpointState::Serving, Some(7000)));
+    assert_eq!((members[0].member.state, members[0].member.started), (EndpointState::Serving, Some(7000)));
     assert!(matches!(follower.take(list(3, false, vec![]).unwrap()), Taken::Same));
     assert!(matches!(follower.take(list(2, true, vec![up.clone()]).unwrap()), Taken::Older));
     assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::InvalidConfiguration(_)));
     assert_eq!(follower.revision(), Some(3));
     let Taken::Holds(_, members) = follower.take(list(4, false, vec![gone]).unwrap()) else { panic!() };
-    assert_eq!(members[0].member.listing, EndpointState::Gone);
+    assert_eq!(members[0].member.state, EndpointState::Gone);
     assert!(list(5, true, vec![up.clone(), up]).is_err(), "an engine listed twice");
     assert!(List::parse(b"{\"revision\":1}").is_err());
 }
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -270,7 +270,7 @@
                 let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
                 members.iter().try_for_each(|listed| {
                     let m = &listed.member;
-                    let (id, address, state) = (&m.engine.0, listed.address, listing_name(m.listing));
+                    let (id, address, state) = (&m.engine.0, listed.address, listing_name(m.state));
                     let _ = write!(got, "  {id} {address} zone={:?} kind={} rack={}", m.zone, m.kind, m.rack);
                     writeln!(got, " {state} weight={} started={:?}", m.weight, m.started)
                 })
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -191,7 +191,7 @@
         core.classes.iter().map(|c| ClassFigures { name: c.name.clone(), effect: effect(&c.effect) });
     let figures = Figures {
         drain_grace_us,
-        release_within_us: core.release_within,
+        release_within_us: core.release_deadline,
         slack_us,
         classes: classes.collect(),
         engines,
--- a/crates/pintally-scenario/src/worth.rs
+++ b/crates/pintally-scenario/src/worth.rs
@@ -42,7 +42,8 @@
                 let Some(class) = day.settings.core.classes.iter().find(|c| c.name == *class) else {
                     continue;
                 };
-                let (at, aim, worth, again) = (r.at, class.aim, class.worth, request.contains('~'));
+                let (at, aim, worth, again) =
+                    (r.at, class.latency_objective, class.priority_weight, request.contains('~'));
                 let (node, tenant) = (node.clone(), tenant.clone());
                 let one = One { node, tenant, at, aim, worth, first: None, served: false, again };
                 all.insert(request, one);
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -156,7 +156,7 @@
                     zone: format!("z{}", engine.zone),
                     kind: if engine.reads { "r" } else { "w" }.into(),
                     rack: 1,
-                    listing,
+                    state: listing,
                     weight: 1.0,
                     started: engine.started,
                 },
--- a/crates/pintally-wire/src/labels.rs
+++ b/crates/pintally-wire/src/labels.rs
@@ -105,7 +105,7 @@
             zone: self.zone,
             kind: self.kind,
             rack: self.rack,
-            listing: listing(&self.state),
+            state: listing(&self.state),
             weight: self.weight.unwrap_or(1.0),
             started: self.started.filter(|at| *at > 0),
         }
--- a/crates/pintally-wire/src/settings.rs
+++ b/crates/pintally-wire/src/settings.rs
@@ -189,11 +189,11 @@
         classes.push(Class {
             name: p.name.clone(),
             effect,
-            aim: micros(p.objective),
-            aim_per_1000_tokens: count(info.aim_us_per_1000_prompt_tokens.get(i).copied()),
-            token_aim: micros(info.token_aim.get(i).copied().unwrap_or(0.0)),
-            worth: p.gain,
-            late_share: p.late_value,
+            latency_objective: micros(p.objective),
+            latency_objective_per_1000_tokens: count(info.aim_us_per_1000_prompt_tokens.get(i).copied()),
+            token_interval_objective: micros(info.token_aim.get(i).copied().unwrap_or(0.0)),
+            priority_weight: p.gain,
+            late_weight_fraction: p.late_value,
         });
     }
     let ways = Ways {
@@ -228,24 +228,24 @@
             _ => LoadReporting::Off,
         },
         weights: conf.weight_kind != "off",
-        writers_read: conf.family_info.read_in_place,
-        may_cancel: conf.permissions.may_cancel,
-        may_probe: conf.permissions.probes,
-        probe_price: conf.prices.probe,
-        retry_advice: conf.permissions.retry_after,
+        writers_read_prompts: conf.family_info.read_in_place,
+        cancellation_allowed: conf.permissions.may_cancel,
+        health_checks_allowed: conf.permissions.probes,
+        health_check_price: conf.prices.probe,
+        clients_honour_retry_after: conf.permissions.retry_after,
         max_retry_after: micros(conf.permissions.max_retry_after),
         max_attempts: conf.permissions.attempts_cap,
-        cold_from: conf.rules.cold_from,
-        warm_after: micros(conf.rules.warm_after),
-        tip_multiple: conf.rules.tip_multiple,
-        tip_window: micros(conf.rules.overload_for),
-        connect_within: ways.connect_timeout,
-        release_within: match micros(conf.family_info.let_go_by) {
+        slow_start_min_capacity: conf.rules.cold_from,
+        slow_start_duration: micros(conf.rules.warm_after),
+        overload_factor: conf.rules.tip_multiple,
+        overload_window: micros(conf.rules.overload_for),
+        connect_timeout: ways.connect_timeout,
+        release_deadline: match micros(conf.family_info.let_go_by) {
             0 => LET_GO_BY,
             told => told,
         },
-        ask_within: micros(conf.rules.ask_within),
-        usual: [0.0; 3],
+        max_poll_interval: micros(conf.rules.ask_within),
+        remembered_service_rates: [0.0; 3],
     };
     Ok(Told { settings, names, ways })
 }
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -15,12 +15,18 @@
     let s = read(SETTINGS).settings;
     assert_eq!((s.node, s.nodes, s.zone.as_str()), (1, 3, "a"));
     assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Subscribe, LoadReporting::OnHealthCheck)));
-    assert_eq!((s.weights, s.writers_read, s.may_cancel, s.may_probe), (false, true, true, true));
-    assert_eq!((s.probe_price, s.retry_advice, s.max_retry_after), (0.25, true, 1_500_000));
-    assert_eq!((s.max_attempts, s.cold_from, s.warm_after), (5, 0.3, 14_000_000));
-    assert_eq!((s.tip_multiple, s.tip_window), (2.5, 1_500_000));
-    assert_eq!((s.connect_within, s.release_within, s.ask_within), (200_000, 400_000, 700_000));
-    assert_eq!(s.usual, [0.0; 3]);
+    assert_eq!(
+        (s.weights, s.writers_read_prompts, s.cancellation_allowed, s.health_checks_allowed),
+        (false, true, true, true)
+    );
+    assert_eq!(
+        (s.health_check_price, s.clients_honour_retry_after, s.max_retry_after),
+        (0.25, true, 1_500_000)
+    );
+    assert_eq!((s.max_attempts, s.slow_start_min_capacity, s.slow_start_duration), (5, 0.3, 14_000_000));
+    assert_eq!((s.overload_factor, s.overload_window), (2.5, 1_500_000));
+    assert_eq!((s.connect_timeout, s.release_deadline, s.max_poll_interval), (200_000, 400_000, 700_000));
+    assert_eq!(s.remembered_service_rates, [0.0; 3]);
     let tenants: Vec<_> = s.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
     assert_eq!(tenants, [("acme", 12.5)]);
     let kinds: Vec<_> = s.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
@@ -36,8 +42,11 @@
     assert!(matches!(effects[3], Idempotency::WithKey(IdempotencyScope::Zone, 9_200_000)));
     assert!(matches!(effects[4], Idempotency::WithKey(IdempotencyScope::Rack, 9_300_000)));
     let chat = &s.classes[0];
-    assert_eq!((chat.aim, chat.aim_per_1000_tokens, chat.token_aim), (1_000_000, 40_000, 60_000));
-    assert_eq!((chat.worth, chat.late_share), (2.0, 0.2));
+    assert_eq!(
+        (chat.latency_objective, chat.latency_objective_per_1000_tokens, chat.token_interval_objective),
+        (1_000_000, 40_000, 60_000)
+    );
+    assert_eq!((chat.priority_weight, chat.late_weight_fraction), (2.0, 0.2));
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -69,15 +69,15 @@
     /// What a repeat would do.
     pub effect: Idempotency,
     /// The first token is wanted within this time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this much for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Micros,
+    pub latency_objective_per_1000_tokens: Micros,
     /// The wanted gap between tokens, 0 if not told.
-    pub token_aim: Micros,
+    pub token_interval_objective: Micros,
     /// What a request, or a unit of its work, is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that a late answer earns.
-    pub late_share: f64,
+    pub late_weight_fraction: f64,
 }
 
 /// A tenant and its share.
@@ -131,36 +131,36 @@
     /// Whether registered weights compare engines.
     pub weights: bool,
     /// Whether a writer reads a prompt itself when there is no state to fetch.
-    pub writers_read: bool,
+    pub writers_read_prompts: bool,
     /// Whether attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Whether engines may be probed.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     /// Points that one probe for each request costs, 0 if not told.
-    pub probe_price: f64,
+    pub health_check_price: f64,
     /// Whether refused clients heed advice on when to come back.
-    pub retry_advice: bool,
+    pub clients_honour_retry_after: bool,
     /// The longest advice that a client follows.
     pub max_retry_after: Micros,
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// A cold engine has at least this share of its capacity.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// An engine is warm after this time at most.
-    pub warm_after: Micros,
+    pub slow_start_duration: Micros,
     /// More than this many times its capacity tips a cold engine over.
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// The window over which that is counted.
-    pub tip_window: Micros,
+    pub overload_window: Micros,
     /// A connection to an engine is up within this time, or counts as failed.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// What is held must be taken or let go within this time.
-    pub release_within: Micros,
+    pub release_deadline: Micros,
     /// Where discovery must be asked: the longest time without asking.
-    pub ask_within: Micros,
+    pub max_poll_interval: Micros,
     /// Answers a second that one warm engine of each role gave this node in its life before (reads,
     /// first tokens of fetched states, both), 0 if nothing is remembered.
-    pub usual: [f64; 3],
+    pub remembered_service_rates: [f64; 3],
 }
 
 /// What discovery says of an engine.
@@ -187,7 +187,7 @@
     /// Its rack.
     pub rack: u64,
     /// Its state.
-    pub listing: EndpointState,
+    pub state: EndpointState,
     /// Its registered weight.
     pub weight: f64,
     /// When it last started, if lately.
@@ -263,7 +263,7 @@
     /// The most tokens that the answer may have.
     pub max_tokens: u64,
     /// Time until the client gives up.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// The client comes back after a broken or moved stream.
     pub resumed: bool,
 }
@@ -278,9 +278,9 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The request has its final answer by this outcome or had it before.
-    pub last: bool,
+    pub is_final: bool,
     /// Prompt tokens found kept.
-    pub kept: u64,
+    pub cached_tokens: u64,
     /// The engine's load.
     pub load: Option<LoadReport>,
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -169,13 +169,14 @@
             };
             seen.insert(index);
             let engine = &mut self.engines[index];
-            engine.listing = member.listing;
+            engine.listing = member.state;
             engine.registered = if member.weight > 0.0 { member.weight } else { 1.0 };
             // Guards against a cold engine being pushed over, and against a table that tells of
             // texts which a restart has wiped.
             if let Some(started) = member.started.filter(|_| engine.started != member.started) {
                 engine.started = member.started;
-                engine.cold_until = engine.cold_until.max(started.saturating_add(self.settings.warm_after));
+                engine.cold_until =
+                    engine.cold_until.max(started.saturating_add(self.settings.slow_start_duration));
                 engine.void_before = engine.void_before.max(started);
                 engine.fails = 0;
                 engine.shut_until = 0;
@@ -203,15 +204,16 @@
             return false;
         }
         let s = &self.settings;
-        let recent = engine.sends.iter().filter(|at| **at + s.tip_window > now).count();
-        let window = s.tip_window.max(1) as f64;
+        let recent = engine.sends.iter().filter(|at| **at + s.overload_window > now).count();
+        let window = s.overload_window.max(1) as f64;
         let usual = self.usual(step_of(engine.role)) * window / 1e6;
-        let own = (COLD_SHARE * s.cold_from * s.tip_multiple * usual).max(1.0 / f64::from(s.nodes.max(1)));
+        let own = (COLD_SHARE * s.slow_start_min_capacity * s.overload_factor * usual)
+            .max(1.0 / f64::from(s.nodes.max(1)));
         let lot = |id: &str, seed| xxh3_64_with_seed(id.as_bytes(), seed) as f64 / u64::MAX as f64;
         if own < 1.0 && live.state.is_none() {
             // The same for all cold engines: what one of them does not get must not crowd onto the next.
             let drawn = lot(&live.request.id.0, s.node.into()) * self.crowd(&live.request);
-            return recent == 0 && drawn < COLD_SPREAD * s.cold_from * s.tip_multiple;
+            return recent == 0 && drawn < COLD_SPREAD * s.slow_start_min_capacity * s.overload_factor;
         }
         let part = if own < 1.0 { (own * COLD_HERD).min(1.0) } else { own.fract() };
         let place = lot(&engine.id.0, 0);
@@ -222,7 +224,7 @@
 
     /// Answers a second of one warm engine: as remembered from the life before, until more were seen.
     pub(crate) fn usual(&self, step: usize) -> f64 {
-        let (pool, told) = (&self.pools[step], self.settings.usual[step]);
+        let (pool, told) = (&self.pools[step], self.settings.remembered_service_rates[step]);
         (pool.answers / pool.engines.max(1.0) / (pool.watched + RATE_AFTER)).max(told)
     }
 
@@ -240,7 +242,7 @@
 
     /// An engine has answered. One that comes back after failing may have restarted unseen.
     fn answered(&mut self, now: Micros, index: usize) {
-        let warm_after = self.settings.warm_after;
+        let warm_after = self.settings.slow_start_duration;
         let engine = &mut self.engines[index];
         if engine.down {
             engine.cold_until = engine.cold_until.max(now + warm_after);
@@ -319,12 +321,12 @@
         }
         let s = &self.settings;
         if s.discovery == DiscoveryMode::Subscribe
-            && (!self.gauges.subscribed || now > self.gauges.asked_at + s.ask_within / 2)
+            && (!self.gauges.subscribed || now > self.gauges.asked_at + s.max_poll_interval / 2)
         {
             self.gauges.asked_at = now;
             acts.push(Action::Subscribe);
         }
-        if s.may_probe && s.reports == LoadReporting::OnHealthCheck {
+        if s.health_checks_allowed && s.reports == LoadReporting::OnHealthCheck {
             // All engines that write, where own traffic pays for it: over many nodes it would outweigh it.
             let wants = |i: &usize| self.engines[*i].serving() && self.engines[*i].role != Role::Reader;
             let all: Vec<usize> = (0..self.engines.len()).filter(wants).collect();
@@ -533,7 +535,7 @@
 
     /// The tightest aim of any class.
     fn tightest(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000) as f64
+        self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(1_000_000) as f64
     }
 
     /// Without reports the list stands in for them: how many times an even part of the fleet's
@@ -627,10 +629,12 @@
 
     fn arrived(&mut self, now: Micros, request: Request) {
         let class = request.class.and_then(|c| self.settings.classes.get(c));
-        let aim = class.map_or(request.patience / 2, |c| {
-            c.aim.saturating_add(c.aim_per_1000_tokens.saturating_mul(request.prompt_tokens) / 1000)
+        let aim = class.map_or(request.client_timeout / 2, |c| {
+            c.latency_objective.saturating_add(
+                c.latency_objective_per_1000_tokens.saturating_mul(request.prompt_tokens) / 1000,
+            )
         });
-        let aim = if request.resumed { request.patience } else { aim };
+        let aim = if request.resumed { request.client_timeout } else { aim };
         // A class that nobody named must not run twice.
         let effect = class.map_or(Idempotency::NotIdempotent, |c| c.effect);
         let over_share = self.over_share(now, request.tenant);
@@ -666,7 +670,7 @@
                     IdempotencyScope::Rack => first.rack == engine.rack,
                 };
                 // Guards against a repeat that connects so late that its engine has forgotten the first.
-                inside && now + self.settings.connect_within < sent + window
+                inside && now + self.settings.connect_timeout < sent + window
             }
         };
         engine.serving()
@@ -712,7 +716,7 @@
         live.attempts += 1;
         live.out = Some(out);
         live.waiting = false;
-        let window = self.settings.tip_window;
+        let window = self.settings.overload_window;
         let far = live.state.is_some_and(|reader| self.engines[reader].rack != self.engines[index].rack);
         let engine = &mut self.engines[index];
         engine.pending.insert((now, serial), (id.clone(), far));
@@ -737,7 +741,7 @@
     /// Guards against a choice of writer by reports that are old or missing: while a prompt is read
     /// a few likely writers are probed, near ones first, as far as the price allows.
     fn look_ahead(&mut self, now: Micros, reader: usize, acts: &mut Vec<Action>) {
-        if !self.settings.may_probe || self.silent() {
+        if !self.settings.health_checks_allowed || self.silent() {
             return;
         }
         let each = self.probes_each();
@@ -824,7 +828,7 @@
     }
 
     fn ended(&mut self, now: Micros, ended: AttemptEnd, acts: &mut Vec<Action>) {
-        let AttemptEnd { id, attempt, outcome, last, kept, load } = ended;
+        let AttemptEnd { id, attempt, outcome, is_final: last, cached_tokens: kept, load } = ended;
         let Some(mut live) = self.live.remove(&id) else {
             // An attempt of a request that is long over may still leave a state behind.
             if outcome == Outcome::Read {
@@ -900,7 +904,7 @@
                 // Guards against writers that read a whole prompt between the steps of their answers:
                 // after a lost answer the state may be fetched and gone, and nobody turns the next one
                 // away. The reader still keeps the text, so reading it there again costs next to nothing.
-                let gone = self.settings.writers_read && outcome != Outcome::Unreachable;
+                let gone = self.settings.writers_read_prompts && outcome != Outcome::Unreachable;
                 if gone && live.state.take().is_some() {
                     acts.push(Action::Release(id.clone()));
                 }
@@ -964,7 +968,7 @@
     fn looks(&mut self, now: Micros, id: &RequestId, index: usize, acts: &mut Vec<Action>) -> bool {
         let stale = |e: &Engine| e.report.is_none_or(|(at, _)| now > at + WATCH_EVERY);
         let Some(live) = self.live.get(id) else { return false };
-        let blind = self.few() < 0.5 && self.settings.may_probe && !self.silent();
+        let blind = self.few() < 0.5 && self.settings.health_checks_allowed && !self.silent();
         let fresh = live.attempts == 0 && !live.request.resumed;
         // In a burst a node is not blind, and nothing is gained by looking again and again for each.
         let waited = self.waiting.len() >= LOOKS || live.looked.is_some_and(|at| now >= at + LOOK);
@@ -989,7 +993,7 @@
 
     /// How many probes the price leaves a request.
     fn probes_each(&self) -> f64 {
-        (PROBE_COST / self.settings.probe_price.max(PROBE_COST / PROBES)).min(PROBES)
+        (PROBE_COST / self.settings.health_check_price.max(PROBE_COST / PROBES)).min(PROBES)
     }
 
     /// The one exit: the final answer, as the class allows, and the release of what is held.
@@ -1013,7 +1017,7 @@
         live.waiting = false;
         match live.out {
             Some(out) => {
-                if self.settings.may_cancel && !out.started {
+                if self.settings.cancellation_allowed && !out.started {
                     acts.push(Action::Cancel(id.clone(), out.attempt));
                 }
             }
@@ -1029,7 +1033,7 @@
     fn advice(&mut self) -> Option<Micros> {
         let most = self.settings.max_retry_after;
         let jitter = self.random.draw();
-        (self.settings.retry_advice && most > 0).then(|| most / 4 + jitter % (most / 4).max(1))
+        (self.settings.clients_honour_retry_after && most > 0).then(|| most / 4 + jitter % (most / 4).max(1))
     }
 
     /// Whether a tenant has used up this node's part of its share.
--- a/src/state.rs
+++ b/src/state.rs
@@ -218,7 +218,7 @@
         aim: Micros,
         over_share: bool,
     ) -> Live {
-        let deadline = now.saturating_add(request.patience);
+        let deadline = now.saturating_add(request.client_timeout);
         Live {
             effect,
             arrived: now,
--- a/tests/cold_admission.rs
+++ b/tests/cold_admission.rs
@@ -147,7 +147,7 @@
             by_engine.entry(engine).or_default().push(at);
         }
     }
-    let window = settings().tip_window;
+    let window = settings().overload_window;
     let within =
         |all: &[Micros], from: Micros| all.iter().filter(|at| (from..from + window).contains(at)).count();
     let most =
@@ -163,8 +163,10 @@
 #[test]
 fn the_sum_over_independent_nodes_keeps_a_cold_engines_budget_and_does_not_starve_it() {
     let shape = settings();
-    let windows = (WATCHED / shape.tip_window) as f64;
-    let borne = shape.tip_multiple * shape.cold_from * CAPACITY_PER_S * shape.tip_window as f64 / 1e6;
+    let windows = (WATCHED / shape.overload_window) as f64;
+    let borne =
+        shape.overload_factor * shape.slow_start_min_capacity * CAPACITY_PER_S * shape.overload_window as f64
+            / 1e6;
     let bound = borne + 2.0 * borne.sqrt() + 2.0;
     let engines = (2 * COLD_ENGINES) as f64;
     for nodes in [1, 3, 30, 300] {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,11 +13,11 @@
     Class {
         name: name.into(),
         effect,
-        aim: SECOND,
-        aim_per_1000_tokens: 40 * MS,
-        token_aim: 60 * MS,
-        worth: 1.0,
-        late_share: 0.2,
+        latency_objective: SECOND,
+        latency_objective_per_1000_tokens: 40 * MS,
+        token_interval_objective: 60 * MS,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.2,
     }
 }
 
@@ -41,21 +41,21 @@
         discovery: DiscoveryMode::Push,
         reports: LoadReporting::Inline,
         weights: true,
-        writers_read: false,
-        may_cancel: true,
-        may_probe: false,
-        probe_price: 0.003,
-        retry_advice: false,
+        writers_read_prompts: false,
+        cancellation_allowed: true,
+        health_checks_allowed: false,
+        health_check_price: 0.003,
+        clients_honour_retry_after: false,
         max_retry_after: SECOND,
         max_attempts: 6,
-        cold_from: 0.3,
-        warm_after: 10 * SECOND,
-        tip_multiple: 2.5,
-        tip_window: 2 * SECOND,
-        connect_within: 0,
-        release_within: 500 * MS,
-        ask_within: 10 * SECOND,
-        usual: [0.0; 3],
+        slow_start_min_capacity: 0.3,
+        slow_start_duration: 10 * SECOND,
+        overload_factor: 2.5,
+        overload_window: 2 * SECOND,
+        connect_timeout: 0,
+        release_deadline: 500 * MS,
+        max_poll_interval: 10 * SECOND,
+        remembered_service_rates: [0.0; 3],
     }
 }
 
@@ -74,7 +74,7 @@
         zone: zone.into(),
         kind: name[..1].into(),
         rack,
-        listing: EndpointState::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
         started: None,
     }
@@ -90,7 +90,7 @@
         prompt_tokens: 2_000,
         prefix_tokens: 0,
         max_tokens: 200,
-        patience: 5 * SECOND,
+        client_timeout: 5 * SECOND,
         resumed: false,
     }
 }
@@ -147,7 +147,7 @@
         for (request, since) in &self.held {
             let out = self.attempts[request].iter().any(|a| a.2.is_none());
             assert!(
-                out || self.now <= since + self.settings.release_within,
+                out || self.now <= since + self.settings.release_deadline,
                 "state of {request:?} is left pinned"
             );
         }
@@ -158,7 +158,7 @@
     pub fn members(&mut self, form: ListUpdate, members: Vec<Endpoint>) -> Vec<Action> {
         if form == ListUpdate::Full {
             for member in self.members.values_mut() {
-                member.listing = EndpointState::Gone;
+                member.state = EndpointState::Gone;
             }
         }
         for member in &members {
@@ -169,7 +169,7 @@
 
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
         self.classes.insert(request.id.clone(), request.class.unwrap_or(usize::MAX));
-        self.deadlines.insert(request.id.clone(), self.now + request.patience);
+        self.deadlines.insert(request.id.clone(), self.now + request.client_timeout);
         self.tell(Event::RequestArrived(request))
     }
 
@@ -198,7 +198,14 @@
             }
         }
         let attempt = attempt as Attempt;
-        self.tell(Event::AttemptEnded(AttemptEnd { id: request, attempt, outcome, last, kept, load: None }))
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            id: request,
+            attempt,
+            outcome,
+            is_final: last,
+            cached_tokens: kept,
+            load: None,
+        }))
     }
 
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
@@ -284,7 +291,7 @@
                 assert!(!self.is_over(request), "{request:?} is over and is sent");
                 assert!(*timeout > 0 && self.now < self.deadlines[request]);
                 let member = self.members[engine].clone();
-                assert_eq!(member.listing, EndpointState::Serving, "{engine:?} drains and is sent to");
+                assert_eq!(member.state, EndpointState::Serving, "{engine:?} drains and is sent to");
                 let effect = self.effect(request);
                 let attempts = self.attempts.entry(request.clone()).or_default().clone();
                 assert!(attempts.len() < self.settings.max_attempts as usize);
@@ -322,11 +329,11 @@
                 self.held.remove(request);
             }
             Action::Cancel(request, attempt) => {
-                assert!(self.settings.may_cancel);
+                assert!(self.settings.cancellation_allowed);
                 assert!((*attempt as usize) < self.attempts[request].len(), "never made");
             }
             Action::HealthCheck(engine) => {
-                assert!(self.settings.may_probe);
+                assert!(self.settings.health_checks_allowed);
                 assert!(self.members.contains_key(engine));
             }
             Action::SetTimer(timer, after) => {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -43,8 +43,14 @@
             let group = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Rack][group];
             // Few nodes, or so many that each sees next to nothing.
             let nodes = if nodes == 3 { 150 } else { nodes };
-            let mut settings =
-                Settings { may_cancel, may_probe, retry_advice, max_attempts, nodes, ..settings() };
+            let mut settings = Settings {
+                cancellation_allowed: may_cancel,
+                health_checks_allowed: may_probe,
+                clients_honour_retry_after: retry_advice,
+                max_attempts,
+                nodes,
+                ..settings()
+            };
             settings.classes[2] = class("keyed", Idempotency::WithKey(group, SECOND));
             settings.discovery = if asked { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
             settings.reports =
@@ -99,7 +105,7 @@
                     prefix: (prefix > 0).then_some(prefix),
                     prefix_tokens: tokens / 2,
                     prompt_tokens: tokens,
-                    patience,
+                    client_timeout: patience,
                     resumed: tokens % 5 == 0,
                     ..request(&format!("q{number:04}"), 0, session)
                 });
@@ -140,7 +146,7 @@
             Step::List { full, engine, listing, restarted } => {
                 let listing = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][listing];
                 let started = restarted.then_some(node.now);
-                let changed = Endpoint { listing, started, ..entry(engine) };
+                let changed = Endpoint { state: listing, started, ..entry(engine) };
                 match full {
                     true => node.members(ListUpdate::Full, (0..engine).map(entry).chain([changed]).collect()),
                     false => node.members(ListUpdate::Delta, vec![changed]),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -226,8 +226,8 @@
             id: id("ghost"),
             attempt: 3,
             outcome,
-            last: false,
-            kept: 0,
+            is_final: false,
+            cached_tokens: 0,
             load: None,
         })
     };
@@ -241,7 +241,7 @@
 #[test]
 fn a_refusal_names_a_time_to_come_back_only_where_settings_allow_it() {
     for advice in [false, true] {
-        let mut node = Node::new(Settings { retry_advice: advice, ..settings() }, vec![]);
+        let mut node = Node::new(Settings { clients_honour_retry_after: advice, ..settings() }, vec![]);
         node.arrive(request("a", 0, 1));
         node.now += 2 * SECOND;
         node.sweep();
@@ -328,7 +328,7 @@
 fn a_keyed_repeat_leaves_its_connection_time_before_the_window_ends() {
     for (connect_within, repeated) in [(0, true), (250 * MS, false)] {
         let members = vec![member("m1", "near", 1), member("m2", "near", 1)];
-        let mut node = Node::new(Settings { connect_within, ..settings() }, members);
+        let mut node = Node::new(Settings { connect_timeout: connect_within, ..settings() }, members);
         node.arrive(request("k", 2, 1));
         // The window is 2 s, counted from the first send.
         node.now += 1_800 * MS;
@@ -360,7 +360,7 @@
     );
     node.members(
         ListUpdate::Delta,
-        vec![Endpoint { listing: EndpointState::Draining, ..member("r1", "near", 1) }],
+        vec![Endpoint { state: EndpointState::Draining, ..member("r1", "near", 1) }],
     );
     for session in 0..6 {
         let name = format!("a{session}");
@@ -449,7 +449,7 @@
     let mut router = pintally::Router::new(settings(), 7);
     let mut acts = Vec::new();
     for round in 0..5_000 {
-        let gone = Endpoint { listing: EndpointState::Gone, ..member(&format!("r{round}"), "near", 1) };
+        let gone = Endpoint { state: EndpointState::Gone, ..member(&format!("r{round}"), "near", 1) };
         let new = vec![member(&format!("r{}", round + 1), "near", 1), gone];
         router.handle(SECOND + round, Event::EndpointList(ListUpdate::Delta, new), &mut acts);
     }
@@ -711,7 +711,7 @@
 #[test]
 fn what_hangs_at_a_failed_engine_takes_no_room_from_the_others() {
     let members = vec![member("r1", "far", 2), member("w1", "near", 1)];
-    let mut node = Node::new(Settings { may_cancel: false, ..settings() }, members);
+    let mut node = Node::new(Settings { cancellation_allowed: false, ..settings() }, members);
     for i in 0..5 {
         node.arrive(request(&format!("hung{i}"), 0, i));
     }
@@ -891,8 +891,8 @@
         let shape = settings();
         // Two engines share the requests; each could do a good deal more than it answers here.
         let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
-        let window = shape.tip_window;
-        let budget = shape.tip_multiple * shape.cold_from * capacity * window as f64 / 1e6;
+        let window = shape.overload_window;
+        let budget = shape.overload_factor * shape.slow_start_min_capacity * capacity * window as f64 / 1e6;
         let sends = cold_sends(nodes, gap, target, known, None);
         let within = |from: Micros| sends.iter().filter(|at| (from..from + window).contains(at)).count();
         let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
@@ -903,10 +903,10 @@
 
 #[test]
 fn a_request_with_little_time_left_is_not_held_for_a_look() {
-    let shape = Settings { nodes: 100, may_probe: true, ..settings() };
+    let shape = Settings { nodes: 100, health_checks_allowed: true, ..settings() };
     for patience in [20 * MS, 90 * MS, 2 * SECOND] {
         let mut node = Node::new(shape.clone(), fleet());
-        node.arrive(Request { patience, ..request("a", 0, 1) });
+        node.arrive(Request { client_timeout: patience, ..request("a", 0, 1) });
         let held = node.at("a").is_none() && !node.finals.contains_key(&id("a"));
         assert_eq!(held, patience > SECOND, "with {patience} us left");
     }
@@ -914,7 +914,7 @@
 
 /// One of many nodes, at a site where probes are allowed.
 fn one_of_many() -> Settings {
-    Settings { nodes: 100, may_probe: true, ..settings() }
+    Settings { nodes: 100, health_checks_allowed: true, ..settings() }
 }
 
 fn probes(acts: &[Action]) -> Vec<&str> {
@@ -1183,7 +1183,8 @@
         (true, Outcome::Unreachable, "w"),
         (false, Outcome::TimedOut, "w"),
     ] {
-        let mut node = Node::new(Settings { writers_read, ..settings() }, members.clone());
+        let mut node =
+            Node::new(Settings { writers_read_prompts: writers_read, ..settings() }, members.clone());
         node.arrive(request("a", 0, 1));
         node.end("a", Outcome::Read);
         let acts = node.end("a", outcome);
@@ -1360,10 +1361,13 @@
     for (nodes, gap) in [(40, SECOND), (200, 4 * SECOND)] {
         let shape = settings();
         let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
-        let budget = shape.tip_multiple * shape.cold_from * capacity * shape.tip_window as f64 / 1e6;
+        let budget =
+            shape.overload_factor * shape.slow_start_min_capacity * capacity * shape.overload_window as f64
+                / 1e6;
         let sends = cold_sends(nodes, gap, "r2", true, Some(key));
-        let within =
-            |from: Micros| sends.iter().filter(|at| (from..from + shape.tip_window).contains(at)).count();
+        let within = |from: Micros| {
+            sends.iter().filter(|at| (from..from + shape.overload_window).contains(at)).count()
+        };
         let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
         assert!(most > 0 && most as f64 <= budget, "{most} sends, {nodes} nodes, budget {budget:.1}");
     }
