--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -208,12 +208,12 @@
 
     /// What its cores believe of the engines that they know.
     pub fn beliefs(&self, now: Micros) -> Vec<pintally::EngineEstimate> {
-        self.routers.values().flat_map(|r| r.beliefs(now)).collect()
+        self.routers.values().flat_map(|r| r.engine_estimates(now)).collect()
     }
 
     /// What its cores believe of the way of requests as a whole.
     pub fn paces(&self) -> Vec<pintally::AdmissionEstimate> {
-        self.routers.values().map(pintally::Router::pace).collect()
+        self.routers.values().map(pintally::Router::admission_estimate).collect()
     }
 
     /// Engines that take work, by the list.
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -30,7 +30,7 @@
     /// Answers a second that its cores have had from one warm engine of each role.
     pub fn usual(&self) -> [f64; 3] {
         let mut most = [0.0f64; 3];
-        for told in self.routers.values().map(pintally::Router::usual_all) {
+        for told in self.routers.values().map(pintally::Router::service_rates) {
             most.iter_mut().zip(told).for_each(|(m, t)| *m = m.max(t));
         }
         most
--- a/crates/pintally-platform-node/src/status.rs
+++ b/crates/pintally-platform-node/src/status.rs
@@ -20,9 +20,9 @@
                 serde_json::json!({
                     "engine": b.engine.0.as_ref(),
                     "believed": {
-                        "listing": state_name(b.listing), "out": b.out, "streams": b.streams,
-                        "load": b.load, "down": b.down, "shut_ms": b.shut / 1000, "full_ms": b.full / 1000,
-                        "cold_ms": b.cold / 1000, "report_age_ms": b.report_age.map(|a| a / 1000),
+                        "listing": state_name(b.state), "out": b.in_flight, "streams": b.streams,
+                        "load": b.load, "down": b.unreachable, "shut_ms": b.ejected_for / 1000, "full_ms": b.overloaded_for / 1000,
+                        "cold_ms": b.warming_up_for / 1000, "report_age_ms": b.report_age.map(|a| a / 1000),
                     },
                     "sockets": {
                         "out": t.out, "sent": t.sent, "begun": t.begun, "served": t.served, "read": t.read,
@@ -118,12 +118,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let estimate = self.0;
         f.debug_struct("Pace")
-            .field("flight", &estimate.flight)
-            .field("lead", &estimate.lead)
-            .field("live", &estimate.live)
+            .field("flight", &estimate.in_flight_limit)
+            .field("lead", &estimate.time_to_first_token)
+            .field("live", &estimate.requests)
             .field("waiting", &estimate.waiting)
-            .field("near", &estimate.near)
-            .field("far", &estimate.far)
+            .field("near", &estimate.time_to_first_token_same_rack)
+            .field("far", &estimate.time_to_first_token_other_rack)
             .field("racks", &estimate.racks)
             .finish()
     }
--- a/crates/pintally-platform-node/src/sweep.rs
+++ b/crates/pintally-platform-node/src/sweep.rs
@@ -49,9 +49,9 @@
             tracing::debug!(?pace, held = self.host.held(), "pace");
         }
         for (b, t) in self.believed(now) {
-            tracing::debug!(engine = %b.engine.0, listing = ?b.listing, out = b.out, streams = b.streams,
-                load = ?b.load, down = b.down, shut_ms = b.shut / 1000, full_ms = b.full / 1000,
-                cold_ms = b.cold / 1000, sockets = ?t, "belief");
+            tracing::debug!(engine = %b.engine.0, listing = ?b.state, out = b.in_flight, streams = b.streams,
+                load = ?b.load, down = b.unreachable, shut_ms = b.ejected_for / 1000, full_ms = b.overloaded_for / 1000,
+                cold_ms = b.warming_up_for / 1000, sockets = ?t, "belief");
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,10 +6,10 @@
 //! with the time at which it came, and carries out the
 //! [`Action`](interface::Action)s that it gets back.
 
-mod belief;
+mod estimates;
 pub mod interface;
 pub mod rules;
 mod state;
 
-pub use belief::{AdmissionEstimate, EngineEstimate};
+pub use estimates::{AdmissionEstimate, EngineEstimate};
 pub use rules::Router;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -453,7 +453,7 @@
         let new = vec![member(&format!("r{}", round + 1), "near", 1), gone];
         router.handle(SECOND + round, Event::EndpointList(ListUpdate::Delta, new), &mut acts);
     }
-    assert!(router.beliefs(9 * SECOND).len() <= 3, "{}", router.beliefs(9 * SECOND).len());
+    assert!(router.engine_estimates(9 * SECOND).len() <= 3, "{}", router.engine_estimates(9 * SECOND).len());
 }
 
 // ---- nothing is left pinned ----
