--- a/crates/pintally-host/src/answers.rs
+++ b/crates/pintally-host/src/answers.rs
@@ -33,14 +33,14 @@
         match answer {
             FinalAnswer::Served => self.counters.served += 1,
             FinalAnswer::Rejected(_) => {
-                self.counters.refused += 1;
+                self.counters.rejected += 1;
                 self.refusals.add(match attempts {
                     0 => RefusalReason::Unsent,
                     _ => RefusalReason::AfterAttempts,
                 });
             }
             FinalAnswer::Failed => self.counters.failed += 1,
-            FinalAnswer::Cut => self.counters.cut += 1,
+            FinalAnswer::StreamCut => self.counters.streams_cut += 1,
         }
         out.push(Command::Answer(ticket, answer));
     }
@@ -62,8 +62,8 @@
         out: &mut Vec<Command>,
     ) {
         self.refusals.add(reason);
-        self.counters.turned_away += 1;
-        self.counters.refused += 1;
+        self.counters.rejected_before_dispatch += 1;
+        self.counters.rejected += 1;
         out.push(Command::Answer(ticket, FinalAnswer::Rejected(after)));
         out.push(Command::Over(ticket));
     }
@@ -74,7 +74,7 @@
         let (id, cell) = (entry.id.clone(), entry.cell.clone());
         let open = entry.out.as_ref().map(|o| (o.attempt, o.started));
         let started = open.is_some_and(|o| o.1);
-        self.answer(&id, if started { FinalAnswer::Cut } else { FinalAnswer::Failed }, out);
+        self.answer(&id, if started { FinalAnswer::StreamCut } else { FinalAnswer::Failed }, out);
         let before = out.len();
         self.event(now, &cell, Event::ClientLeft(id), out);
         let cancelled = |c: &Command| matches!(c, Command::Cancel(t, _) if *t == ticket);
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -49,7 +49,7 @@
         let (again, tenant) = (entry.failed, entry.tenant);
         if again && !self.may_retry(now, tenant) {
             self.counters.never_sent += 1;
-            self.counters.retries_limited += 1;
+            self.counters.retries_over_quota += 1;
             self.owed.push_back((cell.clone(), never_sent(id, attempt)));
             return;
         }
@@ -102,7 +102,7 @@
             state: usable.filter(|_| step == Step::Fetch),
             max_tokens: entry.max_tokens,
             timeout,
-            whole: (!entry.streamed && step != Step::Read).then_some(left),
+            complete_by: (!entry.streamed && step != Step::Read).then_some(left),
         }));
     }
 
@@ -120,7 +120,7 @@
             let step = o.step;
             Some((e, step))
         }) else {
-            self.counters.stray += 1;
+            self.counters.unmatched_inputs += 1;
             return;
         };
         // A state that was fetched is not held any more; where releases are the request's, a first
@@ -162,7 +162,7 @@
         let Some((entry, ended)) =
             entry.and_then(|e| e.out.take_if(|o| o.attempt == attempt).map(|o| (e, o)))
         else {
-            self.counters.stray += 1;
+            self.counters.unmatched_inputs += 1;
             return;
         };
         self.touched.push(ticket);
@@ -208,7 +208,7 @@
             self.answer(&id, FinalAnswer::Served, out);
         } else if ended.started && !over {
             // What had begun cannot begin again: nobody could tell the two beginnings apart.
-            self.answer(&id, FinalAnswer::Cut, out);
+            self.answer(&id, FinalAnswer::StreamCut, out);
         }
         let last = over || ended.started || outcome == Outcome::Served;
         let event =
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -71,11 +71,11 @@
         }
         let mut list = list;
         for one in &mut list {
-            one.member.started = self.started(one.member.started);
+            one.endpoint.started = self.started(one.endpoint.started);
         }
         for one in &list {
             let core = &self.settings.core;
-            let member = &one.member;
+            let member = &one.endpoint;
             let Some(kind) = core.kinds.iter().position(|k| k.name == member.kind) else {
                 out.push(Command::Log(format!(
                     "engine {} is of the unknown kind `{}` and is left out",
@@ -113,7 +113,7 @@
         let places = &self.places;
         let role = |e: &EngineId| places.get(e).map_or(Role::Reader, |p| p.role);
         let listed = self.members.values();
-        let all = listed.map(|l| (l.member.clone(), role(&l.member.engine), l.cell.clone())).collect();
+        let all = listed.map(|l| (l.endpoint.clone(), role(&l.endpoint.engine), l.cell.clone())).collect();
         let Some(cells) = &mut self.cells else { return };
         let spread = cells.list(now, all);
         self.hand_out(now, spread, true, out);
@@ -195,7 +195,7 @@
             Some(Err(after)) => {
                 let core = &self.settings.core;
                 let told = core.clients_honour_retry_after && core.max_retry_after > 0;
-                self.counters.no_zone += 1;
+                self.counters.rejected_no_zone += 1;
                 let after = told.then(|| after.min(core.max_retry_after));
                 self.turn_away(arrival.ticket, RefusalReason::NoPlace, after, out);
                 return None;
@@ -221,7 +221,7 @@
                 Some(cell)
             }
             CellAdmission::Rejected(_, after_ms, _) => {
-                self.counters.at_the_edge += 1;
+                self.counters.rejected_by_cell += 1;
                 self.turn_away(arrival.ticket, RefusalReason::NoPlace, Some(after_ms * 1000), out);
                 None
             }
@@ -240,7 +240,7 @@
         let youngest: Option<(RequestNumber, _)> =
             self.entries.iter().rev().find(|(_, e)| waits(e)).map(|(t, e)| (*t, e.id.clone()));
         let Some((ticket, id)) = youngest else { return };
-        self.counters.gave_way += 1;
+        self.counters.preempted_while_queued += 1;
         self.touched.push(ticket);
         self.answer(&id, FinalAnswer::Rejected(Some(UNKNOWN)), out);
         self.event(now, cell, Event::ClientLeft(id), out);
--- a/crates/pintally-host/src/counters.rs
+++ b/crates/pintally-host/src/counters.rs
@@ -4,33 +4,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Requests turned away before the core saw them.
-    pub turned_away: u64,
+    pub rejected_before_dispatch: u64,
     /// Of these, turned away at the edge of their cell.
-    pub at_the_edge: u64,
+    pub rejected_by_cell: u64,
     /// Of these, kept out while the fleet recovers.
-    pub kept_out: u64,
+    pub rejected_during_recovery: u64,
     /// Of these, over a limit of the whole fleet.
-    pub limited: u64,
+    pub rejected_over_quota: u64,
     /// Further attempts that a limit of the whole fleet did not allow.
-    pub retries_limited: u64,
+    pub retries_over_quota: u64,
     /// Of those turned away, for want of room in any zone that they may use.
-    pub no_zone: u64,
+    pub rejected_no_zone: u64,
     /// Requests led to another zone than their node's.
-    pub led_far: u64,
+    pub routed_to_other_zone: u64,
     /// Requests that waited and gave up their place to another's part.
-    pub gave_way: u64,
+    pub preempted_while_queued: u64,
     /// Final answers.
     pub served: u64,
     /// Final answers that turn away, those at the door included.
-    pub refused: u64,
+    pub rejected: u64,
     /// Final answers that say it failed.
     pub failed: u64,
     /// Answers cut off after they had begun.
-    pub cut: u64,
+    pub streams_cut: u64,
     /// Clients that left before their final answer.
-    pub left: u64,
+    pub clients_left: u64,
     /// Attempts made.
     pub attempts: u64,
     /// Attempts that the core wanted and that could not be made.
@@ -44,13 +44,13 @@
     /// Of these, those that no attempt's end let go in time: an attempt was out that may never have arrived.
     pub releases_guarded: u64,
     /// Read states of a life before that were let go.
-    pub releases_of_left: u64,
+    pub orphaned_releases: u64,
     /// Read states of peers that stayed dead, taken over to be let go.
-    pub inherited: u64,
+    pub reservations_inherited: u64,
     /// Calls of releases, repeats counted.
     pub release_calls: u64,
     /// Releases given up because the engine never heard them.
     pub releases_lost: u64,
     /// Inputs that fitted nothing: late or doubled word of what is over.
-    pub stray: u64,
+    pub unmatched_inputs: u64,
 }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -149,7 +149,7 @@
 
     /// What it has counted.
     pub fn counters(&self) -> Counters {
-        Counters { led_far: self.led_far(), ..self.counters }
+        Counters { routed_to_other_zone: self.routed_to_other_zone(), ..self.counters }
     }
 
     /// What cores wanted and the rules did not permit: each is an error of ours.
@@ -158,7 +158,7 @@
     }
 
     /// Refusals, by reason.
-    pub fn refusals(&self) -> &Refusals {
+    pub fn rejections(&self) -> &Refusals {
         &self.refusals
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Requests whose answer or last attempt is outstanding.
-    pub fn held(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.entries.len()
     }
 
@@ -207,12 +207,12 @@
     }
 
     /// What its cores believe of the engines that they know.
-    pub fn beliefs(&self, now: Micros) -> Vec<pintally::EngineEstimate> {
+    pub fn engine_estimates(&self, now: Micros) -> Vec<pintally::EngineEstimate> {
         self.routers.values().flat_map(|r| r.engine_estimates(now)).collect()
     }
 
     /// What its cores believe of the way of requests as a whole.
-    pub fn paces(&self) -> Vec<pintally::AdmissionEstimate> {
+    pub fn admission_estimates(&self) -> Vec<pintally::AdmissionEstimate> {
         self.routers.values().map(pintally::Router::admission_estimate).collect()
     }
 
@@ -295,7 +295,7 @@
                 }
             }
             Input::FirstToken(ticket, attempt) => self.first_token(now, ticket, attempt, out),
-            Input::AttemptEnded { ticket, attempt, outcome, kept, load, state } => {
+            Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state } => {
                 self.ended(now, ticket, attempt, outcome, (kept, load, state), out)
             }
             Input::ClientLeft(ticket) => self.left(now, ticket, out),
@@ -369,7 +369,7 @@
     // ---- requests ----
 
     fn arrived(&mut self, now: Micros, arrival: IncomingRequest, out: &mut Vec<Command>) {
-        self.counters.taken += 1;
+        self.counters.accepted += 1;
         let limits = &self.settings.limits;
         let class = arrival.class.and_then(|c| self.settings.classes.get(c));
         let usual = match class {
@@ -378,7 +378,7 @@
             None => self.settings.classes.iter().map(|c| c.patience).min().unwrap_or(1_000_000),
         };
         let max_tokens = arrival.max_tokens.unwrap_or(class.map_or(256, |c| c.max_tokens));
-        let patience = arrival.patience.map_or(usual, |own| own.min(usual));
+        let patience = arrival.client_timeout.map_or(usual, |own| own.min(usual));
         let left = patience.saturating_sub(limits.answer_margin);
         let full = self.cells.is_none() && self.entries.len() >= limits.held;
         let reason = match (self.stopping, left, full) {
@@ -391,18 +391,18 @@
             return self.turn_away(arrival.ticket, reason, None, out);
         }
         if self.entries.contains_key(&arrival.ticket) {
-            self.counters.stray += 1;
+            self.counters.unmatched_inputs += 1;
             return;
         }
         let margin = limits.answer_margin;
         if let Some(after) = self.kept_out(now, &arrival) {
-            self.counters.kept_out += 1;
+            self.counters.rejected_during_recovery += 1;
             return self.turn_away(arrival.ticket, RefusalReason::Recovering, after, out);
         }
         let costs = match self.costs(now, &arrival, max_tokens) {
             Ok(costs) => costs,
             Err(after) => {
-                self.counters.limited += 1;
+                self.counters.rejected_over_quota += 1;
                 return self.turn_away(arrival.ticket, RefusalReason::OverLimit, after, out);
             }
         };
@@ -412,7 +412,7 @@
         let id = arrival.name.clone().unwrap_or_else(own);
         // Guards against two requests of one name: the first would never be ended.
         if self.by_id.contains_key(&id) {
-            self.counters.stray += 1;
+            self.counters.unmatched_inputs += 1;
             return self.turn_away(arrival.ticket, RefusalReason::NameInUse, None, out);
         }
         let counted = self.charge(now, &costs);
@@ -468,12 +468,12 @@
 
     fn left(&mut self, now: Micros, ticket: RequestNumber, out: &mut Vec<Command>) {
         let Some(entry) = self.entries.get_mut(&ticket).filter(|e| !e.over) else {
-            self.counters.stray += 1;
+            self.counters.unmatched_inputs += 1;
             return;
         };
         self.touched.push(ticket);
         entry.over = true;
-        self.counters.left += 1;
+        self.counters.clients_left += 1;
         let (id, cell) = (entry.id.clone(), entry.cell.clone());
         self.timers.unset(entry.guard);
         self.event(now, &cell, Event::ClientLeft(id), out);
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -43,7 +43,7 @@
     /// The most tokens of the answer.
     pub max_tokens: Option<u64>,
     /// How long the client says that it waits.
-    pub patience: Option<Micros>,
+    pub client_timeout: Option<Micros>,
     /// The answer goes out as it comes; otherwise it goes out whole, and the deadline covers all of it.
     pub streamed: bool,
     /// The client comes back after a broken stream.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineEndpoint {
     /// As the core takes it.
-    pub member: Endpoint,
+    pub endpoint: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
     /// The cell that it belongs to; spare if none.
@@ -91,7 +91,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Prompt tokens found kept.
-        kept: u64,
+        cached_tokens: u64,
         /// The engine's load.
         load: Option<LoadReport>,
         /// What fetches the read state, with [`Outcome::Read`].
@@ -147,7 +147,7 @@
     /// The first token has to come within this time.
     pub timeout: Micros,
     /// The whole answer has to come within this time, if it goes out whole.
-    pub whole: Option<Micros>,
+    pub complete_by: Option<Micros>,
 }
 
 /// The one final answer of a request.
@@ -160,7 +160,7 @@
     /// It failed; nothing is promised.
     Failed,
     /// The answer had begun and was cut off.
-    Cut,
+    StreamCut,
 }
 
 /// What a host wants done.
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -36,7 +36,7 @@
 
 impl Host {
     /// The same host with verdicts of the whole fleet, if the settings hold any.
-    pub fn with_verdicts(mut self, now: Micros) -> Host {
+    pub fn with_outlier_detection(mut self, now: Micros) -> Host {
         if let Some(figures) = self.settings.verdicts {
             let me = Node { name: self.settings.name.clone(), zone: self.settings.core.zone.clone() };
             self.judging = Some(Judging {
@@ -53,7 +53,7 @@
     }
 
     /// What is believed of engines.
-    pub fn verdicts_status(&self, now: Micros) -> Option<Status> {
+    pub fn outlier_status(&self, now: Micros) -> Option<Status> {
         self.judging.as_ref().map(|j| j.verdicts.status(now))
     }
 
@@ -62,14 +62,15 @@
         let Some(judging) = &mut self.judging else { return };
         judging.lives.clear();
         let mut known = BTreeMap::new();
-        for (engine, listed) in self.members.iter().filter(|(_, l)| l.member.state == EndpointState::Serving)
+        for (engine, listed) in
+            self.members.iter().filter(|(_, l)| l.endpoint.state == EndpointState::Serving)
         {
             let address = listed.address.to_string();
             let life = EngineIncarnation::of(&engine.0, &address, listed.started_unix_ms.unwrap_or(0));
-            let zone = zone_number(&listed.member.zone);
+            let zone = zone_number(&listed.endpoint.zone);
             judging.lives.insert(engine.clone(), (life, zone));
             let name = engine.0.to_string();
-            known.insert(life, (ListedEngine { name, kind: listed.member.kind.clone() }, zone));
+            known.insert(life, (ListedEngine { name, kind: listed.endpoint.kind.clone() }, zone));
         }
         judging.verdicts.list(known);
     }
--- a/crates/pintally-host/src/left.rs
+++ b/crates/pintally-host/src/left.rs
@@ -43,7 +43,7 @@
     /// Lets go of what a peer has left that is dead. Its own names of this life are no peer's.
     pub(crate) fn inherit(&mut self, mut left: Vec<OrphanedReservation>, out: &mut Vec<Command>) {
         left.retain(|(_, name)| !self.names_own(name));
-        self.counters.inherited += left.len() as u64;
+        self.counters.reservations_inherited += left.len() as u64;
         self.left_before.extend(left);
         self.let_go_of_left(out);
     }
@@ -56,7 +56,7 @@
         for (engine, name) in std::mem::take(&mut self.left_before) {
             match self.places.get(&engine).map(|p| p.address) {
                 Some(address) => {
-                    self.counters.releases_of_left += 1;
+                    self.counters.orphaned_releases += 1;
                     self.begin_at(name, engine, address, true, out);
                 }
                 None if self.list_fresh => {}
--- a/crates/pintally-host/src/list.rs
+++ b/crates/pintally-host/src/list.rs
@@ -97,7 +97,7 @@
 fn listed(entry: &EngineEntry, clock: impl Fn(u64) -> Micros) -> EngineEndpoint {
     let cell = entry.cell.as_deref().map(CellName::from);
     EngineEndpoint {
-        member: entry.member(clock),
+        endpoint: entry.member(clock),
         address: entry.address,
         cell,
         started_unix_ms: entry.started_unix_ms,
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -28,7 +28,7 @@
     }
 
     /// Answers a second that its cores have had from one warm engine of each role.
-    pub fn usual(&self) -> [f64; 3] {
+    pub fn service_rates(&self) -> [f64; 3] {
         let mut most = [0.0f64; 3];
         for told in self.routers.values().map(pintally::Router::service_rates) {
             most.iter_mut().zip(told).for_each(|(m, t)| *m = m.max(t));
@@ -87,7 +87,7 @@
             recovering.cold_since = Some(now);
         }
         let all: Vec<EngineEndpoint> =
-            self.members.values().filter(|l| l.member.state != EndpointState::Gone).cloned().collect();
+            self.members.values().filter(|l| l.endpoint.state != EndpointState::Gone).cloned().collect();
         if !all.is_empty() {
             self.list(now, ListUpdate::Delta, all, out);
         }
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -60,7 +60,7 @@
     }
 
     /// Requests that were led to another zone than this node's.
-    pub fn led_far(&self) -> u64 {
+    pub fn routed_to_other_zone(&self) -> u64 {
         self.regional.as_ref().map_or(0, |r| r.far)
     }
 
@@ -176,7 +176,7 @@
         list: Vec<EngineEndpoint>,
         out: &mut Vec<Command>,
     ) {
-        let members: Vec<Endpoint> = list.into_iter().map(|one| self.as_judged(one.member)).collect();
+        let members: Vec<Endpoint> = list.into_iter().map(|one| self.as_judged(one.endpoint)).collect();
         if self.list_to_zones(now, form, &members, out) {
             return;
         }
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/host.rs
@@ -102,7 +102,7 @@
                 started: None,
             };
             EngineEndpoint {
-                member,
+                endpoint: member,
                 address: "127.0.0.1:9".parse().unwrap(),
                 cell: cell_of(id),
                 started_unix_ms: None,
@@ -227,7 +227,7 @@
             client.ran = Some(zone.to_string());
         }
         let attempt = order.attempt;
-        self.handle(Input::AttemptEnded { ticket, attempt, outcome, kept: 0, load: None, state });
+        self.handle(Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: 0, load: None, state });
     }
 
     fn fetched(&mut self, order: &AttemptOrder) {
@@ -314,7 +314,7 @@
                     class: Some(class),
                     session: Some(u64::from(which) % 5),
                     prompt_tokens: u64::from(amount),
-                    patience: own,
+                    client_timeout: own,
                     streamed,
                     ..IncomingRequest::default()
                 }));
@@ -379,7 +379,7 @@
                         ticket,
                         attempt: 9,
                         outcome,
-                        kept: 0,
+                        cached_tokens: 0,
                         load: None,
                         state,
                     });
@@ -401,15 +401,15 @@
             assert!(client.gone || client.answer.is_some(), "request {ticket} has no final answer");
         }
         assert_eq!(self.over.len(), self.clients.len(), "not all were told that all is over");
-        assert_eq!(self.host.held(), 0, "requests are left in the ledger");
+        assert_eq!(self.host.open_requests(), 0, "requests are left in the ledger");
         assert!(self.stopped, "it never said that it has stopped");
         let listing = &self.listing;
         self.states.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
         assert!(self.states.is_empty(), "states are left pinned: {:?}", self.states);
         assert_eq!(self.host.open().1, 0, "releases are left open");
         let c = self.host.counters();
-        assert_eq!(c.taken, c.served + c.refused + c.failed + c.cut + c.left, "{c:?}");
-        assert_eq!(c.taken, self.clients.len() as u64);
+        assert_eq!(c.accepted, c.served + c.rejected + c.failed + c.streams_cut + c.clients_left, "{c:?}");
+        assert_eq!(c.accepted, self.clients.len() as u64);
         assert_eq!(c.overdue, 0, "the core left requests without an answer");
     }
 }
--- a/crates/pintally-host/tests/list.rs
+++ b/crates/pintally-host/tests/list.rs
@@ -15,7 +15,7 @@
     match follower.apply("list", text, |ms| ms) {
         ListChange::Changes(form, changes) => {
             let mut changes: Vec<_> =
-                changes.into_iter().map(|l| (l.member.engine.0.to_string(), l.member.state)).collect();
+                changes.into_iter().map(|l| (l.endpoint.engine.0.to_string(), l.endpoint.state)).collect();
             changes.sort_by(|a, b| a.0.cmp(&b.0));
             Some((form, changes))
         }
--- a/crates/pintally-host/tests/permits.rs
+++ b/crates/pintally-host/tests/permits.rs
@@ -21,7 +21,7 @@
 
 fn listed(id: &str, kind: &str, listing: EndpointState) -> EngineEndpoint {
     EngineEndpoint {
-        member: Endpoint {
+        endpoint: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
             kind: kind.into(),
@@ -48,7 +48,7 @@
     let arrival = IncomingRequest {
         ticket,
         class: Some(0),
-        patience: Some(patience),
+        client_timeout: Some(patience),
         streamed: true,
         ..IncomingRequest::default()
     };
@@ -93,7 +93,7 @@
     assert!(refused(&arrives(&mut host, 4, 1_000_000)), "two are held");
     host.handle(START, Input::Stop, &mut Vec::new());
     assert!(refused(&arrives(&mut host, 5, 1_000_000)));
-    let counts: Vec<_> = host.refusals().by_name().collect();
+    let counts: Vec<_> = host.rejections().by_name().collect();
     assert_eq!(counts, [("stopping", 1), ("no_time_left", 1), ("too_many_held", 1)]);
-    assert_eq!(host.refusals().of(RefusalReason::Stopping), 1);
+    assert_eq!(host.rejections().of(RefusalReason::Stopping), 1);
 }
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -30,7 +30,7 @@
 /// A list of engines; those that begin with `r` read.
 fn listed(engines: &[&str]) -> Vec<EngineEndpoint> {
     let listed = |(n, name): (usize, &&str)| EngineEndpoint {
-        member: Endpoint {
+        endpoint: Endpoint {
             engine: EngineId((*name).into()),
             zone: "a".into(),
             kind: name[..1].into(),
@@ -79,7 +79,7 @@
             ticket,
             name,
             class,
-            patience,
+            client_timeout: patience,
             prompt_tokens: 400,
             streamed: true,
             ..IncomingRequest::default()
@@ -91,7 +91,7 @@
         self.now += 10 * MS;
         let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
         let (ticket, attempt) = (order.ticket, order.attempt);
-        self.tell(Input::AttemptEnded { ticket, attempt, outcome, kept: 0, load: None, state });
+        self.tell(Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: 0, load: None, state });
     }
 
     /// The attempt that was commanded last, and the releases so far by request and port.
@@ -250,7 +250,7 @@
         node.end(&node.attempt(), Outcome::Cancelled);
         assert!(node.let_go_by(over + WITHIN).is_some());
         node.heard("r0", true);
-        assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+        assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
     }
 }
 
@@ -268,7 +268,7 @@
     node.tell(Input::FirstToken(1, second.attempt));
     node.end(&second, Outcome::Served);
     assert!(node.out.iter().any(|c| matches!(c, Command::Answer(1, FinalAnswer::Served))));
-    assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
 }
 
 /// Guards against the guard itself: a writer that was reached and waits has its state, whatever was let
@@ -390,7 +390,7 @@
     node.tell(Input::ClientLeft(1));
     node.end(&next, Outcome::Unreachable);
     assert_eq!(node.releases(), []);
-    assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
 }
 
 /// Guards against a release that is dropped because its holder has left the list, or the whole list has.
@@ -403,7 +403,7 @@
     assert_eq!(node.releases().last(), Some(&("x".to_string(), 4000)));
     assert_eq!(node.host.open().1, 1);
     node.heard("w0", true);
-    assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
 }
 
 /// Guards against states that stay held when no engine is reachable at all for longer than all calls take:
@@ -420,7 +420,7 @@
     }
     assert_eq!(node.host.counters().releases_lost, 1);
     assert!(node.out.iter().any(|c| matches!(c, Command::Log(text) if text.contains("x lets go"))));
-    assert_eq!((node.host.held(), node.host.open().1), (0, 1));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 1));
     // Another request is read: r0 is there again, and hears it within the time.
     node.arrive(2, "y");
     node.end(&node.attempt(), Outcome::Read);
@@ -477,7 +477,7 @@
         node.pass(node.now + WITHIN / 4);
     }
     assert_eq!(calls, 4, "{:?}", node.releases());
-    assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
 }
 
 #[test]
@@ -516,7 +516,7 @@
     node.pass(first + 4 * WITHIN);
     assert_eq!(node.releases(), []);
     assert_eq!(node.host.open().1, 0);
-    assert_eq!(node.host.held(), 0);
+    assert_eq!(node.host.open_requests(), 0);
 }
 
 /// What a life would leave is what its next one lets go of: as soon as its engine is listed, unless a list from
@@ -554,7 +554,7 @@
     }
     node.tell(Input::EndpointListConfirmed);
     assert_eq!(node.host.reservations_at_exit(16), []);
-    assert_eq!((node.host.open().1, node.host.counters().releases_of_left), (0, 2));
+    assert_eq!((node.host.open().1, node.host.counters().orphaned_releases), (0, 2));
 }
 
 /// Two names at one address, as while one engine takes over another's, are two engines: what each holds is let
@@ -566,7 +566,7 @@
     both[1].address = both[0].address;
     node.arrive(1, "x");
     node.end(&node.attempt(), Outcome::Read);
-    both[0].member.state = EndpointState::Draining;
+    both[0].endpoint.state = EndpointState::Draining;
     node.tell(Input::EndpointList(ListUpdate::Full, both.clone()));
     node.arrive(2, "y");
     assert_eq!(&*node.attempt().engine.0, "r1");
@@ -604,7 +604,7 @@
     node.tell(Input::FirstToken(1, write.attempt));
     node.end(&write, Outcome::Served);
     assert_eq!(node.releases(), []);
-    assert_eq!((node.host.held(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
 }
 
 /// Guards against a writer's word that it has read being taken for a state that waits there.
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -59,7 +59,7 @@
     let span = |us: Micros| Duration::from_micros(us);
     let times = Times {
         first: began + span(order.timeout),
-        whole: order.whole.map(|us| began + span(us)),
+        whole: order.complete_by.map(|us| began + span(us)),
         stall: span(shared.settings.limits.stall),
         heard: began,
     };
@@ -86,7 +86,7 @@
         ticket: order.ticket,
         attempt: order.attempt,
         outcome: end.outcome,
-        kept: end.kept,
+        cached_tokens: end.kept,
         load: end.load,
         state: end.state.map(Arc::new),
     });
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -215,17 +215,17 @@
         .map(|(tenant, share, held)| serde_json::json!({ "tenant": tenant, "share": share, "held": held }))
         .collect();
     serde_json::json!({
-        "cells": cells, "moves": moves, "at_the_edge": h.at_the_edge, "gave_way": h.gave_way,
+        "cells": cells, "moves": moves, "at_the_edge": h.rejected_by_cell, "gave_way": h.preempted_while_queued,
         "connections": c.connections, "open_connections": shared.open_connections(),
         "over_limit": c.over_limit, "bad_requests": c.bad_requests, "turned_away": c.turned_away,
         "unwritten": c.unwritten, "lists_refused": c.lists_refused,
         "deciding_us": c.deciding.as_micros() as u64, "serving_engines": shared.serving.load(Ordering::Relaxed),
-        "taken": h.taken, "served": h.served, "refused": h.refused, "failed": h.failed, "cut": h.cut,
-        "left": h.left, "kept_out": h.kept_out, "limited": h.limited, "retries_limited": h.retries_limited,
-        "no_zone": h.no_zone, "led_far": h.led_far, "attempts": h.attempts, "never_sent": h.never_sent, "overdue": h.overdue,
+        "taken": h.accepted, "served": h.served, "refused": h.rejected, "failed": h.failed, "cut": h.streams_cut,
+        "left": h.clients_left, "kept_out": h.rejected_during_recovery, "limited": h.rejected_over_quota, "retries_limited": h.retries_over_quota,
+        "no_zone": h.rejected_no_zone, "led_far": h.routed_to_other_zone, "attempts": h.attempts, "never_sent": h.never_sent, "overdue": h.overdue,
         "releases": h.releases, "releases_by_host": h.releases_by_host,
-        "releases_lost": h.releases_lost, "releases_of_left": h.releases_of_left, "inherited": h.inherited,
-        "stray": h.stray,
+        "releases_lost": h.releases_lost, "releases_of_left": h.orphaned_releases, "inherited": h.reservations_inherited,
+        "stray": h.unmatched_inputs,
     })
     .to_string()
 }
@@ -281,7 +281,7 @@
         prompt_tokens: ask.prompt_tokens.unwrap_or(estimate),
         prefix_tokens: ask.prefix_tokens,
         max_tokens: ask.max_tokens,
-        patience: ask.deadline_ms.map(|ms| ms * 1000),
+        client_timeout: ask.deadline_ms.map(|ms| ms * 1000),
         streamed: form == Form::Stream,
         resumed: ask.resumed,
         bytes,
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -80,7 +80,7 @@
         if tells && now >= limits_at + LIMITS_EVERY {
             limits_at = now;
             *shared.fleet.verdicts.lock().unwrap_or_else(|e| e.into_inner()) =
-                decider.host.verdicts_status(now);
+                decider.host.outlier_status(now);
             *shared.fleet.limits.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.limits_status(now);
         }
         if let Some(answer) = decider.host.recovery_answer(now) {
@@ -93,7 +93,7 @@
             told_at = now;
             *shared.fleet.recovery.lock().unwrap_or_else(|e| e.into_inner()) =
                 decider.host.recovery_status(now);
-            *shared.fleet.usual.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.usual();
+            *shared.fleet.usual.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.service_rates();
         }
     }
 }
@@ -168,7 +168,14 @@
                         let (ticket, attempt, outcome) = (order.ticket, order.attempt, Outcome::NeverSent);
                         if !self.mail(ticket, Mail::Attempt(order)) {
                             let (kept, load, state) = (0, None, None);
-                            unsent.push(Input::AttemptEnded { ticket, attempt, outcome, kept, load, state });
+                            unsent.push(Input::AttemptEnded {
+                                ticket,
+                                attempt,
+                                outcome,
+                                cached_tokens: kept,
+                                load,
+                                state,
+                            });
                         }
                     }
                     Command::Cancel(ticket, attempt) => {
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -190,7 +190,7 @@
             }
             _ if self.head_out => self.end_stream(&kserve::stream_error("the answer was cut off")),
             FinalAnswer::Rejected(after) => turn_away(self.client, after, self.asked.keep_alive),
-            FinalAnswer::Failed | FinalAnswer::Cut => {
+            FinalAnswer::Failed | FinalAnswer::StreamCut => {
                 self.whole(502, &kserve::error("the request failed", false))
             }
         };
@@ -263,7 +263,7 @@
                 ticket,
                 attempt,
                 outcome,
-                kept: 0,
+                cached_tokens: 0,
                 load: None,
                 state: None,
             });
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -84,7 +84,7 @@
         host = host
             .with_orphaned_reservations(std::mem::take(&mut before.left))
             .with_limits(shared.clock.now())
-            .with_verdicts(shared.clock.now())
+            .with_outlier_detection(shared.clock.now())
             .with_regions(shared.clock.now());
         let ((ask, asked), (shares, shares_asked)) = (bounded(ASKED), bounded(ASKED));
         let ((testify, testimonies), (zones, zone_words)) = (bounded(ASKED), bounded(ASKED));
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -98,7 +98,7 @@
         let class = a.class.and_then(|c| self.settings.classes.get(c));
         let usual = class.map_or(1_000_000, |c| c.patience);
         let margin = self.settings.limits.answer_margin;
-        let left = a.patience.map_or(usual, |own| own.min(usual)).saturating_sub(margin);
+        let left = a.client_timeout.map_or(usual, |own| own.min(usual)).saturating_sub(margin);
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
         let asked = Asked {
             id: RequestId(format!("{}-{}", self.settings.name, a.ticket).into()),
@@ -152,7 +152,7 @@
             slots: 0,
             max_tokens: asked.max_tokens,
             timeout: left,
-            whole: (!asked.streamed && step != Step::Read).then_some(left),
+            complete_by: (!asked.streamed && step != Step::Read).then_some(left),
         }));
     }
 
@@ -216,7 +216,7 @@
         );
         match outcome {
             Outcome::Served => self.answer(ticket, FinalAnswer::Served, out),
-            _ if started => self.answer(ticket, FinalAnswer::Cut, out),
+            _ if started => self.answer(ticket, FinalAnswer::StreamCut, out),
             // A read has no effect; an answer that may have begun has, unless it may run twice.
             _ if unsure && !read && !asked.safe => self.answer(ticket, FinalAnswer::Failed, out),
             _ => self.go_on(now, ticket, out),
@@ -233,15 +233,15 @@
                 }
                 for one in list {
                     let kinds = &self.settings.core.kinds;
-                    let Some(kind) = kinds.iter().find(|k| k.name == one.member.kind) else { continue };
-                    let known = self.engines.entry(one.member.engine.clone()).or_insert(Known {
+                    let Some(kind) = kinds.iter().find(|k| k.name == one.endpoint.kind) else { continue };
+                    let known = self.engines.entry(one.endpoint.engine.clone()).or_insert(Known {
                         address: one.address,
                         role: kind.role,
-                        listing: one.member.state,
+                        listing: one.endpoint.state,
                         open: 0,
                         load: LoadReport::default(),
                     });
-                    known.listing = one.member.state;
+                    known.listing = one.endpoint.state;
                 }
             }
             Input::RequestArrived(arrival) => self.arrived(now, arrival, out),
@@ -302,7 +302,7 @@
             if let Some((attempt, _)) = attempt {
                 out.push(Command::Cancel(ticket, attempt));
             }
-            self.answer(ticket, if started { FinalAnswer::Cut } else { FinalAnswer::Failed }, out);
+            self.answer(ticket, if started { FinalAnswer::StreamCut } else { FinalAnswer::Failed }, out);
         }
     }
 
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -287,7 +287,7 @@
             prompt_tokens: tokens(&draft.prompt),
             prefix_tokens: draft.prefix_tokens,
             max_tokens: Some(draft.max_tokens),
-            patience: Some(patience),
+            client_timeout: Some(patience),
             streamed: draft.streamed,
             resumed: false,
             bytes: draft.prompt.len(),
@@ -323,7 +323,7 @@
             FinalAnswer::Served => Answer::Served,
             FinalAnswer::Rejected(_) => Answer::Refused,
             FinalAnswer::Failed => Answer::Failed,
-            FinalAnswer::Cut => Answer::Cut,
+            FinalAnswer::StreamCut => Answer::Cut,
         };
         self.note_at(self.now + HOP, What::Answered { request: one.id, answer: told });
         if let FinalAnswer::Rejected(after) = answer {
@@ -375,7 +375,7 @@
                     };
                     self.flights.insert((node, order.ticket, order.attempt), flight);
                     self.at(self.now + order.timeout, Event::Late(node, order.ticket, order.attempt, false));
-                    if let Some(whole) = order.whole {
+                    if let Some(whole) = order.complete_by {
                         self.at(self.now + whole, Event::Late(node, order.ticket, order.attempt, true));
                     }
                     self.at(self.now + HOP, Event::Begin(node, Box::new(order)));
@@ -432,7 +432,7 @@
                 started: self.started[n],
             };
             list.push(EngineEndpoint {
-                member,
+                endpoint: member,
                 address,
                 cell: spec.cell.as_deref().map(Into::into),
                 started_unix_ms: None,
@@ -440,13 +440,13 @@
         }
         let at = self.now + after;
         for one in &list {
-            let listing = match one.member.state {
+            let listing = match one.endpoint.state {
                 EndpointState::Serving => ListedAs::Serving,
                 EndpointState::Draining => ListedAs::Draining,
                 EndpointState::Gone => ListedAs::Gone,
             };
-            let (node, engine) = (format!("n{node}"), one.member.engine.0.to_string());
-            let started = one.member.started.is_some();
+            let (node, engine) = (format!("n{node}"), one.endpoint.engine.0.to_string());
+            let started = one.endpoint.started.is_some();
             self.record.push(Record { at, what: What::Listed { node, engine, listing, started } });
         }
         self.at(at, Event::Tell(node, Box::new(Input::EndpointList(ListUpdate::Full, list))));
@@ -527,7 +527,7 @@
         let load = told.then(|| self.load(flight.engine));
         let state = state.map(|work| Arc::new(json!({ "engine": flight.engine, "work": work })));
         let (node, ticket, attempt) = key;
-        let input = Input::AttemptEnded { ticket, attempt, outcome, kept, load, state };
+        let input = Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state };
         self.at(self.now + hop, Event::Tell(node, Box::new(input)));
     }
 
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -73,7 +73,14 @@
                     ..
                 } => {
                     let (kept, load, state) = (0, None, None);
-                    Input::AttemptEnded { ticket, attempt, outcome: Outcome::NeverSent, kept, load, state }
+                    Input::AttemptEnded {
+                        ticket,
+                        attempt,
+                        outcome: Outcome::NeverSent,
+                        cached_tokens: kept,
+                        load,
+                        state,
+                    }
                 }
                 other => other,
             };
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -91,7 +91,7 @@
             ticket,
             attempt,
             outcome,
-            kept: 0,
+            cached_tokens: 0,
             load: None,
             state: None,
         });
@@ -264,7 +264,8 @@
                 tracing::debug!(ticket, attempt, engine = %engine.0, ?step, ?outcome, kept, ?load, reusable, why, idle_ms,
                     "an attempt has ended");
                 let state = (outcome == Outcome::Read).then(|| std::sync::Arc::new(Value::Null));
-                let ended = Input::AttemptEnded { ticket, attempt, outcome, kept, load, state };
+                let ended =
+                    Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state };
                 match outcome {
                     Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
                         let heard_at = self.clock.now().saturating_add(CLOSE_LEAD);
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -149,7 +149,8 @@
 
     fn work(&mut self, key: Key, ticket: RequestNumber, mut ask: Ask) {
         let waited = self.waited(key);
-        ask.arrival.patience = ask.arrival.patience.map(|patience| patience.saturating_sub(waited));
+        ask.arrival.client_timeout =
+            ask.arrival.client_timeout.map(|patience| patience.saturating_sub(waited));
         if ask.arrival.name.as_ref().is_some_and(|name| self.host.knows(name)) {
             return self.reject(key, Rejected { status: 409, why: "this id is in use" });
         }
@@ -171,7 +172,7 @@
             prompt = ask.arrival.prompt_tokens,
             session = ask.arrival.session,
             prefix = ask.arrival.prefix,
-            patience_ms = ask.arrival.patience.map(|p| p / 1000),
+            patience_ms = ask.arrival.client_timeout.map(|p| p / 1000),
             "a request"
         );
         self.feed(Input::RequestArrived(ask.arrival));
@@ -248,9 +249,9 @@
             }
             FinalAnswer::Failed => client.out.extend_from_slice(&response(502, close, b"failed\n")),
             // What had begun is cut off: the end of the connection without the last chunk says so.
-            FinalAnswer::Cut => client.last = true,
+            FinalAnswer::StreamCut => client.last = true,
         }
-        let cut = answer == FinalAnswer::Cut;
+        let cut = answer == FinalAnswer::StreamCut;
         self.answered(key);
         if cut {
             self.flush(key);
--- a/crates/pintally-platform-node/src/starts.rs
+++ b/crates/pintally-platform-node/src/starts.rs
@@ -40,18 +40,18 @@
     /// Puts the starts of a list into the node's own time. `word_before` is when discovery was last heard in this
     /// process, before this list.
     pub(crate) fn take(&mut self, now: Micros, word_before: Option<Micros>, list: &mut [EngineEndpoint]) {
-        let newest = list.iter().filter_map(|one| one.member.started).max();
+        let newest = list.iter().filter_map(|one| one.endpoint.started).max();
         if let Some(newest) = newest.filter(|newest| self.corrected(*newest) > now) {
             self.set_correction(now, newest);
         }
         for one in list {
-            let Some(told) = one.member.started else { continue };
-            let own = match self.known.get(&one.member.engine) {
+            let Some(told) = one.endpoint.started else { continue };
+            let own = match self.known.get(&one.endpoint.engine) {
                 Some(start) if start.told == told => start.own,
                 _ => self.age(now, word_before, told),
             };
-            self.known.insert(one.member.engine.clone(), Start { told, own });
-            one.member.started = Some(own);
+            self.known.insert(one.endpoint.engine.clone(), Start { told, own });
+            one.endpoint.started = Some(own);
         }
     }
 
--- a/crates/pintally-platform-node/src/starts/tests.rs
+++ b/crates/pintally-platform-node/src/starts/tests.rs
@@ -11,7 +11,7 @@
 
 fn listed(id: &str, started: Micros) -> EngineEndpoint {
     EngineEndpoint {
-        member: Endpoint {
+        endpoint: Endpoint {
             engine: EngineId(id.into()),
             zone: "a".into(),
             kind: "m1".into(),
@@ -30,7 +30,7 @@
 fn ages(starts: &mut Starts, now: Micros, before: Option<Micros>, list: &[(&str, Micros)]) -> Vec<u64> {
     let mut list: Vec<EngineEndpoint> = list.iter().map(|(id, at)| listed(id, *at)).collect();
     starts.take(now, before, &mut list);
-    list.iter().map(|one| (now - one.member.started.expect("it is told")) / SECOND).collect()
+    list.iter().map(|one| (now - one.endpoint.started.expect("it is told")) / SECOND).collect()
 }
 
 #[test]
--- a/crates/pintally-platform-node/src/status.rs
+++ b/crates/pintally-platform-node/src/status.rs
@@ -45,11 +45,11 @@
             .map(|(errno, count)| (errno.to_string(), (*count).into()))
             .collect();
         let withheld = by_name(self.host.withheld().by_name().collect());
-        let refusals = by_name(self.host.refusals().by_name().collect());
+        let refusals = by_name(self.host.rejections().by_name().collect());
         let denied = by_name(self.host.denials().by_name().chain(self.denied_closes.by_name()).collect());
         serde_json::json!({
-            "held": self.host.held(), "clients": self.clients, "connections": self.conns.len(),
-            "bytes": self.bytes, "pace": admission_text(&self.host.paces()), "counters": counters,
+            "held": self.host.open_requests(), "clients": self.clients, "connections": self.conns.len(),
+            "bytes": self.bytes, "pace": admission_text(&self.host.admission_estimates()), "counters": counters,
             "closes": closes, "refusals": refusals, "denied": denied, "accept_failures": accept_failures, "reloads": self.reloads,
             "withheld": withheld, "watches": {"opened": self.watch.opened, "failed": self.watch.failed},
             "clock_corrections": self.watch.starts.corrections, "engines": engines,
@@ -83,31 +83,31 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let c = self.0;
         f.debug_struct("Counters")
-            .field("taken", &c.taken)
-            .field("turned_away", &c.turned_away)
-            .field("at_the_edge", &c.at_the_edge)
-            .field("kept_out", &c.kept_out)
-            .field("limited", &c.limited)
-            .field("retries_limited", &c.retries_limited)
-            .field("no_zone", &c.no_zone)
-            .field("led_far", &c.led_far)
-            .field("gave_way", &c.gave_way)
+            .field("taken", &c.accepted)
+            .field("turned_away", &c.rejected_before_dispatch)
+            .field("at_the_edge", &c.rejected_by_cell)
+            .field("kept_out", &c.rejected_during_recovery)
+            .field("limited", &c.rejected_over_quota)
+            .field("retries_limited", &c.retries_over_quota)
+            .field("no_zone", &c.rejected_no_zone)
+            .field("led_far", &c.routed_to_other_zone)
+            .field("gave_way", &c.preempted_while_queued)
             .field("served", &c.served)
-            .field("refused", &c.refused)
+            .field("refused", &c.rejected)
             .field("failed", &c.failed)
-            .field("cut", &c.cut)
-            .field("left", &c.left)
+            .field("cut", &c.streams_cut)
+            .field("left", &c.clients_left)
             .field("attempts", &c.attempts)
             .field("never_sent", &c.never_sent)
             .field("overdue", &c.overdue)
             .field("releases", &c.releases)
             .field("releases_by_host", &c.releases_by_host)
             .field("releases_guarded", &c.releases_guarded)
-            .field("releases_of_left", &c.releases_of_left)
-            .field("inherited", &c.inherited)
+            .field("releases_of_left", &c.orphaned_releases)
+            .field("inherited", &c.reservations_inherited)
             .field("release_calls", &c.release_calls)
             .field("releases_lost", &c.releases_lost)
-            .field("stray", &c.stray)
+            .field("stray", &c.unmatched_inputs)
             .finish()
     }
 }
--- a/crates/pintally-platform-node/src/sweep.rs
+++ b/crates/pintally-platform-node/src/sweep.rs
@@ -45,8 +45,8 @@
     /// Once a second, for whoever looks for a wrong belief: in one line each, what the core believes and
     /// what passed on the sockets.
     fn tell_beliefs(&self, now: Micros) {
-        for pace in self.host.paces() {
-            tracing::debug!(?pace, held = self.host.held(), "pace");
+        for pace in self.host.admission_estimates() {
+            tracing::debug!(?pace, held = self.host.open_requests(), "pace");
         }
         for (b, t) in self.believed(now) {
             tracing::debug!(engine = %b.engine.0, listing = ?b.state, out = b.in_flight, streams = b.streams,
@@ -61,7 +61,7 @@
         now: Micros,
     ) -> impl Iterator<Item = (pintally::EngineEstimate, Tally)> + '_ {
         let tally = |e: &EngineId| self.tallies.get(e).copied().unwrap_or_default();
-        self.host.beliefs(now).into_iter().map(move |b| {
+        self.host.engine_estimates(now).into_iter().map(move |b| {
             let t = tally(&b.engine);
             (b, t)
         })
--- a/crates/pintally-platform-node/src/turn.rs
+++ b/crates/pintally-platform-node/src/turn.rs
@@ -91,7 +91,7 @@
         }
         if stop && self.stopping.is_none() {
             self.stopping = Some(self.clock.now());
-            tracing::info!(held = self.host.held(), "told to stop: nothing new is taken");
+            tracing::info!(held = self.host.open_requests(), "told to stop: nothing new is taken");
             self.feed(Input::Stop);
         }
     }
--- a/crates/pintally-platform/src/ask.rs
+++ b/crates/pintally-platform/src/ask.rs
@@ -103,7 +103,7 @@
         prompt_tokens,
         prefix_tokens: labels.prefix_tokens.unwrap_or(0),
         max_tokens: labels.max_out,
-        patience,
+        client_timeout: patience,
         streamed: true,
         resumed: header("x-resent") == Some("again"),
         bytes: request.body.len(),
--- a/crates/pintally-platform/src/discovery.rs
+++ b/crates/pintally-platform/src/discovery.rs
@@ -75,7 +75,7 @@
                 started: m.up_since_ms.filter(|ms| ms.is_finite()).map(|ms| (ms.max(0.0) * 1e3) as u64),
             };
             members.push(EngineEndpoint {
-                member: entry.member(),
+                endpoint: entry.member(),
                 address: m.host_port,
                 cell: None,
                 started_unix_ms: None,
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -191,7 +191,7 @@
         (Some(0), Some(0x7f3a_9c21_e0b4_d655), Some(0x5c0f_6e1a_2b3d_4c59))
     );
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.max_tokens), (5120, 2048, Some(800)));
-    assert_eq!((a.patience, a.resumed, a.streamed), (Some(4_800_000), true, true));
+    assert_eq!((a.client_timeout, a.resumed, a.streamed), (Some(4_800_000), true, true));
     let out = String::from_utf8(attempt_head(&ask.head, 900, ask.body.len())).expect("text");
     assert!(out.starts_with("POST /v1/chat/completions?a=b HTTP/1.1\r\n"), "{out}");
     assert!(
@@ -270,13 +270,16 @@
         Taken::InvalidConfiguration(_)
     ));
     let Taken::Holds(_, members) = follower.take(list(3, true, vec![up.clone()]).unwrap()) else { panic!() };
-    assert_eq!((members[0].member.state, members[0].member.started), (EndpointState::Serving, Some(7000)));
+    assert_eq!(
+        (members[0].endpoint.state, members[0].endpoint.started),
+        (EndpointState::Serving, Some(7000))
+    );
     assert!(matches!(follower.take(list(3, false, vec![]).unwrap()), Taken::Same));
     assert!(matches!(follower.take(list(2, true, vec![up.clone()]).unwrap()), Taken::Older));
     assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::InvalidConfiguration(_)));
     assert_eq!(follower.revision(), Some(3));
     let Taken::Holds(_, members) = follower.take(list(4, false, vec![gone]).unwrap()) else { panic!() };
-    assert_eq!(members[0].member.state, EndpointState::Gone);
+    assert_eq!(members[0].endpoint.state, EndpointState::Gone);
     assert!(list(5, true, vec![up.clone(), up]).is_err(), "an engine listed twice");
     assert!(List::parse(b"{\"revision\":1}").is_err());
 }
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -73,8 +73,11 @@
     let known = config.known.as_ref().expect("a list");
     assert_eq!((known.revision, known.complete, known.members.len()), (4, true, 1));
     let engine = &known.members[0];
-    assert_eq!((&*engine.member.engine.0, engine.address.to_string()), ("s-1", "127.0.0.1:3001".into()));
-    assert_eq!((engine.member.rack, engine.member.weight, engine.member.started), (3, 1.5, Some(7_000)));
+    assert_eq!((&*engine.endpoint.engine.0, engine.address.to_string()), ("s-1", "127.0.0.1:3001".into()));
+    assert_eq!(
+        (engine.endpoint.rack, engine.endpoint.weight, engine.endpoint.started),
+        (3, 1.5, Some(7_000))
+    );
 
     let node = config.node();
     assert_eq!((node.name.as_str(), node.listen), ("n0", config.listen));
@@ -136,7 +139,7 @@
     assert_eq!((a.class, a.tenant), (Some(0), Some(0)));
     assert_eq!((a.session, a.prefix), (Some(0x7f3a_9c21_e0b4_d655), Some(0x5c0f_6e1a_2b3d_4c59)));
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.max_tokens), (5120, 2048, Some(800)));
-    assert_eq!((a.patience, a.streamed, a.resumed, a.bytes), (Some(4_800_000), true, true, 30));
+    assert_eq!((a.client_timeout, a.streamed, a.resumed, a.bytes), (Some(4_800_000), true, true, 30));
     assert_eq!(ask.body, b"{\"model\":\"chat\",\"stream\":true}");
 
     // Headers with a default, and names that are no hexadecimal number.
@@ -144,7 +147,7 @@
                  X-Labels: prefix=somewhere\r\nContent-Length: 9\r\n\r\n{\"a\":\"b\"}";
     let Ok(Call::Work(ask)) = call_of(least.as_bytes()) else { panic!("no request for work") };
     let a = &ask.arrival;
-    assert_eq!((a.class, a.tenant, a.patience, a.max_tokens), (Some(1), None, None, None));
+    assert_eq!((a.class, a.tenant, a.client_timeout, a.max_tokens), (Some(1), None, None, None));
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.resumed), (2, 0, false));
     assert_eq!((a.session, a.prefix), (Some(12_888_409_040_968_592_598), Some(13_161_270_434_569_206_740)));
 }
@@ -269,7 +272,7 @@
                 let full = matches!(form, ListUpdate::Full);
                 let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
                 members.iter().try_for_each(|listed| {
-                    let m = &listed.member;
+                    let m = &listed.endpoint;
                     let (id, address, state) = (&m.engine.0, listed.address, listing_name(m.state));
                     let _ = write!(got, "  {id} {address} zone={:?} kind={} rack={}", m.zone, m.kind, m.rack);
                     writeln!(got, " {state} weight={} started={:?}", m.weight, m.started)
--- a/crates/pintally-scenario/tests/door.rs
+++ b/crates/pintally-scenario/tests/door.rs
@@ -84,7 +84,7 @@
     }
     let counters = rig.node().unwrap().counters();
     assert_eq!(counters.bad_requests, cases.len() as u64);
-    assert_eq!(counters.host.taken, 0, "a bad message reached the host");
+    assert_eq!(counters.host.accepted, 0, "a bad message reached the host");
     // And the node serves on.
     assert_eq!(rig.client.attempt(&rig.ask("good", "hint")), AttemptResult::Answered(Answer::Served, None));
 }
@@ -220,7 +220,7 @@
     rig.fleet.recorder.wait_for(Duration::from_secs(10), took).expect("it was never sent");
     stream.shutdown(Shutdown::Write).unwrap();
     let by = Instant::now() + Duration::from_secs(10);
-    while rig.node().unwrap().counters().host.left == 0 {
+    while rig.node().unwrap().counters().host.clients_left == 0 {
         assert!(Instant::now() < by, "the node never saw it leave");
         std::thread::sleep(Duration::from_millis(2));
     }
--- a/crates/pintally-sim/src/clients.rs
+++ b/crates/pintally-sim/src/clients.rs
@@ -46,7 +46,7 @@
             class: Some(ask.class),
             session: Some(ask.session),
             prompt_tokens: ask.prompt,
-            patience: Some(patience),
+            client_timeout: Some(patience),
             streamed: true,
             ..IncomingRequest::default()
         };
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -267,8 +267,14 @@
         };
         let state =
             (told == Outcome::Read).then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
-        let ended =
-            Input::AttemptEnded { ticket: place.2, attempt, outcome: told, kept: 0, load: None, state };
+        let ended = Input::AttemptEnded {
+            ticket: place.2,
+            attempt,
+            outcome: told,
+            cached_tokens: 0,
+            load: None,
+            state,
+        };
         self.tell(place.0, place.1, ended);
     }
 
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -151,7 +151,7 @@
                 continue;
             }
             members.push(EngineEndpoint {
-                member: Endpoint {
+                endpoint: Endpoint {
                     engine: engine_id(n),
                     zone: format!("z{}", engine.zone),
                     kind: if engine.reads { "r" } else { "w" }.into(),
