--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -17,7 +17,7 @@
 /// The bounds that hold for the fleet, with the settings' numbers put in.
 fn bounds(settings: &NodeSettings) -> String {
     let mut lines = String::new();
-    let death_known = settings.peers.as_ref().map(|peers| {
+    let death_known = settings.membership.as_ref().map(|peers| {
         let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
         (figures.period, figures.suspicion) = (peers.period, peers.suspicion);
         figures.max_failure_detection_time(settings.core.nodes as usize)
@@ -31,13 +31,17 @@
     }
     if let Some(recovery) = &settings.recovery {
         let silent = recovery.read_within
-            + if settings.peers.is_some() { recovery.answer_within * u64::from(recovery.rounds) } else { 0 };
+            + if settings.membership.is_some() {
+                recovery.answer_within * u64::from(recovery.rounds)
+            } else {
+                0
+            };
         lines += &format!(
             "\n  after a start some are let in within {:.2} s, everybody within {:.1} s, whatever is silent\
              \n  a power loss costs what was learnt in the last {:.2} s and the time of one commit",
             silent as f64 / 1e6,
-            (silent + recovery.careful_most) as f64 / 1e6,
-            recovery.every as f64 / 1e6
+            (silent + recovery.max_slow_start) as f64 / 1e6,
+            recovery.commit_interval as f64 / 1e6
         );
         if let Some(known) = death_known.filter(|_| recovery.inherit_after > 0) {
             let within = known + recovery.inherit_after;
@@ -48,7 +52,7 @@
             );
         }
     }
-    if let Some(keepers) = &settings.keepers {
+    if let Some(keepers) = &settings.consensus {
         let figures = keepers.figures(&settings.name);
         lines += &format!(
             "\n  {} keepers, {} of them may fail at once; without a leader for {:.1} s at the most while a \
@@ -59,7 +63,7 @@
             figures.leader_lease() as f64 / 1e6
         );
     }
-    if let Some(verdicts) = &settings.verdicts {
+    if let Some(verdicts) = &settings.outlier_detection {
         lines += &format!(
             "\n  a bad engine costs the fleet {} failed attempts, and what is sent while word is on its way; no node \
              holds back more than {:.0}% of a kind\n    a verdict without evidence dies within {:.0} s",
@@ -68,9 +72,9 @@
             verdicts.max_ejection_time() as f64 / 1e6
         );
     }
-    if let Some(regions) = &settings.regions {
-        let s = &regions.figures;
-        let told = settings.peers.as_ref().map_or(0, |p| 2 * p.period);
+    if let Some(regions) = &settings.failover {
+        let s = &regions.policy;
+        let told = settings.membership.as_ref().map_or(0, |p| 2 * p.period);
         lines += &format!(
             "\n  {} zones: work leaves a lost one within {:.1} s, and is back {:.0} s after the end of its trouble if \
              it was not tried before, {:.0} s at the most\n    without word of the keepers' leader for {:.1} s a node \
@@ -82,14 +86,14 @@
             s.lasts as f64 / 1e6
         );
     }
-    for limit in settings.shared_limits.iter().flat_map(|l| &l.limits) {
-        let figures = settings.shared_limits.as_ref().map(|l| l.figures).unwrap_or_default();
+    for limit in settings.quotas.iter().flat_map(|l| &l.limits) {
+        let figures = settings.quotas.as_ref().map(|l| l.allocation).unwrap_or_default();
         let bounds = figures.bounds(&limit.limit());
         lines += &format!(
             "\n  limit `{}` of {} {}: all nodes together have {:.2} at the most, and {:.3} more for each node \
              beyond {}\n    a node that is cut off has {:.3}; what a lost node had returns within {:.1} s",
             limit.name,
-            limit.most,
+            limit.limit,
             limit.counts.name(),
             bounds.at_once,
             bounds.each_more,
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -86,7 +86,7 @@
     zones.sort_unstable();
     zones.dedup();
     let mut groups: BTreeMap<String, Group> = BTreeMap::new();
-    for engine in list.engines.iter().filter(|e| e.listing == EndpointState::Serving) {
+    for engine in list.engines.iter().filter(|e| e.state == EndpointState::Serving) {
         let Some((reads, writes)) = demand.kinds.get(&engine.kind) else {
             notes.push(format!(
                 "engine {} is of the unknown kind `{}` and is left out",
--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -53,7 +53,7 @@
             let mut s = day.node(n);
             s.listen = at(n);
             s.engines_file = file(folder.path(), n).to_string_lossy().into_owned();
-            let peers = s.peers.as_mut().unwrap();
+            let peers = s.membership.as_mut().unwrap();
             (peers.listen, peers.seeds) = (at(nodes + n), seeds.clone());
             let recovery = s.recovery.as_mut().unwrap();
             recovery.store = Some(folder.path().join(format!("state-{n}")).to_string_lossy().into_owned());
@@ -140,7 +140,7 @@
         kind: engine.spec.kind.clone(),
         rack: 0,
         cell: None,
-        listing: EndpointState::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
         started_unix_ms: None,
     }
@@ -154,7 +154,7 @@
         kind: if n.is_multiple_of(2) { "prefill" } else { "decode" }.into(),
         rack: 0,
         cell: None,
-        listing,
+        state: listing,
         weight: 1.0,
         started_unix_ms: None,
     };
@@ -231,7 +231,7 @@
     twin.listen = front.address().unwrap();
     let mut at = link.address().unwrap();
     at.set_ip([127, 0, 2, 99].into());
-    twin.peers.as_mut().unwrap().listen = at;
+    twin.membership.as_mut().unwrap().listen = at;
     twin.engines_file = fleet.folder.path().join("engines-twin.sexp").to_string_lossy().into_owned();
     twin.recovery.as_mut().unwrap().store = None;
     fs::write(&twin.engines_file, engines(1, &[EndpointState::Serving; 4]).render()).unwrap();
--- a/crates/pintally-cli/tests/fleet/limits.rs
+++ b/crates/pintally-cli/tests/fleet/limits.rs
@@ -31,7 +31,7 @@
 
 fn ordered(command: &[&str], fleet: &Nodes) -> (bool, String) {
     let links: Vec<String> =
-        fleet.settings.iter().map(|s| s.peers.as_ref().unwrap().listen.to_string()).collect();
+        fleet.settings.iter().map(|s| s.membership.as_ref().unwrap().listen.to_string()).collect();
     let out = Command::new(EXE).args(command).args(&links).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout).to_string() + &String::from_utf8_lossy(&out.stderr);
     (out.status.success(), text)
--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -155,7 +155,7 @@
     };
     until("somebody plans", 15, || zone(&fleet, "a") == Some(1.0));
     let links: Vec<String> =
-        fleet.settings.iter().map(|s| s.peers.as_ref().unwrap().listen.to_string()).collect();
+        fleet.settings.iter().map(|s| s.membership.as_ref().unwrap().listen.to_string()).collect();
     let order = |command: &str, name: &str| {
         let out = Command::new(EXE).args(["regions", command, name]).args(&links).output().unwrap();
         let text = String::from_utf8_lossy(&out.stdout).to_string() + &String::from_utf8_lossy(&out.stderr);
--- a/crates/pintally-cli/tests/fleet/verdicts.rs
+++ b/crates/pintally-cli/tests/fleet/verdicts.rs
@@ -97,7 +97,7 @@
         out.status.success() && text.contains("r3") && text.contains("everyone")
     });
     // People may call it well: it is held back no more, until it fails again.
-    let link = fleet.settings[0].peers.as_ref().unwrap().listen.to_string();
+    let link = fleet.settings[0].membership.as_ref().unwrap().listen.to_string();
     let out = Command::new(EXE).args(["verdicts", "clear", "r3", &link]).output().unwrap();
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     until("it is cleared at all nodes", 10, || holding(&fleet, "r3") == 0);
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -34,24 +34,24 @@
     class: &Class,
     more: &ClassSettings,
 ) -> Result<(), ConfigError> {
-    if class.latency_objective > more.patience {
+    if class.latency_objective > more.default_client_timeout {
         return Err(form.breaks(
             LOST,
             format!(
                 "the aim of {} ms is past the {} ms that the client waits",
                 class.latency_objective / 1000,
-                more.patience / 1000
+                more.default_client_timeout / 1000
             ),
         ));
     }
     if let Idempotency::WithKey(_, window) = class.effect {
-        if core.max_attempts > 1 && window < more.patience {
+        if core.max_attempts > 1 && window < more.default_client_timeout {
             return Err(form.breaks(
                 TWICE,
                 format!(
                     "attempts may outlast the window: repeats are dropped for {} ms, the client waits {} ms",
                     window / 1000,
-                    more.patience / 1000
+                    more.default_client_timeout / 1000
                 ),
             ));
         }
@@ -103,8 +103,8 @@
         None => root.breaks(rule, what),
     };
     for (class, more) in s.core.classes.iter().zip(&s.classes) {
-        let needed = limits.connect + limits.answer_margin;
-        if needed >= more.patience {
+        let needed = limits.connect_timeout + limits.answer_margin;
+        if needed >= more.default_client_timeout {
             return Err(breaks(
                 at("limits", "connect-ms")?,
                 LOST,
@@ -112,33 +112,33 @@
                     "class `{}`: time to connect ({} ms) and the answer's margin ({} ms) add up past the \
                      client's patience ({} ms)",
                     class.name,
-                    limits.connect / 1000,
+                    limits.connect_timeout / 1000,
                     limits.answer_margin / 1000,
-                    more.patience / 1000
+                    more.default_client_timeout / 1000
                 ),
             ));
         }
     }
-    if limits.errand > s.core.release_deadline {
+    if limits.background_call_timeout > s.core.release_deadline {
         return Err(breaks(
             at("limits", "errand-ms")?,
             PINNED,
             format!(
                 "a release may take {} ms, but what is held must be let go within {} ms",
-                limits.errand / 1000,
+                limits.background_call_timeout / 1000,
                 s.core.release_deadline / 1000
             ),
         ));
     }
-    if s.engines_every > 1_000_000 {
+    if s.engines_poll_interval > 1_000_000 {
         let node = at("node", "engines")?;
         return Err(breaks(node, DRAINS, "the list of engines is looked at less than once a second".into()));
     }
-    if limits.body_bytes > limits.bodies_bytes {
+    if limits.max_body_bytes > limits.max_total_body_bytes {
         let what = "`body-bytes` is more than `bodies-bytes`: one such body could never be taken";
         return Err(at("limits", "body-bytes")?.map_or_else(|| root.error(what), |form| form.error(what)));
     }
-    if limits.held > limits.connections {
+    if limits.max_open_requests > limits.max_connections {
         let what = "`held` is more than `connections`: each held request has a connection";
         return Err(at("limits", "held")?.map_or_else(|| root.error(what), |form| form.error(what)));
     }
--- a/crates/pintally-config/src/fleet.rs
+++ b/crates/pintally-config/src/fleet.rs
@@ -17,7 +17,7 @@
 
 /// What a node is told of its peers. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeerSettings {
+pub struct MembershipSettings {
     /// The fleet's name.
     pub fleet: String,
     /// Where peers reach this node, over UDP and TCP.
@@ -46,7 +46,7 @@
     /// The folder in which it keeps its state; none keeps nothing.
     pub store: Option<String>,
     /// Between two commits: what a power loss may cost.
-    pub every: Micros,
+    pub commit_interval: Micros,
     /// The disk is waited for so long at the start.
     pub read_within: Micros,
     /// And a round of answers of peers.
@@ -54,20 +54,20 @@
     /// Rounds of questions.
     pub rounds: u32,
     /// Peers asked in a round.
-    pub ask: usize,
+    pub peers_queried: usize,
     /// The careful stage ends after this time at the latest.
-    pub careful_most: Micros,
+    pub max_slow_start: Micros,
     /// Requests a second that a warm engine carries, where nothing is remembered.
-    pub per_engine: f64,
+    pub requests_per_second_per_engine: f64,
     /// The part of that which it carries without texts.
-    pub textless: f64,
+    pub uncached_capacity_fraction: f64,
     /// So long behind a peer's death two others let go of what it held; 0 for never.
     pub inherit_after: Micros,
     /// A disk that lies, by name and seed: for days and tests only.
     pub storage_fault: Option<(String, u64)>,
 }
 
-impl fmt::Display for PeerSettings {
+impl fmt::Display for MembershipSettings {
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |span: Micros| span as f64 / 1e3;
@@ -84,13 +84,22 @@
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |span: Micros| span as f64 / 1e3;
-        write!(f, "(recovery (every-ms {}) (read-within-ms {})", ms(self.every), ms(self.read_within))?;
+        write!(
+            f,
+            "(recovery (every-ms {}) (read-within-ms {})",
+            ms(self.commit_interval),
+            ms(self.read_within)
+        )?;
         if let Some(store) = &self.store {
             write!(f, " (store {})", quoted(store))?;
         }
         write!(f, " (answer-within-ms {}) (rounds {})", ms(self.answer_within), self.rounds)?;
-        write!(f, " (ask {}) (careful-most-ms {})", self.ask, ms(self.careful_most))?;
-        write!(f, " (per-engine-per-s {}) (textless {})", self.per_engine, self.textless)?;
+        write!(f, " (ask {}) (careful-most-ms {})", self.peers_queried, ms(self.max_slow_start))?;
+        write!(
+            f,
+            " (per-engine-per-s {}) (textless {})",
+            self.requests_per_second_per_engine, self.uncached_capacity_fraction
+        )?;
         write!(f, " (inherit-after-ms {})", ms(self.inherit_after))?;
         if let Some((storage_fault, seed)) = &self.storage_fault {
             write!(f, " (lying-disk {} (seed {seed}))", quoted(storage_fault))?;
@@ -100,7 +109,9 @@
 }
 
 /// Reads both forms, if they are there.
-pub(crate) fn read(root: &Form) -> Result<(Option<PeerSettings>, Option<RecoverySettings>), ConfigError> {
+pub(crate) fn read(
+    root: &Form,
+) -> Result<(Option<MembershipSettings>, Option<RecoverySettings>), ConfigError> {
     let peers = root.maybe("peers")?.map(|form| peers(&form)).transpose()?;
     let recovery = root.maybe("recovery")?.map(|form| recovery(&form)).transpose()?;
     Ok((peers, recovery))
@@ -110,7 +121,7 @@
     text.parse().map_err(|_| form.error(format!("`{text}` is not an address and port")))
 }
 
-fn peers(form: &Form) -> Result<PeerSettings, ConfigError> {
+fn peers(form: &Form) -> Result<MembershipSettings, ConfigError> {
     let mut seeds = Vec::new();
     for seed in form.all("seed")? {
         seeds.push(address(&seed, &seed.text()?)?);
@@ -121,7 +132,7 @@
         reach.push((one.text()?, address(&one, &one.text()?)?));
         one.finish()?;
     }
-    let settings = PeerSettings {
+    let settings = MembershipSettings {
         fleet: form.text_or("fleet", "")?,
         listen: address(form, &form.text_or("listen", "")?)?,
         seeds,
@@ -171,15 +182,15 @@
     };
     let settings = RecoverySettings {
         store: Some(form.text_or("store", "")?).filter(|s| !s.is_empty()),
-        every: form.millis_or("every-ms", 200.0, 1.0, 60_000.0)?,
+        commit_interval: form.millis_or("every-ms", 200.0, 1.0, 60_000.0)?,
         read_within: form.millis_or("read-within-ms", 300.0, 1.0, 60_000.0)?,
         answer_within: form.millis_or("answer-within-ms", 200.0, 1.0, 60_000.0)?,
         rounds: form.count_or("rounds", 2, 1, 20)? as u32,
-        ask: form.count_or("ask", 3, 1, 16)? as usize,
-        careful_most: form.millis_or("careful-most-ms", 30_000.0, 1.0, 3_600_000.0)?,
+        peers_queried: form.count_or("ask", 3, 1, 16)? as usize,
+        max_slow_start: form.millis_or("careful-most-ms", 30_000.0, 1.0, 3_600_000.0)?,
         inherit_after: form.millis_or("inherit-after-ms", 5_000.0, 0.0, 3_600_000.0)?,
-        per_engine: form.number_or("per-engine-per-s", 2.0, 0.001, 1e6)?,
-        textless: form.number_or("textless", 0.9, 0.01, 1.0)?,
+        requests_per_second_per_engine: form.number_or("per-engine-per-s", 2.0, 0.001, 1e6)?,
+        uncached_capacity_fraction: form.number_or("textless", 0.9, 0.01, 1.0)?,
         storage_fault,
     };
     form.finish()?;
@@ -194,7 +205,7 @@
         Some(form) => form.breaks(rule, what),
         None => root.breaks(rule, what),
     };
-    if recovery.careful_most < s.core.slow_start_duration {
+    if recovery.max_slow_start < s.core.slow_start_duration {
         let what = "`careful-most-ms` is under `warm-after-ms`: all would be let in before engines are warm";
         return Err(breaks(COLD, what.into()));
     }
--- a/crates/pintally-config/src/lib.rs
+++ b/crates/pintally-config/src/lib.rs
@@ -14,8 +14,8 @@
 
 pub use check::check;
 pub use error::ConfigError;
-pub use fleet::{PeerSettings, RecoverySettings, STORAGE_FAULTS};
+pub use fleet::{MembershipSettings, RecoverySettings, STORAGE_FAULTS};
 pub use members::{EngineEntry, EngineList};
-pub use regions::RegionSettings;
+pub use regions::FailoverSettings;
 pub use settings::{shape, ClassSettings, Limits, NodeSettings};
-pub use shared::{verdicts_form, Counts, KeeperSettings, LimitSettings, SharedLimit};
+pub use shared::{verdicts_form, ConsensusSettings, Counts, QuotaSettings, QuotaSpec};
--- a/crates/pintally-config/src/members.rs
+++ b/crates/pintally-config/src/members.rs
@@ -33,7 +33,7 @@
     /// The cell that it belongs to; spare if none.
     pub cell: Option<String>,
     /// Whether it takes work.
-    pub listing: EndpointState,
+    pub state: EndpointState,
     /// Its registered weight.
     pub weight: f64,
     /// When it last started, in milliseconds of Unix time; `None` if long ago.
@@ -78,7 +78,7 @@
                 kind: form.text_or("kind", "")?,
                 rack: form.count_or("rack", 0, 0, 1 << 52)?,
                 cell,
-                listing,
+                state: listing,
                 weight: form.number_or("weight", 1.0, 0.0, 1e9)?,
                 started_unix_ms: (started > 0).then_some(started),
             });
@@ -92,7 +92,7 @@
     pub fn render(&self) -> String {
         let mut out = format!("(engines (version {})", self.version);
         for e in &self.engines {
-            let state = match e.listing {
+            let state = match e.state {
                 EndpointState::Serving => "serving",
                 EndpointState::Draining => "draining",
                 EndpointState::Gone => "gone",
@@ -128,7 +128,7 @@
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             rack: self.rack,
-            state: self.listing,
+            state: self.state,
             weight: self.weight,
             started: self.started_unix_ms.map(clock).filter(|at| *at > 0),
         }
--- a/crates/pintally-config/src/regions.rs
+++ b/crates/pintally-config/src/regions.rs
@@ -12,19 +12,19 @@
 
 /// Zones, regions, and what must stay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RegionSettings {
+pub struct FailoverSettings {
     /// How failover goes.
-    pub figures: Settings,
+    pub policy: Settings,
     /// Classes whose requests may not leave their region.
-    pub stay_classes: Vec<String>,
+    pub pinned_classes: Vec<String>,
     /// Tenants whose requests may not.
-    pub stay_tenants: Vec<String>,
+    pub pinned_tenants: Vec<String>,
 }
 
-impl fmt::Display for RegionSettings {
+impl fmt::Display for FailoverSettings {
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (s, ms) = (&self.figures, |span: Micros| span as f64 / 1e3);
+        let (s, ms) = (&self.policy, |span: Micros| span as f64 / 1e3);
         write!(
             f,
             "(regions (per-engine-per-s {:?}) (fill {:?}) (floor {:?})",
@@ -42,18 +42,18 @@
                 false => write!(f, " (no-way {} {})", name(*a), name(*b))?,
             }
         }
-        self.stay_classes.iter().try_for_each(|c| write!(f, " (class-stays {})", quoted(c)))?;
-        self.stay_tenants.iter().try_for_each(|t| write!(f, " (tenant-stays {})", quoted(t)))?;
+        self.pinned_classes.iter().try_for_each(|c| write!(f, " (class-stays {})", quoted(c)))?;
+        self.pinned_tenants.iter().try_for_each(|t| write!(f, " (tenant-stays {})", quoted(t)))?;
         f.write_str(")")
     }
 }
 
 /// Reads the form, if it is there.
-pub(crate) fn read(root: &Form) -> Result<Option<RegionSettings>, ConfigError> {
+pub(crate) fn read(root: &Form) -> Result<Option<FailoverSettings>, ConfigError> {
     root.maybe("regions")?.map(|form| regions(&form)).transpose()
 }
 
-fn regions(form: &Form) -> Result<RegionSettings, ConfigError> {
+fn regions(form: &Form) -> Result<FailoverSettings, ConfigError> {
     let mut map = Map::default();
     for one in form.all("zone")? {
         map.zones.push(Zone { name: one.text()?, region: one.text()? });
@@ -95,31 +95,31 @@
     };
     let (stay_classes, stay_tenants) = (names("class-stays")?, names("tenant-stays")?);
     form.finish()?;
-    Ok(RegionSettings { figures, stay_classes, stay_tenants })
+    Ok(FailoverSettings { policy: figures, pinned_classes: stay_classes, pinned_tenants: stay_tenants })
 }
 
 /// What the form needs beside it.
 pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
-    let (Some(regions), Some(form)) = (&s.regions, root.maybe("regions")?) else { return Ok(()) };
-    if s.keepers.is_none() {
+    let (Some(regions), Some(form)) = (&s.failover, root.maybe("regions")?) else { return Ok(()) };
+    if s.consensus.is_none() {
         return Err(form.error("regions need `(keepers ...)`: their leader decides what is given up"));
     }
     if s.cells_file.is_some() {
         return Err(form.error("regions and cells do not go together yet"));
     }
-    let unknown = regions.stay_classes.iter().find(|c| !s.core.classes.iter().any(|k| k.name == **c));
+    let unknown = regions.pinned_classes.iter().find(|c| !s.core.classes.iter().any(|k| k.name == **c));
     if let Some(class) = unknown {
         return Err(form.error(format!("no `class` is named `{class}`")));
     }
-    let unknown = regions.stay_tenants.iter().find(|t| !s.core.tenants.iter().any(|k| k.name == **t));
+    let unknown = regions.pinned_tenants.iter().find(|t| !s.core.tenants.iter().any(|k| k.name == **t));
     if let Some(tenant) = unknown {
         return Err(form.error(format!("no `tenant` is named `{tenant}`")));
     }
     let home = &s.core.zone;
-    if !home.is_empty() && regions.figures.map.zone(home).is_none() {
+    if !home.is_empty() && regions.policy.map.zone(home).is_none() {
         return Err(form.error(format!("the node's zone `{home}` is in no region")));
     }
-    let figures = &regions.figures;
+    let figures = &regions.policy;
     if 4 * figures.step < s.core.slow_start_duration {
         let what =
             "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
--- a/crates/pintally-config/src/settings.rs
+++ b/crates/pintally-config/src/settings.rs
@@ -9,8 +9,8 @@
 
 use crate::form::{Document, Form};
 use crate::{
-    check, fleet, regions, shared, ConfigError, KeeperSettings, LimitSettings, PeerSettings,
-    RecoverySettings, RegionSettings,
+    check, fleet, regions, shared, ConfigError, ConsensusSettings, FailoverSettings, MembershipSettings,
+    QuotaSettings, RecoverySettings,
 };
 
 /// Everything that one node is told.
@@ -27,25 +27,25 @@
     /// The watched list of engines.
     pub engines_file: String,
     /// How often the list is looked at.
-    pub engines_every: Micros,
+    pub engines_poll_interval: Micros,
     /// Where the last good list is kept over a restart, if anywhere.
-    pub kept_list: Option<String>,
+    pub cached_list_file: Option<String>,
     /// The watched file of cells; without one all engines serve everyone.
     pub cells_file: Option<String>,
     /// Where the last good file of cells is kept over a restart, if anywhere.
-    pub kept_cells: Option<String>,
+    pub cached_cells_file: Option<String>,
     /// The other nodes of its fleet; none where it knows of no others.
-    pub peers: Option<PeerSettings>,
+    pub membership: Option<MembershipSettings>,
     /// How it comes back after a start; none takes whatever comes from the first second.
     pub recovery: Option<RecoverySettings>,
     /// The keepers of the fleet's register; none where nothing is agreed on.
-    pub keepers: Option<KeeperSettings>,
+    pub consensus: Option<ConsensusSettings>,
     /// Limits that hold for the whole fleet.
-    pub shared_limits: Option<LimitSettings>,
+    pub quotas: Option<QuotaSettings>,
     /// Verdicts of the whole fleet on engines; none where each node judges alone.
-    pub verdicts: Option<pintally_outlier_detection::Settings>,
+    pub outlier_detection: Option<pintally_outlier_detection::Settings>,
     /// Zones and regions between which work goes by a common plan; none where all serve everyone.
-    pub regions: Option<RegionSettings>,
+    pub failover: Option<FailoverSettings>,
     /// Bounds on what clients and engines may use.
     pub limits: Limits,
     /// What the decision core is told.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
     /// The time that its clients wait when a request does not say.
-    pub patience: Micros,
+    pub default_client_timeout: Micros,
     /// The most tokens of an answer when a request does not say.
     pub max_tokens: u64,
 }
@@ -69,37 +69,37 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Client connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Requests held at once; more are refused at the door.
-    pub held: usize,
+    pub max_open_requests: usize,
     /// Bytes of a request's head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Bytes of all requests' bodies together; who would go over it is turned away.
-    pub bodies_bytes: usize,
+    pub max_total_body_bytes: usize,
     /// Time for a head and body to come in.
-    pub receive: Micros,
+    pub receive_timeout: Micros,
     /// Time for a client to take what is written to it before it counts as gone.
-    pub write: Micros,
+    pub write_timeout: Micros,
     /// Time after which an idle client connection is closed.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Time to connect to an engine.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Time after which an idle engine connection is closed.
     pub keep_alive: Micros,
     /// Attempts at one engine at once from this node.
-    pub streams: usize,
+    pub max_streams_per_engine: usize,
     /// Time for a probe or a release.
-    pub errand: Micros,
+    pub background_call_timeout: Micros,
     /// Probes and releases that are out at once, each with a connection.
-    pub errands: usize,
+    pub max_background_calls: usize,
     /// A silence inside a running answer that ends it.
-    pub stall: Micros,
+    pub stall_timeout: Micros,
     /// Answers leave this long before the client's time is up.
     pub answer_margin: Micros,
     /// Shutting down takes this long at most.
-    pub stop: Micros,
+    pub shutdown_timeout: Micros,
 }
 
 impl NodeSettings {
@@ -183,23 +183,23 @@
         let (peers, recovery) = fleet::read(root)?;
         let (keepers, shared_limits, verdicts) = shared::read(root)?;
         let limits = limits(root)?;
-        core.connect_timeout = limits.connect;
+        core.connect_timeout = limits.connect_timeout;
         let mut settings = NodeSettings {
             name,
             listen,
             source,
             model: node.text_or("model", "default")?,
             engines_file,
-            engines_every,
-            kept_list,
+            engines_poll_interval: engines_every,
+            cached_list_file: kept_list,
             cells_file,
-            kept_cells,
-            peers,
+            cached_cells_file: kept_cells,
+            membership: peers,
             recovery,
-            keepers,
-            shared_limits,
-            verdicts,
-            regions: regions::read(root)?,
+            consensus: keepers,
+            quotas: shared_limits,
+            outlier_detection: verdicts,
+            failover: regions::read(root)?,
             limits,
             core,
             classes,
@@ -225,22 +225,22 @@
 
 fn limits_of(f: &Form) -> Result<Limits, ConfigError> {
     let limits = Limits {
-        connections: f.count_or("connections", 16_384, 1, 1 << 20)? as usize,
-        held: f.count_or("held", 12_288, 1, 1 << 20)? as usize,
-        head_bytes: f.count_or("head-bytes", 16_384, 256, 1 << 20)? as usize,
-        body_bytes: f.count_or("body-bytes", 4 << 20, 1, 1 << 30)? as usize,
-        bodies_bytes: f.count_or("bodies-bytes", 512 << 20, 1, 1 << 40)? as usize,
-        receive: f.millis_or("receive-ms", 10_000.0, 1.0, 600_000.0)?,
-        write: f.millis_or("write-ms", 10_000.0, 1.0, 600_000.0)?,
-        idle: f.millis_or("idle-ms", 60_000.0, 1.0, 3_600_000.0)?,
-        connect: f.millis_or("connect-ms", 250.0, 1.0, 60_000.0)?,
+        max_connections: f.count_or("connections", 16_384, 1, 1 << 20)? as usize,
+        max_open_requests: f.count_or("held", 12_288, 1, 1 << 20)? as usize,
+        max_head_bytes: f.count_or("head-bytes", 16_384, 256, 1 << 20)? as usize,
+        max_body_bytes: f.count_or("body-bytes", 4 << 20, 1, 1 << 30)? as usize,
+        max_total_body_bytes: f.count_or("bodies-bytes", 512 << 20, 1, 1 << 40)? as usize,
+        receive_timeout: f.millis_or("receive-ms", 10_000.0, 1.0, 600_000.0)?,
+        write_timeout: f.millis_or("write-ms", 10_000.0, 1.0, 600_000.0)?,
+        idle_timeout: f.millis_or("idle-ms", 60_000.0, 1.0, 3_600_000.0)?,
+        connect_timeout: f.millis_or("connect-ms", 250.0, 1.0, 60_000.0)?,
         keep_alive: f.millis_or("keep-alive-ms", 15_000.0, 0.0, 3_600_000.0)?,
-        streams: f.count_or("streams", 1024, 1, 1 << 20)? as usize,
-        errand: f.millis_or("errand-ms", 250.0, 1.0, 60_000.0)?,
-        errands: f.count_or("errands", 256, 1, 16_384)? as usize,
-        stall: f.millis_or("stall-ms", 30_000.0, 1.0, 3_600_000.0)?,
+        max_streams_per_engine: f.count_or("streams", 1024, 1, 1 << 20)? as usize,
+        background_call_timeout: f.millis_or("errand-ms", 250.0, 1.0, 60_000.0)?,
+        max_background_calls: f.count_or("errands", 256, 1, 16_384)? as usize,
+        stall_timeout: f.millis_or("stall-ms", 30_000.0, 1.0, 3_600_000.0)?,
         answer_margin: f.millis_or("answer-margin-ms", 50.0, 0.0, 60_000.0)?,
-        stop: f.millis_or("stop-ms", 10_000.0, 1.0, 600_000.0)?,
+        shutdown_timeout: f.millis_or("stop-ms", 10_000.0, 1.0, 600_000.0)?,
     };
     f.finish()?;
     Ok(limits)
@@ -350,7 +350,7 @@
         late_weight_fraction: form.number_or("late-share", 0.0, 0.0, 1.0)?,
     };
     let more = ClassSettings {
-        patience: form.millis_or("patience-ms", 5000.0, 1.0, 3_600_000.0)?,
+        default_client_timeout: form.millis_or("patience-ms", 5000.0, 1.0, 3_600_000.0)?,
         max_tokens: form.count_or("max-tokens", 256, 1, 1 << 20)?,
     };
     check::class_form(form)?;
--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -14,17 +14,17 @@
 
 /// Who the keepers are at the fleet's first start, and their figures. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeeperSettings {
+pub struct ConsensusSettings {
     /// Names of nodes.
     pub names: Vec<String>,
     /// Between two words of the leader.
-    pub beat: Micros,
+    pub heartbeat_interval: Micros,
     /// Without a leader's word for so long another stands.
-    pub election: Micros,
+    pub election_timeout: Micros,
     /// A disk without visible harm is believed after this time.
-    pub doubt: Micros,
+    pub vote_recovery_timeout: Micros,
     /// The most by which clocks differ, as a part.
-    pub drift: f64,
+    pub max_clock_drift: f64,
 }
 
 /// What a limit counts.
@@ -56,7 +56,7 @@
 
 /// One limit of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SharedLimit {
+pub struct QuotaSpec {
     /// Its name.
     pub name: String,
     /// Whose requests it counts; everybody's if not told.
@@ -64,12 +64,12 @@
     /// What it counts.
     pub counts: Counts,
     /// What gives way when nodes cannot hear each other.
-    pub bound: Enforcement,
+    pub enforcement: Enforcement,
     /// How much for the whole fleet.
-    pub most: f64,
+    pub limit: f64,
 }
 
-impl SharedLimit {
+impl QuotaSpec {
     /// What stands for it among nodes.
     pub fn id(&self) -> LimitId {
         LimitId(xxh3_64(self.name.as_bytes()) as u32)
@@ -78,34 +78,34 @@
     /// As the lender and the holders take it.
     pub fn limit(&self) -> shares::Limit {
         let kind = if self.counts == Counts::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
-        shares::Limit { kind, bound: self.bound, most: self.most }
+        shares::Limit { kind, bound: self.enforcement, most: self.limit }
     }
 }
 
 /// Limits of the fleet and how they are shared.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LimitSettings {
+pub struct QuotaSettings {
     /// How they are shared.
-    pub figures: shares::Settings,
+    pub allocation: shares::Settings,
     /// The limits.
-    pub limits: Vec<SharedLimit>,
+    pub limits: Vec<QuotaSpec>,
 }
 
-impl fmt::Display for KeeperSettings {
+impl fmt::Display for ConsensusSettings {
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |span: Micros| span as f64 / 1e3;
         f.write_str("(keepers (names")?;
         self.names.iter().try_for_each(|name| write!(f, " {}", quoted(name)))?;
-        write!(f, ") (beat-ms {}) (election-ms {})", ms(self.beat), ms(self.election))?;
-        write!(f, " (doubt-ms {}) (drift {:?}))", ms(self.doubt), self.drift)
+        write!(f, ") (beat-ms {}) (election-ms {})", ms(self.heartbeat_interval), ms(self.election_timeout))?;
+        write!(f, " (doubt-ms {}) (drift {:?}))", ms(self.vote_recovery_timeout), self.max_clock_drift)
     }
 }
 
-impl fmt::Display for LimitSettings {
+impl fmt::Display for QuotaSettings {
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (s, ms) = (&self.figures, |span: Micros| span as f64 / 1e3);
+        let (s, ms) = (&self.allocation, |span: Micros| span as f64 / 1e3);
         write!(f, "(shared-limits (lease-ms {}) (every-ms {})", ms(s.lease), ms(s.every))?;
         write!(f, " (reserve {:?}) (over {:?}) (burst-ms {})", s.reserve, s.over, ms(s.burst))?;
         write!(f, " (hold-ms {}) (fade-ms {}) (drift {:?})", ms(s.hold), ms(s.fade), s.drift)?;
@@ -114,25 +114,31 @@
             if let Some(tenant) = &limit.tenant {
                 write!(f, " (tenant {})", quoted(tenant))?;
             }
-            let bound = if limit.bound == Enforcement::Hard { "hard" } else { "soft" };
-            write!(f, " (bound {bound}) (most {:?}))", limit.most)?;
+            let bound = if limit.enforcement == Enforcement::Hard { "hard" } else { "soft" };
+            write!(f, " (bound {bound}) (most {:?}))", limit.limit)?;
         }
         f.write_str(")")
     }
 }
 
-impl KeeperSettings {
+impl ConsensusSettings {
     /// As the register takes them, for the node of this name.
     pub fn figures(&self, name: &str) -> accord::Settings {
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         let usual = accord::Settings::new(name, &names);
-        let (beat, election, doubt, drift) = (self.beat, self.election, self.doubt, self.drift);
+        let (beat, election, doubt, drift) = (
+            self.heartbeat_interval,
+            self.election_timeout,
+            self.vote_recovery_timeout,
+            self.max_clock_drift,
+        );
         accord::Settings { beat, election, doubt, drift, ..usual }
     }
 }
 
 /// What was read, if it was there.
-type Shared = (Option<KeeperSettings>, Option<LimitSettings>, Option<pintally_outlier_detection::Settings>);
+type Shared =
+    (Option<ConsensusSettings>, Option<QuotaSettings>, Option<pintally_outlier_detection::Settings>);
 
 /// Reads the forms that are there.
 pub(crate) fn read(root: &Form) -> Result<Shared, ConfigError> {
@@ -177,7 +183,7 @@
     )
 }
 
-fn keepers(form: &Form) -> Result<KeeperSettings, ConfigError> {
+fn keepers(form: &Form) -> Result<ConsensusSettings, ConfigError> {
     let mut names = Vec::new();
     if let Some(list) = form.maybe("names")? {
         while let Some(name) = list.maybe_text()? {
@@ -185,19 +191,19 @@
         }
         list.finish()?;
     }
-    let settings = KeeperSettings {
+    let settings = ConsensusSettings {
         names,
-        beat: form.millis_or("beat-ms", 100.0, 1.0, 60_000.0)?,
-        election: form.millis_or("election-ms", 600.0, 1.0, 600_000.0)?,
-        doubt: form.millis_or("doubt-ms", 5_000.0, 1.0, 3_600_000.0)?,
-        drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
+        heartbeat_interval: form.millis_or("beat-ms", 100.0, 1.0, 60_000.0)?,
+        election_timeout: form.millis_or("election-ms", 600.0, 1.0, 600_000.0)?,
+        vote_recovery_timeout: form.millis_or("doubt-ms", 5_000.0, 1.0, 3_600_000.0)?,
+        max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
     };
     form.finish()?;
     settings.figures("x").check().map_err(|e| form.error(e.to_string()))?;
     Ok(settings)
 }
 
-fn limits(form: &Form) -> Result<LimitSettings, ConfigError> {
+fn limits(form: &Form) -> Result<QuotaSettings, ConfigError> {
     let usual = shares::Settings::default();
     let figures = shares::Settings {
         lease: form.millis_or("lease-ms", 4_000.0, 1.0, 3_600_000.0)?,
@@ -211,7 +217,7 @@
         ..usual
     };
     figures.check().map_err(|e| form.error(e.to_string()))?;
-    let mut limits: Vec<SharedLimit> = Vec::new();
+    let mut limits: Vec<QuotaSpec> = Vec::new();
     for one in form.all("limit")? {
         let limit = limit(&one)?;
         if let Some(other) = limits.iter().find(|l| l.id() == limit.id()) {
@@ -223,10 +229,10 @@
         limits.push(limit);
     }
     form.finish()?;
-    Ok(LimitSettings { figures, limits })
+    Ok(QuotaSettings { allocation: figures, limits })
 }
 
-fn limit(form: &Form) -> Result<SharedLimit, ConfigError> {
+fn limit(form: &Form) -> Result<QuotaSpec, ConfigError> {
     let name = form.text()?;
     if name.is_empty() || name.len() > 64 {
         return Err(form.error("a limit's name needs 1 to 64 bytes"));
@@ -248,7 +254,7 @@
     most.finish()?;
     let tenant = Some(form.text_or("tenant", "")?).filter(|t| !t.is_empty());
     form.finish()?;
-    Ok(SharedLimit { name, tenant, counts: *counted, bound, most: much })
+    Ok(QuotaSpec { name, tenant, counts: *counted, enforcement: bound, limit: much })
 }
 
 /// What the forms need beside them.
@@ -256,23 +262,23 @@
     let at = |name: &str, what: String| -> Result<(), ConfigError> {
         Err(root.maybe(name)?.map_or_else(|| root.error(what.clone()), |form| form.error(what.clone())))
     };
-    if s.keepers.is_some() && s.peers.is_none() {
+    if s.consensus.is_some() && s.membership.is_none() {
         return at("keepers", "keepers need `(peers ...)`: they talk to each other".into());
     }
-    if s.verdicts.is_some() && s.peers.is_none() {
+    if s.outlier_detection.is_some() && s.membership.is_none() {
         return at("verdicts", "verdicts need `(peers ...)`: nodes tell each other what they saw".into());
     }
-    if s.verdicts.is_some() && s.cells_file.is_some() {
+    if s.outlier_detection.is_some() && s.cells_file.is_some() {
         return at("verdicts", "verdicts and cells do not go together yet".into());
     }
-    let Some(limits) = &mut s.shared_limits else { return Ok(()) };
-    limits.figures.nodes = s.core.nodes.max(1);
-    if s.keepers.is_none() {
+    let Some(limits) = &mut s.quotas else { return Ok(()) };
+    limits.allocation.nodes = s.core.nodes.max(1);
+    if s.consensus.is_none() {
         return at("shared-limits", "shared limits need `(keepers ...)`: their leader lends".into());
     }
     let tenants = &s.core.tenants;
     let unknown =
-        |l: &&SharedLimit| l.tenant.as_ref().is_some_and(|t| !tenants.iter().any(|known| known.name == *t));
+        |l: &&QuotaSpec| l.tenant.as_ref().is_some_and(|t| !tenants.iter().any(|known| known.name == *t));
     if let Some(limit) = limits.limits.iter().find(unknown) {
         let tenant = limit.tenant.as_deref().unwrap_or("");
         return at("shared-limits", format!("limit `{}`: no `tenant` is named `{tenant}`", limit.name));
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -16,22 +16,22 @@
     let text = example();
     let first = NodeSettings::parse("x.sexp", &text).unwrap();
     let forms = [
-        first.peers.as_ref().unwrap().to_string(),
+        first.membership.as_ref().unwrap().to_string(),
         first.recovery.as_ref().unwrap().to_string(),
-        first.keepers.as_ref().unwrap().to_string(),
-        first.shared_limits.as_ref().unwrap().to_string(),
-        verdicts_form(first.verdicts.as_ref().unwrap()),
-        first.regions.as_ref().unwrap().to_string(),
+        first.consensus.as_ref().unwrap().to_string(),
+        first.quotas.as_ref().unwrap().to_string(),
+        verdicts_form(first.outlier_detection.as_ref().unwrap()),
+        first.failover.as_ref().unwrap().to_string(),
     ];
     let begin = text.find("(peers").unwrap();
     let end = text.find("(rules").unwrap();
     let again = format!("{}{}\n  {}", &text[..begin], forms.join("\n  "), &text[end..]);
     let second = NodeSettings::parse("x.sexp", &again).unwrap();
-    assert_eq!(first.keepers, second.keepers);
-    assert_eq!(first.shared_limits, second.shared_limits);
-    assert_eq!(first.verdicts, second.verdicts);
-    assert_eq!(first.regions, second.regions);
-    assert_eq!(second.shared_limits.unwrap().figures.nodes, 6, "floors are for as many nodes as there are");
+    assert_eq!(first.consensus, second.consensus);
+    assert_eq!(first.quotas, second.quotas);
+    assert_eq!(first.outlier_detection, second.outlier_detection);
+    assert_eq!(first.failover, second.failover);
+    assert_eq!(second.quotas.unwrap().allocation.nodes, 6, "floors are for as many nodes as there are");
 }
 
 #[test]
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -22,25 +22,37 @@
     let s = read("node.sexp");
     assert_eq!((s.name.as_str(), s.listen.to_string().as_str()), ("n2", "127.0.0.1:8181"));
     assert_eq!(s.source.map(|ip| ip.to_string()).as_deref(), Some("127.0.0.9"));
-    assert_eq!((s.engines_file.as_str(), s.engines_every), ("engines.sexp", 120_000));
-    assert_eq!(s.kept_list.as_deref(), Some("kept/list.sexp"));
+    assert_eq!((s.engines_file.as_str(), s.engines_poll_interval), ("engines.sexp", 120_000));
+    assert_eq!(s.cached_list_file.as_deref(), Some("kept/list.sexp"));
     assert_eq!(s.cells_file.as_deref(), Some("cells.sexp"));
-    assert_eq!(s.kept_cells.as_deref(), Some("kept/cells.sexp"));
+    assert_eq!(s.cached_cells_file.as_deref(), Some("kept/cells.sexp"));
     assert_eq!((s.core.zone.as_str(), s.model.as_str()), ("a", "chat-large"));
     assert_eq!((s.core.node, s.core.nodes), (2, 5));
-    assert!(s.peers.is_none() && s.recovery.is_none() && s.keepers.is_none());
-    assert!(s.shared_limits.is_none() && s.verdicts.is_none() && s.regions.is_none());
+    assert!(s.membership.is_none() && s.recovery.is_none() && s.consensus.is_none());
+    assert!(s.quotas.is_none() && s.outlier_detection.is_none() && s.failover.is_none());
 }
 
 #[test]
 fn limits_form() {
     let limits = read("node.sexp").limits;
-    assert_eq!((limits.connections, limits.held), (1000, 900));
-    assert_eq!((limits.head_bytes, limits.body_bytes, limits.bodies_bytes), (8192, 100_000, 2_000_000));
-    assert_eq!((limits.receive, limits.write, limits.idle), (5_001_000, 5_002_000, 5_003_000));
-    assert_eq!((limits.connect, limits.keep_alive, limits.streams), (204_000, 5_005_000, 706));
-    assert_eq!((limits.errand, limits.errands, limits.stall), (207_000, 208, 5_009_000));
-    assert_eq!((limits.answer_margin, limits.stop), (60_000, 5_011_000));
+    assert_eq!((limits.max_connections, limits.max_open_requests), (1000, 900));
+    assert_eq!(
+        (limits.max_head_bytes, limits.max_body_bytes, limits.max_total_body_bytes),
+        (8192, 100_000, 2_000_000)
+    );
+    assert_eq!(
+        (limits.receive_timeout, limits.write_timeout, limits.idle_timeout),
+        (5_001_000, 5_002_000, 5_003_000)
+    );
+    assert_eq!(
+        (limits.connect_timeout, limits.keep_alive, limits.max_streams_per_engine),
+        (204_000, 5_005_000, 706)
+    );
+    assert_eq!(
+        (limits.background_call_timeout, limits.max_background_calls, limits.stall_timeout),
+        (207_000, 208, 5_009_000)
+    );
+    assert_eq!((limits.answer_margin, limits.shutdown_timeout), (60_000, 5_011_000));
 }
 
 #[test]
@@ -80,7 +92,7 @@
         (900_000, 40_000, 60_000)
     );
     assert_eq!((hint.priority_weight, hint.late_weight_fraction), (2.5, 0.2));
-    assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (4_000_000, 128));
+    assert_eq!((s.classes[0].default_client_timeout, s.classes[0].max_tokens), (4_000_000, 128));
     let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.effect).collect();
     assert!(matches!(effects[0], Idempotency::Idempotent));
     assert!(matches!(effects[1], Idempotency::WithKey(IdempotencyScope::All, 9_001_000)));
@@ -100,17 +112,34 @@
 fn defaults_of_a_node() {
     let s = read("least.sexp");
     assert_eq!((s.name.as_str(), s.listen.to_string().as_str()), ("node", "127.0.0.1:8080"));
-    assert_eq!((s.source, s.engines_every, s.model.as_str()), (None, 100_000, "default"));
-    assert_eq!((&s.kept_list, &s.cells_file, &s.kept_cells), (&None, &None, &None));
+    assert_eq!((s.source, s.engines_poll_interval, s.model.as_str()), (None, 100_000, "default"));
+    assert_eq!((&s.cached_list_file, &s.cells_file, &s.cached_cells_file), (&None, &None, &None));
     let limits = &s.limits;
     assert_eq!(
-        (limits.connections, limits.held, limits.streams, limits.errands),
+        (
+            limits.max_connections,
+            limits.max_open_requests,
+            limits.max_streams_per_engine,
+            limits.max_background_calls
+        ),
         (16_384, 12_288, 1024, 256)
     );
-    assert_eq!((limits.head_bytes, limits.body_bytes, limits.bodies_bytes), (16_384, 4 << 20, 512 << 20));
-    assert_eq!((limits.receive, limits.write, limits.idle), (10_000_000, 10_000_000, 60_000_000));
-    assert_eq!((limits.connect, limits.keep_alive, limits.errand), (250_000, 15_000_000, 250_000));
-    assert_eq!((limits.stall, limits.answer_margin, limits.stop), (30_000_000, 50_000, 10_000_000));
+    assert_eq!(
+        (limits.max_head_bytes, limits.max_body_bytes, limits.max_total_body_bytes),
+        (16_384, 4 << 20, 512 << 20)
+    );
+    assert_eq!(
+        (limits.receive_timeout, limits.write_timeout, limits.idle_timeout),
+        (10_000_000, 10_000_000, 60_000_000)
+    );
+    assert_eq!(
+        (limits.connect_timeout, limits.keep_alive, limits.background_call_timeout),
+        (250_000, 15_000_000, 250_000)
+    );
+    assert_eq!(
+        (limits.stall_timeout, limits.answer_margin, limits.shutdown_timeout),
+        (30_000_000, 50_000, 10_000_000)
+    );
     let core = &s.core;
     assert_eq!((core.zone.as_str(), core.node, core.nodes), ("", 0, 1));
     assert!(matches!(core.reports, LoadReporting::Inline));
@@ -137,14 +166,14 @@
         (1_000_000, 0, 0)
     );
     assert_eq!((class.priority_weight, class.late_weight_fraction), (1.0, 0.0));
-    assert_eq!((s.classes[0].patience, s.classes[0].max_tokens), (5_000_000, 256));
+    assert_eq!((s.classes[0].default_client_timeout, s.classes[0].max_tokens), (5_000_000, 256));
     assert_eq!((core.kinds[0].memory_tokens, s.slots[0]), (0, 0));
 }
 
 #[test]
 fn peers_and_recovery_forms() {
     let s = read("fleet.sexp");
-    let peers = s.peers.expect("peers");
+    let peers = s.membership.expect("peers");
     assert_eq!((peers.fleet.as_str(), peers.listen.to_string().as_str()), ("golden", "127.0.0.1:7000"));
     let seeds: Vec<_> = peers.seeds.iter().map(|s| s.to_string()).collect();
     assert_eq!(seeds, ["127.0.0.1:7001", "127.0.0.1:7002"]);
@@ -152,22 +181,36 @@
     assert_eq!((peers.period, peers.answer, peers.indirect), (400_000, 120_000, 2));
     assert_eq!((peers.suspicion, peers.repair, peers.forget), (5.5, 1_900_000, 500_000_000));
     let recovery = s.recovery.expect("recovery");
-    assert_eq!((recovery.store.as_deref(), recovery.every), (Some("state"), 150_000));
+    assert_eq!((recovery.store.as_deref(), recovery.commit_interval), (Some("state"), 150_000));
     assert_eq!((recovery.read_within, recovery.answer_within), (310_000, 210_000));
-    assert_eq!((recovery.rounds, recovery.ask, recovery.careful_most), (4, 5, 20_000_000));
-    assert_eq!((recovery.per_engine, recovery.textless, recovery.inherit_after), (6.5, 0.8, 4_000_000));
+    assert_eq!((recovery.rounds, recovery.peers_queried, recovery.max_slow_start), (4, 5, 20_000_000));
+    assert_eq!(
+        (
+            recovery.requests_per_second_per_engine,
+            recovery.uncached_capacity_fraction,
+            recovery.inherit_after
+        ),
+        (6.5, 0.8, 4_000_000)
+    );
     assert_eq!(recovery.storage_fault, Some(("torn-write".to_string(), 11)));
 
     let s = read("fleet_defaults.sexp");
-    let peers = s.peers.expect("peers");
+    let peers = s.membership.expect("peers");
     assert!(peers.seeds.is_empty() && peers.reach.is_empty());
     assert_eq!((peers.period, peers.answer, peers.indirect), (500_000, 150_000, 3));
     assert_eq!((peers.suspicion, peers.repair, peers.forget), (4.0, 2_000_000, 600_000_000));
     let recovery = s.recovery.expect("recovery");
-    assert_eq!((recovery.store, recovery.every, recovery.storage_fault), (None, 200_000, None));
+    assert_eq!((recovery.store, recovery.commit_interval, recovery.storage_fault), (None, 200_000, None));
     assert_eq!((recovery.read_within, recovery.answer_within), (300_000, 200_000));
-    assert_eq!((recovery.rounds, recovery.ask, recovery.careful_most), (2, 3, 30_000_000));
-    assert_eq!((recovery.per_engine, recovery.textless, recovery.inherit_after), (2.0, 0.9, 5_000_000));
+    assert_eq!((recovery.rounds, recovery.peers_queried, recovery.max_slow_start), (2, 3, 30_000_000));
+    assert_eq!(
+        (
+            recovery.requests_per_second_per_engine,
+            recovery.uncached_capacity_fraction,
+            recovery.inherit_after
+        ),
+        (2.0, 0.9, 5_000_000)
+    );
 }
 
 /// The words for disks that lie are settings too.
@@ -194,29 +237,35 @@
 #[test]
 fn keepers_and_shared_limits_forms() {
     let s = read("fleet.sexp");
-    let keepers = s.keepers.expect("keepers");
+    let keepers = s.consensus.expect("keepers");
     assert_eq!(keepers.names, ["n0", "n1", "n2"]);
-    assert_eq!((keepers.beat, keepers.election, keepers.doubt), (60_000, 400_000, 1_500_000));
-    assert_eq!(keepers.drift, 0.02);
-    let shared = s.shared_limits.expect("shared limits");
-    let f = &shared.figures;
+    assert_eq!(
+        (keepers.heartbeat_interval, keepers.election_timeout, keepers.vote_recovery_timeout),
+        (60_000, 400_000, 1_500_000)
+    );
+    assert_eq!(keepers.max_clock_drift, 0.02);
+    let shared = s.quotas.expect("shared limits");
+    let f = &shared.allocation;
     assert_eq!((f.nodes, f.lease, f.every, f.burst), (3, 3_000_000, 300_000, 900_000));
     assert_eq!((f.hold, f.fade, f.reserve, f.over, f.drift), (20_000_000, 2_500_000, 0.2, 0.15, 0.02));
-    let names: Vec<_> = shared.limits.iter().map(|l| (l.name.as_str(), l.most)).collect();
+    let names: Vec<_> = shared.limits.iter().map(|l| (l.name.as_str(), l.limit)).collect();
     assert_eq!(names, [("requests", 100.5), ("tokens", 5000.0), ("streams", 64.0), ("retries", 10.0)]);
     let counted: Vec<_> = shared.limits.iter().map(|l| l.counts).collect();
     assert_eq!(counted, [Counts::Requests, Counts::Tokens, Counts::Streams, Counts::Retries]);
-    let bounds: Vec<_> = shared.limits.iter().map(|l| l.bound).collect();
+    let bounds: Vec<_> = shared.limits.iter().map(|l| l.enforcement).collect();
     assert_eq!(bounds, [Enforcement::Hard, Enforcement::Soft, Enforcement::Hard, Enforcement::Soft]);
     let tenants: Vec<_> = shared.limits.iter().map(|l| l.tenant.as_deref()).collect();
     assert_eq!(tenants, [None, Some("north"), None, None]);
 
     let s = read("fleet_defaults.sexp");
-    let keepers = s.keepers.expect("keepers");
-    assert_eq!((keepers.beat, keepers.election, keepers.doubt), (100_000, 600_000, 5_000_000));
-    assert_eq!(keepers.drift, 0.01);
-    let shared = s.shared_limits.expect("shared limits");
-    let f = &shared.figures;
+    let keepers = s.consensus.expect("keepers");
+    assert_eq!(
+        (keepers.heartbeat_interval, keepers.election_timeout, keepers.vote_recovery_timeout),
+        (100_000, 600_000, 5_000_000)
+    );
+    assert_eq!(keepers.max_clock_drift, 0.01);
+    let shared = s.quotas.expect("shared limits");
+    let f = &shared.allocation;
     assert_eq!((f.lease, f.every, f.burst), (4_000_000, 400_000, 1_000_000));
     assert_eq!((f.hold, f.fade, f.reserve, f.over, f.drift), (30_000_000, 4_000_000, 0.2, 0.25, 0.01));
     assert!(shared.limits.is_empty());
@@ -224,11 +273,11 @@
 
 #[test]
 fn verdicts_form_values() {
-    let v = read("fleet.sexp").verdicts.expect("verdicts");
+    let v = read("fleet.sexp").outlier_detection.expect("verdicts");
     assert_eq!((v.memory, v.strikes, v.accusers), (9_000_000, 4, 3));
     assert_eq!((v.rest, v.rest_most, v.step), (2_100_000, 31_000_000, 2_200_000));
     assert_eq!((v.most, v.own), (0.25, 0.4));
-    let v = read("fleet_defaults.sexp").verdicts.expect("verdicts");
+    let v = read("fleet_defaults.sexp").outlier_detection.expect("verdicts");
     assert_eq!((v.memory, v.strikes, v.accusers), (5_000_000, 2, 2));
     assert_eq!((v.rest, v.rest_most, v.step), (1_000_000, 16_000_000, 1_000_000));
     assert_eq!((v.most, v.own), (0.5, 0.5));
@@ -236,22 +285,22 @@
 
 #[test]
 fn regions_form() {
-    let regions = read("fleet.sexp").regions.expect("regions");
-    let f = &regions.figures;
+    let regions = read("fleet.sexp").failover.expect("regions");
+    let f = &regions.policy;
     let zones: Vec<_> = f.map.zones.iter().map(|z| (z.name.as_str(), z.region.as_str())).collect();
     assert_eq!(zones, [("a", "north"), ("b", "north"), ("c", "south")]);
     assert_eq!(f.map.prices, [(0, 1, 2.5), (1, 2, f64::INFINITY)]);
     assert_eq!((f.per_engine, f.fill, f.floor), (5.5, 0.85, 0.25));
     assert_eq!((f.every, f.lasts, f.grace), (400_000, 2_500_000, 1_100_000));
     assert_eq!((f.hold, f.hold_most, f.step), (3_000_000, 50_000_000, 2_300_000));
-    assert_eq!((regions.stay_classes, regions.stay_tenants), (vec!["mark".into()], vec!["north".into()]));
+    assert_eq!((regions.pinned_classes, regions.pinned_tenants), (vec!["mark".into()], vec!["north".into()]));
 
-    let regions = read("fleet_defaults.sexp").regions.expect("regions");
-    let f = &regions.figures;
+    let regions = read("fleet_defaults.sexp").failover.expect("regions");
+    let f = &regions.policy;
     assert_eq!((f.per_engine, f.fill, f.floor), (4.0, 0.9, 0.3));
     assert_eq!((f.every, f.lasts, f.grace), (500_000, 3_000_000, 1_500_000));
     assert_eq!((f.hold, f.hold_most, f.step), (4_000_000, 60_000_000, 2_000_000));
-    assert!(regions.stay_classes.is_empty() && regions.stay_tenants.is_empty());
+    assert!(regions.pinned_classes.is_empty() && regions.pinned_tenants.is_empty());
 }
 
 /// What the program writes itself reads back under the same words.
@@ -259,12 +308,12 @@
 fn written_forms() {
     let s = read("fleet.sexp");
     let forms = [
-        s.peers.as_ref().expect("peers").to_string(),
+        s.membership.as_ref().expect("peers").to_string(),
         s.recovery.as_ref().expect("recovery").to_string(),
-        s.keepers.as_ref().expect("keepers").to_string(),
-        s.shared_limits.as_ref().expect("shared limits").to_string(),
-        verdicts_form(s.verdicts.as_ref().expect("verdicts")),
-        s.regions.as_ref().expect("regions").to_string(),
+        s.consensus.as_ref().expect("keepers").to_string(),
+        s.quotas.as_ref().expect("shared limits").to_string(),
+        verdicts_form(s.outlier_detection.as_ref().expect("verdicts")),
+        s.failover.as_ref().expect("regions").to_string(),
     ];
     assert_eq!(forms.join("\n") + "\n", golden("written_forms.sexp"));
 }
@@ -278,9 +327,9 @@
     assert_eq!((first.zone.as_str(), first.kind.as_str(), first.rack), ("a", "prefill", 3));
     assert_eq!((first.cell.as_deref(), first.weight), (Some("blue"), 1.5));
     assert_eq!((first.started_unix_ms, second.started_unix_ms), (Some(1_700_000_000_000), None));
-    assert!(matches!(first.listing, EndpointState::Serving));
-    assert!(matches!(second.listing, EndpointState::Draining));
-    assert!(matches!(third.listing, EndpointState::Gone));
+    assert!(matches!(first.state, EndpointState::Serving));
+    assert!(matches!(second.state, EndpointState::Draining));
+    assert!(matches!(third.state, EndpointState::Gone));
     assert_eq!((third.zone.as_str(), third.kind.as_str(), third.rack), ("", "", 0));
     assert_eq!((third.cell.as_deref(), third.weight), (None, 1.0));
     assert_eq!(list.render(), golden("engines_written.sexp"));
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -125,7 +125,7 @@
         match &mut self.cells {
             None => {
                 let limits = &self.settings.limits;
-                let (places, room) = (limits.held, limits.bodies_bytes);
+                let (places, room) = (limits.max_open_requests, limits.max_total_body_bytes);
                 self.cells = Some(Cells::new(file, places, room, &self.settings.core));
                 self.list_to_cells(now, out);
             }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -315,7 +315,7 @@
             Input::Stop => {
                 if !self.stopping {
                     self.stopping = true;
-                    self.timers.set(now.saturating_add(self.settings.limits.stop), Due::Stop);
+                    self.timers.set(now.saturating_add(self.settings.limits.shutdown_timeout), Due::Stop);
                 }
             }
         }
@@ -373,14 +373,14 @@
         let limits = &self.settings.limits;
         let class = arrival.class.and_then(|c| self.settings.classes.get(c));
         let usual = match class {
-            Some(class) => class.patience,
+            Some(class) => class.default_client_timeout,
             // A class that nobody named waits as long as the least patient one.
-            None => self.settings.classes.iter().map(|c| c.patience).min().unwrap_or(1_000_000),
+            None => self.settings.classes.iter().map(|c| c.default_client_timeout).min().unwrap_or(1_000_000),
         };
         let max_tokens = arrival.max_tokens.unwrap_or(class.map_or(256, |c| c.max_tokens));
         let patience = arrival.client_timeout.map_or(usual, |own| own.min(usual));
         let left = patience.saturating_sub(limits.answer_margin);
-        let full = self.cells.is_none() && self.entries.len() >= limits.held;
+        let full = self.cells.is_none() && self.entries.len() >= limits.max_open_requests;
         let reason = match (self.stopping, left, full) {
             (true, ..) => Some(RefusalReason::Stopping),
             (_, 0, _) => Some(RefusalReason::NoTimeLeft),
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -37,7 +37,7 @@
 impl Host {
     /// The same host with verdicts of the whole fleet, if the settings hold any.
     pub fn with_outlier_detection(mut self, now: Micros) -> Host {
-        if let Some(figures) = self.settings.verdicts {
+        if let Some(figures) = self.settings.outlier_detection {
             let me = Node { name: self.settings.name.clone(), zone: self.settings.core.zone.clone() };
             self.judging = Some(Judging {
                 witness: Observer::new(figures),
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -1,7 +1,7 @@
 //! The host's part in limits of the whole fleet: what a request counts for, and what is asked for.
 
 use pintally::interface::Micros;
-use pintally_config::{Counts, LimitSettings, NodeSettings};
+use pintally_config::{Counts, NodeSettings, QuotaSettings};
 use pintally_quota::{Admission, LeaseGrant, LeaseRequest, LimitId, LimitStatus, QuotaHolder};
 
 use crate::host::Host;
@@ -33,14 +33,14 @@
 }
 
 impl Limiting {
-    fn new(settings: &NodeSettings, limits: &LimitSettings) -> Limiting {
+    fn new(settings: &NodeSettings, limits: &QuotaSettings) -> Limiting {
         let tenants = &settings.core.tenants;
         let mut limiting = Limiting {
             holder: QuotaHolder::new(
-                limits.figures,
+                limits.allocation,
                 limits.limits.iter().map(|l| (l.id(), l.name.clone(), l.limit())),
             ),
-            every: (limits.figures.every / LOOKS).max(1_000),
+            every: (limits.allocation.every / LOOKS).max(1_000),
             rules: Rules { all: Vec::new(), tenants: vec![Vec::new(); tenants.len()] },
         };
         for limit in &limits.limits {
@@ -60,7 +60,7 @@
 impl Host {
     /// The same host under limits of the whole fleet, if the settings hold any.
     pub fn with_limits(mut self, now: Micros) -> Host {
-        if let Some(limits) = &self.settings.shared_limits {
+        if let Some(limits) = &self.settings.quotas {
             let limiting = Limiting::new(&self.settings, limits);
             self.timers.set(now + limiting.every, Due::Shares);
             self.limiting = Some(limiting);
--- a/crates/pintally-host/src/list.rs
+++ b/crates/pintally-host/src/list.rs
@@ -60,8 +60,8 @@
             next.insert(entry.id.clone(), entry);
         }
         for (id, old) in &self.entries {
-            if !next.contains_key(id) && old.listing != EndpointState::Gone {
-                let gone = EngineEntry { listing: EndpointState::Gone, ..old.clone() };
+            if !next.contains_key(id) && old.state != EndpointState::Gone {
+                let gone = EngineEntry { state: EndpointState::Gone, ..old.clone() };
                 changes.push(listed(&gone, &clock));
             }
         }
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -28,20 +28,20 @@
 impl Host {
     /// The same host with a core for each zone, if the settings hold regions and its zone is in one.
     pub fn with_regions(mut self, now: Micros) -> Host {
-        let Some(regions) = self.settings.regions.clone() else { return self };
+        let Some(regions) = self.settings.failover.clone() else { return self };
         let core = &self.settings.core;
-        let Some(home) = regions.figures.map.zone(&core.zone) else { return self };
-        let names = &regions.figures.map.zones;
+        let Some(home) = regions.policy.map.zone(&core.zone) else { return self };
+        let names = &regions.policy.map.zones;
         self.regional = Some(Regional {
             local: ZoneObserver::new(names.len()),
             home,
-            every: regions.figures.every,
+            every: regions.policy.every,
             zones: names.iter().map(|z| CellName::from(z.name.as_str())).collect(),
-            stay_classes: core.classes.iter().map(|c| regions.stay_classes.contains(&c.name)).collect(),
-            stay_tenants: core.tenants.iter().map(|t| regions.stay_tenants.contains(&t.name)).collect(),
+            stay_classes: core.classes.iter().map(|c| regions.pinned_classes.contains(&c.name)).collect(),
+            stay_tenants: core.tenants.iter().map(|t| regions.pinned_tenants.contains(&t.name)).collect(),
             placed: BTreeMap::new(),
             far: 0,
-            follower: PlanFollower::new(regions.figures, home),
+            follower: PlanFollower::new(regions.policy, home),
         });
         self.timers.set(now + 1, Due::Regions);
         self
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -60,11 +60,11 @@
     let times = Times {
         first: began + span(order.timeout),
         whole: order.complete_by.map(|us| began + span(us)),
-        stall: span(shared.settings.limits.stall),
+        stall: span(shared.settings.limits.stall_timeout),
         heard: began,
     };
     life.out = Some(order.attempt);
-    let within = span(shared.settings.limits.connect.min(order.timeout));
+    let within = span(shared.settings.limits.connect_timeout.min(order.timeout));
     let end = match shared.pool.take(order.address, within) {
         // As many attempts as allowed are out there: to this node the engine is full.
         Err(NoConnection::Limit) => Some(End::of(Outcome::Overloaded)),
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -46,7 +46,7 @@
 /// Serves a connection until it closes.
 pub(crate) fn run(shared: &Shared, mut stream: TcpStream, waker: &Arc<Waker>) {
     let limits = &shared.settings.limits;
-    let mut reader = RequestReader::new(limits.head_bytes, limits.body_bytes);
+    let mut reader = RequestReader::new(limits.max_head_bytes, limits.max_body_bytes);
     loop {
         let mut room = Room { shared, bytes: 0 };
         match next_request(shared, &mut stream, waker, &mut reader, &mut room) {
@@ -80,7 +80,7 @@
     room: &mut Room,
 ) -> Result<Option<Request>, (u16, String)> {
     let limits = &shared.settings.limits;
-    let mut by = Instant::now() + Duration::from_micros(limits.idle);
+    let mut by = Instant::now() + Duration::from_micros(limits.idle_timeout);
     let mut begun = false;
     let mut buffer = [0u8; 16 << 10];
     loop {
@@ -99,7 +99,7 @@
             return Ok(None);
         }
         if reader.is_partial() && !std::mem::replace(&mut begun, true) {
-            by = Instant::now() + Duration::from_micros(limits.receive);
+            by = Instant::now() + Duration::from_micros(limits.receive_timeout);
         }
         if shared.is_dead() || (shared.is_closing() && !begun) {
             return Ok(None);
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -76,7 +76,7 @@
         }
         let now = shared.clock.now();
         record.write(shared, now, &decider.host);
-        let tells = shared.settings.shared_limits.is_some() || shared.settings.verdicts.is_some();
+        let tells = shared.settings.quotas.is_some() || shared.settings.outlier_detection.is_some();
         if tells && now >= limits_at + LIMITS_EVERY {
             limits_at = now;
             *shared.fleet.verdicts.lock().unwrap_or_else(|e| e.into_inner()) =
@@ -109,10 +109,10 @@
 
 impl Record {
     fn new(shared: &Shared) -> Record {
-        let peers = shared.settings.peers.is_some();
+        let peers = shared.settings.membership.is_some();
         let recovery = shared.settings.recovery.as_ref();
         let recovery = recovery.filter(|r| r.store.is_some() || peers && r.inherit_after > 0);
-        Record { every: recovery.map(|r| r.every), at: 0, stale: true }
+        Record { every: recovery.map(|r| r.commit_interval), at: 0, stale: true }
     }
 
     /// When it has to be written, if something may have changed.
--- a/crates/pintally-kserve-node/src/door.rs
+++ b/crates/pintally-kserve-node/src/door.rs
@@ -46,7 +46,7 @@
 fn admit(shared: &Arc<Shared>, stream: std::net::TcpStream, number: u64) -> std::io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    stream.set_write_timeout(Some(Duration::from_micros(shared.settings.limits.write)))?;
+    stream.set_write_timeout(Some(Duration::from_micros(shared.settings.limits.write_timeout)))?;
     let waker = Arc::new(wait::Waker::new()?);
     if shared.enter(number, waker.clone()).is_none() {
         shared.counts.over_limit.fetch_add(1, Ordering::Relaxed);
--- a/crates/pintally-kserve-node/src/errand.rs
+++ b/crates/pintally-kserve-node/src/errand.rs
@@ -251,8 +251,8 @@
 
 /// Runs errands until nobody can hand in any more and none is out, or the node has died.
 pub(crate) fn run(shared: &Shared, queue: &Queue) {
-    let most = shared.settings.limits.errands;
-    let within = Duration::from_micros(shared.settings.limits.errand);
+    let most = shared.settings.limits.max_background_calls;
+    let within = Duration::from_micros(shared.settings.limits.background_call_timeout);
     let (mut lines, mut out, mut buffer) = (Lines::new(most), Vec::<Out>::new(), vec![0u8; 16 << 10]);
     loop {
         let mut closed = false;
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -12,7 +12,7 @@
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use pintally::interface::{EngineId, Micros, RequestId};
-use pintally_config::{NodeSettings, PeerSettings, RecoverySettings};
+use pintally_config::{MembershipSettings, NodeSettings, RecoverySettings};
 use pintally_consensus::ReplicaName;
 use pintally_host::{Input, OrphanedReservation};
 use pintally_membership::{
@@ -199,7 +199,7 @@
         store.put(KEY_BOOT, boot.to_le_bytes().to_vec());
     }
     // Without a memory the settings stand for it: what an engine carries, over all nodes.
-    let carries = settings.recovery.as_ref().map_or(0.0, |r| r.per_engine);
+    let carries = settings.recovery.as_ref().map_or(0.0, |r| r.requests_per_second_per_engine);
     let mut usual = [carries / f64::from(settings.core.nodes.max(1)); 3];
     let told = numbers(KEY_USUAL).into_iter().map(f64::from_bits);
     usual.iter_mut().zip(told).filter(|(_, t)| t.is_finite() && *t > 0.0).for_each(|(u, t)| *u = t);
@@ -221,7 +221,7 @@
     let Some(folder) = &settings.store else { return (None, Loaded::default()) };
     let (store, loaded) = Store::open(&StoreSettings {
         folder: PathBuf::from(folder),
-        every: Duration::from_micros(settings.every),
+        every: Duration::from_micros(settings.commit_interval),
         within: Duration::from_micros(settings.read_within),
         storage_fault: settings
             .storage_fault
@@ -257,19 +257,19 @@
     let figures = recovery::Settings {
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
         // each zone, as far as a node can know.
-        expected: match &settings.regions {
-            Some(regions) => (core.nodes.max(1) as usize).div_ceil(regions.figures.map.zones.len()),
+        expected: match &settings.failover {
+            Some(regions) => (core.nodes.max(1) as usize).div_ceil(regions.policy.map.zones.len()),
             None => core.nodes.max(1) as usize,
         },
-        peers: settings.peers.is_some(),
-        ask: own.ask,
+        peers: settings.membership.is_some(),
+        ask: own.peers_queried,
         answer_within: own.answer_within,
         rounds: own.rounds,
-        careful_most: own.careful_most,
+        careful_most: own.max_slow_start,
         cold_from: core.slow_start_min_capacity,
         warm_after: core.slow_start_duration,
-        per_engine: own.per_engine,
-        textless: own.textless,
+        per_engine: own.requests_per_second_per_engine,
+        textless: own.uncached_capacity_fraction,
         retry_most: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
         classes: classes.collect(),
     };
@@ -289,7 +289,7 @@
 /// Opens the sockets towards peers. `keeper` is where this node's keeper hears, if it is one.
 pub(crate) fn open(
     shared: &Arc<Shared>,
-    settings: &PeerSettings,
+    settings: &MembershipSettings,
     before: &Before,
     seed: u64,
     keeper: Option<Sender<ToReplica>>,
@@ -326,7 +326,7 @@
         return keeper::Answer::no("there is no such order");
     };
     if let OperatorCommand::Clear(engine) = order {
-        if shared.settings.verdicts.is_none() {
+        if shared.settings.outlier_detection.is_none() {
             return keeper::Answer::no("this node has no verdicts in its settings");
         }
         let mut waiting = lock(&shared.fleet.cleared);
@@ -399,7 +399,7 @@
         shared,
         fleet,
         look,
-        regions: shared.settings.regions.as_ref().map(Regions::new),
+        regions: shared.settings.failover.as_ref().map(Regions::new),
         numbers: BTreeMap::new(),
         names: Vec::new(),
         carried: if carried.is_finite() { carried } else { 0.0 },
@@ -717,7 +717,7 @@
         let here: Vec<&Member> = self.fleet.peers.members().filter(|m| m.is_here()).collect();
         let at: Vec<String> = here.iter().map(|m| self.fleet.peers.route(m).to_string()).collect();
         self.shared.fleet.keep(KEY_PEERS, at.join("\n").into_bytes());
-        if self.shared.settings.verdicts.is_some() {
+        if self.shared.settings.outlier_detection.is_some() {
             let node = |m: &&Member| Node { name: m.name().to_string(), zone: m.zone().to_string() };
             self.shared.send_input(Input::PeersChanged(here.iter().map(node).collect()));
         }
@@ -785,7 +785,7 @@
             return;
         }
         let (shared, look) = (self.shared.clone(), self.look.clone());
-        let listen = self.shared.settings.peers.as_ref().map(|p| p.listen.ip());
+        let listen = self.shared.settings.membership.as_ref().map(|p| p.listen.ip());
         let own = listen.unwrap_or(Ipv4Addr::UNSPECIFIED.into());
         let spawned = spawn_small("fetch", move || {
             match fetch(own, from, LIST_TEXT).map(String::from_utf8) {
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -8,7 +8,7 @@
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use pintally::interface::Micros;
-use pintally_config::KeeperSettings;
+use pintally_config::ConsensusSettings;
 use pintally_consensus::{Message, Output, Replica, ReplicaName, Write};
 use pintally_quota::{LeaderGranter, LeaseRequest};
 use pintally_storage::{Store, StoreSettings};
@@ -98,7 +98,7 @@
 /// Runs until the node ends.
 pub(crate) fn run(
     shared: &Arc<Shared>,
-    settings: &KeeperSettings,
+    settings: &ConsensusSettings,
     seed: u64,
     mail: &Receiver<ToReplica>,
     (out, waker): (Sender<FromReplica>, Waker),
@@ -130,9 +130,9 @@
         keeper,
         store,
         unsaved: None,
-        lending: shared.settings.shared_limits.as_ref().map(|limits| {
+        lending: shared.settings.quotas.as_ref().map(|limits| {
             let known = limits.limits.iter().map(|l| (l.id(), l.limit()));
-            LeaderGranter::new(limits.figures, known.collect())
+            LeaderGranter::new(limits.allocation, known.collect())
         }),
         out,
         waker,
@@ -185,7 +185,7 @@
                 self.keeper.change(now, self.number, names, out);
             }
             OperatorCommand::Limit(name, most) => {
-                let known = self.shared.settings.shared_limits.iter().flat_map(|l| &l.limits);
+                let known = self.shared.settings.quotas.iter().flat_map(|l| &l.limits);
                 if !known.clone().any(|l| l.name == name) || !(0.0..=1e9).contains(&most) {
                     return self.answer(self.number, Answer::no(format!("there is no limit `{name}`")));
                 }
@@ -195,7 +195,7 @@
     }
 
     fn order_zone(&mut self, now: Micros, zone: String, word: String, out: &mut Vec<Output>) {
-        let map = self.shared.settings.regions.as_ref().map(|r| &r.figures.map);
+        let map = self.shared.settings.failover.as_ref().map(|r| &r.policy.map);
         if map.and_then(|m| m.zone(&zone)).is_none() || !["out", "hold", ""].contains(&word.as_str()) {
             return self.answer(self.number, Answer::no(format!("no zone of a region is named `{zone}`")));
         }
@@ -255,11 +255,11 @@
         });
         *lock(&self.shared.fleet.zone_orders) = orders.collect();
         let Some(lending) = &mut self.lending else { return };
-        let Some(limits) = &self.shared.settings.shared_limits else { return };
+        let Some(limits) = &self.shared.settings.quotas else { return };
         for limit in &limits.limits {
             let told = self.keeper.register().get(&format!("{LIMIT}{}", limit.name));
             let most = told.and_then(|v| std::str::from_utf8(&v.bytes).ok()).and_then(|t| t.parse().ok());
-            lending.change(limit.id(), most.unwrap_or(limit.most));
+            lending.change(limit.id(), most.unwrap_or(limit.limit));
         }
     }
 
--- a/crates/pintally-kserve-node/src/life.rs
+++ b/crates/pintally-kserve-node/src/life.rs
@@ -222,7 +222,7 @@
 
     /// Writes all of it within the time for writing, however slowly the client takes it.
     fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
-        let limit = Duration::from_micros(self.shared.settings.limits.write);
+        let limit = Duration::from_micros(self.shared.settings.limits.write_timeout);
         let by = Instant::now() + limit;
         while !bytes.is_empty() {
             match self.client.write(bytes) {
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -90,8 +90,8 @@
         let ((testify, testimonies), (zones, zone_words)) = (bounded(ASKED), bounded(ASKED));
         let ends = Ends { errands, look: look.clone(), stopped: stopped_sender, ask, shares, testify, zones };
         let ((to_keeper, keeper_mail), (from_keeper, keeper_words)) = (bounded(KEEPER), bounded(KEEPER));
-        let keeps = settings.keepers.clone().filter(|k| k.names.contains(&settings.name));
-        let link = match &settings.peers {
+        let keeps = settings.consensus.clone().filter(|k| k.names.contains(&settings.name));
+        let link = match &settings.membership {
             Some(peers) => {
                 let keeper = keeps.as_ref().map(|_| to_keeper);
                 let link = fleet::open(&shared, peers, &before, seed, keeper);
@@ -169,7 +169,8 @@
     /// Stops in good order: takes nothing new, ends what it holds, lets go of what it has at
     /// engines, within the time that the settings give. Returns what it has counted.
     pub fn stop(mut self) -> NodeCounters {
-        let bound = Duration::from_micros(self.shared.settings.limits.stop) + Duration::from_secs(1);
+        let bound =
+            Duration::from_micros(self.shared.settings.limits.shutdown_timeout) + Duration::from_secs(1);
         let by = Instant::now() + bound;
         self.shared.close();
         self.door.wake();
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -4,7 +4,7 @@
 
 use crossbeam_channel::{bounded, Sender};
 use pintally::interface::Micros;
-use pintally_config::RegionSettings;
+use pintally_config::FailoverSettings;
 use pintally_failover::{Order, Plan, Planner, Status, ZoneReport};
 use pintally_membership::{Membership, Topic};
 use serde_json::json;
@@ -22,7 +22,7 @@
 
 /// What this node knows of the plan, and its planner while it leads.
 pub(crate) struct Regions {
-    settings: RegionSettings,
+    settings: FailoverSettings,
     planner: Option<Planner>,
     latest: Option<Plan>,
     engines: Vec<f64>,
@@ -30,8 +30,8 @@
 }
 
 impl Regions {
-    pub(crate) fn new(settings: &RegionSettings) -> Regions {
-        let zones = settings.figures.map.zones.len();
+    pub(crate) fn new(settings: &FailoverSettings) -> Regions {
+        let zones = settings.policy.map.zones.len();
         Regions {
             settings: settings.clone(),
             planner: None,
@@ -45,7 +45,7 @@
     pub(crate) fn leads(&mut self, now: Micros, term: Option<u64>) {
         self.planner = term.map(|term| {
             let latest = self.latest.as_ref();
-            Planner::new(self.settings.figures.clone(), term, latest, now)
+            Planner::new(self.settings.policy.clone(), term, latest, now)
         });
     }
 
@@ -61,7 +61,7 @@
 
     /// A node of this zone tells what it sees.
     pub(crate) fn word(&mut self, now: Micros, name: &str, zone: &str, bytes: &[u8]) {
-        let zone = self.settings.figures.map.zone(zone);
+        let zone = self.settings.policy.map.zone(zone);
         if let (Some(planner), Some(zone), Some(word)) = (&mut self.planner, zone, ZoneReport::decode(bytes))
         {
             planner.word(now, name, zone, word);
@@ -78,8 +78,8 @@
         if now < self.next {
             return None;
         }
-        self.next = now + self.settings.figures.every;
-        let map = &self.settings.figures.map;
+        self.next = now + self.settings.policy.every;
+        let map = &self.settings.policy.map;
         let plan = self.planner.as_mut().map(|planner| {
             let mut here = vec![0; map.zones.len()];
             let own = std::iter::once(shared.settings.core.zone.as_str());
@@ -116,7 +116,7 @@
     }
 
     fn forward_plan(&self, shared: &Arc<Shared>, plan: Option<&Plan>) {
-        let names = &self.settings.figures.map.zones;
+        let names = &self.settings.policy.map.zones;
         let followed = plan.or(self.latest.as_ref()).map(|plan| {
             let part =
                 |(zone, part): &(u8, u8)| json!([names[usize::from(*zone)].name, f64::from(*part) / 255.0]);
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -110,7 +110,7 @@
         let limits = &settings.limits;
         let keep_alive = Duration::from_micros(limits.keep_alive);
         Shared {
-            pool: Pool::new(settings.source, limits.streams, keep_alive),
+            pool: Pool::new(settings.source, limits.max_streams_per_engine, keep_alive),
             clock: Clock::new(),
             decide,
             counts: DoorCounts::default(),
@@ -156,7 +156,7 @@
     /// Takes room for bytes of a request; `false` if there is none.
     pub(crate) fn take_room(&self, bytes: usize) -> bool {
         let held = self.bodies.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        if held > self.settings.limits.bodies_bytes {
+        if held > self.settings.limits.max_total_body_bytes {
             self.bodies.fetch_sub(bytes, Ordering::Relaxed);
             return false;
         }
@@ -171,7 +171,7 @@
     /// Enters a connection; `None` if there are as many as allowed.
     pub(crate) fn enter(&self, number: u64, waker: Arc<Waker>) -> Option<()> {
         let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
-        if connections.len() >= self.settings.limits.connections {
+        if connections.len() >= self.settings.limits.max_connections {
             return None;
         }
         connections.insert(number, waker);
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -43,7 +43,7 @@
 /// look at once.
 pub(crate) fn run(shared: &Shared, mut follower: ListFollower, mut cells: u64, look: &Receiver<()>) {
     let settings = &shared.settings;
-    let every = Duration::from_micros(settings.engines_every);
+    let every = Duration::from_micros(settings.engines_poll_interval);
     let (mut list, mut cells_file) = (Watched::default(), Watched::default());
     loop {
         if let Some(file) = &settings.cells_file {
@@ -77,7 +77,7 @@
 
 /// Takes in the file of cells that was kept before the last end, if there is one; returns its version.
 pub(crate) fn restore_cells(shared: &Shared) -> u64 {
-    let Some(kept) = &shared.settings.kept_cells else { return 0 };
+    let Some(kept) = &shared.settings.cached_cells_file else { return 0 };
     let mut version = 0;
     match read(kept) {
         Ok(text) => {
@@ -93,7 +93,7 @@
     if !take_cells(shared, version, file, text) {
         return;
     }
-    let Some(kept) = &shared.settings.kept_cells else { return };
+    let Some(kept) = &shared.settings.cached_cells_file else { return };
     if let Err(e) = write_whole(Path::new(kept), text) {
         warn!(file = kept, error = %e, "the file of cells cannot be kept: a restart will begin without it");
     }
@@ -120,7 +120,7 @@
 
 /// Takes in the list that was kept before the last end, if there is one.
 pub(crate) fn restore(shared: &Shared, follower: &mut ListFollower) {
-    let Some(kept) = &shared.settings.kept_list else { return };
+    let Some(kept) = &shared.settings.cached_list_file else { return };
     match read(kept) {
         Ok(text) => take(shared, follower, kept, &text),
         Err(e) if e.kind() == io::ErrorKind::NotFound => false,
@@ -154,7 +154,7 @@
 }
 
 fn apply(shared: &Shared, follower: &mut ListFollower, file: &str, text: &[u8], source: bool) {
-    let together = shared.settings.peers.as_ref().and_then(|_| united(follower, file, text));
+    let together = shared.settings.membership.as_ref().and_then(|_| united(follower, file, text));
     let changed = take(shared, follower, file, together.as_deref().unwrap_or(text));
     let same = EngineList::parse(file, &String::from_utf8_lossy(text)).ok().map(|l| l.version);
     if source && same.is_some() && same == follower.version() {
@@ -167,7 +167,7 @@
     if let Some(version) = follower.version() {
         shared.fleet.hold_list(version, &text);
     }
-    let Some(kept) = &shared.settings.kept_list else { return };
+    let Some(kept) = &shared.settings.cached_list_file else { return };
     if let Err(e) = write_whole(Path::new(kept), text.as_bytes()) {
         warn!(file = kept, error = %e, "the list cannot be kept: a restart will begin without it");
     }
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -96,7 +96,7 @@
 
     fn arrived(&mut self, now: Micros, a: IncomingRequest, out: &mut Vec<Command>) {
         let class = a.class.and_then(|c| self.settings.classes.get(c));
-        let usual = class.map_or(1_000_000, |c| c.patience);
+        let usual = class.map_or(1_000_000, |c| c.default_client_timeout);
         let margin = self.settings.limits.answer_margin;
         let left = a.client_timeout.map_or(usual, |own| own.min(usual)).saturating_sub(margin);
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
--- a/crates/pintally-platform-node/src/acceptor.rs
+++ b/crates/pintally-platform-node/src/acceptor.rs
@@ -149,7 +149,7 @@
         if !self.has_descriptor() {
             self.close_spare();
         }
-        let full = self.clients >= self.settings.limits.connections || !self.has_descriptor();
+        let full = self.clients >= self.settings.limits.max_connections || !self.has_descriptor();
         if full && !self.evict() {
             return;
         }
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -99,7 +99,7 @@
 
     /// Lets go of what is held for a request.
     fn release(&mut self, id: RequestId, engine: EngineId, address: SocketAddr, anew: bool) {
-        let until = self.clock.now() + self.settings.limits.errand;
+        let until = self.clock.now() + self.settings.limits.background_call_timeout;
         let work = Work::Release { id: id.clone(), engine: engine.clone(), until };
         match self.carry(address, &engine, release(&id.0), None, work, anew) {
             Ok(key) => {
@@ -130,7 +130,7 @@
             return;
         }
         let Ok(key) = self.connect(address, engine, true) else { return };
-        let (now, connect) = (self.clock.now(), self.settings.limits.connect);
+        let (now, connect) = (self.clock.now(), self.settings.limits.connect_timeout);
         let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
         conn.work = Some(Work::ConnectionProbe { ticket, attempt });
         conn.connect_by = now + connect;
@@ -181,7 +181,7 @@
             Some(key) => key,
             None => self.connect(address, engine, matches!(work, Work::Release { .. }))?,
         };
-        let connect = self.settings.limits.connect;
+        let connect = self.settings.limits.connect_timeout;
         if let Some(Conn::Engine(conn)) = self.conns.get_mut(key) {
             conn.engine = engine.clone();
             conn.head = head;
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -278,7 +278,7 @@
 
     /// Sees to it that the loop looks at a connection when its time may have run out.
     pub(crate) fn watch_over(&mut self, key: Key) {
-        let (idle, stall) = (self.keep.limit(self.clock.now()), self.settings.limits.stall);
+        let (idle, stall) = (self.keep.limit(self.clock.now()), self.settings.limits.stall_timeout);
         let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
         let due = runs_out(conn, idle, stall);
         if due != conn.due {
@@ -290,7 +290,7 @@
 
     /// Ends what has run out of time.
     pub(crate) fn expire(&mut self, now: Micros) {
-        let (idle, stall) = (self.keep.limit(now), self.settings.limits.stall);
+        let (idle, stall) = (self.keep.limit(now), self.settings.limits.stall_timeout);
         while let Some(&(at, key)) = self.due.first().filter(|d| d.0 <= now) {
             let Some(Conn::Engine(conn)) = self.conns.get(key) else {
                 self.due.remove(&(at, key));
--- a/crates/pintally-platform-node/src/sweep.rs
+++ b/crates/pintally-platform-node/src/sweep.rs
@@ -27,8 +27,12 @@
             tracing::info!("no more connections are taken");
         }
         let limits = &self.settings.limits;
-        let times =
-            ClientTimes { receive: limits.receive, idle: limits.idle, write: limits.write, stopping: late };
+        let times = ClientTimes {
+            receive: limits.receive_timeout,
+            idle: limits.idle_timeout,
+            write: limits.write_timeout,
+            stopping: late,
+        };
         let over: Vec<(Key, CloseReason)> = self
             .conns
             .iter()
--- a/crates/pintally-platform/src/config.rs
+++ b/crates/pintally-platform/src/config.rs
@@ -111,27 +111,27 @@
             most => self.clients_most().min(most as usize),
         };
         let limits = HostLimits {
-            connections: self.clients_most(),
-            held,
-            head_bytes: MAX_HEAD,
-            body_bytes: MAX_BODY,
-            bodies_bytes: self.bodies_most(),
-            receive: 2_500_000,
-            write: 10_000_000,
-            idle: 10_000_000,
-            connect: told.ways.connect_timeout,
+            max_connections: self.clients_most(),
+            max_open_requests: held,
+            max_head_bytes: MAX_HEAD,
+            max_body_bytes: MAX_BODY,
+            max_total_body_bytes: self.bodies_most(),
+            receive_timeout: 2_500_000,
+            write_timeout: 10_000_000,
+            idle_timeout: 10_000_000,
+            connect_timeout: told.ways.connect_timeout,
             // Closed well before the engine may close it itself: what is written after that is lost.
             keep_alive: told.ways.keep_alive / 2,
-            streams: self.limits.sockets,
+            max_streams_per_engine: self.limits.sockets,
             // A call to let go that is not answered by then is counted as unheard; the next ones do not
             // wait for it.
-            errand: (told.settings.release_deadline / 4).clamp(MIN_CALL, MAX_CALL),
-            errands: 1,
+            background_call_timeout: (told.settings.release_deadline / 4).clamp(MIN_CALL, MAX_CALL),
+            max_background_calls: 1,
             // A stream that has gone silent has to end before its client has waited 5 s.
-            stall: 4_600_000,
+            stall_timeout: 4_600_000,
             answer_margin: 20_000,
             // What was taken is answered, however long that takes; the platform ends the rest.
-            stop: 3_600_000_000,
+            shutdown_timeout: 3_600_000_000,
         };
         NodeSettings {
             name: self.name.clone(),
@@ -139,23 +139,23 @@
             source: None,
             model: String::new(),
             engines_file: String::new(),
-            engines_every: 0,
-            kept_list: None,
+            engines_poll_interval: 0,
+            cached_list_file: None,
             cells_file: None,
-            kept_cells: None,
-            peers: None,
+            cached_cells_file: None,
+            membership: None,
             recovery: None,
-            keepers: None,
-            shared_limits: None,
-            verdicts: None,
-            regions: None,
+            consensus: None,
+            quotas: None,
+            outlier_detection: None,
+            failover: None,
             limits,
             core: told.settings.clone(),
             classes: told
                 .ways
                 .deadlines
                 .iter()
-                .map(|d| ClassSettings { patience: patience(*d), max_tokens: 256 })
+                .map(|d| ClassSettings { default_client_timeout: patience(*d), max_tokens: 256 })
                 .collect(),
             slots: vec![0; told.settings.kinds.len()],
         }
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -251,7 +251,7 @@
     let config = config();
     let node = config.node();
     assert!(
-        node.limits.connections + config.limits.sockets / 3 < config.limits.sockets,
+        node.limits.max_connections + config.limits.sockets / 3 < config.limits.sockets,
         "engines keep theirs"
     );
 }
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -82,13 +82,30 @@
     let node = config.node();
     assert_eq!((node.name.as_str(), node.listen), ("n0", config.listen));
     let limits = &node.limits;
-    assert_eq!((limits.connections, limits.held, limits.streams, limits.errands), (120, 40, 256, 1));
-    assert_eq!((limits.head_bytes, limits.body_bytes), (16 << 10, 256 << 10));
-    assert_eq!(limits.bodies_bytes, 8 << 20);
-    assert_eq!((limits.receive, limits.write, limits.idle), (2_500_000, 10_000_000, 10_000_000));
-    assert_eq!((limits.connect, limits.keep_alive, limits.errand), (200_000, 6_000_000, 100_000));
-    assert_eq!((limits.stall, limits.answer_margin, limits.stop), (4_600_000, 20_000, 3_600_000_000));
-    let classes: Vec<_> = node.classes.iter().map(|c| (c.patience, c.max_tokens)).collect();
+    assert_eq!(
+        (
+            limits.max_connections,
+            limits.max_open_requests,
+            limits.max_streams_per_engine,
+            limits.max_background_calls
+        ),
+        (120, 40, 256, 1)
+    );
+    assert_eq!((limits.max_head_bytes, limits.max_body_bytes), (16 << 10, 256 << 10));
+    assert_eq!(limits.max_total_body_bytes, 8 << 20);
+    assert_eq!(
+        (limits.receive_timeout, limits.write_timeout, limits.idle_timeout),
+        (2_500_000, 10_000_000, 10_000_000)
+    );
+    assert_eq!(
+        (limits.connect_timeout, limits.keep_alive, limits.background_call_timeout),
+        (200_000, 6_000_000, 100_000)
+    );
+    assert_eq!(
+        (limits.stall_timeout, limits.answer_margin, limits.shutdown_timeout),
+        (4_600_000, 20_000, 3_600_000_000)
+    );
+    let classes: Vec<_> = node.classes.iter().map(|c| (c.default_client_timeout, c.max_tokens)).collect();
     assert_eq!(classes, [(5_000_000, 256), (60_000_000, 256)]);
     assert_eq!(node.slots, [0, 0, 0]);
     assert_eq!((node.core.node, node.core.nodes, node.core.zone.as_str()), (1, 3, "a"));
--- a/crates/pintally-recovery/src/list.rs
+++ b/crates/pintally-recovery/src/list.rs
@@ -35,11 +35,11 @@
             // list says which.
             None => {
                 let engine =
-                    EngineEntry { listing: graver(entry.listing, EndpointState::Draining), ..entry.clone() };
+                    EngineEntry { state: graver(entry.state, EndpointState::Draining), ..entry.clone() };
                 all.insert(entry.id.clone(), engine);
             }
             Some(known) => {
-                known.listing = graver(known.listing, entry.listing);
+                known.state = graver(known.state, entry.state);
                 known.started_unix_ms = known.started_unix_ms.max(entry.started_unix_ms);
             }
         }
@@ -47,7 +47,7 @@
     for entry in &held.engines {
         if !claim.engines.iter().any(|e| e.id == entry.id) {
             if let Some(known) = all.get_mut(&entry.id) {
-                known.listing = graver(known.listing, EndpointState::Draining);
+                known.state = graver(known.state, EndpointState::Draining);
             }
         }
     }
@@ -84,7 +84,7 @@
             kind: "k".into(),
             rack: 0,
             cell: None,
-            listing,
+            state: listing,
             weight: 1.0,
             started_unix_ms: None,
         }
@@ -112,7 +112,7 @@
         for (held, claim) in [(&one, &two), (&two, &one)] {
             let ListMerge::United(list) = merge(Some(held), claim) else { panic!("they differ") };
             let said: Vec<(&str, EndpointState)> =
-                list.engines.iter().map(|e| (e.id.0.as_ref(), e.listing)).collect();
+                list.engines.iter().map(|e| (e.id.0.as_ref(), e.state)).collect();
             assert_eq!(said, [("a", Draining), ("b", Gone), ("c", Draining), ("d", Draining)]);
             assert_eq!(merge(Some(&list), claim), ListMerge::Kept, "the union is where it ends");
         }
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -186,7 +186,7 @@
 
     /// Where nodes reach each other, if they are to: their own addresses, and a door for each pair.
     fn build_links(&mut self) -> Result<Vec<(SocketAddr, Port)>, RunError> {
-        if self.day.settings.peers.is_none() {
+        if self.day.settings.membership.is_none() {
             return Ok(Vec::new());
         }
         let fail = |e: std::io::Error| RunError(format!("no links between nodes: {e}"));
@@ -205,7 +205,7 @@
 
     /// What one node is told of the others and of its disk.
     fn among_others(&self, number: usize, at: Option<SocketAddr>, settings: &mut NodeSettings) {
-        if let (Some(peers), Some(at), Some(relays)) = (&mut settings.peers, at, &self.relays) {
+        if let (Some(peers), Some(at), Some(relays)) = (&mut settings.membership, at, &self.relays) {
             peers.listen = at;
             let doors = (0..self.day.nodes)
                 .filter_map(|n| Some((format!("n{n}"), relays.address(n).filter(|_| n != number)?)));
@@ -237,11 +237,11 @@
             settings.source = Some(source);
             settings.engines_file = self.publisher.file(number).to_string_lossy().into_owned();
             let kept = self.publisher.file(number).with_extension("kept");
-            settings.kept_list = Some(kept.to_string_lossy().into_owned());
+            settings.cached_list_file = Some(kept.to_string_lossy().into_owned());
             if self.cells.is_some() {
                 let (file, kept) = (self.publisher.cells_file(number), self.publisher.cells_file(number));
                 settings.cells_file = Some(file.to_string_lossy().into_owned());
-                settings.kept_cells = Some(kept.with_extension("kept").to_string_lossy().into_owned());
+                settings.cached_cells_file = Some(kept.with_extension("kept").to_string_lossy().into_owned());
             }
             self.among_others(number, links.get(number).map(|l| l.0), &mut settings);
             self.nodes.push(Place { zone, settings: Arc::new(settings), _port: port, running: None });
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -50,7 +50,7 @@
             .stderr(log)
             .spawn()
             .map_err(|e| fail("cannot start", &e))?;
-        let stop_within = Duration::from_micros(settings.limits.stop) + GRACE;
+        let stop_within = Duration::from_micros(settings.limits.shutdown_timeout) + GRACE;
         let mut process = Process { child, address: settings.listen, stop_within };
         process.wait_until_up().map_err(|e| {
             let said = fs::read_to_string(file.with_extension("log")).unwrap_or_default();
@@ -130,23 +130,23 @@
         core.node,
         core.nodes,
         quoted(&s.engines_file),
-        s.engines_every as f64 / 1e3
+        s.engines_poll_interval as f64 / 1e3
     );
     if let Some(source) = s.source {
         text += &format!(" (source \"{source}\")");
     }
-    if let Some(kept) = &s.kept_list {
+    if let Some(kept) = &s.cached_list_file {
         text += &format!(" (kept-list {})", quoted(kept));
     }
     text += ")\n  ";
     text += shared;
     let forms = [
-        s.peers.as_ref().map(ToString::to_string),
+        s.membership.as_ref().map(ToString::to_string),
         s.recovery.as_ref().map(ToString::to_string),
-        s.keepers.as_ref().map(ToString::to_string),
-        s.shared_limits.as_ref().map(ToString::to_string),
-        s.regions.as_ref().map(ToString::to_string),
-        s.verdicts.as_ref().map(pintally_config::verdicts_form),
+        s.consensus.as_ref().map(ToString::to_string),
+        s.quotas.as_ref().map(ToString::to_string),
+        s.failover.as_ref().map(ToString::to_string),
+        s.outlier_detection.as_ref().map(pintally_config::verdicts_form),
     ];
     for form in forms {
         text += &form.map(|f| format!("\n  {f}")).unwrap_or_default();
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -28,7 +28,7 @@
         kind: engine.spec.kind.clone(),
         rack: engine.spec.rack,
         cell: engine.spec.cell.clone(),
-        listing,
+        state: listing,
         weight: 1.0,
         started_unix_ms,
     }
@@ -117,7 +117,7 @@
         for entry in &list.engines {
             let old = self.told[node].insert(entry.id.clone(), entry.clone());
             if old.as_ref() != Some(entry) {
-                let listing = match entry.listing {
+                let listing = match entry.state {
                     EndpointState::Serving => Listed::Serving,
                     EndpointState::Draining => Listed::Draining,
                     EndpointState::Gone => Listed::Gone,
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -55,7 +55,8 @@
         settings.listen = address;
         settings.source = Some(NODE_AT);
         settings.engines_file = publisher.file(0).to_string_lossy().into_owned();
-        settings.kept_list = Some(publisher.file(0).with_extension("kept").to_string_lossy().into_owned());
+        settings.cached_list_file =
+            Some(publisher.file(0).with_extension("kept").to_string_lossy().into_owned());
         let client = Client { recorder };
         let (settings, node) = (Arc::new(settings), None);
         let mut rig = Rig { fleet, client, settings, node, publisher, address, _port: port, folder };
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -279,7 +279,7 @@
             disks.insert(node, storage_fault);
         }
         let processes = nodes.yes_or("processes", false)?;
-        if !processes && (settings.peers.is_some() || !disks.is_empty()) {
+        if !processes && (settings.membership.is_some() || !disks.is_empty()) {
             return Err(nodes.error("peers and disks need `(processes yes)`: each node is a process then"));
         }
         if processes && (cells.is_some() || moved.is_some()) {
--- a/crates/pintally-scenario/src/traffic.rs
+++ b/crates/pintally-scenario/src/traffic.rs
@@ -59,7 +59,7 @@
     pub fn new(traffic: &Traffic, settings: &NodeSettings, zones: usize, seed: u64) -> Source {
         let patience = |c: &ClassTraffic| {
             let index = settings.core.classes.iter().position(|k| k.name == c.name);
-            Duration::from_micros(index.map_or(1_000_000, |i| settings.classes[i].patience))
+            Duration::from_micros(index.map_or(1_000_000, |i| settings.classes[i].default_client_timeout))
         };
         Source {
             patience: traffic.classes.iter().map(patience).collect(),
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -85,11 +85,11 @@
     fn pick(&self, kind: &str) -> Option<EngineEntry> {
         let mut all: Vec<EngineEntry> = self.engines().into_iter().filter(|e| e.kind == kind).collect();
         if self.fault == Fault::SendsToDrained {
-            if let Some(drained) = all.iter().find(|e| e.listing == EndpointState::Draining) {
+            if let Some(drained) = all.iter().find(|e| e.state == EndpointState::Draining) {
                 return Some(drained.clone());
             }
         }
-        all.retain(|e| e.listing == EndpointState::Serving);
+        all.retain(|e| e.state == EndpointState::Serving);
         let cold = all.iter().position(|e| e.started_unix_ms.is_some());
         match cold.filter(|_| self.fault == Fault::RushesCold) {
             Some(at) => Some(all.swap_remove(at)),
