--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -19,7 +19,7 @@
     let mut lines = String::new();
     let death_known = settings.membership.as_ref().map(|peers| {
         let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
-        (figures.period, figures.suspicion) = (peers.period, peers.suspicion);
+        (figures.probe_interval, figures.suspicion_multiplier) = (peers.period, peers.suspicion);
         figures.max_failure_detection_time(settings.core.nodes as usize)
     });
     if let Some(within) = death_known {
--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -78,7 +78,7 @@
     /// As the lender and the holders take it.
     pub fn limit(&self) -> shares::Limit {
         let kind = if self.counts == Counts::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
-        shares::Limit { kind, bound: self.enforcement, most: self.limit }
+        shares::Limit { kind, enforcement: self.enforcement, amount: self.limit }
     }
 }
 
@@ -106,9 +106,26 @@
     /// The form that reads back as these settings.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (s, ms) = (&self.allocation, |span: Micros| span as f64 / 1e3);
-        write!(f, "(shared-limits (lease-ms {}) (every-ms {})", ms(s.lease), ms(s.every))?;
-        write!(f, " (reserve {:?}) (over {:?}) (burst-ms {})", s.reserve, s.over, ms(s.burst))?;
-        write!(f, " (hold-ms {}) (fade-ms {}) (drift {:?})", ms(s.hold), ms(s.fade), s.drift)?;
+        write!(
+            f,
+            "(shared-limits (lease-ms {}) (every-ms {})",
+            ms(s.lease_duration),
+            ms(s.request_interval)
+        )?;
+        write!(
+            f,
+            " (reserve {:?}) (over {:?}) (burst-ms {})",
+            s.reserved_fraction,
+            s.soft_excess_fraction,
+            ms(s.burst)
+        )?;
+        write!(
+            f,
+            " (hold-ms {}) (fade-ms {}) (drift {:?})",
+            ms(s.max_hold),
+            ms(s.soft_decay),
+            s.max_clock_drift
+        )?;
         for limit in &self.limits {
             write!(f, " (limit {} (counts {})", quoted(&limit.name), limit.counts.name())?;
             if let Some(tenant) = &limit.tenant {
@@ -132,7 +149,13 @@
             self.vote_recovery_timeout,
             self.max_clock_drift,
         );
-        accord::Settings { beat, election, doubt, drift, ..usual }
+        accord::Settings {
+            heartbeat_interval: beat,
+            election_timeout: election,
+            vote_recovery_timeout: doubt,
+            max_clock_drift: drift,
+            ..usual
+        }
     }
 }
 
@@ -206,14 +229,14 @@
 fn limits(form: &Form) -> Result<QuotaSettings, ConfigError> {
     let usual = shares::Settings::default();
     let figures = shares::Settings {
-        lease: form.millis_or("lease-ms", 4_000.0, 1.0, 3_600_000.0)?,
-        every: form.millis_or("every-ms", 400.0, 1.0, 600_000.0)?,
-        reserve: form.number_or("reserve", usual.reserve, 0.0, 1.0)?,
-        over: form.number_or("over", usual.over, 0.0, 1.0)?,
+        lease_duration: form.millis_or("lease-ms", 4_000.0, 1.0, 3_600_000.0)?,
+        request_interval: form.millis_or("every-ms", 400.0, 1.0, 600_000.0)?,
+        reserved_fraction: form.number_or("reserve", usual.reserved_fraction, 0.0, 1.0)?,
+        soft_excess_fraction: form.number_or("over", usual.soft_excess_fraction, 0.0, 1.0)?,
         burst: form.millis_or("burst-ms", 1_000.0, 1.0, 3_600_000.0)?,
-        hold: form.millis_or("hold-ms", 30_000.0, 0.0, 86_400_000.0)?,
-        fade: form.millis_or("fade-ms", 4_000.0, 0.0, 3_600_000.0)?,
-        drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
+        max_hold: form.millis_or("hold-ms", 30_000.0, 0.0, 86_400_000.0)?,
+        soft_decay: form.millis_or("fade-ms", 4_000.0, 0.0, 3_600_000.0)?,
+        max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
         ..usual
     };
     figures.check().map_err(|e| form.error(e.to_string()))?;
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -246,8 +246,11 @@
     assert_eq!(keepers.max_clock_drift, 0.02);
     let shared = s.quotas.expect("shared limits");
     let f = &shared.allocation;
-    assert_eq!((f.nodes, f.lease, f.every, f.burst), (3, 3_000_000, 300_000, 900_000));
-    assert_eq!((f.hold, f.fade, f.reserve, f.over, f.drift), (20_000_000, 2_500_000, 0.2, 0.15, 0.02));
+    assert_eq!((f.nodes, f.lease_duration, f.request_interval, f.burst), (3, 3_000_000, 300_000, 900_000));
+    assert_eq!(
+        (f.max_hold, f.soft_decay, f.reserved_fraction, f.soft_excess_fraction, f.max_clock_drift),
+        (20_000_000, 2_500_000, 0.2, 0.15, 0.02)
+    );
     let names: Vec<_> = shared.limits.iter().map(|l| (l.name.as_str(), l.limit)).collect();
     assert_eq!(names, [("requests", 100.5), ("tokens", 5000.0), ("streams", 64.0), ("retries", 10.0)]);
     let counted: Vec<_> = shared.limits.iter().map(|l| l.counts).collect();
@@ -266,8 +269,11 @@
     assert_eq!(keepers.max_clock_drift, 0.01);
     let shared = s.quotas.expect("shared limits");
     let f = &shared.allocation;
-    assert_eq!((f.lease, f.every, f.burst), (4_000_000, 400_000, 1_000_000));
-    assert_eq!((f.hold, f.fade, f.reserve, f.over, f.drift), (30_000_000, 4_000_000, 0.2, 0.25, 0.01));
+    assert_eq!((f.lease_duration, f.request_interval, f.burst), (4_000_000, 400_000, 1_000_000));
+    assert_eq!(
+        (f.max_hold, f.soft_decay, f.reserved_fraction, f.soft_excess_fraction, f.max_clock_drift),
+        (30_000_000, 4_000_000, 0.2, 0.25, 0.01)
+    );
     assert!(shared.limits.is_empty());
 }
 
--- a/crates/pintally-consensus/src/keeper.rs
+++ b/crates/pintally-consensus/src/keeper.rs
@@ -144,7 +144,7 @@
             register = Some(KeyValueStore::default());
         }
         if !saved.formed {
-            saved.log.keepers = settings.keepers.clone();
+            saved.log.keepers = settings.replicas.clone();
         }
         let commit = saved.log.base.index;
         let doubt = Doubt { since: now, clean, told: BTreeMap::new(), next_ask: now };
@@ -180,7 +180,7 @@
     // ---- what it knows ----
 
     /// The register as far as it is agreed on here; it may be behind.
-    pub fn register(&self) -> &KeyValueStore {
+    pub fn store(&self) -> &KeyValueStore {
         &self.register
     }
 
@@ -190,13 +190,13 @@
     }
 
     /// An agreed entry, if it is still kept.
-    pub fn agreed(&self, index: u64) -> Option<&Entry> {
+    pub fn committed_entry(&self, index: u64) -> Option<&Entry> {
         (index <= self.commit).then(|| self.saved.log.get(index)).flatten()
     }
 
     /// The term in which it surely leads alone at this time, and since when. A keeper that was paused
     /// and wakes finds that its lead has ended, whatever it believes.
-    pub fn leads(&self, now: Micros) -> Option<(u64, Micros)> {
+    pub fn leadership(&self, now: Micros) -> Option<(u64, Micros)> {
         let until = self.lead_until()?;
         (now < until).then_some((self.saved.term, self.led_since))
     }
@@ -212,12 +212,12 @@
     }
 
     /// Who the keepers are, as far as it knows.
-    pub fn keepers(&self) -> &[ReplicaName] {
+    pub fn replicas(&self) -> &[ReplicaName] {
         self.saved.log.keepers_at(u64::MAX)
     }
 
     /// Where its log ends.
-    pub fn last(&self) -> Position {
+    pub fn last_position(&self) -> Position {
         self.saved.log.last()
     }
 
@@ -236,7 +236,7 @@
             }
             (None, Standing::Leads) => ("leads", None),
             (None, Standing::Stands(_, votes)) => {
-                let (n, m) = (votes.len(), majority(self.keepers().len()));
+                let (n, m) = (votes.len(), majority(self.replicas().len()));
                 ("stands", Some(format!("{n} of {m} votes: too few others are heard")))
             }
             (None, Standing::Follows) => {
@@ -250,10 +250,10 @@
             why,
             term: self.saved.term,
             leader: self.leader.as_ref().map(ToString::to_string),
-            keepers: self.keepers().iter().map(ToString::to_string).collect(),
+            keepers: self.replicas().iter().map(ToString::to_string).collect(),
             joining: self.joining.as_ref().map(ToString::to_string),
             commit: self.commit,
-            last: self.last().index,
+            last: self.last_position().index,
             lead_ms: self.lead_until().map(|until| until.saturating_sub(now) / 1000),
             values: self.register.iter().count(),
         }
@@ -283,7 +283,7 @@
         }
         // A majority has answered to what was sent at this time or later, this keeper among them.
         let mut heard: Vec<Micros> = Vec::new();
-        let keepers = self.keepers();
+        let keepers = self.replicas();
         for keeper in keepers {
             let at = if *keeper == self.settings.name {
                 Some(Micros::MAX)
@@ -300,7 +300,7 @@
     }
 
     fn is_keeper(&self) -> bool {
-        self.keepers().contains(&self.settings.name)
+        self.replicas().contains(&self.settings.name)
     }
 
     // ---- what is asked of it ----
@@ -314,11 +314,17 @@
     }
 
     /// Asks for another set of keepers: one more, or one fewer. One that comes catches up first.
-    pub fn change(&mut self, now: Micros, number: u64, keepers: Vec<ReplicaName>, out: &mut Vec<Output>) {
+    pub fn propose_replicas(
+        &mut self,
+        now: Micros,
+        number: u64,
+        keepers: Vec<ReplicaName>,
+        out: &mut Vec<Output>,
+    ) {
         let (old, new): (BTreeSet<_>, BTreeSet<_>) =
-            (self.keepers().iter().cloned().collect(), keepers.iter().cloned().collect());
+            (self.replicas().iter().cloned().collect(), keepers.iter().cloned().collect());
         let apart = old.symmetric_difference(&new).count();
-        let wished = Settings { keepers: keepers.clone(), ..self.settings.clone() };
+        let wished = Settings { replicas: keepers.clone(), ..self.settings.clone() };
         if apart != 1 || wished.check().is_err() {
             return out.push(Output::Refused(number, ProposalError::OutOfBounds));
         }
@@ -340,7 +346,7 @@
     }
 
     fn enter(&mut self, now: Micros, number: u64, what: LogCommand, out: &mut Vec<Output>) {
-        if self.leads(now).is_none() {
+        if self.leadership(now).is_none() {
             let leader = self.leader.clone().filter(|l| *l != self.settings.name);
             return out.push(Output::Refused(number, ProposalError::NotLeader(leader)));
         }
@@ -352,7 +358,7 @@
         }
         self.saved.log.entries.push(Entry { term: self.saved.term, what });
         self.dirty = true;
-        self.waiting.insert(self.last().index, (self.saved.term, number));
+        self.waiting.insert(self.last_position().index, (self.saved.term, number));
         self.follow_up();
         self.spread(now);
         self.agree(now);
@@ -377,9 +383,9 @@
             self.settle(now);
         } else if self.standing == Standing::Leads {
             if now >= self.next_beat {
-                self.next_beat = now + self.settings.beat;
-                let silent = self.lead_until().is_some_and(|u| now > u + 2 * self.settings.election);
-                if silent && self.keepers().len() > 1 {
+                self.next_beat = now + self.settings.heartbeat_interval;
+                let silent = self.lead_until().is_some_and(|u| now > u + 2 * self.settings.election_timeout);
+                if silent && self.replicas().len() > 1 {
                     self.step_back(now, self.saved.term);
                 } else {
                     self.spread(now);
@@ -396,9 +402,9 @@
         if now < doubt.next_ask {
             return;
         }
-        doubt.next_ask = now + self.settings.beat;
-        let mut all: BTreeSet<ReplicaName> = self.keepers().iter().cloned().collect();
-        all.extend(self.settings.keepers.iter().cloned());
+        doubt.next_ask = now + self.settings.heartbeat_interval;
+        let mut all: BTreeSet<ReplicaName> = self.replicas().iter().cloned().collect();
+        all.extend(self.settings.replicas.iter().cloned());
         if let Some(doubt) = &self.doubt {
             all.extend(doubt.told.values().flat_map(|t| t.keepers.iter().cloned()));
         }
@@ -410,7 +416,9 @@
     fn settle(&mut self, now: Micros) {
         let own = self.holds();
         let Some(doubt) = &self.doubt else { return };
-        let Some(end) = doubt.end(now, &self.settings.name, &own, self.settings.doubt) else { return };
+        let Some(end) = doubt.end(now, &self.settings.name, &own, self.settings.vote_recovery_timeout) else {
+            return;
+        };
         self.doubt = None;
         self.put_off(now);
         match end {
@@ -434,7 +442,7 @@
 
     /// What was owed is held, if the log now ends there or later.
     fn pay(&mut self) {
-        if self.last() >= self.debt {
+        if self.last_position() >= self.debt {
             self.debt = Position::default();
         }
     }
@@ -442,14 +450,14 @@
     fn holds(&self) -> Told {
         Told {
             term: self.saved.term,
-            last: self.last(),
-            empty: !self.saved.formed && self.last().index == 0,
-            keepers: self.keepers().to_vec(),
+            last: self.last_position(),
+            empty: !self.saved.formed && self.last_position().index == 0,
+            keepers: self.replicas().to_vec(),
         }
     }
 
     fn put_off(&mut self, now: Micros) {
-        let election = self.settings.election;
+        let election = self.settings.election_timeout;
         self.stand_at = now + election + self.rng.random_range(0..=election);
     }
 
@@ -459,7 +467,7 @@
         self.put_off(now);
         // Guards against owing what nobody has any more: what another held and lost before it was agreed
         // on. Nobody leads, so all are asked again; what was agreed on is still held by enough of them.
-        if self.last() < self.debt {
+        if self.last_position() < self.debt {
             self.leader = None;
             self.standing = Standing::Follows;
             self.doubt = Some(Doubt { since: now, clean: self.clean, told: BTreeMap::new(), next_ask: now });
@@ -477,7 +485,7 @@
         }
         let term = self.saved.term + u64::from(before);
         self.standing = Standing::Stands(before, BTreeSet::from([self.settings.name.clone()]));
-        let last = self.last();
+        let last = self.last_position();
         for keeper in self.fellows() {
             self.sends.push((keeper, Message::RequestVote { term, last, before }));
         }
@@ -485,12 +493,12 @@
     }
 
     fn fellows(&self) -> Vec<ReplicaName> {
-        self.keepers().iter().filter(|k| **k != self.settings.name).cloned().collect()
+        self.replicas().iter().filter(|k| **k != self.settings.name).cloned().collect()
     }
 
     fn count_votes(&mut self, now: Micros) {
         let Standing::Stands(before, votes) = &self.standing else { return };
-        let keepers = self.keepers();
+        let keepers = self.replicas();
         if votes.iter().filter(|v| keepers.contains(v)).count() < majority(keepers.len()) {
             return;
         }
@@ -507,11 +515,12 @@
         self.joining = None;
         self.others.clear();
         // The first log of all begins with who the keepers are, so that a base is never needed for it.
-        let first = self.last().index == 0;
-        let what = if first { LogCommand::ChangeReplicas(self.keepers().to_vec()) } else { LogCommand::Noop };
+        let first = self.last_position().index == 0;
+        let what =
+            if first { LogCommand::ChangeReplicas(self.replicas().to_vec()) } else { LogCommand::Noop };
         self.saved.log.entries.push(Entry { term: self.saved.term, what });
         self.dirty = true;
-        self.next_beat = now + self.settings.beat;
+        self.next_beat = now + self.settings.heartbeat_interval;
         self.follow_up();
         self.spread(now);
         self.agree(now);
@@ -588,11 +597,11 @@
     fn asked(&mut self, now: Micros, from: &ReplicaName, term: u64, last: Position, before: bool) {
         // Guards against a keeper that was cut off and, back again, topples a leader that is well; the
         // lease of the lead rests on it.
-        let led = self.standing == Standing::Leads && self.leads(now).is_some();
+        let led = self.standing == Standing::Leads && self.leadership(now).is_some();
         if now < self.loyal_until || led {
             return;
         }
-        let enough = last >= self.last().max(self.debt);
+        let enough = last >= self.last_position().max(self.debt);
         if before {
             let given = term > self.saved.term && enough;
             let term = if given { term } else { self.saved.term };
@@ -669,7 +678,7 @@
         commit: u64,
         sent: Micros,
     ) {
-        let last = self.last().index;
+        let last = self.last_position().index;
         let log = &mut self.saved.log;
         let mut answer = |agrees, last| {
             let term = self.saved.term;
@@ -754,7 +763,7 @@
     }
 
     fn appended(&mut self, now: Micros, from: &ReplicaName, agrees: bool, last: u64) {
-        let own = self.last().index;
+        let own = self.last_position().index;
         let Some(progress) = self.others.get_mut(from) else { return };
         if agrees {
             progress.matched = progress.matched.max(last.min(own));
@@ -781,7 +790,7 @@
         wanted.extend(self.joining.clone());
         wanted.remove(&self.settings.name);
         self.others.retain(|k, _| wanted.contains(k));
-        let next = self.last().index;
+        let next = self.last_position().index;
         for keeper in wanted {
             let fresh = Progress { next, matched: 0, heard: None, snapshot: 0 };
             self.others.entry(keeper).or_insert(fresh);
@@ -824,9 +833,9 @@
             return;
         }
         let mut held: Vec<u64> = Vec::new();
-        for keeper in self.keepers() {
+        for keeper in self.replicas() {
             held.push(if *keeper == self.settings.name {
-                self.last().index
+                self.last_position().index
             } else {
                 self.others.get(keeper).map_or(0, |p| p.matched)
             });
@@ -866,7 +875,7 @@
             self.spread(now);
             self.step_back(now, self.saved.term);
         }
-        if (self.applied - self.saved.log.base.index) as usize > self.settings.keep {
+        if (self.applied - self.saved.log.base.index) as usize > self.settings.log_entries_before_snapshot {
             let snapshot = self.register.encode();
             self.saved.log.compact(self.applied, snapshot);
             self.dirty = true;
--- a/crates/pintally-consensus/src/keeper/tests.rs
+++ b/crates/pintally-consensus/src/keeper/tests.rs
@@ -68,7 +68,7 @@
 fn replica_starts_from_persisted_state() {
     let settings = Settings::new("n1", &["n1", "n2", "n3"]);
     let keeper = Replica::new(settings, Some(&golden("state")), true, 1, 0);
-    assert_eq!(keeper.register(), &register());
+    assert_eq!(keeper.store(), &register());
     let status = keeper.status(0);
     assert_eq!((status.term, status.commit, status.last), (301, 70_000, 70_003));
     assert_eq!(status.keepers, ["n1", "n2", "n3"]);
--- a/crates/pintally-consensus/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -68,18 +68,18 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let names: Vec<ReplicaName> = (0..n).map(|k| ReplicaName::from(format!("k{k}").as_str())).collect();
         let mut settings = Settings::new("k0", &[]);
-        settings.keepers = names.clone();
-        settings.keep = 6;
+        settings.replicas = names.clone();
+        settings.log_entries_before_snapshot = 6;
         // A disk that went back while another keeper is dead for longer than a doubt lasts is two
         // failures at once: three keepers do not bear it, and where one disk lies it is left out.
         if weather.lying == 1 {
-            settings.doubt = 3_600_000 * MS;
+            settings.vote_recovery_timeout = 3_600_000 * MS;
         }
         let nodes = (0..n).map(|k| Node {
             keeper: None,
             disk: Vec::new(),
             lies: k < weather.lying,
-            rate: 1.0 + rng.random_range(-0.5..0.5) * settings.drift,
+            rate: 1.0 + rng.random_range(-0.5..0.5) * settings.max_clock_drift,
             offset: rng.random_range(0..1_000_000_000),
             paused_until: 0,
             mail: Vec::new(),
@@ -296,7 +296,7 @@
 
     pub fn leads(&self, k: usize) -> bool {
         let clock = self.clock(k);
-        self.nodes[k].keeper.as_ref().is_some_and(|x| x.leads(clock).is_some())
+        self.nodes[k].keeper.as_ref().is_some_and(|x| x.leadership(clock).is_some())
     }
 
     /// What must hold: one leader at a time and in a term, one agreed log.
@@ -314,7 +314,7 @@
             assert_eq!(by, k, "seed {seed}: two leaders in term {}", keeper.term());
         }
         for index in keeper.applied().saturating_sub(8)..=keeper.applied() {
-            let Some(entry) = keeper.agreed(index) else { continue };
+            let Some(entry) = keeper.committed_entry(index) else { continue };
             let first = self.agreed.entry(index).or_insert_with(|| entry.clone());
             assert_eq!(first, entry, "seed {seed}: keepers disagree on entry {index}");
         }
--- a/crates/pintally-consensus/tests/decisions.rs
+++ b/crates/pintally-consensus/tests/decisions.rs
@@ -104,7 +104,7 @@
 #[test]
 fn keepers_change_one_at_a_time_and_a_new_one_catches_up_first() {
     let mut world = World::new(4, 12, CALM);
-    world.settings.keepers.truncate(3);
+    world.settings.replicas.truncate(3);
     for k in 0..4 {
         world.nodes[k].disk.clear();
         world.start(k);
@@ -114,7 +114,7 @@
     let names = world.names.clone();
     let change = |world: &mut World, k: usize, keepers: Vec<ReplicaName>| {
         let (clock, mut out) = (world.clock(k), Vec::new());
-        world.nodes[k].keeper.as_mut().unwrap().change(clock, 1, keepers, &mut out);
+        world.nodes[k].keeper.as_mut().unwrap().propose_replicas(clock, 1, keepers, &mut out);
         let refused = out.iter().any(|o| matches!(o, Output::Refused(..)));
         world.carry_out(k, out);
         !refused
@@ -124,14 +124,14 @@
     run_for(&mut world, 500);
     assert!(change(&mut world, lead, names.clone()));
     run_for(&mut world, 1_000);
-    assert_eq!(world.nodes[3].keeper.as_ref().unwrap().keepers().len(), 4);
+    assert_eq!(world.nodes[3].keeper.as_ref().unwrap().replicas().len(), 4);
     // The leader makes itself leave, and another leads.
     let rest: Vec<ReplicaName> = names.iter().filter(|n| **n != names[lead]).cloned().collect();
     assert!(change(&mut world, lead, rest));
     run_for(&mut world, 4_000);
     let next = leader(&world).expect("somebody leads");
     assert_ne!(next, lead);
-    assert_eq!(world.nodes[next].keeper.as_ref().unwrap().keepers().len(), 3);
+    assert_eq!(world.nodes[next].keeper.as_ref().unwrap().replicas().len(), 3);
 }
 
 /// Guards against a snapshot that is taken for less than it covers.
@@ -148,7 +148,7 @@
     let (a, b) = (world.nodes[away].keeper.as_ref().unwrap(), world.nodes[lead].keeper.as_ref().unwrap());
     assert!(b.applied() > 30, "{}", b.applied());
     assert!(a.applied() + 5 >= b.applied());
-    assert_eq!(a.register().iter().count(), b.register().iter().count());
+    assert_eq!(a.store().iter().count(), b.store().iter().count());
 }
 
 #[test]
@@ -156,14 +156,14 @@
     let settings = Settings::new("a", &["a", "b", "c"]);
     let keeper = Replica::new(settings, Some(&[1, 2, 3, 255, 255]), true, 1, 0);
     assert!(keeper.is_recovering_votes());
-    assert_eq!(keeper.last().index, 0);
+    assert_eq!(keeper.last_position().index, 0);
 }
 
 #[test]
 fn figures_that_do_not_go_together_are_told() {
     let good = Settings::new("a", &["a", "b", "c"]);
     assert!(good.check().is_ok());
-    assert!(Settings { election: good.beat, ..good.clone() }.check().is_err());
-    assert!(Settings { keepers: vec!["a".into(), "a".into()], ..good.clone() }.check().is_err());
-    assert!(Settings { drift: 0.5, ..good }.check().is_err());
+    assert!(Settings { election_timeout: good.heartbeat_interval, ..good.clone() }.check().is_err());
+    assert!(Settings { replicas: vec!["a".into(), "a".into()], ..good.clone() }.check().is_err());
+    assert!(Settings { max_clock_drift: 0.5, ..good }.check().is_err());
 }
--- a/crates/pintally-consensus/tests/random.rs
+++ b/crates/pintally-consensus/tests/random.rs
@@ -30,7 +30,7 @@
         world.run(until);
         assert!(world.done > before, "seed {seed}: nothing is agreed on after the troubles");
         let leader = (0..n).find(|k| world.leads(*k)).expect("it leads");
-        let register = world.nodes[leader].keeper.as_ref().unwrap().register().clone();
+        let register = world.nodes[leader].keeper.as_ref().unwrap().store().clone();
         let known = register.iter().count();
         assert!(known > 0, "seed {seed}: the register is empty");
         done += world.done;
--- a/crates/pintally-consensus/tests/search.rs
+++ b/crates/pintally-consensus/tests/search.rs
@@ -31,7 +31,7 @@
 }
 
 fn settings(k: usize) -> Settings {
-    Settings { keep: 1000, ..Settings::new(NAMES[k], &NAMES) }
+    Settings { log_entries_before_snapshot: 1000, ..Settings::new(NAMES[k], &NAMES) }
 }
 
 impl World {
@@ -79,7 +79,7 @@
             assert_eq!(by, k, "two leaders in term {}", keeper.term());
         }
         for index in 1..=keeper.applied() {
-            let Some(entry) = keeper.agreed(index) else { continue };
+            let Some(entry) = keeper.committed_entry(index) else { continue };
             let first = self.agreed.entry(index).or_insert_with(|| entry.clone());
             assert_eq!(first, entry, "keepers disagree on entry {index}");
         }
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -40,7 +40,7 @@
                 limits.allocation,
                 limits.limits.iter().map(|l| (l.id(), l.name.clone(), l.limit())),
             ),
-            every: (limits.allocation.every / LOOKS).max(1_000),
+            every: (limits.allocation.request_interval / LOOKS).max(1_000),
             rules: Rules { all: Vec::new(), tenants: vec![Vec::new(); tenants.len()] },
         };
         for limit in &limits.limits {
@@ -90,7 +90,7 @@
             limiting.rules.of(arrival.tenant).filter_map(|(id, c)| Some((id, c, cost(c)?))).collect();
         let mut wait = None;
         for (id, _, cost) in &costs {
-            if let Admission::Reject(after) = limiting.holder.ask(now, *id, *cost) {
+            if let Admission::Reject(after) = limiting.holder.admit(now, *id, *cost) {
                 wait = wait.max(Some(after));
             }
         }
@@ -105,14 +105,14 @@
     /// A request has come in: it counts from here on. What it holds at once is given back at its end.
     pub(crate) fn charge(&mut self, now: Micros, costs: &Costs) -> Vec<LimitId> {
         let Some(limiting) = &mut self.limiting else { return Vec::new() };
-        costs.iter().for_each(|(id, _, cost)| limiting.holder.take(now, *id, *cost));
+        costs.iter().for_each(|(id, _, cost)| limiting.holder.consume(now, *id, *cost));
         costs.iter().filter(|(_, counts, _)| *counts == Counts::Streams).map(|(id, ..)| *id).collect()
     }
 
     /// A request is over.
     pub(crate) fn give_back(&mut self, now: Micros, held: &[LimitId]) {
         if let Some(limiting) = &mut self.limiting {
-            held.iter().for_each(|id| limiting.holder.give_back(now, *id, 1.0));
+            held.iter().for_each(|id| limiting.holder.release(now, *id, 1.0));
         }
     }
 
@@ -121,9 +121,9 @@
         let Some(limiting) = &mut self.limiting else { return true };
         let Limiting { holder, rules, .. } = limiting;
         let retries = || rules.of(tenant).filter(|(_, c)| *c == Counts::Retries).map(|(id, _)| id);
-        let free = retries().all(|id| holder.ask(now, id, 1.0) == Admission::Admit);
+        let free = retries().all(|id| holder.admit(now, id, 1.0) == Admission::Admit);
         if free {
-            retries().for_each(|id| holder.take(now, id, 1.0));
+            retries().for_each(|id| holder.consume(now, id, 1.0));
         }
         free
     }
@@ -131,13 +131,13 @@
     /// The lender has answered.
     pub(crate) fn granted(&mut self, now: Micros, grants: &[LeaseGrant]) {
         if let Some(limiting) = &mut self.limiting {
-            grants.iter().for_each(|grant| limiting.holder.granted(now, grant));
+            grants.iter().for_each(|grant| limiting.holder.apply_grant(now, grant));
         }
     }
 
     pub(crate) fn shares_due(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(limiting) = &mut self.limiting else { return };
-        let asks: Vec<LeaseRequest> = limiting.holder.asks(now);
+        let asks: Vec<LeaseRequest> = limiting.holder.lease_requests(now);
         if !asks.is_empty() {
             out.push(Command::RequestQuota(asks));
         }
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -309,12 +309,12 @@
         Settings::new(&settings.fleet, &node.name, &node.core.zone, settings.listen, settings.seeds.clone());
     figures.seeds.extend(&before.seen);
     figures.reach = settings.reach.iter().map(|(n, a)| (PeerName::from(n.as_str()), *a)).collect();
-    figures.period = settings.period;
-    figures.answer_within = settings.answer;
-    figures.indirect = settings.indirect;
-    figures.suspicion = settings.suspicion;
-    figures.repair = settings.repair;
-    figures.forget = settings.forget;
+    figures.probe_interval = settings.period;
+    figures.probe_timeout = settings.answer;
+    figures.indirect_probes = settings.indirect;
+    figures.suspicion_multiplier = settings.suspicion;
+    figures.anti_entropy_interval = settings.repair;
+    figures.dead_member_retention = settings.forget;
     figures.check().map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
     let peers = Membership::new(figures, before.life, seed, shared.clock.now());
     Ok(Fleet { udp, peers, _whole: whole, memory: before.memory.clone(), keeper })
@@ -613,9 +613,9 @@
             self.shared.send_input(Input::ReservationsInherited(held));
         }
         let held = lock(&self.shared.fleet.left).clone();
-        let here = self.fleet.peers.members().filter(|m| m.is_here()).map(|m| &*m.name().0);
+        let here = self.fleet.peers.members().filter(|m| m.is_alive()).map(|m| &*m.name().0);
         let guardians = ReservationPublisher::guardians(&self.shared.settings.name, here);
-        for word in wards.teller.tell(now, self.fleet.peers.life().mark, &held, &guardians) {
+        for word in wards.teller.tell(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
             for guardian in &guardians {
                 self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
             }
@@ -664,7 +664,7 @@
 
     /// Grants are for one life: another one of the same name holds shares of its own.
     fn granted(&self, life: u64, grants: Vec<LeaseGrant>) {
-        if life == self.fleet.peers.life().mark {
+        if life == self.fleet.peers.incarnation().mark {
             self.shared.send_input(Input::QuotaGranted(grants));
         }
     }
@@ -688,7 +688,7 @@
     fn ask_for(&mut self, asks: &[LeaseRequest], out: &mut Vec<Output>) {
         let lender = self.fleet.peers.highest(LENDER).cloned();
         *lock(&self.shared.fleet.lender) = lender.as_ref().map(ToString::to_string);
-        let (Some(lender), life) = (lender, self.fleet.peers.life().mark) else { return };
+        let (Some(lender), life) = (lender, self.fleet.peers.incarnation().mark) else { return };
         for asks in asks.chunks(MAX_ENTRIES_PER_MESSAGE) {
             if *lender.0 == *self.shared.settings.name {
                 self.to_keeper(ToReplica::Asks(lender.to_string(), life, asks.to_vec()));
@@ -714,7 +714,7 @@
     }
 
     fn tell_who_is_here(&mut self) {
-        let here: Vec<&Member> = self.fleet.peers.members().filter(|m| m.is_here()).collect();
+        let here: Vec<&Member> = self.fleet.peers.members().filter(|m| m.is_alive()).collect();
         let at: Vec<String> = here.iter().map(|m| self.fleet.peers.route(m).to_string()).collect();
         self.shared.fleet.keep(KEY_PEERS, at.join("\n").into_bytes());
         if self.shared.settings.outlier_detection.is_some() {
@@ -744,7 +744,7 @@
         if stage.is_none_or(|s| s == recovery::Stage::Serving) {
             let _ = self.fleet.peers.publish(CARRIED, self.rate.to_bits().to_le_bytes().to_vec());
             let here = |f: &&pintally_membership::GossipFact| {
-                self.fleet.peers.member(&f.origin).is_some_and(|m| m.is_here() && self.is_near(m))
+                self.fleet.peers.member(&f.origin).is_some_and(|m| m.is_alive() && self.is_near(m))
             };
             let told = self.fleet.peers.facts(CARRIED).filter(here).filter_map(|f| {
                 let bytes = <[u8; 8]>::try_from(f.payload.as_slice()).ok()?;
@@ -777,7 +777,7 @@
         let sum = u32::from_le_bytes([payload[8], payload[9], payload[10], payload[11]]);
         let wanted = self.list_held().is_none_or(|(v, s)| version > v || version == v && sum != s);
         let Some(from) =
-            self.fleet.peers.member(origin).filter(|m| m.is_here()).map(|m| self.fleet.peers.route(m))
+            self.fleet.peers.member(origin).filter(|m| m.is_alive()).map(|m| self.fleet.peers.route(m))
         else {
             return;
         };
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -182,7 +182,7 @@
             OperatorCommand::Zone(zone, word) => self.order_zone(now, zone, word, out),
             OperatorCommand::Keepers(names) => {
                 let names = names.iter().map(|n| ReplicaName::from(n.as_str())).collect();
-                self.keeper.change(now, self.number, names, out);
+                self.keeper.propose_replicas(now, self.number, names, out);
             }
             OperatorCommand::Limit(name, most) => {
                 let known = self.shared.settings.quotas.iter().flat_map(|l| &l.limits);
@@ -231,9 +231,9 @@
 
     /// Begins to lend with a lead, and ends with it.
     fn lead(&mut self, now: Micros) {
-        let leads = self.keeper.leads(now).filter(|_| self.unsaved.is_none());
+        let leads = self.keeper.leadership(now).filter(|_| self.unsaved.is_none());
         let term = leads.map(|(term, _)| term);
-        if self.lending.as_mut().is_some_and(|lending| lending.lead(now, term)) {
+        if self.lending.as_mut().is_some_and(|lending| lending.set_leadership(now, term)) {
             self.changed();
         }
         if term != self.leads {
@@ -248,7 +248,7 @@
 
     /// Limits as the register has them hold from now on.
     fn changed(&mut self) {
-        let values = self.keeper.register().iter();
+        let values = self.keeper.store().iter();
         let orders = values.filter_map(|(key, value)| {
             let word = String::from_utf8(value.bytes.clone()).ok()?;
             Some((key.strip_prefix(ZONE)?.to_string(), word))
@@ -257,7 +257,7 @@
         let Some(lending) = &mut self.lending else { return };
         let Some(limits) = &self.shared.settings.quotas else { return };
         for limit in &limits.limits {
-            let told = self.keeper.register().get(&format!("{LIMIT}{}", limit.name));
+            let told = self.keeper.store().get(&format!("{LIMIT}{}", limit.name));
             let most = told.and_then(|v| std::str::from_utf8(&v.bytes).ok()).and_then(|t| t.parse().ok());
             lending.change(limit.id(), most.unwrap_or(limit.limit));
         }
@@ -268,7 +268,7 @@
         let now = self.shared.clock.now();
         self.lead(now);
         let Some(lending) = &mut self.lending else { return };
-        let grants = lending.ask(now, name, life, asks);
+        let grants = lending.grant(now, name, life, asks);
         if !grants.is_empty() {
             self.send(FromReplica::Grants(name.to_string(), life, grants));
         }
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -83,7 +83,7 @@
         let plan = self.planner.as_mut().map(|planner| {
             let mut here = vec![0; map.zones.len()];
             let own = std::iter::once(shared.settings.core.zone.as_str());
-            for zone in peers.members().filter(|m| m.is_here()).map(|m| m.zone()).chain(own) {
+            for zone in peers.members().filter(|m| m.is_alive()).map(|m| m.zone()).chain(own) {
                 if let Some(zone) = map.zone(zone) {
                     here[zone] += 1;
                 }
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -161,7 +161,7 @@
         let names: Vec<String> = (0..spec.nodes).map(|n| format!("n{n}")).collect();
         let seeds: Vec<SocketAddr> = (0..3.min(spec.nodes)).map(address).collect();
         let figures = shares::Settings { nodes: spec.nodes as u32, ..shares::Settings::default() };
-        let limit = Limit { kind: LimitKind::Rate, bound: Enforcement::Hard, most: spec.limit };
+        let limit = Limit { kind: LimitKind::Rate, enforcement: Enforcement::Hard, amount: spec.limit };
         let weights: Vec<f64> = (0..spec.nodes).map(|n| 1.0 + 19.0 * n as f64 / spec.nodes as f64).collect();
         let sum: f64 = weights.iter().sum();
         let keepers: Vec<&str> = names.iter().take(3).map(String::as_str).collect();
@@ -260,7 +260,8 @@
             Event::Step => {
                 self.push(STEP, Event::Step);
                 (0..self.nodes.len()).for_each(|n| self.load(n));
-                let has = |n: &Node| if n.alive { n.holder.has(now, LIMIT).unwrap_or(0.0) } else { 0.0 };
+                let has =
+                    |n: &Node| if n.alive { n.holder.allocation(now, LIMIT).unwrap_or(0.0) } else { 0.0 };
                 self.peak = self.peak.max(self.nodes.iter().map(has).sum());
             }
             _ => {}
@@ -362,8 +363,8 @@
     fn lead(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
-        let term = node.keeper.as_ref().and_then(|k| k.leads(now)).map(|l| l.0);
-        node.lending.lead(now, term);
+        let term = node.keeper.as_ref().and_then(|k| k.leadership(now)).map(|l| l.0);
+        node.lending.set_leadership(now, term);
         if term != node.said {
             node.said = term;
             let said = term.map(|term| term.to_le_bytes().to_vec()).unwrap_or_default();
@@ -375,7 +376,7 @@
         self.lead(n);
         let now = self.now;
         let node = &mut self.nodes[n];
-        let grants = node.lending.ask(now, name, life, asks);
+        let grants = node.lending.grant(now, name, life, asks);
         if grants.is_empty() {
             return;
         }
@@ -392,7 +393,7 @@
     fn granted(&mut self, n: usize, life: u64, grants: &[LeaseGrant]) {
         let now = self.now;
         if self.nodes[n].life == life {
-            grants.iter().for_each(|g| self.nodes[n].holder.granted(now, g));
+            grants.iter().for_each(|g| self.nodes[n].holder.apply_grant(now, g));
         }
     }
 
@@ -419,12 +420,12 @@
                 self.admitted_divided += 1.0;
             }
             let holder = &mut self.nodes[n].holder;
-            if holder.ask(now, LIMIT, 1.0) == Admission::Admit {
-                holder.take(now, LIMIT, 1.0);
+            if holder.admit(now, LIMIT, 1.0) == Admission::Admit {
+                holder.consume(now, LIMIT, 1.0);
                 self.admitted += 1.0;
             }
         }
-        let asks = self.nodes[n].holder.asks(now);
+        let asks = self.nodes[n].holder.lease_requests(now);
         if asks.is_empty() {
             return;
         }
@@ -444,11 +445,11 @@
     }
 
     fn is_whole(&self) -> bool {
-        self.nodes.iter().all(|n| n.peers.here() == self.nodes.len())
+        self.nodes.iter().all(|n| n.peers.alive_count() == self.nodes.len())
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.alive && n.keeper.as_ref().is_some_and(|k| k.leads(self.now).is_some());
+        let leads = |n: &Node| n.alive && n.keeper.as_ref().is_some_and(|k| k.leadership(self.now).is_some());
         self.nodes.iter().position(leads)
     }
 
--- a/crates/pintally-membership/src/members.rs
+++ b/crates/pintally-membership/src/members.rs
@@ -88,7 +88,7 @@
     }
 
     /// Which of its lives this is.
-    pub fn life(&self) -> ProcessIncarnation {
+    pub fn incarnation(&self) -> ProcessIncarnation {
         self.word.life
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Whether it is to be reckoned with: what is only suspected still counts.
-    pub fn is_here(&self) -> bool {
+    pub fn is_alive(&self) -> bool {
         matches!(self.word.standing, MemberState::Alive | MemberState::Suspect)
     }
 }
@@ -137,11 +137,11 @@
                     return None;
                 }
                 let before = member.word.standing;
-                let was_here = member.is_here();
+                let was_here = member.is_alive();
                 member.word = word;
                 member.since = now;
                 member.accusers.clear();
-                let is_here = member.is_here();
+                let is_here = member.is_alive();
                 self.here = self.here + usize::from(is_here) - usize::from(was_here);
                 Some(Some(before))
             }
@@ -150,7 +150,7 @@
                     return None;
                 }
                 let member = Member { word, since: now, until: 0, accusers: BTreeSet::new() };
-                self.here += usize::from(member.is_here());
+                self.here += usize::from(member.is_alive());
                 self.all.insert(member.word.name.clone(), member);
                 Some(None)
             }
@@ -159,7 +159,7 @@
 
     /// Forgets those that have been gone since before a time; their names.
     pub(crate) fn forget(&mut self, before: Micros) -> Vec<PeerName> {
-        let gone = |m: &&Member| !m.is_here() && m.since < before;
+        let gone = |m: &&Member| !m.is_alive() && m.since < before;
         let names: Vec<PeerName> = self.all.values().filter(gone).map(|m| m.word.name.clone()).collect();
         names.iter().for_each(|name| {
             self.all.remove(name);
--- a/crates/pintally-membership/src/peers.rs
+++ b/crates/pintally-membership/src/peers.rs
@@ -121,7 +121,7 @@
             errands: BTreeMap::new(),
             number: 0,
             next_probe: now,
-            next_repair: now + settings.repair,
+            next_repair: now + settings.anti_entropy_interval,
             last_tick: now,
             periods: 0,
             raises: (0, now),
@@ -147,12 +147,12 @@
     }
 
     /// Nodes to be reckoned with, this one included.
-    pub fn here(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         self.members.here() + 1
     }
 
     /// This node's own life.
-    pub fn life(&self) -> ProcessIncarnation {
+    pub fn incarnation(&self) -> ProcessIncarnation {
         self.me.life
     }
 
@@ -180,7 +180,7 @@
     /// are told as eight bytes, the least first.
     pub fn highest(&self, topic: Topic) -> Option<&PeerName> {
         let here = |f: &&GossipFact| {
-            f.origin == self.me.name || self.members.get(&f.origin).is_some_and(Member::is_here)
+            f.origin == self.me.name || self.members.get(&f.origin).is_some_and(Member::is_alive)
         };
         let number =
             |f: &&GossipFact| <[u8; 8]>::try_from(f.payload.as_slice()).map_or(0, u64::from_le_bytes);
@@ -188,7 +188,7 @@
     }
 
     /// How much it doubts itself, 0 to 8.
-    pub fn doubt(&self) -> u32 {
+    pub fn local_health_score(&self) -> u32 {
         self.health.doubt()
     }
 
@@ -204,7 +204,7 @@
             zone: m.zone().to_string(),
             address: m.address().to_string(),
             standing: m.standing(),
-            boot: m.life().boot,
+            boot: m.incarnation().boot,
             for_ms: now.saturating_sub(m.since) / 1000,
         });
         Status {
@@ -234,7 +234,7 @@
         payload: Vec<u8>,
         out: &mut Vec<Output>,
     ) -> bool {
-        let Some(to) = self.members.get(whom).filter(|m| m.is_here()).map(|m| self.route(m)) else {
+        let Some(to) = self.members.get(whom).filter(|m| m.is_alive()).map(|m| self.route(m)) else {
             return false;
         };
         if payload.len() > MAX_WORD || self.has_yielded_name {
@@ -275,7 +275,7 @@
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         self.me.standing = MemberState::Left;
         let to: Vec<SocketAddr> =
-            self.members.iter().filter(|m| m.is_here()).map(|m| self.route(m)).collect();
+            self.members.iter().filter(|m| m.is_alive()).map(|m| self.route(m)).collect();
         for address in to {
             self.send(address, Body::Leaving, out);
         }
@@ -313,15 +313,15 @@
         self.probe_due(now, out);
         self.suspicions_due(now, out);
         if now >= self.next_probe {
-            self.next_probe = now + self.health.stretch(self.settings.period);
+            self.next_probe = now + self.health.stretch(self.settings.probe_interval);
             self.periods += 1;
             self.call_seeds(out);
             self.probe_next(now, out);
         }
         if now >= self.next_repair {
-            self.next_repair = now + self.settings.repair;
+            self.next_repair = now + self.settings.anti_entropy_interval;
             self.compare(out);
-            let before = now.saturating_sub(self.settings.forget);
+            let before = now.saturating_sub(self.settings.dead_member_retention);
             for name in self.members.forget(before) {
                 self.facts.forget(&name);
                 self.spread.drop(&News::Member(name));
@@ -334,14 +334,14 @@
     fn stood_still(&mut self, now: Micros, out: &mut Vec<Output>) {
         let due = self.next_wake().max(self.last_tick);
         let late = now.saturating_sub(due);
-        if late < STOOD_STILL * self.settings.period {
+        if late < STOOD_STILL * self.settings.probe_interval {
             return;
         }
         self.counters.paused += 1;
         self.health.worse(4);
         self.probe = None;
         self.errands.clear();
-        let n = self.here();
+        let n = self.alive_count();
         let until = now + self.health.stretch(self.settings.suspicion_most(n));
         let names: Vec<PeerName> = self.suspects().collect();
         for name in names {
@@ -368,7 +368,8 @@
     fn probe_due(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(mut probe) = self.probe.take() else { return };
         if probe.asked == 0 && now >= probe.help_at && now < probe.ends_at {
-            let helpers = self.some(self.settings.indirect, |m| m.is_here() && *m.name() != probe.whom);
+            let helpers =
+                self.some(self.settings.indirect_probes, |m| m.is_alive() && *m.name() != probe.whom);
             probe.asked = helpers.len().max(1);
             if let Some(address) = self.members.get(&probe.whom).map(Member::address) {
                 for helper in helpers {
@@ -387,7 +388,8 @@
         if probe.heard < probe.asked {
             self.health.worse(1);
         }
-        let Some(word) = self.members.get(&probe.whom).filter(|m| m.is_here()).map(|m| m.word.clone()) else {
+        let Some(word) = self.members.get(&probe.whom).filter(|m| m.is_alive()).map(|m| m.word.clone())
+        else {
             return;
         };
         let accuser = piece(2, &self.me.name, 0);
@@ -397,12 +399,12 @@
     /// Somebody says that a peer is suspect.
     fn accuse(&mut self, now: Micros, word: Word, out: &mut Vec<Output>) {
         let (name, accuser) = (word.name.clone(), word.accuser);
-        let n = self.here();
+        let n = self.alive_count();
         let (least, most) = (self.settings.suspicion_least(n), self.settings.suspicion_most(n));
         let (least, most) = (self.health.stretch(least), self.health.stretch(most));
         let fresh =
             matches!(self.members.take(now, word), Some(before) if before != Some(MemberState::Suspect));
-        let asked = self.settings.indirect.max(1);
+        let asked = self.settings.indirect_probes.max(1);
         let Some(member) = self.members.get_mut(&name).filter(|m| m.standing() == MemberState::Suspect)
         else {
             return;
@@ -442,7 +444,7 @@
             return;
         }
         let here: Vec<SocketAddr> =
-            self.members.iter().filter(|m| m.is_here()).map(|m| self.route(m)).collect();
+            self.members.iter().filter(|m| m.is_alive()).map(|m| self.route(m)).collect();
         let mut seeds: Vec<SocketAddr> = self.settings.seeds.clone();
         // Guards against a fleet that stays in halves after a cut: those thought dead are called as well.
         seeds
@@ -463,25 +465,25 @@
         }
         for _ in 0..2 {
             while let Some(whom) = self.round.pop() {
-                let Some(member) = self.members.get(&whom).filter(|m| m.is_here()) else { continue };
+                let Some(member) = self.members.get(&whom).filter(|m| m.is_alive()) else { continue };
                 let address = self.route(member);
                 let number = self.next_number();
-                let period = self.health.stretch(self.settings.period);
-                let help_at = now + self.health.stretch(self.settings.answer_within);
+                let period = self.health.stretch(self.settings.probe_interval);
+                let help_at = now + self.health.stretch(self.settings.probe_timeout);
                 self.counters.probes += 1;
                 let probe =
                     Probe { whom: whom.clone(), number, help_at, ends_at: now + period, asked: 0, heard: 0 };
                 self.probe = Some(probe);
                 return self.send(address, Body::Ping { number, to: Some(whom) }, out);
             }
-            self.round = self.members.iter().filter(|m| m.is_here()).map(|m| m.name().clone()).collect();
+            self.round = self.members.iter().filter(|m| m.is_alive()).map(|m| m.name().clone()).collect();
             self.round.shuffle(&mut self.rng);
         }
     }
 
     /// Compares what is known with some peer, in as many packets as it takes.
     fn compare(&mut self, out: &mut Vec<Output>) {
-        for address in self.some(1, Member::is_here) {
+        for address in self.some(1, Member::is_alive) {
             self.digest_to(address, true, out);
         }
     }
@@ -522,7 +524,9 @@
         }
         // Who speaks under an earlier life than is known hears of the later one: its disk went back, or
         // another process runs under its name.
-        if let Some(later) = self.members.get(&name).filter(|m| m.life() > life).map(|m| m.word.clone()) {
+        if let Some(later) =
+            self.members.get(&name).filter(|m| m.incarnation() > life).map(|m| m.word.clone())
+        {
             return self.send_all(from, vec![later], Vec::new(), out);
         }
         if name == self.me.name && life != self.me.life {
@@ -550,7 +554,7 @@
                 if self.errands.len() < MAX_ERRANDS {
                     let own = self.next_number();
                     let address = self.members.get(&whom).map_or(address, |m| self.route(m));
-                    let by = now + self.settings.answer_within;
+                    let by = now + self.settings.probe_timeout;
                     self.errands.insert(own, Errand { back: from, number, by });
                     self.send(address, Body::Ping { number: own, to: Some(whom) }, out);
                 }
@@ -562,7 +566,7 @@
             }
             Body::Word { .. } => self.counters.garbled += 1,
             Body::Leaving => {
-                if let Some(member) = self.members.get(&name).filter(|m| m.life() == life) {
+                if let Some(member) = self.members.get(&name).filter(|m| m.incarnation() == life) {
                     let word = Word { standing: MemberState::Left, ..member.word.clone() };
                     self.hear(now, word, out);
                 }
@@ -597,7 +601,7 @@
             return;
         }
         let (standing, life) = (word.standing, word.life);
-        let known = self.members.get(&name).map(|m| (m.is_here(), m.life()));
+        let known = self.members.get(&name).map(|m| (m.is_alive(), m.incarnation()));
         // A peer that was never here is not mourned.
         if known.is_none() && matches!(standing, MemberState::Dead | MemberState::Left) {
             self.members.take(now, word);
@@ -638,7 +642,7 @@
         }
         // Later than this life is known to be. A disk that went back explains it once or twice; a
         // process that goes on raising its own number as well is another one that lives now.
-        let span = 4 * self.settings.max_failure_detection_time(self.here());
+        let span = 4 * self.settings.max_failure_detection_time(self.alive_count());
         if now > self.raises.1 + span {
             self.raises = (0, now);
         }
--- a/crates/pintally-membership/src/settings.rs
+++ b/crates/pintally-membership/src/settings.rs
@@ -24,18 +24,18 @@
     /// Peers that are reached from here otherwise than they say.
     pub reach: BTreeMap<PeerName, SocketAddr>,
     /// Between two probes.
-    pub period: Micros,
+    pub probe_interval: Micros,
     /// A direct answer comes within this time; the rest of the period is for indirect ones.
-    pub answer_within: Micros,
+    pub probe_timeout: Micros,
     /// Through so many others a silent peer is probed.
-    pub indirect: usize,
+    pub indirect_probes: usize,
     /// A suspicion that nobody shares ends in death after this many periods, times the logarithm of the
     /// fleet's size; one that many share, after a sixth of it.
-    pub suspicion: f64,
+    pub suspicion_multiplier: f64,
     /// Between two comparisons of digests with some peer.
-    pub repair: Micros,
+    pub anti_entropy_interval: Micros,
     /// What is said of a dead peer is kept for so long.
-    pub forget: Micros,
+    pub dead_member_retention: Micros,
 }
 
 impl Settings {
@@ -48,12 +48,12 @@
             address,
             seeds,
             reach: BTreeMap::new(),
-            period: 500_000,
-            answer_within: 150_000,
-            indirect: 3,
-            suspicion: 4.0,
-            repair: 2_000_000,
-            forget: 600_000_000,
+            probe_interval: 500_000,
+            probe_timeout: 150_000,
+            indirect_probes: 3,
+            suspicion_multiplier: 4.0,
+            anti_entropy_interval: 2_000_000,
+            dead_member_retention: 600_000_000,
         }
     }
 
@@ -62,33 +62,39 @@
         ensure(!self.fleet.is_empty() && self.fleet.len() <= 64, "the fleet's name needs 1 to 64 bytes")?;
         ensure(sound(&self.name), "a peer's name needs 1 to 64 bytes")?;
         ensure(self.zone.len() <= 64, "a zone's name has at most 64 bytes")?;
-        ensure(self.period >= 1_000, "the period is under a millisecond")?;
+        ensure(self.probe_interval >= 1_000, "the period is under a millisecond")?;
         ensure(
-            self.answer_within != 0 && self.answer_within <= self.period / 2,
+            self.probe_timeout != 0 && self.probe_timeout <= self.probe_interval / 2,
             "an answer must come within half a period, so that indirect probes have the other half",
         )?;
-        ensure(self.indirect <= 16, "more than 16 indirect probes are a flood")?;
-        ensure((1.0..=100.0).contains(&self.suspicion), "suspicion lasts 1 to 100 periods")?;
-        ensure(self.repair >= self.period, "repair more often than probes is a flood")?;
-        ensure(self.forget >= 20 * self.repair, "what is forgotten before it is repaired comes back")
+        ensure(self.indirect_probes <= 16, "more than 16 indirect probes are a flood")?;
+        ensure((1.0..=100.0).contains(&self.suspicion_multiplier), "suspicion lasts 1 to 100 periods")?;
+        ensure(
+            self.anti_entropy_interval >= self.probe_interval,
+            "repair more often than probes is a flood",
+        )?;
+        ensure(
+            self.dead_member_retention >= 20 * self.anti_entropy_interval,
+            "what is forgotten before it is repaired comes back",
+        )
     }
 
     /// The longest time from a peer's death to its being known to this node, with `n` nodes and no
     /// message lost: every peer is probed once in a round of `n - 1` periods, a round begins anew in
     /// another order (so two rounds at worst), then the suspicion runs out. Word of others comes sooner.
     pub fn max_failure_detection_time(&self, n: usize) -> Micros {
-        let rounds = 2 * n.saturating_sub(1).max(1) as u64 * self.period;
+        let rounds = 2 * n.saturating_sub(1).max(1) as u64 * self.probe_interval;
         rounds + self.suspicion_most(n)
     }
 
     /// How long a suspicion lasts that nobody else shares.
     pub(crate) fn suspicion_most(&self, n: usize) -> Micros {
         let scale = ((n.max(2)) as f64).log10().max(1.0);
-        (self.suspicion * scale * self.period as f64) as Micros
+        (self.suspicion_multiplier * scale * self.probe_interval as f64) as Micros
     }
 
     /// And one that as many share as are asked.
     pub(crate) fn suspicion_least(&self, n: usize) -> Micros {
-        (self.suspicion_most(n) / 6).max(self.period)
+        (self.suspicion_most(n) / 6).max(self.probe_interval)
     }
 }
--- a/crates/pintally-membership/tests/bytes.rs
+++ b/crates/pintally-membership/tests/bytes.rs
@@ -24,7 +24,7 @@
     fn any_bytes_are_taken_or_counted(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
         let mut one = node(1, 2);
         one.receive(5, "127.0.0.1:7002".parse().unwrap(), &bytes, &mut Vec::new());
-        prop_assert_eq!(one.here(), 1);
+        prop_assert_eq!(one.alive_count(), 1);
     }
 
     /// A packet in which one bit is flipped is never believed.
@@ -38,7 +38,7 @@
         let place = place.index(bytes.len());
         bytes[place] ^= 1 << bit;
         two.receive(5, "127.0.0.1:7001".parse().unwrap(), &bytes, &mut Vec::new());
-        prop_assert_eq!(two.here(), 1);
+        prop_assert_eq!(two.alive_count(), 1);
         prop_assert_eq!(two.facts(Topic(3)).count(), 0);
     }
 }
--- a/crates/pintally-membership/tests/common/mod.rs
+++ b/crates/pintally-membership/tests/common/mod.rs
@@ -175,8 +175,8 @@
     pub fn whole(&self) -> bool {
         let up: Vec<&Node> = self.nodes.iter().filter(|n| n.up && !n.peers.has_yielded_name()).collect();
         up.iter().all(|n| {
-            n.peers.here() == up.len()
-                && n.peers.members().filter(|m| m.is_here()).all(|m| m.standing() == MemberState::Alive)
+            n.peers.alive_count() == up.len()
+                && n.peers.members().filter(|m| m.is_alive()).all(|m| m.standing() == MemberState::Alive)
         })
     }
 
--- a/crates/pintally-membership/tests/fleet.rs
+++ b/crates/pintally-membership/tests/fleet.rs
@@ -28,7 +28,7 @@
         // Loss costs answers, and each costs a round at worst; the bound is for none.
         let bound = settings(0).max_failure_detection_time(20) * if loss > 0.0 { 3 } else { 1 };
         let known = |n: &Net| {
-            let dead = |m: &pintally_membership::Member| !m.is_here();
+            let dead = |m: &pintally_membership::Member| !m.is_alive();
             let name = PeerName::from("n7");
             n.nodes.iter().filter(|n| n.up).all(|n| n.peers.member(&name).is_none_or(dead))
         };
@@ -95,7 +95,7 @@
         assert_eq!(back.iter().filter(|b| **b).count(), 1, "seed {seed}: {back:?}");
         let others = [0, 1, 2, 3, 5];
         for n in others {
-            assert_eq!(net.nodes[n].peers.here(), 6, "seed {seed}, n{n}");
+            assert_eq!(net.nodes[n].peers.alive_count(), 6, "seed {seed}, n{n}");
         }
         let harmed = others.iter().flat_map(|n| &net.nodes[*n].notices);
         let own = PeerName::from("n4");
@@ -111,9 +111,9 @@
     let foreign = Settings { fleet: "other".into(), ..settings(4) };
     let foreign = net.add(foreign, ProcessIncarnation { boot: 5, mark: 1 });
     net.run(30 * SECOND);
-    assert_eq!(net.nodes[foreign].peers.here(), 1);
+    assert_eq!(net.nodes[foreign].peers.alive_count(), 1);
     for n in 0..4 {
-        assert_eq!(net.nodes[n].peers.here(), 4);
+        assert_eq!(net.nodes[n].peers.alive_count(), 4);
     }
     assert!(net.nodes[0].peers.counters().foreign > 0);
 }
@@ -126,7 +126,7 @@
         net.cut_halves(5);
         net.run(80 * SECOND);
         for (n, node) in net.nodes.iter().enumerate() {
-            assert_eq!(node.peers.here(), 5, "seed {seed}, n{n}: the other half is out of reach");
+            assert_eq!(node.peers.alive_count(), 5, "seed {seed}, n{n}: the other half is out of reach");
         }
         net.cut.clear();
         let at = net.run_until(140 * SECOND, Net::whole);
@@ -142,7 +142,7 @@
     net.cut.extend([(1, 2), (2, 1)]);
     net.run(75 * SECOND);
     assert_eq!(net.downs(), 0);
-    assert!(net.nodes.iter().all(|n| n.peers.here() == 3));
+    assert!(net.nodes.iter().all(|n| n.peers.alive_count() == 3));
 }
 
 /// Facts reach everyone though most packets are lost: comparing digests repairs what spread has missed.
@@ -206,6 +206,6 @@
     };
     for n in [0, 2, 3, 4] {
         assert_eq!(net.nodes[n].notices.iter().filter(suspected).count(), 0);
-        assert_eq!(net.nodes[n].peers.here(), 4);
+        assert_eq!(net.nodes[n].peers.alive_count(), 4);
     }
 }
--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -25,9 +25,9 @@
     pub fn bounds(&self, limit: &Limit) -> Bounds {
         let floor = self.floor(limit);
         let floors = floor * f64::from(self.nodes.max(1));
-        let at_once = match limit.bound {
-            Enforcement::Hard => limit.most,
-            Enforcement::Soft => limit.most + floors,
+        let at_once = match limit.enforcement {
+            Enforcement::Hard => limit.amount,
+            Enforcement::Soft => limit.amount + floors,
         };
         let burst = match limit.kind {
             LimitKind::Rate => at_once * self.burst as f64 / 1e6,
--- a/crates/pintally-quota/src/holder.rs
+++ b/crates/pintally-quota/src/holder.rs
@@ -108,7 +108,7 @@
 
     /// Whether something that costs so much may begin under a limit. It is not counted yet: that is
     /// [`QuotaHolder::take`], once all limits that it falls under have room.
-    pub fn ask(&mut self, now: Micros, id: LimitId, cost: f64) -> Admission {
+    pub fn admit(&mut self, now: Micros, id: LimitId, cost: f64) -> Admission {
         let settings = self.settings;
         let Some(held) = self.held.get_mut(&id) else { return Admission::Admit };
         self.active.insert(id);
@@ -125,16 +125,16 @@
         held.refused += 1;
         held.turned_away += cost;
         held.urgent = true;
-        let soon = 2 * settings.every;
+        let soon = 2 * settings.request_interval;
         let after = match held.limit.kind {
             LimitKind::Rate if has > 0.0 => (lacks / has * 1e6) as Micros,
             _ => soon,
         };
-        Admission::Reject(after.clamp(1_000, settings.lease.max(soon)))
+        Admission::Reject(after.clamp(1_000, settings.lease_duration.max(soon)))
     }
 
     /// Counts what begins.
-    pub fn take(&mut self, now: Micros, id: LimitId, cost: f64) {
+    pub fn consume(&mut self, now: Micros, id: LimitId, cost: f64) {
         let settings = self.settings;
         let Some(held) = self.held.get_mut(&id) else { return };
         held.settle(now, &settings);
@@ -143,7 +143,7 @@
     }
 
     /// Counts what has ended of what is counted at once.
-    pub fn give_back(&mut self, now: Micros, id: LimitId, cost: f64) {
+    pub fn release(&mut self, now: Micros, id: LimitId, cost: f64) {
         let settings = self.settings;
         let Some(held) = self.held.get_mut(&id).filter(|h| h.limit.kind == LimitKind::Concurrency) else {
             return;
@@ -153,7 +153,7 @@
     }
 
     /// What is to be asked for now.
-    pub fn asks(&mut self, now: Micros) -> Vec<LeaseRequest> {
+    pub fn lease_requests(&mut self, now: Micros) -> Vec<LeaseRequest> {
         let settings = self.settings;
         let mut asks = Vec::new();
         let mut resting = Vec::new();
@@ -165,7 +165,8 @@
                 resting.push(*id);
                 continue;
             }
-            let pause = if held.urgent { settings.every / SOONER } else { settings.every };
+            let pause =
+                if held.urgent { settings.request_interval / SOONER } else { settings.request_interval };
             if held.asked.is_some_and(|(_, at, _)| now < at + pause) {
                 continue;
             }
@@ -176,8 +177,8 @@
             asks.push(LeaseRequest {
                 limit: *id,
                 number: held.number,
-                holds: held.share,
-                wants: wants as f32,
+                held: held.share,
+                wanted: wants as f32,
             });
         }
         resting.iter().for_each(|id| {
@@ -187,7 +188,7 @@
     }
 
     /// Takes a lender's answer in.
-    pub fn granted(&mut self, now: Micros, grant: &LeaseGrant) {
+    pub fn apply_grant(&mut self, now: Micros, grant: &LeaseGrant) {
         let settings = self.settings;
         let Some(held) = self.held.get_mut(&grant.limit) else { return };
         // Guards against a grant for an ask that another has followed: the lender does not reckon with
@@ -195,7 +196,7 @@
         let Some((_, asked, held_then)) = held.asked.filter(|(number, ..)| *number == grant.number) else {
             return;
         };
-        let sound = grant.share.is_finite() && grant.share >= 0.0 && grant.most.is_finite();
+        let sound = grant.granted.is_finite() && grant.granted >= 0.0 && grant.most.is_finite();
         if !sound || grant.most < 0.0 || held.told == Some(asked) {
             return;
         }
@@ -204,24 +205,24 @@
         if held.share < held_then {
             return;
         }
-        held.limit.most = grant.most;
+        held.limit.amount = grant.most;
         held.told = Some(asked);
-        held.until = asked + settings.lease;
-        if grant.share >= held.share {
-            (held.share, held.down_to) = (grant.share, None);
+        held.until = asked + settings.lease_duration;
+        if grant.granted >= held.share {
+            (held.share, held.down_to) = (grant.granted, None);
         } else {
-            held.down_to = Some(grant.share);
+            held.down_to = Some(grant.granted);
         }
         held.come_down(&settings);
     }
 
     /// What the node has of a limit now, its floor included; none if there is no such limit.
-    pub fn has(&self, now: Micros, id: LimitId) -> Option<f64> {
+    pub fn allocation(&self, now: Micros, id: LimitId) -> Option<f64> {
         self.held.get(&id).map(|h| h.has(now, &self.settings))
     }
 
     /// What of the limit's floor and lease is not of its own, for audits: the share alone.
-    pub fn share(&self, now: Micros, id: LimitId) -> f64 {
+    pub fn leased(&self, now: Micros, id: LimitId) -> f64 {
         self.held.get(&id).map_or(0.0, |h| h.leased(now, &self.settings))
     }
 
@@ -229,9 +230,9 @@
     pub fn status(&self, now: Micros) -> Vec<LimitStatus> {
         let one = |(id, h): (&LimitId, &Held)| LimitStatus {
             name: self.names.get(id).cloned().unwrap_or_else(|| "".into()),
-            bound: if h.limit.bound == Enforcement::Hard { "hard" } else { "soft" },
+            bound: if h.limit.enforcement == Enforcement::Hard { "hard" } else { "soft" },
             counts: if h.limit.kind == LimitKind::Rate { "a second" } else { "at once" },
-            most: h.limit.most,
+            most: h.limit.amount,
             has: h.has(now, &self.settings),
             floor: self.settings.floor(&h.limit),
             wants: h.wants(now, &self.settings),
@@ -272,10 +273,10 @@
         if now < self.until {
             return share;
         }
-        match self.limit.bound {
+        match self.limit.enforcement {
             Enforcement::Hard => 0.0,
             Enforcement::Soft => {
-                let gone = (now - self.until) as f64 / settings.fade.max(1) as f64;
+                let gone = (now - self.until) as f64 / settings.soft_decay.max(1) as f64;
                 share * (1.0 - gone).max(0.0)
             }
         }
@@ -304,9 +305,9 @@
             }
         }
         self.at = self.at.max(now);
-        let lost = match self.limit.bound {
+        let lost = match self.limit.enforcement {
             Enforcement::Hard => now >= self.until,
-            Enforcement::Soft => now >= self.until + settings.fade,
+            Enforcement::Soft => now >= self.until + settings.soft_decay,
         };
         if lost {
             (self.share, self.down_to) = (0.0, None);
@@ -354,13 +355,13 @@
             LimitKind::Rate => self.demand_now(now),
             LimitKind::Concurrency => self.level + self.turned_away,
         };
-        if use_now < NONE * self.limit.most.min(1.0) {
+        if use_now < NONE * self.limit.amount.min(1.0) {
             return 0.0;
         }
         let wanted = match self.limit.kind {
             LimitKind::Rate => use_now * HEADROOM,
             LimitKind::Concurrency => (use_now * HEADROOM).ceil(),
         };
-        (wanted - settings.floor(&self.limit)).clamp(0.0, self.limit.most)
+        (wanted - settings.floor(&self.limit)).clamp(0.0, self.limit.amount)
     }
 }
--- a/crates/pintally-quota/src/lender.rs
+++ b/crates/pintally-quota/src/lender.rs
@@ -69,23 +69,23 @@
     /// A limit is another from now on. Shares follow as they are asked for again.
     pub fn change(&mut self, id: LimitId, most: f64) {
         if let Some(pool) = self.pools.get_mut(&id) {
-            pool.limit.most = most;
+            pool.limit.amount = most;
         }
     }
 
     /// Answers an ask of the holder with this name and life. None if it is no news, or no limit of this
     /// fleet.
-    pub fn ask(&mut self, now: Micros, name: &str, life: u64, ask: &LeaseRequest) -> Option<LeaseGrant> {
+    pub fn grant(&mut self, now: Micros, name: &str, life: u64, ask: &LeaseRequest) -> Option<LeaseGrant> {
         let settings = self.settings;
         let since = self.since;
         let pool = self.pools.get_mut(&ask.limit)?;
         let sound = |x: f32| x.is_finite() && x >= 0.0;
-        if !sound(ask.holds) || !sound(ask.wants) {
+        if !sound(ask.held) || !sound(ask.wanted) {
             return None;
         }
         pool.parts.retain(|_, p| now < p.until);
         let key = (name.to_string(), life);
-        let (holds, wants) = (f64::from(ask.holds), f64::from(ask.wants));
+        let (holds, wants) = (f64::from(ask.held), f64::from(ask.wanted));
         let until = now + settings.debited_for(&pool.limit);
         let known = pool.parts.get(&key).map(|p| p.number);
         // Guards against an ask that comes late or twice: what it gave back may have been lent anew.
@@ -119,7 +119,7 @@
         if let Some(part) = pool.parts.get_mut(&key) {
             part.debit = holds.max(f64::from(share));
         }
-        Some(LeaseGrant { limit: ask.limit, number: ask.number, share, most: pool.limit.most })
+        Some(LeaseGrant { limit: ask.limit, number: ask.number, granted: share, most: pool.limit.amount })
     }
 
     /// How each limit that anybody holds stands.
@@ -127,7 +127,7 @@
         let held = self.pools.iter().filter(|(_, p)| !p.parts.is_empty());
         held.map(|(id, p)| PoolStatus {
             limit: id.0,
-            most: p.limit.most,
+            most: p.limit.amount,
             lent: p.parts.values().map(|p| p.debit).sum(),
             wanted: p.parts.values().map(|p| p.wants).sum(),
             holders: p.parts.iter().map(|(k, p)| (k.0.clone(), p.debit)).collect(),
--- a/crates/pintally-quota/src/lending.rs
+++ b/crates/pintally-quota/src/lending.rs
@@ -25,7 +25,7 @@
     }
 
     /// The term in which the keeper surely leads now, if it does; whether a new lender has begun.
-    pub fn lead(&mut self, now: Micros, term: Option<u64>) -> bool {
+    pub fn set_leadership(&mut self, now: Micros, term: Option<u64>) -> bool {
         self.leads = term.is_some();
         let Some(term) = term.filter(|term| self.lender.as_ref().is_none_or(|l| l.0 != *term)) else {
             return false;
@@ -37,17 +37,17 @@
 
     /// A limit is another from now on, for this lender and later ones.
     pub fn change(&mut self, id: LimitId, most: f64) {
-        self.limits.iter_mut().filter(|l| l.0 == id).for_each(|l| l.1.most = most);
+        self.limits.iter_mut().filter(|l| l.0 == id).for_each(|l| l.1.amount = most);
         if let Some((_, lender)) = &mut self.lender {
             lender.change(id, most);
         }
     }
 
     /// Answers asks of a holder; nothing while it does not lead.
-    pub fn ask(&mut self, now: Micros, name: &str, life: u64, asks: &[LeaseRequest]) -> Vec<LeaseGrant> {
+    pub fn grant(&mut self, now: Micros, name: &str, life: u64, asks: &[LeaseRequest]) -> Vec<LeaseGrant> {
         match &mut self.lender {
             Some((_, lender)) if self.leads => {
-                asks.iter().filter_map(|ask| lender.ask(now, name, life, ask)).collect()
+                asks.iter().filter_map(|ask| lender.grant(now, name, life, ask)).collect()
             }
             _ => Vec::new(),
         }
--- a/crates/pintally-quota/src/message.rs
+++ b/crates/pintally-quota/src/message.rs
@@ -15,9 +15,11 @@
     /// Counts the asks of this holder's life for this limit. A grant for an earlier one is void.
     pub number: u32,
     /// What it holds, and will not exceed before it is granted more.
-    pub holds: f32,
+    #[serde(rename = "holds")]
+    pub held: f32,
     /// What it could use.
-    pub wants: f32,
+    #[serde(rename = "wants")]
+    pub wanted: f32,
 }
 
 /// A lender's answer to one ask.
@@ -28,7 +30,8 @@
     /// Which ask it answers.
     pub number: u32,
     /// What the holder has from now on, until its lease ends.
-    pub share: f32,
+    #[serde(rename = "share")]
+    pub granted: f32,
     /// The whole limit as it is now.
     pub most: f64,
 }
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -74,7 +74,7 @@
 
 impl World {
     pub fn new(n: usize, seed: u64, limit: Limit) -> World {
-        let settings = Settings { nodes: n as u32, hold: 1_000_000, ..Settings::default() };
+        let settings = Settings { nodes: n as u32, max_hold: 1_000_000, ..Settings::default() };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World {
             now: 1,
@@ -100,7 +100,7 @@
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..n {
-            let load = rng.random_range(0.0..2.0) * limit.most / n as f64;
+            let load = rng.random_range(0.0..2.0) * limit.amount / n as f64;
             world.add(load);
         }
         world
@@ -109,7 +109,7 @@
     pub fn add(&mut self, load: f64) {
         self.lives += 1;
         let holder = QuotaHolder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
-        let drift = self.settings.drift;
+        let drift = self.settings.max_clock_drift;
         self.nodes.push(Node {
             image: holder.clone(),
             holder,
@@ -136,7 +136,7 @@
         let times = 1 + usize::from(self.rng.random_bool(self.loss));
         for _ in 0..times {
             let late = self.rng.random_bool(self.loss);
-            let most = if late { 2 * self.settings.lease } else { 20 * MS };
+            let most = if late { 2 * self.settings.lease_duration } else { 20 * MS };
             let after = self.rng.random_range(MS..most);
             self.serial += 1;
             let event = match &event {
@@ -183,7 +183,7 @@
                 Event::LeaseRequest(k, name, life, ask) => {
                     let (now, cut) = (self.now, self.nodes[k].cut);
                     let grant =
-                        self.lender.as_mut().filter(|_| !cut).and_then(|l| l.ask(now, &name, life, &ask));
+                        self.lender.as_mut().filter(|_| !cut).and_then(|l| l.grant(now, &name, life, &ask));
                     if let Some(grant) = grant {
                         self.push(Event::LeaseGrant(k, life, grant));
                     }
@@ -192,7 +192,7 @@
                     let clock = self.clock(k);
                     let node = &mut self.nodes[k];
                     if node.life == life && !node.cut && self.now >= node.paused_until {
-                        node.holder.granted(clock, &grant);
+                        node.holder.apply_grant(clock, &grant);
                     }
                 }
             }
@@ -206,7 +206,7 @@
             return Ok(());
         }
         let clock = self.clock(k);
-        let before = self.nodes[k].holder.share(clock, ONE) > 0.0;
+        let before = self.nodes[k].holder.leased(clock, ONE) > 0.0;
         let mut expected = self.nodes[k].load * 0.005;
         if self.limit.kind == LimitKind::Concurrency {
             // Each runs for half a second.
@@ -215,7 +215,7 @@
             let node = &mut self.nodes[k];
             let ended = node.running.iter().filter(|e| **e <= now).count();
             node.running.retain(|e| *e > now);
-            (0..ended).for_each(|_| node.holder.give_back(clock, ONE, 1.0));
+            (0..ended).for_each(|_| node.holder.release(clock, ONE, 1.0));
         }
         while expected > 0.0 {
             if expected < 1.0 && !self.rng.random_bool(expected) {
@@ -223,13 +223,13 @@
             }
             expected -= 1.0;
             let node = &mut self.nodes[k];
-            if node.holder.ask(clock, ONE, 1.0) == Admission::Admit {
-                node.holder.take(clock, ONE, 1.0);
+            if node.holder.admit(clock, ONE, 1.0) == Admission::Admit {
+                node.holder.consume(clock, ONE, 1.0);
                 node.running.push(self.now + 500 * MS);
                 self.admitted += 1.0;
                 let passed = (self.now - self.excess_at) as f64 / 1e6;
                 self.excess_at = self.now;
-                self.running_excess = (self.running_excess - self.limit.most * passed).max(0.0) + 1.0;
+                self.running_excess = (self.running_excess - self.limit.amount * passed).max(0.0) + 1.0;
                 self.excess = self.excess.max(self.running_excess);
             } else {
                 self.refused += 1;
@@ -238,13 +238,13 @@
         if self.broken == Broken::SharesFromDisk {
             // The image with most, of those that are not over.
             let node = &mut self.nodes[k];
-            if node.image.share(clock, ONE) < node.holder.share(clock, ONE) {
+            if node.image.leased(clock, ONE) < node.holder.leased(clock, ONE) {
                 node.image = node.holder.clone();
             }
         }
-        let asks = self.nodes[k].holder.asks(clock);
+        let asks = self.nodes[k].holder.lease_requests(clock);
         let life = self.nodes[k].life;
-        self.ended_leases += u64::from(before && self.nodes[k].holder.share(clock, ONE) <= 0.0);
+        self.ended_leases += u64::from(before && self.nodes[k].holder.leased(clock, ONE) <= 0.0);
         if !self.nodes[k].cut {
             asks.into_iter().for_each(|ask| self.push(Event::LeaseRequest(k, format!("n{k}"), life, ask)));
         }
@@ -264,7 +264,7 @@
             3 => self.pass_lead(),
             4 => {
                 // All load of the world moves to one node.
-                let whole = 2.0 * self.limit.most;
+                let whole = 2.0 * self.limit.amount;
                 let n = self.nodes.len() as f64;
                 let skewed = self.rng.random_bool(0.5);
                 for (n_k, node) in self.nodes.iter_mut().enumerate() {
@@ -285,7 +285,7 @@
 
     /// What all nodes may use now.
     pub fn sum(&self) -> f64 {
-        (0..self.nodes.len()).filter_map(|k| self.nodes[k].holder.has(self.clock(k), ONE)).sum()
+        (0..self.nodes.len()).filter_map(|k| self.nodes[k].holder.allocation(self.clock(k), ONE)).sum()
     }
 
     fn check(&mut self) -> Result<(), String> {
@@ -299,7 +299,7 @@
         }
         if self.limit.kind == LimitKind::Rate {
             let each = self.lives as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
-            let over = (bounds.at_once - self.limit.most) * self.now as f64 / 1e6;
+            let over = (bounds.at_once - self.limit.amount) * self.now as f64 / 1e6;
             if self.excess > bounds.burst + each + over + more * bounds.each_more * self.now as f64 / 1e6 {
                 return Err(format!("{:.1} beyond the limit in one window", self.excess));
             }
@@ -325,9 +325,9 @@
 }
 
 pub fn rate(most: f64, bound: Enforcement) -> Limit {
-    Limit { kind: LimitKind::Rate, bound, most }
+    Limit { kind: LimitKind::Rate, enforcement: bound, amount: most }
 }
 
 pub fn level(most: f64, bound: Enforcement) -> Limit {
-    Limit { kind: LimitKind::Concurrency, bound, most }
+    Limit { kind: LimitKind::Concurrency, enforcement: bound, amount: most }
 }
--- a/crates/pintally-quota/tests/decisions.rs
+++ b/crates/pintally-quota/tests/decisions.rs
@@ -38,7 +38,7 @@
     for _ in 0..100 {
         world.run(100).unwrap();
         for (k, (low, high)) in seen.iter_mut().enumerate() {
-            let share = world.nodes[k].holder.share(world.clock(k), ONE);
+            let share = world.nodes[k].holder.leased(world.clock(k), ONE);
             (*low, *high) = (low.min(share), high.max(share));
         }
     }
@@ -87,13 +87,13 @@
     world.run(8_000).unwrap();
     world.nodes[0].cut = true;
     world.run(10_000).unwrap();
-    let has = world.nodes[0].holder.has(world.clock(0), ONE).unwrap();
+    let has = world.nodes[0].holder.allocation(world.clock(0), ONE).unwrap();
     assert_eq!(has, world.settings.floor(&limit));
     let status = world.nodes[0].holder.status(world.clock(0));
     assert!(!status[0].leased && status[0].age_ms > Some(4_000), "{status:?}");
     // And a soft one keeps its part beyond.
     let soft = rate(100.0, Enforcement::Soft);
-    assert_eq!(world.settings.floor(&soft), 100.0 * world.settings.over / 4.0);
+    assert_eq!(world.settings.floor(&soft), 100.0 * world.settings.soft_excess_fraction / 4.0);
 }
 
 /// A node that its peers judge dead goes on using what it has: nobody else has it before it is over.
@@ -103,24 +103,24 @@
     let limit = rate(100.0, Enforcement::Hard);
     let mut lender = LeaseGranter::new(settings, [(ONE, limit)], 0);
     let mut now = settings.debited_for(&limit) + 1;
-    let ask = |number, holds| LeaseRequest { limit: ONE, number, holds, wants: 100.0 };
-    let first = lender.ask(now, "a", 1, &ask(1, 0.0)).unwrap();
-    assert!(f64::from(first.share) <= 80.0 && first.share > 79.0, "{first:?}");
+    let ask = |number, holds| LeaseRequest { limit: ONE, number, held: holds, wanted: 100.0 };
+    let first = lender.grant(now, "a", 1, &ask(1, 0.0)).unwrap();
+    assert!(f64::from(first.granted) <= 80.0 && first.granted > 79.0, "{first:?}");
     let died = now;
     // Its next life is another holder.
     now += 10 * MS;
-    let next = lender.ask(now, "a", 2, &ask(1, 0.0)).unwrap();
-    assert_eq!(next.share, 0.0, "what the life before holds is not lent again");
+    let next = lender.grant(now, "a", 2, &ask(1, 0.0)).unwrap();
+    assert_eq!(next.granted, 0.0, "what the life before holds is not lent again");
     let mut number = 1;
     let mut back = None;
     while back.is_none() {
         now += 100 * MS;
         number += 1;
-        let grant = lender.ask(now, "a", 2, &ask(number, 0.0)).unwrap();
-        back = (grant.share > 0.0).then_some(now - died);
+        let grant = lender.grant(now, "a", 2, &ask(number, 0.0)).unwrap();
+        back = (grant.granted > 0.0).then_some(now - died);
     }
     let bound = settings.bounds(&limit).returns_within;
-    assert!(back >= Some(settings.lease) && back <= Some(bound + 200 * MS), "{back:?} of {bound}");
+    assert!(back >= Some(settings.lease_duration) && back <= Some(bound + 200 * MS), "{back:?} of {bound}");
 }
 
 /// Guards against a late or doubled ask, and a grant for an ask that another has followed.
@@ -132,26 +132,26 @@
     let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
     let mut now = 10_000 * MS;
     for _ in 0..50 {
-        holder.ask(now, ONE, 1.0);
+        holder.admit(now, ONE, 1.0);
     }
-    let first = holder.asks(now)[0];
-    let grant = lender.ask(now, "a", 1, &first).unwrap();
-    assert_eq!(lender.ask(now, "a", 1, &first), None, "doubled");
-    holder.granted(now + 1, &grant);
-    let held = holder.share(now + 1, ONE);
+    let first = holder.lease_requests(now)[0];
+    let grant = lender.grant(now, "a", 1, &first).unwrap();
+    assert_eq!(lender.grant(now, "a", 1, &first), None, "doubled");
+    holder.apply_grant(now + 1, &grant);
+    let held = holder.leased(now + 1, ONE);
     assert!(held > 0.0);
     now += 1_000 * MS;
-    let second = holder.asks(now)[0];
-    holder.granted(now, &LeaseGrant { share: 1e9, ..grant });
-    assert_eq!(holder.share(now, ONE), held, "a grant for an earlier ask is void");
-    lender.ask(now, "a", 1, &second).unwrap();
-    assert_eq!(lender.ask(now, "a", 1, &first), None, "late");
+    let second = holder.lease_requests(now)[0];
+    holder.apply_grant(now, &LeaseGrant { granted: 1e9, ..grant });
+    assert_eq!(holder.leased(now, ONE), held, "a grant for an earlier ask is void");
+    lender.grant(now, "a", 1, &second).unwrap();
+    assert_eq!(lender.grant(now, "a", 1, &first), None, "late");
     for bad in [f32::NAN, -1.0, f32::INFINITY] {
-        assert_eq!(lender.ask(now, "a", 1, &LeaseRequest { number: 99, holds: bad, ..second }), None);
-        holder.granted(now, &LeaseGrant { share: bad, number: second.number, ..grant });
-        assert_eq!(holder.share(now, ONE), held);
+        assert_eq!(lender.grant(now, "a", 1, &LeaseRequest { number: 99, held: bad, ..second }), None);
+        holder.apply_grant(now, &LeaseGrant { granted: bad, number: second.number, ..grant });
+        assert_eq!(holder.leased(now, ONE), held);
     }
-    assert_eq!(lender.ask(now, "a", 1, &LeaseRequest { limit: LimitId(77), ..second }), None);
+    assert_eq!(lender.grant(now, "a", 1, &LeaseRequest { limit: LimitId(77), ..second }), None);
 }
 
 /// The limit is changed while traffic flows: all have come down within the time that a lease takes.
@@ -168,7 +168,7 @@
     let from = world.now;
     while world.sum() > 40.0 * 1.0001 {
         world.run(20).unwrap();
-        assert!(world.now - from < world.settings.lease, "it still stands at {}", world.sum());
+        assert!(world.now - from < world.settings.lease_duration, "it still stands at {}", world.sum());
     }
     println!("lowered from 100 to 40 everywhere after {} ms", (world.now - from) / MS);
 }
@@ -176,21 +176,21 @@
 #[test]
 fn a_refusal_says_when_asking_again_may_help() {
     let settings = Settings { nodes: 1, ..Settings::default() };
-    let limit = Limit { most: 10.0, ..rate(10.0, Enforcement::Hard) };
+    let limit = Limit { amount: 10.0, ..rate(10.0, Enforcement::Hard) };
     let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
-    assert!(matches!(holder.ask(1_000, ONE, 1.0), Admission::Reject(_)), "a new life has saved nothing");
-    assert_eq!(holder.ask(1_000 * MS, ONE, 1.0), Admission::Admit);
-    (0..4).for_each(|_| holder.take(1_000 * MS, ONE, 1.0));
-    let Admission::Reject(after) = holder.ask(1_000 * MS, ONE, 1.0) else { panic!("it owes") };
+    assert!(matches!(holder.admit(1_000, ONE, 1.0), Admission::Reject(_)), "a new life has saved nothing");
+    assert_eq!(holder.admit(1_000 * MS, ONE, 1.0), Admission::Admit);
+    (0..4).for_each(|_| holder.consume(1_000 * MS, ONE, 1.0));
+    let Admission::Reject(after) = holder.admit(1_000 * MS, ONE, 1.0) else { panic!("it owes") };
     let then = 1_000 * MS + after + 1_000;
-    assert_eq!(holder.ask(then, ONE, 1.0), Admission::Admit);
+    assert_eq!(holder.admit(then, ONE, 1.0), Admission::Admit);
 }
 
 #[test]
 fn figures_that_do_not_go_together_are_told() {
     assert!(Settings::default().check().is_ok());
-    assert!(Settings { lease: 1_000, ..Settings::default() }.check().is_err());
-    assert!(Settings { reserve: 0.95, ..Settings::default() }.check().is_err());
+    assert!(Settings { lease_duration: 1_000, ..Settings::default() }.check().is_err());
+    assert!(Settings { reserved_fraction: 0.95, ..Settings::default() }.check().is_err());
     assert!(Settings { nodes: 0, ..Settings::default() }.check().is_err());
 }
 
@@ -206,14 +206,14 @@
     for n in 0..200_000u32 {
         now += 50;
         let id = LimitId(n % 16);
-        if holder.ask(now, id, 1.0) == Admission::Admit {
-            holder.take(now, id, 1.0);
+        if holder.admit(now, id, 1.0) == Admission::Admit {
+            holder.consume(now, id, 1.0);
             admitted += 1;
         }
     }
     let each = began.elapsed().as_nanos() / 200_000;
     let began = std::time::Instant::now();
-    let asks = holder.asks(now).len();
+    let asks = holder.lease_requests(now).len();
     println!("{each} ns a request, {:?} for {asks} asks, {admitted} let in", began.elapsed());
     assert_eq!(asks, 16, "limits that nobody uses are not asked for");
     assert!(each < 20_000, "{each} ns");
@@ -225,15 +225,19 @@
     let settings = Settings { nodes: 2, ..Settings::default() };
     let limit = rate(100.0, Enforcement::Hard);
     let mut lending = LeaderGranter::new(settings, vec![(ONE, limit)]);
-    assert!(lending.lead(0, Some(3)));
+    assert!(lending.set_leadership(0, Some(3)));
     let mut now = settings.debited_for(&limit) + 1;
-    let ask = |number| [LeaseRequest { limit: ONE, number, holds: 0.0, wants: 100.0 }];
-    assert!(lending.ask(now, "a", 1, &ask(1))[0].share > 79.0);
+    let ask = |number| [LeaseRequest { limit: ONE, number, held: 0.0, wanted: 100.0 }];
+    assert!(lending.grant(now, "a", 1, &ask(1))[0].granted > 79.0);
     now += 100 * MS;
-    assert!(!lending.lead(now, None));
-    assert!(lending.ask(now, "b", 2, &ask(1)).is_empty(), "it does not lead");
-    assert!(!lending.lead(now + 1, Some(3)), "the same term, the same lender");
-    assert_eq!(lending.ask(now + 2, "b", 2, &ask(2))[0].share, 0.0, "all is lent to another");
-    assert!(lending.lead(now + 3, Some(5)));
-    assert_eq!(lending.ask(now + 4, "b", 2, &ask(3))[0].share, 0.0, "a new lender waits for leases to end");
+    assert!(!lending.set_leadership(now, None));
+    assert!(lending.grant(now, "b", 2, &ask(1)).is_empty(), "it does not lead");
+    assert!(!lending.set_leadership(now + 1, Some(3)), "the same term, the same lender");
+    assert_eq!(lending.grant(now + 2, "b", 2, &ask(2))[0].granted, 0.0, "all is lent to another");
+    assert!(lending.set_leadership(now + 3, Some(5)));
+    assert_eq!(
+        lending.grant(now + 4, "b", 2, &ask(3))[0].granted,
+        0.0,
+        "a new lender waits for leases to end"
+    );
 }
--- a/crates/pintally-quota/tests/golden.rs
+++ b/crates/pintally-quota/tests/golden.rs
@@ -33,17 +33,17 @@
 const LIFE: u64 = 1 << 40;
 
 fn ask() -> LeaseRequest {
-    LeaseRequest { limit: LIMIT, number: 300, holds: 0.1, wants: 1.5e9 }
+    LeaseRequest { limit: LIMIT, number: 300, held: 0.1, wanted: 1.5e9 }
 }
 
 fn grant() -> LeaseGrant {
-    LeaseGrant { limit: LIMIT, number: 300, share: 12.25, most: 0.1 }
+    LeaseGrant { limit: LIMIT, number: 300, granted: 12.25, most: 0.1 }
 }
 
 #[test]
 fn ask_bytes_are_stable() {
     assert_stable("ask", ask());
-    let nothing = LeaseRequest { limit: LimitId(0), number: 1, holds: 0.0, wants: 0.0 };
+    let nothing = LeaseRequest { limit: LimitId(0), number: 1, held: 0.0, wanted: 0.0 };
     assert_stable("ask_message", (LIFE, vec![ask(), nothing]));
     assert_stable("ask_message_empty", (LIFE, Vec::<LeaseRequest>::new()));
 }
@@ -51,7 +51,7 @@
 #[test]
 fn grant_bytes_are_stable() {
     assert_stable("grant", grant());
-    let nothing = LeaseGrant { limit: LimitId(1), number: 2, share: 0.0, most: f64::MAX };
+    let nothing = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, most: f64::MAX };
     assert_stable("grant_message", (LIFE, vec![grant(), nothing]));
     assert_stable("grant_message_empty", (LIFE, Vec::<LeaseGrant>::new()));
 }
--- a/crates/pintally-quota/tests/random.rs
+++ b/crates/pintally-quota/tests/random.rs
@@ -41,7 +41,7 @@
 fn a_node_that_is_counted_twice_adds_its_floor() {
     for seed in 0..runs(120) / 3 {
         let mut world = world(seed, Broken::Nothing);
-        world.add(world.limit.most);
+        world.add(world.limit.amount);
         world.run(15_000).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     }
 }
