--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -60,9 +60,9 @@
     fn recovered(&mut self, now: Micros, told: Vec<Output>, out: &mut Vec<Command>) {
         for one in told {
             match one {
-                Output::Ask(peer) => out.push(Command::QueryPeer(peer)),
+                Output::QueryPeer(peer) => out.push(Command::QueryPeer(peer)),
                 Output::Stage(stage) => out.push(Command::RecoveryStage(stage)),
-                Output::Cold => self.presume_cold(now, out),
+                Output::TreatEnginesAsCold => self.presume_cold(now, out),
             }
         }
         self.wake_recovery();
@@ -103,7 +103,7 @@
     pub(crate) fn recount(&mut self, now: Micros, out: &mut Vec<Command>) {
         if self.recovering.is_some() {
             let (serving, fresh) = (self.serving_near(), self.list_fresh);
-            self.recover(now, Heard::Listed(serving, fresh), out);
+            self.recover(now, Heard::EndpointsListed(serving, fresh), out);
         }
     }
 
@@ -119,7 +119,11 @@
             return;
         }
         if self.recovering.as_ref().is_some_and(|r| r.machine.stage() != Stage::Serving) {
-            let heard = if there { Heard::Heard(engine.clone()) } else { Heard::Lost(engine.clone()) };
+            let heard = if there {
+                Heard::EngineAnswered(engine.clone())
+            } else {
+                Heard::EngineUnreachable(engine.clone())
+            };
             self.recover(now, heard, out);
         }
     }
@@ -127,7 +131,7 @@
     /// Whether a request may come in; if not, when it may come again.
     pub(crate) fn kept_out(&mut self, now: Micros, arrival: &IncomingRequest) -> Option<Option<Micros>> {
         let recovering = self.recovering.as_mut()?;
-        match recovering.machine.ask(now, arrival.class) {
+        match recovering.machine.admit(now, arrival.class) {
             Admission::Admit => None,
             Admission::Reject(after) => Some(after),
         }
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -251,26 +251,26 @@
     let own = settings.recovery.as_ref()?;
     let core = &settings.core;
     let classes = core.classes.iter().map(|c| ClassPriority {
-        worth: c.priority_weight,
-        once: c.effect == pintally::interface::Idempotency::NotIdempotent,
+        priority_weight: c.priority_weight,
+        at_most_once: c.effect == pintally::interface::Idempotency::NotIdempotent,
     });
     let figures = recovery::Settings {
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
         // each zone, as far as a node can know.
-        expected: match &settings.failover {
+        expected_nodes: match &settings.failover {
             Some(regions) => (core.nodes.max(1) as usize).div_ceil(regions.policy.map.zones.len()),
             None => core.nodes.max(1) as usize,
         },
         peers: settings.membership.is_some(),
-        ask: own.peers_queried,
-        answer_within: own.answer_within,
-        rounds: own.rounds,
-        careful_most: own.max_slow_start,
-        cold_from: core.slow_start_min_capacity,
-        warm_after: core.slow_start_duration,
-        per_engine: own.requests_per_second_per_engine,
-        textless: own.uncached_capacity_fraction,
-        retry_most: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
+        peers_queried: own.peers_queried,
+        answer_timeout: own.answer_within,
+        query_rounds: own.rounds,
+        max_slow_start: own.max_slow_start,
+        slow_start_min_capacity: core.slow_start_min_capacity,
+        slow_start_duration: core.slow_start_duration,
+        requests_per_second_per_engine: own.requests_per_second_per_engine,
+        uncached_capacity_fraction: own.uncached_capacity_fraction,
+        max_retry_after: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
         classes: classes.collect(),
     };
     Some(Recovery::new(figures, now, own.read_within))
@@ -353,7 +353,7 @@
 
 /// What a node without peers does at its start: it goes by what its disk has.
 pub(crate) fn alone(shared: &Shared, before: &Before) {
-    shared.send_input(Input::Recovery(recovery::Input::Read(before.memory.clone())));
+    shared.send_input(Input::Recovery(recovery::Input::StateLoaded(before.memory.clone())));
 }
 
 struct Running<'a> {
@@ -393,7 +393,7 @@
 
 /// Runs until the node ends.
 pub(crate) fn run(shared: &Arc<Shared>, fleet: Fleet, mail: &Mail, look: Sender<()>) {
-    shared.send_input(Input::Recovery(recovery::Input::Read(fleet.memory.clone())));
+    shared.send_input(Input::Recovery(recovery::Input::StateLoaded(fleet.memory.clone())));
     let carried = fleet.memory.carried;
     let mut running = Running {
         shared,
@@ -507,17 +507,17 @@
         match notice {
             MembershipEvent::MemberUp(name, life) => {
                 info!(peer = %name, boot = life.boot, "a peer is here");
-                self.guardian(|g, _| g.up(&name.0, life.mark));
+                self.guardian(|g, _| g.node_up(&name.0, life.mark));
                 return true;
             }
             MembershipEvent::MemberDown(name) => {
                 info!(peer = %name, "a peer is dead");
-                self.guardian(|g, now| g.down(now, &name.0));
+                self.guardian(|g, now| g.node_down(now, &name.0));
                 return true;
             }
             MembershipEvent::MemberLeft(name) => {
                 info!(peer = %name, "a peer has left");
-                self.guardian(|g, _| g.left(&name.0));
+                self.guardian(|g, _| g.node_left(&name.0));
                 return true;
             }
             MembershipEvent::MemberSuspected(name) => debug!(peer = %name, "a peer is suspected"),
@@ -559,11 +559,11 @@
                     {
                         self.shared.send_input(Input::EndpointListConfirmed);
                     }
-                    self.shared.send_input(Input::Recovery(recovery::Input::Answered(number, answer)));
+                    self.shared.send_input(Input::Recovery(recovery::Input::PeerAnswered(number, answer)));
                 }
             }
             MembershipEvent::DirectMessage(from, HELD, bytes) => {
-                self.guardian(|g, now| g.told(now, &from.0, &bytes))
+                self.guardian(|g, now| g.receive_reservations(now, &from.0, &bytes))
             }
             MembershipEvent::DirectMessage(from, KEEPERS, bytes) => {
                 self.to_keeper(ToReplica::From(ReplicaName(from.0.clone()), bytes));
@@ -608,13 +608,13 @@
     fn wards(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(wards) = self.wards.as_mut().filter(|w| now >= w.next) else { return };
         wards.next = now + TELL_EVERY;
-        for (ward, held) in wards.guardian.due(now) {
+        for (ward, held) in wards.guardian.take_due(now) {
             info!(peer = %ward, states = held.len(), "a peer stays dead: what it held is let go");
             self.shared.send_input(Input::ReservationsInherited(held));
         }
         let held = lock(&self.shared.fleet.left).clone();
         let here = self.fleet.peers.members().filter(|m| m.is_alive()).map(|m| &*m.name().0);
-        let guardians = ReservationPublisher::guardians(&self.shared.settings.name, here);
+        let guardians = ReservationPublisher::backup_nodes(&self.shared.settings.name, here);
         for word in wards.teller.tell(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
             for guardian in &guardians {
                 self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
--- a/crates/pintally-recovery/src/capacity.rs
+++ b/crates/pintally-recovery/src/capacity.rs
@@ -113,11 +113,11 @@
     pub fn warm_part(&self, now: Micros, s: &Settings) -> f64 {
         let part = |mark: &Mark| match (self.heard.get(mark), self.lost.contains_key(mark)) {
             (Some(since), _) => {
-                let age = now.saturating_sub(*since) as f64 / s.warm_after.max(1) as f64;
-                s.cold_from + (1.0 - s.cold_from) * age.min(1.0)
+                let age = now.saturating_sub(*since) as f64 / s.slow_start_duration.max(1) as f64;
+                s.slow_start_min_capacity + (1.0 - s.slow_start_min_capacity) * age.min(1.0)
             }
             (None, true) => 0.0,
-            (None, false) => s.cold_from,
+            (None, false) => s.slow_start_min_capacity,
         };
         match self.listed.len() {
             0 => 0.0,
@@ -132,17 +132,17 @@
 
     fn settings() -> Settings {
         Settings {
-            expected: 1,
+            expected_nodes: 1,
             peers: false,
-            ask: 1,
-            answer_within: 1,
-            rounds: 1,
-            careful_most: 10_000_000,
-            cold_from: 0.25,
-            warm_after: 8_000_000,
-            per_engine: 1.0,
-            textless: 1.0,
-            retry_most: 0,
+            peers_queried: 1,
+            answer_timeout: 1,
+            query_rounds: 1,
+            max_slow_start: 10_000_000,
+            slow_start_min_capacity: 0.25,
+            slow_start_duration: 8_000_000,
+            requests_per_second_per_engine: 1.0,
+            uncached_capacity_fraction: 1.0,
+            max_retry_after: 0,
             classes: Vec::new(),
         }
     }
--- a/crates/pintally-recovery/src/gate.rs
+++ b/crates/pintally-recovery/src/gate.rs
@@ -14,9 +14,9 @@
 
 /// What the gate goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
+pub struct AdmissionPlan {
     /// Requests a second; none means that everybody is let in.
-    pub rate: Option<f64>,
+    pub max_rate: Option<f64>,
     /// Whether requests that must never run twice are let in.
     pub once: bool,
 }
@@ -33,7 +33,7 @@
 /// The gate.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    plan: Plan,
+    plan: AdmissionPlan,
     /// For each class the share of the bucket that it leaves to worthier ones.
     reserves: Vec<f64>,
     once: Vec<bool>,
@@ -49,13 +49,15 @@
 impl Gate {
     /// A gate that lets nobody in before its first plan.
     pub fn new(classes: &[ClassPriority], retry_most: Micros) -> Gate {
-        let worthier = |c: &ClassPriority| classes.iter().filter(|o| o.worth > c.worth).count() as f64;
+        let worthier = |c: &ClassPriority| {
+            classes.iter().filter(|o| o.priority_weight > c.priority_weight).count() as f64
+        };
         let most = classes.iter().map(worthier).fold(0.0, f64::max);
         let reserve = |c: &ClassPriority| if most > 0.0 { RESERVE * worthier(c) / most } else { 0.0 };
         Gate {
-            plan: Plan { rate: Some(0.0), once: false },
+            plan: AdmissionPlan { max_rate: Some(0.0), once: false },
             reserves: classes.iter().map(reserve).collect(),
-            once: classes.iter().map(|c| c.once).collect(),
+            once: classes.iter().map(|c| c.at_most_once).collect(),
             retry_most,
             level: 0.0,
             at: 0,
@@ -65,24 +67,24 @@
     }
 
     /// What it goes by.
-    pub fn plan(&self) -> Plan {
+    pub fn plan(&self) -> AdmissionPlan {
         self.plan
     }
 
     /// Goes by another plan from now on.
-    pub fn set(&mut self, now: Micros, plan: Plan) {
+    pub fn set(&mut self, now: Micros, plan: AdmissionPlan) {
         self.fill(now);
         // The bucket stays as full as it was; the first one is full.
-        let before = self.plan.rate.unwrap_or(0.0);
+        let before = self.plan.max_rate.unwrap_or(0.0);
         let part = if before > 0.0 { self.level / burst(before) } else { 1.0 };
         self.plan = plan;
-        self.level = part.min(1.0) * burst(plan.rate.unwrap_or(0.0));
+        self.level = part.min(1.0) * burst(plan.max_rate.unwrap_or(0.0));
     }
 
     fn fill(&mut self, now: Micros) {
         let span = now.saturating_sub(self.at) as f64 / 1e6;
         self.at = self.at.max(now);
-        if let Some(rate) = self.plan.rate {
+        if let Some(rate) = self.plan.max_rate {
             self.level = (self.level + span * rate).min(burst(rate));
         }
     }
@@ -90,7 +92,7 @@
     /// Whether a request of a class is let in; a class that nobody named counts as one that must never
     /// run twice and is worth least.
     pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Admission {
-        let Some(rate) = self.plan.rate else {
+        let Some(rate) = self.plan.max_rate else {
             self.counts.0 += 1;
             return Admission::Admit;
         };
@@ -133,9 +135,9 @@
     use super::*;
 
     const CLASSES: [ClassPriority; 3] = [
-        ClassPriority { worth: 2.0, once: false },
-        ClassPriority { worth: 1.0, once: false },
-        ClassPriority { worth: 3.0, once: true },
+        ClassPriority { priority_weight: 2.0, at_most_once: false },
+        ClassPriority { priority_weight: 1.0, at_most_once: false },
+        ClassPriority { priority_weight: 3.0, at_most_once: true },
     ];
 
     fn let_in(gate: &mut Gate, from: Micros, seconds: u64, class: usize, per_s: u64) -> u64 {
@@ -150,7 +152,7 @@
     #[test]
     fn no_more_than_the_rate_and_a_burst_come_through() {
         let mut gate = Gate::new(&CLASSES, 2_000_000);
-        gate.set(0, Plan { rate: Some(20.0), once: true });
+        gate.set(0, AdmissionPlan { max_rate: Some(20.0), once: true });
         let admitted = let_in(&mut gate, 0, 10, 0, 500);
         assert!((200..=206).contains(&admitted), "{admitted}");
     }
@@ -158,7 +160,7 @@
     #[test]
     fn the_worthy_go_first() {
         let mut gate = Gate::new(&CLASSES, 2_000_000);
-        gate.set(0, Plan { rate: Some(40.0), once: true });
+        gate.set(0, AdmissionPlan { max_rate: Some(40.0), once: true });
         let (mut low, mut high) = (0, 0);
         for n in 0..10_000u64 {
             let now = n * 1000;
@@ -173,11 +175,11 @@
     #[test]
     fn what_must_not_run_twice_waits_for_a_sound_list() {
         let mut gate = Gate::new(&CLASSES, 2_000_000);
-        gate.set(0, Plan { rate: Some(1000.0), once: false });
+        gate.set(0, AdmissionPlan { max_rate: Some(1000.0), once: false });
         assert!(matches!(gate.ask(1, Some(2)), Admission::Reject(Some(_))));
         assert!(matches!(gate.ask(1, None), Admission::Reject(Some(_))));
         assert_eq!(gate.ask(1, Some(0)), Admission::Admit);
-        gate.set(2, Plan { rate: Some(1000.0), once: true });
+        gate.set(2, AdmissionPlan { max_rate: Some(1000.0), once: true });
         assert_eq!(gate.ask(3, Some(2)), Admission::Admit);
     }
 
@@ -186,7 +188,7 @@
     #[test]
     fn the_refused_do_not_return_in_one_wave() {
         let mut gate = Gate::new(&CLASSES, 4_000_000);
-        gate.set(0, Plan { rate: Some(300.0), once: true });
+        gate.set(0, AdmissionPlan { max_rate: Some(300.0), once: true });
         let mut back = [0u32; 60];
         for n in 0..2000u64 {
             let now = n * 500;
@@ -204,7 +206,7 @@
     fn an_open_gate_lets_everybody_in() {
         let mut gate = Gate::new(&CLASSES, 0);
         assert_eq!(gate.ask(0, Some(0)), Admission::Reject(None));
-        gate.set(1, Plan { rate: None, once: true });
+        gate.set(1, AdmissionPlan { max_rate: None, once: true });
         assert!((0..1000).all(|n| gate.ask(n, None) == Admission::Admit));
     }
 }
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -7,18 +7,18 @@
 mod capacity;
 mod gate;
 mod list;
+mod reservations;
 mod settings;
 mod stage;
 mod status;
-mod wards;
 
 pub use capacity::{share, Capacity, Fleet};
-pub use gate::{Admission, Gate, Plan};
+pub use gate::{Admission, AdmissionPlan, Gate};
 pub use list::{merge, ListMerge};
 pub use pintally_validation::InvalidConfiguration;
+pub use reservations::{BackupNode, Held, ReservationPublisher};
 pub use settings::{ClassPriority, Settings};
 pub use stage::{Answer, Input, Output, Recovery, RememberedState, Stage};
 pub use status::Status;
-pub use wards::{BackupNode, Held, ReservationPublisher};
 
 pub use pintally::interface::Micros;
--- a/crates/pintally-recovery/src/wards.rs
+++ b/crates/pintally-recovery/src/reservations.rs
@@ -47,7 +47,7 @@
 
 impl ReservationPublisher {
     /// Who is told of a node's states, among the peers that are here: always the same ones, and others for others.
-    pub fn guardians<'a>(own: &str, here: impl Iterator<Item = &'a str>) -> Vec<String> {
+    pub fn backup_nodes<'a>(own: &str, here: impl Iterator<Item = &'a str>) -> Vec<String> {
         let mut all: Vec<_> = here
             .map(|name| (xxh3_64_with_seed(name.as_bytes(), xxh3_64_with_seed(own.as_bytes(), 0)), name))
             .collect();
@@ -126,7 +126,7 @@
     }
 
     /// A ward has told something.
-    pub fn told(&mut self, now: Micros, from: &str, word: &[u8]) {
+    pub fn receive_reservations(&mut self, now: Micros, from: &str, word: &[u8]) {
         let Ok(word) = serde_json::from_slice::<Word>(word) else { return };
         self.forget(now, from);
         let ward = self.wards.entry(from.to_string()).or_default();
@@ -155,14 +155,14 @@
     }
 
     /// A node was found dead.
-    pub fn down(&mut self, now: Micros, name: &str) {
+    pub fn node_down(&mut self, now: Micros, name: &str) {
         if let Some(ward) = self.wards.get_mut(name) {
             ward.dead = ward.dead.or(Some(now));
         }
     }
 
     /// A node is here: the life that is told of, or another one.
-    pub fn up(&mut self, name: &str, life: u64) {
+    pub fn node_up(&mut self, name: &str, life: u64) {
         // If it has started again the death stands: what the life before held is its own to let go of, if its
         // disk told it, and one call more does no harm.
         if let Some(ward) = self.wards.get_mut(name).filter(|ward| ward.life == life) {
@@ -171,7 +171,7 @@
     }
 
     /// A node has left in good order: it holds nothing.
-    pub fn left(&mut self, name: &str) {
+    pub fn node_left(&mut self, name: &str) {
         self.remove(name);
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// What is to be let go now for wards that stayed dead, and whose it was.
-    pub fn due(&mut self, now: Micros) -> Vec<(String, Vec<Held>)> {
+    pub fn take_due(&mut self, now: Micros) -> Vec<(String, Vec<Held>)> {
         let after = self.after;
         let dead = |ward: &Ward| ward.dead.is_some_and(|at| now >= at.saturating_add(after));
         let names: Vec<String> = self.wards.iter().filter(|(_, w)| dead(w)).map(|(n, _)| n.clone()).collect();
@@ -225,7 +225,7 @@
             for word in teller.tell(now, 7, all, &["g".into()]) {
                 words += 1;
                 if words % lost != 0 {
-                    guardian.told(now, "n0", &word);
+                    guardian.receive_reservations(now, "n0", &word);
                 }
             }
         }
@@ -238,12 +238,12 @@
         let all = held(200);
         tell_for(&mut teller, &mut guardian, 0, 2_000 * MS, &all, 3);
         assert_eq!(guardian.kept, 200);
-        guardian.down(2_500 * MS, "n0");
-        guardian.down(4_000 * MS, "n0");
-        assert!(guardian.due(5_400 * MS).is_empty(), "too early");
-        let due = guardian.due(5_500 * MS);
+        guardian.node_down(2_500 * MS, "n0");
+        guardian.node_down(4_000 * MS, "n0");
+        assert!(guardian.take_due(5_400 * MS).is_empty(), "too early");
+        let due = guardian.take_due(5_500 * MS);
         assert_eq!((due.len(), &*due[0].0, due[0].1.len()), (1, "n0", 200));
-        assert!(guardian.due(9_000 * MS).is_empty() && guardian.kept == 0);
+        assert!(guardian.take_due(9_000 * MS).is_empty() && guardian.kept == 0);
     }
 
     /// Guards against states taken from a node that was only cut off or stood still.
@@ -252,23 +252,23 @@
         for by_word in [true, false] {
             let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
             tell_for(&mut teller, &mut guardian, 0, 1_000 * MS, &held(3), 100);
-            guardian.down(1_000 * MS, "n0");
+            guardian.node_down(1_000 * MS, "n0");
             match by_word {
                 true => tell_for(&mut teller, &mut guardian, 2_000 * MS, 2_600 * MS, &held(3), 100),
-                false => guardian.up("n0", 7),
+                false => guardian.node_up("n0", 7),
             }
-            assert!(guardian.due(60_000 * MS).is_empty());
+            assert!(guardian.take_due(60_000 * MS).is_empty());
         }
         // Another life of it is not the one that held them, and one that leaves holds nothing.
         let (mut teller, mut guardian) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
         tell_for(&mut teller, &mut guardian, 0, 1_000 * MS, &held(3), 100);
-        guardian.down(1_000 * MS, "n0");
-        guardian.up("n0", 8);
-        assert_eq!(guardian.due(4_000 * MS).len(), 1);
+        guardian.node_down(1_000 * MS, "n0");
+        guardian.node_up("n0", 8);
+        assert_eq!(guardian.take_due(4_000 * MS).len(), 1);
         tell_for(&mut teller, &mut guardian, 5_000 * MS, 6_000 * MS, &held(3), 100);
-        guardian.left("n0");
-        guardian.down(6_000 * MS, "n0");
-        assert!(guardian.due(60_000 * MS).is_empty() && guardian.kept == 0);
+        guardian.node_left("n0");
+        guardian.node_down(6_000 * MS, "n0");
+        assert!(guardian.take_due(60_000 * MS).is_empty() && guardian.kept == 0);
     }
 
     /// Guards against words without end, and against tables that grow: short states cost nothing, and what is
@@ -285,21 +285,24 @@
         assert!(words.iter().all(|w| w.len() <= 1_100), "{:?}", words.iter().map(Vec::len).max());
         for turn in 0..80 {
             let now = 250 * MS + turn * 20 * MS;
-            teller.tell(now, 7, &many, &["g".into()]).iter().for_each(|w| guardian.told(now, "n0", w));
+            teller
+                .tell(now, 7, &many, &["g".into()])
+                .iter()
+                .for_each(|w| guardian.receive_reservations(now, "n0", w));
         }
         assert!(guardian.kept <= MAX_WARD);
         for other in 0..40 {
             let name = format!("n{other}");
             let held = (0..2_000).map(|n| ("r".into(), format!("{name}-{n}"))).collect();
             let word = serde_json::to_vec(&Word { life: 1, held }).unwrap();
-            guardian.told(10_000 * MS, &name, &word);
+            guardian.receive_reservations(10_000 * MS, &name, &word);
         }
         assert_eq!(guardian.kept, MAX_ALL);
         // Nothing of what cannot be read is kept.
-        guardian.told(10_000 * MS, "n0", b"{\"life\":");
+        guardian.receive_reservations(10_000 * MS, "n0", b"{\"life\":");
         for other in 0..40 {
             let word = serde_json::to_vec(&Word { life: 1, held: Vec::new() }).unwrap();
-            guardian.told(20_000 * MS, &format!("n{other}"), &word);
+            guardian.receive_reservations(20_000 * MS, &format!("n{other}"), &word);
         }
         assert_eq!(guardian.kept, 0);
     }
@@ -309,7 +312,7 @@
         let names: Vec<String> = (0..30).map(|n| format!("n{n}")).collect();
         let of = |own: usize, gone: usize| {
             let here = names.iter().enumerate().filter(|(n, _)| *n != own && *n != gone);
-            ReservationPublisher::guardians(&names[own], here.map(|(_, n)| n.as_str()))
+            ReservationPublisher::backup_nodes(&names[own], here.map(|(_, n)| n.as_str()))
         };
         let mut counts: HashMap<String, usize> = HashMap::new();
         for own in 0..30 {
@@ -321,6 +324,6 @@
             assert_eq!(of(own, gone)[0], two[1]);
         }
         assert!(counts.values().all(|n| *n <= 8), "{counts:?}");
-        assert!(ReservationPublisher::guardians("n0", std::iter::empty()).is_empty());
+        assert!(ReservationPublisher::backup_nodes("n0", std::iter::empty()).is_empty());
     }
 }
--- a/crates/pintally-recovery/src/stage.rs
+++ b/crates/pintally-recovery/src/stage.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::capacity::{share, Capacity, Fleet};
-use crate::gate::{Admission, Gate, Plan};
+use crate::gate::{Admission, AdmissionPlan, Gate};
 use crate::settings::Settings;
 use crate::status::Status;
 
@@ -58,28 +58,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The disk has told, or is given up on.
-    Read(RememberedState),
+    StateLoaded(RememberedState),
     /// So many nodes are here, this one included, and these may be asked, by number.
     Peers(usize, Vec<u64>),
     /// Somebody has answered.
-    Answered(u64, Answer),
+    PeerAnswered(u64, Answer),
     /// The list holds these engines that take work; whether it came from its source in this life.
-    Listed(Vec<EngineId>, bool),
+    EndpointsListed(Vec<EngineId>, bool),
     /// An engine has answered.
-    Heard(EngineId),
+    EngineAnswered(EngineId),
     /// An engine could not be reached, or is gone.
-    Lost(EngineId),
+    EngineUnreachable(EngineId),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Ask this peer.
-    Ask(u64),
+    QueryPeer(u64),
     /// A stage has begun.
     Stage(Stage),
     /// The whole fleet has lost its power: engines count as cold, and as holding no texts, from now on.
-    Cold,
+    TreatEnginesAsCold,
 }
 
 /// A node's way back to full service.
@@ -108,8 +108,8 @@
 impl Recovery {
     /// A node that has just started. Its disk is given `read_within` to tell.
     pub fn new(settings: Settings, now: Micros, read_within: Micros) -> Recovery {
-        let gate = Gate::new(&settings.classes, settings.retry_most);
-        let fleet = Fleet { here: 1, expected: settings.expected };
+        let gate = Gate::new(&settings.classes, settings.max_retry_after);
+        let fleet = Fleet { here: 1, expected: settings.expected_nodes };
         Recovery {
             stage: Stage::Reading,
             since: now,
@@ -165,14 +165,14 @@
     }
 
     /// Whether a request is let in.
-    pub fn ask(&mut self, now: Micros, class: Option<usize>) -> Admission {
+    pub fn admit(&mut self, now: Micros, class: Option<usize>) -> Admission {
         self.gate.ask(now, class)
     }
 
     /// Takes something in.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Read(memory) => {
+            Input::StateLoaded(memory) => {
                 // What comes after its time is still better than nothing.
                 self.memory = memory;
                 if self.stage == Stage::Reading {
@@ -187,18 +187,18 @@
                     self.ask_some(out);
                 }
             }
-            Input::Answered(peer, answer) => {
+            Input::PeerAnswered(peer, answer) => {
                 self.open.remove(&peer);
                 self.capacity.told(now, &answer.heard);
                 self.answers.insert(peer, answer);
                 self.judge(now, out);
             }
-            Input::Listed(engines, sound) => {
+            Input::EndpointsListed(engines, sound) => {
                 self.capacity.listed(engines.iter());
                 self.list_sound |= sound;
             }
-            Input::Heard(engine) => self.capacity.heard(now, &engine),
-            Input::Lost(engine) => self.capacity.lost(now, &engine),
+            Input::EngineAnswered(engine) => self.capacity.heard(now, &engine),
+            Input::EngineUnreachable(engine) => self.capacity.lost(now, &engine),
         }
         self.replan(now);
     }
@@ -213,7 +213,7 @@
                 self.memory.issues.push("the disk did not tell in time".into());
                 self.begin_asking(now, out);
             }
-            Stage::Asking if self.round < self.settings.rounds => self.ask_more(now, out),
+            Stage::Asking if self.round < self.settings.query_rounds => self.ask_more(now, out),
             Stage::Asking => self.begin_careful(now, out),
             Stage::Careful => {
                 self.due = now + REPLAN;
@@ -221,10 +221,10 @@
                     self.next_ask = now + ASK_AGAIN;
                     // One at a time, each in turn: a fleet that recovers is not flooded with questions.
                     let turn = (now / ASK_AGAIN) as usize % self.known.len().max(1);
-                    out.extend(self.known.get(turn).map(|peer| Output::Ask(*peer)));
+                    out.extend(self.known.get(turn).map(|peer| Output::QueryPeer(*peer)));
                 }
                 let warm = self.capacity.warm_part(now, &self.settings) >= 1.0;
-                if warm || now >= self.since + self.settings.careful_most {
+                if warm || now >= self.since + self.settings.max_slow_start {
                     self.enter(now, Stage::Serving, out);
                 }
             }
@@ -250,15 +250,15 @@
     /// The next round: peers that were not asked yet, or the wait for somebody to be heard of.
     fn ask_more(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.round += 1;
-        self.due = now + self.settings.answer_within;
+        self.due = now + self.settings.answer_timeout;
         self.ask_some(out);
     }
 
     fn ask_some(&mut self, out: &mut Vec<Output>) {
         let fresh = self.known.iter().filter(|p| !self.asked.contains(p));
-        self.open = fresh.take(self.settings.ask).copied().collect();
+        self.open = fresh.take(self.settings.peers_queried).copied().collect();
         self.asked.extend(&self.open);
-        out.extend(self.open.iter().map(|peer| Output::Ask(*peer)));
+        out.extend(self.open.iter().map(|peer| Output::QueryPeer(*peer)));
     }
 
     /// A peer that serves says that the fleet is not cold: either it never lost its power, or it is over.
@@ -270,7 +270,8 @@
                 self.enter(now, Stage::Serving, out);
             }
             Stage::Asking
-                if self.open.is_empty() && self.answers.len() >= self.settings.ask.min(self.known.len()) =>
+                if self.open.is_empty()
+                    && self.answers.len() >= self.settings.peers_queried.min(self.known.len()) =>
             {
                 self.begin_careful(now, out);
             }
@@ -282,7 +283,7 @@
     fn begin_careful(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.lost_power = Some(true);
         self.enter(now, Stage::Careful, out);
-        out.push(Output::Cold);
+        out.push(Output::TreatEnginesAsCold);
         self.due = now + REPLAN;
         self.next_ask = now + ASK_AGAIN;
         self.replan(now);
@@ -303,9 +304,9 @@
 
     fn replan(&mut self, now: Micros) {
         let plan = match self.stage {
-            Stage::Serving => Plan { rate: None, once: true },
-            Stage::Careful => Plan { rate: Some(self.rate(now)), once: self.list_sound },
-            Stage::Reading | Stage::Asking => Plan { rate: Some(0.0), once: false },
+            Stage::Serving => AdmissionPlan { max_rate: None, once: true },
+            Stage::Careful => AdmissionPlan { max_rate: Some(self.rate(now)), once: self.list_sound },
+            Stage::Reading | Stage::Asking => AdmissionPlan { max_rate: Some(0.0), once: false },
         };
         if plan != self.gate.plan() {
             self.gate.set(now, plan);
@@ -318,12 +319,12 @@
         let s = &self.settings;
         let (_, listed) = self.capacity.count();
         let whole = match self.carried() {
-            0.0 => s.per_engine * listed as f64,
+            0.0 => s.requests_per_second_per_engine * listed as f64,
             carried => carried,
         };
-        let warm = self.capacity.warm_part(now, s).clamp(s.cold_from * UNHEARD, 1.0);
-        let age = now.saturating_sub(self.since) as f64 / s.careful_most.max(1) as f64;
-        let texts = s.textless + (1.0 - s.textless) * age.min(1.0);
+        let warm = self.capacity.warm_part(now, s).clamp(s.slow_start_min_capacity * UNHEARD, 1.0);
+        let age = now.saturating_sub(self.since) as f64 / s.max_slow_start.max(1) as f64;
+        let texts = s.uncached_capacity_fraction + (1.0 - s.uncached_capacity_fraction) * age.min(1.0);
         whole * warm * texts * share(self.fleet)
     }
 
@@ -348,7 +349,7 @@
             here: self.fleet.here,
             expected: self.fleet.expected,
             engines: self.capacity.count(),
-            rate: self.gate.plan().rate,
+            rate: self.gate.plan().max_rate,
             admitted,
             told_when,
             told_nothing,
--- a/crates/pintally-recovery/tests/golden.rs
+++ b/crates/pintally-recovery/tests/golden.rs
@@ -45,7 +45,7 @@
     assert_eq!(words.len(), 1);
     assert_bytes("held_states", &words[0]);
     let mut guardian = BackupNode::new(1_000_000);
-    guardian.told(200_000, "n1", &golden("held_states"));
-    guardian.down(200_000, "n1");
-    assert_eq!(guardian.due(1_200_000), [("n1".to_string(), held.to_vec())]);
+    guardian.receive_reservations(200_000, "n1", &golden("held_states"));
+    guardian.node_down(200_000, "n1");
+    assert_eq!(guardian.take_due(1_200_000), [("n1".to_string(), held.to_vec())]);
 }
--- a/crates/pintally-recovery/tests/stages.rs
+++ b/crates/pintally-recovery/tests/stages.rs
@@ -11,18 +11,21 @@
 
 fn settings(expected: usize) -> Settings {
     Settings {
-        expected,
+        expected_nodes: expected,
         peers: expected > 1,
-        ask: 2,
-        answer_within: 200_000,
-        rounds: 2,
-        careful_most: 20 * SECOND,
-        cold_from: 0.3,
-        warm_after: 8 * SECOND,
-        per_engine: 5.0,
-        textless: 0.5,
-        retry_most: 2 * SECOND,
-        classes: vec![ClassPriority { worth: 1.0, once: false }, ClassPriority { worth: 3.0, once: true }],
+        peers_queried: 2,
+        answer_timeout: 200_000,
+        query_rounds: 2,
+        max_slow_start: 20 * SECOND,
+        slow_start_min_capacity: 0.3,
+        slow_start_duration: 8 * SECOND,
+        requests_per_second_per_engine: 5.0,
+        uncached_capacity_fraction: 0.5,
+        max_retry_after: 2 * SECOND,
+        classes: vec![
+            ClassPriority { priority_weight: 1.0, at_most_once: false },
+            ClassPriority { priority_weight: 3.0, at_most_once: true },
+        ],
     }
 }
 
@@ -39,12 +42,12 @@
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(1000, Input::Peers(3, vec![1, 2]), &mut out);
-    node.handle(2000, Input::Read(RememberedState::default()), &mut out);
-    assert_eq!(out, [Output::Stage(Stage::Asking), Output::Ask(1), Output::Ask(2)]);
-    node.handle(3000, Input::Answered(2, serving()), &mut out);
+    node.handle(2000, Input::StateLoaded(RememberedState::default()), &mut out);
+    assert_eq!(out, [Output::Stage(Stage::Asking), Output::QueryPeer(1), Output::QueryPeer(2)]);
+    node.handle(3000, Input::PeerAnswered(2, serving()), &mut out);
     assert_eq!(node.stage(), Stage::Serving);
-    assert_eq!(node.ask(3001, Some(1)), Admission::Admit);
-    assert!(!out.contains(&Output::Cold), "engines are as warm as the others know them");
+    assert_eq!(node.admit(3001, Some(1)), Admission::Admit);
+    assert!(!out.contains(&Output::TreatEnginesAsCold), "engines are as warm as the others know them");
 }
 
 #[test]
@@ -53,20 +56,20 @@
     let mut node = Recovery::new(settings(5), 0, within);
     let bound = node.first_within(within);
     let (mut out, mut now) = (Vec::new(), 0);
-    node.handle(0, Input::Listed(engines(10), true), &mut out);
+    node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
     while node.stage() < Stage::Careful {
         now = node.next_wake().expect("it waits for something");
         node.tick(now, &mut out);
     }
     assert!(now <= bound, "{now} of {bound}");
-    assert_eq!(node.ask(now, Some(1)), Admission::Admit);
-    assert!(out.contains(&Output::Cold));
+    assert_eq!(node.admit(now, Some(1)), Admission::Admit);
+    assert!(out.contains(&Output::TreatEnginesAsCold));
     // And in full at the latest when the careful stage must end.
     while let Some(wake) = node.next_wake() {
         now = wake;
         node.tick(now, &mut out);
     }
-    assert!(now <= bound + settings(5).careful_most + SECOND);
+    assert!(now <= bound + settings(5).max_slow_start + SECOND);
 }
 
 /// Guards against a fleet that takes in what it took before the loss while its engines are cold.
@@ -77,14 +80,14 @@
     let mut out = Vec::new();
     for node in &mut nodes {
         node.handle(0, Input::Peers(4, vec![1, 2, 3]), &mut out);
-        node.handle(0, Input::Listed(engines(10), true), &mut out);
-        node.handle(0, Input::Read(memory()), &mut out);
+        node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
+        node.handle(0, Input::StateLoaded(memory()), &mut out);
         while node.stage() < Stage::Careful {
             let wake = node.next_wake().unwrap();
             node.tick(wake, &mut out);
         }
         for n in 0..10 {
-            node.handle(SECOND, Input::Heard(EngineId(format!("e{n}").as_str().into())), &mut out);
+            node.handle(SECOND, Input::EngineAnswered(EngineId(format!("e{n}").as_str().into())), &mut out);
         }
     }
     // Cold, without texts, all four nodes together: 100 x 0.3 x 0.5 a second, growing to 100 x 1 x 0.7.
@@ -97,7 +100,7 @@
                 while node.next_wake().is_some_and(|w| w <= now) {
                     node.tick(now, &mut out);
                 }
-                admitted += u32::from(node.ask(now, Some(0)) == Admission::Admit);
+                admitted += u32::from(node.admit(now, Some(0)) == Admission::Admit);
             }
         }
         per_second.push(admitted);
@@ -111,13 +114,13 @@
 fn unsafe_requests_wait_for_a_list_from_its_source() {
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
-    node.handle(0, Input::Read(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut out);
-    node.handle(0, Input::Listed(engines(4), false), &mut out);
+    node.handle(0, Input::StateLoaded(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut out);
+    node.handle(0, Input::EndpointsListed(engines(4), false), &mut out);
     assert_eq!(node.stage(), Stage::Careful);
-    assert_eq!(node.ask(1, Some(0)), Admission::Admit);
-    assert!(matches!(node.ask(2, Some(1)), Admission::Reject(Some(_))));
-    node.handle(3, Input::Listed(engines(4), true), &mut out);
-    assert_eq!(node.ask(200_000, Some(1)), Admission::Admit);
+    assert_eq!(node.admit(1, Some(0)), Admission::Admit);
+    assert!(matches!(node.admit(2, Some(1)), Admission::Reject(Some(_))));
+    node.handle(3, Input::EndpointsListed(engines(4), true), &mut out);
+    assert_eq!(node.admit(200_000, Some(1)), Admission::Admit);
 }
 
 /// Guards against one disk or one peer that remembers nonsense and opens the gate wide.
@@ -126,13 +129,13 @@
     let mut out = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(0, Input::Peers(3, vec![1, 2]), &mut out);
-    node.handle(0, Input::Listed(engines(10), true), &mut out);
-    node.handle(0, Input::Read(RememberedState { carried: 1e12, issues: Vec::new() }), &mut out);
+    node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
+    node.handle(0, Input::StateLoaded(RememberedState { carried: 1e12, issues: Vec::new() }), &mut out);
     let told = |carried| Answer { stage: Stage::Careful, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
-    node.handle(1, Input::Answered(1, told(60.0)), &mut out);
-    node.handle(2, Input::Answered(2, told(f64::INFINITY)), &mut out);
+    node.handle(1, Input::PeerAnswered(1, told(60.0)), &mut out);
+    node.handle(2, Input::PeerAnswered(2, told(f64::INFINITY)), &mut out);
     assert_eq!(node.stage(), Stage::Careful);
-    let rate = node.gate().plan().rate.unwrap();
+    let rate = node.gate().plan().max_rate.unwrap();
     assert!(rate <= 60.0 * 0.3, "{rate}");
 }
 
@@ -163,14 +166,14 @@
         let mut node = Recovery::new(settings(self.nodes.len()), self.now, 300_000);
         let mut out = Vec::new();
         node.handle(self.now, Input::Peers(1, others), &mut out);
-        node.handle(self.now, Input::Listed(engines(4), true), &mut out);
+        node.handle(self.now, Input::EndpointsListed(engines(4), true), &mut out);
         self.nodes[n] = Some(node);
         self.carry(n, out);
     }
 
     fn carry(&mut self, n: usize, out: Vec<Output>) {
         for one in out {
-            if let Output::Ask(peer) = one {
+            if let Output::QueryPeer(peer) = one {
                 if !self.questions.contains(&(n, peer as usize)) {
                     self.questions.push((n, peer as usize));
                 }
@@ -188,7 +191,7 @@
                 Some(node) if node.stage() == Stage::Reading => {
                     let mut out = Vec::new();
                     let node = world.nodes[n].as_mut().unwrap();
-                    node.handle(self.now, Input::Read(RememberedState::default()), &mut out);
+                    node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut out);
                     world.carry(n, out);
                 }
                 Some(_) if self.kills > 0 => {
@@ -220,7 +223,7 @@
             let (from, to, answer) = world.answers.remove(i);
             let mut out = Vec::new();
             if let Some(node) = &mut world.nodes[to] {
-                node.handle(self.now, Input::Answered(from as u64, answer), &mut out);
+                node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut out);
             }
             world.carry(to, out);
             all.push(world);
