--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -68,7 +68,7 @@
             "\n  a bad engine costs the fleet {} failed attempts, and what is sent while word is on its way; no node \
              holds back more than {:.0}% of a kind\n    a verdict without evidence dies within {:.0} s",
             verdicts.price(),
-            verdicts.most * 100.0,
+            verdicts.max_ejection_fraction * 100.0,
             verdicts.max_ejection_time() as f64 / 1e6
         );
     }
@@ -79,11 +79,11 @@
             "\n  {} zones: work leaves a lost one within {:.1} s, and is back {:.0} s after the end of its trouble if \
              it was not tried before, {:.0} s at the most\n    without word of the keepers' leader for {:.1} s a node \
              serves what is near",
-            s.map.zones.len(),
-            s.moved_within(told) as f64 / 1e6,
-            s.back_within(0) as f64 / 1e6,
-            s.back_within(20) as f64 / 1e6,
-            s.lasts as f64 / 1e6
+            s.zones.zones.len(),
+            s.max_failover_time(told) as f64 / 1e6,
+            s.max_recovery_time(0) as f64 / 1e6,
+            s.max_recovery_time(20) as f64 / 1e6,
+            s.plan_lifetime as f64 / 1e6
         );
     }
     for limit in settings.quotas.iter().flat_map(|l| &l.limits) {
--- a/crates/pintally-config/src/regions.rs
+++ b/crates/pintally-config/src/regions.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use pintally::interface::Micros;
-use pintally_failover::{Map, Settings, Zone};
+use pintally_failover::{Settings, Zone, ZoneMap};
 
 use crate::form::{quoted, Form};
 use crate::{ConfigError, NodeSettings};
@@ -28,15 +28,27 @@
         write!(
             f,
             "(regions (per-engine-per-s {:?}) (fill {:?}) (floor {:?})",
-            s.per_engine, s.fill, s.floor
+            s.requests_per_second_per_engine, s.max_utilization, s.local_reserve
         )?;
-        write!(f, " (every-ms {}) (lasts-ms {}) (grace-ms {})", ms(s.every), ms(s.lasts), ms(s.grace))?;
-        write!(f, " (hold-ms {}) (hold-most-ms {}) (step-ms {})", ms(s.hold), ms(s.hold_most), ms(s.step))?;
-        for zone in &s.map.zones {
+        write!(
+            f,
+            " (every-ms {}) (lasts-ms {}) (grace-ms {})",
+            ms(s.plan_interval),
+            ms(s.plan_lifetime),
+            ms(s.failure_grace)
+        )?;
+        write!(
+            f,
+            " (hold-ms {}) (hold-most-ms {}) (step-ms {})",
+            ms(s.base_hold_down),
+            ms(s.max_hold_down),
+            ms(s.ramp_step)
+        )?;
+        for zone in &s.zones.zones {
             write!(f, " (zone {} {})", quoted(&zone.name), quoted(&zone.region))?;
         }
-        let name = |zone: usize| quoted(&s.map.zones[zone].name);
-        for (a, b, price) in &s.map.prices {
+        let name = |zone: usize| quoted(&s.zones.zones[zone].name);
+        for (a, b, price) in &s.zones.prices {
             match price.is_finite() {
                 true => write!(f, " (price {} {} {price:?})", name(*a), name(*b))?,
                 false => write!(f, " (no-way {} {})", name(*a), name(*b))?,
@@ -54,7 +66,7 @@
 }
 
 fn regions(form: &Form) -> Result<FailoverSettings, ConfigError> {
-    let mut map = Map::default();
+    let mut map = ZoneMap::default();
     for one in form.all("zone")? {
         map.zones.push(Zone { name: one.text()?, region: one.text()? });
         one.finish()?;
@@ -73,15 +85,20 @@
     let usual = Settings::new(map);
     let ms = |span: Micros| span as f64 / 1e3;
     let figures = Settings {
-        per_engine: form.number_or("per-engine-per-s", usual.per_engine, 0.001, 1e6)?,
-        fill: form.number_or("fill", usual.fill, 0.0, 1.0)?,
-        floor: form.number_or("floor", usual.floor, 0.0, 1.0)?,
-        every: form.millis_or("every-ms", ms(usual.every), 10.0, 60_000.0)?,
-        lasts: form.millis_or("lasts-ms", ms(usual.lasts), 10.0, 600_000.0)?,
-        grace: form.millis_or("grace-ms", ms(usual.grace), 10.0, 600_000.0)?,
-        hold: form.millis_or("hold-ms", ms(usual.hold), 10.0, 3_600_000.0)?,
-        hold_most: form.millis_or("hold-most-ms", ms(usual.hold_most), 10.0, 86_400_000.0)?,
-        step: form.millis_or("step-ms", ms(usual.step), 10.0, 3_600_000.0)?,
+        requests_per_second_per_engine: form.number_or(
+            "per-engine-per-s",
+            usual.requests_per_second_per_engine,
+            0.001,
+            1e6,
+        )?,
+        max_utilization: form.number_or("fill", usual.max_utilization, 0.0, 1.0)?,
+        local_reserve: form.number_or("floor", usual.local_reserve, 0.0, 1.0)?,
+        plan_interval: form.millis_or("every-ms", ms(usual.plan_interval), 10.0, 60_000.0)?,
+        plan_lifetime: form.millis_or("lasts-ms", ms(usual.plan_lifetime), 10.0, 600_000.0)?,
+        failure_grace: form.millis_or("grace-ms", ms(usual.failure_grace), 10.0, 600_000.0)?,
+        base_hold_down: form.millis_or("hold-ms", ms(usual.base_hold_down), 10.0, 3_600_000.0)?,
+        max_hold_down: form.millis_or("hold-most-ms", ms(usual.max_hold_down), 10.0, 86_400_000.0)?,
+        ramp_step: form.millis_or("step-ms", ms(usual.ramp_step), 10.0, 3_600_000.0)?,
         ..usual
     };
     figures.check().map_err(|e| form.error(e.to_string()))?;
@@ -116,11 +133,11 @@
         return Err(form.error(format!("no `tenant` is named `{tenant}`")));
     }
     let home = &s.core.zone;
-    if !home.is_empty() && regions.policy.map.zone(home).is_none() {
+    if !home.is_empty() && regions.policy.zones.zone(home).is_none() {
         return Err(form.error(format!("the node's zone `{home}` is in no region")));
     }
     let figures = &regions.policy;
-    if 4 * figures.step < s.core.slow_start_duration {
+    if 4 * figures.ramp_step < s.core.slow_start_duration {
         let what =
             "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
         return Err(form.breaks(COLD, what));
--- a/crates/pintally-config/src/shared.rs
+++ b/crates/pintally-config/src/shared.rs
@@ -175,14 +175,14 @@
     let usual = pintally_outlier_detection::Settings::default();
     let ms = |span: Micros| span as f64 / 1e3;
     let settings = pintally_outlier_detection::Settings {
-        memory: form.millis_or("memory-ms", ms(usual.memory), 1.0, 600_000.0)?,
-        strikes: form.count_or("strikes", u64::from(usual.strikes), 1, 100)? as u32,
-        accusers: form.count_or("accusers", usual.accusers as u64, 1, 100)? as usize,
-        rest: form.millis_or("rest-ms", ms(usual.rest), 1.0, 600_000.0)?,
-        rest_most: form.millis_or("rest-most-ms", ms(usual.rest_most), 1.0, 3_600_000.0)?,
-        step: form.millis_or("step-ms", ms(usual.step), 1.0, 600_000.0)?,
-        most: form.number_or("most", usual.most, 0.0, 1.0)?,
-        own: form.number_or("own", usual.own, 0.0, 1.0)?,
+        evidence_retention: form.millis_or("memory-ms", ms(usual.evidence_retention), 1.0, 600_000.0)?,
+        consecutive_failures: form.count_or("strikes", u64::from(usual.consecutive_failures), 1, 100)? as u32,
+        min_reporters: form.count_or("accusers", usual.min_reporters as u64, 1, 100)? as usize,
+        base_ejection_time: form.millis_or("rest-ms", ms(usual.base_ejection_time), 1.0, 600_000.0)?,
+        max_ejection_time: form.millis_or("rest-most-ms", ms(usual.max_ejection_time), 1.0, 3_600_000.0)?,
+        ramp_step: form.millis_or("step-ms", ms(usual.ramp_step), 1.0, 600_000.0)?,
+        max_ejection_fraction: form.number_or("most", usual.max_ejection_fraction, 0.0, 1.0)?,
+        self_doubt_fraction: form.number_or("own", usual.self_doubt_fraction, 0.0, 1.0)?,
     };
     form.finish()?;
     settings.check().map_err(|e| form.error(e.to_string()))?;
@@ -195,14 +195,14 @@
     format!(
         "(verdicts (memory-ms {}) (strikes {}) (accusers {}) (rest-ms {}) (rest-most-ms {}) (step-ms {}) \
          (most {:?}) (own {:?}))",
-        ms(s.memory),
-        s.strikes,
-        s.accusers,
-        ms(s.rest),
-        ms(s.rest_most),
-        ms(s.step),
-        s.most,
-        s.own
+        ms(s.evidence_retention),
+        s.consecutive_failures,
+        s.min_reporters,
+        ms(s.base_ejection_time),
+        ms(s.max_ejection_time),
+        ms(s.ramp_step),
+        s.max_ejection_fraction,
+        s.self_doubt_fraction
     )
 }
 
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -280,32 +280,32 @@
 #[test]
 fn verdicts_form_values() {
     let v = read("fleet.sexp").outlier_detection.expect("verdicts");
-    assert_eq!((v.memory, v.strikes, v.accusers), (9_000_000, 4, 3));
-    assert_eq!((v.rest, v.rest_most, v.step), (2_100_000, 31_000_000, 2_200_000));
-    assert_eq!((v.most, v.own), (0.25, 0.4));
+    assert_eq!((v.evidence_retention, v.consecutive_failures, v.min_reporters), (9_000_000, 4, 3));
+    assert_eq!((v.base_ejection_time, v.max_ejection_time, v.ramp_step), (2_100_000, 31_000_000, 2_200_000));
+    assert_eq!((v.max_ejection_fraction, v.self_doubt_fraction), (0.25, 0.4));
     let v = read("fleet_defaults.sexp").outlier_detection.expect("verdicts");
-    assert_eq!((v.memory, v.strikes, v.accusers), (5_000_000, 2, 2));
-    assert_eq!((v.rest, v.rest_most, v.step), (1_000_000, 16_000_000, 1_000_000));
-    assert_eq!((v.most, v.own), (0.5, 0.5));
+    assert_eq!((v.evidence_retention, v.consecutive_failures, v.min_reporters), (5_000_000, 2, 2));
+    assert_eq!((v.base_ejection_time, v.max_ejection_time, v.ramp_step), (1_000_000, 16_000_000, 1_000_000));
+    assert_eq!((v.max_ejection_fraction, v.self_doubt_fraction), (0.5, 0.5));
 }
 
 #[test]
 fn regions_form() {
     let regions = read("fleet.sexp").failover.expect("regions");
     let f = &regions.policy;
-    let zones: Vec<_> = f.map.zones.iter().map(|z| (z.name.as_str(), z.region.as_str())).collect();
+    let zones: Vec<_> = f.zones.zones.iter().map(|z| (z.name.as_str(), z.region.as_str())).collect();
     assert_eq!(zones, [("a", "north"), ("b", "north"), ("c", "south")]);
-    assert_eq!(f.map.prices, [(0, 1, 2.5), (1, 2, f64::INFINITY)]);
-    assert_eq!((f.per_engine, f.fill, f.floor), (5.5, 0.85, 0.25));
-    assert_eq!((f.every, f.lasts, f.grace), (400_000, 2_500_000, 1_100_000));
-    assert_eq!((f.hold, f.hold_most, f.step), (3_000_000, 50_000_000, 2_300_000));
+    assert_eq!(f.zones.prices, [(0, 1, 2.5), (1, 2, f64::INFINITY)]);
+    assert_eq!((f.requests_per_second_per_engine, f.max_utilization, f.local_reserve), (5.5, 0.85, 0.25));
+    assert_eq!((f.plan_interval, f.plan_lifetime, f.failure_grace), (400_000, 2_500_000, 1_100_000));
+    assert_eq!((f.base_hold_down, f.max_hold_down, f.ramp_step), (3_000_000, 50_000_000, 2_300_000));
     assert_eq!((regions.pinned_classes, regions.pinned_tenants), (vec!["mark".into()], vec!["north".into()]));
 
     let regions = read("fleet_defaults.sexp").failover.expect("regions");
     let f = &regions.policy;
-    assert_eq!((f.per_engine, f.fill, f.floor), (4.0, 0.9, 0.3));
-    assert_eq!((f.every, f.lasts, f.grace), (500_000, 3_000_000, 1_500_000));
-    assert_eq!((f.hold, f.hold_most, f.step), (4_000_000, 60_000_000, 2_000_000));
+    assert_eq!((f.requests_per_second_per_engine, f.max_utilization, f.local_reserve), (4.0, 0.9, 0.3));
+    assert_eq!((f.plan_interval, f.plan_lifetime, f.failure_grace), (500_000, 3_000_000, 1_500_000));
+    assert_eq!((f.base_hold_down, f.max_hold_down, f.ramp_step), (4_000_000, 60_000_000, 2_000_000));
     assert!(regions.pinned_classes.is_empty() && regions.pinned_tenants.is_empty());
 }
 
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::map::Settings;
-use crate::plan::Plan;
+use crate::plan::FailoverPlan;
 use crate::Micros;
 
 /// Where a request goes.
@@ -20,7 +20,7 @@
 pub struct PlanFollower {
     settings: Settings,
     home: usize,
-    plan: Option<(Plan, Micros)>,
+    plan: Option<(FailoverPlan, Micros)>,
 }
 
 impl PlanFollower {
@@ -30,7 +30,7 @@
     }
 
     /// A plan has come; whether it is the latest. An old one that arrives late does nothing.
-    pub fn hear(&mut self, now: Micros, plan: Plan) -> bool {
+    pub fn apply(&mut self, now: Micros, plan: FailoverPlan) -> bool {
         if !plan.follows(self.plan.as_ref().map(|(known, _)| known)) {
             return false;
         }
@@ -39,14 +39,14 @@
     }
 
     /// The plan that holds now: it ends by itself.
-    pub fn plan(&self, now: Micros) -> Option<&Plan> {
+    pub fn plan(&self, now: Micros) -> Option<&FailoverPlan> {
         let (plan, at) = self.plan.as_ref()?;
-        (now < at + self.settings.lasts).then_some(plan)
+        (now < at + self.settings.plan_lifetime).then_some(plan)
     }
 
     /// Where a session's requests go: the same zone for all of them while parts stay as they are, and as
     /// few of them as can be go elsewhere when parts change. `stays`: it may not leave the region.
-    pub fn choose(&self, now: Micros, session: u64, stays: bool) -> Route {
+    pub fn route(&self, now: Micros, session: u64, stays: bool) -> Route {
         let Some(plan) = self.plan(now) else {
             // Without word of a majority everybody serves what is near, within its own means.
             return Route::Zone(self.home);
@@ -54,7 +54,7 @@
         let Some(row) = plan.rows.get(self.home) else { return Route::Zone(self.home) };
         let own = row.iter().filter(|(zone, _)| usize::from(*zone) == self.home);
         let others = row.iter().filter(|(zone, _)| usize::from(*zone) != self.home);
-        let may = |zone: u8| !stays || self.settings.map.together(self.home, usize::from(zone));
+        let may = |zone: u8| !stays || self.settings.zones.together(self.home, usize::from(zone));
         let allowed: Vec<(u8, u8)> = own.chain(others).filter(|(zone, _)| may(*zone)).copied().collect();
         let mut place = (xxh3_64(&session.to_le_bytes()) >> 56) as u32 * 255 / 256;
         for (zone, part) in allowed {
@@ -63,6 +63,6 @@
             }
             place -= u32::from(part);
         }
-        Route::Reject(2 * self.settings.every)
+        Route::Reject(2 * self.settings.plan_interval)
     }
 }
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -11,16 +11,16 @@
 mod map;
 mod plan;
 mod planner;
-mod way;
+mod zone_state;
 
 pub use flow::{place, FlowAssignment};
 pub use follower::{PlanFollower, Route};
 pub use local::{ZoneObserver, ZoneReport};
-pub use map::{Map, Settings, Zone, MAX_ZONES};
+pub use map::{Settings, Zone, ZoneMap, MAX_ZONES};
 pub use pintally_validation::InvalidConfiguration;
-pub use plan::Plan;
-pub use planner::{Order, Planner, Status, ZoneStatus};
-pub use way::ZoneHealth;
+pub use plan::FailoverPlan;
+pub use planner::{OperatorOrder, Planner, Status, ZoneStatus};
+pub use zone_state::ZoneHealth;
 
 /// Microseconds of a clock that never goes back.
 pub type Micros = u64;
--- a/crates/pintally-failover/src/local.rs
+++ b/crates/pintally-failover/src/local.rs
@@ -87,7 +87,7 @@
     }
 
     /// What it says.
-    pub fn word(&mut self, now: Micros) -> ZoneReport {
+    pub fn report(&mut self, now: Micros) -> ZoneReport {
         self.fade(now);
         let part = |x: f64, of: f64| (255.0 * (x / of.max(1e-9)).clamp(0.0, 1.0)) as u8;
         let zone = |c: &Count| match c.ended >= 0.5 {
--- a/crates/pintally-failover/src/map.rs
+++ b/crates/pintally-failover/src/map.rs
@@ -20,7 +20,7 @@
 
 /// What is near what. Zones go by their place in the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Map {
+pub struct ZoneMap {
     /// All zones.
     pub zones: Vec<Zone>,
     /// Prices of a request's way between two zones; pairs that are not told cost 1 within a region and
@@ -28,7 +28,7 @@
     pub prices: Vec<(usize, usize, f64)>,
 }
 
-impl Map {
+impl ZoneMap {
     /// A zone's place by its name.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|z| z.name == name)
@@ -55,73 +55,79 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The map.
-    pub map: Map,
+    pub zones: ZoneMap,
     /// Requests a second that one warm engine carries, over all nodes.
-    pub per_engine: f64,
+    pub requests_per_second_per_engine: f64,
     /// The part of a zone's capacity that may be used: what is over it is offered to nobody.
-    pub fill: f64,
+    pub max_utilization: f64,
     /// The part of a zone's capacity that it keeps for its own.
-    pub floor: f64,
+    pub local_reserve: f64,
     /// Plans are made this often.
-    pub every: Micros,
+    pub plan_interval: Micros,
     /// A plan that is not renewed ends after this time.
-    pub lasts: Micros,
+    pub plan_lifetime: Micros,
     /// A zone must look bad for so long before it is given up.
-    pub grace: Micros,
+    pub failure_grace: Micros,
     /// A zone that was given up is tried again after this time; doubled each time it fails again.
-    pub hold: Micros,
+    pub base_hold_down: Micros,
     /// And no later than this.
-    pub hold_most: Micros,
+    pub max_hold_down: Micros,
     /// How long a step of the way back lasts.
-    pub step: Micros,
+    pub ramp_step: Micros,
 }
 
 impl Settings {
     /// Usual figures for a map.
-    pub fn new(map: Map) -> Settings {
+    pub fn new(map: ZoneMap) -> Settings {
         Settings {
-            map,
-            per_engine: 4.0,
-            fill: 0.9,
-            floor: 0.3,
-            every: 500_000,
-            lasts: 3_000_000,
-            grace: 1_500_000,
-            hold: 4_000_000,
-            hold_most: 60_000_000,
-            step: 2_000_000,
+            zones: map,
+            requests_per_second_per_engine: 4.0,
+            max_utilization: 0.9,
+            local_reserve: 0.3,
+            plan_interval: 500_000,
+            plan_lifetime: 3_000_000,
+            failure_grace: 1_500_000,
+            base_hold_down: 4_000_000,
+            max_hold_down: 60_000_000,
+            ramp_step: 2_000_000,
         }
     }
 
     /// Checks that the figures go together.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        let zones = &self.map.zones;
+        let zones = &self.zones.zones;
         let names: BTreeSet<&str> = zones.iter().map(|z| z.name.as_str()).collect();
         ensure(!zones.is_empty(), "there is no zone")?;
         ensure(zones.len() <= MAX_ZONES, "there are more than 20 zones")?;
         ensure(names.len() >= zones.len(), "a zone is in two regions, or named twice")?;
-        ensure(self.map.prices.iter().all(|p| p.2 >= 0.0), "a price is below nothing")?;
-        ensure(self.per_engine > 0.0, "an engine carries nothing")?;
-        ensure((0.1..=1.0).contains(&self.fill), "nearly nothing of a zone may be used")?;
-        ensure((0.0..=1.0).contains(&self.floor), "a zone keeps more than it has")?;
-        ensure(self.lasts >= 3 * self.every, "a plan ends before it was renewed three times")?;
-        ensure(self.grace >= 2 * self.every, "a zone is given up before two plans have seen it bad")?;
+        ensure(self.zones.prices.iter().all(|p| p.2 >= 0.0), "a price is below nothing")?;
+        ensure(self.requests_per_second_per_engine > 0.0, "an engine carries nothing")?;
+        ensure((0.1..=1.0).contains(&self.max_utilization), "nearly nothing of a zone may be used")?;
+        ensure((0.0..=1.0).contains(&self.local_reserve), "a zone keeps more than it has")?;
         ensure(
-            self.hold >= self.grace && self.hold <= self.hold_most,
+            self.plan_lifetime >= 3 * self.plan_interval,
+            "a plan ends before it was renewed three times",
+        )?;
+        ensure(
+            self.failure_grace >= 2 * self.plan_interval,
+            "a zone is given up before two plans have seen it bad",
+        )?;
+        ensure(
+            self.base_hold_down >= self.failure_grace && self.base_hold_down <= self.max_hold_down,
             "a zone is tried again before it was given up, or never",
         )?;
-        ensure(self.step >= 2 * self.every, "a step of the way back is over before it was seen")
+        ensure(self.ramp_step >= 2 * self.plan_interval, "a step of the way back is over before it was seen")
     }
 
     /// From the first sign that a zone is lost to all nodes following the plan without it, with words and
     /// plans that take `told` to reach everyone.
-    pub fn moved_within(&self, told: Micros) -> Micros {
-        self.grace + 2 * self.every + 2 * told
+    pub fn max_failover_time(&self, told: Micros) -> Micros {
+        self.failure_grace + 2 * self.plan_interval + 2 * told
     }
 
     /// From the end of a trouble of which a zone was tried `fails` times in vain to its full use.
-    pub fn back_within(&self, fails: u32) -> Micros {
-        let hold = self.hold.saturating_mul(1 << fails.min(20)).min(self.hold_most);
-        hold + 4 * self.step + self.every
+    pub fn max_recovery_time(&self, fails: u32) -> Micros {
+        let hold = self.base_hold_down.saturating_mul(1 << fails.min(20)).min(self.max_hold_down);
+        hold + 4 * self.ramp_step + self.plan_interval
     }
 }
--- a/crates/pintally-failover/src/planner.rs
+++ b/crates/pintally-failover/src/planner.rs
@@ -7,8 +7,8 @@
 use crate::flow::{place, FlowAssignment};
 use crate::local::ZoneReport;
 use crate::map::Settings;
-use crate::plan::Plan;
-use crate::way::{Way, ZoneHealth};
+use crate::plan::FailoverPlan;
+use crate::zone_state::{Way, ZoneHealth};
 use crate::Micros;
 
 /// Words older than this count for nothing.
@@ -24,9 +24,9 @@
 
 /// What people order for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorOrder {
     /// Give it up, and leave it so.
-    Out,
+    Evacuate,
     /// Leave it as it is, whatever the program wants.
     Hold,
 }
@@ -92,7 +92,7 @@
     here: Vec<usize>,
     engines: Vec<f64>,
     ways: Vec<Way>,
-    orders: Vec<Option<Order>>,
+    orders: Vec<Option<OperatorOrder>>,
     rows: Vec<Vec<(u8, u8)>>,
     status: Status,
     since: Micros,
@@ -100,8 +100,8 @@
 
 impl Planner {
     /// A planner of a lead that began now.
-    pub fn new(settings: Settings, term: u64, before: Option<&Plan>, now: Micros) -> Planner {
-        let zones = settings.map.zones.len();
+    pub fn new(settings: Settings, term: u64, before: Option<&FailoverPlan>, now: Micros) -> Planner {
+        let zones = settings.zones.zones.len();
         let way = |zone: usize| match before.and_then(|p| p.open.get(zone)) {
             Some(open) => Way::resume(now, *open, &settings),
             None => Way::new(now, &settings),
@@ -124,20 +124,20 @@
     }
 
     /// A node has told what it sees. It is in this zone.
-    pub fn word(&mut self, now: Micros, name: &str, zone: usize, word: ZoneReport) {
+    pub fn receive_report(&mut self, now: Micros, name: &str, zone: usize, word: ZoneReport) {
         if zone < self.here.len() && (self.told.len() < 4096 || self.told.contains_key(name)) {
             self.told.insert(name.to_string(), Told { zone, at: now, word });
         }
     }
 
     /// How many nodes of each zone are here, and how many engines the list has there.
-    pub fn world(&mut self, here: &[usize], engines: &[f64]) {
+    pub fn update_zones(&mut self, here: &[usize], engines: &[f64]) {
         self.here.iter_mut().zip(here).for_each(|(h, n)| *h = *n);
         self.engines.iter_mut().zip(engines).for_each(|(e, n)| *e = *n);
     }
 
     /// What people order for a zone; none lets the program decide.
-    pub fn order(&mut self, zone: usize, order: Option<Order>) {
+    pub fn order(&mut self, zone: usize, order: Option<OperatorOrder>) {
         if let Some(known) = self.orders.get_mut(zone) {
             *known = order;
         }
@@ -168,17 +168,17 @@
     }
 
     /// Makes the next plan.
-    pub fn plan(&mut self, now: Micros) -> Plan {
+    pub fn plan(&mut self, now: Micros) -> FailoverPlan {
         self.told.retain(|_, t| now.saturating_sub(t.at) <= WORD_LASTS);
         let zones = self.here.len();
         let seen: Vec<Seen> = (0..zones).map(|z| self.seen(z)).collect();
         let known: Vec<ZoneHealth> = (0..zones).map(|z| self.known(z, &seen[z])).collect();
         for (zone, known) in known.iter().enumerate() {
             match self.orders[zone] {
-                Some(Order::Out) => self.ways[zone].put_out(now),
-                Some(Order::Hold) => {}
+                Some(OperatorOrder::Evacuate) => self.ways[zone].put_out(now),
+                Some(OperatorOrder::Hold) => {}
                 // A new lead hears the words first.
-                None if now < self.since + self.settings.grace => {}
+                None if now < self.since + self.settings.failure_grace => {}
                 None => {
                     let late = seen[zone].late >= LATE;
                     self.ways[zone].look(now, *known, late, &self.settings);
@@ -196,12 +196,12 @@
         // nothing is known, takes nobody else's work.
         let offer = |z: usize| match (self.ways[z].open(), known[z]) {
             (255, ZoneHealth::Alive | ZoneHealth::Grey) => {
-                (room[z] - own[z].max(self.settings.floor * room[z])).max(0.0)
+                (room[z] - own[z].max(self.settings.local_reserve * room[z])).max(0.0)
             }
             _ => 0.0,
         };
         let offers: Vec<f64> = (0..zones).map(offer).collect();
-        let map = &self.settings.map;
+        let map = &self.settings.zones;
         let placed = place(&needs, &offers, |a, b| if a == b { f64::INFINITY } else { map.price(a, b) });
         let rows = (0..zones)
             .map(|z| row(z, offered[z], own[z], &placed.flow[z], (room[z], self.ways[z].open() == 255)))
@@ -210,14 +210,18 @@
         self.tell((&known, &seen), &offered, &room, &placed);
         self.number += 1;
         let open = self.ways.iter().map(Way::open).collect();
-        Plan { term: self.term, number: self.number, rows: self.rows.clone(), open }
+        FailoverPlan { term: self.term, number: self.number, rows: self.rows.clone(), open }
     }
 
     /// What a zone carries as it is: its engines, less what fails there, as far as it is in use.
     fn room(&self, zone: usize, seen: &Seen) -> f64 {
         let sound = if seen.all >= ENOUGH && seen.failed >= GREY { 1.0 - seen.failed } else { 1.0 };
         let open = f64::from(self.ways[zone].open()) / 255.0;
-        self.engines[zone] * self.settings.per_engine * self.settings.fill * sound * open
+        self.engines[zone]
+            * self.settings.requests_per_second_per_engine
+            * self.settings.max_utilization
+            * sound
+            * open
     }
 
     fn keep_still(&mut self, rows: Vec<Vec<(u8, u8)>>) {
@@ -241,12 +245,12 @@
         room: &[f64],
         placed: &FlowAssignment,
     ) {
-        let names = &self.settings.map.zones;
+        let names = &self.settings.zones.zones;
         let status = |z: usize| {
             let Seen { all, failed: failing, late } = seen[z];
             let why = match (self.orders[z], self.ways[z].open()) {
-                (Some(Order::Out), _) => "people gave it up".to_string(),
-                (Some(Order::Hold), _) => "people hold it as it is".to_string(),
+                (Some(OperatorOrder::Evacuate), _) => "people gave it up".to_string(),
+                (Some(OperatorOrder::Hold), _) => "people hold it as it is".to_string(),
                 (None, 0) => format!(
                     "{:.0}% of {all:.0} attempts there failed; it is tried again later",
                     failing * 100.0
@@ -292,9 +296,9 @@
     }
 
     /// What the plan would be if a zone were gone: nothing is changed by it.
-    pub fn rehearse(&self, now: Micros, zone: usize) -> Status {
+    pub fn dry_run(&self, now: Micros, zone: usize) -> Status {
         let mut dry = self.clone();
-        dry.order(zone, Some(Order::Out));
+        dry.order(zone, Some(OperatorOrder::Evacuate));
         dry.plan(now);
         dry.status
     }
--- a/crates/pintally-failover/src/way.rs
+++ b/crates/pintally-failover/src/zone_state.rs
@@ -39,7 +39,7 @@
 
 impl Way {
     pub(crate) fn new(now: Micros, settings: &Settings) -> Way {
-        Way { step: STEPS.len() - 1, since: now, bad_since: None, hold: settings.hold, moves: 0 }
+        Way { step: STEPS.len() - 1, since: now, bad_since: None, hold: settings.base_hold_down, moves: 0 }
     }
 
     /// Goes on from what a leader before told of it.
@@ -59,21 +59,21 @@
         let whole = self.step == STEPS.len() - 1;
         let at = now.saturating_sub(self.since);
         // What fails on its way back is given up on the first sign, a whole one only when it lasts.
-        let lasts = self.bad_since.is_some_and(|b| now.saturating_sub(b) >= settings.grace);
+        let lasts = self.bad_since.is_some_and(|b| now.saturating_sub(b) >= settings.failure_grace);
         if self.step > 0 && bad && (lasts || !whole) {
-            self.hold = if whole { self.hold } else { (2 * self.hold).min(settings.hold_most) };
+            self.hold = if whole { self.hold } else { (2 * self.hold).min(settings.max_hold_down) };
             return self.go(now, 0);
         }
         // A death that is undone is a matter of the hold time; what is unknown stays as it is.
-        let waits = if self.step == 0 { self.hold } else { settings.step };
+        let waits = if self.step == 0 { self.hold } else { settings.ramp_step };
         // Guards against steps that go faster than engines get warm: while what is let in is late, or
         // refused there, nothing more is.
         let ready = self.step == 0 || !(bad || late);
         if !whole && at >= waits && ready && known != ZoneHealth::Unknown {
             return self.go(now, self.step + 1);
         }
-        if whole && at >= 4 * settings.hold_most {
-            self.hold = settings.hold;
+        if whole && at >= 4 * settings.max_hold_down {
+            self.hold = settings.base_hold_down;
         }
     }
 
--- a/crates/pintally-failover/tests/golden.rs
+++ b/crates/pintally-failover/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Words and plans as bytes: nodes of different builds read each other's.
 
-use pintally_failover::{Plan, ZoneObserver, ZoneReport};
+use pintally_failover::{FailoverPlan, ZoneObserver, ZoneReport};
 
 const GOLDEN: &str = include_str!("golden/words.txt");
 
@@ -33,7 +33,7 @@
     (0..4).for_each(|_| local.offered(0));
     (0..4).for_each(|n| local.ended(0, 1, n == 0));
     local.late(0, 1);
-    let word = local.word(0);
+    let word = local.report(0);
     assert_bytes("local_word", &word.encode());
     assert_eq!(ZoneReport::decode(&golden("local_word")), Some(word));
 }
@@ -41,9 +41,9 @@
 #[test]
 fn plan_bytes_are_stable() {
     let rows = vec![vec![(0, 200), (2, 55)], Vec::new(), vec![(2, 255)]];
-    let full = Plan { term: 301, number: 1 << 40, rows, open: vec![255, 0, 128] };
-    for (name, plan) in [("plan", full), ("plan_empty", Plan::default())] {
+    let full = FailoverPlan { term: 301, number: 1 << 40, rows, open: vec![255, 0, 128] };
+    for (name, plan) in [("plan", full), ("plan_empty", FailoverPlan::default())] {
         assert_bytes(name, &plan.encode());
-        assert_eq!(Plan::decode(&golden(name), plan.rows.len()), Some(plan), "plan of {name}");
+        assert_eq!(FailoverPlan::decode(&golden(name), plan.rows.len()), Some(plan), "plan of {name}");
     }
 }
--- a/crates/pintally-failover/tests/regions.rs
+++ b/crates/pintally-failover/tests/regions.rs
@@ -1,8 +1,8 @@
 //! Zones in virtual time: clients, nodes and engines as rates; what nodes see reaches the leader late.
 
 use pintally_failover::{
-    place, Map, Micros, Order, Plan, PlanFollower, Planner, Route, Settings, Zone, ZoneHealth, ZoneObserver,
-    ZoneReport,
+    place, FailoverPlan, Micros, OperatorOrder, PlanFollower, Planner, Route, Settings, Zone, ZoneHealth,
+    ZoneMap, ZoneObserver, ZoneReport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
 fn settings() -> Settings {
     let zone = |name: &str, region: &str| Zone { name: name.into(), region: region.into() };
     let zones = vec![zone("a", "north"), zone("b", "north"), zone("c", "south")];
-    Settings { per_engine: 1.0, ..Settings::new(Map { zones, prices: Vec::new() }) }
+    Settings { requests_per_second_per_engine: 1.0, ..Settings::new(ZoneMap { zones, prices: Vec::new() }) }
 }
 
 /// Three zones with two nodes each; loads and engines as rates.
@@ -35,7 +35,7 @@
     served: Vec<f64>,
     far: f64,
     peak: Vec<f64>,
-    told: Vec<(Micros, Plan)>,
+    told: Vec<(Micros, FailoverPlan)>,
     moves: u64,
 }
 
@@ -88,7 +88,7 @@
                 self.came[home] += 1.0;
                 self.locals[node].offered(now);
                 let session = self.rng.random();
-                if let Route::Zone(zone) = self.followers[node].choose(now, session, false) {
+                if let Route::Zone(zone) = self.followers[node].route(now, session, false) {
                     self.far += f64::from(u8::from(zone != home));
                     sent[zone].push((node, home));
                 }
@@ -105,20 +105,20 @@
                 self.served[home] += f64::from(u8::from(!failed));
             }
         }
-        if now.is_multiple_of(self.settings.every) {
+        if now.is_multiple_of(self.settings.plan_interval) {
             for node in (0..6).filter(|n| self.nodes_here[n % 3] > 0) {
-                let word = ZoneReport::decode(&self.locals[node].word(now).encode()).unwrap();
-                self.planner.word(now, &format!("n{node}"), node % 3, word);
+                let word = ZoneReport::decode(&self.locals[node].report(now).encode()).unwrap();
+                self.planner.receive_report(now, &format!("n{node}"), node % 3, word);
             }
-            self.planner.world(&self.nodes_here, &[100.0; 3]);
+            self.planner.update_zones(&self.nodes_here, &[100.0; 3]);
             let plan = self.planner.plan(now);
             assert!(plan.encode().len() < 400);
-            self.told.push((now + 200 * MS, Plan::decode(&plan.encode(), 3).unwrap()));
+            self.told.push((now + 200 * MS, FailoverPlan::decode(&plan.encode(), 3).unwrap()));
             self.moves = self.planner.status().zones.iter().map(|z| z.moves).sum();
         }
         for (_, plan) in self.told.extract_if(.., |t| t.0 <= now) {
             self.followers.iter_mut().for_each(|f| {
-                f.hear(now, plan.clone());
+                f.apply(now, plan.clone());
             });
         }
     }
@@ -149,13 +149,13 @@
     world.run(4_000);
     // Its engines are lost; its nodes live, and send their clients' work elsewhere.
     (world.carries[0], world.fails[0]) = (0.0, 1.0);
-    let moved = world.settings.moved_within(200 * MS) / MS;
+    let moved = world.settings.max_failover_time(200 * MS) / MS;
     world.run(moved + 1_000);
     let (served, _) = world.run(8_000);
     assert!(served > 0.97, "{served:.3} served while it is gone");
     assert!(world.peak[1] < 95.0 && world.peak[2] < 95.0, "{:?}", world.peak);
     (world.carries[0], world.fails[0]) = (100.0, 0.0);
-    let back = world.settings.back_within(4) / MS;
+    let back = world.settings.max_recovery_time(4) / MS;
     let mut opened = Vec::new();
     for _ in 0..back / 500 {
         let (served, _) = world.run(500);
@@ -176,11 +176,11 @@
     let mut world = World::new(4, [30.0; 3]);
     world.run(4_000);
     let mut planner = world.planner.clone();
-    planner.world(&[0, 2, 2], &[100.0; 3]);
+    planner.update_zones(&[0, 2, 2], &[100.0; 3]);
     for step in 1..40 {
         let now = world.now + step * 500 * MS;
         for node in [1, 2, 4, 5] {
-            planner.word(
+            planner.receive_report(
                 now,
                 &format!("n{node}"),
                 node % 3,
@@ -272,7 +272,7 @@
         }
         (world.fails, world.carries, world.nodes_here) = (vec![0.0; 3], vec![100.0; 3], vec![2; 3]);
         let from = world.now;
-        let bound = world.settings.hold_most + 6 * world.settings.step + 10_000 * MS;
+        let bound = world.settings.max_hold_down + 6 * world.settings.ramp_step + 10_000 * MS;
         loop {
             let (served, far) = world.run(2_000);
             if served > 0.98 && far < 0.02 {
@@ -289,53 +289,53 @@
 fn plans_carry_their_term_and_end_by_themselves() {
     let settings = settings();
     let mut follower = PlanFollower::new(settings.clone(), 0);
-    assert_eq!(follower.choose(1, 7, false), Route::Zone(0), "without a plan what is near is served");
-    let away = |term, number| Plan {
+    assert_eq!(follower.route(1, 7, false), Route::Zone(0), "without a plan what is near is served");
+    let away = |term, number| FailoverPlan {
         term,
         number,
         rows: vec![vec![(2, 255)], vec![], vec![]],
         open: vec![0, 255, 255],
     };
-    assert!(follower.hear(1, away(3, 1)));
-    assert_eq!(follower.choose(2, 7, false), Route::Zone(2));
-    assert!(matches!(follower.choose(2, 7, true), Route::Reject(_)), "what must stay stays");
-    let home = Plan { rows: vec![vec![(0, 255)], vec![], vec![]], ..away(2, 900) };
-    assert!(!follower.hear(3, home), "an old one that arrives late does nothing");
-    assert_eq!(follower.choose(settings.lasts + 2, 7, false), Route::Zone(0), "it has ended");
-    assert!(Plan::decode(&[9; 40], 3).is_none());
-    assert!(Plan::decode(&away(1, 1).encode(), 2).is_none());
+    assert!(follower.apply(1, away(3, 1)));
+    assert_eq!(follower.route(2, 7, false), Route::Zone(2));
+    assert!(matches!(follower.route(2, 7, true), Route::Reject(_)), "what must stay stays");
+    let home = FailoverPlan { rows: vec![vec![(0, 255)], vec![], vec![]], ..away(2, 900) };
+    assert!(!follower.apply(3, home), "an old one that arrives late does nothing");
+    assert_eq!(follower.route(settings.plan_lifetime + 2, 7, false), Route::Zone(0), "it has ended");
+    assert!(FailoverPlan::decode(&[9; 40], 3).is_none());
+    assert!(FailoverPlan::decode(&away(1, 1).encode(), 2).is_none());
 }
 
 /// Guards against a planner that begins anew in the same term and whose plans nobody takes.
 #[test]
 fn a_lead_that_lapses_goes_on_with_its_plans() {
     let mut first = Planner::new(settings(), 4, None, 1);
-    let (mut follower, mut last) = (PlanFollower::new(settings(), 0), Plan::default());
+    let (mut follower, mut last) = (PlanFollower::new(settings(), 0), FailoverPlan::default());
     for step in 1..20 {
         last = first.plan(step * 500 * MS);
-        assert!(follower.hear(step * 500 * MS, last.clone()));
+        assert!(follower.apply(step * 500 * MS, last.clone()));
     }
     let now = 30 * 500 * MS;
     let next = Planner::new(settings(), 4, Some(&last), now).plan(now);
-    assert!(follower.hear(now, next));
+    assert!(follower.apply(now, next));
     let later = Planner::new(settings(), 5, Some(&last), now).plan(now);
-    assert!(follower.hear(now, later), "and a later term begins anew");
+    assert!(follower.apply(now, later), "and a later term begins anew");
 }
 
 #[test]
 fn whole_sessions_go_and_few_of_them_when_parts_change() {
     let settings = settings();
-    let plan = |number, own: u8| Plan {
+    let plan = |number, own: u8| FailoverPlan {
         term: 1,
         number,
         rows: vec![vec![(0, own), (1, 255 - own)], vec![], vec![]],
         open: vec![255; 3],
     };
     let mut follower = PlanFollower::new(settings, 0);
-    follower.hear(1, plan(1, 200));
-    let before: Vec<Route> = (0..1_000).map(|s| follower.choose(2, s, false)).collect();
-    follower.hear(3, plan(2, 180));
-    let moved = (0..1_000).filter(|s| follower.choose(4, *s, false) != before[*s as usize]).count();
+    follower.apply(1, plan(1, 200));
+    let before: Vec<Route> = (0..1_000).map(|s| follower.route(2, s, false)).collect();
+    follower.apply(3, plan(2, 180));
+    let moved = (0..1_000).filter(|s| follower.route(4, *s, false) != before[*s as usize]).count();
     assert!((40..130).contains(&moved), "{moved} of 1000 sessions moved for 8% of them");
 }
 
@@ -385,18 +385,18 @@
 fn people_order_and_rehearse() {
     let mut world = World::new(8, [30.0; 3]);
     world.run(5_000);
-    let dry = world.planner.rehearse(world.now, 1);
+    let dry = world.planner.dry_run(world.now, 1);
     assert_eq!(dry.zones[1].open, 0.0);
     assert!(dry.goes[1].iter().all(|g| g.0 != "b"), "{dry:?}");
     assert_eq!(world.planner.status().zones[1].open, 1.0, "a rehearsal changes nothing");
-    world.planner.order(1, Some(Order::Out));
+    world.planner.order(1, Some(OperatorOrder::Evacuate));
     let (served, _) = world.run(20_000);
     assert!(served > 0.97, "{served}");
     assert_eq!(world.planner.status().zones[1].open, 0.0);
     world.planner.order(1, None);
     world.run(20_000);
     assert_eq!(world.planner.status().zones[1].open, 1.0);
-    world.planner.order(1, Some(Order::Hold));
+    world.planner.order(1, Some(OperatorOrder::Hold));
     world.fails[1] = 1.0;
     world.run(6_000);
     assert_eq!(world.planner.status().zones[1].open, 1.0, "held as it is");
@@ -406,9 +406,9 @@
 fn figures_that_do_not_go_together_are_told() {
     let good = settings();
     assert!(good.check().is_ok());
-    assert!(Settings { lasts: good.every, ..good.clone() }.check().is_err());
-    assert!(Settings { per_engine: 0.0, ..good.clone() }.check().is_err());
+    assert!(Settings { plan_lifetime: good.plan_interval, ..good.clone() }.check().is_err());
+    assert!(Settings { requests_per_second_per_engine: 0.0, ..good.clone() }.check().is_err());
     let mut twice = good.clone();
-    twice.map.zones.push(twice.map.zones[0].clone());
+    twice.zones.zones.push(twice.zones.zones[0].clone());
     assert!(twice.check().is_err());
 }
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -72,7 +72,7 @@
             let name = engine.0.to_string();
             known.insert(life, (ListedEngine { name, kind: listed.endpoint.kind.clone() }, zone));
         }
-        judging.verdicts.list(known);
+        judging.verdicts.set_endpoints(known);
     }
 
     /// An engine as the core is to be told of it.
@@ -97,28 +97,28 @@
             // A full engine, a state that is gone and what this node called off tell nothing of it.
             Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => return,
         };
-        judging.witness.saw(now, life, zone, fault);
+        judging.witness.record(now, life, zone, fault);
     }
 
     /// A node's report has come.
     pub(crate) fn evidence(&mut self, now: Micros, from: &Node, report: &[u8]) {
         let Some(judging) = &mut self.judging else { return };
         if let Some(report) = OutlierReport::decode(report).filter(|_| from.name != judging.me.name) {
-            judging.verdicts.report(now, from, &report);
+            judging.verdicts.receive_report(now, from, &report);
         }
     }
 
     /// Who is here.
     pub(crate) fn nodes_here(&mut self, nodes: Vec<Node>) {
         if let Some(judging) = &mut self.judging {
-            judging.verdicts.nodes(nodes);
+            judging.verdicts.set_peers(nodes);
         }
     }
 
     /// People say that an engine is well.
     pub(crate) fn cleared(&mut self, now: Micros, engine: &str) {
         let Some(judging) = &mut self.judging else { return };
-        if let Some(life) = judging.verdicts.life(engine) {
+        if let Some(life) = judging.verdicts.incarnation(engine) {
             judging.verdicts.clear(now, life);
             judging.witness.clear(life);
         }
@@ -127,7 +127,7 @@
     /// Says what this node saw, weighs what all saw, and tells the core what has changed.
     pub(crate) fn verdicts_due(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(judging) = &mut self.judging else { return };
-        let accused = judging.verdicts.accused(now);
+        let accused = judging.verdicts.reported_engines(now);
         let report = judging.witness.report(now, &accused);
         let says: Vec<(EngineIncarnation, bool)> =
             report.seen.iter().map(|s| (s.engine, s.bad_age < s.good_age)).collect();
@@ -139,7 +139,7 @@
             judging.said = (says, now);
         }
         let me = judging.me.clone();
-        judging.verdicts.report(now, &me, &report);
+        judging.verdicts.receive_report(now, &me, &report);
         let held = judging.verdicts.tick(now);
         let held: BTreeSet<EngineId> = judging
             .lives
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -5,7 +5,7 @@
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, Event, ListUpdate, Micros, Outcome};
 use pintally_cells::CellName;
-use pintally_failover::{Plan, PlanFollower, Route, ZoneObserver};
+use pintally_failover::{FailoverPlan, PlanFollower, Route, ZoneObserver};
 
 use crate::host::Host;
 use crate::input::{Command, EngineEndpoint, IncomingRequest};
@@ -30,12 +30,12 @@
     pub fn with_regions(mut self, now: Micros) -> Host {
         let Some(regions) = self.settings.failover.clone() else { return self };
         let core = &self.settings.core;
-        let Some(home) = regions.policy.map.zone(&core.zone) else { return self };
-        let names = &regions.policy.map.zones;
+        let Some(home) = regions.policy.zones.zone(&core.zone) else { return self };
+        let names = &regions.policy.zones.zones;
         self.regional = Some(Regional {
             local: ZoneObserver::new(names.len()),
             home,
-            every: regions.policy.every,
+            every: regions.policy.plan_interval,
             zones: names.iter().map(|z| CellName::from(z.name.as_str())).collect(),
             stay_classes: core.classes.iter().map(|c| regions.pinned_classes.contains(&c.name)).collect(),
             stay_tenants: core.tenants.iter().map(|t| regions.pinned_tenants.contains(&t.name)).collect(),
@@ -116,7 +116,7 @@
         let told = |of: Option<usize>, list: &[bool]| of.and_then(|i| list.get(i)).copied().unwrap_or(false);
         let stays =
             told(arrival.class, &regional.stay_classes) || told(arrival.tenant, &regional.stay_tenants);
-        Some(match regional.follower.choose(now, session, stays) {
+        Some(match regional.follower.route(now, session, stays) {
             Route::Zone(zone) => {
                 regional.far += u64::from(zone != regional.home);
                 Ok(regional.zones[zone].clone())
@@ -149,15 +149,15 @@
     /// A plan has come.
     pub(crate) fn planned(&mut self, now: Micros, bytes: &[u8]) {
         let Some(regional) = &mut self.regional else { return };
-        if let Some(plan) = Plan::decode(bytes, regional.zones.len()) {
-            regional.follower.hear(now, plan);
+        if let Some(plan) = FailoverPlan::decode(bytes, regional.zones.len()) {
+            regional.follower.apply(now, plan);
         }
     }
 
     /// Says what it sees, and how many engines take work in each zone.
     pub(crate) fn regions_due(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(regional) = &mut self.regional else { return };
-        let word = regional.local.word(now).encode();
+        let word = regional.local.report(now).encode();
         let mut engines = vec![0.0; regional.zones.len()];
         for (engine, zone) in &regional.placed {
             let serving = self.places.get(engine).is_some_and(|p| p.listing == EndpointState::Serving);
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -258,7 +258,7 @@
         // Where zones have cores of their own, a zone's engines are shared by the nodes there: as many in
         // each zone, as far as a node can know.
         expected_nodes: match &settings.failover {
-            Some(regions) => (core.nodes.max(1) as usize).div_ceil(regions.policy.map.zones.len()),
+            Some(regions) => (core.nodes.max(1) as usize).div_ceil(regions.policy.zones.zones.len()),
             None => core.nodes.max(1) as usize,
         },
         peers: settings.membership.is_some(),
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -195,7 +195,7 @@
     }
 
     fn order_zone(&mut self, now: Micros, zone: String, word: String, out: &mut Vec<Output>) {
-        let map = self.shared.settings.failover.as_ref().map(|r| &r.policy.map);
+        let map = self.shared.settings.failover.as_ref().map(|r| &r.policy.zones);
         if map.and_then(|m| m.zone(&zone)).is_none() || !["out", "hold", ""].contains(&word.as_str()) {
             return self.answer(self.number, Answer::no(format!("no zone of a region is named `{zone}`")));
         }
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::{bounded, Sender};
 use pintally::interface::Micros;
 use pintally_config::FailoverSettings;
-use pintally_failover::{Order, Plan, Planner, Status, ZoneReport};
+use pintally_failover::{FailoverPlan, OperatorOrder, Planner, Status, ZoneReport};
 use pintally_membership::{Membership, Topic};
 use serde_json::json;
 use tracing::info;
@@ -24,14 +24,14 @@
 pub(crate) struct Regions {
     settings: FailoverSettings,
     planner: Option<Planner>,
-    latest: Option<Plan>,
+    latest: Option<FailoverPlan>,
     engines: Vec<f64>,
     next: Micros,
 }
 
 impl Regions {
     pub(crate) fn new(settings: &FailoverSettings) -> Regions {
-        let zones = settings.policy.map.zones.len();
+        let zones = settings.policy.zones.zones.len();
         Regions {
             settings: settings.clone(),
             planner: None,
@@ -51,7 +51,7 @@
 
     /// A plan has come; whether it is the latest.
     pub(crate) fn heard(&mut self, bytes: &[u8]) -> bool {
-        let Some(plan) = Plan::decode(bytes, self.engines.len()) else { return false };
+        let Some(plan) = FailoverPlan::decode(bytes, self.engines.len()) else { return false };
         let newer = plan.follows(self.latest.as_ref());
         if newer {
             self.latest = Some(plan);
@@ -61,10 +61,10 @@
 
     /// A node of this zone tells what it sees.
     pub(crate) fn word(&mut self, now: Micros, name: &str, zone: &str, bytes: &[u8]) {
-        let zone = self.settings.policy.map.zone(zone);
+        let zone = self.settings.policy.zones.zone(zone);
         if let (Some(planner), Some(zone), Some(word)) = (&mut self.planner, zone, ZoneReport::decode(bytes))
         {
-            planner.word(now, name, zone, word);
+            planner.receive_report(now, name, zone, word);
         }
     }
 
@@ -78,8 +78,8 @@
         if now < self.next {
             return None;
         }
-        self.next = now + self.settings.policy.every;
-        let map = &self.settings.policy.map;
+        self.next = now + self.settings.policy.plan_interval;
+        let map = &self.settings.policy.zones;
         let plan = self.planner.as_mut().map(|planner| {
             let mut here = vec![0; map.zones.len()];
             let own = std::iter::once(shared.settings.core.zone.as_str());
@@ -88,7 +88,7 @@
                     here[zone] += 1;
                 }
             }
-            planner.world(&here, &self.engines);
+            planner.update_zones(&here, &self.engines);
             let orders = lock(&shared.fleet.zone_orders);
             for (zone, known) in map.zones.iter().enumerate() {
                 planner.order(zone, orders.get(&known.name).and_then(|word| order(word)));
@@ -104,7 +104,7 @@
             plan
         });
         if let Some((zone, to)) = lock(&shared.fleet.rehearse).take() {
-            let dry = map.zone(&zone).and_then(|z| Some(self.planner.as_ref()?.rehearse(now, z)));
+            let dry = map.zone(&zone).and_then(|z| Some(self.planner.as_ref()?.dry_run(now, z)));
             let _ = to.try_send(dry);
         }
         self.forward_plan(shared, plan.as_ref());
@@ -115,8 +115,8 @@
         })
     }
 
-    fn forward_plan(&self, shared: &Arc<Shared>, plan: Option<&Plan>) {
-        let names = &self.settings.policy.map.zones;
+    fn forward_plan(&self, shared: &Arc<Shared>, plan: Option<&FailoverPlan>) {
+        let names = &self.settings.policy.zones.zones;
         let followed = plan.or(self.latest.as_ref()).map(|plan| {
             let part =
                 |(zone, part): &(u8, u8)| json!([names[usize::from(*zone)].name, f64::from(*part) / 255.0]);
@@ -132,10 +132,10 @@
     }
 }
 
-fn order(word: &str) -> Option<Order> {
+fn order(word: &str) -> Option<OperatorOrder> {
     match word {
-        "out" => Some(Order::Out),
-        "hold" => Some(Order::Hold),
+        "out" => Some(OperatorOrder::Evacuate),
+        "hold" => Some(OperatorOrder::Hold),
         _ => None,
     }
 }
--- a/crates/pintally-outlier-detection/src/verdicts.rs
+++ b/crates/pintally-outlier-detection/src/detector.rs
@@ -6,10 +6,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::evidence::{FaultScope, Word};
+use crate::observer::Fault;
+use crate::recovery_ramp::{Step, WayBack};
 use crate::report::OutlierReport;
 use crate::settings::Settings;
-use crate::steps::{Step, WayBack};
-use crate::witness::Fault;
 use crate::{EngineIncarnation, Micros};
 
 /// Whoever clears an engine weighs as much as so many that accuse it.
@@ -118,7 +118,7 @@
 
     /// The engines that take work, with the number that stands for their zone. Whatever is known of
     /// others, or of former lives, is dropped.
-    pub fn list(&mut self, engines: BTreeMap<EngineIncarnation, (ListedEngine, u32)>) {
+    pub fn set_endpoints(&mut self, engines: BTreeMap<EngineIncarnation, (ListedEngine, u32)>) {
         self.engines = engines;
         let known = &self.engines;
         self.back.retain(|e, _| known.contains_key(e));
@@ -127,7 +127,7 @@
     }
 
     /// The nodes that are here, this one among them or not.
-    pub fn nodes(&mut self, mut here: Vec<Node>) {
+    pub fn set_peers(&mut self, mut here: Vec<Node>) {
         if !here.iter().any(|n| n.name == self.me.name) {
             here.push(self.me.clone());
         }
@@ -136,7 +136,7 @@
     }
 
     /// A node's report has come.
-    pub fn report(&mut self, now: Micros, from: &Node, report: &OutlierReport) {
+    pub fn receive_report(&mut self, now: Micros, from: &Node, report: &OutlierReport) {
         if self.told.len() >= MAX_NODES && !self.told.contains_key(&from.name) {
             return;
         }
@@ -153,12 +153,12 @@
     }
 
     /// The life of an engine that is listed by this name.
-    pub fn life(&self, name: &str) -> Option<EngineIncarnation> {
+    pub fn incarnation(&self, name: &str) -> Option<EngineIncarnation> {
         self.engines.iter().find(|(_, (l, _))| l.name == name).map(|(life, _)| *life)
     }
 
     /// Engines that somebody accuses: what this node saw of them others want to know.
-    pub fn accused(&self, now: Micros) -> BTreeSet<EngineIncarnation> {
+    pub fn reported_engines(&self, now: Micros) -> BTreeSet<EngineIncarnation> {
         let words = self.told.values().flat_map(|t| &t.words);
         let accused = words.filter(|(_, w)| w.accuses(now, &self.settings)).map(|(e, _)| *e);
         accused.chain(self.back.keys().copied()).collect()
@@ -169,12 +169,12 @@
         let span = if self.looked == 0 { 0 } else { now.saturating_sub(self.looked) };
         self.looked = now;
         self.held_s += self.held.len() as f64 * span as f64 / 1e6;
-        let memory = self.settings.memory;
+        let memory = self.settings.evidence_retention;
         self.told.retain(|_, t| now.saturating_sub(t.at) <= 2 * memory);
         let unsound = self.unsound();
         let mut sick = BTreeMap::new();
         // Nothing is to be weighed of the others: in calm this is nobody.
-        for engine in self.accused(now).iter().filter(|e| self.engines.contains_key(e)) {
+        for engine in self.reported_engines(now).iter().filter(|e| self.engines.contains_key(e)) {
             let (accusers, clear) = self.heard(now, *engine, 0, &unsound);
             let reach = self.reach(&accusers, &clear);
             // For whom it works, while it fails others, it goes on by its own evidence.
@@ -215,7 +215,7 @@
         let own = |t: &Told| {
             let (used, failing) =
                 t.zones.iter().fold((0u32, 0u32), |s, z| (s.0 + u32::from(z.1), s.1 + u32::from(z.2)));
-            used >= 3 && f64::from(failing) >= self.settings.own * f64::from(used)
+            used >= 3 && f64::from(failing) >= self.settings.self_doubt_fraction * f64::from(used)
         };
         self.told.iter().filter(|(_, t)| own(t)).map(|(name, _)| name.clone()).collect()
     }
@@ -224,7 +224,7 @@
     fn cut_from(&self, told: &Told, zone: u32) -> bool {
         let there = told.zones.iter().find(|z| z.0 == zone);
         there.is_some_and(|(_, used, failing)| {
-            *used >= 3 && f64::from(*failing) >= self.settings.own * f64::from(*used)
+            *used >= 3 && f64::from(*failing) >= self.settings.self_doubt_fraction * f64::from(*used)
         })
     }
 
@@ -257,7 +257,7 @@
 
     /// How far what is said reaches; none if it is too little.
     fn reach(&self, accusers: &[(String, Word)], clear: &[String]) -> Option<FaultScope> {
-        let needed = if self.here.len() < 3 { 1 } else { self.settings.accusers };
+        let needed = if self.here.len() < 3 { 1 } else { self.settings.min_reporters };
         if accusers.is_empty() {
             return None;
         }
@@ -314,8 +314,10 @@
         for (listed, _) in self.engines.values() {
             *kinds.entry(&listed.kind).or_default() += 1;
         }
-        let mut room: BTreeMap<&str, usize> =
-            kinds.into_iter().map(|(k, n)| (k, (n as f64 * self.settings.most) as usize)).collect();
+        let mut room: BTreeMap<&str, usize> = kinds
+            .into_iter()
+            .map(|(k, n)| (k, (n as f64 * self.settings.max_ejection_fraction) as usize))
+            .collect();
         let mut held = BTreeSet::new();
         for (_, engine) in wanted {
             let kind = self.engines.get(&engine).map_or("", |(l, _)| l.kind.as_str());
@@ -342,7 +344,7 @@
     pub fn status(&self, now: Micros) -> Status {
         let unsound = self.unsound();
         let mut status = Status { held_s: self.held_s, verdicts: self.verdicts, ..Status::default() };
-        for engine in &self.accused(now) {
+        for engine in &self.reported_engines(now) {
             let Some((listed, _)) = self.engines.get(engine) else { continue };
             let (accusers, clear) = self.heard(now, *engine, 0, &unsound);
             let way = self.back.get(engine);
--- a/crates/pintally-outlier-detection/src/evidence.rs
+++ b/crates/pintally-outlier-detection/src/evidence.rs
@@ -2,9 +2,9 @@
 
 use serde::Serialize;
 
+use crate::observer::Fault;
 use crate::report::Observation;
 use crate::settings::Settings;
-use crate::witness::Fault;
 use crate::Micros;
 
 /// How far a failure reaches.
@@ -39,13 +39,15 @@
     pub(crate) fn accuses(&self, now: Micros, settings: &Settings) -> bool {
         // Lateness has many reasons: it takes twice as many.
         let late = Fault::of(self.fault) == Some(Fault::Late);
-        let strikes = if late { 2 * settings.strikes } else { settings.strikes };
+        let strikes = if late { 2 * settings.consecutive_failures } else { settings.consecutive_failures };
         u32::from(self.bad) >= strikes
             && self.bad_at > self.good_at
-            && now.saturating_sub(self.bad_at) <= settings.memory
+            && now.saturating_sub(self.bad_at) <= settings.evidence_retention
     }
 
     pub(crate) fn clears(&self, now: Micros, settings: &Settings) -> bool {
-        self.good > 0 && self.good_at > self.bad_at && now.saturating_sub(self.good_at) <= settings.memory
+        self.good > 0
+            && self.good_at > self.bad_at
+            && now.saturating_sub(self.good_at) <= settings.evidence_retention
     }
 }
--- a/crates/pintally-outlier-detection/src/lib.rs
+++ b/crates/pintally-outlier-detection/src/lib.rs
@@ -6,19 +6,19 @@
 //! nodes work this out alike from the same reports; none waits for another. `docs/verdicts.md` has the
 //! rules and bounds.
 
+mod detector;
 mod evidence;
+mod observer;
+mod recovery_ramp;
 mod report;
 mod settings;
-mod steps;
-mod verdicts;
-mod witness;
 
+pub use detector::{EngineStatus, ListedEngine, Node, OutlierDetector, Status};
 pub use evidence::FaultScope;
+pub use observer::{Fault, Observer};
 pub use pintally_validation::InvalidConfiguration;
 pub use report::{Observation, OutlierReport, MAX_OBSERVATIONS};
 pub use settings::Settings;
-pub use verdicts::{EngineStatus, ListedEngine, Node, OutlierDetector, Status};
-pub use witness::{Fault, Observer};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/pintally-outlier-detection/src/witness.rs
+++ b/crates/pintally-outlier-detection/src/observer.rs
@@ -60,7 +60,7 @@
     }
 
     /// An attempt has ended well, or by a fault. `zone` stands for the engine's zone.
-    pub fn saw(&mut self, now: Micros, engine: EngineIncarnation, zone: u32, fault: Option<Fault>) {
+    pub fn record(&mut self, now: Micros, engine: EngineIncarnation, zone: u32, fault: Option<Fault>) {
         let count = self.counts.entry(engine).or_default();
         count.zone = zone;
         match fault {
@@ -88,7 +88,7 @@
 
     /// Its report: engines that fail it, and what it saw of those that `others` accuse.
     pub fn report(&mut self, now: Micros, others: &BTreeSet<EngineIncarnation>) -> OutlierReport {
-        let memory = self.settings.memory;
+        let memory = self.settings.evidence_retention;
         self.counts.retain(|_, c| now.saturating_sub(c.bad_at.max(c.good_at)) <= memory);
         let fails = |c: &Count| c.bad_at > c.good_at && now.saturating_sub(c.bad_at) <= memory;
         let mut report = OutlierReport::default();
--- a/crates/pintally-outlier-detection/src/steps.rs
+++ b/crates/pintally-outlier-detection/src/recovery_ramp.rs
@@ -28,7 +28,7 @@
 
 impl WayBack {
     pub(crate) fn new(now: Micros, settings: &Settings) -> WayBack {
-        WayBack { step: Step::Rests, since: now, rest: settings.rest }
+        WayBack { step: Step::Rests, since: now, rest: settings.base_ejection_time }
     }
 
     /// Word of it since the step began: fresh failures, or a success. Whether it is forgotten.
@@ -38,14 +38,14 @@
             Step::Rests if at >= self.rest => go(Step::Trial),
             Step::Rests => *self,
             _ if accused => {
-                let rest = (2 * self.rest).min(settings.rest_most);
+                let rest = (2 * self.rest).min(settings.max_ejection_time);
                 WayBack { step: Step::Rests, since: now, rest }
             }
             // Where nobody has had anything to send to it, the next node has its turn, and in the end
             // the verdict dies by itself.
             Step::Trial if cleared || at >= 2 * self.rest => go(Step::Quarter),
-            Step::Quarter if at >= settings.step => go(Step::Back),
-            Step::Back if at >= settings.rest_most => return true,
+            Step::Quarter if at >= settings.ramp_step => go(Step::Back),
+            Step::Back if at >= settings.max_ejection_time => return true,
             _ => *self,
         };
         false
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -8,34 +8,34 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Evidence counts for so long.
-    pub memory: Micros,
+    pub evidence_retention: Micros,
     /// A node accuses after so many failures that no success has followed.
-    pub strikes: u32,
+    pub consecutive_failures: u32,
     /// So many sound nodes must accuse; in a fleet of one or two, one.
-    pub accusers: usize,
+    pub min_reporters: usize,
     /// An engine that is held back rests for so long before its trial; doubled each time it fails again.
-    pub rest: Micros,
+    pub base_ejection_time: Micros,
     /// And no longer than this.
-    pub rest_most: Micros,
+    pub max_ejection_time: Micros,
     /// How long a step of the way back lasts.
-    pub step: Micros,
+    pub ramp_step: Micros,
     /// Of the engines of one kind no more than this part is held back at once.
-    pub most: f64,
+    pub max_ejection_fraction: f64,
     /// From this part of the engines that a node uses on, its failures tell of itself.
-    pub own: f64,
+    pub self_doubt_fraction: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            memory: 5_000_000,
-            strikes: 2,
-            accusers: 2,
-            rest: 1_000_000,
-            rest_most: 16_000_000,
-            step: 1_000_000,
-            most: 0.5,
-            own: 0.5,
+            evidence_retention: 5_000_000,
+            consecutive_failures: 2,
+            min_reporters: 2,
+            base_ejection_time: 1_000_000,
+            max_ejection_time: 16_000_000,
+            ramp_step: 1_000_000,
+            max_ejection_fraction: 0.5,
+            self_doubt_fraction: 0.5,
         }
     }
 }
@@ -43,23 +43,32 @@
 impl Settings {
     /// Checks that the figures go together.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        ensure(self.strikes != 0, "no failure at all accuses an engine")?;
-        ensure(self.accusers != 0, "nobody needs to accuse an engine")?;
-        ensure(self.memory >= 2 * self.step, "evidence is forgotten within a step of the way back")?;
-        ensure(self.rest != 0 && self.rest <= self.rest_most, "the rest is nothing, or over its most")?;
-        ensure((0.0..=0.9).contains(&self.most), "nearly all engines of a kind could be held back")?;
-        ensure((0.1..=1.0).contains(&self.own), "one failure would tell of the node itself")
+        ensure(self.consecutive_failures != 0, "no failure at all accuses an engine")?;
+        ensure(self.min_reporters != 0, "nobody needs to accuse an engine")?;
+        ensure(
+            self.evidence_retention >= 2 * self.ramp_step,
+            "evidence is forgotten within a step of the way back",
+        )?;
+        ensure(
+            self.base_ejection_time != 0 && self.base_ejection_time <= self.max_ejection_time,
+            "the rest is nothing, or over its most",
+        )?;
+        ensure(
+            (0.0..=0.9).contains(&self.max_ejection_fraction),
+            "nearly all engines of a kind could be held back",
+        )?;
+        ensure((0.1..=1.0).contains(&self.self_doubt_fraction), "one failure would tell of the node itself")
     }
 
     /// Failed attempts that the whole fleet pays until an engine is held back, beside what is sent while
     /// the reports are on their way.
     pub fn price(&self) -> u32 {
-        self.strikes * self.accusers as u32
+        self.consecutive_failures * self.min_reporters as u32
     }
 
     /// The longest time for which a verdict outlives all evidence: nobody tries the engine, and it comes
     /// back by itself.
     pub fn max_ejection_time(&self) -> Micros {
-        self.memory + 2 * self.rest_most + 2 * self.step
+        self.evidence_retention + 2 * self.max_ejection_time + 2 * self.ramp_step
     }
 }
--- a/crates/pintally-outlier-detection/tests/golden.rs
+++ b/crates/pintally-outlier-detection/tests/golden.rs
@@ -46,7 +46,7 @@
     let mut witness = Observer::new(Settings::default());
     let faults = [Fault::Unreachable, Fault::Broke, Fault::Late, Fault::Wrong];
     for (engine, fault) in (1..).zip(faults) {
-        witness.saw(engine * 10_000, EngineIncarnation(engine), 7, Some(fault));
+        witness.record(engine * 10_000, EngineIncarnation(engine), 7, Some(fault));
     }
     let report = witness.report(100_000, &Default::default());
     assert_bytes("witness_report", &report.encode());
--- a/crates/pintally-outlier-detection/tests/verdicts.rs
+++ b/crates/pintally-outlier-detection/tests/verdicts.rs
@@ -58,7 +58,7 @@
         };
         fleet.list();
         for v in &mut fleet.verdicts {
-            v.nodes(fleet.nodes.clone());
+            v.set_peers(fleet.nodes.clone());
         }
         fleet
     }
@@ -70,18 +70,18 @@
                 (self.engines[e], (listed, self.zones[e]))
             })
             .collect();
-        self.verdicts.iter_mut().for_each(|v| v.list(list.clone()));
+        self.verdicts.iter_mut().for_each(|v| v.set_endpoints(list.clone()));
     }
 
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
         for n in 0..self.nodes.len() {
-            let accused = self.verdicts[n].accused(now);
+            let accused = self.verdicts[n].reported_engines(now);
             let report = self.witness[n].report(now, &accused);
             assert!(report.encode().len() <= 400, "a report fits into a fact");
             let (own, report) = (self.nodes[n].clone(), OutlierReport::decode(&report.encode()).unwrap());
-            self.verdicts[n].report(now, &own, &report);
+            self.verdicts[n].receive_report(now, &own, &report);
             self.mail.push((now + self.delay, n, report));
             let held: BTreeSet<EngineIncarnation> = self.verdicts[n].tick(now).clone();
             for e in (0..self.engines.len()).filter(|e| !held.contains(&self.engines[*e])) {
@@ -89,7 +89,7 @@
                 self.attempts[e] += 1;
                 self.failed[e] += u64::from(fault.is_some());
                 *self.load.entry((now, e)).or_default() += 1;
-                self.witness[n].saw(now, self.engines[e], self.zones[e], fault);
+                self.witness[n].record(now, self.engines[e], self.zones[e], fault);
             }
         }
         let (due, later) = std::mem::take(&mut self.mail).into_iter().partition(|m| m.0 <= now);
@@ -99,7 +99,7 @@
             let node = self.nodes[from].clone();
             for (n, v) in self.verdicts.iter_mut().enumerate().filter(|(n, _)| *n != from) {
                 let _ = n;
-                v.report(now, &node, &report);
+                v.receive_report(now, &node, &report);
             }
         }
     }
@@ -208,11 +208,11 @@
 fn never_more_than_the_stated_part_of_a_kind_is_held_back() {
     let mut fleet = Fleet::new(6, 10, |_, n, e| (e < 7 && n > 0).then_some(Fault::Broke));
     // Each node uses few engines, so that nobody looks cut off.
-    fleet.settings.own = 1.0;
+    fleet.settings.self_doubt_fraction = 1.0;
     fleet.verdicts = fleet.nodes.iter().map(|n| OutlierDetector::new(fleet.settings, n.clone())).collect();
     fleet.list();
     let all = fleet.nodes.clone();
-    fleet.verdicts.iter_mut().for_each(|v| v.nodes(all.clone()));
+    fleet.verdicts.iter_mut().for_each(|v| v.set_peers(all.clone()));
     fleet.run(3_000);
     let now = fleet.now;
     let held: Vec<usize> = fleet.verdicts.iter_mut().map(|v| v.tick(now).len()).collect();
@@ -264,7 +264,7 @@
     fleet.verdicts.iter_mut().for_each(|v| v.clear(now, life));
     fleet.witness.iter_mut().for_each(|w| w.clear(life));
     assert_eq!(fleet.held(0), 0);
-    assert_eq!(fleet.verdicts[0].life("e0"), Some(life));
+    assert_eq!(fleet.verdicts[0].incarnation("e0"), Some(life));
 }
 
 /// Two nodes that call each other's engines sick, and a node that flaps: distances double.
@@ -290,6 +290,6 @@
     let long = OutlierReport { zones: vec![(1, 1, 1); 40], ..OutlierReport::default() };
     assert!(OutlierReport::decode(&long.encode()).is_none());
     assert!(Settings::default().check().is_ok());
-    assert!(Settings { strikes: 0, ..Settings::default() }.check().is_err());
-    assert!(Settings { rest: 0, ..Settings::default() }.check().is_err());
+    assert!(Settings { consecutive_failures: 0, ..Settings::default() }.check().is_err());
+    assert!(Settings { base_ejection_time: 0, ..Settings::default() }.check().is_err());
 }
