--- a/crates/pintally-benchmarks/src/plans.rs
+++ b/crates/pintally-benchmarks/src/plans.rs
@@ -125,12 +125,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parts_add_up_and_follow_weights() {
-        assert_eq!(parts(10, &[1.0, 2.0, 2.0]), [2, 4, 4]);
-        assert_eq!(parts(7, &[1.0, 1.0, 1.0]).iter().sum::<usize>(), 7);
-    }
-}
+mod tests;
