--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -10,7 +10,7 @@
 use pintally_cells::{CellName, CellsFile, MoveCommand};
 use pintally_config::NodeSettings;
 
-use crate::told::ask;
+use crate::status::fetch;
 use crate::{read, Failure};
 
 #[derive(clap::Args)]
@@ -181,7 +181,7 @@
     table.set_header(["node", "cell", "level", "share of engines", "borrowed", ""]);
     let mut silent = 0;
     for node in nodes {
-        let Some(counters) = ask(*node, "/pintally/counters") else {
+        let Some(counters) = fetch(*node, "/pintally/counters") else {
             silent += 1;
             table.add_row([node.to_string(), "no answer".to_string()]);
             continue;
--- /dev/null
+++ b/crates/pintally-cli/src/fleet/mod.rs
@@ -0,0 +1,7 @@
+//! Commands on what holds for the whole fleet: quotas, replicas, outlier detection, failover.
+
+pub(crate) mod limits;
+mod operator;
+pub(crate) mod outliers;
+pub(crate) mod replicas;
+pub(crate) mod zones;
--- a/crates/pintally-cli/src/main.rs
+++ b/crates/pintally-cli/src/main.rs
@@ -5,18 +5,18 @@
 mod audit;
 mod cells;
 mod check;
-mod common;
 mod day;
+mod fleet;
 mod lab;
 mod log;
 mod measure;
+mod mock_engines;
 mod plan;
 mod platform;
 mod serve;
 mod sim;
 mod soak;
-mod standin;
-mod told;
+mod status;
 
 use std::process::ExitCode;
 
@@ -44,35 +44,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one node until it is told to stop.
+    /// Run one node until a signal stops it.
     Serve(serve::Args),
-    /// Run one node on the operators' platform until it is told to stop.
+    /// Run one node on the operators' platform until a signal stops it.
     Platform(platform::Args),
     /// Load settings, a list of engines or a day, and say what is wrong and why.
     Check(check::Args),
-    /// Cells: who belongs where, moves step by step, where each cell stands.
+    /// Cells: who belongs where, migrations step by step, the state of each cell.
     Cells(cells::Args),
-    /// Whom nodes of a fleet know of each other.
-    Peers(told::Args),
-    /// Where nodes stand on their way back to service after a start.
-    Recovery(told::Args),
-    /// Limits that hold for the whole fleet: how they stand, and to change them.
-    Limits(common::Limits),
-    /// Zones and regions: what is known, where work goes, to order, hold and rehearse.
-    Regions(common::Regions),
-    /// What the fleet believes of engines: who says so, and to call one well.
-    Verdicts(common::Verdicts),
-    /// The keepers of the fleet's register: where they stand, and to change who they are.
-    Keepers(common::Keepers),
+    /// Membership: which nodes of the fleet know of each other.
+    Peers(status::Args),
+    /// Recovery: the stage of each node after a start.
+    Recovery(status::Args),
+    /// Quotas of the whole fleet: show and change them.
+    Limits(fleet::limits::Limits),
+    /// Failover between zones and regions: show, order, hold and dry-run it.
+    Regions(fleet::zones::Zones),
+    /// Outlier detection across the fleet: show ejected engines, clear one.
+    Verdicts(fleet::outliers::Outliers),
+    /// The replicas of the fleet's key-value store: show and change them.
+    Keepers(fleet::replicas::Replicas),
     /// Scripted days on loopback.
     Day(day::Args),
-    /// Run stand-in engines on loopback and write their list.
-    Standin(standin::Args),
+    /// Run mock engines on loopback and write their list.
+    Standin(mock_engines::Args),
     /// Play days in virtual time: policies side by side, large fleets.
     Lab(lab::Args),
     /// Seeded days of failures that overlap, in virtual time, checked after every step.
     Sim(sim::Args),
-    /// Dozens of real processes on loopback under troubles that overlap, judged by invariants.
+    /// Dozens of real processes on loopback under faults that overlap, judged by invariants.
     Soak(soak::Args),
     /// Measure a node beside its baseline, against simulated engines.
     Measure(measure::Args),
@@ -109,14 +109,14 @@
         Command::Platform(args) => platform::run(&args),
         Command::Check(args) => check::run(&args),
         Command::Cells(args) => cells::run(&args),
-        Command::Peers(args) => told::run(&args, told::What::Peers),
-        Command::Recovery(args) => told::run(&args, told::What::Recovery),
-        Command::Limits(args) => common::limits(&args),
-        Command::Regions(args) => common::regions(&args),
-        Command::Verdicts(args) => common::verdicts(&args),
-        Command::Keepers(args) => common::keepers(&args),
+        Command::Peers(args) => status::run(&args, status::StatusDocument::Peers),
+        Command::Recovery(args) => status::run(&args, status::StatusDocument::Recovery),
+        Command::Limits(args) => fleet::limits::run(&args),
+        Command::Regions(args) => fleet::zones::run(&args),
+        Command::Verdicts(args) => fleet::outliers::run(&args),
+        Command::Keepers(args) => fleet::replicas::run(&args),
         Command::Day(args) => day::run(&args),
-        Command::Standin(args) => standin::run(&args),
+        Command::Standin(args) => mock_engines::run(&args),
         Command::Lab(args) => lab::run(&args),
         Command::Sim(args) => sim::execute(&args),
         Command::Soak(args) => soak::run(&args),
--- a/crates/pintally-cli/src/told.rs
+++ b/crates/pintally-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! What nodes tell at their own endpoints: `pintally peers status`, `pintally recovery status`.
+//! Status documents of nodes as tables: `pintally peers status`, `pintally recovery status`.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -17,7 +17,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Ask nodes.
+    /// Query nodes.
     Status {
         /// Where nodes listen for clients.
         #[arg(required = true)]
@@ -28,35 +28,37 @@
     },
 }
 
-/// What is asked.
+/// A status document.
 #[derive(Clone, Copy)]
-pub(crate) enum What {
+pub(crate) enum StatusDocument {
     Peers,
     Recovery,
 }
 
-/// What a node tells at a path, if it does.
-pub(crate) fn ask(node: SocketAddr, path: &str) -> Option<Value> {
+/// The document that a node serves at a path, if it does.
+pub(crate) fn fetch(node: SocketAddr, path: &str) -> Option<Value> {
     serde_json::from_slice(&pintally_scenario::get(node, path)?).ok()
 }
 
-pub(crate) fn run(args: &Args, what: What) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args, which: StatusDocument) -> Result<ExitCode, Failure> {
     let Command::Status { nodes, json } = &args.command;
-    let (path, heads): (_, &[&str]) = match what {
-        What::Peers => ("/pintally/peers", &["node", "peer", "zone", "stands", "boot", "for", "doubt"]),
-        What::Recovery => (
+    let (path, heads): (_, &[&str]) = match which {
+        StatusDocument::Peers => {
+            ("/pintally/peers", &["node", "peer", "zone", "stands", "boot", "for", "doubt"])
+        }
+        StatusDocument::Recovery => (
             "/pintally/recovery",
             &["node", "stage", "for", "waits for", "here", "engines", "lets in", "lacks"],
         ),
     };
-    let rows: fn(SocketAddr, &Value) -> Vec<Vec<String>> = match what {
-        What::Peers => peers,
-        What::Recovery => recovery,
+    let rows: fn(SocketAddr, &Value) -> Vec<Vec<String>> = match which {
+        StatusDocument::Peers => peers,
+        StatusDocument::Recovery => recovery,
     };
     show(nodes, path, *json, heads, rows)
 }
 
-/// Asks all nodes and prints what they tell; fails if one is silent.
+/// Queries all nodes and prints their documents; fails if one does not answer.
 pub(crate) fn show(
     nodes: &[SocketAddr],
     path: &str,
@@ -66,17 +68,17 @@
 ) -> Result<ExitCode, Failure> {
     let mut table = Table::new();
     table.set_header(heads.to_vec());
-    let mut silent = false;
+    let mut unanswered = false;
     for node in nodes {
-        match ask(*node, path) {
-            Some(told) if json => {
-                println!("{}", serde_json::json!({ "node": node.to_string(), "told": told }));
+        match fetch(*node, path) {
+            Some(document) if json => {
+                println!("{}", serde_json::json!({ "node": node.to_string(), "told": document }));
             }
-            Some(told) => rows(*node, &told).into_iter().for_each(|row| {
+            Some(document) => rows(*node, &document).into_iter().for_each(|row| {
                 table.add_row(row);
             }),
             None => {
-                silent = true;
+                unanswered = true;
                 table.add_row([node.to_string(), "no answer, or none of this in its settings".into()]);
             }
         }
@@ -84,7 +86,7 @@
     if !json {
         println!("{table}");
     }
-    Ok(if silent { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    Ok(if unanswered { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
 /// A value as people read it; nothing where there is none.
@@ -96,25 +98,30 @@
     }
 }
 
+/// A number with two digits behind the point; nothing where there is none.
+pub(crate) fn number(value: &Value) -> String {
+    value.as_f64().map_or_else(String::new, |n| format!("{:.2}", n + 0.0))
+}
+
 /// Milliseconds as seconds.
 pub(crate) fn seconds(value: &Value) -> String {
     format!("{:.1} s", value.as_f64().unwrap_or(0.0) / 1e3)
 }
 
-fn peers(_: SocketAddr, told: &Value) -> Vec<Vec<String>> {
-    let own = if told["stepped_back"] == true { "stepped back: its name is taken" } else { "itself" };
+fn peers(_: SocketAddr, document: &Value) -> Vec<Vec<String>> {
+    let own = if document["stepped_back"] == true { "stepped back: its name is taken" } else { "itself" };
     let mut rows = vec![vec![
-        text(&told["name"]),
+        text(&document["name"]),
         String::new(),
         String::new(),
         own.to_string(),
-        text(&told["boot"]),
+        text(&document["boot"]),
         String::new(),
-        text(&told["doubt"]),
+        text(&document["doubt"]),
     ]];
-    for peer in told["peers"].as_array().into_iter().flatten() {
+    for peer in document["peers"].as_array().into_iter().flatten() {
         rows.push(vec![
-            text(&told["name"]),
+            text(&document["name"]),
             text(&peer["name"]),
             text(&peer["zone"]),
             text(&peer["standing"]),
@@ -126,16 +133,16 @@
     rows
 }
 
-fn recovery(node: SocketAddr, told: &Value) -> Vec<Vec<String>> {
-    let rate = told["rate"].as_f64().map_or("everybody".to_string(), |r| format!("{r:.1}/s"));
-    let lacks = told["lacks"].as_array().into_iter().flatten().map(text).collect::<Vec<_>>().join("; ");
+fn recovery(node: SocketAddr, document: &Value) -> Vec<Vec<String>> {
+    let rate = document["rate"].as_f64().map_or("everybody".to_string(), |r| format!("{r:.1}/s"));
+    let lacks = document["lacks"].as_array().into_iter().flatten().map(text).collect::<Vec<_>>().join("; ");
     vec![vec![
         node.to_string(),
-        text(&told["stage"]),
-        seconds(&told["for_ms"]),
-        text(&told["waits_for"]),
-        format!("{} of {}", told["here"], told["expected"]),
-        format!("{} of {}", told["engines"][0], told["engines"][1]),
+        text(&document["stage"]),
+        seconds(&document["for_ms"]),
+        text(&document["waits_for"]),
+        format!("{} of {}", document["here"], document["expected"]),
+        format!("{} of {}", document["engines"][0], document["engines"][1]),
         rate,
         lacks,
     ]]
