--- a/crates/pintally-cli/src/soak.rs
+++ b/crates/pintally-cli/src/soak.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use pintally_soak::{soak, FaultKind, Options, Report};
+use pintally_soak::{soak, Options, Report, ViolationKind};
 
 use crate::Failure;
 
@@ -67,7 +67,7 @@
             logs: args.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}"))),
         };
         let report = soak(&options).map_err(|e| Failure::failed(format!("seed {seed}: {e}")))?;
-        tell(seed, &report, args.troubles);
+        print_report(seed, &report, args.troubles);
         broken += u64::from(!report.violations.is_empty());
         if let Some(folder) = options.logs.filter(|_| report.violations.is_empty()) {
             let _ = std::fs::remove_dir_all(folder);
@@ -78,9 +78,9 @@
 }
 
 fn check(args: &Args) -> Result<(), Failure> {
-    let within = |what: &str, told: u64, most: u64| match told {
+    let within = |what: &str, value: u64, max: u64| match value {
         0 => Err(Failure::usage(format!("{what} must be at least 1"))),
-        told if told > most => Err(Failure::usage(format!("{what} is {told}, {most} at most"))),
+        _ if value > max => Err(Failure::usage(format!("{what} is {value}, {max} at most"))),
         _ => Ok(()),
     };
     within("--nodes", args.nodes as u64, NODES_MAX as u64)?;
@@ -94,21 +94,21 @@
     Ok(())
 }
 
-fn tell(seed: u64, report: &Report, troubles: bool) {
+fn print_report(seed: u64, report: &Report, troubles: bool) {
     println!(
         "seed {seed}: {} asked, {} served, {} attempts, {} restarts, {} troubles, late {} ms: {} violations",
         report.asked,
         report.served,
         report.attempts,
         report.restarts,
-        report.troubles.len(),
+        report.faults.len(),
         report.late.as_millis(),
         report.violations.len()
     );
     if troubles {
-        report.troubles.iter().for_each(|trouble| println!("  {trouble}"));
+        report.faults.iter().for_each(|trouble| println!("  {trouble}"));
     }
-    let mut kinds: BTreeMap<FaultKind, usize> = BTreeMap::new();
+    let mut kinds: BTreeMap<ViolationKind, usize> = BTreeMap::new();
     report.violations.iter().for_each(|violation| *kinds.entry(violation.kind).or_default() += 1);
     for (kind, count) in kinds {
         println!("  {kind:?}: {count}");
--- a/crates/pintally-cli/tests/soak.rs
+++ b/crates/pintally-cli/tests/soak.rs
@@ -33,11 +33,11 @@
             report.served,
             report.restarts,
             report.late.as_millis(),
-            report.troubles
+            report.faults
         );
         let violations: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         assert!(report.asked > ASKED_MIN && report.served > ASKED_MIN / 2, "seed {seed}: too little to tell");
-        assert!(report.troubles.len() >= 5, "seed {seed}: {:?}", report.troubles);
+        assert!(report.faults.len() >= 5, "seed {seed}: {:?}", report.faults);
     }
 }
--- a/crates/pintally-soak/src/client.rs
+++ b/crates/pintally-soak/src/client.rs
@@ -9,48 +9,48 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::record::{Ask, AskEnd, BadClient, Class, Record};
+use crate::record::{BadClient, Class, ClientRequest, Record, RequestOutcome};
 
 /// So much longer it keeps its connection, to see what comes late.
-const BEYOND: Duration = Duration::from_millis(1_500);
+const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
 /// A stream that has begun ends within this time.
-const STREAM_ENDS: Duration = Duration::from_secs(12);
+const MAX_STREAM_DURATION: Duration = Duration::from_secs(12);
 /// A bad client is owed an error or the end of its connection within this time.
-const BAD_OWED: Duration = Duration::from_millis(4_500);
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
-const HEAD_MAX: usize = 16 << 10;
+const MALFORMED_ANSWER_TIMEOUT: Duration = Duration::from_millis(4_500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// What a client is like.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Manner {
+pub(crate) enum ClientBehavior {
     /// Keeps its connection and asks again and again.
-    Keeps,
+    KeepAlive,
     /// Opens a connection for each request.
-    Fresh,
+    NewConnection,
     /// Leaves after a while, whether answered or not.
-    Leaves,
+    Disconnects,
     /// Writes its requests in pieces.
     WritesSlowly,
     /// Takes its answers in pieces.
     ReadsSlowly,
     /// Rests on its connection for about as long as the node keeps one.
-    Rests,
+    Idles,
     /// Has very little time.
-    Hurries,
+    ShortTimeout,
     /// Sends what no request is, or part of one, and stays.
-    Bad,
+    Malformed,
 }
 
-impl Manner {
-    pub(crate) const ALL: [Manner; 8] = [
-        Manner::Keeps,
-        Manner::Fresh,
-        Manner::Leaves,
-        Manner::WritesSlowly,
-        Manner::ReadsSlowly,
-        Manner::Rests,
-        Manner::Hurries,
-        Manner::Bad,
+impl ClientBehavior {
+    pub(crate) const ALL: [ClientBehavior; 8] = [
+        ClientBehavior::KeepAlive,
+        ClientBehavior::NewConnection,
+        ClientBehavior::Disconnects,
+        ClientBehavior::WritesSlowly,
+        ClientBehavior::ReadsSlowly,
+        ClientBehavior::Idles,
+        ClientBehavior::ShortTimeout,
+        ClientBehavior::Malformed,
     ];
 }
 
@@ -58,14 +58,14 @@
 pub(crate) struct Client {
     pub(crate) node: usize,
     pub(crate) address: SocketAddr,
-    pub(crate) manner: Manner,
+    pub(crate) manner: ClientBehavior,
     /// Begins the ids of its requests.
     pub(crate) name: String,
     pub(crate) seed: u64,
     pub(crate) record: Arc<Record>,
     pub(crate) until: Instant,
     /// How long it waits for a first token.
-    pub(crate) patience: Duration,
+    pub(crate) client_timeout: Duration,
 }
 
 /// A connection and how many requests it has carried.
@@ -81,8 +81,8 @@
         let mut connection = None;
         let mut number = 0;
         while Instant::now() < self.until {
-            if self.manner == Manner::Bad {
-                self.misbehaves(&mut dice);
+            if self.manner == ClientBehavior::Malformed {
+                self.send_malformed(&mut dice);
                 pause(&mut dice, 100, 900);
                 continue;
             }
@@ -93,11 +93,11 @@
             };
             number += 1;
             let id = format!("{}-{number}", self.name);
-            connection = self.asks(open, &id, &mut dice);
+            connection = self.send_request(open, &id, &mut dice);
             match self.manner {
-                Manner::Fresh | Manner::Leaves => connection = None,
-                // About as long as the node keeps a resting connection, or has one when it is told to stop.
-                Manner::Rests => pause(&mut dice, 300, 1_500),
+                ClientBehavior::NewConnection | ClientBehavior::Disconnects => connection = None,
+                // About as long as the node keeps a resting connection, or has one when it is sent SIGTERM.
+                ClientBehavior::Idles => pause(&mut dice, 300, 1_500),
                 _ => {}
             }
             pause(&mut dice, 10, 120);
@@ -105,77 +105,77 @@
     }
 
     fn connect(&self) -> Option<Connection> {
-        let stream = TcpStream::connect_timeout(&self.address, CONNECT_WITHIN).ok()?;
+        let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).ok()?;
         let _ = stream.set_nodelay(true);
-        if self.manner == Manner::ReadsSlowly {
+        if self.manner == ClientBehavior::ReadsSlowly {
             let _ = socket2::SockRef::from(&stream).set_recv_buffer_size(2 << 10);
         }
         Some(Connection { stream, carried: 0 })
     }
 
     /// Sends a request and takes in its answer; the connection, if it can carry another one.
-    fn asks(&self, mut open: Connection, id: &str, dice: &mut ChaCha8Rng) -> Option<Connection> {
+    fn send_request(&self, mut open: Connection, id: &str, dice: &mut ChaCha8Rng) -> Option<Connection> {
         let class = Class::ALL[[0, 0, 1, 2][dice.random_range(0..4)]];
-        let patience = match self.manner {
-            Manner::Hurries => Duration::from_millis(dice.random_range(1..220)),
-            _ => self.patience,
+        let client_timeout = match self.manner {
+            ClientBehavior::ShortTimeout => Duration::from_millis(dice.random_range(1..220)),
+            _ => self.client_timeout,
         };
-        let bytes = request(id, class, patience, dice.random_range(0..40) == 0);
+        let bytes = request(id, class, client_timeout, dice.random_range(0..40) == 0);
         let sent = self.send(&mut open.stream, &bytes, dice);
-        let ask = Ask {
+        let ask = ClientRequest {
             class,
             node: self.node,
             sent: self.record.now(),
-            patience,
+            client_timeout,
             on_new_connection: open.carried == 0,
             resent: false,
             left: None,
-            end: if sent { AskEnd::Open } else { AskEnd::Unsent },
-            prompt_reader: self.manner != Manner::ReadsSlowly,
+            end: if sent { RequestOutcome::Open } else { RequestOutcome::Unsent },
+            prompt_reader: self.manner != ClientBehavior::ReadsSlowly,
             most_held_back: Duration::ZERO,
         };
-        self.record.with(|books| books.asks.insert(id.into(), ask));
+        self.record.with(|books| books.requests.insert(id.into(), ask));
         if !sent {
             return None;
         }
-        let leaves =
-            (self.manner == Manner::Leaves).then(|| Duration::from_millis(dice.random_range(1..500)));
-        let keeps = self.takes_answer(&mut open, id, patience, leaves, dice);
+        let leaves = (self.manner == ClientBehavior::Disconnects)
+            .then(|| Duration::from_millis(dice.random_range(1..500)));
+        let keeps = self.read_answer(&mut open, id, client_timeout, leaves, dice);
         open.carried += 1;
-        let end = self.record.with(|books| books.asks.get(id).map(|ask| ask.end));
+        let end = self.record.with(|books| books.requests.get(id).map(|ask| ask.end));
         // A request that has crossed the end of a resting connection is sent once more, on a new one.
-        if matches!(end, Some(AskEnd::Dropped { .. })) && open.carried > 1 && leaves.is_none() {
+        if matches!(end, Some(RequestOutcome::Dropped { .. })) && open.carried > 1 && leaves.is_none() {
             drop(open);
-            return self.connect().and_then(|again| self.asks_again(again, id, &bytes, patience, dice));
+            return self.connect().and_then(|again| self.retry(again, id, &bytes, client_timeout, dice));
         }
         keeps.then_some(open)
     }
 
     /// Sends the same request once more.
-    fn asks_again(
+    fn retry(
         &self,
         mut open: Connection,
         id: &str,
         bytes: &[u8],
-        patience: Duration,
+        client_timeout: Duration,
         dice: &mut ChaCha8Rng,
     ) -> Option<Connection> {
         let sent = open.stream.write_all(bytes).is_ok();
         self.record.with(|books| {
-            if let Some(ask) = books.asks.get_mut(id) {
+            if let Some(ask) = books.requests.get_mut(id) {
                 ask.resent = true;
                 ask.on_new_connection = true;
                 ask.sent = self.record.now();
-                ask.end = if sent { AskEnd::Open } else { AskEnd::Unsent };
+                ask.end = if sent { RequestOutcome::Open } else { RequestOutcome::Unsent };
             }
         });
-        let keeps = sent && self.takes_answer(&mut open, id, patience, None, dice);
+        let keeps = sent && self.read_answer(&mut open, id, client_timeout, None, dice);
         open.carried += 1;
         keeps.then_some(open)
     }
 
     fn send(&self, stream: &mut TcpStream, bytes: &[u8], dice: &mut ChaCha8Rng) -> bool {
-        if self.manner != Manner::WritesSlowly {
+        if self.manner != ClientBehavior::WritesSlowly {
             return stream.write_all(bytes).is_ok();
         }
         let pieces = dice.random_range(2..8);
@@ -186,47 +186,47 @@
     }
 
     /// Takes in an answer; whether the connection can carry another request.
-    fn takes_answer(
+    fn read_answer(
         &self,
         open: &mut Connection,
         id: &str,
-        patience: Duration,
+        client_timeout: Duration,
         leaves: Option<Duration>,
         dice: &mut ChaCha8Rng,
     ) -> bool {
-        let begun = Instant::now();
-        let (mut reader, mut some) = (ResponseReader::new(HEAD_MAX), [0; 4 << 10]);
+        let attempt_started = Instant::now();
+        let (mut reader, mut some) = (ResponseReader::new(MAX_HEAD_BYTES), [0; 4 << 10]);
         let (mut status, mut first) = (0, None);
         let mut text = Vec::new();
-        let note = |end: AskEnd| {
+        let note = |end: RequestOutcome| {
             self.record.with(|books| {
-                if let Some(ask) = books.asks.get_mut(id) {
+                if let Some(ask) = books.requests.get_mut(id) {
                     ask.end = end;
                 }
             });
         };
         loop {
             let by = match (leaves, first) {
-                (Some(leaves), _) => begun + leaves,
-                (None, None) => begun + patience + BEYOND,
-                (None, Some(_)) => begun + STREAM_ENDS,
+                (Some(leaves), _) => attempt_started + leaves,
+                (None, None) => attempt_started + client_timeout + ANSWER_GRACE,
+                (None, Some(_)) => attempt_started + MAX_STREAM_DURATION,
             };
             let left = by.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 let _ = open.stream.shutdown(std::net::Shutdown::Both);
                 let now = self.record.now();
                 self.record.with(|books| {
-                    if let Some(ask) = books.asks.get_mut(id) {
+                    if let Some(ask) = books.requests.get_mut(id) {
                         ask.left = leaves.is_some().then_some(now);
                         if let (None, Some(first)) = (leaves, first) {
-                            ask.end = AskEnd::Answered { status, whole: false, first, at: now };
+                            ask.end = RequestOutcome::Answered { status, whole: false, first, at: now };
                         }
                     }
                 });
                 return false;
             }
             let _ = open.stream.set_read_timeout(Some(left.max(Duration::from_millis(1))));
-            let most = if self.manner == Manner::ReadsSlowly { 512 } else { some.len() };
+            let most = if self.manner == ClientBehavior::ReadsSlowly { 512 } else { some.len() };
             let count = match open.stream.read(&mut some[..most]) {
                 Ok(count) => count,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
@@ -236,8 +236,8 @@
             let now = self.record.now();
             if count == 0 {
                 note(match first {
-                    Some(first) => AskEnd::Answered { status, whole: false, first, at: now },
-                    None => AskEnd::Dropped { at: now },
+                    Some(first) => RequestOutcome::Answered { status, whole: false, first, at: now },
+                    None => RequestOutcome::Dropped { at: now },
                 });
                 return false;
             }
@@ -248,27 +248,27 @@
                     Ok(Some(Part::Head(s, _))) => status = s,
                     Ok(Some(Part::Body(bytes))) => {
                         text.extend_from_slice(&bytes);
-                        self.note_held_back(id, &mut text);
+                        self.record_delayed_events(id, &mut text);
                     }
                     Ok(Some(Part::End(keeps))) => {
-                        note(AskEnd::Answered { status, whole: true, first: first_at, at: now });
+                        note(RequestOutcome::Answered { status, whole: true, first: first_at, at: now });
                         return keeps;
                     }
                     Ok(None) => break,
                     Err(_) => {
-                        note(AskEnd::Answered { status: 0, whole: false, first: first_at, at: now });
+                        note(RequestOutcome::Answered { status: 0, whole: false, first: first_at, at: now });
                         return false;
                     }
                 }
             }
-            if self.manner == Manner::ReadsSlowly {
+            if self.manner == ClientBehavior::ReadsSlowly {
                 pause(dice, 1, 40);
             }
         }
     }
 
     /// How long events have been on their way, by the times that they carry.
-    fn note_held_back(&self, id: &str, text: &mut Vec<u8>) {
+    fn record_delayed_events(&self, id: &str, text: &mut Vec<u8>) {
         const MARK: &[u8] = b"{\"at\":";
         let now = self.record.now();
         while let Some(end) = text.windows(2).position(|w| w == b"\n\n") {
@@ -282,7 +282,7 @@
             let Ok(written) = digits.parse() else { continue };
             let held = now.saturating_sub(Duration::from_micros(written));
             self.record.with(|books| {
-                if let Some(ask) = books.asks.get_mut(id) {
+                if let Some(ask) = books.requests.get_mut(id) {
                     ask.most_held_back = ask.most_held_back.max(held);
                 }
             });
@@ -290,8 +290,8 @@
     }
 
     /// Something that is no request, or part of one; it is owed an error or an end.
-    fn misbehaves(&self, dice: &mut ChaCha8Rng) {
-        let whole = request(&format!("{}-bad", self.name), Class::Safe, self.patience, false);
+    fn send_malformed(&self, dice: &mut ChaCha8Rng) {
+        let whole = request(&format!("{}-bad", self.name), Class::Safe, self.client_timeout, false);
         let up = b"GET /up HTTP/1.1\r\n\r\n";
         let (bytes, goes) = match dice.random_range(0..7) {
             0 => (whole[..dice.random_range(1..whole.len())].to_vec(), false),
@@ -304,12 +304,12 @@
         };
         let Some(mut open) = self.connect() else { return };
         let connected = self.record.now();
-        let _ = open.stream.set_write_timeout(Some(CONNECT_WITHIN));
+        let _ = open.stream.set_write_timeout(Some(CONNECT_TIMEOUT));
         let _ = open.stream.write_all(&bytes);
         if goes {
             return;
         }
-        let (by, mut some) = (Instant::now() + BAD_OWED, [0; 4 << 10]);
+        let (by, mut some) = (Instant::now() + MALFORMED_ANSWER_TIMEOUT, [0; 4 << 10]);
         let mut served_at = None;
         let mut seen = Vec::new();
         while served_at.is_none() && Instant::now() < by {
@@ -330,19 +330,19 @@
     }
 }
 
-fn pause(dice: &mut ChaCha8Rng, least_ms: u64, most_ms: u64) {
-    std::thread::sleep(Duration::from_millis(dice.random_range(least_ms..most_ms)));
+fn pause(dice: &mut ChaCha8Rng, min_ms: u64, max_ms: u64) {
+    std::thread::sleep(Duration::from_millis(dice.random_range(min_ms..max_ms)));
 }
 
 /// The bytes of a request; a long one has a body that no socket takes at once.
-fn request(id: &str, class: Class, patience: Duration, long: bool) -> Vec<u8> {
+fn request(id: &str, class: Class, client_timeout: Duration, long: bool) -> Vec<u8> {
     let pad = if long { "x".repeat(200 << 10) } else { String::new() };
     let body = format!("{{\"model\":\"m\",\"stream\":true,\"pad\":\"{pad}\"}}");
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nX-Txn: {id}\r\nX-Lane: {}\r\nX-Entity: {id}\r\n\
          X-Remaining-Ms: {}\r\nX-Labels: prompt_len=400,prefix_len=0,max_out=50\r\nContent-Length: {}\r\n\r\n{body}",
         class.name(),
-        patience.as_millis(),
+        client_timeout.as_millis(),
         body.len()
     )
     .into_bytes()
--- a/crates/pintally-soak/src/discovery.rs
+++ b/crates/pintally-soak/src/discovery.rs
@@ -14,26 +14,26 @@
 
 /// While nothing changes an empty line comes this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A watch that has fallen silent is broken: what it misses counts as told so long after.
-const SILENT_TOLD: Duration = Duration::from_secs(6);
+/// A watch that has fallen silent is broken: what it misses counts as delivered after this time.
+const SILENT_WATCH_GRACE: Duration = Duration::from_secs(6);
 /// How often a listener looks whether the run is over.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The address before a new configuration closes its watches after this time.
-const MOVED_AFTER: Duration = Duration::from_millis(1_500);
-/// What there is to tell counts as told so long after a new configuration.
-const MOVED_TOLD: Duration = Duration::from_secs(4);
+const MOVE_DELAY: Duration = Duration::from_millis(1_500);
+/// After a new configuration, changes count as delivered after this time.
+const NEW_CONFIGURATION_GRACE: Duration = Duration::from_secs(4);
 
 /// What the agents have to tell.
 #[derive(Default)]
-struct Told {
+struct DiscoveryState {
     revision: u64,
     members: Vec<Value>,
-    /// Changes that have not been told yet, while the agent is down.
+    /// Changes that have not been sent, because the agent is down.
     pending: Vec<(String, bool)>,
     /// Troubles under which it is down; they may overlap.
     down: u32,
     watches: Vec<Watch>,
-    /// What is told before then counts as told then.
+    /// What is sent before then counts as delivered then.
     counts_from: At,
     /// Address that serves now; connections to earlier ones are refused.
     current: u64,
@@ -53,18 +53,18 @@
 pub(crate) struct Agent {
     node: usize,
     record: Arc<Record>,
-    told: Mutex<Told>,
+    state: Mutex<DiscoveryState>,
     listeners: AtomicU64,
     refuses: AtomicBool,
 }
 
 impl Agent {
     pub(crate) fn new(node: usize, record: &Arc<Record>, members: Vec<Value>) -> Arc<Agent> {
-        let told = Told { revision: 1, members, ..Told::default() };
+        let state = DiscoveryState { revision: 1, members, ..DiscoveryState::default() };
         let agent = Arc::new(Agent {
             node,
             record: record.clone(),
-            told: Mutex::new(told),
+            state: Mutex::new(state),
             listeners: AtomicU64::new(0),
             refuses: AtomicBool::new(false),
         });
@@ -72,14 +72,14 @@
         spawn(move || {
             while !own.record.is_over() {
                 std::thread::sleep(HEARTBEAT);
-                own.tell("\n");
+                own.broadcast("\n");
             }
         });
         agent
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Told> {
-        self.told.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, DiscoveryState> {
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Serves at a new address.
@@ -98,7 +98,7 @@
                         let own = own.clone();
                         spawn(move || own.watch(stream, number));
                     }
-                    Err(_) => std::thread::sleep(LOOK_EVERY),
+                    Err(_) => std::thread::sleep(POLL_INTERVAL),
                 }
             }
         });
@@ -115,59 +115,59 @@
         }
         let slow = self.lock().slow;
         std::thread::sleep(slow);
-        let mut told = self.lock();
+        let mut state = self.lock();
         let mut watch = Watch { stream, answered: false, silent: false, listener };
-        if told.down == 0 {
-            watch.tell_whole(&told.whole());
+        if state.down == 0 {
+            watch.send_full_list(&state.full_list());
         }
-        told.watches.push(watch);
+        state.watches.push(watch);
     }
 
-    fn tell(&self, line: &str) {
-        let mut told = self.lock();
-        if told.down == 0 {
+    fn broadcast(&self, line: &str) {
+        let mut state = self.lock();
+        if state.down == 0 {
             let line = chunk(line.as_bytes());
-            told.watches.retain_mut(|w| w.tell(&line));
+            state.watches.retain_mut(|w| w.broadcast(&line));
         }
     }
 
     /// An entry changes; `gone` if it drains or is removed.
     pub(crate) fn change(&self, member: &Value, gone: bool) {
         let id = member["id"].as_str().unwrap_or("").to_string();
-        let mut told = self.lock();
-        told.revision += 1;
-        told.members.retain(|m| m["id"] != member["id"]);
+        let mut state = self.lock();
+        state.revision += 1;
+        state.members.retain(|m| m["id"] != member["id"]);
         if member["phase"] != "removed" {
-            told.members.push(member.clone());
+            state.members.push(member.clone());
         }
-        if told.down > 0 {
-            told.pending.push((id, gone));
+        if state.down > 0 {
+            state.pending.push((id, gone));
             return;
         }
-        let line = json!({"revision": told.revision, "complete": false, "members": [member]});
+        let line = json!({"revision": state.revision, "complete": false, "members": [member]});
         let line = chunk(format!("{line}\n").as_bytes());
-        told.watches.retain_mut(|w| w.tell(&line));
-        let at = self.record.now().max(told.counts_from);
-        drop(told);
+        state.watches.retain_mut(|w| w.broadcast(&line));
+        let at = self.record.now().max(state.counts_from);
+        drop(state);
         if gone {
-            self.record.with(|books| books.told.push((self.node, id, at)));
+            self.record.with(|books| books.notified.push((self.node, id, at)));
         }
     }
 
-    /// Discovery is down, or back: what it has counts as told at once then.
+    /// Discovery is down, or back: pending changes count as delivered at once.
     pub(crate) fn set_down(&self, down: bool) {
-        let mut told = self.lock();
-        told.down = if down { told.down + 1 } else { told.down.saturating_sub(1) };
-        if told.down > 0 {
+        let mut state = self.lock();
+        state.down = if down { state.down + 1 } else { state.down.saturating_sub(1) };
+        if state.down > 0 {
             return;
         }
-        let whole = told.whole();
-        told.watches.retain_mut(|w| w.tell_whole(&whole));
-        let at = self.record.now().max(told.counts_from);
-        let pending = std::mem::take(&mut told.pending);
-        drop(told);
+        let full_list = state.full_list();
+        state.watches.retain_mut(|w| w.send_full_list(&full_list));
+        let at = self.record.now().max(state.counts_from);
+        let pending = std::mem::take(&mut state.pending);
+        drop(state);
         let gone = pending.into_iter().filter(|(_, gone)| *gone);
-        self.record.with(|books| books.told.extend(gone.map(|(id, _)| (self.node, id, at))));
+        self.record.with(|books| books.notified.extend(gone.map(|(id, _)| (self.node, id, at))));
     }
 
     /// From now on, or no more, connections are ended as they come.
@@ -185,9 +185,9 @@
 
     /// All open watches fall silent, and stay open.
     pub(crate) fn silence(&self) {
-        let mut told = self.lock();
-        told.watches.iter_mut().for_each(|w| w.silent = true);
-        told.counts_from = told.counts_from.max(self.record.now() + SILENT_TOLD);
+        let mut state = self.lock();
+        state.watches.iter_mut().for_each(|w| w.silent = true);
+        state.counts_from = state.counts_from.max(self.record.now() + SILENT_WATCH_GRACE);
     }
 
     /// All open watches are reset.
@@ -199,45 +199,45 @@
     }
 
     /// It has moved: the watches of earlier addresses end a little later.
-    pub(crate) fn moved(self: &Arc<Self>) {
+    pub(crate) fn move_to_new_address(self: &Arc<Self>) {
         let current = {
-            let mut told = self.lock();
-            told.counts_from = told.counts_from.max(self.record.now() + MOVED_TOLD);
-            told.current
+            let mut state = self.lock();
+            state.counts_from = state.counts_from.max(self.record.now() + NEW_CONFIGURATION_GRACE);
+            state.current
         };
         let own = self.clone();
         spawn(move || {
-            std::thread::sleep(MOVED_AFTER);
+            std::thread::sleep(MOVE_DELAY);
             own.lock().watches.retain(|w| w.listener >= current);
         });
     }
 
     /// The list as it is now.
     pub(crate) fn known(&self) -> Value {
-        let told = self.lock();
-        json!({"revision": told.revision, "complete": true, "members": told.members})
+        let state = self.lock();
+        json!({"revision": state.revision, "complete": true, "members": state.members})
     }
 }
 
-impl Told {
-    fn whole(&self) -> Vec<u8> {
-        let whole = json!({"revision": self.revision, "complete": true, "members": self.members});
-        chunk(format!("{whole}\n").as_bytes())
+impl DiscoveryState {
+    fn full_list(&self) -> Vec<u8> {
+        let full_list = json!({"revision": self.revision, "complete": true, "members": self.members});
+        chunk(format!("{full_list}\n").as_bytes())
     }
 }
 
 impl Watch {
     /// Tells a line; whether the watch stays.
-    fn tell(&mut self, line: &[u8]) -> bool {
+    fn broadcast(&mut self, line: &[u8]) -> bool {
         self.silent || !self.answered || self.stream.write_all(line).is_ok()
     }
 
     /// Tells the whole list, behind the head of the answer if that is owed.
-    fn tell_whole(&mut self, whole: &[u8]) -> bool {
+    fn send_full_list(&mut self, full_list: &[u8]) -> bool {
         if !self.answered && !self.silent {
             self.answered = true;
-            return self.stream.write_all(&[response_head(200, &[]), whole.to_vec()].concat()).is_ok();
+            return self.stream.write_all(&[response_head(200, &[]), full_list.to_vec()].concat()).is_ok();
         }
-        self.tell(whole)
+        self.broadcast(full_list)
     }
 }
--- a/crates/pintally-soak/src/fault_layer.c
+++ b/crates/pintally-soak/src/fault_layer.c
@@ -20,8 +20,8 @@
 static void begin(void) {
     if (state != 0) return;
     unsigned long seed = 1;
-    const char *told = getenv("PINTALLY_FAULTS");
-    if (told != NULL) sscanf(told, "%lu %u", &seed, &permille);
+    const char *setting = getenv("PINTALLY_FAULTS");
+    if (setting != NULL) sscanf(setting, "%lu %u", &seed, &permille);
     state = seed * 0x9e3779b97f4a7c15u | 1;
 }
 
--- a/crates/pintally-soak/src/trouble.rs
+++ b/crates/pintally-soak/src/injected_faults.rs
@@ -7,15 +7,15 @@
 
 /// Something that goes wrong, at a time since the run's start.
 #[derive(Clone, Debug)]
-pub(crate) struct Trouble {
+pub(crate) struct InjectedFault {
     pub(crate) at: Duration,
-    pub(crate) what: What,
+    pub(crate) what: FaultAction,
 }
 
 /// What goes wrong. Nodes and engines are numbers that are taken modulo how many there are.
 #[derive(Clone, Debug)]
-pub(crate) enum What {
-    /// A node is told to stop, killed at the end of its grace, and started again.
+pub(crate) enum FaultAction {
+    /// A node is sent SIGTERM, killed at the end of its grace, and started again.
     Stop { node: usize },
     /// A node is killed and started again after this time.
     Kill { node: usize, down: Duration },
@@ -47,49 +47,49 @@
     Crowd { node: usize, connections: usize, span: Duration },
 }
 
-/// How many groups of troubles a run of this length has.
+/// How many groups of faults a run of this length has.
 const GROUP_EVERY: Duration = Duration::from_millis(1_100);
 /// The first moments are quiet, and so are the last.
 const QUIET: Duration = Duration::from_millis(900);
 
-/// The troubles of a run.
-pub(crate) fn draw(dice: &mut ChaCha8Rng, span: Duration) -> Vec<Trouble> {
-    let mut troubles = Vec::new();
+/// The faults of a run.
+pub(crate) fn draw(dice: &mut ChaCha8Rng, span: Duration) -> Vec<InjectedFault> {
+    let mut faults = Vec::new();
     let mut from = QUIET;
     while from + QUIET < span {
         // One to three, within a moment of each other.
         for _ in 0..dice.random_range(1..4) {
             let at = from + Duration::from_millis(dice.random_range(0..400));
-            troubles.push(Trouble { at, what: draw_one(dice) });
+            faults.push(InjectedFault { at, what: draw_one(dice) });
         }
         from += GROUP_EVERY.mul_f64(f64::from(dice.random_range(6..14)) / 10.0);
     }
-    troubles.sort_by_key(|trouble| trouble.at);
-    troubles
+    faults.sort_by_key(|inject| inject.at);
+    faults
 }
 
-fn draw_one(dice: &mut ChaCha8Rng) -> What {
+fn draw_one(dice: &mut ChaCha8Rng) -> FaultAction {
     let node = dice.random_range(0..1_000);
     let engine = dice.random_range(0..1_000);
     let span = Duration::from_millis(dice.random_range(300..3_000));
     let many = dice.random_range(1..5);
     let engines: Vec<usize> = (0..many).map(|n| engine + n).collect();
     match dice.random_range(0..20) {
-        0..3 => What::Stop { node },
-        3 => What::Kill { node, down: span / 4 },
-        4 => What::Pause { node, span: Duration::from_millis(dice.random_range(50..150)) },
-        5 => What::Reload { node, half_written: false },
-        6 => What::Reload { node, half_written: true },
-        7 => What::ReloadMany { nodes: dice.random_range(2..8), times: dice.random_range(1..4) },
-        8 => What::DiscoveryDown { span },
-        9 => What::DiscoverySlow { span, late: Duration::from_millis(dice.random_range(100..900)) },
-        10 => What::WatchesSilent,
-        11 => What::WatchesReset,
-        12..15 => What::Replace { engine, after: span },
-        15 => What::Hang { engines, span },
-        16 => What::Vanish { engines, span },
-        17 => What::Reset { engine },
-        18 => What::DiscoveryRefuses { span: span / 2 },
-        _ => What::Crowd { node, connections: dice.random_range(50..300), span },
+        0..3 => FaultAction::Stop { node },
+        3 => FaultAction::Kill { node, down: span / 4 },
+        4 => FaultAction::Pause { node, span: Duration::from_millis(dice.random_range(50..150)) },
+        5 => FaultAction::Reload { node, half_written: false },
+        6 => FaultAction::Reload { node, half_written: true },
+        7 => FaultAction::ReloadMany { nodes: dice.random_range(2..8), times: dice.random_range(1..4) },
+        8 => FaultAction::DiscoveryDown { span },
+        9 => FaultAction::DiscoverySlow { span, late: Duration::from_millis(dice.random_range(100..900)) },
+        10 => FaultAction::WatchesSilent,
+        11 => FaultAction::WatchesReset,
+        12..15 => FaultAction::Replace { engine, after: span },
+        15 => FaultAction::Hang { engines, span },
+        16 => FaultAction::Vanish { engines, span },
+        17 => FaultAction::Reset { engine },
+        18 => FaultAction::DiscoveryRefuses { span: span / 2 },
+        _ => FaultAction::Crowd { node, connections: dice.random_range(50..300), span },
     }
 }
--- a/crates/pintally-soak/src/judge.rs
+++ b/crates/pintally-soak/src/invariants.rs
@@ -3,66 +3,66 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::record::{Ask, AskEnd, At, Begun, Books, Class, Incarnation};
+use crate::record::{At, AttemptRecord, Class, ClientRequest, Incarnation, RequestOutcome, RunRecord};
 use crate::timing::Timing;
 
 /// A request has its final answer so long after its time at the latest.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// An attempt may begin so long after its client has left.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
+const CLIENT_LEFT_SLACK: Duration = Duration::from_millis(100);
 /// And tell so much more than is left.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
+const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
 /// What the platform allows beside the settings' grace of drains, time of what is held, and window of repeats.
 const DRAIN_SLACK: Duration = Duration::from_millis(50);
-const HELD_SLACK: Duration = Duration::from_millis(300);
+const RESERVATION_SLACK: Duration = Duration::from_millis(300);
 const WINDOW_SLACK: Duration = Duration::from_millis(150);
 /// What came so long after the signal to stop is owed an answer up to the kill.
 const STOPPED_FROM: Duration = Duration::from_millis(700);
 /// New connections come for so long after it.
-const STILL_CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_AFTER_STOP: Duration = Duration::from_millis(400);
 /// An event is passed on within this time.
-const HELD_BACK: Duration = Duration::from_millis(300);
+const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
 /// One stream in so many may be late.
-const STREAMS_PER_LATE: usize = 20;
+const STREAMS_PER_DELAYED: usize = 20;
 /// A watch is opened so long after discovery is back at the latest: a quarter of the longest grace, and some time to ask.
-const ASKED_WITHIN: Duration = Duration::from_millis(300);
+const DISCOVERY_POLL_GRACE: Duration = Duration::from_millis(300);
 /// A bad client gets an error or an end within this time.
-const BAD_OWED: Duration = Duration::from_secs(3);
+const MALFORMED_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Which invariant was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FaultKind {
+pub enum ViolationKind {
     /// A request got no final answer, or too late.
     Lost,
     /// A request that must not run twice did, or two attempts were out at once.
     Duplicate,
     /// It was refused, or served as a failure, in a way that its effect does not allow.
-    RefusedAfterEffect,
+    RejectedAfterEffect,
     /// An attempt began after its client had left.
-    BegunForNobody,
-    /// An attempt told its engine more than was left.
-    ToldTooMuch,
+    AttemptAfterClientLeft,
+    /// An attempt stated more remaining time to its engine than was left.
+    RemainingTimeOverstated,
     /// An attempt went to an engine that was known to drain or to be gone.
-    Drain,
+    SentToDrainingEndpoint,
     /// Something stayed held.
-    Pinned,
+    ReservationLeaked,
     /// A stream that its engine had finished, or went on writing, was cut off.
     StreamCut,
     /// Too many streams had an event held back.
-    HeldBack,
+    EventsDelayed,
     /// A bad client was left without an error and without an end.
     BadClient,
     /// A process crashed, was late or went over a limit.
     Process,
     /// A node itself counted something that is not permitted.
-    Denied,
+    GuardViolation,
 }
 
 /// A broken invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Which.
-    pub kind: FaultKind,
+    pub kind: ViolationKind,
     /// Whose: a request's id, a node.
     pub whose: String,
     /// What was seen.
@@ -76,35 +76,39 @@
 }
 
 /// What a run is judged with: its books and how late threads of this machine were woken.
-pub(crate) struct Judge<'a> {
-    pub(crate) books: &'a Books,
+pub(crate) struct InvariantChecker<'a> {
+    pub(crate) books: &'a RunRecord,
     pub(crate) late: Duration,
     pub(crate) timing: Timing,
 }
 
-impl Judge<'_> {
+impl InvariantChecker<'_> {
     /// All violations.
     pub(crate) fn verdict(&self) -> Vec<Violation> {
         let mut found = Vec::new();
-        for (id, ask) in &self.books.asks {
-            let begun = self.books.begun.get(id).map_or(&[][..], Vec::as_slice);
-            self.judge_answer(id, ask, begun, &mut found);
-            self.judge_effects(id, ask, begun, &mut found);
-            self.judge_attempts(id, ask, begun, &mut found);
+        for (id, ask) in &self.books.requests {
+            let attempt_started = self.books.attempt_started.get(id).map_or(&[][..], Vec::as_slice);
+            self.judge_answer(id, ask, attempt_started, &mut found);
+            self.judge_effects(id, ask, attempt_started, &mut found);
+            self.judge_attempts(id, ask, attempt_started, &mut found);
         }
         self.judge_held(&mut found);
         self.judge_streams(&mut found);
         for bad in &self.books.bad_clients {
-            let by = bad.connected + BAD_OWED + self.late;
+            let by = bad.connected + MALFORMED_ANSWER_TIMEOUT + self.late;
             if bad.served_at.is_none_or(|at| at > by) && !self.node_ended(bad.node, bad.connected, by) {
-                found.push(violation(FaultKind::BadClient, format!("node {}", bad.node), format!("{bad:?}")));
+                found.push(violation(
+                    ViolationKind::BadClient,
+                    format!("node {}", bad.node),
+                    format!("{bad:?}"),
+                ));
             }
         }
         for (node, what) in &self.books.process_faults {
-            found.push(violation(FaultKind::Process, format!("node {node}"), what.clone()));
+            found.push(violation(ViolationKind::Process, format!("node {node}"), what.clone()));
         }
         for (node, what) in &self.books.denied {
-            found.push(violation(FaultKind::Denied, format!("node {node}"), what.clone()));
+            found.push(violation(ViolationKind::GuardViolation, format!("node {node}"), what.clone()));
         }
         found
     }
@@ -119,48 +123,58 @@
         ended.into_iter().any(|at| at >= from.saturating_sub(self.late) && at <= to + self.late)
     }
 
-    fn judge_answer(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
-        let by = ask.sent + ask.patience + ANSWER_SLACK + self.late;
-        let lost = |seen: String| violation(FaultKind::Lost, id.into(), seen);
+    fn judge_answer(
+        &self,
+        id: &str,
+        ask: &ClientRequest,
+        attempt_started: &[AttemptRecord],
+        found: &mut Vec<Violation>,
+    ) {
+        let by = ask.sent + ask.client_timeout + ANSWER_SLACK + self.late;
+        let lost = |seen: String| violation(ViolationKind::Lost, id.into(), seen);
         match ask.end {
-            AskEnd::Unsent => {}
-            AskEnd::Open | AskEnd::Dropped { .. } if ask.left.is_some() => {}
-            AskEnd::Open => {
+            RequestOutcome::Unsent => {}
+            RequestOutcome::Open | RequestOutcome::Dropped { .. } if ask.left.is_some() => {}
+            RequestOutcome::Open => {
                 if !self.excused_by_end(ask, by) {
-                    found.push(lost(format!("no answer: {ask:?}; {begun:?}")));
+                    found.push(lost(format!("no answer: {ask:?}; {attempt_started:?}")));
                 }
             }
-            AskEnd::Dropped { at } => {
-                let crossed = !ask.on_new_connection && begun.is_empty();
+            RequestOutcome::Dropped { at } => {
+                let crossed = !ask.on_new_connection && attempt_started.is_empty();
                 let closing = self.incarnation(ask.node, ask.sent).and_then(|i| i.told_to_stop);
-                let stops = closing.is_some_and(|told| ask.sent + self.late >= told + STILL_CONNECT);
-                let unread = begun.is_empty() && (stops || crossed);
+                let stops =
+                    closing.is_some_and(|notified| ask.sent + self.late >= notified + CONNECT_AFTER_STOP);
+                let unread = attempt_started.is_empty() && (stops || crossed);
                 if !unread && !self.excused_by_end(ask, at) {
-                    found.push(lost(format!("its connection ended without an answer: {ask:?}; {begun:?}")));
+                    found.push(lost(format!(
+                        "its connection ended without an answer: {ask:?}; {attempt_started:?}"
+                    )));
                 }
             }
-            AskEnd::Answered { status, whole, first, at } => {
+            RequestOutcome::Answered { status, whole, first, at } => {
                 if first > by {
-                    found.push(lost(format!("answered {status} late: {ask:?}; {begun:?}")));
+                    found.push(lost(format!("answered {status} late: {ask:?}; {attempt_started:?}")));
                 }
-                let finished = begun.iter().filter_map(|b| b.finished).max();
+                let finished = attempt_started.iter().filter_map(|b| b.finished).max();
                 if let Some(finished) = finished.filter(|_| !whole && ask.left.is_none()) {
                     if !self.excused_by_end(ask, at) {
                         found.push(violation(
-                            FaultKind::StreamCut,
+                            ViolationKind::StreamCut,
                             id.into(),
-                            format!("finished at {finished:?}, and cut off: {ask:?}; {begun:?}"),
+                            format!("finished at {finished:?}, and cut off: {ask:?}; {attempt_started:?}"),
                         ));
                     }
                 }
                 // The client's stream is that of the last attempt that took effect; earlier ones were given up.
-                let own = begun.iter().filter(|b| b.effect.is_some()).max_by_key(|b| b.begun);
+                let own =
+                    attempt_started.iter().filter(|b| b.effect.is_some()).max_by_key(|b| b.attempt_started);
                 let cut = own.is_some_and(|b| b.cut_by_node.is_some());
                 if cut && !whole && ask.left.is_none() && ask.prompt_reader && !self.excused_by_end(ask, at) {
                     found.push(violation(
-                        FaultKind::StreamCut,
+                        ViolationKind::StreamCut,
                         id.into(),
-                        format!("cut off while its engine wrote: {ask:?}; {begun:?}"),
+                        format!("cut off while its engine wrote: {ask:?}; {attempt_started:?}"),
                     ));
                 }
             }
@@ -168,26 +182,33 @@
     }
 
     /// Whether the process that had a request was killed, or ended in the time that it is given.
-    fn excused_by_end(&self, ask: &Ask, by: At) -> bool {
+    fn excused_by_end(&self, ask: &ClientRequest, by: At) -> bool {
         let Some(own) = self.incarnation(ask.node, ask.sent + self.late) else { return true };
         let Some(ended) = own.ended.filter(|ended| *ended <= by + self.late) else { return false };
         match own.told_to_stop {
             None => ended + self.late >= ask.sent,
             // What came in the first moments after the signal may be left over at the kill.
-            Some(told) => ask.sent <= told + STOPPED_FROM + self.late,
+            Some(notified) => ask.sent <= notified + STOPPED_FROM + self.late,
         }
     }
 
-    fn judge_effects(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
-        if let Some(second) = begun.iter().find(|b| b.second_copy) {
+    fn judge_effects(
+        &self,
+        id: &str,
+        ask: &ClientRequest,
+        attempt_started: &[AttemptRecord],
+        found: &mut Vec<Violation>,
+    ) {
+        if let Some(second) = attempt_started.iter().find(|b| b.second_copy) {
             found.push(violation(
-                FaultKind::Duplicate,
+                ViolationKind::Duplicate,
                 id.into(),
-                format!("a second copy: {second:?}; {begun:?}"),
+                format!("a second copy: {second:?}; {attempt_started:?}"),
             ));
         }
         // A repeat counts by when it began: its engine may hang before the effect.
-        let effects: Vec<At> = begun.iter().filter(|b| b.effect.is_some()).map(|b| b.begun).collect();
+        let effects: Vec<At> =
+            attempt_started.iter().filter(|b| b.effect.is_some()).map(|b| b.attempt_started).collect();
         let (Some(first), Some(last)) = (effects.iter().min(), effects.iter().max()) else { return };
         let twice = match ask.class {
             Class::Safe => false,
@@ -195,33 +216,57 @@
             Class::Keyed => *last > *first + self.timing.keyed_window + WINDOW_SLACK + self.late,
         };
         if twice {
-            found.push(violation(FaultKind::Duplicate, id.into(), format!("{:?}: {begun:?}", ask.class)));
+            found.push(violation(
+                ViolationKind::Duplicate,
+                id.into(),
+                format!("{:?}: {attempt_started:?}", ask.class),
+            ));
         }
         if ask.class == Class::Once
-            && matches!(ask.end, AskEnd::Answered { status: 503 | 429, .. })
+            && matches!(ask.end, RequestOutcome::Answered { status: 503 | 429, .. })
             && ask.left.is_none()
         {
-            found.push(violation(FaultKind::RefusedAfterEffect, id.into(), format!("{ask:?}; {begun:?}")));
+            found.push(violation(
+                ViolationKind::RejectedAfterEffect,
+                id.into(),
+                format!("{ask:?}; {attempt_started:?}"),
+            ));
         }
     }
 
-    fn judge_attempts(&self, id: &str, ask: &Ask, begun: &[Begun], found: &mut Vec<Violation>) {
-        for attempt in begun {
-            if ask.left.is_some_and(|left| attempt.begun > left + LEFT_SLACK + self.late) {
-                found.push(violation(FaultKind::BegunForNobody, id.into(), format!("{ask:?}; {attempt:?}")));
+    fn judge_attempts(
+        &self,
+        id: &str,
+        ask: &ClientRequest,
+        attempt_started: &[AttemptRecord],
+        found: &mut Vec<Violation>,
+    ) {
+        for attempt in attempt_started {
+            if ask.left.is_some_and(|left| attempt.attempt_started > left + CLIENT_LEFT_SLACK + self.late) {
+                found.push(violation(
+                    ViolationKind::AttemptAfterClientLeft,
+                    id.into(),
+                    format!("{ask:?}; {attempt:?}"),
+                ));
             }
             // A resent request's first sending is not known any more.
-            let left = (ask.sent + ask.patience).saturating_sub(attempt.begun);
-            let told_too_much = attempt.told_left.is_some_and(|told| told > left + TOLD_SLACK + self.late);
+            let left = (ask.sent + ask.client_timeout).saturating_sub(attempt.attempt_started);
+            let told_too_much = attempt
+                .remaining_stated
+                .is_some_and(|notified| notified > left + REMAINING_TIME_SLACK + self.late);
             if told_too_much && !ask.resent {
-                found.push(violation(FaultKind::ToldTooMuch, id.into(), format!("{ask:?}; {attempt:?}")));
+                found.push(violation(
+                    ViolationKind::RemainingTimeOverstated,
+                    id.into(),
+                    format!("{ask:?}; {attempt:?}"),
+                ));
             }
-            let told = self
+            let notified = self
                 .books
-                .told
+                .notified
                 .iter()
                 .filter(|(node, engine, _)| *node == attempt.node && *engine == attempt.engine);
-            let counts = told.map(|(_, _, at)| *at).min();
+            let counts = notified.map(|(_, _, at)| *at).min();
             let started = self.incarnation(attempt.node, attempt.head).map_or(At::ZERO, |i| i.started);
             let could_ask = self.discovery_back(started);
             if counts.is_some_and(|at| {
@@ -232,9 +277,9 @@
                         + self.late
             }) {
                 found.push(violation(
-                    FaultKind::Drain,
+                    ViolationKind::SentToDrainingEndpoint,
                     id.into(),
-                    format!("told at {counts:?}: {attempt:?}"),
+                    format!("notified at {counts:?}: {attempt:?}"),
                 ));
             }
         }
@@ -245,44 +290,47 @@
     fn discovery_back(&self, at: At) -> At {
         let mut downs = self.books.discovery_down.clone();
         downs.sort_unstable();
-        downs.iter().fold(at, |at, (from, to)| if *from <= at + ASKED_WITHIN && at < *to { *to } else { at })
+        downs
+            .iter()
+            .fold(at, |at, (from, to)| if *from <= at + DISCOVERY_POLL_GRACE && at < *to { *to } else { at })
     }
 
     fn judge_held(&self, found: &mut Vec<Violation>) {
         for (id, held) in &self.books.held {
-            let Some(ask) = self.books.asks.get(id) else { continue };
+            let Some(ask) = self.books.requests.get(id) else { continue };
             // What a process held when it ended is no duty of its next one.
             let from = ask.sent;
-            let to = from + ask.patience + Duration::from_secs(10);
-            if held.longest > self.timing.release + HELD_SLACK + self.late
+            let to = from + ask.client_timeout + Duration::from_secs(10);
+            if held.longest > self.timing.release + RESERVATION_SLACK + self.late
                 && !self.node_ended(ask.node, from, to)
             {
-                let seen = format!("for {:?}: {ask:?}; {:?}", held.longest, self.books.begun.get(id));
-                found.push(violation(FaultKind::Pinned, id.clone(), seen));
+                let seen =
+                    format!("for {:?}: {ask:?}; {:?}", held.longest, self.books.attempt_started.get(id));
+                found.push(violation(ViolationKind::ReservationLeaked, id.clone(), seen));
             }
         }
     }
 
     fn judge_streams(&self, found: &mut Vec<Violation>) {
-        let streams: Vec<(&String, &Ask)> = self
+        let streams: Vec<(&String, &ClientRequest)> = self
             .books
-            .asks
+            .requests
             .iter()
-            .filter(|(_, a)| a.prompt_reader && matches!(a.end, AskEnd::Answered { status: 200, .. }))
+            .filter(|(_, a)| a.prompt_reader && matches!(a.end, RequestOutcome::Answered { status: 200, .. }))
             .collect();
         let late: Vec<&String> = streams
             .iter()
-            .filter(|(_, ask)| ask.most_held_back > HELD_BACK + self.late)
+            .filter(|(_, ask)| ask.most_held_back > MAX_EVENT_DELAY + self.late)
             .map(|(id, _)| *id)
             .collect();
-        if late.len() * STREAMS_PER_LATE > streams.len() {
+        if late.len() * STREAMS_PER_DELAYED > streams.len() {
             let seen = format!("{} of {} streams: {late:?}", late.len(), streams.len());
-            found.push(violation(FaultKind::HeldBack, "all".into(), seen));
+            found.push(violation(ViolationKind::EventsDelayed, "all".into(), seen));
         }
     }
 }
 
-fn violation(kind: FaultKind, whose: String, seen: String) -> Violation {
+fn violation(kind: ViolationKind, whose: String, seen: String) -> Violation {
     Violation { kind, whose, seen }
 }
 
--- a/crates/pintally-soak/src/engine.rs
+++ b/crates/pintally-soak/src/mock_engine.rs
@@ -15,17 +15,17 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-use crate::record::{At, Begun, Record};
+use crate::record::{At, AttemptRecord, Record};
 use crate::run::spawn;
 
 /// Connections that may wait to be accepted: few, so that a machine that vanishes takes no more soon.
 const BACKLOG: i32 = 8;
 /// How often a thread that waits looks whether it may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// How long a look for new connections lasts.
-const ACCEPT_FOR: Timespec = Timespec { tv_sec: 0, tv_nsec: 20_000_000 };
+const ACCEPT_TIMEOUT: Timespec = Timespec { tv_sec: 0, tv_nsec: 20_000_000 };
 /// A connection that fills the backlog of a vanished machine has failed by then.
-const FILL_WITHIN: Duration = Duration::from_millis(25);
+const FILL_TIMEOUT: Duration = Duration::from_millis(25);
 /// In a row so many failures tell that the backlog is full.
 const FILL_FAILURES: u32 = 2;
 /// Nothing is waited for longer than this.
@@ -33,32 +33,32 @@
 
 /// What an engine does with a request, drawn anew for each.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    Well,
+enum EngineBehavior {
+    Healthy,
     Slow,
-    BreaksOff,
+    DropsConnection,
     Silent,
-    TurnsAway,
+    Rejects,
     Error,
     SecondAnswer,
-    Spoilt,
+    MalformedAnswer,
     Trickles,
     BreaksStream,
 }
 
-impl Manner {
-    fn draw(dice: &mut ChaCha8Rng) -> Manner {
+impl EngineBehavior {
+    fn draw(dice: &mut ChaCha8Rng) -> EngineBehavior {
         match dice.random_range(0..120) {
-            0 => Manner::BreaksOff,
-            1 => Manner::Silent,
-            2..4 => Manner::TurnsAway,
-            4 => Manner::Error,
-            5..7 => Manner::SecondAnswer,
-            7 => Manner::Spoilt,
-            8 => Manner::Trickles,
-            9 => Manner::BreaksStream,
-            10..14 => Manner::Slow,
-            _ => Manner::Well,
+            0 => EngineBehavior::DropsConnection,
+            1 => EngineBehavior::Silent,
+            2..4 => EngineBehavior::Rejects,
+            4 => EngineBehavior::Error,
+            5..7 => EngineBehavior::SecondAnswer,
+            7 => EngineBehavior::MalformedAnswer,
+            8 => EngineBehavior::Trickles,
+            9 => EngineBehavior::BreaksStream,
+            10..14 => EngineBehavior::Slow,
+            _ => EngineBehavior::Healthy,
         }
     }
 }
@@ -69,7 +69,7 @@
 
 impl Outstanding {
     /// Takes in an attempt; whether another one's connection is still open.
-    fn enter(&self, id: &str, key: u64, stream: &TcpStream) -> bool {
+    fn register(&self, id: &str, key: u64, stream: &TcpStream) -> bool {
         let mut all = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let out = all.entry(id.into()).or_default();
         let others = out.iter().any(|(_, other)| !has_ended(other));
@@ -79,7 +79,7 @@
         others
     }
 
-    fn leave(&self, id: &str, key: u64) {
+    fn unregister(&self, id: &str, key: u64) {
         let mut all = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(out) = all.get_mut(id) {
             out.retain(|(own, _)| *own != key);
@@ -92,7 +92,7 @@
 
 /// Whether the peer has ended a connection, without waiting.
 fn has_ended(stream: &TcpStream) -> bool {
-    // Sockets' flags are shared by all handles of a connection, so the call itself is told not to wait.
+    // Sockets' flags are shared by all handles of a connection, so the call itself must not block.
     let mut some = [std::mem::MaybeUninit::uninit(); 1];
     let flags = MSG_PEEK | MSG_DONTWAIT;
     match SockRef::from(stream).recv_with_flags(&mut some, flags) {
@@ -164,7 +164,7 @@
         while !self.dead.load(Ordering::SeqCst) {
             if self.vanished.load(Ordering::SeqCst) {
                 was_gone = true;
-                std::thread::sleep(LOOK_EVERY);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
             // What came up at a machine that was not there never came up.
@@ -173,7 +173,7 @@
             }
             let mut polled: Vec<PollFd<'_>> =
                 listeners.iter().map(|listener| PollFd::new(listener, PollFlags::IN)).collect();
-            let _ = poll(&mut polled, Some(&ACCEPT_FOR));
+            let _ = poll(&mut polled, Some(&ACCEPT_TIMEOUT));
             let ready: Vec<usize> = (0..polled.len()).filter(|n| !polled[*n].revents().is_empty()).collect();
             for node in ready {
                 while !self.vanished.load(Ordering::SeqCst) {
@@ -202,7 +202,7 @@
                 all.spawn(move || {
                     let mut failures = 0;
                     while failures < FILL_FAILURES {
-                        match TcpStream::connect_timeout(address, FILL_WITHIN) {
+                        match TcpStream::connect_timeout(address, FILL_TIMEOUT) {
                             Ok(stream) => Self::lock(&self.fillers).push(stream),
                             Err(_) => failures += 1,
                         }
@@ -213,7 +213,7 @@
     }
 
     /// It is back; what was open before is reset.
-    pub(crate) fn come_back(&self) {
+    pub(crate) fn restart(&self) {
         Self::lock(&self.fillers).clear();
         self.reset_connections();
         self.vanished.store(false, Ordering::SeqCst);
@@ -244,12 +244,12 @@
     }
 
     /// Waits while it hangs; whether the connection is still of use.
-    fn goes_on(&self, stream: &TcpStream, incarnation: u64) -> bool {
+    fn keeps_running(&self, stream: &TcpStream, incarnation: u64) -> bool {
         while self.hangs.load(Ordering::SeqCst) {
             if self.is_over(incarnation) || has_ended(stream) {
                 return false;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         !self.is_over(incarnation)
     }
@@ -326,17 +326,17 @@
         let id = request.headers.get("x-txn").unwrap_or("").to_string();
         let key = dice.random_range(0..u64::MAX);
         let resets = self.resets.load(Ordering::SeqCst);
-        let second_copy = self.outstanding.enter(&id, key, stream);
-        let told = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
-        let writes = self.name.starts_with('w');
+        let second_copy = self.outstanding.register(&id, key, stream);
+        let notified = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
+        let serve_write = self.name.starts_with('w');
         let number = self.record.begins(
             &id,
-            Begun {
+            AttemptRecord {
                 engine: self.name.clone(),
                 node,
                 head,
-                begun: self.record.now(),
-                told_left: told.map(Duration::from_millis),
+                attempt_started: self.record.now(),
+                remaining_stated: notified.map(Duration::from_millis),
                 second_copy,
                 effect: None,
                 finished: None,
@@ -344,49 +344,53 @@
             },
         );
         let work = Work { id: &id, number, incarnation, resets, key, over: Cell::new(false) };
-        let stays = if writes { self.writes(stream, &work, dice) } else { self.reads(stream, &work, dice) };
-        self.ends(&work);
+        let stays = if serve_write {
+            self.serve_write(stream, &work, dice)
+        } else {
+            self.serve_read(stream, &work, dice)
+        };
+        self.finish(&work);
         stays
     }
 
     /// An attempt is over: from here on it is out nowhere.
-    fn ends(&self, work: &Work<'_>) {
+    fn finish(&self, work: &Work<'_>) {
         if !work.over.replace(true) {
-            self.outstanding.leave(work.id, work.key);
-            self.record.ends(work.id);
+            self.outstanding.unregister(work.id, work.key);
+            self.record.finish(work.id);
         }
     }
 
     /// The whole answer of an attempt; it ends before its node can know that. Whether the connection stays.
-    fn answers(&self, mut stream: &TcpStream, work: &Work<'_>, bytes: &[u8]) -> bool {
-        self.ends(work);
+    fn send_answer(&self, mut stream: &TcpStream, work: &Work<'_>, bytes: &[u8]) -> bool {
+        self.finish(work);
         stream.write_all(bytes).is_ok()
     }
 
     /// Takes up an attempt after less than so many milliseconds: its manner, or, if nothing comes of it, whether the
     /// connection stays.
-    fn takes_up(
+    fn start_work(
         &self,
         stream: &TcpStream,
         work: &Work<'_>,
         within_ms: u64,
         dice: &mut ChaCha8Rng,
-    ) -> Result<Manner, bool> {
+    ) -> Result<EngineBehavior, bool> {
         std::thread::sleep(Duration::from_millis(dice.random_range(1..within_ms)));
-        if !self.goes_on(stream, work.incarnation) {
+        if !self.keeps_running(stream, work.incarnation) {
             silent(stream);
             return Err(false);
         }
-        match Manner::draw(dice) {
-            Manner::TurnsAway => {
-                Err(self.answers(stream, work, &response(503, &[("X-Turned-Away", "1")], b"")))
+        match EngineBehavior::draw(dice) {
+            EngineBehavior::Rejects => {
+                Err(self.send_answer(stream, work, &response(503, &[("X-Turned-Away", "1")], b"")))
             }
             manner => Ok(manner),
         }
     }
 
-    fn reads(&self, mut stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
-        let manner = match self.takes_up(stream, work, 15, dice) {
+    fn serve_read(&self, mut stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
+        let manner = match self.start_work(stream, work, 15, dice) {
             Ok(manner) => manner,
             Err(stays) => return stays,
         };
@@ -397,74 +401,76 @@
         self.record.holds(work.id);
         let whole = response(202, &[], b"{\"cached_tokens\":16}");
         match manner {
-            Manner::BreaksOff | Manner::BreaksStream => false,
-            Manner::Silent => {
+            EngineBehavior::DropsConnection | EngineBehavior::BreaksStream => false,
+            EngineBehavior::Silent => {
                 silent(stream);
                 false
             }
-            Manner::Error => self.answers(stream, work, &response(500, &[], b"")),
-            Manner::SecondAnswer => {
-                self.answers(stream, work, &whole);
+            EngineBehavior::Error => self.send_answer(stream, work, &response(500, &[], b"")),
+            EngineBehavior::SecondAnswer => {
+                self.send_answer(stream, work, &whole);
                 std::thread::sleep(Duration::from_millis(5));
                 stream.write_all(&whole).is_ok()
             }
-            Manner::Spoilt => self.answers(stream, work, b"\x00\x01 noise\r\n\r\n"),
-            Manner::Slow => {
+            EngineBehavior::MalformedAnswer => self.send_answer(stream, work, b"\x00\x01 noise\r\n\r\n"),
+            EngineBehavior::Slow => {
                 std::thread::sleep(Duration::from_millis(250));
-                self.answers(stream, work, &whole)
+                self.send_answer(stream, work, &whole)
             }
-            Manner::Trickles => {
+            EngineBehavior::Trickles => {
                 let (last, before) = whole.split_last().unwrap_or((&0, &[]));
                 before.iter().all(|byte| {
                     std::thread::sleep(Duration::from_millis(1));
                     stream.write_all(&[*byte]).is_ok()
-                }) && self.answers(stream, work, &[*last])
+                }) && self.send_answer(stream, work, &[*last])
             }
-            Manner::Well | Manner::TurnsAway => self.answers(stream, work, &whole),
+            EngineBehavior::Healthy | EngineBehavior::Rejects => self.send_answer(stream, work, &whole),
         }
     }
 
-    fn writes(&self, stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
-        let manner = match self.takes_up(stream, work, 10, dice) {
+    fn serve_write(&self, stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
+        let manner = match self.start_work(stream, work, 10, dice) {
             Ok(manner) => manner,
             Err(stays) => return stays,
         };
         if !self.record.has_state(work.id) {
-            return self.answers(stream, work, &response(410, &[("X-Turned-Away", "1")], b""));
+            return self.send_answer(stream, work, &response(410, &[("X-Turned-Away", "1")], b""));
         }
         if has_ended(stream) {
             return false;
         }
         self.record.fetched(work.id);
         let now = self.record.now();
-        self.record.note(work.id, work.number, |begun| begun.effect = Some(now));
+        self.record.note(work.id, work.number, |attempt_started| attempt_started.effect = Some(now));
         match manner {
-            Manner::BreaksOff => return false,
-            Manner::Silent => {
+            EngineBehavior::DropsConnection => return false,
+            EngineBehavior::Silent => {
                 silent(stream);
                 return false;
             }
-            Manner::Error => return self.answers(stream, work, &response(500, &[], b"")),
-            Manner::Spoilt => return self.answers(stream, work, b"HTTP/1.1 2\x00 noise\r\n\r\n"),
-            Manner::Slow => std::thread::sleep(Duration::from_millis(350)),
+            EngineBehavior::Error => return self.send_answer(stream, work, &response(500, &[], b"")),
+            EngineBehavior::MalformedAnswer => {
+                return self.send_answer(stream, work, b"HTTP/1.1 2\x00 noise\r\n\r\n")
+            }
+            EngineBehavior::Slow => std::thread::sleep(Duration::from_millis(350)),
             _ => {}
         }
-        self.streams(stream, work, manner, dice)
+        self.stream_answer(stream, work, manner, dice)
     }
 
     /// Events, each with the time at which it was written, to the last chunk.
-    fn streams(
+    fn stream_answer(
         &self,
         mut stream: &TcpStream,
         work: &Work<'_>,
-        manner: Manner,
+        manner: EngineBehavior,
         dice: &mut ChaCha8Rng,
     ) -> bool {
         let mut bytes = response_head(200, &[("content-type", "text/event-stream")]);
         let events = dice.random_range(2..30);
         let pad = "x".repeat(if dice.random_range(0..8) == 0 { 4 << 10 } else { 40 });
         for event in 0..events {
-            if !self.goes_on(stream, work.incarnation) {
+            if !self.keeps_running(stream, work.incarnation) {
                 silent(stream);
                 return false;
             }
@@ -478,19 +484,19 @@
             }
             bytes.clear();
             match manner {
-                Manner::BreaksStream if event == events / 2 => return false,
-                Manner::Trickles if event == 1 => return trickle(stream),
+                EngineBehavior::BreaksStream if event == events / 2 => return false,
+                EngineBehavior::Trickles if event == 1 => return trickle(stream),
                 _ => std::thread::sleep(Duration::from_millis(dice.random_range(2..60))),
             }
         }
         bytes.extend(chunk(b"data: [DONE]\n\n"));
         bytes.extend_from_slice(LAST_CHUNK);
-        if !self.answers(stream, work, &bytes) {
+        if !self.send_answer(stream, work, &bytes) {
             return self.was_cut(work);
         }
         let now = self.record.now();
-        self.record.note(work.id, work.number, |begun| begun.finished = Some(now));
-        if manner == Manner::SecondAnswer {
+        self.record.note(work.id, work.number, |attempt_started| attempt_started.finished = Some(now));
+        if manner == EngineBehavior::SecondAnswer {
             std::thread::sleep(Duration::from_millis(8));
             return stream.write_all(&response(202, &[], b"{\"cached_tokens\":16}")).is_ok();
         }
@@ -501,7 +507,7 @@
         let by_engine = self.is_over(work.incarnation) || self.resets.load(Ordering::SeqCst) != work.resets;
         if !by_engine {
             let now = self.record.now();
-            self.record.note(work.id, work.number, |begun| begun.cut_by_node = Some(now));
+            self.record.note(work.id, work.number, |attempt_started| attempt_started.cut_by_node = Some(now));
         }
         false
     }
--- a/crates/pintally-soak/src/node.rs
+++ b/crates/pintally-soak/src/node.rs
@@ -1,4 +1,4 @@
-//! A node of a run: a process of its own with limits, started, told to stop, killed, paused and measured.
+//! A node of a run: a process of its own with limits, started, sent SIGTERM, killed, paused and measured.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -44,7 +44,7 @@
     launch: Arc<Launch>,
     record: Arc<Record>,
     process: Mutex<Option<Child>>,
-    /// It has been told to stop: its end is no crash.
+    /// It has been sent SIGTERM: its end is no crash.
     stopping: AtomicBool,
     seed: u64,
     _port: Port,
@@ -173,7 +173,7 @@
                 let now = self.record.now();
                 self.note(|own| own.ended = Some(now));
                 if !status.success() {
-                    self.fault(format!("ended with {status} when told to stop"));
+                    self.fault(format!("ended with {status} after SIGTERM"));
                 }
                 *self.lock() = None;
                 return;
@@ -295,8 +295,8 @@
     timing: &Timing,
 ) -> Value {
     let class = |name: &str, effect: Value| {
-        let mut class = json!({"name": name, "deadline": timing.patience.as_secs_f64(), "gain": 1.0,
-            "objective": timing.patience.as_secs_f64() * 0.6, "late_value": 0.2});
+        let mut class = json!({"name": name, "deadline": timing.client_timeout.as_secs_f64(), "gain": 1.0,
+            "objective": timing.client_timeout.as_secs_f64() * 0.6, "late_value": 0.2});
         for (key, value) in effect.as_object().into_iter().flatten() {
             class[key] = value.clone();
         }
--- a/crates/pintally-soak/src/record.rs
+++ b/crates/pintally-soak/src/record.rs
@@ -30,19 +30,19 @@
 
 /// A request as its client sent it, and what became of it.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ClientRequest {
     pub(crate) class: Class,
     pub(crate) node: usize,
     /// When its last byte was written, and for how long its client waits from then on.
     pub(crate) sent: At,
-    pub(crate) patience: Duration,
+    pub(crate) client_timeout: Duration,
     /// It was the first request of its connection.
     pub(crate) on_new_connection: bool,
     /// It was sent once more, as its first connection had ended without an answer.
     pub(crate) resent: bool,
     /// When the client closed its connection of its own accord.
     pub(crate) left: Option<At>,
-    pub(crate) end: AskEnd,
+    pub(crate) end: RequestOutcome,
     /// The client read as fast as it could.
     pub(crate) prompt_reader: bool,
     /// The longest time between an event's writing and its reading.
@@ -51,7 +51,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AskEnd {
+pub(crate) enum RequestOutcome {
     /// Nothing has come.
     Open,
     /// An answer came: its status, whether it was whole, and when it began and ended.
@@ -64,14 +64,14 @@
 
 /// An attempt as its engine saw it.
 #[derive(Clone, Debug)]
-pub(crate) struct Begun {
+pub(crate) struct AttemptRecord {
     pub(crate) engine: String,
     pub(crate) node: usize,
     /// When its head and its last byte came.
     pub(crate) head: At,
-    pub(crate) begun: At,
-    /// What it told to be left.
-    pub(crate) told_left: Option<Duration>,
+    pub(crate) attempt_started: At,
+    /// The remaining time that it stated.
+    pub(crate) remaining_stated: Option<Duration>,
     /// Another attempt of the request was out on an open connection.
     pub(crate) second_copy: bool,
     /// It took effect.
@@ -84,7 +84,7 @@
 
 /// What is held at engines for one request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct ReservedState {
     states: u32,
     out: u32,
     released: bool,
@@ -92,7 +92,7 @@
     pub(crate) longest: Duration,
 }
 
-impl Held {
+impl ReservedState {
     fn rest(&mut self, now: At) {
         if let Some(since) = self.since.take() {
             self.longest = self.longest.max(now.saturating_sub(since));
@@ -126,12 +126,12 @@
 
 /// All that was seen.
 #[derive(Default)]
-pub(crate) struct Books {
-    pub(crate) asks: BTreeMap<String, Ask>,
-    pub(crate) begun: BTreeMap<String, Vec<Begun>>,
-    pub(crate) held: BTreeMap<String, Held>,
-    /// When each node was told that an engine drains or is gone.
-    pub(crate) told: Vec<(usize, String, At)>,
+pub(crate) struct RunRecord {
+    pub(crate) requests: BTreeMap<String, ClientRequest>,
+    pub(crate) attempt_started: BTreeMap<String, Vec<AttemptRecord>>,
+    pub(crate) held: BTreeMap<String, ReservedState>,
+    /// When each node was notified that an engine drains or is gone.
+    pub(crate) notified: Vec<(usize, String, At)>,
     /// When discovery was down.
     pub(crate) discovery_down: Vec<(At, At)>,
     pub(crate) incarnations: Vec<Incarnation>,
@@ -140,15 +140,15 @@
     pub(crate) process_faults: Vec<(usize, String)>,
     /// What nodes themselves counted as not permitted.
     pub(crate) denied: Vec<(usize, String)>,
-    /// The troubles that were played.
-    pub(crate) troubles: Vec<(At, String)>,
+    /// The faults that were played.
+    pub(crate) faults: Vec<(At, String)>,
 }
 
 /// The books, shared by all threads of a run.
 pub(crate) struct Record {
     started: Instant,
     over: AtomicBool,
-    books: Mutex<Books>,
+    books: Mutex<RunRecord>,
 }
 
 impl Record {
@@ -169,38 +169,40 @@
         self.started.elapsed()
     }
 
-    pub(crate) fn with<T>(&self, what: impl FnOnce(&mut Books) -> T) -> T {
+    pub(crate) fn with<T>(&self, what: impl FnOnce(&mut RunRecord) -> T) -> T {
         what(&mut self.books.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    pub(crate) fn take_books(&self) -> Books {
+    pub(crate) fn take_books(&self) -> RunRecord {
         self.with(std::mem::take)
     }
 
     /// An attempt has come whole; its number among those of the request.
-    pub(crate) fn begins(&self, id: &str, begun: Begun) -> usize {
+    pub(crate) fn begins(&self, id: &str, attempt_started: AttemptRecord) -> usize {
         let now = self.now();
         self.with(|books| {
             let held = books.held.entry(id.into()).or_default();
             held.rest(now);
             held.out += 1;
-            let all = books.begun.entry(id.into()).or_default();
-            all.push(begun);
+            let all = books.attempt_started.entry(id.into()).or_default();
+            all.push(attempt_started);
             all.len() - 1
         })
     }
 
     /// Notes something of an attempt.
-    pub(crate) fn note(&self, id: &str, number: usize, what: impl FnOnce(&mut Begun)) {
+    pub(crate) fn note(&self, id: &str, number: usize, what: impl FnOnce(&mut AttemptRecord)) {
         self.with(|books| {
-            if let Some(begun) = books.begun.get_mut(id).and_then(|all| all.get_mut(number)) {
-                what(begun);
+            if let Some(attempt_started) =
+                books.attempt_started.get_mut(id).and_then(|all| all.get_mut(number))
+            {
+                what(attempt_started);
             }
         });
     }
 
     /// An attempt has ended at its engine; a release that came meanwhile takes effect now.
-    pub(crate) fn ends(&self, id: &str) {
+    pub(crate) fn finish(&self, id: &str) {
         let now = self.now();
         self.with(|books| {
             let held = books.held.entry(id.into()).or_default();
--- a/crates/pintally-soak/src/run.rs
+++ b/crates/pintally-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: starts everything, plays the troubles, and judges the record.
+//! A run: starts everything, plays the faults, and judges the record.
 
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -11,15 +11,15 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
 
-use crate::client::{Client, Manner};
+use crate::client::{Client, ClientBehavior};
 use crate::discovery::Agent;
-use crate::engine::{Engine, Outstanding};
 use crate::fault_layer;
-use crate::judge::{Judge, Violation};
+use crate::injected_faults::{draw, FaultAction, InjectedFault};
+use crate::invariants::{InvariantChecker, Violation};
+use crate::mock_engine::{Engine, Outstanding};
 use crate::node::{keep_logs, Launch, Node};
-use crate::record::{AskEnd, Record};
+use crate::record::{Record, RequestOutcome};
 use crate::timing::Timing;
-use crate::trouble::{draw, Trouble, What};
 
 /// A wall clock may be off by so many seconds.
 const HOUR: i64 = 3_600;
@@ -30,7 +30,7 @@
 /// How long after the last request what is held may take to be let go, and answers to come.
 const SETTLE: Duration = Duration::from_millis(4_500);
 /// What a note of the record may lag behind what it tells of.
-const MIN_LATE: Duration = Duration::from_millis(25);
+const MIN_LATENESS: Duration = Duration::from_millis(25);
 const INSPECT_EVERY: Duration = Duration::from_millis(150);
 
 /// What a run is like.
@@ -38,7 +38,7 @@
 pub struct Options {
     /// The program to run as `program platform`.
     pub program: PathBuf,
-    /// Draws troubles, clients and engines' manners.
+    /// Draws faults, clients and engines' behaviours.
     pub seed: u64,
     /// How many nodes.
     pub nodes: usize,
@@ -67,8 +67,8 @@
     pub restarts: usize,
     /// How late threads of this machine were woken at the most.
     pub late: Duration,
-    /// The troubles that were played, with their times.
-    pub troubles: Vec<String>,
+    /// The faults that were played, with their times.
+    pub faults: Vec<String>,
     /// What was broken.
     pub violations: Vec<Violation>,
 }
@@ -78,7 +78,7 @@
     std::thread::Builder::new().stack_size(STACK).spawn(what).ok()
 }
 
-/// Everything that a trouble may touch.
+/// Everything that a fault may touch.
 struct Stage {
     record: Arc<Record>,
     nodes: Vec<Arc<Node>>,
@@ -172,20 +172,17 @@
 fn report(stage: &Stage, late: Duration, timing: Timing) -> Report {
     let books = stage.record.take_books();
     // Threads of nodes are woken as late as those here.
-    let violations = Judge { books: &books, late: late * 2 + MIN_LATE, timing }.verdict();
-    let asked = books.asks.values().filter(|ask| ask.end != AskEnd::Unsent).count();
-    let whole = |end: &AskEnd| matches!(end, AskEnd::Answered { status: 200, whole: true, .. });
+    let violations = InvariantChecker { books: &books, late: late * 2 + MIN_LATENESS, timing }.verdict();
+    let asked = books.requests.values().filter(|ask| ask.end != RequestOutcome::Unsent).count();
+    let whole =
+        |end: &RequestOutcome| matches!(end, RequestOutcome::Answered { status: 200, whole: true, .. });
     Report {
         asked,
-        served: books.asks.values().filter(|ask| whole(&ask.end)).count(),
-        attempts: books.begun.values().map(Vec::len).sum(),
+        served: books.requests.values().filter(|ask| whole(&ask.end)).count(),
+        attempts: books.attempt_started.values().map(Vec::len).sum(),
         restarts: books.incarnations.len().saturating_sub(stage.nodes.len()),
         late,
-        troubles: books
-            .troubles
-            .iter()
-            .map(|(at, what)| format!("{:.2} s {what}", at.as_secs_f64()))
-            .collect(),
+        faults: books.faults.iter().map(|(at, what)| format!("{:.2} s {what}", at.as_secs_f64())).collect(),
         violations,
     }
 }
@@ -217,7 +214,7 @@
 fn start_clients(stage: &Arc<Stage>, options: &Options, until: Instant) -> Vec<Option<JoinHandle<()>>> {
     let mut clients = Vec::new();
     for node in &stage.nodes {
-        for (at, manner) in Manner::ALL.into_iter().enumerate() {
+        for (at, manner) in ClientBehavior::ALL.into_iter().enumerate() {
             let client = Client {
                 node: node.number,
                 address: node.address,
@@ -226,7 +223,7 @@
                 seed: options.seed << 24 | (node.number as u64) << 8 | at as u64,
                 record: stage.record.clone(),
                 until,
-                patience: Timing::draw(options.seed).patience,
+                client_timeout: Timing::draw(options.seed).client_timeout,
             };
             clients.push(spawn(move || client.run()));
         }
@@ -234,16 +231,16 @@
     clients
 }
 
-/// Plays the troubles, each in a thread of its own, to the end of the last one.
+/// Plays the faults, each in a thread of its own, to the end of the last one.
 fn play(stage: &Arc<Stage>, options: &Options, from: Instant) {
     let mut dice = ChaCha8Rng::seed_from_u64(options.seed);
     let mut threads = Vec::new();
-    for Trouble { at, what } in draw(&mut dice, options.span) {
+    for InjectedFault { at, what } in draw(&mut dice, options.span) {
         std::thread::sleep((from + at).saturating_duration_since(Instant::now()));
         let now = stage.record.now();
-        stage.record.with(|books| books.troubles.push((now, format!("{what:?}"))));
+        stage.record.with(|books| books.faults.push((now, format!("{what:?}"))));
         let (own, seed) = (stage.clone(), dice.random_range(0..u64::MAX));
-        threads.push(spawn(move || own.trouble(what, seed)));
+        threads.push(spawn(move || own.inject(what, seed)));
     }
     threads.into_iter().flatten().for_each(|thread| drop(thread.join()));
 }
@@ -258,7 +255,7 @@
 }
 
 impl Stage {
-    /// Keeps a node for one trouble that ends or reloads its process; none if another has it.
+    /// Keeps a node for one fault that ends or reloads its process; none if another has it.
     fn reserve(&self, node: usize) -> Option<Reserved<'_>> {
         let node = node % self.nodes.len();
         let mut busy = lock(&self.busy);
@@ -277,24 +274,24 @@
         at.into_iter().map(|n| all[n].clone()).collect()
     }
 
-    fn trouble(&self, what: What, seed: u64) {
+    fn inject(&self, what: FaultAction, seed: u64) {
         match what {
-            What::Stop { node } => self.restart(node, None),
-            What::Kill { node, down } => self.restart(node, Some(down)),
-            What::Pause { node, span } => {
+            FaultAction::Stop { node } => self.restart(node, None),
+            FaultAction::Kill { node, down } => self.restart(node, Some(down)),
+            FaultAction::Pause { node, span } => {
                 let node = &self.nodes[node % self.nodes.len()];
                 node.signal("-STOP");
                 std::thread::sleep(span);
                 node.signal("-CONT");
             }
-            What::Reload { node, half_written } => self.reload(node, half_written),
-            What::ReloadMany { nodes, times } => {
+            FaultAction::Reload { node, half_written } => self.reload(node, half_written),
+            FaultAction::ReloadMany { nodes, times } => {
                 for _ in 0..times {
                     (0..nodes).for_each(|node| self.reload(node * 3, false));
                     std::thread::sleep(Duration::from_millis(60));
                 }
             }
-            What::DiscoveryDown { span } => {
+            FaultAction::DiscoveryDown { span } => {
                 let from = self.record.now();
                 self.agents.iter().for_each(|agent| agent.set_down(true));
                 std::thread::sleep(span);
@@ -302,12 +299,12 @@
                 let to = self.record.now();
                 self.record.with(|books| books.discovery_down.push((from, to)));
             }
-            What::DiscoverySlow { span, late } => {
+            FaultAction::DiscoverySlow { span, late } => {
                 self.agents.iter().for_each(|agent| agent.set_slow(late));
                 std::thread::sleep(span);
                 self.agents.iter().for_each(|agent| agent.set_slow(Duration::ZERO));
             }
-            What::DiscoveryRefuses { span } => {
+            FaultAction::DiscoveryRefuses { span } => {
                 let from = self.record.now();
                 self.agents.iter().for_each(|agent| agent.set_down(true));
                 self.agents.iter().for_each(|agent| agent.set_refusing(true));
@@ -317,16 +314,16 @@
                 let to = self.record.now();
                 self.record.with(|books| books.discovery_down.push((from, to)));
             }
-            What::WatchesSilent => self.agents.iter().for_each(|agent| agent.silence()),
-            What::WatchesReset => self.agents.iter().for_each(|agent| agent.reset()),
-            What::Replace { engine, after } => self.replace(engine, after, seed),
-            What::Hang { engines, span } => {
+            FaultAction::WatchesSilent => self.agents.iter().for_each(|agent| agent.silence()),
+            FaultAction::WatchesReset => self.agents.iter().for_each(|agent| agent.reset()),
+            FaultAction::Replace { engine, after } => self.replace(engine, after, seed),
+            FaultAction::Hang { engines, span } => {
                 let engines = self.engines(&engines);
                 engines.iter().for_each(|engine| engine.hang(true));
                 std::thread::sleep(span);
                 engines.iter().for_each(|engine| engine.hang(false));
             }
-            What::Vanish { engines, span } => {
+            FaultAction::Vanish { engines, span } => {
                 let engines = self.engines(&engines);
                 std::thread::scope(|all| {
                     for engine in &engines {
@@ -334,10 +331,12 @@
                     }
                 });
                 std::thread::sleep(span);
-                engines.iter().for_each(|engine| engine.come_back());
+                engines.iter().for_each(|engine| engine.restart());
             }
-            What::Reset { engine } => self.engines(&[engine]).iter().for_each(|e| e.reset_connections()),
-            What::Crowd { node, connections, span } => {
+            FaultAction::Reset { engine } => {
+                self.engines(&[engine]).iter().for_each(|e| e.reset_connections())
+            }
+            FaultAction::Crowd { node, connections, span } => {
                 let address = self.nodes[node % self.nodes.len()].address;
                 let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
                 let crowd: Vec<Option<TcpStream>> = (0..connections).map(|_| connect()).collect();
@@ -378,7 +377,7 @@
         if !half_written {
             node.signal("-HUP");
         }
-        agent.moved();
+        agent.move_to_new_address();
     }
 
     /// An engine drains, ends and leaves the list; a new one takes its place, cold.
@@ -411,7 +410,7 @@
         old.die();
     }
 
-    /// Takes an engine out of those that troubles may touch, if enough of its role stay.
+    /// Takes an engine out of those that faults may touch, if enough of its role stay.
     fn draining_candidate(&self, engine: usize) -> Option<(usize, Arc<Engine>)> {
         let mut engines = lock(&self.engines);
         let at = engine % engines.len();
@@ -425,7 +424,7 @@
     }
 }
 
-/// A node that one trouble has to itself.
+/// A node that one fault has to itself.
 struct Reserved<'a> {
     stage: &'a Stage,
     node: usize,
--- a/crates/pintally-soak/src/timing.rs
+++ b/crates/pintally-soak/src/timing.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
     /// How long clients wait for a first token.
-    pub(crate) patience: Duration,
+    pub(crate) client_timeout: Duration,
     /// What is held is fetched or let go within this time.
     pub(crate) release: Duration,
     /// Sends to an engine stop within this time of word of its drain.
@@ -29,7 +29,7 @@
         let mut dice = ChaCha8Rng::seed_from_u64(seed ^ 0x7131);
         let mut ms = |least: u64, most: u64| Duration::from_millis(dice.random_range(least..most));
         Timing {
-            patience: ms(900, 2_500),
+            client_timeout: ms(900, 2_500),
             release: ms(160, 500),
             drain_grace: ms(250, 1_000),
             keyed_window: ms(400, 1_200),
@@ -40,7 +40,7 @@
     /// Those of a deployment with room.
     pub(crate) fn usual() -> Timing {
         Timing {
-            patience: Duration::from_millis(2_500),
+            client_timeout: Duration::from_millis(2_500),
             release: Duration::from_millis(500),
             drain_grace: Duration::from_secs(1),
             keyed_window: Duration::from_millis(1_200),
