--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -1,7 +1,7 @@
 //! Baselines: textbook policies with the least that makes them keep the rules.
 //!
 //! They know the list of engines, what they themselves have under way, and the last load that each
-//! engine told. They try again elsewhere where nothing can have run, and for classes that may run
+//! engine reported. They retry elsewhere where nothing can have run, and for classes that may run
 //! twice; they have no memory of who keeps what, and no bounds of their own.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -78,8 +78,8 @@
             Which::LeastLoaded => {
                 let load = |e: &EngineId| {
                     let k = &self.engines[e];
-                    let told = k.load.queue.unwrap_or(0.0) + k.load.slots.unwrap_or(0.0);
-                    k.open as f64 + told
+                    let reported_load = k.load.queue.unwrap_or(0.0) + k.load.slots.unwrap_or(0.0);
+                    k.open as f64 + reported_load
                 };
                 let least = able.iter().map(|e| load(e)).fold(f64::INFINITY, f64::min);
                 let same: Vec<usize> = (0..able.len()).filter(|i| load(able[*i]) <= least).collect();
--- a/crates/pintally-lab/src/fleet/mod.rs
+++ b/crates/pintally-lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Whole fleets in virtual time: peers, keepers, the lender and holders as they are, on a network that is
+//! Whole fleets in virtual time: membership, replicas, quota granter and holders as they are, on a network that is
 //! made up. Nothing of a node is rebuilt here but the wires between its parts.
 
 mod report;
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use pintally_consensus as accord;
+use pintally_consensus as consensus;
 use pintally_consensus::{Replica, ReplicaName};
 use pintally_membership::{
     Membership, MembershipEvent, Output, PeerName, ProcessIncarnation, Settings, Topic,
@@ -20,9 +20,9 @@
 
 type Micros = u64;
 const SECOND: Micros = 1_000_000;
-const LENDER: Topic = Topic(3);
-const KEEPERS: Topic = Topic(34);
-const ASKS: Topic = Topic(35);
+const LEADER_ANNOUNCEMENT: Topic = Topic(3);
+const CONSENSUS_MESSAGES: Topic = Topic(34);
+const LEASE_REQUESTS: Topic = Topic(35);
 const GRANTS: Topic = Topic(36);
 const LIMIT: LimitId = LimitId(7);
 /// How often holders look, load is drawn and sums are taken.
@@ -37,7 +37,7 @@
     pub loss: f64,
     /// Seconds of calm that are counted.
     pub calm: u64,
-    /// Nodes that die, one after the other; the leader of the keepers is the first and every third.
+    /// Nodes that die, one after the other; the leader of the replicas is the first and every third.
     pub deaths: usize,
     /// A hard limit of so many requests a second, under a load of 1.2 of it, skewed 1 to 20 over nodes.
     pub limit: f64,
@@ -49,7 +49,7 @@
     peers: Membership,
     alive: bool,
     woken_for: Micros,
-    keeper: Option<Replica>,
+    replica: Option<Replica>,
     lending: LeaderGranter,
     /// In which term it has said that it leads.
     said: Option<u64>,
@@ -164,19 +164,19 @@
         let limit = Limit { kind: LimitKind::Rate, enforcement: Enforcement::Hard, amount: spec.limit };
         let weights: Vec<f64> = (0..spec.nodes).map(|n| 1.0 + 19.0 * n as f64 / spec.nodes as f64).collect();
         let sum: f64 = weights.iter().sum();
-        let keepers: Vec<&str> = names.iter().take(3).map(String::as_str).collect();
+        let replicas: Vec<&str> = names.iter().take(3).map(String::as_str).collect();
         let node = |n: usize, rng: &mut ChaCha8Rng| {
             let life = rng.random();
             let zone = format!("zone-{}", n % 3);
             let settings = Settings::new("lab", &names[n], &zone, address(n), seeds.clone());
-            let keeper = (n < 3).then(|| {
-                Replica::new(accord::Settings::new(&names[n], &keepers), None, false, rng.random(), 1)
+            let replica = (n < 3).then(|| {
+                Replica::new(consensus::Settings::new(&names[n], &replicas), None, false, rng.random(), 1)
             });
             Node {
                 peers: Membership::new(settings, ProcessIncarnation { boot: 1, mark: life }, rng.random(), 1),
                 alive: true,
                 woken_for: Micros::MAX,
-                keeper,
+                replica,
                 lending: LeaderGranter::new(figures, vec![(LIMIT, limit)]),
                 said: None,
                 divided: (0.0, 1),
@@ -205,7 +205,7 @@
         };
         for n in 0..world.nodes.len() {
             world.push(n as Micros * 37, Event::Membership(n));
-            if world.nodes[n].keeper.is_some() {
+            if world.nodes[n].replica.is_some() {
                 world.push(1, Event::Replica(n));
             }
         }
@@ -250,11 +250,11 @@
             }
             Event::Replica(n) if self.nodes[n].alive => {
                 let mut out = Vec::new();
-                if let Some(keeper) = &mut self.nodes[n].keeper {
-                    keeper.tick(now, &mut out);
+                if let Some(replica) = &mut self.nodes[n].replica {
+                    replica.tick(now, &mut out);
                 }
-                self.keeper_says(n, out);
-                let wake = self.nodes[n].keeper.as_ref().map_or(now, Replica::next_wake);
+                self.dispatch_replica_outputs(n, out);
+                let wake = self.nodes[n].replica.as_ref().map_or(now, Replica::next_wake);
                 self.push(wake.saturating_sub(now).max(1_000), Event::Replica(n));
             }
             Event::Step => {
@@ -315,15 +315,16 @@
             MembershipEvent::MemberSuspected(name) => {
                 self.false_suspicions += u64::from(self.nodes[number(&name)].alive)
             }
-            MembershipEvent::DirectMessage(from, KEEPERS, bytes) => {
+            MembershipEvent::DirectMessage(from, CONSENSUS_MESSAGES, bytes) => {
                 let (mut out, from) = (Vec::new(), ReplicaName(from.0.clone()));
-                if let (Some(keeper), Ok(message)) = (&mut self.nodes[n].keeper, postcard::from_bytes(&bytes))
+                if let (Some(replica), Ok(message)) =
+                    (&mut self.nodes[n].replica, postcard::from_bytes(&bytes))
                 {
-                    keeper.receive(now, &from, message, &mut out);
+                    replica.receive(now, &from, message, &mut out);
                 }
-                self.keeper_says(n, out);
+                self.dispatch_replica_outputs(n, out);
             }
-            MembershipEvent::DirectMessage(from, ASKS, bytes) => {
+            MembershipEvent::DirectMessage(from, LEASE_REQUESTS, bytes) => {
                 if let Ok((life, asks)) = postcard::from_bytes::<(u64, Vec<LeaseRequest>)>(&bytes) {
                     self.lend(n, &from.0, life, &asks);
                 }
@@ -347,28 +348,33 @@
         }
     }
 
-    fn keeper_says(&mut self, n: usize, out: Vec<accord::Output>) {
-        let mut peers_out = Vec::new();
+    fn dispatch_replica_outputs(&mut self, n: usize, out: Vec<consensus::Output>) {
+        let mut membership_outputs = Vec::new();
         for one in out {
-            if let accord::Output::Send(to, message) = one {
+            if let consensus::Output::Send(to, message) = one {
                 let bytes = postcard::to_stdvec(&message).unwrap_or_default();
-                self.nodes[n].peers.send_direct(&PeerName(to.0.clone()), KEEPERS, bytes, &mut peers_out);
+                self.nodes[n].peers.send_direct(
+                    &PeerName(to.0.clone()),
+                    CONSENSUS_MESSAGES,
+                    bytes,
+                    &mut membership_outputs,
+                );
             }
         }
         self.lead(n);
-        self.carry_out(n, peers_out);
+        self.carry_out(n, membership_outputs);
     }
 
     /// Begins and ends a node's lending with its lead, and says so.
     fn lead(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
-        let term = node.keeper.as_ref().and_then(|k| k.leadership(now)).map(|l| l.0);
+        let term = node.replica.as_ref().and_then(|k| k.leadership(now)).map(|l| l.0);
         node.lending.set_leadership(now, term);
         if term != node.said {
             node.said = term;
             let said = term.map(|term| term.to_le_bytes().to_vec()).unwrap_or_default();
-            let _ = node.peers.publish(LENDER, said);
+            let _ = node.peers.publish(LEADER_ANNOUNCEMENT, said);
         }
     }
 
@@ -431,14 +437,14 @@
         }
         let node = &self.nodes[n];
         let own = format!("n{n}");
-        let Some(lender) = node.peers.highest(LENDER).cloned() else { return };
+        let Some(leader) = node.peers.highest(LEADER_ANNOUNCEMENT).cloned() else { return };
         let life = node.life;
         let mut out = Vec::new();
         for asks in asks.chunks(MAX_ENTRIES_PER_MESSAGE) {
-            if *lender.0 == *own {
+            if *leader.0 == *own {
                 self.lend(n, &own, life, asks);
             } else if let Ok(bytes) = postcard::to_stdvec(&(life, asks)) {
-                self.nodes[n].peers.send_direct(&lender, ASKS, bytes, &mut out);
+                self.nodes[n].peers.send_direct(&leader, LEASE_REQUESTS, bytes, &mut out);
             }
         }
         self.carry_out(n, out);
@@ -449,12 +455,13 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.alive && n.keeper.as_ref().is_some_and(|k| k.leadership(self.now).is_some());
+        let leads =
+            |n: &Node| n.alive && n.replica.as_ref().is_some_and(|k| k.leadership(self.now).is_some());
         self.nodes.iter().position(leads)
     }
 
     fn keepers_alive(&self) -> usize {
-        self.nodes.iter().filter(|n| n.alive && n.keeper.is_some()).count()
+        self.nodes.iter().filter(|n| n.alive && n.replica.is_some()).count()
     }
 
     fn kill(&mut self, n: usize) {
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/script.rs
@@ -64,9 +64,9 @@
             FaultKind::MoveTenant => {
                 let (tenant, cell) =
                     (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
-                let told = (fault.size * 1e3) as u64;
+                let size_ms = (fault.size * 1e3) as u64;
                 let third = (to - from) / 3;
-                let over = if told == 0 { third } else { told };
+                let over = if size_ms == 0 { third } else { size_ms };
                 acts.push((from, Act::Announce(tenant.clone(), cell, over)));
                 acts.push((from + third, Act::Move(tenant.clone(), false)));
                 acts.push((to, Act::Move(tenant, true)));
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -33,7 +33,7 @@
 /// An engine that fell over comes back, cold, after this time.
 const UP_AGAIN: Micros = 5_000_000;
 
-/// What one node of a day is told.
+/// The settings of one node of a day.
 fn settings(day: &Day, number: usize) -> NodeSettings {
     let mut settings = day.node(number);
     settings.cells_file = day.cells.as_ref().map(|_| "in virtual time".to_string());
@@ -319,13 +319,13 @@
         let Some(one) = self.tries.get_mut(&(node, ticket)).filter(|t| !t.done) else { return };
         one.done = true;
         let one = one.clone();
-        let told = match answer {
+        let reported = match answer {
             FinalAnswer::Served => Answer::Served,
             FinalAnswer::Rejected(_) => Answer::Refused,
             FinalAnswer::Failed => Answer::Failed,
             FinalAnswer::StreamCut => Answer::Cut,
         };
-        self.note_at(self.now + HOP, What::Answered { request: one.id, answer: told });
+        self.note_at(self.now + HOP, What::Answered { request: one.id, answer: reported });
         if let FinalAnswer::Rejected(after) = answer {
             let traffic = &self.day.traffic;
             let usual = traffic.retry_wait.as_micros() as Micros;
@@ -522,9 +522,9 @@
             let (engine, attempt) = (self.specs[flight.engine].id.clone(), flight.name.clone());
             self.note(What::Done { engine, attempt });
         }
-        let told =
+        let reported =
             matches!(outcome, Outcome::Read | Outcome::Served | Outcome::Overloaded | Outcome::StateNotFound);
-        let load = told.then(|| self.load(flight.engine));
+        let load = reported.then(|| self.load(flight.engine));
         let state = state.map(|work| Arc::new(json!({ "engine": flight.engine, "work": work })));
         let (node, ticket, attempt) = key;
         let input = Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state };
--- a/crates/pintally-lab/tests/fleet.rs
+++ b/crates/pintally-lab/tests/fleet.rs
@@ -15,7 +15,7 @@
     assert_eq!(report.false_deaths_per_hour, 0.0, "{report:?}");
 }
 
-/// Guards against a lead that lapses for a moment, as under heavy loss, and a lender that begins anew in
+/// Guards against a lead that lapses for a moment, as under heavy loss, and a granter that begins anew in
 /// the same term and lends a second time what is lent: at 47 nodes all had 1.65 of a hard limit.
 #[test]
 fn a_hard_limit_holds_while_the_lead_lapses_and_goes_on() {
--- a/crates/pintally-sim/src/calls.rs
+++ b/crates/pintally-sim/src/calls.rs
@@ -130,7 +130,7 @@
                 let at_work =
                     |f: &Flight| f.id == state.request && (f.came || f.carried) && !f.closed && there(f);
                 let hears = |n: &usize| {
-                    let known = self.nodes[node].told[*n].is_some_and(|l| l != EndpointState::Gone);
+                    let known = self.nodes[node].notified[*n].is_some_and(|l| l != EndpointState::Gone);
                     known && self.engines[*n].works() && self.reaches(node, *n)
                 };
                 // Where fewer than half of the engines can hear a call, finding one takes longer.
--- a/crates/pintally-sim/src/check.rs
+++ b/crates/pintally-sim/src/check.rs
@@ -20,7 +20,7 @@
     Lost,
     /// No effect twice, never two attempts of a request out together.
     Twice,
-    /// Nothing new for an engine that the node was told drains or is gone.
+    /// Nothing new for an engine that the node was notified is draining or gone.
     Drain,
     /// What is held is fetched or let go in time.
     Pinned,
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -40,7 +40,7 @@
         let engine = self.number(&order.engine);
         let open = self.flights.values().any(|f| f.place == place && !f.closed);
         self.checks.sent(place, open);
-        if self.nodes[node].told[engine] != Some(EndpointState::Serving) {
+        if self.nodes[node].notified[engine] != Some(EndpointState::Serving) {
             let what = format!("request {} goes to e{engine}, which takes nothing new", order.request.0);
             self.checks.broke(Rule::Drain, Some(&order.request), what);
         }
@@ -261,16 +261,16 @@
             return;
         }
         let forgets = self.is(Mutation::ForgetsThatItRan) && step != Step::Read;
-        let told = match outcome {
+        let notified = match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken if forgets => Outcome::Unreachable,
             other => other,
         };
-        let state =
-            (told == Outcome::Read).then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
+        let state = (notified == Outcome::Read)
+            .then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
         let ended = Input::AttemptEnded {
             ticket: place.2,
             attempt,
-            outcome: told,
+            outcome: notified,
             cached_tokens: 0,
             load: None,
             state,
--- a/crates/pintally-sim/src/mutation.rs
+++ b/crates/pintally-sim/src/mutation.rs
@@ -9,7 +9,7 @@
     AnswersTwice,
     /// Some final answers are forgotten.
     AnswersNever,
-    /// Failures are told as refusals of connections, so that what may have run is sent again.
+    /// Failures are reported as refused connections, so that what may have run is sent again.
     ForgetsThatItRan,
     /// An attempt whose time is up stays out while the next one goes.
     KeepsWhatItGivesUp,
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their lives, what they are told, and what they command.
+//! Nodes: their incarnations, inputs and commands.
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, ListUpdate, Outcome};
 use pintally_host::{Command, EngineEndpoint, Host, Input, ReleaseScope, RequestNumber};
@@ -21,7 +21,7 @@
         };
         let seed = self.plan.seed.wrapping_mul(31).wrapping_add(u64::from(node.life) * 64 + number as u64);
         node.host = Some(Host::new(settings, seed).with_scope(scope));
-        node.told.iter_mut().for_each(|t| *t = None);
+        node.notified.iter_mut().for_each(|t| *t = None);
         node.stopping = false;
         node.kept.clear();
         let life = node.life;
@@ -119,7 +119,7 @@
             }
             Command::ReloadEndpointList => self.soon(HOP, Event::List(node, life)),
             Command::Stopped => {
-                // It ends with the turn that has told so.
+                // It ends with the iteration that reported so.
                 self.soon(0, Event::Kill(node, life));
             }
             Command::Log(_)
@@ -142,7 +142,7 @@
         let deaf = self.is(Mutation::DeafToDrains);
         let mut members = Vec::new();
         for (n, engine) in self.engines.iter().enumerate() {
-            self.nodes[node].told[n] = Some(engine.listing);
+            self.nodes[node].notified[n] = Some(engine.listing);
             let listing = match engine.listing {
                 EndpointState::Draining if deaf => EndpointState::Serving,
                 other => other,
--- a/crates/pintally-sim/src/plan.rs
+++ b/crates/pintally-sim/src/plan.rs
@@ -32,7 +32,7 @@
     Drain,
     /// A node hears of the list only at the end.
     LateLists,
-    /// A node is told to stop, and starts again.
+    /// A node gets SIGTERM, and starts again.
     Stop,
     /// A node dies, and starts again at the end.
     Kill,
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -27,7 +27,7 @@
 pub(crate) const KEEP: Micros = 5_000 * MS;
 /// How often it is looked at what is held.
 pub(crate) const LOOK: Micros = 5 * MS;
-/// A node that is told to stop has so long.
+/// Grace of a node after SIGTERM.
 pub(crate) const STOP: Micros = 4_000 * MS;
 /// A node is back so long after its end.
 pub(crate) const START: Micros = 300 * MS;
@@ -119,8 +119,8 @@
     pub(crate) life: u32,
     pub(crate) zone: usize,
     pub(crate) tickets: RequestNumber,
-    /// What it was told of each engine.
-    pub(crate) told: Vec<Option<EndpointState>>,
+    /// The state of each engine that it was notified of.
+    pub(crate) notified: Vec<Option<EndpointState>>,
     /// Lists wait until then.
     pub(crate) deaf_until: Micros,
     pub(crate) stopping: bool,
@@ -168,12 +168,12 @@
 }
 
 pub(crate) fn settings(plan: &Plan, number: usize, zone: usize) -> Arc<NodeSettings> {
-    let errand = plan.errand_ms();
+    let background_call = plan.errand_ms();
     let patience = plan.asks.iter().map(|a| a.patience_ms).max().unwrap_or(2_000).max(2_000);
     let text = format!(
         r#"(pintally
   (node (name "n{number}") (of {}) (number {number}) (zone "z{zone}") (engines "unused"))
-  (limits (held 4096) (connections 4096) (answer-margin-ms 200) (stop-ms 3500) (connect-ms {}) (errand-ms {errand}))
+  (limits (held 4096) (connections 4096) (answer-margin-ms 200) (stop-ms 3500) (connect-ms {}) (errand-ms {background_call}))
   (rules (attempts 6) (warm-after-ms {}) (tip-window-ms 1000) (release-within-ms {}))
   (class "safe" (effect safe) (aim-ms {}) (patience-ms {patience}))
   (class "keyed" (effect keyed (group all) (window-ms 600000)) (aim-ms {}) (patience-ms {patience}))
@@ -235,7 +235,7 @@
             life: 0,
             zone: n % zones,
             tickets: 0,
-            told: vec![None; plan.readers + plan.writers],
+            notified: vec![None; plan.readers + plan.writers],
             deaf_until: 0,
             stopping: false,
             kept: BTreeMap::new(),
--- a/crates/pintally-sim/tests/hard_cases.rs
+++ b/crates/pintally-sim/tests/hard_cases.rs
@@ -32,7 +32,7 @@
     Trouble { kind, from_ms, to_ms, whom, zone: 0, part: 1.0 }
 }
 
-/// Plays it with both ways of letting go on several seeds; each keeps all rules and serves so much.
+/// Plays it with both release scopes on several seeds; each keeps all rules and serves so much.
 fn kept(name: &str, least: f64, troubles: &[Trouble], change: impl Fn(&mut Plan)) -> Vec<Played> {
     let play_one = |seed| {
         let mut plan = day(seed, troubles.to_vec());
