--- a/crates/pintally-audit/src/cold.rs
+++ b/crates/pintally-audit/src/cold.rs
@@ -1,4 +1,4 @@
-//! A cold engine is not pushed over by nodes that were told that it has started.
+//! A cold engine is not pushed over by nodes that were notified of its start.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     records.sort_by_key(|r| r.at);
     let mut found = Vec::new();
     let mut started: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut told: BTreeMap<(&str, &str), u64> = BTreeMap::new();
+    let mut notified: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for r in records {
         match &r.what {
             What::Started { engine } => {
                 started.insert(engine, r.at);
             }
             What::Listed { node, engine, started: true, .. } => {
-                told.insert((node, engine), r.at);
+                notified.insert((node, engine), r.at);
             }
             What::Fell { engine, work } => {
                 let since = started.get(engine.as_str()).copied().unwrap_or(0);
                 let all: f64 = work.iter().map(|w| w.1).sum();
-                let knew = |node: &str| told.get(&(node, engine)).is_some_and(|at| *at >= since);
+                let knew = |node: &str| notified.get(&(node, engine)).is_some_and(|at| *at >= since);
                 let known: f64 = work.iter().filter(|w| knew(&w.0)).map(|w| w.1).sum();
                 if known >= SHARE * all {
                     found.push(format!("{engine} was pushed over while cold by nodes that knew"));
--- a/crates/pintally-audit/src/drain.rs
+++ b/crates/pintally-audit/src/drain.rs
@@ -1,4 +1,4 @@
-//! Drains are kept: nothing new to an engine later than the grace after a node was told.
+//! Drains are kept: nothing new to an engine later than the grace after a node was notified.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 use crate::record::{Listed, What};
 
 pub(crate) fn check(index: &Index) -> Vec<String> {
-    // When each node was last told that an engine takes no work, as of each time.
-    let mut told: BTreeMap<(&str, &str), Vec<(u64, Listed)>> = BTreeMap::new();
+    // When each node was last notified that an engine takes no work, as of each time.
+    let mut notified: BTreeMap<(&str, &str), Vec<(u64, Listed)>> = BTreeMap::new();
     for r in index.record {
         if let What::Listed { node, engine, listing, .. } = &r.what {
-            told.entry((node, engine)).or_default().push((r.at, *listing));
+            notified.entry((node, engine)).or_default().push((r.at, *listing));
         }
     }
-    told.values_mut().for_each(|t| t.sort_by_key(|(at, _)| *at));
+    notified.values_mut().for_each(|t| t.sort_by_key(|(at, _)| *at));
     let grace = index.figures.drain_grace_us;
     let mut found = Vec::new();
     for work in &index.works {
-        let Some(words) = told.get(&(work.node, work.engine)) else { continue };
+        let Some(words) = notified.get(&(work.node, work.engine)) else { continue };
         // The first word against the engine since it last took work, as the node knew it.
         let mut since = None;
         for (at, listing) in words.iter().filter(|(at, _)| *at <= work.at) {
--- a/crates/pintally-audit/src/record.rs
+++ b/crates/pintally-audit/src/record.rs
@@ -63,7 +63,7 @@
     Fell { engine: String, work: Vec<(String, f64)> },
     /// The engine hears nothing from here on, or hears again.
     Deaf { engine: String, deaf: bool },
-    /// A node was told of an engine.
+    /// A node was notified of an engine.
     Listed { node: String, engine: String, listing: Listed, started: bool },
     /// The machine woke a thread so much later than it was to, for want of processors.
     Late { us: u64 },
@@ -71,14 +71,14 @@
     NodeUp { node: String },
     /// A node's process stands still from here on, or goes on: it can keep no time meanwhile.
     Stood { node: String, still: bool },
-    /// A node was killed, or told to stop.
+    /// A node was killed, or got SIGTERM.
     NodeDown { node: String },
 }
 
 /// The figures that the rules go by.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Figures {
-    /// New work may go on for so long after a drain was told.
+    /// New work may go on for so long after a drain was notified.
     pub drain_grace_us: u64,
     /// What is held is taken or let go within this time.
     pub release_within_us: u64,
--- a/crates/pintally-benchmarks/src/price.rs
+++ b/crates/pintally-benchmarks/src/price.rs
@@ -89,7 +89,7 @@
     Ok(prices.collect())
 }
 
-/// What all numbers of cells divide, and with the rest of the engines if told.
+/// What all numbers of cells divide, and with the rest of the engines if given.
 fn pool(day: &Day, most: usize, rest: bool) -> Day {
     let mut day = day.clone();
     if !rest {
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -150,7 +150,7 @@
         Ok(plan) => plan,
         Err(Unsolved::Bound(found)) => {
             println!("there is no plan; what binds:");
-            found.iter().for_each(|b| println!("  {}", b.told(&problem)));
+            found.iter().for_each(|b| println!("  {}", b.describe(&problem)));
             return Ok(ExitCode::FAILURE);
         }
         Err(error) => return Err(Failure::failed(error)),
@@ -165,18 +165,24 @@
     println!("cost {} in {:.2} s; {beside}", problem.cost(&plan), took.as_secs_f64());
     match steps(&problem, &plan) {
         Ok(way) => {
-            way.iter().enumerate().for_each(|(n, step)| println!("{:>3}. {}", n + 1, told(&problem, step)));
+            way.iter()
+                .enumerate()
+                .for_each(|(n, step)| println!("{:>3}. {}", n + 1, describe(&problem, step)));
             Ok(ExitCode::SUCCESS)
         }
         Err(stuck) => {
-            stuck.taken.iter().enumerate().for_each(|(n, s)| println!("{:>3}. {}", n + 1, told(&problem, s)));
+            stuck
+                .taken
+                .iter()
+                .enumerate()
+                .for_each(|(n, s)| println!("{:>3}. {}", n + 1, describe(&problem, s)));
             println!("{stuck}");
             Ok(ExitCode::FAILURE)
         }
     }
 }
 
-fn told(problem: &Problem, step: &Step) -> String {
+fn describe(problem: &Problem, step: &Step) -> String {
     let cell = |c: usize| format!("cell {}", problem.cells[c]);
     let place = |c: Option<usize>| c.map_or("the spare ones".to_string(), cell);
     match step {
--- a/crates/pintally-emulator/src/engine.rs
+++ b/crates/pintally-emulator/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::faults::Faults;
 use crate::memory::{Hash, Memory};
 use crate::notice::{FreedBy, Notice, Refusal};
-use crate::report::{Report, Teller};
+use crate::report::{LoadReporter, Report};
 use crate::spec::{EngineRole, Spec};
 use crate::Micros;
 
@@ -124,7 +124,7 @@
     seen_at: VecDeque<(Micros, u64)>,
     /// A pause held a step back until then.
     held_back: Option<Micros>,
-    teller: Teller,
+    reporter: LoadReporter,
     rng: ChaCha8Rng,
     /// Microseconds of steps so far, and tokens read and written in them.
     busy: u64,
@@ -150,7 +150,7 @@
             seen: BTreeSet::new(),
             seen_at: VecDeque::new(),
             held_back: None,
-            teller: Teller::default(),
+            reporter: LoadReporter::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             busy: 0,
             read: 0,
@@ -206,7 +206,7 @@
         self.memory = Memory::new(self.spec.blocks);
         self.step = None;
         self.held_back = None;
-        self.teller = Teller::default();
+        self.reporter = LoadReporter::default();
     }
 
     /// Runs from here on: cold, as its figures say, or warm.
@@ -368,8 +368,8 @@
 
     /// What it says of its load.
     pub fn report(&mut self, now: Micros) -> Report {
-        let Engine { teller, spec, faults, rng, .. } = self;
-        teller.tell(&spec.telling, now, faults.reports, || rng.random_range(-1.0..=1.0))
+        let Engine { reporter, spec, faults, rng, .. } = self;
+        reporter.report(&spec.telling, now, faults.reports, || rng.random_range(-1.0..=1.0))
     }
 
     /// Its load as it is.
@@ -588,6 +588,6 @@
 
     fn look(&mut self, now: Micros) {
         let load = self.load();
-        self.teller.look(&self.spec.telling, now, load);
+        self.reporter.look(&self.spec.telling, now, load);
     }
 }
--- a/crates/pintally-emulator/src/report.rs
+++ b/crates/pintally-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Load reports: late, rounded by noise, or wrong, as told.
+//! Load reports: late, rounded by noise, or wrong, as configured.
 
 use std::collections::VecDeque;
 
@@ -21,12 +21,12 @@
 
 /// Looks at itself so often, and tells what it saw some time ago.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Teller {
+pub(crate) struct LoadReporter {
     seen: VecDeque<(Micros, Report)>,
-    told: Report,
+    last_report: Report,
 }
 
-impl Teller {
+impl LoadReporter {
     /// The state is this from now on.
     pub(crate) fn look(&mut self, telling: &Telling, now: Micros, state: Report) {
         // Between two looks only the last state counts.
@@ -42,7 +42,7 @@
     }
 
     /// What it tells; `draw` is from -1 to 1, anew for each figure.
-    pub(crate) fn tell(
+    pub(crate) fn report(
         &mut self,
         telling: &Telling,
         now: Micros,
@@ -54,18 +54,18 @@
         let old = self.seen.iter().rev().find(|(at, _)| slot(*at) < by);
         let true_state = old.map_or(Report::default(), |(_, r)| *r);
         match how {
-            ReportAccuracy::Stale => return self.told,
+            ReportAccuracy::Stale => return self.last_report,
             ReportAccuracy::Idle => return Report::default(),
             ReportAccuracy::Full => return Report { running: 1e3, waiting: 1e3, memory: 1.0, backlog: 1e6 },
             ReportAccuracy::Honest => {}
         }
         let mut off = |v: f64| if telling.noise > 0.0 { v * (1.0 + telling.noise * draw()) } else { v };
-        self.told = Report {
+        self.last_report = Report {
             running: off(true_state.running),
             waiting: off(true_state.waiting),
             memory: off(true_state.memory).min(1.0),
             backlog: off(true_state.backlog),
         };
-        self.told
+        self.last_report
     }
 }
--- a/crates/pintally-mock-engine/src/clock.rs
+++ b/crates/pintally-mock-engine/src/clock.rs
@@ -14,7 +14,7 @@
 
 /// What is known of a piece of work outside the emulator.
 #[derive(Clone)]
-pub(crate) struct Told {
+pub(crate) struct SubmittedWork {
     /// The engine's id, the node's name, and the client's id of the request.
     pub(crate) engine: String,
     pub(crate) node: String,
@@ -26,10 +26,10 @@
 struct Inner {
     fleet: emulator::Fleet,
     next: WorkId,
-    mail: HashMap<WorkId, (Told, Sender<Notice>)>,
+    mail: HashMap<WorkId, (SubmittedWork, Sender<Notice>)>,
     /// States that wait, by engine and name, and their names.
     states: HashMap<(usize, String), WorkId>,
-    names: HashMap<WorkId, (usize, Told)>,
+    names: HashMap<WorkId, (usize, SubmittedWork)>,
     said: Vec<(usize, Notice)>,
     over: bool,
 }
@@ -86,15 +86,15 @@
         for (number, notice) in std::mem::take(&mut inner.said) {
             match notice {
                 Notice::Freed(state, by) => {
-                    let Some((number, told)) = inner.names.remove(&state) else { continue };
-                    inner.states.remove(&(number, told.attempt.clone()));
-                    let (engine, state, by) = (told.engine, told.attempt, freed_by(by));
+                    let Some((number, submitted)) = inner.names.remove(&state) else { continue };
+                    inner.states.remove(&(number, submitted.attempt.clone()));
+                    let (engine, state, by) = (submitted.engine, submitted.attempt, freed_by(by));
                     self.recorder.note(What::Freed { engine, state, by });
                     continue;
                 }
                 Notice::Read(id, _) => {
-                    if let Some((told, _)) = inner.mail.get(&id) {
-                        let t = told.clone();
+                    if let Some((submitted, _)) = inner.mail.get(&id) {
+                        let t = submitted.clone();
                         self.recorder.note(What::Held {
                             engine: t.engine.clone(),
                             node: t.node.clone(),
@@ -106,8 +106,8 @@
                     }
                 }
                 Notice::Began(id) => {
-                    if let Some((told, _)) = inner.mail.get(&id) {
-                        let t = told.clone();
+                    if let Some((submitted, _)) = inner.mail.get(&id) {
+                        let t = submitted.clone();
                         self.recorder.note(What::Ran {
                             engine: t.engine,
                             request: t.request,
@@ -141,7 +141,7 @@
     pub(crate) fn submit(
         &self,
         number: usize,
-        told: Told,
+        submitted: SubmittedWork,
         mut work: Work,
         state: Option<(usize, &str)>,
     ) -> Option<(WorkId, Receiver<Notice>)> {
@@ -154,7 +154,7 @@
             work.id = i.next;
             i.next += 1;
             let id = work.id;
-            i.mail.insert(id, (told, sender));
+            i.mail.insert(id, (submitted, sender));
             i.fleet.submit(now, number, work, state.map(|s| s.0), &mut i.said);
             Some((id, mail))
         })
--- a/crates/pintally-mock-engine/src/serve.rs
+++ b/crates/pintally-mock-engine/src/serve.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clock::Told;
+use crate::clock::SubmittedWork;
 use crate::engine::{Engine, SLICE};
 use crate::text::{blocks, tokens};
 
@@ -251,7 +251,7 @@
 
     /// Hands work to the emulator and passes on what comes of it.
     fn carry(&mut self, work: &Work, whole: emulator::Work, answers: u64) -> Result<(), Gone> {
-        let told = Told {
+        let submitted = SubmittedWork {
             engine: self.engine.spec.id.clone(),
             node: self.node.clone(),
             request: work.key.clone(),
@@ -269,7 +269,7 @@
                 }
             }
         };
-        let Some((id, mail)) = clock.submit(number, told, whole, source) else {
+        let Some((id, mail)) = clock.submit(number, submitted, whole, source) else {
             return self.turn_away(work, 409, extension::NO_STATE);
         };
         let clock = clock.clone();
--- a/crates/pintally-placement/src/problem.rs
+++ b/crates/pintally-placement/src/problem.rs
@@ -9,7 +9,7 @@
     pub name: String,
     /// The zone.
     pub zone: usize,
-    /// Reading that one of them does, in any unit that demand is told in.
+    /// Reading that one of them does, in any unit that demand is given in.
     pub reads: f64,
     /// Writing that one of them does.
     pub writes: f64,
@@ -80,9 +80,9 @@
 
 impl Binding {
     /// The finding in words.
-    pub fn told<'a>(&'a self, problem: &'a Problem) -> impl fmt::Display + 'a {
-        struct Told<'a>(&'a Binding, &'a Problem);
-        impl fmt::Display for Told<'_> {
+    pub fn describe<'a>(&'a self, problem: &'a Problem) -> impl fmt::Display + 'a {
+        struct BindingText<'a>(&'a Binding, &'a Problem);
+        impl fmt::Display for BindingText<'_> {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let cell = |c: usize| self.1.cells.get(c).map_or("?", String::as_str);
                 match self.0 {
@@ -94,7 +94,7 @@
                 }
             }
         }
-        Told(self, problem)
+        BindingText(self, problem)
     }
 }
 
--- a/crates/pintally-placement/tests/plans.rs
+++ b/crates/pintally-placement/tests/plans.rs
@@ -58,7 +58,7 @@
     let problem = outgrown(200.0, 0);
     let Err(Unsolved::Bound(found)) = solve(&problem, 20.0) else { panic!("it found a plan") };
     assert!(found.iter().any(|b| matches!(b, Binding::Reads(0, _))), "{found:?}");
-    assert!(found[0].told(&problem).to_string().contains("cell a lacks"));
+    assert!(found[0].describe(&problem).to_string().contains("cell a lacks"));
 }
 
 #[test]
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -74,10 +74,10 @@
         }
         inner.finish()?;
     }
-    let told = |key: &str| -> Result<Option<String>, ConfigError> {
+    let optional_text = |key: &str| -> Result<Option<String>, ConfigError> {
         Ok(Some(form.text_or(key, "")?).filter(|t| !t.is_empty()))
     };
-    let (of, zone, tenant) = (told("of")?, told("zone")?, told("tenant")?);
+    let (of, zone, tenant) = (optional_text("of")?, optional_text("zone")?, optional_text("tenant")?);
     if let Some(of) = of.as_ref().filter(|of| !settings.core.kinds.iter().any(|k| k.name == **of)) {
         return Err(form.error(format!("no `kind` is named `{of}`")));
     }
@@ -87,7 +87,7 @@
     if let Some(tenant) = tenant.as_ref().filter(|t| !settings.core.tenants.iter().any(|o| o.name == **t)) {
         return Err(form.error(format!("no `tenant` is named `{tenant}`")));
     }
-    let cell = told("cell")?;
+    let cell = optional_text("cell")?;
     if let Some(cell) =
         cell.as_ref().filter(|c| !cells.is_some_and(|f| f.cells.iter().any(|o| *o.name.0 == ***c)))
     {
@@ -189,9 +189,9 @@
         FaultKind::MoveTenant => {
             let (tenant, to_cell) =
                 (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
-            // Announced, then all sessions go, over a third of the time if not told, then it is done.
-            let told = Duration::from_secs_f64(fault.size / 1e3);
-            let over = if told.is_zero() { fault.length / 3 } else { told };
+            // Announced, then all sessions go, over a third of the time by default, then it is done.
+            let span = Duration::from_secs_f64(fault.size / 1e3);
+            let over = if span.is_zero() { fault.length / 3 } else { span };
             script.add(from, Act::Move(tenant.clone(), MoveStep::Prepare { to: to_cell, over }));
             script.add(from + fault.length / 3, Act::Move(tenant.clone(), MoveStep::Both));
             script.add(to, Act::Move(tenant, MoveStep::Done));
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -203,7 +203,7 @@
         Ok(held)
     }
 
-    /// What one node is told of the others and of its disk.
+    /// The settings of one node about its peers and its disk.
     fn among_others(&self, number: usize, at: Option<SocketAddr>, settings: &mut NodeSettings) {
         if let (Some(peers), Some(at), Some(relays)) = (&mut settings.membership, at, &self.relays) {
             peers.listen = at;
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -16,7 +16,7 @@
 
 /// A process that does not answer in this time after its start has not started.
 const UP_WITHIN: Duration = Duration::from_secs(15);
-/// And one that has not ended in this time after it was told to, beside its own time, is killed.
+/// And one that has not ended in this time after SIGTERM, beside its own time, is killed.
 const GRACE: Duration = Duration::from_secs(3);
 
 /// A node that is a process.
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -42,8 +42,8 @@
     /// Versions that are still to be written for some node.
     versions: BTreeMap<u64, Vec<EngineEntry>>,
     version: u64,
-    /// What each node was last told.
-    told: Vec<BTreeMap<EngineId, EngineEntry>>,
+    /// What was last published to each node.
+    published: Vec<BTreeMap<EngineId, EngineEntry>>,
     written: Vec<u64>,
     /// Texts of the file of cells by version, and the last that each node has.
     cells: BTreeMap<u64, String>,
@@ -58,7 +58,7 @@
             entries: BTreeMap::new(),
             versions: BTreeMap::new(),
             version: 0,
-            told: vec![BTreeMap::new(); nodes],
+            published: vec![BTreeMap::new(); nodes],
             written: vec![0; nodes],
             cells: BTreeMap::new(),
             cells_written: vec![0; nodes],
@@ -113,9 +113,9 @@
         let Some(engines) = self.versions.get(&version).cloned() else { return Ok(()) };
         self.written[node] = version;
         let list = EngineList { version, engines };
-        // What is told is told from the moment of writing on, not from that of the rename.
+        // Changes count as published from the moment of writing on, not from that of the rename.
         for entry in &list.engines {
-            let old = self.told[node].insert(entry.id.clone(), entry.clone());
+            let old = self.published[node].insert(entry.id.clone(), entry.clone());
             if old.as_ref() != Some(entry) {
                 let listing = match entry.state {
                     EndpointState::Serving => Listed::Serving,
--- a/crates/pintally-scenario/src/relay.rs
+++ b/crates/pintally-scenario/src/relay.rs
@@ -1,5 +1,5 @@
 //! Relays on the links between nodes: a door for each node, at which all others reach it and from which
-//! it reaches them. Whoever knocks is known by its address. What is done to a link is done here, so that
+//! it reaches them. A client is known by its address. What is done to a link is done here, so that
 //! nodes run as they are. One thread serves all doors; three descriptors are needed for each.
 
 use std::collections::{HashMap, VecDeque};
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -166,7 +166,7 @@
 }
 
 /// The record with the figures that the rules go by as its first line; times in microseconds: the
-/// grace after a drain was told, and what the measuring may add.
+/// grace after a drain was notified, and what the measuring may add.
 pub fn with_figures(
     settings: &NodeSettings,
     (drain_grace_us, slack_us): (u64, u64),
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -30,7 +30,7 @@
     pub racks: u64,
     /// Nodes, spread over the zones in turn.
     pub nodes: usize,
-    /// The last of the nodes run in another shape already: how many, and what the core is told there.
+    /// The last of the nodes run in another shape already: how many, and the settings of the core there.
     pub moved: Option<(usize, Settings)>,
     /// Each node is a process of its own, with a relay on every link between two of them.
     pub processes: bool,
@@ -42,7 +42,7 @@
     pub notice: Duration,
     /// The front layer goes on sending to a dead node for so long.
     pub front: Duration,
-    /// New work may go on for so long after a drain was told.
+    /// New work may go on for so long after a drain was notified.
     pub drain_grace: Duration,
     /// What the measuring may add to each time.
     pub slack: Duration,
@@ -83,7 +83,7 @@
     pub per_second: f64,
     /// Clients try again so often by themselves.
     pub retries: u32,
-    /// They wait so long before it where they are not told a time.
+    /// They wait so long before it where no time is given.
     pub retry_wait: Duration,
     /// Share of the clients that heed a time to come back.
     pub heed: f64,
@@ -178,13 +178,13 @@
     pub length: Duration,
     /// The share of the engines or nodes that it strikes, drawn from the seed.
     pub part: f64,
-    /// Only engines of this kind, if told.
+    /// Only engines of this kind, if given.
     pub of: Option<String>,
-    /// Only engines of this cell, if told; where a tenant moves, the cell that it moves to.
+    /// Only engines of this cell, if given; where a tenant moves, the cell that it moves to.
     pub cell: Option<String>,
-    /// These engines and no others, if told.
+    /// These engines and no others, if given.
     pub engines: Vec<String>,
-    /// The zone or tenant that it strikes, drawn if not told.
+    /// The zone or tenant that it strikes, drawn if not given.
     pub name: Option<String>,
     /// How hard: a factor, a share or milliseconds, by kind.
     pub size: f64,
@@ -338,15 +338,15 @@
             return Err(form.error(format!("no cell is named `{name}`")));
         }
     }
-    let told = &settings.core.kinds[index];
+    let engine_kind = &settings.core.kinds[index];
     let span = |us: u64| Duration::from_micros(us);
     let group = EngineGroup {
         cell,
-        role: told.role,
+        role: engine_kind.role,
         count: form.count_or("count", 1, 0, 10_000)? as usize,
         slots: settings.slots[index].max(1) as usize,
         queue: form.count_or("queue", 32, 0, 1 << 20)? as usize,
-        memory_tokens: if told.memory_tokens > 0 { told.memory_tokens } else { 200_000 },
+        memory_tokens: if engine_kind.memory_tokens > 0 { engine_kind.memory_tokens } else { 200_000 },
         read_per_s: form.number_or("read-per-s", 15_000.0, 1.0, 1e9)?,
         token_gap: span(form.millis_or("token-gap-ms", 20.0, 0.01, 10_000.0)?),
         link_per_s: form.number_or("link-per-s", 300_000.0, 1.0, 1e9)?,
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -139,7 +139,7 @@
     let mut ask = rig.ask("leaves", "hint");
     ask.leaves = Some(Duration::from_millis(300));
     assert_eq!(rig.client.attempt(&ask), AttemptResult::Left);
-    // Freed, not only told to: the message is seen a moment before the state is gone.
+    // Freed, not only asked to: the message is seen a moment before the state is gone.
     let freed = |w: &What| matches!(w, What::Freed { .. });
     assert!(rig.fleet.recorder.wait_for(WAIT, freed).is_some(), "the state was never let go");
     assert_eq!(rig.engine("r0").unwrap().states(), 0);
@@ -236,9 +236,9 @@
     }
     // Every millisecond counts against the drain, not only the grace.
     let record = rig.fleet.recorder.so_far();
-    let told = record.iter().find(|r| matches!(&r.what, What::Listed { engine, listing: pintally_audit::Listed::Draining, .. } if engine == "w1"));
-    let told = told.expect("it was never told").at;
-    let late = record.iter().filter(|r| r.at > told + 500_000);
+    let notified = record.iter().find(|r| matches!(&r.what, What::Listed { engine, listing: pintally_audit::Listed::Draining, .. } if engine == "w1"));
+    let notified = notified.expect("it was never notified").at;
+    let late = record.iter().filter(|r| r.at > notified + 500_000);
     let late = late.filter(|r| matches!(&r.what, What::Took { engine, .. } if engine == "w1")).count();
     assert_eq!(late, 0, "{late} attempts came to the drained engine");
     kept(&rig.finish().unwrap());
