--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -1,37 +1,45 @@
-//! A register in common: little that must be agreed on, among three or five *keepers*.
+//! A replicated key-value store for the little that a fleet has to agree on, held by three or five
+//! replicas.
 //!
-//! Terms, votes and a replicated log after Raft (Ongaro and Ousterhout 2014; changes of members one at a
-//! time and votes asked before they are cast after Ongaro's thesis of 2014); leases of the lead after
-//! Gray and Cheriton (1989). What differs: a keeper that was restarted does not believe its disk. It
-//! asks the others what they hold and votes only for logs that have as much ([`Replica`]). Bytes, time and
-//! randomness are handed in; what is to be saved and sent comes out, in this order. `docs/accord.md` has
-//! the proofs and bounds.
-
-mod doubt;
-mod keeper;
+//! Terms, votes and the replicated log follow Raft (Ongaro and Ousterhout 2014); membership changes of
+//! one replica at a time and the pre-vote follow Ongaro's thesis (2014); the leader's lease follows Gray
+//! and Cheriton (1989). One thing differs: a restarted replica does not trust its disk. It asks the other
+//! replicas for their logs first, and afterwards votes only for candidates whose log is at least as long
+//! as the longest one reported ([`Replica`]).
+//!
+//! The package performs no input or output. Messages, time and randomness are passed in; what has to be
+//! persisted and sent is returned, in that order. `docs/consensus.md` has the proofs and bounds.
+
+#![deny(missing_docs)]
+
 mod log;
 mod message;
-mod register;
+mod output;
+mod persistence;
+mod replica;
 mod settings;
 mod status;
+mod store;
+mod vote_recovery;
 
-pub use keeper::{Output, ProposalError, Replica};
 pub use log::{Entry, LogCommand, Position};
 pub use message::Message;
+pub use output::{Output, ProposalError};
 pub use pintally_validation::InvalidConfiguration;
-pub use register::{KeyValueStore, Value, Write, MAX_KEYS, MAX_KEY_BYTES, MAX_VALUE_BYTES};
+pub use replica::Replica;
 pub use settings::{Settings, MAX_REPLICAS};
-pub use status::Status;
+pub use status::{ReplicaState, Status};
+pub use store::{KeyValueStore, Value, Write, MAX_KEYS, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds of a clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// A keeper's name: its node's.
+/// The name of a replica: the name of the node on which it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicaName(pub Arc<str>);
 
--- a/crates/pintally-consensus/src/log.rs
+++ b/crates/pintally-consensus/src/log.rs
@@ -1,125 +1,166 @@
-//! The log: entries after a snapshot.
+//! The replicated log: entries that follow a snapshot.
 
 use serde::{Deserialize, Serialize};
 
-use crate::register::Write;
+use crate::store::Write;
 use crate::ReplicaName;
 
-/// A place in the log. Of two logs the one that ends at the greater position has every entry that can
-/// have been agreed on.
+/// Encoded bytes of an entry without its command, at most.
+const MAX_ENTRY_OVERHEAD_BYTES: usize = 16;
+/// Encoded bytes of the lengths and the expected version of a write, at most.
+const MAX_WRITE_OVERHEAD_BYTES: usize = 24;
+/// Encoded bytes of the length of a replica's name, at most.
+const MAX_NAME_OVERHEAD_BYTES: usize = 2;
+
+/// A position in the log. Of two logs the one that ends at the greater position contains every entry
+/// that can have been committed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// The term in which the entry was made.
+    /// The term in which the entry was created.
     pub term: u64,
-    /// Its number, from 1.
+    /// The index of the entry; the first one is 1.
     pub index: u64,
 }
 
-/// What an entry says.
+/// The command of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogCommand {
-    /// A new leader's first entry: with it everything before is agreed on.
+    /// The first entry of a new leader: committing it commits everything before it.
     Noop,
-    /// Who the keepers are from here on.
+    /// The set of replicas from this entry on.
     ChangeReplicas(Vec<ReplicaName>),
-    /// A change of the register.
+    /// A write to the store.
     Write(Write),
 }
 
-/// One entry.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term in which it was made.
+    /// The term in which the entry was created.
     pub term: u64,
-    /// What it says.
-    pub what: LogCommand,
+    /// What the entry does once it is committed.
+    pub command: LogCommand,
+}
+
+impl Entry {
+    /// An upper bound for the encoded size.
+    fn max_encoded_bytes(&self) -> usize {
+        let command_bytes = match &self.command {
+            LogCommand::Noop => 0,
+            LogCommand::ChangeReplicas(replicas) => {
+                replicas.iter().map(|name| name.0.len() + MAX_NAME_OVERHEAD_BYTES).sum()
+            }
+            LogCommand::Write(write) => write.key.len() + write.value.len() + MAX_WRITE_OVERHEAD_BYTES,
+        };
+        MAX_ENTRY_OVERHEAD_BYTES + command_bytes
+    }
 }
 
-/// All entries that are kept, and what stands for those before.
+/// The entries that are still stored, and the snapshot that replaces the earlier ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Log {
     /// The last entry that the snapshot covers.
-    pub(crate) base: Position,
-    /// Who the keepers are there.
-    pub(crate) keepers: Vec<ReplicaName>,
-    /// The register there, as bytes.
+    pub(crate) last_included: Position,
+    /// The replicas as of that entry.
+    pub(crate) snapshot_replicas: Vec<ReplicaName>,
+    /// The encoded store as of that entry.
     pub(crate) snapshot: Vec<u8>,
+    /// The entries after it.
     pub(crate) entries: Vec<Entry>,
 }
 
 impl Log {
+    /// The position of the last entry.
     pub(crate) fn last(&self) -> Position {
-        let index = self.base.index + self.entries.len() as u64;
-        Position { term: self.entries.last().map_or(self.base.term, |e| e.term), index }
+        let index = self.last_included.index + self.entries.len() as u64;
+        let term = self.entries.last().map_or(self.last_included.term, |entry| entry.term);
+        Position { term, index }
     }
 
+    /// The entry at an index, unless the snapshot covers it or the log ends before it.
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
-        let at = index.checked_sub(self.base.index + 1)?;
-        self.entries.get(at as usize)
+        let offset = index.checked_sub(self.last_included.index + 1)?;
+        self.entries.get(offset as usize)
     }
 
-    /// The term of an entry; none if it is not kept.
+    /// The term of the entry at an index, if it is known.
     pub(crate) fn term_of(&self, index: u64) -> Option<u64> {
-        if index == self.base.index {
-            return Some(self.base.term);
+        if index == self.last_included.index {
+            return Some(self.last_included.term);
         }
-        self.get(index).map(|e| e.term)
+        self.get(index).map(|entry| entry.term)
     }
 
-    /// Who the keepers are, by the entries up to an index.
-    pub(crate) fn keepers_at(&self, index: u64) -> &[ReplicaName] {
-        let upto = (index.saturating_sub(self.base.index) as usize).min(self.entries.len());
-        let told = self.entries[..upto].iter().rev().find_map(|e| match &e.what {
-            LogCommand::ChangeReplicas(keepers) => Some(keepers.as_slice()),
-            _ => None,
-        });
-        told.unwrap_or(&self.keepers)
+    /// The replicas according to the entries up to and including an index.
+    pub(crate) fn replicas_at(&self, index: u64) -> &[ReplicaName] {
+        let count = (index.saturating_sub(self.last_included.index) as usize).min(self.entries.len());
+        self.entries[..count]
+            .iter()
+            .rev()
+            .find_map(|entry| match &entry.command {
+                LogCommand::ChangeReplicas(replicas) => Some(replicas.as_slice()),
+                LogCommand::Noop | LogCommand::Write(_) => None,
+            })
+            .unwrap_or(&self.snapshot_replicas)
     }
 
-    /// The last entry that changes the keepers, if the log holds one.
-    pub(crate) fn last_change(&self) -> u64 {
-        let found = self.entries.iter().rposition(|e| matches!(e.what, LogCommand::ChangeReplicas(_)));
-        found.map_or(0, |at| self.base.index + 1 + at as u64)
+    /// The index of the last entry that changes the replicas, or 0 if no stored entry does.
+    pub(crate) fn last_replica_change(&self) -> u64 {
+        self.entries
+            .iter()
+            .rposition(|entry| matches!(entry.command, LogCommand::ChangeReplicas(_)))
+            .map_or(0, |offset| self.last_included.index + 1 + offset as u64)
     }
 
-    /// Entries from an index on that fit into so many bytes, the first one in any case.
-    pub(crate) fn from(&self, index: u64, most: usize) -> Vec<Entry> {
-        let skip = index.saturating_sub(self.base.index + 1) as usize;
-        let mut room = most;
-        let mut taken = Vec::new();
-        for entry in self.entries.iter().skip(skip) {
-            let size = entry.size();
-            if !taken.is_empty() && size > room {
+    /// The entries from an index on that fit into a number of bytes, but at least one if there is any.
+    pub(crate) fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
+        let skipped = index.saturating_sub(self.last_included.index + 1) as usize;
+        let mut remaining_bytes = max_bytes;
+        let mut selected = Vec::new();
+        for entry in self.entries.iter().skip(skipped) {
+            let size = entry.max_encoded_bytes();
+            if !selected.is_empty() && size > remaining_bytes {
                 break;
             }
-            room = room.saturating_sub(size);
-            taken.push(entry.clone());
+            remaining_bytes = remaining_bytes.saturating_sub(size);
+            selected.push(entry.clone());
         }
-        taken
+        selected
     }
 
-    /// Drops the entries from an index on.
-    pub(crate) fn cut(&mut self, index: u64) {
-        self.entries.truncate(index.saturating_sub(self.base.index + 1) as usize);
+    /// Appends the entries that follow `prev_index`. An entry that conflicts with a received one is
+    /// removed together with all that follow it. Returns whether the log changed.
+    pub(crate) fn merge(&mut self, prev_index: u64, entries: Vec<Entry>) -> bool {
+        let mut changed = false;
+        for (index, entry) in (prev_index + 1..).zip(entries) {
+            if index <= self.last_included.index {
+                continue;
+            }
+            let existing_term = self.term_of(index);
+            if existing_term == Some(entry.term) {
+                continue;
+            }
+            if existing_term.is_some() {
+                self.truncate_from(index);
+            }
+            self.entries.push(entry);
+            changed = true;
+        }
+        changed
+    }
+
+    /// Removes the entries from an index on.
+    fn truncate_from(&mut self, index: u64) {
+        let kept_entries = index.saturating_sub(self.last_included.index + 1) as usize;
+        self.entries.truncate(kept_entries);
     }
 
-    /// Puts a snapshot in place of the entries up to an index.
+    /// Replaces the entries up to and including an index by a snapshot.
     pub(crate) fn compact(&mut self, index: u64, snapshot: Vec<u8>) {
         let Some(term) = self.term_of(index) else { return };
-        self.keepers = self.keepers_at(index).to_vec();
-        self.entries.drain(..(index - self.base.index) as usize);
-        self.base = Position { term, index };
+        self.snapshot_replicas = self.replicas_at(index).to_vec();
+        self.entries.drain(..(index - self.last_included.index) as usize);
+        self.last_included = Position { term, index };
         self.snapshot = snapshot;
     }
 }
-
-impl Entry {
-    /// Bytes on the wire, at the most.
-    fn size(&self) -> usize {
-        16 + match &self.what {
-            LogCommand::Noop => 0,
-            LogCommand::ChangeReplicas(keepers) => keepers.iter().map(|k| k.0.len() + 2).sum(),
-            LogCommand::Write(write) => write.key.len() + write.value.len() + 24,
-        }
-    }
-}
--- a/crates/pintally-consensus/src/message.rs
+++ b/crates/pintally-consensus/src/message.rs
@@ -1,98 +1,102 @@
-//! What keepers tell each other. Each message may be lost, doubled, late or out of order.
+//! Messages between replicas. Each may be lost, duplicated, delayed or reordered.
+//!
+//! Postcard encodes fields and variants by position: their order is the wire format, their names are not
+//! part of it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Entry, Position};
 use crate::{Micros, ReplicaName};
 
-/// Bytes of entries, or of a snapshot's part, in one message: with what stands around them they stay
-/// below a datagram.
-pub(crate) const MAX_CARRY: usize = 640;
+/// Bytes of log entries, or of a chunk of a snapshot, in one message: together with the other fields a
+/// message stays below the size of a datagram.
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 640;
 
-/// One message.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// I want to lead in this term; `before`: I would, if enough would give me their vote.
+    /// A candidate asks for a vote, or, before it increments its term, for a pre-vote.
     RequestVote {
-        /// The term.
+        /// The term in which the candidate wants to lead.
         term: u64,
-        /// Where my log ends.
-        last: Position,
-        /// Nothing is given away yet.
-        before: bool,
+        /// The end of the candidate's log.
+        last_log: Position,
+        /// Whether this is a pre-vote, which commits nobody to anything.
+        pre_vote: bool,
     },
-    /// You have my vote, or not.
+    /// The answer to [`Message::RequestVote`].
     RequestVoteResponse {
-        /// The term for which it is; where it is refused, the term that I know.
+        /// The term of the vote if it is granted, otherwise the current term of the voter.
         term: u64,
-        /// Whether it is given.
-        given: bool,
-        /// It was asked before.
-        before: bool,
+        /// Whether the vote is granted.
+        granted: bool,
+        /// Whether the request was a pre-vote.
+        pre_vote: bool,
     },
-    /// I lead; these entries follow that position.
+    /// The leader sends the entries that follow a position; without entries it is a heartbeat.
     AppendEntries {
         /// The leader's term.
         term: u64,
-        /// What comes right before.
-        after: Position,
-        /// The entries.
+        /// The entry that immediately precedes `entries`.
+        prev_log: Position,
+        /// The entries to append.
         entries: Vec<Entry>,
-        /// Agreed on up to here.
-        commit: u64,
-        /// When the leader sent it, by its own clock; sent back with the answer.
-        sent: Micros,
+        /// The leader's commit index.
+        leader_commit: u64,
+        /// The leader's clock at sending, returned in the response.
+        sent_at: Micros,
     },
-    /// Answer to entries or a snapshot.
+    /// The answer to [`Message::AppendEntries`], and to a complete snapshot.
     AppendEntriesResponse {
-        /// The term that the follower knows.
+        /// The current term of the follower.
         term: u64,
-        /// Whether its log agrees up to `last`; otherwise it may agree up to there.
-        agrees: bool,
-        /// Up to where.
-        last: u64,
-        /// As it came.
-        sent: Micros,
+        /// Whether the follower's log matches the leader's up to `match_index`.
+        success: bool,
+        /// On success the last matching index, otherwise an upper bound for it.
+        match_index: u64,
+        /// `sent_at` of the request.
+        sent_at: Micros,
     },
-    /// I lead; your log ends before mine begins: a part of what stands for the earlier entries.
+    /// The leader sends one chunk of its snapshot because it no longer has the entries that the follower
+    /// lacks.
     InstallSnapshot {
         /// The leader's term.
         term: u64,
-        /// What it covers.
-        at: Position,
-        /// Who the keepers are there.
-        keepers: Vec<ReplicaName>,
-        /// From this byte on.
-        from: u32,
-        /// Of so many.
-        of: u32,
-        /// The bytes.
-        bytes: Vec<u8>,
-        /// When the leader sent it.
-        sent: Micros,
+        /// The last entry that the snapshot covers.
+        last_included: Position,
+        /// The replicas as of that entry.
+        replicas: Vec<ReplicaName>,
+        /// The offset of the chunk, in bytes.
+        offset: u32,
+        /// The size of the whole snapshot, in bytes.
+        total_bytes: u32,
+        /// The chunk.
+        data: Vec<u8>,
+        /// The leader's clock at sending, returned in the response.
+        sent_at: Micros,
     },
-    /// I have the snapshot up to this byte.
+    /// The answer to a chunk that does not complete the snapshot.
     InstallSnapshotResponse {
-        /// The term that the follower knows.
+        /// The current term of the follower.
         term: u64,
-        /// Which snapshot.
-        at: Position,
-        /// Up to which byte.
-        upto: u32,
-        /// As it came.
-        sent: Micros,
+        /// The last entry that the snapshot covers.
+        last_included: Position,
+        /// Bytes received so far.
+        received_bytes: u32,
+        /// `sent_at` of the request.
+        sent_at: Micros,
     },
-    /// I was started anew: what do you hold?
+    /// A restarted replica asks for the state of another's log.
     RecoveryRequest,
-    /// This.
+    /// The answer to [`Message::RecoveryRequest`].
     RecoveryResponse {
-        /// The latest term that I know.
+        /// The latest term that the sender knows.
         term: u64,
-        /// Where my log ends.
-        last: Position,
-        /// I have never held anything.
+        /// The end of the sender's log.
+        last_log: Position,
+        /// Whether the sender has never had any state.
         empty: bool,
-        /// Who the keepers are, as far as I know.
-        keepers: Vec<ReplicaName>,
+        /// The replicas, as far as the sender knows.
+        replicas: Vec<ReplicaName>,
     },
 }
--- /dev/null
+++ b/crates/pintally-consensus/src/replica.rs
@@ -0,0 +1,271 @@
+//! A replica of the group: its state and the dispatch of events to the modules below.
+
+mod election;
+mod leadership;
+mod membership_change;
+mod outbox;
+mod proposals;
+mod recovery;
+mod replication;
+mod role;
+mod snapshot_transfer;
+mod status;
+
+use std::collections::BTreeMap;
+
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+
+use crate::log::{Entry, Position};
+use crate::message::Message;
+use crate::output::Output;
+use crate::persistence::PersistentState;
+use crate::settings::Settings;
+use crate::store::KeyValueStore;
+use crate::vote_recovery::{StoredState, VoteRecovery};
+use crate::{Micros, ReplicaName};
+
+use outbox::Outbox;
+use proposals::PendingProposal;
+use replication::{AppendRequest, AppendResponse, FollowerProgress};
+use role::{ElectionPhase, Role};
+use snapshot_transfer::{IncomingSnapshot, SnapshotChunk, SnapshotResponse};
+
+/// A replica of the group.
+///
+/// The caller passes in messages and the time, and carries out the returned [`Output`] in order. After a
+/// start a replica neither votes nor acknowledges anything until it has asked the others for their state,
+/// because its disk may have lost what it promised.
+#[derive(Clone)]
+pub struct Replica {
+    settings: Settings,
+    rng: ChaCha8Rng,
+    persistent: PersistentState,
+    store: KeyValueStore,
+    commit_index: u64,
+    last_applied: u64,
+    role: Role,
+    /// The recovery of votes after a start, while it lasts.
+    vote_recovery: Option<VoteRecovery>,
+    /// Whether the disk showed no sign of loss or corruption at the start.
+    disk_intact: bool,
+    /// The longest log that others reported after a start: a candidate with a shorter one gets no vote.
+    min_log_position: Position,
+    leader: Option<ReplicaName>,
+    /// No vote is granted before this time: there is a leader, or there was one before the start.
+    sticky_until: Micros,
+    election_due: Micros,
+    /// What the leader knows of the other replicas, and of one that is joining.
+    progress: BTreeMap<ReplicaName, FollowerProgress>,
+    joining: Option<ReplicaName>,
+    /// By the index of their entry.
+    pending_proposals: BTreeMap<u64, PendingProposal>,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    outbox: Outbox,
+}
+
+impl Replica {
+    /// Creates a replica at the start of a process. `saved` holds the bytes of the last
+    /// [`Output::Save`] that the disk returned; `clean` says that the disk showed no sign of loss or
+    /// corruption.
+    pub fn new(settings: Settings, saved: Option<&[u8]>, clean: bool, seed: u64, now: Micros) -> Replica {
+        let decoded = saved.and_then(PersistentState::decode);
+        let disk_intact = clean && decoded.is_some();
+        let (mut persistent, store) = with_store(decoded.unwrap_or_default());
+        if !persistent.initialized {
+            persistent.log.snapshot_replicas = settings.replicas.clone();
+        }
+        let snapshot_index = persistent.log.last_included.index;
+        let mut replica = Replica {
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            store,
+            commit_index: snapshot_index,
+            last_applied: snapshot_index,
+            role: Role::Follower,
+            vote_recovery: Some(VoteRecovery::new(now, disk_intact)),
+            disk_intact,
+            min_log_position: Position::default(),
+            leader: None,
+            sticky_until: now + settings.leader_stickiness(),
+            election_due: now,
+            progress: BTreeMap::new(),
+            joining: None,
+            pending_proposals: BTreeMap::new(),
+            incoming_snapshot: None,
+            outbox: Outbox::default(),
+            persistent,
+            settings,
+        };
+        replica.reset_election_timer(now);
+        replica
+    }
+
+    /// The store with all entries that this replica has applied; it may be behind the leader's.
+    pub fn store(&self) -> &KeyValueStore {
+        &self.store
+    }
+
+    /// The index of the last entry that was applied to the store.
+    pub fn applied(&self) -> u64 {
+        self.last_applied
+    }
+
+    /// A committed entry, if the log still contains it.
+    pub fn committed_entry(&self, index: u64) -> Option<&Entry> {
+        if index > self.commit_index {
+            return None;
+        }
+        self.persistent.log.get(index)
+    }
+
+    /// The leader, as far as this replica knows.
+    pub fn leader(&self) -> Option<&ReplicaName> {
+        self.leader.as_ref()
+    }
+
+    /// The latest term that this replica knows.
+    pub fn term(&self) -> u64 {
+        self.persistent.current_term
+    }
+
+    /// The replicas of the group, as far as this replica knows.
+    pub fn replicas(&self) -> &[ReplicaName] {
+        self.persistent.log.replicas_at(u64::MAX)
+    }
+
+    /// The position of the last entry of the log.
+    pub fn last_position(&self) -> Position {
+        self.persistent.log.last()
+    }
+
+    /// Whether this replica was restarted and does not vote yet.
+    pub fn is_recovering_votes(&self) -> bool {
+        self.vote_recovery.is_some()
+    }
+
+    /// When [`Replica::tick`] has to be called next.
+    pub fn next_wake(&self) -> Micros {
+        match (&self.vote_recovery, &self.role) {
+            (Some(recovery), _) => recovery.next_request_at,
+            (None, Role::Leader { next_heartbeat, .. }) => *next_heartbeat,
+            (None, Role::Follower | Role::Candidate { .. }) => self.election_due,
+        }
+    }
+
+    /// Does what is due at this time.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if self.vote_recovery.is_some() {
+            self.request_recovery(now);
+            self.try_finish_recovery(now);
+        } else if self.role.is_leader() {
+            self.tick_leader(now);
+        } else if now >= self.election_due {
+            self.start_election(now, ElectionPhase::PreVote);
+        }
+        self.flush(out);
+    }
+
+    /// Handles a message from another replica.
+    pub fn receive(&mut self, now: Micros, from: &ReplicaName, message: Message, out: &mut Vec<Output>) {
+        if *from == self.settings.name {
+            return;
+        }
+        match message {
+            Message::RecoveryRequest => self.answer_recovery_request(from),
+            Message::RecoveryResponse { term, last_log, empty, replicas } => {
+                let reported = StoredState { term, last_log, empty, replicas };
+                self.on_recovery_response(now, from, reported);
+            }
+            // Until it knows what it has promised, it promises and acknowledges nothing.
+            _ if self.vote_recovery.is_some() => {}
+            Message::RequestVote { .. } | Message::RequestVoteResponse { .. } => {
+                self.on_election_message(now, from, message);
+            }
+            Message::AppendEntries { .. } | Message::InstallSnapshot { .. } => {
+                self.on_leader_message(now, from, message);
+            }
+            Message::AppendEntriesResponse { .. } | Message::InstallSnapshotResponse { .. } => {
+                self.on_follower_message(now, from, message);
+            }
+        }
+        self.flush(out);
+    }
+
+    fn on_election_message(&mut self, now: Micros, from: &ReplicaName, message: Message) {
+        match message {
+            Message::RequestVote { term, last_log, pre_vote } => {
+                self.on_vote_request(now, from, term, last_log, ElectionPhase::new(pre_vote));
+            }
+            Message::RequestVoteResponse { term, granted, pre_vote } => {
+                self.on_vote_response(now, from, term, granted, ElectionPhase::new(pre_vote));
+            }
+            _ => {}
+        }
+    }
+
+    fn on_leader_message(&mut self, now: Micros, from: &ReplicaName, message: Message) {
+        match message {
+            Message::AppendEntries { term, prev_log, entries, leader_commit, sent_at } => {
+                let request = AppendRequest { prev_log, entries, leader_commit, sent_at };
+                self.on_append_entries(now, from, term, request);
+            }
+            Message::InstallSnapshot {
+                term,
+                last_included,
+                replicas,
+                offset,
+                total_bytes,
+                data,
+                sent_at,
+            } => {
+                let chunk = SnapshotChunk { last_included, replicas, offset, total_bytes, data, sent_at };
+                self.on_snapshot_chunk(now, from, term, chunk);
+            }
+            _ => {}
+        }
+    }
+
+    fn on_follower_message(&mut self, now: Micros, from: &ReplicaName, message: Message) {
+        match message {
+            Message::AppendEntriesResponse { term, success, match_index, sent_at } => {
+                let response = AppendResponse { success, match_index, sent_at };
+                self.on_append_response(now, from, term, response);
+            }
+            Message::InstallSnapshotResponse { term, last_included, received_bytes, sent_at } => {
+                let response = SnapshotResponse { last_included, received_bytes, sent_at };
+                self.on_snapshot_response(now, from, term, response);
+            }
+            _ => {}
+        }
+    }
+
+    fn is_voter(&self) -> bool {
+        self.replicas().contains(&self.settings.name)
+    }
+
+    /// The other replicas of the group.
+    fn peers(&self) -> Vec<ReplicaName> {
+        self.replicas().iter().filter(|name| **name != self.settings.name).cloned().collect()
+    }
+
+    /// Moves to a later term, in which no vote has been given yet.
+    fn adopt_term(&mut self, term: u64) {
+        if term > self.persistent.current_term {
+            self.persistent.current_term = term;
+            self.persistent.voted_for = None;
+            self.outbox.request_save();
+        }
+    }
+
+    fn flush(&mut self, out: &mut Vec<Output>) {
+        self.outbox.flush(&self.persistent, out);
+    }
+}
+
+/// Decodes the store of a persisted state. A corrupt snapshot makes the whole state worthless.
+fn with_store(persistent: PersistentState) -> (PersistentState, KeyValueStore) {
+    match KeyValueStore::decode(&persistent.log.snapshot) {
+        Some(store) => (persistent, store),
+        None => (PersistentState::default(), KeyValueStore::default()),
+    }
+}
--- /dev/null
+++ b/crates/pintally-consensus/src/replica/status.rs
@@ -0,0 +1,73 @@
+//! The status document, and the digest that searches of the state space use.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+use crate::status::{ReplicaState, Status};
+use crate::vote_recovery::majority;
+use crate::Micros;
+
+use super::{Replica, Role};
+
+impl Replica {
+    /// The status document for operators.
+    pub fn status(&self, now: Micros) -> Status {
+        let (state, reason) = self.state_and_reason();
+        Status {
+            name: self.settings.name.to_string(),
+            state,
+            reason,
+            term: self.persistent.current_term,
+            leader: self.leader.as_ref().map(ToString::to_string),
+            replicas: self.replicas().iter().map(ToString::to_string).collect(),
+            joining: self.joining.as_ref().map(ToString::to_string),
+            commit_index: self.commit_index,
+            last_log_index: self.last_position().index,
+            leadership_ms: self.lease_end().map(|end| end.saturating_sub(now) / 1000),
+            value_count: self.store.iter().count(),
+        }
+    }
+
+    /// The state, and why it is not the desired one. The texts are part of the status document.
+    fn state_and_reason(&self) -> (ReplicaState, Option<String>) {
+        if let Some(recovery) = &self.vote_recovery {
+            let responses = recovery.responses.len();
+            let lost = if self.persistent.initialized { "" } else { "; it holds nothing itself" };
+            let reason = format!("started anew, {responses} others have told what they hold{lost}");
+            return (ReplicaState::RecoveringVotes, Some(reason));
+        }
+        match &self.role {
+            Role::Leader { .. } => (ReplicaState::Leader, None),
+            Role::Candidate { votes, .. } => {
+                let (votes, required) = (votes.len(), majority(self.replicas().len()));
+                let reason = format!("{votes} of {required} votes: too few others are heard");
+                (ReplicaState::Candidate, Some(reason))
+            }
+            Role::Follower => {
+                let reason = self.leader.is_none().then(|| "no leader has been heard".to_string());
+                (ReplicaState::Follower, reason)
+            }
+        }
+    }
+
+    /// A hash of everything but the times that determines what the replica does next, for searches that
+    /// visit each state once.
+    pub fn digest(&self, now: Micros) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        let persistent = &self.persistent;
+        persistent.log.hash(&mut hasher);
+        (persistent.current_term, &persistent.voted_for).hash(&mut hasher);
+        (self.commit_index, self.min_log_position, &self.leader).hash(&mut hasher);
+        (now < self.sticky_until).hash(&mut hasher);
+        self.vote_recovery.as_ref().map(|recovery| &recovery.responses).hash(&mut hasher);
+        match &self.role {
+            Role::Follower => 0u8.hash(&mut hasher),
+            Role::Candidate { phase, votes } => (1u8, phase, votes).hash(&mut hasher),
+            Role::Leader { .. } => 2u8.hash(&mut hasher),
+        }
+        for (name, progress) in &self.progress {
+            let sent = (progress.next_index, progress.match_index, progress.snapshot_bytes);
+            (name, sent).hash(&mut hasher);
+        }
+        hasher.finish()
+    }
+}
--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a keeper is told, and which figures go together.
+//! The settings of a replica, their consistency checks and the times that follow from them.
 
 use std::collections::BTreeSet;
 
@@ -6,35 +6,45 @@
 
 use crate::{Micros, ReplicaName};
 
-/// More keepers cost more messages and bear no more failures that are worth it.
+/// The greatest number of replicas: more of them cost more messages than the additional failures that
+/// they tolerate are worth.
 pub const MAX_REPLICAS: usize = 7;
+/// The length of the longest name of a replica, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// The shortest interval between heartbeats.
+const MIN_HEARTBEAT_INTERVAL_US: Micros = 1_000;
+/// Heartbeats that an election timeout has to span, so that one lost message starts no election.
+const MIN_HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 3;
+/// The greatest clock drift under which a lease still means something.
+const MAX_CLOCK_DRIFT: f64 = 0.2;
 
-/// What a keeper is told. Times in microseconds.
+/// The settings of a replica. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// The name of this replica.
     pub name: ReplicaName,
-    /// All keepers at the first start of the fleet; later the register itself says who they are.
+    /// All replicas at the first start of the fleet; afterwards the log records them.
     pub replicas: Vec<ReplicaName>,
-    /// Between two words of a leader.
+    /// The time between two heartbeats of a leader.
     pub heartbeat_interval: Micros,
-    /// A keeper that hears no leader for this time up to twice of it stands for the lead.
+    /// A replica that receives nothing from a leader for a random time between this and twice this
+    /// becomes a candidate.
     pub election_timeout: Micros,
-    /// A restarted keeper that cannot ask enough of the others believes a disk without visible harm
-    /// after this time.
+    /// A restarted replica that does not reach enough of the others trusts an intact disk after this
+    /// time.
     pub vote_recovery_timeout: Micros,
-    /// The most by which a second of one clock differs from a second of another, as a part.
+    /// The greatest difference between a second of one clock and a second of another, as a fraction.
     pub max_clock_drift: f64,
-    /// Applied entries that are kept in the log before a snapshot takes their place.
+    /// The number of applied entries in the log at which a snapshot replaces them.
     pub log_entries_before_snapshot: usize,
 }
 
 impl Settings {
-    /// Usual figures.
-    pub fn new(name: &str, keepers: &[&str]) -> Settings {
+    /// The default settings for a replica and its group.
+    pub fn new(name: &str, replicas: &[&str]) -> Settings {
         Settings {
             name: name.into(),
-            replicas: keepers.iter().map(|k| ReplicaName::from(*k)).collect(),
+            replicas: replicas.iter().map(|replica| ReplicaName::from(*replica)).collect(),
             heartbeat_interval: 100_000,
             election_timeout: 600_000,
             vote_recovery_timeout: 5_000_000,
@@ -43,17 +53,24 @@
         }
     }
 
-    /// Checks that the figures go together.
+    /// Checks that the settings are consistent with each other.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidConfiguration`] with the first rule that is violated.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        let sound = |k: &ReplicaName| !k.0.is_empty() && k.0.len() <= 64;
+        let is_valid_name = |name: &ReplicaName| (1..=MAX_NAME_BYTES).contains(&name.0.len());
         let distinct: BTreeSet<&ReplicaName> = self.replicas.iter().collect();
         ensure(!self.replicas.is_empty(), "there is no keeper")?;
         ensure(self.replicas.len() <= MAX_REPLICAS, "there are more than 7 keepers")?;
         ensure(distinct.len() >= self.replicas.len(), "a keeper is named twice")?;
-        ensure(self.replicas.iter().all(sound), "a keeper's name needs 1 to 64 bytes")?;
-        ensure(self.heartbeat_interval >= 1_000, "a leader's beat is under a millisecond")?;
+        ensure(self.replicas.iter().all(is_valid_name), "a keeper's name needs 1 to 64 bytes")?;
         ensure(
-            self.election_timeout >= 3 * self.heartbeat_interval,
+            self.heartbeat_interval >= MIN_HEARTBEAT_INTERVAL_US,
+            "a leader's beat is under a millisecond",
+        )?;
+        ensure(
+            self.election_timeout >= MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * self.heartbeat_interval,
             "the election time is under three beats",
         )?;
         ensure(
@@ -61,25 +78,25 @@
             "a disk is believed before an election is over",
         )?;
         ensure(
-            (0.0..=0.2).contains(&self.max_clock_drift),
+            (0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift),
             "clocks that drift apart by over a fifth are none",
         )
     }
 
-    /// For how long after it heard a leader, or started, a keeper gives nobody its vote.
-    pub(crate) fn loyal(&self) -> Micros {
+    /// For how long a replica grants no vote after a message from a leader, or after its start.
+    pub(crate) fn leader_stickiness(&self) -> Micros {
         self.election_timeout
     }
 
-    /// How long the lead surely lasts after a majority answered to what was sent at some time: a
-    /// follower counts its loyalty by its own clock, which may be fast.
+    /// For how long leadership lasts at least after a leader sent what a majority then answered: a
+    /// follower measures its stickiness by its own clock, which may be fast.
     pub fn leader_lease(&self) -> Micros {
         (self.election_timeout as f64 * (1.0 - 2.0 * self.max_clock_drift)).max(0.0) as Micros
     }
 
-    /// The longest time from the loss of a leader to the next one, with a majority that hears each
-    /// other, no message lost and no two that stand at once: loyalty, the spread of the time-outs, two
-    /// rounds of votes.
+    /// The longest time from the loss of a leader to the next one, provided that a majority is connected,
+    /// no message is lost and no two candidates split the vote: stickiness, the spread of the election
+    /// timeouts, and two rounds of votes.
     pub fn max_election_duration(&self) -> Micros {
         2 * self.election_timeout + 2 * self.heartbeat_interval
     }
--- a/crates/pintally-consensus/src/status.rs
+++ b/crates/pintally-consensus/src/status.rs
@@ -1,30 +1,54 @@
-//! What a keeper tells people.
+//! The status document of a replica.
 
 use serde::Serialize;
 
-/// What a keeper tells people.
+/// What a replica does at present. The serialised words are part of the status page.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+pub enum ReplicaState {
+    /// It is the leader.
+    #[serde(rename = "leads")]
+    Leader,
+    /// It follows a leader, or waits for one.
+    #[serde(rename = "follows")]
+    Follower,
+    /// It asks for votes.
+    #[serde(rename = "stands")]
+    Candidate,
+    /// It was restarted and does not vote yet.
+    #[serde(rename = "doubts")]
+    RecoveringVotes,
+}
+
+/// The status of a replica. The serialised names are part of the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
-    /// Its name.
+    /// The name of the replica.
     pub name: String,
-    /// `leads`, `follows`, `stands` or `is_recovering_votes`.
-    pub standing: &'static str,
-    /// Why it does not vote yet, or why there is no leader that it knows of.
-    pub why: Option<String>,
-    /// The term that it knows.
+    /// What it does at present.
+    #[serde(rename = "standing")]
+    pub state: ReplicaState,
+    /// Why it does not vote yet, or why it knows no leader.
+    #[serde(rename = "why")]
+    pub reason: Option<String>,
+    /// The latest term that it knows.
     pub term: u64,
-    /// Who leads, as far as it knows.
+    /// The leader, if it knows one.
     pub leader: Option<String>,
-    /// Who the keepers are.
-    pub keepers: Vec<String>,
-    /// Who is to become one and is catching up.
+    /// The replicas of the group.
+    #[serde(rename = "keepers")]
+    pub replicas: Vec<String>,
+    /// A new replica that is catching up before it is added.
     pub joining: Option<String>,
-    /// Agreed on up to here.
-    pub commit: u64,
-    /// Where its log ends.
-    pub last: u64,
-    /// How long its lead surely lasts, in milliseconds, if it leads.
-    pub lead_ms: Option<u64>,
-    /// Values that the register holds.
-    pub values: usize,
+    /// The index of the last committed entry.
+    #[serde(rename = "commit")]
+    pub commit_index: u64,
+    /// The index of the last entry of its log.
+    #[serde(rename = "last")]
+    pub last_log_index: u64,
+    /// For how long it remains the leader at least, in milliseconds, if it is the leader.
+    #[serde(rename = "lead_ms")]
+    pub leadership_ms: Option<u64>,
+    /// The number of values in the store.
+    #[serde(rename = "values")]
+    pub value_count: usize,
 }
--- a/crates/pintally-consensus/tests/decisions.rs
+++ b/crates/pintally-consensus/tests/decisions.rs
@@ -97,7 +97,7 @@
     run_for(&mut world, 20_000);
     assert_eq!(leader(&world), None);
     let status = world.nodes[1].keeper.as_ref().unwrap().status(world.clock(1));
-    assert!(status.why.is_some(), "{status:?}");
+    assert!(status.reason.is_some(), "{status:?}");
     assert_eq!(world.agreed.len(), before);
 }
 
--- a/crates/pintally-consensus/tests/golden.rs
+++ b/crates/pintally-consensus/tests/golden.rs
@@ -30,7 +30,7 @@
 
 const LAST: Position = Position { term: 300, index: 70_000 };
 
-fn members() -> Vec<ReplicaName> {
+fn replicas() -> Vec<ReplicaName> {
     ["n1", "n2", "n3"].map(ReplicaName::from).to_vec()
 }
 
@@ -41,12 +41,12 @@
 fn entries() -> Vec<Entry> {
     let contents = [
         LogCommand::Noop,
-        LogCommand::ChangeReplicas(members()),
+        LogCommand::ChangeReplicas(replicas()),
         LogCommand::Write(write(None)),
         LogCommand::Write(write(Some(129))),
         LogCommand::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
     ];
-    contents.into_iter().zip(299..).map(|(what, term)| Entry { term, what }).collect()
+    contents.into_iter().zip(299..).map(|(command, term)| Entry { term, command }).collect()
 }
 
 #[test]
@@ -58,28 +58,41 @@
 
 #[test]
 fn vote_request_bytes_are_stable() {
-    assert_stable("vote_request", Message::RequestVote { term: 301, last: LAST, before: false });
-    assert_stable("pre_vote_request", Message::RequestVote { term: 301, last: LAST, before: true });
+    assert_stable("vote_request", Message::RequestVote { term: 301, last_log: LAST, pre_vote: false });
+    assert_stable("pre_vote_request", Message::RequestVote { term: 301, last_log: LAST, pre_vote: true });
 }
 
 #[test]
 fn vote_response_bytes_are_stable() {
-    assert_stable("vote_granted", Message::RequestVoteResponse { term: 301, given: true, before: false });
-    assert_stable("vote_denied", Message::RequestVoteResponse { term: 302, given: false, before: false });
-    assert_stable("pre_vote_granted", Message::RequestVoteResponse { term: 301, given: true, before: true });
+    assert_stable("vote_granted", Message::RequestVoteResponse { term: 301, granted: true, pre_vote: false });
+    assert_stable("vote_denied", Message::RequestVoteResponse { term: 302, granted: false, pre_vote: false });
+    assert_stable(
+        "pre_vote_granted",
+        Message::RequestVoteResponse { term: 301, granted: true, pre_vote: true },
+    );
 }
 
 #[test]
 fn append_entries_request_bytes_are_stable() {
-    let request =
-        |entries| Message::AppendEntries { term: 301, after: LAST, entries, commit: 69_999, sent: 1 << 40 };
+    let request = |entries| Message::AppendEntries {
+        term: 301,
+        prev_log: LAST,
+        entries,
+        leader_commit: 69_999,
+        sent_at: 1 << 40,
+    };
     assert_stable("append_entries", request(entries()));
     assert_stable("heartbeat", request(Vec::new()));
 }
 
 #[test]
 fn append_entries_response_bytes_are_stable() {
-    let response = |agrees| Message::AppendEntriesResponse { term: 301, agrees, last: 70_005, sent: 1 << 40 };
+    let response = |success| Message::AppendEntriesResponse {
+        term: 301,
+        success,
+        match_index: 70_005,
+        sent_at: 1 << 40,
+    };
     assert_stable("append_entries_success", response(true));
     assert_stable("append_entries_conflict", response(false));
 }
@@ -88,30 +101,35 @@
 fn install_snapshot_bytes_are_stable() {
     let chunk = Message::InstallSnapshot {
         term: 301,
-        at: LAST,
-        keepers: members(),
-        from: 640,
-        of: 1_000,
-        bytes: vec![0, 128, 255],
-        sent: 1 << 40,
+        last_included: LAST,
+        replicas: replicas(),
+        offset: 640,
+        total_bytes: 1_000,
+        data: vec![0, 128, 255],
+        sent_at: 1 << 40,
     };
     assert_stable("install_snapshot", chunk);
     assert_stable(
         "install_snapshot_response",
-        Message::InstallSnapshotResponse { term: 301, at: LAST, upto: 643, sent: 1 << 40 },
+        Message::InstallSnapshotResponse {
+            term: 301,
+            last_included: LAST,
+            received_bytes: 643,
+            sent_at: 1 << 40,
+        },
     );
 }
 
 #[test]
-fn state_query_bytes_are_stable() {
-    let response = |empty, keepers| Message::RecoveryResponse { term: 301, last: LAST, empty, keepers };
+fn recovery_bytes_are_stable() {
+    let response = |empty, replicas| Message::RecoveryResponse { term: 301, last_log: LAST, empty, replicas };
     assert_stable("state_query", Message::RecoveryRequest);
-    assert_stable("state_response", response(false, members()));
+    assert_stable("state_response", response(false, replicas()));
     assert_stable("state_response_empty", response(true, Vec::new()));
 }
 
 #[test]
-fn proposal_refusal_bytes_are_stable() {
+fn proposal_error_bytes_are_stable() {
     assert_stable("refusal_not_leader", ProposalError::NotLeader(Some("n2".into())));
     assert_stable("refusal_no_leader", ProposalError::NotLeader(None));
     assert_stable("refusal_unsure", ProposalError::LeadershipLost);
--- a/crates/pintally-consensus/tests/search.rs
+++ b/crates/pintally-consensus/tests/search.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use pintally_consensus::{Entry, Message, Micros, Output, Replica, ReplicaName, Settings, Write};
+use pintally_consensus::{
+    Entry, Message, Micros, Output, Replica, ReplicaName, ReplicaState, Settings, Write,
+};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -74,7 +76,7 @@
             }
         }
         let keeper = &self.keepers[k];
-        if keeper.status(self.clocks[k]).standing == "leads" {
+        if keeper.status(self.clocks[k]).state == ReplicaState::Leader {
             let by = *self.leaders.entry(keeper.term()).or_insert(k);
             assert_eq!(by, k, "two leaders in term {}", keeper.term());
         }
@@ -167,7 +169,8 @@
                     });
                 }
             }
-            if self.budget.writes > 0 && self.keepers[k].status(self.clocks[k]).standing == "leads" {
+            if self.budget.writes > 0 && self.keepers[k].status(self.clocks[k]).state == ReplicaState::Leader
+            {
                 with(&|w| {
                     w.budget.writes -= 1;
                     let write = Write { key: "x".into(), value: vec![k as u8], expect: None };
@@ -184,10 +187,10 @@
 fn timeless(message: &Message) -> Message {
     let mut message = message.clone();
     match &mut message {
-        Message::AppendEntries { sent, .. }
-        | Message::AppendEntriesResponse { sent, .. }
-        | Message::InstallSnapshot { sent, .. }
-        | Message::InstallSnapshotResponse { sent, .. } => *sent = 0,
+        Message::AppendEntries { sent_at, .. }
+        | Message::AppendEntriesResponse { sent_at, .. }
+        | Message::InstallSnapshot { sent_at, .. }
+        | Message::InstallSnapshotResponse { sent_at, .. } => *sent_at = 0,
         _ => {}
     }
     message
