--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -1,27 +1,27 @@
-//! What is promised, as figures.
+//! The guarantees that follow from the settings, as figures.
 
 use crate::limit::{Enforcement, Limit, LimitKind, Settings};
-use crate::Micros;
+use crate::{Micros, MICROS_PER_SECOND};
 
-/// What is promised for one limit.
+/// The guarantees for one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// What all nodes together may have at one time at the most, with as many nodes as the settings name.
+    /// The greatest sum of all allocations at one time, with as many nodes as the settings name.
     pub at_once: f64,
-    /// Each node beyond those, and each process that runs under a name that is taken, adds this.
+    /// What each additional node adds to that sum, and each additional process under a name in use.
     pub each_more: f64,
-    /// In any window a rate is exceeded by this at the most, beside the largest single cost for each
-    /// node that has used it and for each lease that ended meanwhile.
+    /// By how much a rate is exceeded in any window at most, besides the largest single cost for each
+    /// node that has used it and for each lease that expired in the window.
     pub burst: f64,
-    /// What a node that is cut off may use.
+    /// What a disconnected node may use.
     pub floor: f64,
-    /// A share that is lost with its holder returns within this time, if somebody lends; a new lender
-    /// lends nothing but what is already held before this time is over.
+    /// The time after which an allocation that was lost with its holder can be granted again, provided
+    /// that there is a granter. Before this time is over, a new granter only renews what is already held.
     pub returns_within: Micros,
 }
 
 impl Settings {
-    /// What these figures promise for a limit.
+    /// The guarantees for a limit under these settings.
     pub fn bounds(&self, limit: &Limit) -> Bounds {
         let floor = self.floor(limit);
         let floors = floor * f64::from(self.nodes.max(1));
@@ -30,7 +30,7 @@
             Enforcement::Soft => limit.amount + floors,
         };
         let burst = match limit.kind {
-            LimitKind::Rate => at_once * self.burst as f64 / 1e6,
+            LimitKind::Rate => at_once * self.burst as f64 / MICROS_PER_SECOND,
             LimitKind::Concurrency => 0.0,
         };
         let returns_within = self.debited_for(limit);
--- a/crates/pintally-quota/src/lib.rs
+++ b/crates/pintally-quota/src/lib.rs
@@ -1,25 +1,31 @@
-//! Limits that hold for a whole fleet. One node at a time *lends*: whoever leads the keepers. The others
-//! hold shares under leases and decide by them alone, so nothing on a request's way waits for anybody.
+//! Limits that hold for a whole fleet. The leader of the consensus group grants parts of each limit to
+//! the nodes. A node decides by its allocations alone, so no request waits for another node.
 //!
-//! A limit is *hard*, and the shares of all nodes together never exceed it, whatever is lost, doubled or
-//! late, or *soft*, and a node that is cut off keeps a stated part beyond. Conservation is that of escrow
-//! and demarcation (O'Neil 1986; Barbará and Garcia-Molina 1994): what is lent is debited first and comes
-//! back by the holder's own word or with the lease. `docs/limits.md` has the bounds and proofs.
+//! The allocations of a *hard* limit never exceed it in sum, whatever messages are lost, duplicated or
+//! delayed. A *soft* limit may be exceeded by a configured part, which a disconnected node keeps. The sum
+//! is conserved as by escrow and demarcation (O'Neil 1986; Barbará and Garcia-Molina 1994): an allocation
+//! is debited before it is granted, and credited when its holder reports that it has less or when its
+//! lease has expired. `docs/limits.md` has the bounds and proofs.
+
+#![deny(missing_docs)]
 
 mod bounds;
+mod granter;
 mod holder;
-mod lender;
-mod lending;
+mod leader_granter;
 mod limit;
 mod message;
 
 pub use bounds::Bounds;
+pub use granter::{LeaseGranter, PoolStatus};
 pub use holder::{Admission, LimitStatus, QuotaHolder};
-pub use lender::{LeaseGranter, PoolStatus};
-pub use lending::LeaderGranter;
+pub use leader_granter::LeaderGranter;
 pub use limit::{Enforcement, Limit, LimitId, LimitKind, Settings};
 pub use message::{LeaseGrant, LeaseRequest, MAX_ENTRIES_PER_MESSAGE};
 pub use pintally_validation::InvalidConfiguration;
 
-/// Microseconds of a clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
+
+/// Microseconds in a second, for rates.
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
--- a/crates/pintally-quota/src/message.rs
+++ b/crates/pintally-quota/src/message.rs
@@ -1,37 +1,42 @@
-//! What holders and the lender tell each other. Each may be lost, doubled, late or out of order.
+//! Messages between holders and the granter. Each may be lost, duplicated, delayed or reordered.
+//!
+//! Postcard encodes fields by position: their order is the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::limit::LimitId;
 
-/// Asks, or grants, in one message: with what stands around them they stay below a datagram.
+/// Requests or grants in one message: together with its other fields a message stays below the size of a
+/// datagram.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 40;
 
-/// A holder asks for a share, and by this gives back what it holds no longer.
+/// A holder asks for an allocation of a limit, and thereby returns what it no longer holds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Of which limit.
+    /// The limit.
     pub limit: LimitId,
-    /// Counts the asks of this holder's life for this limit. A grant for an earlier one is void.
+    /// Counts the requests of this holder's incarnation for this limit. A grant for an earlier request is
+    /// void.
     pub number: u32,
-    /// What it holds, and will not exceed before it is granted more.
+    /// The allocation that it holds, and will not exceed before it is granted more.
     #[serde(rename = "holds")]
     pub held: f32,
-    /// What it could use.
+    /// The allocation that it could use.
     #[serde(rename = "wants")]
     pub wanted: f32,
 }
 
-/// A lender's answer to one ask.
+/// The granter's answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Of which limit.
+    /// The limit.
     pub limit: LimitId,
-    /// Which ask it answers.
+    /// The number of the request that it answers.
     pub number: u32,
-    /// What the holder has from now on, until its lease ends.
+    /// The allocation of the holder from now on, until its lease expires.
     #[serde(rename = "share")]
     pub granted: f32,
-    /// The whole limit as it is now.
-    pub most: f64,
+    /// The current amount of the whole limit.
+    #[serde(rename = "most")]
+    pub limit_amount: f64,
 }
--- a/crates/pintally-quota/tests/golden.rs
+++ b/crates/pintally-quota/tests/golden.rs
@@ -37,7 +37,7 @@
 }
 
 fn grant() -> LeaseGrant {
-    LeaseGrant { limit: LIMIT, number: 300, granted: 12.25, most: 0.1 }
+    LeaseGrant { limit: LIMIT, number: 300, granted: 12.25, limit_amount: 0.1 }
 }
 
 #[test]
@@ -51,7 +51,7 @@
 #[test]
 fn grant_bytes_are_stable() {
     assert_stable("grant", grant());
-    let nothing = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, most: f64::MAX };
+    let nothing = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, limit_amount: f64::MAX };
     assert_stable("grant_message", (LIFE, vec![grant(), nothing]));
     assert_stable("grant_message_empty", (LIFE, Vec::<LeaseGrant>::new()));
 }
