--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes and a lender in virtual time: clocks that drift, messages that are lost, doubled, late and out
-//! of order, nodes that restart, stand still or run twice, leads that pass on.
+//! Nodes and a lease granter in virtual time: clocks that drift, messages that are lost, duplicated, delayed
+//! and reordered, nodes that restart, are paused or run twice, changes of leader.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -14,30 +14,30 @@
 pub const MS: Micros = 1_000;
 pub const ONE: LimitId = LimitId(1);
 
-/// A build that is broken on purpose, to show that the audit can fail.
+/// A defect that is seeded to show that the checks can fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum SeededDefect {
     Nothing,
-    /// A node takes up again what an image of its disk says that it held.
-    SharesFromDisk,
-    /// Holders count leases by wall clocks, which are set back now and then.
+    /// A restarted node takes up the allocation in an image of its disk.
+    AllocationsFromDisk,
+    /// Holders measure leases by wall clocks, which are set back now and then.
     WallClock,
-    /// A new lender lends at once.
-    NoWait,
+    /// A new granter grants before earlier leases have expired.
+    NoLeaseWait,
 }
 
 pub struct Node {
     pub holder: QuotaHolder,
-    pub life: u64,
+    pub incarnation: u64,
     pub rate: f64,
-    pub offset: Micros,
-    pub set_back: Micros,
+    pub clock_offset: Micros,
+    pub clock_set_back: Micros,
     pub paused_until: Micros,
-    pub cut: bool,
-    /// Offered a second.
+    pub disconnected: bool,
+    /// The offered load per second.
     pub load: f64,
     pub running: Vec<Micros>,
-    image: QuotaHolder,
+    disk_image: QuotaHolder,
 }
 
 enum Event {
@@ -45,80 +45,79 @@
     LeaseGrant(usize, u64, LeaseGrant),
 }
 
-pub struct World {
+pub struct Fleet {
     pub now: Micros,
     pub rng: ChaCha8Rng,
     pub nodes: Vec<Node>,
-    /// Nodes that the settings reckon with; the others are twins.
     pub limit: Limit,
     pub settings: Settings,
-    pub lender: Option<LeaseGranter>,
-    pub next_lender: Micros,
-    pub broken: Broken,
+    pub granter: Option<LeaseGranter>,
+    pub next_granter_at: Micros,
+    pub defect: SeededDefect,
     pub loss: f64,
-    pub troubles: bool,
+    pub inject_faults: bool,
     queue: BTreeMap<(Micros, u64), Event>,
     serial: u64,
-    lives: u64,
-    /// Beyond the limit in the worst window so far.
+    incarnations: u64,
+    /// The greatest excess over the limit in any window so far.
     pub excess: f64,
     running_excess: f64,
     excess_at: Micros,
     pub ended_leases: u64,
     pub admitted: f64,
-    pub refused: u64,
-    /// The most that all had at one time.
+    pub rejected: u64,
+    /// The greatest sum of all allocations at one time.
     pub peak: f64,
-    pub moves: u64,
+    pub load_moves: u64,
 }
 
-impl World {
-    pub fn new(n: usize, seed: u64, limit: Limit) -> World {
+impl Fleet {
+    pub fn new(n: usize, seed: u64, limit: Limit) -> Fleet {
         let settings = Settings { nodes: n as u32, max_hold: 1_000_000, ..Settings::default() };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World {
+        let mut fleet = Fleet {
             now: 1,
             nodes: Vec::new(),
             limit,
             settings,
-            lender: None,
-            next_lender: 1,
-            broken: Broken::Nothing,
+            granter: None,
+            next_granter_at: 1,
+            defect: SeededDefect::Nothing,
             loss: 0.0,
-            troubles: false,
+            inject_faults: false,
             queue: BTreeMap::new(),
             serial: 0,
-            lives: 0,
+            incarnations: 0,
             excess: 0.0,
             running_excess: 0.0,
             excess_at: 1,
             ended_leases: 0,
             admitted: 0.0,
-            refused: 0,
+            rejected: 0,
             peak: 0.0,
-            moves: 0,
+            load_moves: 0,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for _ in 0..n {
             let load = rng.random_range(0.0..2.0) * limit.amount / n as f64;
-            world.add(load);
+            fleet.add(load);
         }
-        world
+        fleet
     }
 
     pub fn add(&mut self, load: f64) {
-        self.lives += 1;
+        self.incarnations += 1;
         let holder = QuotaHolder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
         let drift = self.settings.max_clock_drift;
         self.nodes.push(Node {
-            image: holder.clone(),
+            disk_image: holder.clone(),
             holder,
-            life: self.lives,
+            incarnation: self.incarnations,
             rate: 1.0 + self.rng.random_range(-0.5..0.5) * drift,
-            offset: self.rng.random_range(0..1_000_000_000),
-            set_back: 0,
+            clock_offset: self.rng.random_range(0..1_000_000_000),
+            clock_set_back: 0,
             paused_until: 0,
-            cut: false,
+            disconnected: false,
             load,
             running: Vec::new(),
         });
@@ -126,7 +125,8 @@
 
     pub fn clock(&self, k: usize) -> Micros {
         let node = &self.nodes[k];
-        node.offset + (self.now as f64 * node.rate) as Micros - node.set_back.min(node.offset)
+        node.clock_offset + (self.now as f64 * node.rate) as Micros
+            - node.clock_set_back.min(node.clock_offset)
     }
 
     fn push(&mut self, event: Event) {
@@ -140,39 +140,41 @@
             let after = self.rng.random_range(MS..most);
             self.serial += 1;
             let event = match &event {
-                Event::LeaseRequest(k, name, life, ask) => Event::LeaseRequest(*k, name.clone(), *life, *ask),
-                Event::LeaseGrant(k, life, grant) => Event::LeaseGrant(*k, *life, *grant),
+                Event::LeaseRequest(k, name, incarnation, request) => {
+                    Event::LeaseRequest(*k, name.clone(), *incarnation, *request)
+                }
+                Event::LeaseGrant(k, incarnation, grant) => Event::LeaseGrant(*k, *incarnation, *grant),
             };
             self.queue.insert((self.now + after, self.serial), event);
         }
     }
 
     pub fn restart(&mut self, k: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let fresh = QuotaHolder::new(self.settings, [(ONE, "one".to_string(), self.limit)]);
-        let disk = self.broken == Broken::SharesFromDisk;
+        let disk = self.defect == SeededDefect::AllocationsFromDisk;
         let node = &mut self.nodes[k];
-        node.holder = if disk { node.image.clone() } else { fresh };
-        node.life = self.lives;
+        node.holder = if disk { node.disk_image.clone() } else { fresh };
+        node.incarnation = self.incarnations;
         node.running.clear();
     }
 
-    /// The lead passes on: nobody lends for a while, then another does who knows nothing.
-    pub fn pass_lead(&mut self) {
-        self.lender = None;
-        self.next_lender = self.now + self.rng.random_range(0..1_500 * MS);
+    /// Changes the leader: nothing is granted for a while, then by a granter that knows nothing.
+    pub fn change_leader(&mut self) {
+        self.granter = None;
+        self.next_granter_at = self.now + self.rng.random_range(0..1_500 * MS);
     }
 
-    /// Plays a step of 5 ms.
+    /// Runs a step of 5 ms.
     pub fn step(&mut self) -> Result<(), String> {
         self.now += 5 * MS;
-        if self.lender.is_none() && self.now >= self.next_lender {
-            let back = if self.broken == Broken::NoWait { self.now.min(100_000 * MS) } else { 0 };
+        if self.granter.is_none() && self.now >= self.next_granter_at {
+            let back = if self.defect == SeededDefect::NoLeaseWait { self.now.min(100_000 * MS) } else { 0 };
             let since = self.now - back;
-            self.lender = Some(LeaseGranter::new(self.settings, [(ONE, self.limit)], since));
+            self.granter = Some(LeaseGranter::new(self.settings, [(ONE, self.limit)], since));
         }
-        if self.troubles {
-            self.trouble();
+        if self.inject_faults {
+            self.inject_fault();
         }
         for k in 0..self.nodes.len() {
             self.load(k)?;
@@ -180,18 +182,22 @@
         while self.queue.first_key_value().is_some_and(|(at, _)| at.0 <= self.now) {
             let Some((_, event)) = self.queue.pop_first() else { break };
             match event {
-                Event::LeaseRequest(k, name, life, ask) => {
-                    let (now, cut) = (self.now, self.nodes[k].cut);
-                    let grant =
-                        self.lender.as_mut().filter(|_| !cut).and_then(|l| l.grant(now, &name, life, &ask));
+                Event::LeaseRequest(k, name, incarnation, request) => {
+                    let (now, disconnected) = (self.now, self.nodes[k].disconnected);
+                    let grant = self
+                        .granter
+                        .as_mut()
+                        .filter(|_| !disconnected)
+                        .and_then(|l| l.grant(now, &name, incarnation, &request));
                     if let Some(grant) = grant {
-                        self.push(Event::LeaseGrant(k, life, grant));
+                        self.push(Event::LeaseGrant(k, incarnation, grant));
                     }
                 }
-                Event::LeaseGrant(k, life, grant) => {
+                Event::LeaseGrant(k, incarnation, grant) => {
                     let clock = self.clock(k);
                     let node = &mut self.nodes[k];
-                    if node.life == life && !node.cut && self.now >= node.paused_until {
+                    if node.incarnation == incarnation && !node.disconnected && self.now >= node.paused_until
+                    {
                         node.holder.apply_grant(clock, &grant);
                     }
                 }
@@ -209,7 +215,7 @@
         let before = self.nodes[k].holder.leased(clock, ONE) > 0.0;
         let mut expected = self.nodes[k].load * 0.005;
         if self.limit.kind == LimitKind::Concurrency {
-            // Each runs for half a second.
+            // Each stream runs for half a second.
             expected *= 2.0;
             let now = self.now;
             let node = &mut self.nodes[k];
@@ -232,26 +238,28 @@
                 self.running_excess = (self.running_excess - self.limit.amount * passed).max(0.0) + 1.0;
                 self.excess = self.excess.max(self.running_excess);
             } else {
-                self.refused += 1;
+                self.rejected += 1;
             }
         }
-        if self.broken == Broken::SharesFromDisk {
-            // The image with most, of those that are not over.
+        if self.defect == SeededDefect::AllocationsFromDisk {
+            // The image with the greatest allocation whose lease has not expired.
             let node = &mut self.nodes[k];
-            if node.image.leased(clock, ONE) < node.holder.leased(clock, ONE) {
-                node.image = node.holder.clone();
+            if node.disk_image.leased(clock, ONE) < node.holder.leased(clock, ONE) {
+                node.disk_image = node.holder.clone();
             }
         }
-        let asks = self.nodes[k].holder.lease_requests(clock);
-        let life = self.nodes[k].life;
+        let requests = self.nodes[k].holder.lease_requests(clock);
+        let incarnation = self.nodes[k].incarnation;
         self.ended_leases += u64::from(before && self.nodes[k].holder.leased(clock, ONE) <= 0.0);
-        if !self.nodes[k].cut {
-            asks.into_iter().for_each(|ask| self.push(Event::LeaseRequest(k, format!("n{k}"), life, ask)));
+        if !self.nodes[k].disconnected {
+            requests
+                .into_iter()
+                .for_each(|request| self.push(Event::LeaseRequest(k, format!("n{k}"), incarnation, request)));
         }
         self.check()
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         if !self.rng.random_bool(0.01) {
             return;
         }
@@ -260,10 +268,10 @@
         match self.rng.random_range(0..6u32) {
             0 => self.restart(k),
             1 => self.nodes[k].paused_until = self.now + span,
-            2 => self.nodes[k].cut = !self.nodes[k].cut,
-            3 => self.pass_lead(),
+            2 => self.nodes[k].disconnected = !self.nodes[k].disconnected,
+            3 => self.change_leader(),
             4 => {
-                // All load of the world moves to one node.
+                // All load of the fleet moves to one node.
                 let whole = 2.0 * self.limit.amount;
                 let n = self.nodes.len() as f64;
                 let skewed = self.rng.random_bool(0.5);
@@ -276,14 +284,16 @@
                         0.0
                     };
                 }
-                self.moves += 1;
+                self.load_moves += 1;
+            }
+            5 if self.defect == SeededDefect::WallClock => {
+                self.nodes[k].clock_set_back += 3_600_000 * MS / 1000
             }
-            5 if self.broken == Broken::WallClock => self.nodes[k].set_back += 3_600_000 * MS / 1000,
             _ => {}
         }
     }
 
-    /// What all nodes may use now.
+    /// The sum of what all nodes may use now.
     pub fn sum(&self) -> f64 {
         (0..self.nodes.len()).filter_map(|k| self.nodes[k].holder.allocation(self.clock(k), ONE)).sum()
     }
@@ -295,21 +305,21 @@
         let more = self.nodes.len().saturating_sub(self.settings.nodes as usize) as f64;
         let most = bounds.at_once + more * bounds.each_more;
         if sum > most * (1.0 + 1e-6) {
-            return Err(format!("at {} ms all have {sum:.3} of {most:.3}", self.now / MS));
+            return Err(format!("at {} ms all nodes may use {sum:.3} of {most:.3}", self.now / MS));
         }
         if self.limit.kind == LimitKind::Rate {
-            let each = self.lives as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
+            let each = self.incarnations as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
             let over = (bounds.at_once - self.limit.amount) * self.now as f64 / 1e6;
             if self.excess > bounds.burst + each + over + more * bounds.each_more * self.now as f64 / 1e6 {
                 return Err(format!("{:.1} beyond the limit in one window", self.excess));
             }
         } else {
-            // What a node that stands still has not counted as ended has ended at its engine.
+            // A stream that a paused node still counts has ended at its engine.
             let now = self.now;
             let running: usize =
                 self.nodes.iter().map(|n| n.running.iter().filter(|e| **e > now).count()).sum();
             if running as f64 > most + 1e-6 {
-                return Err(format!("{running} at once of {most}"));
+                return Err(format!("{running} streams at the same time of {most}"));
             }
         }
         Ok(())
@@ -328,6 +338,6 @@
     Limit { kind: LimitKind::Rate, enforcement: bound, amount: most }
 }
 
-pub fn level(most: f64, bound: Enforcement) -> Limit {
+pub fn concurrency(most: f64, bound: Enforcement) -> Limit {
     Limit { kind: LimitKind::Concurrency, enforcement: bound, amount: most }
 }
--- a/crates/pintally-quota/tests/golden.rs
+++ b/crates/pintally-quota/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages between holders and the lender as bytes: nodes of different builds read each other's.
+//! Messages between holders and the granter as bytes: nodes of different builds read each other's.
 
 use std::fmt::Debug;
 
@@ -29,10 +29,10 @@
 }
 
 const LIMIT: LimitId = LimitId(0xfedc_ba98);
-/// The sender's life stands before the asks and grants of one message.
-const LIFE: u64 = 1 << 40;
+/// The incarnation of the sender precedes the requests and grants of a message.
+const INCARNATION: u64 = 1 << 40;
 
-fn ask() -> LeaseRequest {
+fn request() -> LeaseRequest {
     LeaseRequest { limit: LIMIT, number: 300, held: 0.1, wanted: 1.5e9 }
 }
 
@@ -41,19 +41,19 @@
 }
 
 #[test]
-fn ask_bytes_are_stable() {
-    assert_stable("ask", ask());
+fn request_bytes_are_stable() {
+    assert_stable("ask", request());
     let nothing = LeaseRequest { limit: LimitId(0), number: 1, held: 0.0, wanted: 0.0 };
-    assert_stable("ask_message", (LIFE, vec![ask(), nothing]));
-    assert_stable("ask_message_empty", (LIFE, Vec::<LeaseRequest>::new()));
+    assert_stable("ask_message", (INCARNATION, vec![request(), nothing]));
+    assert_stable("ask_message_empty", (INCARNATION, Vec::<LeaseRequest>::new()));
 }
 
 #[test]
 fn grant_bytes_are_stable() {
     assert_stable("grant", grant());
     let nothing = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, limit_amount: f64::MAX };
-    assert_stable("grant_message", (LIFE, vec![grant(), nothing]));
-    assert_stable("grant_message_empty", (LIFE, Vec::<LeaseGrant>::new()));
+    assert_stable("grant_message", (INCARNATION, vec![grant(), nothing]));
+    assert_stable("grant_message_empty", (INCARNATION, Vec::<LeaseGrant>::new()));
 }
 
 #[test]
