--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -589,10 +589,10 @@
                 warn!(own, now, "peers remember a later life of this node: its disk went back, or was lost");
                 self.shared.fleet.keep(KEY_BOOT, now.to_le_bytes().to_vec());
             }
-            MembershipEvent::SteppedBack => {
+            MembershipEvent::NameYielded => {
                 warn!("another process runs under this node's name: no peer is told anything")
             }
-            MembershipEvent::StoodStill(span) => warn!(ms = span / 1000, "this process has stood still"),
+            MembershipEvent::PauseDetected(span) => warn!(ms = span / 1000, "this process has stood still"),
         }
         false
     }
--- a/crates/pintally-membership/src/identity.rs
+++ b/crates/pintally-membership/src/identity.rs
@@ -1,11 +1,11 @@
-//! What tells peers, and the lives of one peer, apart.
+//! Names of nodes, and the identity of one process under such a name.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A node's name, the same over all of its lives.
+/// A node's name. It stays the same when the node's process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PeerName(pub Arc<str>);
 
@@ -21,20 +21,24 @@
     }
 }
 
-/// One life of a process. Boots are counted on the node's disk; the mark is drawn at each start, so that
-/// two lives with one number (a disk that was lost or went back, a node started twice) are told apart.
+/// Identifies one run of a node's process. Later incarnations compare greater.
+///
+/// The start number is counted on the node's disk. The mark is drawn at random at each start, so that two
+/// processes with the same number are distinguished: the disk was lost or restored from an older image, or
+/// the node was started twice. Not to be confused with SWIM's incarnation, which a running process raises
+/// to refute a suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessIncarnation {
-    /// Which life it is, as far as the node knows; raised when peers remember a later one.
+    /// Number of the start, as far as the node knows; raised when peers remember a later one.
     pub boot: u64,
-    /// Drawn at random at the start.
+    /// Drawn at random at the start of the process.
     pub mark: u64,
 }
 
-/// Bytes of the longest name.
-pub(crate) const MAX_NAME: usize = 64;
+/// Longest name of a node, a zone or a fleet.
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 /// Whether a name may be used on the wire.
-pub(crate) fn sound(name: &PeerName) -> bool {
-    !name.0.is_empty() && name.0.len() <= MAX_NAME
+pub(crate) fn is_valid_name(name: &PeerName) -> bool {
+    !name.0.is_empty() && name.0.len() <= MAX_NAME_BYTES
 }
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -1,30 +1,39 @@
-//! Who is in the fleet, and small versioned facts that its nodes tell each other.
+//! Fleet membership and gossip: which nodes are alive, and small versioned facts that they publish.
 //!
-//! Bytes in, bytes out, time handed in: no sockets, threads or clocks. Probing and suspicion follow
-//! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's three refinements (Dadgar, Phillips, Currey 2017):
-//! a node weighs its own health before it accuses others, suspicion ends sooner the more nodes share
-//! it, and who is suspected hears of it first. What spread has missed is repaired by comparing digests
-//! (Demers and others 1987). `docs/peers.md` gives bounds and costs.
+//! The crate is a state machine without input or output: datagrams and the time go in, datagrams and
+//! events come out. It opens no sockets, starts no threads and reads no clocks.
+//!
+//! Failure detection follows SWIM (Das, Gupta, Motivala 2002) with Lifeguard's three refinements (Dadgar,
+//! Phillips, Currey 2017): a node scales its timeouts by its own health before it accuses others, a
+//! suspicion times out sooner the more nodes confirm it, and a suspect is notified of the suspicion first.
+//! Updates that gossip has missed are repaired by comparing digests (anti-entropy, Demers and others 1987).
+//! `docs/membership.md` gives bounds and costs.
+//!
+//! Two numbers are called incarnation and mean different things:
+//!
+//! - SWIM's *incarnation* is a counter that a member raises to refute a suspicion of itself;
+//! - a [`ProcessIncarnation`] identifies one run of a node's process, and outranks the former.
 
-mod facts;
-mod health;
+mod event;
+mod fact;
+mod gossip_queue;
 mod identity;
-mod members;
+mod local_health;
+mod member_table;
+mod membership;
 mod packet;
-mod peers;
-mod probe;
 mod settings;
-mod spread;
 mod status;
 
-pub use facts::{GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
+pub use event::{MembershipEvent, Output};
+pub use fact::{GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
 pub use identity::{PeerName, ProcessIncarnation};
-pub use members::{Member, MemberState};
-pub use packet::{MAX_DATAGRAM, MAX_WORD};
-pub use peers::{Membership, MembershipEvent, Output};
+pub use member_table::{Member, MemberState};
+pub use membership::Membership;
+pub use packet::{MAX_DATAGRAM, MAX_DIRECT_MESSAGE_BYTES};
 pub use pintally_validation::InvalidConfiguration;
 pub use settings::Settings;
 pub use status::{Counters, PeerStatus, Status};
 
-/// Microseconds on the node's own clock, which never goes back.
+/// Microseconds on the node's own monotonic clock.
 pub type Micros = u64;
--- /dev/null
+++ b/crates/pintally-membership/src/membership/dissemination.rs
@@ -0,0 +1,152 @@
+//! Dissemination: packets with piggybacked updates, and packets of updates alone.
+
+use std::net::SocketAddr;
+
+use super::Membership;
+use crate::event::Output;
+use crate::fact::GossipFact;
+use crate::gossip_queue::GossipItem;
+use crate::identity::PeerName;
+use crate::member_table::{MemberState, MemberUpdate};
+use crate::packet::{Message, Packet, MAX_DATAGRAM};
+
+/// Estimated bytes of an update without its name and zone.
+const UPDATE_OVERHEAD_BYTES: usize = 64;
+/// Estimated bytes of a fact without its origin and payload.
+const FACT_OVERHEAD_BYTES: usize = 48;
+/// Estimated bytes of a gossip packet without updates.
+const GOSSIP_OVERHEAD_BYTES: usize = 128;
+/// A packet may exceed [`MAX_DATAGRAM`] by so much, since its parts are estimated; a larger one is not sent.
+const MAX_EXCESS_BYTES: usize = 600;
+
+fn estimated_update_bytes(update: &MemberUpdate) -> usize {
+    UPDATE_OVERHEAD_BYTES + update.name.0.len() + update.zone.len()
+}
+
+fn estimated_fact_bytes(fact: &GossipFact) -> usize {
+    FACT_OVERHEAD_BYTES + fact.origin.0.len() + fact.payload.len()
+}
+
+impl Membership {
+    /// Sends a message with as many queued updates as fit.
+    pub(super) fn send(&mut self, to: SocketAddr, message: Message, outputs: &mut Vec<Output>) {
+        let mut packet = self.new_packet(message);
+        // Guards against a suspect that learns of the suspicion last: whoever is written to receives first
+        // what is said of itself (Lifeguard's buddy system).
+        let about_receiver = self
+            .members
+            .iter()
+            .find(|member| member.state() != MemberState::Alive && self.route(member) == to);
+        packet.updates.extend(about_receiver.map(|member| member.update.clone()));
+        self.piggyback(&mut packet);
+        self.transmit(to, &packet, outputs);
+    }
+
+    /// Adds queued updates to a packet, those with the fewest transmissions first.
+    fn piggyback(&mut self, packet: &mut Packet) {
+        let mut length = packet.encode().len();
+        let peers = self.members.alive_count();
+        for item in self.gossip.by_fewest_transmissions() {
+            let size = self.append(&item, packet);
+            if length + size > MAX_DATAGRAM {
+                remove_last(&item, packet);
+                return;
+            }
+            length += size;
+            self.gossip.record_transmission(&item, peers);
+        }
+    }
+
+    /// Adds the content of a queued update to a packet; returns its estimated size, 0 if nothing was added.
+    fn append(&self, item: &GossipItem, packet: &mut Packet) -> usize {
+        match item {
+            GossipItem::Member(name) => {
+                let update = self.update_of(name).filter(|update| !packet.updates.contains(update));
+                let Some(update) = update else { return 0 };
+                packet.updates.push(update.clone());
+                estimated_update_bytes(update)
+            }
+            GossipItem::Fact(origin, topic) => {
+                let Some(fact) = self.facts.get(&(origin.clone(), *topic)) else { return 0 };
+                packet.facts.push(fact.clone());
+                estimated_fact_bytes(fact)
+            }
+        }
+    }
+
+    fn update_of(&self, name: &PeerName) -> Option<&MemberUpdate> {
+        if *name == self.own.name {
+            return Some(&self.own);
+        }
+        self.members.get(name).map(|member| &member.update)
+    }
+
+    /// Sends updates and facts alone, in as many packets as it takes.
+    pub(super) fn send_gossip(
+        &mut self,
+        to: SocketAddr,
+        updates: Vec<MemberUpdate>,
+        facts: Vec<GossipFact>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let mut packet = self.new_packet(Message::Gossip);
+        let mut length = packet.encode().len();
+        for update in updates {
+            let size = estimated_update_bytes(&update);
+            if length + size > MAX_DATAGRAM {
+                self.transmit(to, &packet, outputs);
+                packet = self.new_packet(Message::Gossip);
+                length = GOSSIP_OVERHEAD_BYTES;
+            }
+            length += size;
+            packet.updates.push(update);
+        }
+        for fact in facts {
+            let size = estimated_fact_bytes(&fact);
+            if length + size > MAX_DATAGRAM {
+                self.transmit(to, &packet, outputs);
+                packet = self.new_packet(Message::Gossip);
+                length = GOSSIP_OVERHEAD_BYTES;
+            }
+            length += size;
+            packet.facts.push(fact);
+        }
+        if !packet.updates.is_empty() || !packet.facts.is_empty() {
+            self.transmit(to, &packet, outputs);
+        }
+    }
+
+    fn new_packet(&self, message: Message) -> Packet {
+        // The sender introduces itself in the messages that start an exchange, so that a new member is
+        // known at once.
+        let introduces_sender =
+            matches!(message, Message::Ping { .. } | Message::Ack { .. } | Message::Leave);
+        Packet {
+            fleet: self.fleet,
+            from: self.own.name.clone(),
+            process_incarnation: self.own.process_incarnation,
+            message,
+            updates: introduces_sender.then(|| self.own.clone()).into_iter().collect(),
+            facts: Vec::new(),
+        }
+    }
+
+    fn transmit(&mut self, to: SocketAddr, packet: &Packet, outputs: &mut Vec<Output>) {
+        let bytes = packet.encode();
+        if bytes.is_empty() || bytes.len() > MAX_DATAGRAM + MAX_EXCESS_BYTES {
+            return;
+        }
+        self.counters.sent += 1;
+        self.counters.bytes += bytes.len() as u64;
+        outputs.push(Output::Datagram(to, bytes));
+    }
+}
+
+/// Removes the update that did not fit. A packet that is too long before anything was added loses its last
+/// update of that kind instead.
+fn remove_last(item: &GossipItem, packet: &mut Packet) {
+    match item {
+        GossipItem::Member(_) => drop(packet.updates.pop()),
+        GossipItem::Fact(..) => drop(packet.facts.pop()),
+    }
+}
--- /dev/null
+++ b/crates/pintally-membership/src/membership/incarnation.rs
@@ -0,0 +1,89 @@
+//! Updates on this node itself: suspicions to refute, a later process that peers remember, and another
+//! process under the same name.
+
+use super::Membership;
+use crate::event::{MembershipEvent, Output};
+use crate::gossip_queue::GossipItem;
+use crate::member_table::{MemberState, MemberUpdate};
+use crate::Micros;
+
+/// A process that raises its start number more often than this, within the time in which a death is
+/// detected, shares its name with another process.
+const MAX_RAISES: u32 = 3;
+/// The raises count together within so many times the longest failure detection.
+const RAISE_WINDOW_DETECTION_TIMES: u64 = 4;
+
+/// How often this process has raised its start number in the current window.
+pub(super) struct IncarnationRaises {
+    count: u32,
+    window_start: Micros,
+}
+
+impl IncarnationRaises {
+    pub(super) fn new(now: Micros) -> IncarnationRaises {
+        IncarnationRaises { count: 0, window_start: now }
+    }
+
+    fn record(&mut self, now: Micros, window: Micros) {
+        if now > self.window_start + window {
+            *self = IncarnationRaises::new(now);
+        }
+        self.count += 1;
+    }
+
+    fn is_exceeded(&self) -> bool {
+        self.count > MAX_RAISES
+    }
+}
+
+impl Membership {
+    pub(super) fn handle_update_about_self(
+        &mut self,
+        now: Micros,
+        update: MemberUpdate,
+        outputs: &mut Vec<Output>,
+    ) {
+        if update.process_incarnation == self.own.process_incarnation {
+            return self.refute(&update);
+        }
+        if update.process_incarnation < self.own.process_incarnation {
+            return;
+        }
+        // A disk that was restored from an older image explains a later process once or twice. A process
+        // that goes on raising its number as well is another one that runs now.
+        let detection_time = self.settings.max_failure_detection_time(self.alive_count());
+        self.raises.record(now, RAISE_WINDOW_DETECTION_TIMES * detection_time);
+        if self.raises.is_exceeded() && update.process_incarnation.mark < self.own.process_incarnation.mark {
+            self.has_yielded_name = true;
+            outputs.push(Output::Event(MembershipEvent::NameYielded));
+            return;
+        }
+        self.raise_above(update.process_incarnation.boot, outputs);
+    }
+
+    /// Refutes a suspicion of this process by raising SWIM's incarnation.
+    fn refute(&mut self, update: &MemberUpdate) {
+        if update.state == MemberState::Alive || update.incarnation < self.own.incarnation {
+            return;
+        }
+        self.own.incarnation = update.incarnation + 1;
+        self.counters.refuted += 1;
+        self.health.degrade(1);
+        self.gossip.push(GossipItem::Member(self.own.name.clone()));
+    }
+
+    /// Continues under a start number above the one that peers remember, and publishes all facts again
+    /// under it.
+    fn raise_above(&mut self, remembered_boot: u64, outputs: &mut Vec<Output>) {
+        let own = self.own.process_incarnation.boot;
+        let now = remembered_boot + 1;
+        self.own.process_incarnation.boot = now;
+        self.own.incarnation = 0;
+        self.counters.disk_went_back += 1;
+        outputs.push(Output::Event(MembershipEvent::StoredIncarnationOutdated { own, now }));
+        self.gossip.push(GossipItem::Member(self.own.name.clone()));
+        for (topic, payload) in self.published.clone() {
+            self.publish_version(topic, payload);
+        }
+    }
+}
--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -1,20 +1,25 @@
-//! Packets: postcard behind a checksum. What cannot be read is dropped and counted, never guessed at.
+//! The wire format: a version, a checksum, and a packet encoded by postcard.
+//!
+//! Postcard writes fields and variants by their order and not by their names: the order is fixed, the names
+//! are free. A packet that cannot be read in full is dropped and counted; no part of it is believed.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::facts::{GossipFact, Topic};
-use crate::identity::{PeerName, ProcessIncarnation};
-use crate::members::Word;
+use crate::fact::{GossipFact, Topic};
+use crate::identity::{is_valid_name, PeerName, ProcessIncarnation};
+use crate::member_table::MemberUpdate;
 
-/// Bytes of a packet at the most: below what common links carry in one piece.
+/// Largest datagram: below what common links carry without fragmentation.
 pub const MAX_DATAGRAM: usize = 1400;
-/// Bytes of what is told to one peer alone: with its head it fills a datagram.
-pub const MAX_WORD: usize = 1100;
-/// The wire's version, first in every packet.
-const VERSION: u8 = 1;
+/// Largest payload of a direct message: with its header it fills a datagram.
+pub const MAX_DIRECT_MESSAGE_BYTES: usize = 1100;
+/// Version of the wire format, the first byte of every packet.
+const WIRE_VERSION: u8 = 1;
+/// The version and the checksum.
+const HEADER_BYTES: usize = 5;
 
 /// A packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,100 +28,134 @@
     pub(crate) fleet: u64,
     /// The sender.
     pub(crate) from: PeerName,
-    pub(crate) life: ProcessIncarnation,
-    pub(crate) body: Body,
-    /// News on peers, the sender itself among them while it is new.
-    pub(crate) words: Vec<Word>,
+    /// The sender's process.
+    pub(crate) process_incarnation: ProcessIncarnation,
+    pub(crate) message: Message,
+    /// Piggybacked updates on members; the sender introduces itself in some messages.
+    pub(crate) updates: Vec<MemberUpdate>,
+    /// Piggybacked facts.
     pub(crate) facts: Vec<GossipFact>,
 }
 
-/// What a packet is for.
+/// The purpose of a packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Body {
-    /// Are you there? Names who is meant, so that another node under an old address does not answer.
-    Ping { number: u32, to: Option<PeerName> },
-    /// I am.
-    Ack { number: u32 },
-    /// Ask this peer for me.
-    Ask { number: u32, whom: PeerName, address: SocketAddr },
-    /// I asked, and have had no answer yet.
-    Nothing { number: u32 },
-    /// What I know, as hashes: the receiver sends what differs or is missing.
-    Digest { part: u16, of: u16, known: Vec<(u64, u32)>, answer: bool },
-    /// News alone.
-    News,
-    /// Something for the receiver alone.
-    Word { topic: Topic, payload: Vec<u8> },
-    /// I go.
-    Leaving,
+pub(crate) enum Message {
+    /// Asks for an acknowledgement. Names the target, so that another node that has taken over its
+    /// address does not answer; a seed is pinged without a name.
+    Ping { sequence: u32, target: Option<PeerName> },
+    /// Acknowledges a ping.
+    Ack { sequence: u32 },
+    /// Asks the receiver to ping the target on behalf of the sender.
+    PingRequest { sequence: u32, target: PeerName, address: SocketAddr },
+    /// Reports that a ping on behalf of the receiver has had no acknowledgement yet.
+    Nack { sequence: u32 },
+    /// One part of a digest of all that the sender knows: the receiver sends what differs or is missing.
+    Digest { part: u16, parts: u16, entries: Vec<DigestEntry>, reply_expected: bool },
+    /// Carries nothing but updates and facts.
+    Gossip,
+    /// A message of the layer above, for the receiver alone.
+    Direct { topic: Topic, payload: Vec<u8> },
+    /// The sender leaves the fleet.
+    Leave,
 }
 
-/// Why bytes are no packet of this fleet.
+/// Why bytes are not a packet of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unread {
-    /// They cannot be read.
-    Garbled,
-    /// Another fleet's, or another version of the wire.
+pub(crate) enum PacketError {
+    /// They are damaged, or are no packet at all.
+    Malformed,
+    /// The packet belongs to another fleet, or to another version of the wire format.
     Foreign,
 }
 
-/// The fleet's number on the wire.
-pub(crate) fn fleet_number(name: &str) -> u64 {
-    xxh3_64(name.as_bytes())
+/// Stands for one update or fact in a digest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub(crate) struct DigestEntry {
+    /// Hash of what the entry is about.
+    pub(crate) key: u64,
+    /// Hash of the version.
+    pub(crate) version: u32,
 }
 
-/// What stands for a piece in a digest: where it belongs, and what it says.
-pub(crate) fn digest_of_word(word: &Word) -> (u64, u32) {
-    (piece(0, &word.name, 0), said(&word.rank()))
+impl DigestEntry {
+    pub(crate) fn of_update(update: &MemberUpdate) -> DigestEntry {
+        DigestEntry {
+            key: hash_key(KeyKind::Member, &update.name, Topic(0)),
+            version: hash_version(&update.precedence()),
+        }
+    }
+
+    pub(crate) fn of_fact(fact: &GossipFact) -> DigestEntry {
+        DigestEntry {
+            key: hash_key(KeyKind::Fact, &fact.origin, fact.topic),
+            version: hash_version(&(fact.process_incarnation, fact.version)),
+        }
+    }
 }
 
-/// The same of a fact.
-pub(crate) fn digest_of_fact(fact: &GossipFact) -> (u64, u32) {
-    (piece(1, &fact.origin, fact.topic.0), said(&(fact.life, fact.version)))
+/// Distinguishes hashes of equal names; the numbers are part of the wire format.
+#[derive(Clone, Copy)]
+enum KeyKind {
+    Member = 0,
+    Fact = 1,
+    Accuser = 2,
 }
 
-/// Where a piece belongs, as a number.
-pub(crate) fn piece(kind: u8, name: &PeerName, topic: u8) -> u64 {
-    let mut bytes = vec![kind, topic];
+/// Identifies a fleet on the wire.
+pub(crate) fn hash_fleet(name: &str) -> u64 {
+    xxh3_64(name.as_bytes())
+}
+
+/// Identifies the accuser of a suspect on the wire.
+pub(crate) fn hash_accuser(name: &PeerName) -> u64 {
+    hash_key(KeyKind::Accuser, name, Topic(0))
+}
+
+fn hash_key(kind: KeyKind, name: &PeerName, topic: Topic) -> u64 {
+    let mut bytes = vec![kind as u8, topic.0];
     bytes.extend_from_slice(name.0.as_bytes());
     xxh3_64(&bytes)
 }
 
-fn said(what: &impl Serialize) -> u32 {
-    // Plain data always goes into bytes; if it did not, the piece would count as differing.
-    postcard::to_stdvec(what).map_or(0, |bytes| xxh3_64(&bytes) as u32)
+fn hash_version(version: &impl Serialize) -> u32 {
+    // Plain data can always be encoded; if it could not, the entry would count as different.
+    postcard::to_stdvec(version).map_or(0, |bytes| xxh3_64(&bytes) as u32)
 }
 
 impl Packet {
-    /// The packet as bytes, or nothing if it cannot be written.
+    /// The packet as bytes; empty if it cannot be encoded.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![VERSION, 0, 0, 0, 0];
         let Ok(body) = postcard::to_stdvec(self) else { return Vec::new() };
-        bytes[1..5].copy_from_slice(&crc32fast::hash(&body).to_le_bytes());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+        bytes.push(WIRE_VERSION);
+        bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
         bytes.extend(body);
         bytes
     }
 
-    /// Reads a packet of this fleet.
-    pub(crate) fn decode(bytes: &[u8], fleet: u64) -> Result<Packet, Unread> {
-        let (head, body) = bytes.split_at_checked(5).ok_or(Unread::Garbled)?;
-        if head[0] != VERSION {
-            return Err(Unread::Foreign);
+    /// Decodes a packet of this fleet.
+    pub(crate) fn decode(bytes: &[u8], fleet: u64) -> Result<Packet, PacketError> {
+        let (header, body) = bytes.split_at_checked(HEADER_BYTES).ok_or(PacketError::Malformed)?;
+        if header[0] != WIRE_VERSION {
+            return Err(PacketError::Foreign);
         }
-        if crc32fast::hash(body).to_le_bytes() != head[1..5] {
-            return Err(Unread::Garbled);
+        if crc32fast::hash(body).to_le_bytes() != header[1..] {
+            return Err(PacketError::Malformed);
         }
-        let packet: Packet = postcard::from_bytes(body).map_err(|_| Unread::Garbled)?;
+        let packet: Packet = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
         if packet.fleet != fleet {
-            return Err(Unread::Foreign);
+            return Err(PacketError::Foreign);
         }
-        let sound = crate::identity::sound(&packet.from)
-            && packet.words.iter().all(Word::sound)
-            && packet.facts.iter().all(GossipFact::sound);
-        match sound {
-            true => Ok(packet),
-            false => Err(Unread::Garbled),
+        if !packet.is_valid() {
+            return Err(PacketError::Malformed);
         }
+        Ok(packet)
+    }
+
+    fn is_valid(&self) -> bool {
+        is_valid_name(&self.from)
+            && self.updates.iter().all(MemberUpdate::is_valid)
+            && self.facts.iter().all(GossipFact::is_valid)
     }
 }
 
--- a/crates/pintally-membership/src/status.rs
+++ b/crates/pintally-membership/src/status.rs
@@ -1,71 +1,91 @@
-//! What a node tells of its fleet.
+//! The status document of a node's fleet. Its JSON spelling is fixed.
 
 use serde::Serialize;
 
-use crate::members::MemberState;
+use crate::member_table::{Member, MemberState};
+use crate::Micros;
 
-/// What was counted since the start.
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Packets and bytes sent.
+    /// Packets sent.
     pub sent: u64,
-    /// Bytes of them.
+    /// Bytes of the packets sent.
     pub bytes: u64,
-    /// Packets taken in.
+    /// Packets received and read.
     pub received: u64,
-    /// Packets that could not be read.
-    pub garbled: u64,
-    /// Packets of another fleet or version.
+    /// Packets that were damaged or made no sense.
+    #[serde(rename = "garbled")]
+    pub malformed: u64,
+    /// Packets of another fleet, or of another version of the wire format.
     pub foreign: u64,
-    /// Probes made.
+    /// Probes sent.
     pub probes: u64,
-    /// Probes that nobody answered.
+    /// Probes that nobody acknowledged.
     pub unanswered: u64,
     /// Suspicions of this node that it has refuted.
     pub refuted: u64,
-    /// Ticks that came so late that the process must have stood still.
+    /// Ticks that came so late that the process must have been paused.
     pub paused: u64,
-    /// Pieces that a comparison of digests has brought.
+    /// Facts that anti-entropy has brought.
     pub repaired: u64,
-    /// Times that peers remembered a later boot than the disk did.
+    /// Times that peers remembered a later start of this node than its disk did.
     pub disk_went_back: u64,
 }
 
-/// A peer, as it is told to people.
+/// A peer on the status page.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where peers reach it.
+    /// The address that it advertises.
     pub address: String,
-    /// How it stands.
-    pub standing: MemberState,
-    /// Which life it is in.
+    /// Its state.
+    #[serde(rename = "standing")]
+    pub state: MemberState,
+    /// The start number of its process.
     pub boot: u64,
-    /// For how long it has stood so, in milliseconds.
+    /// Milliseconds since it entered its state.
     pub for_ms: u64,
 }
 
-/// What a node tells of its fleet.
+impl PeerStatus {
+    pub(crate) fn new(member: &Member, now: Micros) -> PeerStatus {
+        PeerStatus {
+            name: member.name().to_string(),
+            zone: member.zone().to_string(),
+            address: member.address().to_string(),
+            state: member.state(),
+            boot: member.incarnation().boot,
+            for_ms: now.saturating_sub(member.since) / MICROS_PER_MILLISECOND,
+        }
+    }
+}
+
+/// A node's view of its fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// Its own name.
+    /// The node's own name.
     pub name: String,
-    /// Its own boot, raised if peers remembered a later one.
+    /// The start number of its process, raised if peers remembered a later one.
     pub boot: u64,
-    /// How much it doubts itself, 0 to 8.
-    pub doubt: u32,
-    /// It has stepped back, because another process runs under its name.
+    /// Lifeguard's local health score, 0 (healthy) to 8.
+    #[serde(rename = "doubt")]
+    pub local_health_score: u32,
+    /// The process has yielded the name to another process under it.
     #[serde(rename = "stepped_back")]
     pub has_yielded_name: bool,
-    /// The others.
+    /// The peers.
     pub peers: Vec<PeerStatus>,
-    /// Facts that it knows.
+    /// Number of facts that it knows.
     pub facts: usize,
-    /// News that it still passes on.
-    pub news: usize,
-    /// Its counts.
+    /// Number of updates that it still gossips.
+    #[serde(rename = "news")]
+    pub queued_gossip: usize,
+    /// Its counters.
     pub counters: Counters,
 }
