--- a/crates/pintally-storage/src/disk.rs
+++ b/crates/pintally-storage/src/disk.rs
@@ -1,57 +1,77 @@
-//! Disks, as the store sees them.
+//! The files that a copy of the store lies on.
 
-use std::collections::BTreeMap;
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::FileExt;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
 
 use redb::StorageBackend;
 
-/// A disk that a store may lie on.
+/// A disk that a copy of the store lies on.
 pub type Disk = Box<dyn StorageBackend>;
 
-/// A file whose writes reach it only with a sync, as if the power could fail at any time: what was not
-/// synced dies with the process. Also what an honest disk promises, and no more.
+/// A file that writes reach only with a sync: what was not synced is lost with the process, as with a power
+/// loss. That is also what an honest disk promises, and no more.
 #[derive(Debug)]
 pub struct BufferedFile {
     file: File,
-    pending: Mutex<Pending>,
+    pending: Mutex<PendingWrites>,
 }
 
-/// Writes that are not safe yet.
+/// Writes that were not synced yet.
 #[derive(Debug, Default)]
-pub(crate) struct Pending {
-    /// In order, by offset.
-    pub(crate) writes: Vec<(u64, Vec<u8>)>,
-    pub(crate) len: Option<u64>,
+pub(crate) struct PendingWrites {
+    /// In the order in which they are carried out.
+    pub(crate) writes: Vec<PendingWrite>,
+    len: Option<u64>,
 }
 
-impl Pending {
-    /// Lays what is pending over what the file holds.
-    pub(crate) fn over(&self, offset: u64, out: &mut [u8]) {
-        for (at, bytes) in &self.writes {
-            let from = (*at).max(offset);
-            let to = (at + bytes.len() as u64).min(offset + out.len() as u64);
-            if from < to {
-                let (here, there) = ((from - offset) as usize, (from - at) as usize);
-                let n = (to - from) as usize;
-                out[here..here + n].copy_from_slice(&bytes[there..there + n]);
+/// Bytes to be written at an offset.
+#[derive(Debug)]
+pub(crate) struct PendingWrite {
+    pub(crate) offset: u64,
+    pub(crate) bytes: Vec<u8>,
+}
+
+impl PendingWrites {
+    /// Overlays bytes that were read from the file with those that are pending.
+    fn overlay(&self, offset: u64, out: &mut [u8]) {
+        for write in &self.writes {
+            let from = write.offset.max(offset);
+            let to = (write.offset + write.bytes.len() as u64).min(offset + out.len() as u64);
+            if from >= to {
+                continue;
             }
+            let target = (from - offset) as usize;
+            let source = (from - write.offset) as usize;
+            let len = (to - from) as usize;
+            out[target..target + len].copy_from_slice(&write.bytes[source..source + len]);
         }
     }
 
-    /// A write; one to the same place takes the place of the one before.
-    pub(crate) fn write(&mut self, offset: u64, data: &[u8]) {
-        if let Some(same) = self.writes.iter().position(|(at, b)| *at == offset && b.len() == data.len()) {
+    /// Adds a write; it replaces an earlier one of the same range.
+    fn push(&mut self, offset: u64, data: &[u8]) {
+        let is_same_range = |write: &PendingWrite| write.offset == offset && write.bytes.len() == data.len();
+        if let Some(same) = self.writes.iter().position(is_same_range) {
             self.writes.remove(same);
         }
-        self.writes.push((offset, data.to_vec()));
+        self.writes.push(PendingWrite { offset, bytes: data.to_vec() });
+    }
+
+    /// Writes everything to the file and syncs it. What fails is no longer pending.
+    pub(crate) fn sync_to(&mut self, file: &File) -> io::Result<()> {
+        if let Some(len) = self.len.take() {
+            file.set_len(len)?;
+        }
+        for write in self.writes.drain(..) {
+            file.write_all_at(&write.bytes, write.offset)?;
+        }
+        file.sync_data()
     }
 }
 
-/// Reads from a file what it holds, and zeroes behind its end.
-pub(crate) fn read_file(file: &File, offset: u64, out: &mut [u8]) -> io::Result<()> {
+/// Reads from a file, and zeroes beyond its end.
+fn read_file(file: &File, offset: u64, out: &mut [u8]) -> io::Result<()> {
     let mut done = 0;
     while done < out.len() {
         match file.read_at(&mut out[done..], offset + done as u64) {
@@ -67,26 +87,18 @@
     Ok(())
 }
 
-/// Carries out what is pending.
-pub(crate) fn carry_out(file: &File, pending: &mut Pending) -> io::Result<()> {
-    if let Some(len) = pending.len.take() {
-        file.set_len(len)?;
-    }
-    let merged: BTreeMap<usize, (u64, Vec<u8>)> = pending.writes.drain(..).enumerate().collect();
-    for (at, bytes) in merged.into_values() {
-        file.write_all_at(&bytes, at)?;
-    }
-    file.sync_data()
-}
-
 impl BufferedFile {
-    /// A disk over a file that can be read and written.
+    /// Buffers the writes to a file that was opened for reading and writing.
     pub fn new(file: File) -> BufferedFile {
         BufferedFile { file, pending: Mutex::default() }
     }
 
-    fn pending(&self) -> std::sync::MutexGuard<'_, Pending> {
-        self.pending.lock().unwrap_or_else(|e| e.into_inner())
+    pub(crate) fn file(&self) -> &File {
+        &self.file
+    }
+
+    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingWrites> {
+        self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -101,7 +113,7 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let pending = self.pending();
         read_file(&self.file, offset, out)?;
-        pending.over(offset, out);
+        pending.overlay(offset, out);
         Ok(())
     }
 
@@ -111,11 +123,11 @@
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        carry_out(&self.file, &mut self.pending())
+        self.pending().sync_to(&self.file)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.pending().write(offset, data);
+        self.pending().push(offset, data);
         Ok(())
     }
 }
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -1,20 +1,24 @@
-//! What a node keeps over a power loss.
+//! The state that a node keeps over a power loss.
 //!
-//! Records lie in an embedded store (redb), in two copies in files of their own: a flipped bit costs a
-//! copy and not the state. Each record carries a checksum, the boot and the sequence number under which
-//! it was written. A thread of its own commits; whoever puts a record never waits for a disk, and what
-//! is lost with the power is at most what was put since the last commit began ([`Store::at_risk`]).
-//! A disk that cannot be read, written or believed never keeps a node from starting: [`Loaded`] says
-//! what is lacking. `docs/recovery.md` weighs the options and gives the bounds.
+//! Records lie in an embedded database (redb), in two copies in files of their own: a flipped bit costs one
+//! copy and not the state. Each record carries a checksum, and the start number and sequence number under
+//! which it was written. A thread of its own commits; whoever puts a record never waits for a disk, and a
+//! power loss costs at most what was put since the last commit began ([`Store::at_risk`]). A disk that
+//! cannot be read or written, or that returns corrupt data, never prevents a node from starting: [`Loaded`]
+//! lists what is missing. `docs/recovery.md` weighs the options and gives the bounds.
 
+mod commit;
 mod disk;
-mod lies;
-mod loaded;
+mod load_report;
+mod open;
+mod queue;
 mod record;
+mod storage_faults;
 mod store;
 
 pub use disk::{BufferedFile, Disk};
-pub use lies::{FaultyFile, StorageFault};
-pub use loaded::{LoadIssue, Loaded};
+pub use load_report::{LoadIssue, Loaded};
+pub use queue::Health;
 pub use record::{Record, RecordError, MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
-pub use store::{Health, Store, StoreSettings};
+pub use storage_faults::{FaultyFile, StorageFault};
+pub use store::{Store, StoreSettings};
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -1,38 +1,40 @@
-//! One record: checksummed, dated by boot and sequence.
+//! One stored record: checksummed, and ordered by start number and sequence number.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a record's key.
+/// Longest key of a record.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Bytes of what a record holds.
+/// Largest payload of a record.
 pub const MAX_PAYLOAD_BYTES: usize = 16 << 20;
+/// The CRC-32 before the encoded record.
+const CHECKSUM_BYTES: usize = 4;
 
-/// A record as it was kept.
+/// A stored record. Postcard writes the fields in this order, without names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it is about.
+    /// What the record is about.
     pub key: String,
-    /// The boot in which it was written.
+    /// The start number of the process that wrote it.
     pub boot: u64,
-    /// Counts all records that the node has written, over all boots.
+    /// Counts all records that the node has written, over all of its processes.
     pub sequence: u64,
-    /// The clock on the wall when it was written, in Unix milliseconds: for people, and for ages that
-    /// nothing else can tell; a clock may go back.
+    /// Wall-clock time of the write in Unix milliseconds: for people, and for ages that nothing else can
+    /// tell. Wall clocks may go back, so nothing is ordered by it.
     pub unix_ms: u64,
-    /// What is kept; empty where the record was taken back.
+    /// The content; empty where the record was deleted.
     pub payload: Vec<u8>,
 }
 
-/// Why bytes are no record.
+/// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// The checksum does not hold.
+    /// The checksum does not match.
     Checksum,
-    /// The checksum holds, but there is no record behind it.
+    /// The bytes are too short, or the checksum matches and there is no record behind it.
     Form,
-    /// It stands under another key than its own.
+    /// The record was stored under another key than its own.
     Place,
 }
 
@@ -49,7 +51,7 @@
 impl std::error::Error for RecordError {}
 
 impl Record {
-    /// The record as bytes, a checksum first.
+    /// The record as bytes, a checksum first; empty if it cannot be encoded.
     pub fn encode(&self) -> Vec<u8> {
         let Ok(body) = postcard::to_stdvec(self) else { return Vec::new() };
         let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
@@ -57,20 +59,24 @@
         bytes
     }
 
-    /// Reads a record that stood under a key.
+    /// Decodes a record that was stored under a key.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError`] if the bytes are damaged or belong to another key.
     pub fn decode(key: &str, bytes: &[u8]) -> Result<Record, RecordError> {
-        let (sum, body) = bytes.split_at_checked(4).ok_or(RecordError::Form)?;
-        if crc32fast::hash(body).to_le_bytes() != sum {
+        let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(RecordError::Form)?;
+        if crc32fast::hash(body).to_le_bytes() != checksum {
             return Err(RecordError::Checksum);
         }
         let record: Record = postcard::from_bytes(body).map_err(|_| RecordError::Form)?;
-        match record.key == key {
-            true => Ok(record),
-            false => Err(RecordError::Place),
+        if record.key != key {
+            return Err(RecordError::Place);
         }
+        Ok(record)
     }
 
-    /// What orders two records under one key. The clock on the wall has no say.
+    /// Orders two records under one key: by start number, then sequence number.
     pub fn rank(&self) -> (u64, u64) {
         (self.boot, self.sequence)
     }
--- a/crates/pintally-storage/tests/golden.rs
+++ b/crates/pintally-storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Stored records as bytes: a later build reads what an earlier one has kept.
+//! The stored bytes are stable: a later build reads the records of an earlier one.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 const COPIES: [&str; 2] = ["state-0.redb", "state-1.redb"];
 
-/// The bytes that the golden file holds under a name.
+/// The bytes of an entry in the golden file.
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
@@ -42,8 +42,8 @@
     [("record", record("list", &[0, 1, 127, 128, 255])), ("record_deleted", record("engine/a", &[]))]
 }
 
-/// Both copies of a store as an earlier build has left them, with these bytes under a key.
-fn stored(folder: &Path, key: &str, bytes: &[u8]) {
+/// Creates both copies of a store as an earlier build has left them, with these bytes under a key.
+fn create_copies(folder: &Path, key: &str, bytes: &[u8]) {
     for name in COPIES {
         let database = Database::create(folder.join(name)).unwrap();
         let transaction = database.begin_write().unwrap();
@@ -60,11 +60,11 @@
     }
 }
 
-/// Each refusal has its own reason, and people read its words.
+/// Each error has a text of its own, which operators read.
 #[test]
-fn damaged_record_is_refused_with_its_reason() {
-    let whole = golden("record");
-    let mut flipped = whole.clone();
+fn damaged_record_is_rejected_with_its_reason() {
+    let intact = golden("record");
+    let mut flipped = intact.clone();
     flipped[9] ^= 1;
     assert_bytes("record_flipped_bit", &flipped);
     // Three bytes under their own CRC-32, which are no record.
@@ -73,12 +73,12 @@
     let cases = [
         ("list", golden("record_flipped_bit"), RecordError::Checksum, "the checksum does not hold"),
         ("list", golden("record_garbage"), RecordError::Form, "it cannot be read"),
-        ("list", whole[..3].to_vec(), RecordError::Form, "it cannot be read"),
-        ("carried", whole, RecordError::Place, "it stands under another key"),
+        ("list", intact[..3].to_vec(), RecordError::Form, "it cannot be read"),
+        ("carried", intact, RecordError::Place, "it stands under another key"),
     ];
-    for (key, bytes, reason, words) in cases {
+    for (key, bytes, reason, text) in cases {
         assert_eq!(Record::decode(key, &bytes), Err(reason));
-        assert_eq!(reason.to_string(), words);
+        assert_eq!(reason.to_string(), text);
     }
 }
 
@@ -86,7 +86,7 @@
 fn store_reads_records_of_an_earlier_build() {
     for (name, record) in records() {
         let folder = tempfile::tempdir().unwrap();
-        stored(folder.path(), &record.key, &golden(name));
+        create_copies(folder.path(), &record.key, &golden(name));
         let (_store, loaded) = Store::open(&settings(folder.path()));
         assert_eq!(loaded.issues, []);
         assert_eq!(loaded.records.get(&record.key), Some(&record), "{name}");
@@ -97,15 +97,16 @@
 #[test]
 fn store_reports_a_damaged_record() {
     let folder = tempfile::tempdir().unwrap();
-    stored(folder.path(), "list", &golden("record_flipped_bit"));
+    create_copies(folder.path(), "list", &golden("record_flipped_bit"));
     let (_store, loaded) = Store::open(&settings(folder.path()));
-    let lack = |copy| LoadIssue::RecordRejected(copy, "list".into(), "the checksum does not hold".into());
-    assert_eq!(loaded.issues, [lack(0), lack(1)]);
+    let rejected =
+        |copy| LoadIssue::RecordRejected { copy, key: "list".into(), reason: RecordError::Checksum };
+    assert_eq!(loaded.issues, [rejected(0), rejected(1)]);
     assert_eq!(loaded.issues[1].to_string(), "record `list` of copy 1: the checksum does not hold");
     assert!(loaded.is_empty());
 }
 
-/// File names, table and keys are where an earlier build looks for them.
+/// File names, the table and keys are those that an earlier build reads.
 #[test]
 fn store_writes_records_where_an_earlier_build_reads_them() {
     let folder = tempfile::tempdir().unwrap();
@@ -116,13 +117,13 @@
     for name in COPIES {
         let database = Database::open(folder.path().join(name)).unwrap();
         let table = database.begin_read().unwrap().open_table(TABLE).unwrap();
-        let kept: Vec<Record> = table
+        let records: Vec<Record> = table
             .iter()
             .unwrap()
             .map(|entry| entry.unwrap())
             .map(|(key, value)| Record::decode(key.value(), value.value()).unwrap())
             .collect();
-        let shown = kept.iter().map(|r| (r.key.as_str(), r.boot, r.sequence, &r.payload[..]));
-        assert_eq!(shown.collect::<Vec<_>>(), [("list", 1, 1, &[1u8, 2, 3][..])], "{name}");
+        let fields = records.iter().map(|r| (r.key.as_str(), r.boot, r.sequence, &r.payload[..]));
+        assert_eq!(fields.collect::<Vec<_>>(), [("list", 1, 1, &[1u8, 2, 3][..])], "{name}");
     }
 }
