--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -194,7 +194,7 @@
     if loaded.is_empty() && store.is_some() {
         issues.push("there is no record of a life before".into());
     }
-    let boot = loaded.latest().0.max(number(KEY_BOOT).unwrap_or(0)) + 1;
+    let boot = loaded.latest().boot.max(number(KEY_BOOT).unwrap_or(0)) + 1;
     if let Some(store) = &store {
         store.put(KEY_BOOT, boot.to_le_bytes().to_vec());
     }
@@ -221,8 +221,8 @@
     let Some(folder) = &settings.store else { return (None, Loaded::default()) };
     let (store, loaded) = Store::open(&StoreSettings {
         folder: PathBuf::from(folder),
-        every: Duration::from_micros(settings.commit_interval),
-        within: Duration::from_micros(settings.read_within),
+        commit_interval: Duration::from_micros(settings.commit_interval),
+        load_timeout: Duration::from_micros(settings.read_within),
         storage_fault: settings
             .storage_fault
             .as_ref()
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -108,10 +108,10 @@
     let opened = folder.map(|folder| {
         Store::open(&StoreSettings {
             folder,
-            every: Duration::from_millis(1),
+            commit_interval: Duration::from_millis(1),
             // Nobody waits for this thread. Guards against a disk that is slow at the start and taken for lost:
             // the keeper would have no vote until all others had answered.
-            within: OPEN_WITHIN,
+            load_timeout: OPEN_WITHIN,
             storage_fault: recovery
                 .and_then(|r| r.storage_fault.as_ref())
                 .and_then(|(name, seed)| Some((storage_fault(name)?, *seed))),
--- a/crates/pintally-storage/src/commit.rs
+++ b/crates/pintally-storage/src/commit.rs
@@ -8,7 +8,7 @@
 
 use crate::open::TABLE;
 use crate::queue::{BatchResult, Changes, CommitQueue};
-use crate::record::Record;
+use crate::record::{Record, RecordVersion};
 
 /// Why a copy did not take a commit. The texts are those of the database.
 #[derive(Debug, thiserror::Error)]
@@ -43,9 +43,9 @@
         queue: Arc<CommitQueue>,
         interval: Duration,
         copies: Vec<Option<Database>>,
-        (boot, sequence): (u64, u64),
+        latest: RecordVersion,
     ) -> Committer {
-        Committer { queue, interval, copies, boot: boot + 1, sequence }
+        Committer { queue, interval, copies, boot: latest.boot + 1, sequence: latest.sequence }
     }
 
     /// Commits until the store is closed. The first commit does not wait for the interval.
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -19,6 +19,6 @@
 pub use disk::{BufferedFile, Disk};
 pub use load_report::{LoadIssue, Loaded};
 pub use queue::Health;
-pub use record::{Record, RecordError, MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
+pub use record::{Record, RecordError, RecordVersion, MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
 pub use storage_faults::{FaultyFile, StorageFault};
 pub use store::{Store, StoreSettings};
--- a/crates/pintally-storage/src/load_report.rs
+++ b/crates/pintally-storage/src/load_report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::record::{Record, RecordError};
+use crate::record::{Record, RecordError, RecordVersion};
 
 /// Something that could not be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     /// and start numbers are judged by what peers remember.
     pub(crate) fn insert_if_newer(&mut self, record: Record) {
         let known = self.records.get(&record.key);
-        if known.is_none_or(|known| record.rank() > known.rank()) {
+        if known.is_none_or(|known| record.version() > known.version()) {
             self.records.insert(record.key.clone(), record);
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /// Records whose keys have a prefix, without deleted ones.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Record> {
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Record> {
         self.records
             .range(prefix.to_string()..)
             .map(|(_, record)| record)
@@ -86,10 +86,10 @@
     }
 
     /// The highest start number and the highest sequence number of all records.
-    pub fn latest(&self) -> (u64, u64) {
+    pub fn latest(&self) -> RecordVersion {
         let boot = self.records.values().map(|record| record.boot).max().unwrap_or(0);
         let sequence = self.records.values().map(|record| record.sequence).max().unwrap_or(0);
-        (boot, sequence)
+        RecordVersion { boot, sequence }
     }
 
     /// Whether no record was found.
--- a/crates/pintally-storage/src/queue.rs
+++ b/crates/pintally-storage/src/queue.rs
@@ -23,7 +23,7 @@
     /// Changes that were dropped: the queue was full, or the key or payload too long.
     pub dropped: u64,
     /// The error of the last commit, if it failed on a copy.
-    pub trouble: Option<String>,
+    pub last_error: Option<String>,
 }
 
 /// Payloads by key.
@@ -119,10 +119,10 @@
         let mut state = self.lock();
         state.health.commits += u64::from(result.is_committed);
         state.health.failed += result.failed_copies;
-        if let (Some(reason), None) = (&result.last_error, &state.health.trouble) {
+        if let (Some(reason), None) = (&result.last_error, &state.health.last_error) {
             warn!(reason, "state cannot be stored");
         }
-        state.health.trouble = result.last_error;
+        state.health.last_error = result.last_error;
         state.uncommitted_since = (!state.changes.is_empty()).then_some(result.started);
     }
 }
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -27,6 +27,15 @@
     pub payload: Vec<u8>,
 }
 
+/// The version of a record: a later process wins, then a later write.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecordVersion {
+    /// The start number of the process that wrote it.
+    pub boot: u64,
+    /// Its sequence number.
+    pub sequence: u64,
+}
+
 /// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
@@ -76,8 +85,8 @@
         Ok(record)
     }
 
-    /// Orders two records under one key: by start number, then sequence number.
-    pub fn rank(&self) -> (u64, u64) {
-        (self.boot, self.sequence)
+    /// Orders two records under one key.
+    pub fn version(&self) -> RecordVersion {
+        RecordVersion { boot: self.boot, sequence: self.sequence }
     }
 }
--- a/crates/pintally-storage/src/store.rs
+++ b/crates/pintally-storage/src/store.rs
@@ -23,9 +23,9 @@
     /// The directory of the files; created if it does not exist.
     pub folder: PathBuf,
     /// Time between two commits.
-    pub every: Duration,
+    pub commit_interval: Duration,
     /// The disk is waited for this long at the start; then the node continues without its state.
-    pub within: Duration,
+    pub load_timeout: Duration,
     /// A fault of the disk with a seed for it, for scenarios and tests.
     pub storage_fault: Option<(StorageFault, u64)>,
 }
@@ -38,7 +38,7 @@
 
 impl Store {
     /// Opens the store and loads its records. This never fails: without a disk the store accepts all
-    /// records and keeps none, and the load report says so. It returns within `settings.within`, whatever
+    /// records and keeps none, and the load report says so. It returns within `settings.load_timeout`, whatever
     /// the disk does.
     pub fn open(settings: &StoreSettings) -> (Store, Loaded) {
         let queue = Arc::new(CommitQueue::default());
@@ -47,14 +47,15 @@
         let thread_settings = settings.clone();
         let run = move || {
             let (copies, loaded) = open_copies(&thread_settings);
-            let committer = Committer::new(thread_queue, thread_settings.every, copies, loaded.latest());
+            let committer =
+                Committer::new(thread_queue, thread_settings.commit_interval, copies, loaded.latest());
             // The receiver is gone if loading took too long.
             let _ = loaded_sender.send(loaded);
             committer.run();
         };
         let thread = thread::Builder::new().name("store".into()).spawn(run).ok();
         let loaded = loaded_receiver
-            .recv_timeout(settings.within)
+            .recv_timeout(settings.load_timeout)
             .unwrap_or_else(|_| Loaded { issues: vec![LoadIssue::TimedOut], ..Loaded::default() });
         (Store { queue, thread }, loaded)
     }
--- a/crates/pintally-storage/tests/golden.rs
+++ b/crates/pintally-storage/tests/golden.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pintally_storage::{LoadIssue, Record, RecordError, Store, StoreSettings};
+use pintally_storage::{LoadIssue, Record, RecordError, RecordVersion, Store, StoreSettings};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const GOLDEN: &str = include_str!("golden/records.txt");
@@ -24,11 +24,10 @@
 }
 
 fn settings(folder: &Path) -> StoreSettings {
-    let within = Duration::from_secs(5);
     StoreSettings {
         folder: folder.to_path_buf(),
-        every: Duration::from_millis(1),
-        within,
+        commit_interval: Duration::from_millis(1),
+        load_timeout: Duration::from_secs(5),
         storage_fault: None,
     }
 }
@@ -90,7 +89,7 @@
         let (_store, loaded) = Store::open(&settings(folder.path()));
         assert_eq!(loaded.issues, []);
         assert_eq!(loaded.records.get(&record.key), Some(&record), "{name}");
-        assert_eq!(loaded.latest(), (3, 70_000));
+        assert_eq!(loaded.latest(), RecordVersion { boot: 3, sequence: 70_000 });
     }
 }
 
--- a/crates/pintally-storage/tests/storage_faults.rs
+++ b/crates/pintally-storage/tests/storage_faults.rs
@@ -10,8 +10,8 @@
 fn settings(folder: &Path, storage_fault: Option<StorageFault>) -> StoreSettings {
     StoreSettings {
         folder: folder.to_path_buf(),
-        every: Duration::from_millis(1),
-        within: Duration::from_secs(5),
+        commit_interval: Duration::from_millis(1),
+        load_timeout: Duration::from_secs(5),
         storage_fault: storage_fault.map(|fault| (fault, 7)),
     }
 }
@@ -22,9 +22,9 @@
     let (store, loaded) = Store::open(settings);
     let mut all_committed = true;
     for round in 0..rounds {
-        store.put("count", (loaded.latest().1 + round + 1).to_le_bytes().to_vec());
+        store.put("count", (loaded.latest().sequence + round + 1).to_le_bytes().to_vec());
         store.put(&format!("engine/{round}"), vec![round as u8; 200]);
-        all_committed &= store.flush(Duration::from_secs(10)) && store.health().trouble.is_none();
+        all_committed &= store.flush(Duration::from_secs(10)) && store.health().last_error.is_none();
     }
     std::mem::forget(store);
     (loaded, all_committed)
@@ -43,10 +43,10 @@
     let (second, _) = run_until_power_loss(&settings, 5);
     assert!(second.issues.is_empty(), "{:?}", second.issues);
     assert_eq!(count(&second), Some(5));
-    assert_eq!(second.latest().0, 1);
+    assert_eq!(second.latest().boot, 1);
     let (third, _) = run_until_power_loss(&settings, 0);
-    assert_eq!(third.latest().0, 2, "starts are counted");
-    assert_eq!(third.under("engine/").count(), 5);
+    assert_eq!(third.latest().boot, 2, "starts are counted");
+    assert_eq!(third.with_prefix("engine/").count(), 5);
 }
 
 /// Guards against a guarantee that is too wide: what was put and not committed is lost, and `at_risk`
@@ -54,7 +54,7 @@
 #[test]
 fn uncommitted_records_are_lost_and_reported_at_risk() {
     let folder = tempfile::tempdir().unwrap();
-    let slow = StoreSettings { every: Duration::from_secs(3600), ..settings(folder.path(), None) };
+    let slow = StoreSettings { commit_interval: Duration::from_secs(3600), ..settings(folder.path(), None) };
     let (store, _) = Store::open(&slow);
     store.put("first", vec![1]);
     assert!(store.flush(Duration::from_secs(5)), "the first commit does not wait");
@@ -129,7 +129,7 @@
 fn slow_disk_delays_neither_open_nor_put() {
     let folder = tempfile::tempdir().unwrap();
     let faulty = settings(folder.path(), Some(StorageFault::Slow(Duration::from_secs(3))));
-    let slow = StoreSettings { within: Duration::from_millis(100), ..faulty };
+    let slow = StoreSettings { load_timeout: Duration::from_millis(100), ..faulty };
     let began = std::time::Instant::now();
     let (store, loaded) = Store::open(&slow);
     (0..1000).for_each(|n| store.put(&format!("k{n}"), vec![1; 100]));
