--- a/crates/pintally-host/src/left.rs
+++ b/crates/pintally-host/src/left.rs
@@ -11,7 +11,7 @@
 use crate::states::state_name;
 
 /// A state: the engine that holds it, and its name there.
-pub type OrphanedReservation = pintally_recovery::Held;
+pub type OrphanedReservation = pintally_recovery::Reservation;
 
 impl Host {
     /// The same host with what a life before may have left. It is let go with the first list that has its
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -615,7 +615,7 @@
         let held = lock(&self.shared.fleet.left).clone();
         let here = self.fleet.peers.members().filter(|m| m.is_alive()).map(|m| &*m.name().0);
         let guardians = ReservationPublisher::backup_nodes(&self.shared.settings.name, here);
-        for word in wards.teller.tell(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
+        for word in wards.teller.publish_due(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
             for guardian in &guardians {
                 self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
             }
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -147,9 +147,9 @@
     let claim = EngineList::parse(file, &String::from_utf8_lossy(text)).ok()?;
     let held = EngineList::parse(file, &follower.kept()?).ok()?;
     match merge(Some(&held), &claim) {
-        ListMerge::United(list) => Some(list.render().into_bytes()),
-        ListMerge::Kept if held.version == claim.version => Some(held.render().into_bytes()),
-        ListMerge::Kept | ListMerge::Took(_) => None,
+        ListMerge::Merged(list) => Some(list.render().into_bytes()),
+        ListMerge::Unchanged if held.version == claim.version => Some(held.render().into_bytes()),
+        ListMerge::Unchanged | ListMerge::Replaced(_) => None,
     }
 }
 
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -30,7 +30,7 @@
         line(&pool),
         line(&[FaultScope::Link, FaultScope::Zone("a".into()), FaultScope::Everyone]),
         line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
-        line(&[Stage::Reading, Stage::Asking, Stage::Careful, Stage::Serving]),
+        line(&[Stage::LoadingState, Stage::QueryingPeers, Stage::SlowStart, Stage::Serving]),
         line(&[
             ZoneHealth::Alive,
             ZoneHealth::Grey,
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -1,24 +1,27 @@
-//! After a start: what a node trusts from before, what it asks of whom, and in which order service
-//! returns. State machines without input or output; `docs/recovery.md` has the reasons and the bounds.
+//! Recovery after a start: which stored state a node trusts, which peers it queries, and in which order
+//! service returns.
 //!
-//! No step waits for a peer without a time after which the node goes on with what it has, and peers
-//! answer in every stage, so that nobody waits in a circle.
+//! State machines without input or output; `docs/recovery.md` has the reasons and the bounds. Each step that
+//! waits for a peer has a timeout after which the node continues with what it has, and peers answer in every
+//! stage, so that nodes never deadlock waiting for each other.
 
 mod capacity;
 mod gate;
-mod list;
+mod list_merge;
+mod recovery;
 mod reservations;
 mod settings;
 mod stage;
 mod status;
 
-pub use capacity::{share, Capacity, Fleet};
-pub use gate::{Admission, AdmissionPlan, Gate};
-pub use list::{merge, ListMerge};
+pub use capacity::{admission_share, Capacity, EngineCounts, FleetSize};
+pub use gate::{Admission, AdmissionGate, AdmissionPlan};
+pub use list_merge::{merge, ListMerge};
 pub use pintally_validation::InvalidConfiguration;
-pub use reservations::{BackupNode, Held, ReservationPublisher};
+pub use recovery::{Answer, Input, Output, Recovery, RememberedState};
+pub use reservations::{BackupNode, Reservation, ReservationPublisher};
 pub use settings::{ClassPriority, Settings};
-pub use stage::{Answer, Input, Output, Recovery, RememberedState, Stage};
+pub use stage::Stage;
 pub use status::Status;
 
 pub use pintally::interface::Micros;
--- /dev/null
+++ b/crates/pintally-recovery/src/recovery.rs
@@ -0,0 +1,376 @@
+//! The state machine from a start to full service.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use pintally::interface::{EngineId, Micros};
+use serde::{Deserialize, Serialize};
+
+use crate::capacity::{admission_share, Capacity, FleetSize};
+use crate::gate::{Admission, AdmissionGate, AdmissionPlan};
+use crate::settings::Settings;
+use crate::stage::Stage;
+use crate::status::Status;
+
+/// How often the admission rate is computed anew during slow start.
+const PLAN_INTERVAL: Micros = 250_000;
+/// How often a peer is queried again during slow start whether the fleet is in service.
+const QUERY_INTERVAL: Micros = 1_000_000;
+/// While no engine can be reached this fraction of what they can do cold is admitted all the same, since no
+/// engine answers that is not sent anything.
+const UNREACHABLE_FRACTION: f64 = 0.25;
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// A peer's answer to a query. It answers in every stage. Its JSON spelling is fixed.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Answer {
+    /// The peer's stage.
+    pub stage: Stage,
+    /// The version of its endpoint list, and a hash of the content.
+    pub list: Option<(u64, u32)>,
+    /// Requests per second that the whole fleet carried, as it remembers; 0 if it does not.
+    pub carried: f64,
+    /// Some engines that have answered it or others, by their hash, and how long ago; empty in full service.
+    pub heard: Vec<u64>,
+}
+
+/// The stored state that matters to recovery.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RememberedState {
+    /// Requests per second that the whole fleet carried; 0 if that is not known.
+    pub carried: f64,
+    /// What could not be loaded, in words.
+    pub issues: Vec<String>,
+}
+
+/// An event for the state machine.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Input {
+    /// The stored state was loaded, or loading was given up.
+    StateLoaded(RememberedState),
+    /// The number of live nodes, this one included, and the peers that can be queried, by number.
+    Peers(usize, Vec<u64>),
+    /// A peer has answered a query.
+    PeerAnswered(u64, Answer),
+    /// The listed engines that take work; whether the list came from its source since the start.
+    EndpointsListed(Vec<EngineId>, bool),
+    /// An engine has answered.
+    EngineAnswered(EngineId),
+    /// An engine could not be reached, or is gone.
+    EngineUnreachable(EngineId),
+}
+
+/// An action for the caller.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// Query this peer.
+    QueryPeer(u64),
+    /// A stage has begun.
+    Stage(Stage),
+    /// The whole fleet has lost power: engines count as cold, and their caches as empty, from now on.
+    TreatEnginesAsCold,
+}
+
+/// The queries to peers and their answers.
+#[derive(Clone, Debug, Default)]
+struct PeerQueries {
+    /// Peers that can be queried.
+    candidates: Vec<u64>,
+    /// Peers that were queried in this round and have not answered.
+    pending: BTreeSet<u64>,
+    /// All peers that were queried.
+    queried: BTreeSet<u64>,
+    round: u32,
+    answers: BTreeMap<u64, Answer>,
+}
+
+impl PeerQueries {
+    /// Starts queries of peers that were not queried yet.
+    fn query_new(&mut self, limit: usize, outputs: &mut Vec<Output>) {
+        let new = self.candidates.iter().filter(|peer| !self.queried.contains(peer));
+        self.pending = new.take(limit).copied().collect();
+        self.queried.extend(&self.pending);
+        outputs.extend(self.pending.iter().map(|peer| Output::QueryPeer(*peer)));
+    }
+
+    fn record(&mut self, peer: u64, answer: Answer) {
+        self.pending.remove(&peer);
+        self.answers.insert(peer, answer);
+    }
+
+    fn is_any_peer_serving(&self) -> bool {
+        self.answers.values().any(|answer| answer.stage == Stage::Serving)
+    }
+
+    /// Whether all queried peers have answered, and as many as are queried at once.
+    fn is_complete(&self, limit: usize) -> bool {
+        self.pending.is_empty() && self.answers.len() >= limit.min(self.candidates.len())
+    }
+}
+
+/// A node's recovery after a start.
+#[derive(Clone, Debug)]
+pub struct Recovery {
+    settings: Settings,
+    stage: Stage,
+    stage_since: Micros,
+    remembered: RememberedState,
+    fleet: FleetSize,
+    queries: PeerQueries,
+    /// When the stage has work to do or times out.
+    deadline: Micros,
+    capacity: Capacity,
+    /// The endpoint list came from its source since the start.
+    is_list_current: bool,
+    fleet_lost_power: Option<bool>,
+    gate: AdmissionGate,
+    next_query: Micros,
+}
+
+impl Recovery {
+    /// Creates the recovery of a node that has just started. Its stored state is waited for until
+    /// `load_timeout`.
+    pub fn new(settings: Settings, now: Micros, load_timeout: Micros) -> Recovery {
+        Recovery {
+            stage: Stage::LoadingState,
+            stage_since: now,
+            remembered: RememberedState::default(),
+            fleet: FleetSize { alive: 1, expected: settings.expected_nodes },
+            queries: PeerQueries::default(),
+            deadline: now + load_timeout,
+            capacity: Capacity::default(),
+            is_list_current: false,
+            fleet_lost_power: None,
+            gate: AdmissionGate::new(&settings.classes, settings.max_retry_after),
+            next_query: now,
+            settings,
+        }
+    }
+
+    /// The current stage.
+    pub fn stage(&self) -> Stage {
+        self.stage
+    }
+
+    /// The admission gate.
+    pub fn gate(&self) -> &AdmissionGate {
+        &self.gate
+    }
+
+    /// The time at which [`Recovery::tick`] has work to do; none in full service.
+    pub fn next_wake(&self) -> Option<Micros> {
+        (self.stage != Stage::Serving).then_some(self.deadline)
+    }
+
+    /// The longest time until requests are admitted, even if neither the disk nor any peer answers.
+    pub fn max_time_to_first_admission(&self, load_timeout: Micros) -> Micros {
+        load_timeout + self.settings.max_query_time()
+    }
+
+    /// The answer to a peer's query.
+    pub fn answer(&self, now: Micros, list: Option<(u64, u32)>) -> Answer {
+        let heard = match self.stage {
+            Stage::Serving => Vec::new(),
+            _ => self.capacity.report(now),
+        };
+        Answer { stage: self.stage, list, carried: self.carried(), heard }
+    }
+
+    /// Decides whether a request of a class is admitted.
+    pub fn admit(&mut self, now: Micros, class: Option<usize>) -> Admission {
+        self.gate.admit(now, class)
+    }
+
+    /// Handles an event.
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
+        match input {
+            Input::StateLoaded(remembered) => self.handle_state(now, remembered, outputs),
+            Input::Peers(alive, candidates) => self.handle_peers(alive, candidates, outputs),
+            Input::PeerAnswered(peer, answer) => {
+                self.capacity.apply_report(now, &answer.heard);
+                self.queries.record(peer, answer);
+                self.evaluate_answers(now, outputs);
+            }
+            Input::EndpointsListed(engines, is_from_source) => {
+                self.capacity.set_listed(engines.iter());
+                self.is_list_current |= is_from_source;
+            }
+            Input::EngineAnswered(engine) => self.capacity.engine_answered(now, &engine),
+            Input::EngineUnreachable(engine) => self.capacity.engine_lost(now, &engine),
+        }
+        self.update_plan(now);
+    }
+
+    fn handle_state(&mut self, now: Micros, remembered: RememberedState, outputs: &mut Vec<Output>) {
+        // State that comes after its timeout is still better than none.
+        self.remembered = remembered;
+        if self.stage == Stage::LoadingState {
+            self.begin_querying_peers(now, outputs);
+        }
+    }
+
+    fn handle_peers(&mut self, alive: usize, candidates: Vec<u64>, outputs: &mut Vec<Output>) {
+        self.fleet.alive = alive.max(1);
+        self.queries.candidates = candidates;
+        // Peers that are discovered late in a round are queried in it, and the round grows no longer.
+        if self.stage == Stage::QueryingPeers && self.queries.queried.is_empty() {
+            self.queries.query_new(self.settings.peers_queried, outputs);
+        }
+    }
+
+    /// Does the work that is due.
+    pub fn tick(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        if now < self.deadline {
+            return;
+        }
+        match self.stage {
+            Stage::LoadingState => {
+                self.remembered.issues.push("the disk did not tell in time".into());
+                self.begin_querying_peers(now, outputs);
+            }
+            Stage::QueryingPeers if self.queries.round < self.settings.query_rounds => {
+                self.start_query_round(now, outputs);
+            }
+            Stage::QueryingPeers => self.begin_slow_start(now, outputs),
+            Stage::SlowStart => self.advance_slow_start(now, outputs),
+            Stage::Serving => {}
+        }
+        self.update_plan(now);
+    }
+
+    fn advance_slow_start(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        self.deadline = now + PLAN_INTERVAL;
+        if now >= self.next_query && self.settings.peers {
+            self.next_query = now + QUERY_INTERVAL;
+            // One peer at a time, each in turn: a recovering fleet is not flooded with queries.
+            let candidates = &self.queries.candidates;
+            let turn = (now / QUERY_INTERVAL) as usize % candidates.len().max(1);
+            outputs.extend(candidates.get(turn).map(|peer| Output::QueryPeer(*peer)));
+        }
+        let is_warm = self.capacity.warm_fraction(now, &self.settings) >= 1.0;
+        if is_warm || now >= self.stage_since + self.settings.max_slow_start {
+            self.enter(now, Stage::Serving, outputs);
+        }
+    }
+
+    fn enter(&mut self, now: Micros, stage: Stage, outputs: &mut Vec<Output>) {
+        self.stage = stage;
+        self.stage_since = now;
+        outputs.push(Output::Stage(stage));
+    }
+
+    fn begin_querying_peers(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        if !self.settings.peers {
+            // No peer can tell whether others stayed in service: as if all had lost power.
+            return self.begin_slow_start(now, outputs);
+        }
+        self.enter(now, Stage::QueryingPeers, outputs);
+        self.start_query_round(now, outputs);
+    }
+
+    /// Queries peers that were not queried yet, or waits for one to be discovered.
+    fn start_query_round(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        self.queries.round += 1;
+        self.deadline = now + self.settings.answer_timeout;
+        self.queries.query_new(self.settings.peers_queried, outputs);
+    }
+
+    /// A peer in full service shows that the fleet is not cold: it never lost power, or has recovered.
+    fn evaluate_answers(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        let is_any_serving = self.queries.is_any_peer_serving();
+        match self.stage {
+            Stage::QueryingPeers if is_any_serving => {
+                self.fleet_lost_power = Some(false);
+                self.enter(now, Stage::Serving, outputs);
+            }
+            Stage::QueryingPeers if self.queries.is_complete(self.settings.peers_queried) => {
+                self.begin_slow_start(now, outputs);
+            }
+            Stage::SlowStart if is_any_serving => self.enter(now, Stage::Serving, outputs),
+            _ => {}
+        }
+    }
+
+    fn begin_slow_start(&mut self, now: Micros, outputs: &mut Vec<Output>) {
+        self.fleet_lost_power = Some(true);
+        self.enter(now, Stage::SlowStart, outputs);
+        outputs.push(Output::TreatEnginesAsCold);
+        self.deadline = now + PLAN_INTERVAL;
+        self.next_query = now + QUERY_INTERVAL;
+        self.update_plan(now);
+    }
+
+    /// Requests per second that the fleet carried: the median of what this node and its peers remember, as
+    /// none of them may be trusted alone. 0 if nobody remembers.
+    fn carried(&self) -> f64 {
+        let answers = self.queries.answers.values().map(|answer| answer.carried);
+        let mut rates: Vec<f64> =
+            answers.chain([self.remembered.carried]).filter(|rate| *rate > 0.0 && rate.is_finite()).collect();
+        rates.sort_by(f64::total_cmp);
+        let median = rates.len().saturating_sub(1) / 2;
+        rates.get(median).copied().unwrap_or(0.0)
+    }
+
+    fn update_plan(&mut self, now: Micros) {
+        let plan = match self.stage {
+            Stage::LoadingState | Stage::QueryingPeers => {
+                AdmissionPlan { max_rate: Some(0.0), admits_at_most_once: false }
+            }
+            Stage::SlowStart => AdmissionPlan {
+                max_rate: Some(self.admission_rate(now)),
+                admits_at_most_once: self.is_list_current,
+            },
+            Stage::Serving => AdmissionPlan { max_rate: None, admits_at_most_once: true },
+        };
+        if plan != self.gate.plan() {
+            self.gate.set_plan(now, plan);
+        }
+    }
+
+    /// Requests per second that this node admits: what the fleet carried, times the fraction that its engines
+    /// can do while they warm up, times the fraction that they can do with empty caches, times this node's
+    /// share.
+    fn admission_rate(&self, now: Micros) -> f64 {
+        let settings = &self.settings;
+        let fleet_rate = match self.carried() {
+            0.0 => settings.requests_per_second_per_engine * self.capacity.counts().listed as f64,
+            carried => carried,
+        };
+        let min_fraction = settings.slow_start_min_capacity * UNREACHABLE_FRACTION;
+        let warm = self.capacity.warm_fraction(now, settings).clamp(min_fraction, 1.0);
+        let age = now.saturating_sub(self.stage_since) as f64 / settings.max_slow_start.max(1) as f64;
+        let uncached = settings.uncached_capacity_fraction;
+        let cached = uncached + (1.0 - uncached) * age.min(1.0);
+        fleet_rate * warm * cached * admission_share(self.fleet)
+    }
+
+    /// The status document.
+    pub fn status(&self, now: Micros) -> Status {
+        let counters = self.gate.counters;
+        Status {
+            stage: self.stage,
+            for_ms: now.saturating_sub(self.stage_since) / MICROS_PER_MILLISECOND,
+            waits_for: self.waits_for(),
+            issues: self.remembered.issues.clone(),
+            fleet_lost_power: self.fleet_lost_power,
+            alive_nodes: self.fleet.alive,
+            expected_nodes: self.fleet.expected,
+            engines: self.capacity.counts(),
+            max_rate: self.gate.plan().max_rate,
+            admitted: counters.admitted,
+            rejected_with_retry_after: counters.rejected_with_retry_after,
+            rejected_without_retry_after: counters.rejected_without_retry_after,
+        }
+    }
+
+    fn waits_for(&self) -> String {
+        match self.stage {
+            Stage::LoadingState => "its disk".to_string(),
+            Stage::QueryingPeers => format!("answers of {} peers", self.queries.pending.len()),
+            Stage::SlowStart => {
+                let engines = self.capacity.counts();
+                format!("engines to be warm: {} of {} have answered", engines.answered, engines.listed)
+            }
+            Stage::Serving => String::new(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/pintally-recovery/src/reservations/publisher.rs
@@ -0,0 +1,125 @@
+//! Publishes a node's reservations to its backup nodes.
+
+use std::collections::HashMap;
+
+use pintally::interface::Micros;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::{Reservation, ReservationMessage, REPUBLISH_INTERVAL};
+
+/// Backup nodes of each node.
+pub(super) const BACKUP_NODES: usize = 2;
+/// A reservation that is held for less than this is not worth a message.
+const MIN_AGE: Micros = 100_000;
+/// Largest content of one message, so that it fits into a packet.
+const MAX_MESSAGE_BYTES: usize = 1_000;
+/// Messages that are sent at once.
+pub(super) const MAX_MESSAGES: usize = 8;
+/// Bytes of a reservation in a message beside its engine and name.
+const RESERVATION_OVERHEAD_BYTES: usize = 8;
+
+/// When a reservation was made and published.
+#[derive(Clone, Copy, Debug)]
+struct Publication {
+    held_since: Micros,
+    published_at: Option<Micros>,
+}
+
+impl Publication {
+    fn is_due(&self, now: Micros) -> bool {
+        match self.published_at {
+            None => now >= self.held_since.saturating_add(MIN_AGE),
+            Some(published_at) => now >= published_at.saturating_add(REPUBLISH_INTERVAL),
+        }
+    }
+}
+
+/// Publishes a node's reservations to its backup nodes.
+#[derive(Debug, Default)]
+pub struct ReservationPublisher {
+    held: HashMap<Reservation, Publication>,
+    backup_nodes: Vec<String>,
+}
+
+impl ReservationPublisher {
+    /// Chooses the backup nodes of a node among the live peers, by hash: always the same ones for one node, and
+    /// different ones for different nodes.
+    pub fn backup_nodes<'a>(own: &str, alive: impl Iterator<Item = &'a str>) -> Vec<String> {
+        let seed = xxh3_64_with_seed(own.as_bytes(), 0);
+        let mut ranked: Vec<(u64, &str)> =
+            alive.map(|name| (xxh3_64_with_seed(name.as_bytes(), seed), name)).collect();
+        ranked.sort_unstable();
+        ranked.into_iter().take(BACKUP_NODES).map(|(_, name)| name.to_string()).collect()
+    }
+
+    /// The messages that are due, each for all backup nodes. `process` is the mark of this process, `held` all
+    /// of its reservations.
+    pub fn publish_due(
+        &mut self,
+        now: Micros,
+        process: u64,
+        held: &[Reservation],
+        backup_nodes: &[String],
+    ) -> Vec<Vec<u8>> {
+        self.update_held(now, held);
+        self.update_backup_nodes(backup_nodes);
+        if backup_nodes.is_empty() {
+            return Vec::new();
+        }
+        // Those that have waited for longest come first, as not all may fit.
+        let mut due: Vec<(&Reservation, &mut Publication)> =
+            self.held.iter_mut().filter(|(_, publication)| publication.is_due(now)).collect();
+        due.sort_by_key(|(reservation, publication)| {
+            (publication.published_at, publication.held_since, *reservation)
+        });
+        encode_messages(now, process, due)
+    }
+
+    fn update_held(&mut self, now: Micros, held: &[Reservation]) {
+        let new = Publication { held_since: now, published_at: None };
+        let mut updated = HashMap::with_capacity(held.len());
+        for reservation in held {
+            let publication = self.held.remove(reservation).unwrap_or(new);
+            updated.insert(reservation.clone(), publication);
+        }
+        self.held = updated;
+    }
+
+    /// Other backup nodes have received nothing yet: everything is published again.
+    fn update_backup_nodes(&mut self, backup_nodes: &[String]) {
+        if self.backup_nodes == backup_nodes {
+            return;
+        }
+        self.backup_nodes = backup_nodes.to_vec();
+        for publication in self.held.values_mut() {
+            publication.published_at = None;
+        }
+    }
+}
+
+/// Encodes as many reservations as fit into the messages of one turn, and marks them as published.
+fn encode_messages(now: Micros, process: u64, due: Vec<(&Reservation, &mut Publication)>) -> Vec<Vec<u8>> {
+    let mut messages = Vec::new();
+    let mut message = ReservationMessage { process, reservations: Vec::new() };
+    let mut message_bytes = 0;
+    for ((engine, name), publication) in due {
+        let size = engine.0.len() + name.0.len() + RESERVATION_OVERHEAD_BYTES;
+        if message_bytes + size > MAX_MESSAGE_BYTES && !message.reservations.is_empty() {
+            messages.extend(serde_json::to_vec(&message).ok());
+            message.reservations.clear();
+            message_bytes = 0;
+            if messages.len() == MAX_MESSAGES {
+                break;
+            }
+        }
+        if size <= MAX_MESSAGE_BYTES {
+            message.reservations.push((engine.0.to_string(), name.0.to_string()));
+            message_bytes += size;
+            publication.published_at = Some(now);
+        }
+    }
+    if !message.reservations.is_empty() {
+        messages.extend(serde_json::to_vec(&message).ok());
+    }
+    messages
+}
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -1,48 +1,52 @@
-//! The figures that recovery goes by.
+//! The settings of recovery, and their validation.
 
 use pintally::interface::Micros;
 use pintally_validation::{ensure, InvalidConfiguration};
 
-/// A class, as far as it matters to what is let in first.
+/// The priority of a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassPriority {
-    /// What one request is worth.
+    /// Classes with a higher weight are admitted first.
     pub priority_weight: f64,
-    /// It must never run twice.
+    /// Its requests must never run twice.
     pub at_most_once: bool,
 }
 
-/// The figures that recovery goes by; times in microseconds.
+/// Settings of a node's recovery. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Nodes of the fleet, by the settings.
+    /// Nodes of the fleet.
     pub expected_nodes: usize,
-    /// Whether there is anybody to ask.
+    /// Whether the node has peers that it can query.
     pub peers: bool,
-    /// So many peers are asked at once.
+    /// Peers that are queried at once.
     pub peers_queried: usize,
-    /// For an answer.
+    /// Time for an answer.
     pub answer_timeout: Micros,
-    /// Rounds of questions, to other peers each.
+    /// Rounds of queries, each to other peers.
     pub query_rounds: u32,
-    /// The careful stage ends after this time at the latest.
+    /// Slow start ends after this time at the latest.
     pub max_slow_start: Micros,
-    /// An engine that has just started can do this part of its work at first.
+    /// The fraction of its work that a cold engine can do.
     pub slow_start_min_capacity: f64,
-    /// And is warm after this long at most.
+    /// A cold engine is warm after this time.
     pub slow_start_duration: Micros,
-    /// Requests a second that a warm engine carries, where nothing is remembered.
+    /// Requests per second that a warm engine carries, for a fleet that does not remember its rate.
     pub requests_per_second_per_engine: f64,
-    /// The part of its usual requests that an engine carries while it holds none of their texts.
+    /// The fraction of its usual requests that an engine carries while its prefix cache is empty.
     pub uncached_capacity_fraction: f64,
-    /// Clients heed a time to come back up to this; 0 where they heed none.
+    /// The longest Retry-After that clients heed; 0 where they heed none.
     pub max_retry_after: Micros,
-    /// The classes, in the order of the settings.
+    /// The classes, in the order of the configuration.
     pub classes: Vec<ClassPriority>,
 }
 
 impl Settings {
-    /// Checks that the figures go together.
+    /// Checks that the settings are consistent.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidConfiguration`] with the first rule that is broken.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
         ensure(self.expected_nodes != 0, "a fleet has one node at least")?;
         ensure(
@@ -65,11 +69,11 @@
         )
     }
 
-    /// The longest time from the end of reading to the careful stage: with every peer silent.
-    pub fn asking_most(&self) -> Micros {
-        match self.peers {
-            true => self.answer_timeout * Micros::from(self.query_rounds),
-            false => 0,
+    /// The longest time that peers are queried: no peer answers.
+    pub fn max_query_time(&self) -> Micros {
+        if !self.peers {
+            return 0;
         }
+        self.answer_timeout * Micros::from(self.query_rounds)
     }
 }
--- a/crates/pintally-recovery/src/status.rs
+++ b/crates/pintally-recovery/src/status.rs
@@ -1,35 +1,41 @@
-//! What a node tells of its recovery.
+//! The status document of a node's recovery. Its JSON spelling is fixed.
 
 use serde::Serialize;
 
+use crate::capacity::EngineCounts;
 use crate::stage::Stage;
 
-/// What a node tells of its recovery.
+/// The state of a node's recovery.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// The stage it is in.
+    /// The current stage.
     pub stage: Stage,
-    /// For how long, in milliseconds.
+    /// Milliseconds since the stage began.
     pub for_ms: u64,
-    /// Why it is not further.
+    /// What the node waits for to leave the stage.
     pub waits_for: String,
-    /// What it lacks from before.
+    /// What could not be loaded from the disk.
     #[serde(rename = "lacks")]
     pub issues: Vec<String>,
-    /// Whether it takes the whole fleet to have lost its power; none while it has not been found out.
+    /// Whether the node assumes that the whole fleet has lost power; none while it does not know yet.
     pub fleet_lost_power: Option<bool>,
-    /// Nodes here and expected.
-    pub here: usize,
-    /// Nodes by the settings.
-    pub expected: usize,
-    /// Engines heard since the start, and listed.
-    pub engines: (usize, usize),
-    /// Requests a second that it lets in; none while it lets in everybody.
-    pub rate: Option<f64>,
-    /// Requests let in, refused with a time to come back, refused without one.
+    /// Nodes that are alive, this one included.
+    #[serde(rename = "here")]
+    pub alive_nodes: usize,
+    /// Nodes according to the settings.
+    #[serde(rename = "expected")]
+    pub expected_nodes: usize,
+    /// Engines that have answered since the start, and listed ones.
+    pub engines: EngineCounts,
+    /// Requests per second that are admitted; none while all are.
+    #[serde(rename = "rate")]
+    pub max_rate: Option<f64>,
+    /// Requests that were admitted.
     pub admitted: u64,
-    /// Refused with a time to come back.
-    pub told_when: u64,
-    /// Refused without one.
-    pub told_nothing: u64,
+    /// Requests that were rejected with a Retry-After.
+    #[serde(rename = "told_when")]
+    pub rejected_with_retry_after: u64,
+    /// Requests that were rejected without one.
+    #[serde(rename = "told_nothing")]
+    pub rejected_without_retry_after: u64,
 }
--- a/crates/pintally-recovery/tests/golden.rs
+++ b/crates/pintally-recovery/tests/golden.rs
@@ -1,11 +1,11 @@
-//! What nodes tell each other after a start, as bytes: nodes of different builds read each other's.
+//! The messages between nodes are stable: nodes of different builds read each other's.
 
 use pintally::interface::{EngineId, RequestId};
 use pintally_recovery::{Answer, BackupNode, ReservationPublisher, Stage};
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
-/// The bytes that the golden file holds under a name.
+/// The bytes of an entry in the golden file.
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
@@ -22,9 +22,9 @@
 fn answer_bytes_are_stable() {
     let answer = |stage, list, carried, heard| Answer { stage, list, carried, heard };
     let answers = [
-        ("answer_reading", answer(Stage::Reading, None, 0.0, Vec::new())),
-        ("answer_asking", answer(Stage::Asking, Some((300, u32::MAX)), 0.1, vec![u64::MAX, 0])),
-        ("answer_careful", answer(Stage::Careful, Some((0, 0)), 1e12, vec![1 << 16])),
+        ("answer_reading", answer(Stage::LoadingState, None, 0.0, Vec::new())),
+        ("answer_asking", answer(Stage::QueryingPeers, Some((300, u32::MAX)), 0.1, vec![u64::MAX, 0])),
+        ("answer_careful", answer(Stage::SlowStart, Some((0, 0)), 1e12, vec![1 << 16])),
         ("answer_serving", answer(Stage::Serving, Some((1 << 52, 1)), 1.5, Vec::new())),
     ];
     for (name, answer) in answers {
@@ -33,19 +33,20 @@
     }
 }
 
-/// What a node tells its guardians; one that reads it lets go of all of it behind the node's death.
+/// A backup node that reads the message of an earlier build releases all of its reservations after the
+/// node's death.
 #[test]
-fn held_states_bytes_are_stable() {
+fn reservation_message_bytes_are_stable() {
     let held = [("engine-a", "request-1"), ("engine-b", "quote\"d")]
         .map(|(engine, name)| (EngineId(engine.into()), RequestId(name.into())));
-    let guardians = ["n2".to_string()];
-    let mut teller = ReservationPublisher::default();
-    assert!(teller.tell(0, 1 << 40, &held, &guardians).is_empty());
-    let words = teller.tell(200_000, 1 << 40, &held, &guardians);
-    assert_eq!(words.len(), 1);
-    assert_bytes("held_states", &words[0]);
-    let mut guardian = BackupNode::new(1_000_000);
-    guardian.receive_reservations(200_000, "n1", &golden("held_states"));
-    guardian.node_down(200_000, "n1");
-    assert_eq!(guardian.take_due(1_200_000), [("n1".to_string(), held.to_vec())]);
+    let backup_nodes = ["n2".to_string()];
+    let mut publisher = ReservationPublisher::default();
+    assert!(publisher.publish_due(0, 1 << 40, &held, &backup_nodes).is_empty());
+    let messages = publisher.publish_due(200_000, 1 << 40, &held, &backup_nodes);
+    assert_eq!(messages.len(), 1);
+    assert_bytes("held_states", &messages[0]);
+    let mut backup = BackupNode::new(1_000_000);
+    backup.receive_reservations(200_000, "n1", &golden("held_states"));
+    backup.node_down(200_000, "n1");
+    assert_eq!(backup.take_due(1_200_000), [("n1".to_string(), held.to_vec())]);
 }
--- a/crates/pintally-recovery/tests/stages.rs
+++ b/crates/pintally-recovery/tests/recovery_stages.rs
@@ -1,4 +1,4 @@
-//! The stages: what ends each, and that nobody waits in a circle, by exhaustive search.
+//! The stages: what ends each, and that nodes never deadlock, by exhaustive search.
 
 use std::collections::HashSet;
 
@@ -38,59 +38,63 @@
 }
 
 #[test]
-fn a_node_that_restarts_alone_serves_at_once() {
-    let mut out = Vec::new();
+fn node_that_restarts_in_a_serving_fleet_serves_at_once() {
+    let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
-    node.handle(1000, Input::Peers(3, vec![1, 2]), &mut out);
-    node.handle(2000, Input::StateLoaded(RememberedState::default()), &mut out);
-    assert_eq!(out, [Output::Stage(Stage::Asking), Output::QueryPeer(1), Output::QueryPeer(2)]);
-    node.handle(3000, Input::PeerAnswered(2, serving()), &mut out);
+    node.handle(1000, Input::Peers(3, vec![1, 2]), &mut outputs);
+    node.handle(2000, Input::StateLoaded(RememberedState::default()), &mut outputs);
+    assert_eq!(outputs, [Output::Stage(Stage::QueryingPeers), Output::QueryPeer(1), Output::QueryPeer(2)]);
+    node.handle(3000, Input::PeerAnswered(2, serving()), &mut outputs);
     assert_eq!(node.stage(), Stage::Serving);
     assert_eq!(node.admit(3001, Some(1)), Admission::Admit);
-    assert!(!out.contains(&Output::TreatEnginesAsCold), "engines are as warm as the others know them");
+    assert!(!outputs.contains(&Output::TreatEnginesAsCold), "engines are as warm as the peers know them");
 }
 
 #[test]
-fn with_all_silent_it_serves_within_the_stated_time() {
-    let within = SECOND;
-    let mut node = Recovery::new(settings(5), 0, within);
-    let bound = node.first_within(within);
-    let (mut out, mut now) = (Vec::new(), 0);
-    node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
-    while node.stage() < Stage::Careful {
+fn node_admits_within_the_bound_when_nobody_answers() {
+    let load_timeout = SECOND;
+    let mut node = Recovery::new(settings(5), 0, load_timeout);
+    let bound = node.max_time_to_first_admission(load_timeout);
+    let (mut outputs, mut now) = (Vec::new(), 0);
+    node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
+    while node.stage() < Stage::SlowStart {
         now = node.next_wake().expect("it waits for something");
-        node.tick(now, &mut out);
+        node.tick(now, &mut outputs);
     }
     assert!(now <= bound, "{now} of {bound}");
     assert_eq!(node.admit(now, Some(1)), Admission::Admit);
-    assert!(out.contains(&Output::TreatEnginesAsCold));
-    // And in full at the latest when the careful stage must end.
+    assert!(outputs.contains(&Output::TreatEnginesAsCold));
+    // All requests are admitted at the latest when slow start must end.
     while let Some(wake) = node.next_wake() {
         now = wake;
-        node.tick(now, &mut out);
+        node.tick(now, &mut outputs);
     }
     assert!(now <= bound + settings(5).max_slow_start + SECOND);
 }
 
-/// Guards against a fleet that takes in what it took before the loss while its engines are cold.
+/// Guards against a fleet that admits the rate from before the power loss while its engines are cold.
 #[test]
-fn a_cold_fleet_lets_in_what_it_can_carry() {
-    let memory = || RememberedState { carried: 100.0, issues: Vec::new() };
+fn cold_fleet_admits_what_its_engines_can_serve() {
+    let remembered = || RememberedState { carried: 100.0, issues: Vec::new() };
     let mut nodes: Vec<Recovery> = (0..4).map(|_| Recovery::new(settings(4), 0, SECOND)).collect();
-    let mut out = Vec::new();
+    let mut outputs = Vec::new();
     for node in &mut nodes {
-        node.handle(0, Input::Peers(4, vec![1, 2, 3]), &mut out);
-        node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
-        node.handle(0, Input::StateLoaded(memory()), &mut out);
-        while node.stage() < Stage::Careful {
+        node.handle(0, Input::Peers(4, vec![1, 2, 3]), &mut outputs);
+        node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
+        node.handle(0, Input::StateLoaded(remembered()), &mut outputs);
+        while node.stage() < Stage::SlowStart {
             let wake = node.next_wake().unwrap();
-            node.tick(wake, &mut out);
+            node.tick(wake, &mut outputs);
         }
         for n in 0..10 {
-            node.handle(SECOND, Input::EngineAnswered(EngineId(format!("e{n}").as_str().into())), &mut out);
+            node.handle(
+                SECOND,
+                Input::EngineAnswered(EngineId(format!("e{n}").as_str().into())),
+                &mut outputs,
+            );
         }
     }
-    // Cold, without texts, all four nodes together: 100 x 0.3 x 0.5 a second, growing to 100 x 1 x 0.7.
+    // Cold, with empty caches, all four nodes together: 100 x 0.3 x 0.5 a second, growing to 100 x 1 x 0.7.
     let mut per_second = Vec::new();
     for second in 1..9u64 {
         let mut admitted = 0;
@@ -98,7 +102,7 @@
             let now = second * SECOND + n * 2_500;
             for node in &mut nodes {
                 while node.next_wake().is_some_and(|w| w <= now) {
-                    node.tick(now, &mut out);
+                    node.tick(now, &mut outputs);
                 }
                 admitted += u32::from(node.admit(now, Some(0)) == Admission::Admit);
             }
@@ -111,41 +115,42 @@
 }
 
 #[test]
-fn unsafe_requests_wait_for_a_list_from_its_source() {
-    let mut out = Vec::new();
+fn at_most_once_requests_wait_for_a_list_from_its_source() {
+    let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
-    node.handle(0, Input::StateLoaded(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut out);
-    node.handle(0, Input::EndpointsListed(engines(4), false), &mut out);
-    assert_eq!(node.stage(), Stage::Careful);
+    node.handle(0, Input::StateLoaded(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut outputs);
+    node.handle(0, Input::EndpointsListed(engines(4), false), &mut outputs);
+    assert_eq!(node.stage(), Stage::SlowStart);
     assert_eq!(node.admit(1, Some(0)), Admission::Admit);
     assert!(matches!(node.admit(2, Some(1)), Admission::Reject(Some(_))));
-    node.handle(3, Input::EndpointsListed(engines(4), true), &mut out);
+    node.handle(3, Input::EndpointsListed(engines(4), true), &mut outputs);
     assert_eq!(node.admit(200_000, Some(1)), Admission::Admit);
 }
 
-/// Guards against one disk or one peer that remembers nonsense and opens the gate wide.
+/// Guards against one disk or one peer that remembers a wrong rate and opens the gate.
 #[test]
-fn one_wrong_memory_does_not_open_the_gate() {
-    let mut out = Vec::new();
+fn one_wrong_remembered_rate_does_not_open_the_gate() {
+    let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
-    node.handle(0, Input::Peers(3, vec![1, 2]), &mut out);
-    node.handle(0, Input::EndpointsListed(engines(10), true), &mut out);
-    node.handle(0, Input::StateLoaded(RememberedState { carried: 1e12, issues: Vec::new() }), &mut out);
-    let told = |carried| Answer { stage: Stage::Careful, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
-    node.handle(1, Input::PeerAnswered(1, told(60.0)), &mut out);
-    node.handle(2, Input::PeerAnswered(2, told(f64::INFINITY)), &mut out);
-    assert_eq!(node.stage(), Stage::Careful);
+    node.handle(0, Input::Peers(3, vec![1, 2]), &mut outputs);
+    node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
+    node.handle(0, Input::StateLoaded(RememberedState { carried: 1e12, issues: Vec::new() }), &mut outputs);
+    let answer =
+        |carried| Answer { stage: Stage::SlowStart, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
+    node.handle(1, Input::PeerAnswered(1, answer(60.0)), &mut outputs);
+    node.handle(2, Input::PeerAnswered(2, answer(f64::INFINITY)), &mut outputs);
+    assert_eq!(node.stage(), Stage::SlowStart);
     let rate = node.gate().plan().max_rate.unwrap();
     assert!(rate <= 60.0 * 0.3, "{rate}");
 }
 
-/// A small fleet as a whole: what is on its way, and who has started.
+/// The state of a small fleet: its nodes, and the messages in transit.
 #[derive(Clone)]
 struct World {
     now: Micros,
     nodes: Vec<Option<Recovery>>,
-    /// Questions (from, to) and answers (from, to) on their way.
-    questions: Vec<(usize, usize)>,
+    /// Queries and answers in transit, with their sender and receiver.
+    queries: Vec<(usize, usize)>,
     answers: Vec<(usize, usize, Answer)>,
     losses: u32,
     kills: u32,
@@ -158,62 +163,62 @@
         };
         let nodes: Vec<_> = self.nodes.iter().map(stage).collect();
         let answers: Vec<_> = self.answers.iter().map(|a| (a.0, a.1, a.2.stage)).collect();
-        format!("{nodes:?} {:?} {answers:?} {} {}", self.questions, self.losses, self.kills)
+        format!("{nodes:?} {:?} {answers:?} {} {}", self.queries, self.losses, self.kills)
     }
 
     fn start(&mut self, n: usize) {
         let others: Vec<u64> = (0..self.nodes.len()).filter(|o| *o != n).map(|o| o as u64).collect();
         let mut node = Recovery::new(settings(self.nodes.len()), self.now, 300_000);
-        let mut out = Vec::new();
-        node.handle(self.now, Input::Peers(1, others), &mut out);
-        node.handle(self.now, Input::EndpointsListed(engines(4), true), &mut out);
+        let mut outputs = Vec::new();
+        node.handle(self.now, Input::Peers(1, others), &mut outputs);
+        node.handle(self.now, Input::EndpointsListed(engines(4), true), &mut outputs);
         self.nodes[n] = Some(node);
-        self.carry(n, out);
+        self.execute(n, outputs);
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Output>) {
-        for one in out {
-            if let Output::QueryPeer(peer) = one {
-                if !self.questions.contains(&(n, peer as usize)) {
-                    self.questions.push((n, peer as usize));
+    fn execute(&mut self, n: usize, outputs: Vec<Output>) {
+        for output in outputs {
+            if let Output::QueryPeer(peer) = output {
+                if !self.queries.contains(&(n, peer as usize)) {
+                    self.queries.push((n, peer as usize));
                 }
             }
         }
     }
 
-    /// Every next world.
-    fn next(&self) -> Vec<World> {
+    /// All successor states.
+    fn successors(&self) -> Vec<World> {
         let mut all = Vec::new();
         for n in 0..self.nodes.len() {
             let mut world = self.clone();
             match &self.nodes[n] {
                 None => world.start(n),
-                Some(node) if node.stage() == Stage::Reading => {
-                    let mut out = Vec::new();
+                Some(node) if node.stage() == Stage::LoadingState => {
+                    let mut outputs = Vec::new();
                     let node = world.nodes[n].as_mut().unwrap();
-                    node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut out);
-                    world.carry(n, out);
+                    node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut outputs);
+                    world.execute(n, outputs);
                 }
                 Some(_) if self.kills > 0 => {
                     world.kills -= 1;
                     world.nodes[n] = None;
-                    world.questions.retain(|q| q.0 != n && q.1 != n);
+                    world.queries.retain(|q| q.0 != n && q.1 != n);
                     world.answers.retain(|a| a.0 != n && a.1 != n);
                 }
                 Some(_) => continue,
             }
             all.push(world);
         }
-        for (i, &(from, to)) in self.questions.iter().enumerate() {
+        for (i, &(from, to)) in self.queries.iter().enumerate() {
             let mut world = self.clone();
-            world.questions.remove(i);
+            world.queries.remove(i);
             if let Some(node) = &self.nodes[to] {
                 world.answers.push((to, from, node.answer(self.now, Some((1, 0)))));
             }
             all.push(world);
             if self.losses > 0 {
                 let mut world = self.clone();
-                world.questions.remove(i);
+                world.queries.remove(i);
                 world.losses -= 1;
                 all.push(world);
             }
@@ -221,24 +226,24 @@
         for i in 0..self.answers.len() {
             let mut world = self.clone();
             let (from, to, answer) = world.answers.remove(i);
-            let mut out = Vec::new();
+            let mut outputs = Vec::new();
             if let Some(node) = &mut world.nodes[to] {
-                node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut out);
+                node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut outputs);
             }
-            world.carry(to, out);
+            world.execute(to, outputs);
             all.push(world);
         }
-        // Time goes on to whatever is due first.
+        // Time advances to the first deadline.
         let due = self.nodes.iter().flatten().filter_map(Recovery::next_wake).min();
         if let Some(due) = due {
             let mut world = self.clone();
             world.now = due.max(self.now);
             for n in 0..world.nodes.len() {
-                let mut out = Vec::new();
+                let mut outputs = Vec::new();
                 if let Some(node) = &mut world.nodes[n] {
-                    node.tick(world.now, &mut out);
+                    node.tick(world.now, &mut outputs);
                 }
-                world.carry(n, out);
+                world.execute(n, outputs);
             }
             all.push(world);
         }
@@ -246,16 +251,16 @@
     }
 }
 
-/// All ways in which two or three nodes start, ask, answer, lose what is on its way and die once more:
-/// in each a node that has started either serves or has a time at which it goes on, and is past asking
-/// within its stated time, whatever the others do.
+/// Searches all orders in which two or three nodes start, query, answer, lose messages and die once. In each
+/// state a node that has started either serves or has a deadline, and has left the query stage within its
+/// bound, whatever the others do.
 #[test]
-fn nobody_waits_in_a_circle() {
+fn nodes_never_deadlock_waiting_for_each_other() {
     for (nodes, losses, kills, depth) in [(2, 2, 1, 16), (3, 1, 0, 9)] {
         let world = World {
             now: 0,
             nodes: vec![None; nodes],
-            questions: Vec::new(),
+            queries: Vec::new(),
             answers: Vec::new(),
             losses,
             kills,
@@ -267,14 +272,14 @@
             for world in front {
                 for node in world.nodes.iter().flatten() {
                     assert!(node.stage() == Stage::Serving || node.next_wake().is_some(), "stuck");
-                    if node.stage() < Stage::Careful {
+                    if node.stage() < Stage::SlowStart {
                         let status = node.status(world.now);
-                        let most = node.first_within(300_000) / 1000;
-                        assert!(status.for_ms <= most, "{status:?} waits for longer than {most} ms");
+                        let bound = node.max_time_to_first_admission(300_000) / 1000;
+                        assert!(status.for_ms <= bound, "{status:?} waits for longer than {bound} ms");
                     }
                 }
                 if seen.insert(world.key()) {
-                    next.extend(world.next());
+                    next.extend(world.successors());
                 }
             }
             front = next;
