--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -194,7 +194,7 @@
     if loaded.is_empty() && store.is_some() {
         issues.push("there is no record of a life before".into());
     }
-    let boot = loaded.latest().0.max(number(KEY_BOOT).unwrap_or(0)) + 1;
+    let boot = loaded.latest().boot.max(number(KEY_BOOT).unwrap_or(0)) + 1;
     if let Some(store) = &store {
         store.put(KEY_BOOT, boot.to_le_bytes().to_vec());
     }
@@ -221,8 +221,8 @@
     let Some(folder) = &settings.store else { return (None, Loaded::default()) };
     let (store, loaded) = Store::open(&StoreSettings {
         folder: PathBuf::from(folder),
-        every: Duration::from_micros(settings.commit_interval),
-        within: Duration::from_micros(settings.read_within),
+        commit_interval: Duration::from_micros(settings.commit_interval),
+        load_timeout: Duration::from_micros(settings.read_within),
         storage_fault: settings
             .storage_fault
             .as_ref()
@@ -589,10 +589,10 @@
                 warn!(own, now, "peers remember a later life of this node: its disk went back, or was lost");
                 self.shared.fleet.keep(KEY_BOOT, now.to_le_bytes().to_vec());
             }
-            MembershipEvent::SteppedBack => {
+            MembershipEvent::NameYielded => {
                 warn!("another process runs under this node's name: no peer is told anything")
             }
-            MembershipEvent::StoodStill(span) => warn!(ms = span / 1000, "this process has stood still"),
+            MembershipEvent::PauseDetected(span) => warn!(ms = span / 1000, "this process has stood still"),
         }
         false
     }
@@ -615,7 +615,7 @@
         let held = lock(&self.shared.fleet.left).clone();
         let here = self.fleet.peers.members().filter(|m| m.is_alive()).map(|m| &*m.name().0);
         let guardians = ReservationPublisher::backup_nodes(&self.shared.settings.name, here);
-        for word in wards.teller.tell(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
+        for word in wards.teller.publish_due(now, self.fleet.peers.incarnation().mark, &held, &guardians) {
             for guardian in &guardians {
                 self.fleet.peers.send_direct(&PeerName::from(guardian.as_str()), HELD, word.clone(), out);
             }
