--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -67,9 +67,9 @@
         lines += &format!(
             "\n  a bad engine costs the fleet {} failed attempts, and what is sent while word is on its way; no node \
              holds back more than {:.0}% of a kind\n    a verdict without evidence dies within {:.0} s",
-            verdicts.price(),
+            verdicts.attempts_until_ejection(),
             verdicts.max_ejection_fraction * 100.0,
-            verdicts.max_ejection_time() as f64 / 1e6
+            verdicts.max_time_without_evidence() as f64 / 1e6
         );
     }
     if let Some(regions) = &settings.failover {
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -91,9 +91,9 @@
         let fault = match outcome {
             Outcome::Served | Outcome::Read => None,
             Outcome::Unreachable => Some(Fault::Unreachable),
-            Outcome::ConnectionBroken => Some(Fault::Broke),
-            Outcome::TimedOut => Some(Fault::Late),
-            Outcome::Error => Some(Fault::Wrong),
+            Outcome::ConnectionBroken => Some(Fault::ConnectionBroken),
+            Outcome::TimedOut => Some(Fault::TimedOut),
+            Outcome::Error => Some(Fault::ErrorResponse),
             // A full engine, a state that is gone and what this node called off tell nothing of it.
             Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => return,
         };
@@ -130,7 +130,7 @@
         let accused = judging.verdicts.reported_engines(now);
         let report = judging.witness.report(now, &accused);
         let says: Vec<(EngineIncarnation, bool)> =
-            report.seen.iter().map(|s| (s.engine, s.bad_age < s.good_age)).collect();
+            report.observations.iter().map(|s| (s.engine, s.failure_age < s.success_age)).collect();
         let empty = says.is_empty() && judging.said.0.is_empty();
         if !empty && (says != judging.said.0 || now >= judging.said.1 + AGAIN) {
             // With nothing left to say the report is taken back.
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -17,12 +17,12 @@
     let verdict = EngineStatus {
         engine: "s-1".into(),
         fault: Some("fails"),
-        reach: Some(FaultScope::Zone("a".into())),
-        accusers: vec!["n0".into()],
-        clear: vec!["n1".into()],
-        step: Some("rests"),
-        held_back: true,
-        for_ms: 5,
+        scope: Some(FaultScope::Zone("a".into())),
+        reporters: vec!["n0".into()],
+        cleared_by: vec!["n1".into()],
+        recovery_step: Some("rests"),
+        ejected: true,
+        step_age_ms: 5,
     };
     let pool = PoolStatus { limit: 7, most: 12.0, lent: 3.0, wanted: 4.5, holders: vec![("n0".into(), 3.0)] };
     let got = [
--- /dev/null
+++ b/crates/pintally-outlier-detection/src/agreement.rs
@@ -0,0 +1,90 @@
+//! Agreement of the nodes on a fault of one engine and on its scope.
+
+use std::collections::BTreeSet;
+
+use serde::Serialize;
+
+use crate::detector::Node;
+use crate::evidence::EngineEvidence;
+use crate::observer::Fault;
+
+/// One node for which the engine works outweighs this many that report it.
+const SUCCESS_WEIGHT: usize = 4;
+
+/// Which nodes a fault of an engine concerns.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub enum FaultScope {
+    /// Only the links of the reporting nodes: the engine works for others.
+    Link,
+    /// The nodes of this zone.
+    Zone(String),
+    /// All nodes.
+    Everyone,
+}
+
+impl FaultScope {
+    /// Whether the scope is a reason for `node` to eject the engine. Faults of its own link a node handles
+    /// by itself.
+    pub(crate) fn concerns(&self, node: &Node) -> bool {
+        match self {
+            FaultScope::Everyone => true,
+            FaultScope::Zone(zone) => *zone == node.zone,
+            FaultScope::Link => false,
+        }
+    }
+}
+
+/// A node that reports a fault of an engine.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Reporter<'a> {
+    pub(crate) node: &'a Node,
+    pub(crate) evidence: EngineEvidence,
+}
+
+/// All current reports about one engine.
+#[derive(Clone, Debug)]
+pub(crate) struct EngineReports<'a> {
+    /// Nodes that report a fault.
+    pub(crate) reporters: Vec<Reporter<'a>>,
+    /// Nodes for which the engine worked after the first of these faults.
+    pub(crate) cleared_by: Vec<&'a Node>,
+}
+
+impl EngineReports<'_> {
+    /// The scope of the fault if `min_reporters` are needed; `None` if no node reports one.
+    pub(crate) fn scope(&self, min_reporters: usize) -> Option<FaultScope> {
+        if self.reporters.is_empty() {
+            return None;
+        }
+        let agree = |reporters: usize, cleared_by: usize| {
+            reporters >= min_reporters && reporters >= SUCCESS_WEIGHT * cleared_by
+        };
+        if agree(self.reporters.len(), self.cleared_by.len()) {
+            return Some(FaultScope::Everyone);
+        }
+        let zones: BTreeSet<&str> =
+            self.reporters.iter().map(|reporter| reporter.node.zone.as_str()).collect();
+        let zone = zones.into_iter().find(|zone| {
+            let reporters = self.reporters.iter().filter(|reporter| reporter.node.zone == *zone).count();
+            let cleared_by = self.cleared_by.iter().filter(|node| node.zone == *zone).count();
+            agree(reporters, cleared_by)
+        });
+        Some(zone.map_or(FaultScope::Link, |zone| FaultScope::Zone(zone.to_string())))
+    }
+
+    /// Whether the engine works for a node.
+    pub(crate) fn is_cleared_by(&self, node: &Node) -> bool {
+        self.cleared_by.iter().any(|other| other.name == node.name)
+    }
+
+    /// Whether any reporter's last attempt timed out.
+    pub(crate) fn any_timeout(&self) -> bool {
+        self.reporters.iter().any(|reporter| reporter.evidence.fault == Some(Fault::TimedOut))
+    }
+
+    /// The fault that was seen last.
+    pub(crate) fn last_fault(&self) -> Option<Fault> {
+        let last = self.reporters.iter().max_by_key(|reporter| reporter.evidence.last_failure)?;
+        last.evidence.fault
+    }
+}
--- a/crates/pintally-outlier-detection/src/evidence.rs
+++ b/crates/pintally-outlier-detection/src/evidence.rs
@@ -1,53 +1,58 @@
-//! What one node says of one engine, as it is weighed here.
-
-use serde::Serialize;
+//! The latest evidence of one node about one engine.
 
 use crate::observer::Fault;
-use crate::report::Observation;
+use crate::report::{Observation, AGE_UNIT_MICROS};
 use crate::settings::Settings;
 use crate::Micros;
 
-/// How far a failure reaches.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub enum FaultScope {
-    /// Some nodes' own links: others are well with it.
-    Link,
-    /// The nodes of this zone.
-    Zone(String),
-    /// Everyone.
-    Everyone,
-}
+/// Timeouts have many causes besides a bad engine, so they need this many times the failures.
+const TIMEOUT_THRESHOLD_FACTOR: u32 = 2;
 
-/// What one node says of one engine.
+/// Consecutive failures and successes of one engine as one node reported them, on the local clock.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Word {
-    pub(crate) bad: u8,
-    pub(crate) bad_at: Micros,
-    pub(crate) good: u8,
-    pub(crate) good_at: Micros,
-    pub(crate) fault: u8,
+pub(crate) struct EngineEvidence {
+    failures: u8,
+    /// When the last failure was seen; 0 if none was.
+    pub(crate) last_failure: Micros,
+    successes: u8,
+    /// When the last success was seen; 0 if none was.
+    pub(crate) last_success: Micros,
+    /// The kind of the last failure.
+    pub(crate) fault: Option<Fault>,
 }
 
-impl Word {
-    /// As it was told at a time, by this node's clock. What was never seen is told as the greatest age.
-    pub(crate) fn told(now: Micros, seen: &Observation) -> Word {
-        let at = |age: u16| if age == u16::MAX { 0 } else { now.saturating_sub(u64::from(age) * 10_000) };
-        let (bad_at, good_at) = (at(seen.bad_age), at(seen.good_age));
-        Word { bad: seen.bad, bad_at, good: seen.good, good_at, fault: seen.fault }
+impl EngineEvidence {
+    /// Converts the ages of an observation that was received at `now` to times of the local clock. The
+    /// greatest age stands for an event that was never seen.
+    pub(crate) fn received(now: Micros, observation: &Observation) -> EngineEvidence {
+        let time_of = |age: u16| match age {
+            u16::MAX => 0,
+            age => now.saturating_sub(u64::from(age) * AGE_UNIT_MICROS),
+        };
+        EngineEvidence {
+            failures: observation.failures,
+            last_failure: time_of(observation.failure_age),
+            successes: observation.successes,
+            last_success: time_of(observation.success_age),
+            fault: Fault::from_number(observation.fault),
+        }
     }
 
-    pub(crate) fn accuses(&self, now: Micros, settings: &Settings) -> bool {
-        // Lateness has many reasons: it takes twice as many.
-        let late = Fault::of(self.fault) == Some(Fault::Late);
-        let strikes = if late { 2 * settings.consecutive_failures } else { settings.consecutive_failures };
-        u32::from(self.bad) >= strikes
-            && self.bad_at > self.good_at
-            && now.saturating_sub(self.bad_at) <= settings.evidence_retention
+    /// Whether the node saw enough consecutive failures, recently, to report the engine as an outlier.
+    pub(crate) fn reports_failure(&self, now: Micros, settings: &Settings) -> bool {
+        let threshold = match self.fault {
+            Some(Fault::TimedOut) => TIMEOUT_THRESHOLD_FACTOR * settings.consecutive_failures,
+            _ => settings.consecutive_failures,
+        };
+        u32::from(self.failures) >= threshold
+            && self.last_failure > self.last_success
+            && now.saturating_sub(self.last_failure) <= settings.evidence_retention
     }
 
-    pub(crate) fn clears(&self, now: Micros, settings: &Settings) -> bool {
-        self.good > 0
-            && self.good_at > self.bad_at
-            && now.saturating_sub(self.good_at) <= settings.evidence_retention
+    /// Whether the node's last attempt succeeded, recently.
+    pub(crate) fn reports_success(&self, now: Micros, settings: &Settings) -> bool {
+        self.successes > 0
+            && self.last_success > self.last_failure
+            && now.saturating_sub(self.last_success) <= settings.evidence_retention
     }
 }
--- a/crates/pintally-outlier-detection/src/lib.rs
+++ b/crates/pintally-outlier-detection/src/lib.rs
@@ -1,38 +1,46 @@
-//! What the nodes of a fleet believe of engines, from what each of them saw.
+//! Outlier detection of engines by the merged evidence of all nodes of a fleet; no input or output.
 //!
-//! A [`Observer`] counts how a node's own attempts ended, by engine and start, and makes a small report of
-//! it. [`OutlierDetector`] merges the reports of all nodes: an engine is held back where enough nodes that are
-//! sound accuse it and few clear it, and comes back by one trial for the whole fleet, then in steps. All
-//! nodes work this out alike from the same reports; none waits for another. `docs/verdicts.md` has the
-//! rules and bounds.
+//! An [`Observer`] counts the outcomes of a node's own attempts by engine incarnation and makes a small report
+//! of them. An [`OutlierDetector`] merges the reports of all nodes: an engine is ejected where enough reliable
+//! nodes report it and few are served by it, and it recovers by one trial for the whole fleet, then in steps.
+//! All nodes reach the same decisions from the same reports; none waits for another.
+//! `docs/outlier-detection.md` has the rules and bounds.
 
+#![deny(missing_docs)]
+
+mod agreement;
 mod detector;
+mod ejection;
+mod endpoints;
 mod evidence;
 mod observer;
 mod recovery_ramp;
 mod report;
+mod reports;
 mod settings;
+mod status;
 
-pub use detector::{EngineStatus, ListedEngine, Node, OutlierDetector, Status};
-pub use evidence::FaultScope;
+pub use agreement::FaultScope;
+pub use detector::{ListedEngine, Node, OutlierDetector};
 pub use observer::{Fault, Observer};
 pub use pintally_validation::InvalidConfiguration;
 pub use report::{Observation, OutlierReport, MAX_OBSERVATIONS};
 pub use settings::Settings;
+pub use status::{EngineStatus, Status};
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Microseconds of a clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// One life of one engine: what stands for its name, its address and its start together. Word of an
-/// engine that was replaced under the same name or address is not word of the one that is there.
+/// One incarnation of an engine: a hash of its name, its address and its start. Evidence of an engine that was
+/// replaced under the same name or address is not evidence of its successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineIncarnation(pub u64);
 
 impl EngineIncarnation {
-    /// The life of an engine at an address that started at a Unix time in milliseconds, as listed.
+    /// The incarnation of a listed engine that started at a Unix time in milliseconds.
     pub fn of(name: &str, address: &str, started_unix_ms: u64) -> EngineIncarnation {
         let mut bytes = Vec::with_capacity(name.len() + address.len() + 10);
         bytes.extend_from_slice(name.as_bytes());
--- a/crates/pintally-outlier-detection/src/observer.rs
+++ b/crates/pintally-outlier-detection/src/observer.rs
@@ -1,117 +1,155 @@
-//! What a node itself sees of engines.
+//! Outcomes of this node's own attempts, counted by engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::report::{Observation, OutlierReport, MAX_OBSERVATIONS};
+use crate::report::{Observation, OutlierReport, AGE_UNIT_MICROS, MAX_OBSERVATIONS, MAX_REPORTED_ZONES};
 use crate::settings::Settings;
 use crate::{EngineIncarnation, Micros};
 
-/// How an engine failed.
+/// How an attempt at an engine failed. The numbers are sent in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It could not be reached.
+    /// No connection could be established.
     Unreachable = 1,
-    /// It broke off.
-    Broke = 2,
-    /// It did not answer in time.
-    Late = 3,
-    /// It answered that it failed, or wrongly.
-    Wrong = 4,
+    /// The connection broke during the attempt.
+    ConnectionBroken = 2,
+    /// The engine did not answer in time.
+    TimedOut = 3,
+    /// The engine answered with an error, or with a malformed response.
+    ErrorResponse = 4,
 }
 
 impl Fault {
-    /// By its number.
-    pub(crate) fn of(number: u8) -> Option<Fault> {
-        [Fault::Unreachable, Fault::Broke, Fault::Late, Fault::Wrong].into_iter().find(|f| *f as u8 == number)
+    /// The fault of a number in a report; `None` if the number is unknown.
+    pub(crate) fn from_number(number: u8) -> Option<Fault> {
+        [Fault::Unreachable, Fault::ConnectionBroken, Fault::TimedOut, Fault::ErrorResponse]
+            .into_iter()
+            .find(|fault| *fault as u8 == number)
     }
 
-    /// In words.
-    pub fn word(self) -> &'static str {
+    /// The description in the status document.
+    pub fn description(self) -> &'static str {
         match self {
             Fault::Unreachable => "cannot be reached",
-            Fault::Broke => "breaks off",
-            Fault::Late => "does not answer in time",
-            Fault::Wrong => "answers wrongly",
+            Fault::ConnectionBroken => "breaks off",
+            Fault::TimedOut => "does not answer in time",
+            Fault::ErrorResponse => "answers wrongly",
         }
     }
 }
 
+/// Outcomes of this node's attempts at one engine.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct AttemptCounts {
     zone: u32,
-    bad: u8,
-    good: u8,
-    bad_at: Micros,
-    good_at: Micros,
+    failures: u8,
+    successes: u8,
+    last_failure: Micros,
+    last_success: Micros,
+    /// The number of the last fault; 0 if there was none.
     fault: u8,
 }
 
-/// A node's own evidence.
+impl AttemptCounts {
+    fn record_failure(&mut self, now: Micros, fault: Fault) {
+        // Only failures without a success between them count as consecutive.
+        if self.last_success > self.last_failure {
+            self.failures = 0;
+        }
+        self.failures = self.failures.saturating_add(1);
+        self.last_failure = now;
+        self.fault = fault as u8;
+    }
+
+    fn record_success(&mut self, now: Micros) {
+        if self.last_failure > self.last_success {
+            self.successes = 0;
+        }
+        self.successes = self.successes.saturating_add(1);
+        self.last_success = now;
+    }
+
+    fn last_attempt(&self) -> Micros {
+        self.last_failure.max(self.last_success)
+    }
+
+    /// Whether the last attempt failed, within the evidence retention.
+    fn is_failing(&self, now: Micros, retention: Micros) -> bool {
+        self.last_failure > self.last_success && now.saturating_sub(self.last_failure) <= retention
+    }
+
+    fn observation(&self, now: Micros, engine: EngineIncarnation) -> Observation {
+        let age = |at: Micros| (now.saturating_sub(at) / AGE_UNIT_MICROS).min(u64::from(u16::MAX)) as u16;
+        Observation {
+            engine,
+            failures: self.failures,
+            successes: self.successes,
+            failure_age: age(self.last_failure),
+            success_age: age(self.last_success),
+            fault: self.fault,
+        }
+    }
+}
+
+/// Counts the outcomes of this node's own attempts and reports them to the other nodes.
 #[derive(Clone, Debug)]
 pub struct Observer {
     settings: Settings,
-    counts: BTreeMap<EngineIncarnation, Count>,
+    counts: BTreeMap<EngineIncarnation, AttemptCounts>,
 }
 
 impl Observer {
-    /// One that has seen nothing.
+    /// An observer that has seen no attempt.
     pub fn new(settings: Settings) -> Observer {
         Observer { settings, counts: BTreeMap::new() }
     }
 
-    /// An attempt has ended well, or by a fault. `zone` stands for the engine's zone.
+    /// Records the end of an attempt: a success, or a fault. `zone` is the number of the engine's zone.
     pub fn record(&mut self, now: Micros, engine: EngineIncarnation, zone: u32, fault: Option<Fault>) {
-        let count = self.counts.entry(engine).or_default();
-        count.zone = zone;
+        let counts = self.counts.entry(engine).or_default();
+        counts.zone = zone;
         match fault {
-            Some(fault) => {
-                // A failure after a success begins anew: strikes are failures in a row.
-                if count.good_at > count.bad_at {
-                    count.bad = 0;
-                }
-                (count.bad, count.bad_at) = (count.bad.saturating_add(1), now);
-                count.fault = fault as u8;
-            }
-            None => {
-                if count.bad_at > count.good_at {
-                    count.good = 0;
-                }
-                (count.good, count.good_at) = (count.good.saturating_add(1), now);
-            }
+            Some(fault) => counts.record_failure(now, fault),
+            None => counts.record_success(now),
         }
     }
 
-    /// What it saw of an engine is forgotten.
+    /// Forgets what was seen of an engine.
     pub fn clear(&mut self, engine: EngineIncarnation) {
         self.counts.remove(&engine);
     }
 
-    /// Its report: engines that fail it, and what it saw of those that `others` accuse.
-    pub fn report(&mut self, now: Micros, others: &BTreeSet<EngineIncarnation>) -> OutlierReport {
-        let memory = self.settings.evidence_retention;
-        self.counts.retain(|_, c| now.saturating_sub(c.bad_at.max(c.good_at)) <= memory);
-        let fails = |c: &Count| c.bad_at > c.good_at && now.saturating_sub(c.bad_at) <= memory;
-        let mut report = OutlierReport::default();
-        let mut zones: BTreeMap<u32, (u8, u8)> = BTreeMap::new();
-        for count in self.counts.values() {
-            let zone = zones.entry(count.zone).or_default();
-            zone.0 = zone.0.saturating_add(1);
-            zone.1 = zone.1.saturating_add(u8::from(fails(count)));
-        }
-        report.zones =
-            zones.into_iter().take(16).map(|(zone, (used, failing))| (zone, used, failing)).collect();
-        let wanted = self.counts.iter().filter(|(e, c)| fails(c) || others.contains(e));
-        let mut seen: Vec<Observation> = wanted
-            .map(|(engine, c)| {
-                let age = |at: Micros| (now.saturating_sub(at) / 10_000).min(u64::from(u16::MAX)) as u16;
-                let (bad_age, good_age) = (age(c.bad_at), age(c.good_at));
-                Observation { engine: *engine, bad: c.bad, good: c.good, bad_age, good_age, fault: c.fault }
+    /// This node's report: the engines that fail for it, and what it saw of `reported_by_others`.
+    pub fn report(&mut self, now: Micros, reported_by_others: &BTreeSet<EngineIncarnation>) -> OutlierReport {
+        let retention = self.settings.evidence_retention;
+        self.counts.retain(|_, counts| now.saturating_sub(counts.last_attempt()) <= retention);
+        let mut observations: Vec<Observation> = self
+            .counts
+            .iter()
+            .filter(|(engine, counts)| {
+                counts.is_failing(now, retention) || reported_by_others.contains(engine)
             })
+            .map(|(engine, counts)| counts.observation(now, *engine))
             .collect();
-        // The freshest failures first, then the freshest words in favour.
-        seen.sort_by_key(|s| (s.bad_age.min(s.good_age), s.engine));
-        seen.truncate(MAX_OBSERVATIONS);
-        report.seen = seen;
-        report
+        // The most recent evidence is reported first; the oldest is cut off.
+        observations.sort_by_key(|seen| (seen.failure_age.min(seen.success_age), seen.engine));
+        observations.truncate(MAX_OBSERVATIONS);
+        OutlierReport { observations, zones: self.zone_usage(now) }
+    }
+
+    /// By zone: how many engines were used, and how many of them are failing.
+    fn zone_usage(&self, now: Micros) -> Vec<(u32, u8, u8)> {
+        let mut zones: BTreeMap<u32, (u8, u8)> = BTreeMap::new();
+        for counts in self.counts.values() {
+            let (used, failing) = zones.entry(counts.zone).or_default();
+            let is_failing = counts.is_failing(now, self.settings.evidence_retention);
+            *used = used.saturating_add(1);
+            *failing = failing.saturating_add(u8::from(is_failing));
+        }
+        zones
+            .into_iter()
+            .take(MAX_REPORTED_ZONES)
+            .map(|(zone, (used, failing))| (zone, used, failing))
+            .collect()
     }
 }
--- a/crates/pintally-outlier-detection/src/recovery_ramp.rs
+++ b/crates/pintally-outlier-detection/src/recovery_ramp.rs
@@ -1,63 +1,132 @@
-//! The way back of one engine: rest, one trial for the fleet, a quarter of the nodes, everyone.
+//! Recovery of an ejected engine: ejection time, one trial for the whole fleet, a quarter of the nodes, all
+//! nodes.
 
 use crate::settings::Settings;
 use crate::Micros;
 
-/// Where an engine stands.
+/// Each failure during recovery multiplies the ejection time by this.
+const EJECTION_TIME_FACTOR: u64 = 2;
+
+/// The trial ends without evidence after this many ejection times.
+const MAX_TRIAL_EJECTION_TIMES: u64 = 2;
+
+/// At the partial step one node in this many may use the engine.
+const PARTIAL_STEP_DIVISOR: usize = 4;
+
+/// A step of the recovery ramp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    /// Nobody sends to it.
-    Rests,
-    /// One node tries it.
+pub(crate) enum RampStep {
+    /// No node may use the engine.
+    Ejected,
+    /// One node of the fleet may.
     Trial,
-    /// A quarter of the nodes do.
-    Quarter,
-    /// Everyone may; it is remembered that it failed.
-    Back,
+    /// A quarter of the nodes may.
+    Partial,
+    /// All nodes may; the last ejection time is remembered in case the engine fails again.
+    Recovered,
+}
+
+impl RampStep {
+    /// The name in the status document.
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            RampStep::Ejected => "rests",
+            RampStep::Trial => "on trial",
+            RampStep::Partial => "a quarter",
+            RampStep::Recovered => "back",
+        }
+    }
+}
+
+/// The fleet's evidence of an engine since its current ramp step began.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RampEvidence {
+    /// At least one node reports a failure.
+    Failure,
+    /// No node reports a failure, and at least one reports a success.
+    Success,
+    /// No node reports anything.
+    Nothing,
+}
+
+/// What is to be done with a ramp after its evidence was applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RampProgress {
+    /// The engine is still recovering.
+    Recovering,
+    /// The engine worked long enough for its ejection to be forgotten.
+    Forgotten,
 }
 
-/// An engine that was held back, from its verdict until it is forgotten.
+/// The recovery ramp of one engine, from its ejection until that is forgotten.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WayBack {
-    pub(crate) step: Step,
-    /// Since when it is at this step.
+pub(crate) struct RecoveryRamp {
+    pub(crate) step: RampStep,
+    /// When the current step began.
     pub(crate) since: Micros,
-    /// How long it rests.
-    pub(crate) rest: Micros,
+    ejection_time: Micros,
 }
 
-impl WayBack {
-    pub(crate) fn new(now: Micros, settings: &Settings) -> WayBack {
-        WayBack { step: Step::Rests, since: now, rest: settings.base_ejection_time }
+impl RecoveryRamp {
+    /// The ramp of an engine that is ejected now.
+    pub(crate) fn new(now: Micros, settings: &Settings) -> RecoveryRamp {
+        RecoveryRamp { step: RampStep::Ejected, since: now, ejection_time: settings.base_ejection_time }
     }
 
-    /// Word of it since the step began: fresh failures, or a success. Whether it is forgotten.
-    pub(crate) fn hear(&mut self, now: Micros, accused: bool, cleared: bool, settings: &Settings) -> bool {
-        let (at, go) = (now.saturating_sub(self.since), |step| WayBack { step, since: now, rest: self.rest });
-        *self = match self.step {
-            Step::Rests if at >= self.rest => go(Step::Trial),
-            Step::Rests => *self,
-            _ if accused => {
-                let rest = (2 * self.rest).min(settings.max_ejection_time);
-                WayBack { step: Step::Rests, since: now, rest }
+    /// Takes the next step if the time and the evidence since the current step began allow it.
+    pub(crate) fn advance(
+        &mut self,
+        now: Micros,
+        evidence: RampEvidence,
+        settings: &Settings,
+    ) -> RampProgress {
+        let elapsed = now.saturating_sub(self.since);
+        match self.step {
+            RampStep::Ejected => {
+                if elapsed >= self.ejection_time {
+                    self.enter(now, RampStep::Trial);
+                }
+            }
+            _ if evidence == RampEvidence::Failure => self.eject_again(now, settings),
+            RampStep::Trial => {
+                // The trial passes without evidence in the end: where no node had a request for the
+                // engine, the ejection must end by itself.
+                let timeout = MAX_TRIAL_EJECTION_TIMES * self.ejection_time;
+                if evidence == RampEvidence::Success || elapsed >= timeout {
+                    self.enter(now, RampStep::Partial);
+                }
+            }
+            RampStep::Partial => {
+                if elapsed >= settings.ramp_step {
+                    self.enter(now, RampStep::Recovered);
+                }
+            }
+            RampStep::Recovered => {
+                if elapsed >= settings.max_ejection_time {
+                    return RampProgress::Forgotten;
+                }
             }
-            // Where nobody has had anything to send to it, the next node has its turn, and in the end
-            // the verdict dies by itself.
-            Step::Trial if cleared || at >= 2 * self.rest => go(Step::Quarter),
-            Step::Quarter if at >= settings.ramp_step => go(Step::Back),
-            Step::Back if at >= settings.max_ejection_time => return true,
-            _ => *self,
-        };
-        false
+        }
+        RampProgress::Recovering
+    }
+
+    fn enter(&mut self, now: Micros, step: RampStep) {
+        self.step = step;
+        self.since = now;
+    }
+
+    fn eject_again(&mut self, now: Micros, settings: &Settings) {
+        self.ejection_time = (EJECTION_TIME_FACTOR * self.ejection_time).min(settings.max_ejection_time);
+        self.enter(now, RampStep::Ejected);
     }
 
-    /// Of so many nodes, those whose turn comes before this number may send to it.
-    pub(crate) fn lets_in(&self, nodes: usize) -> usize {
+    /// How many of `nodes` may use the engine at this step.
+    pub(crate) fn admitted_nodes(&self, nodes: usize) -> usize {
         match self.step {
-            Step::Rests => 0,
-            Step::Trial => 1,
-            Step::Quarter => nodes.div_ceil(4),
-            Step::Back => nodes,
+            RampStep::Ejected => 0,
+            RampStep::Trial => 1,
+            RampStep::Partial => nodes.div_ceil(PARTIAL_STEP_DIVISOR),
+            RampStep::Recovered => nodes,
         }
     }
 }
--- a/crates/pintally-outlier-detection/src/report.rs
+++ b/crates/pintally-outlier-detection/src/report.rs
@@ -1,47 +1,61 @@
-//! A node's report, as it is spread.
+//! The outlier report of one node, as it is gossiped.
 
 use serde::{Deserialize, Serialize};
 
 use crate::EngineIncarnation;
 
-/// Engines in one report at the most: it fits into a fact.
+/// Most engines in one report, so that it fits into one gossiped fact.
 pub const MAX_OBSERVATIONS: usize = 18;
 
-/// What a node saw of one engine lately.
+/// Most zones in one report, so that it fits into one gossiped fact.
+pub(crate) const MAX_REPORTED_ZONES: usize = 16;
+
+/// The unit of the ages in an [`Observation`]: 10 ms, in microseconds.
+pub(crate) const AGE_UNIT_MICROS: u64 = 10_000;
+
+/// What a node saw recently of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Which.
+    /// The observed engine.
     pub engine: EngineIncarnation,
-    /// Failures and successes within the memory.
-    pub bad: u8,
-    /// Successes.
-    pub good: u8,
-    /// How long ago the last of each was, in units of 10 ms.
-    pub bad_age: u16,
-    /// The same of successes.
-    pub good_age: u16,
-    /// The kind of the last failure, as a number.
+    /// Consecutive failures within the evidence retention.
+    #[serde(rename = "bad")]
+    pub failures: u8,
+    /// Consecutive successes within the evidence retention.
+    #[serde(rename = "good")]
+    pub successes: u8,
+    /// Age of the last failure, in units of 10 ms; `u16::MAX` if there was none.
+    #[serde(rename = "bad_age")]
+    pub failure_age: u16,
+    /// Age of the last success, in units of 10 ms; `u16::MAX` if there was none.
+    #[serde(rename = "good_age")]
+    pub success_age: u16,
+    /// The kind of the last failure, as the number of a [`Fault`](crate::Fault); 0 if there was none.
     pub fault: u8,
 }
 
-/// What a node says of engines.
+/// What a node saw recently of all engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutlierReport {
-    /// Engines that failed it, and those that others accuse and that it saw work.
-    pub seen: Vec<Observation>,
-    /// By zone of engines: how many it used lately, and how many of them fail it.
+    /// Engines whose last attempt by this node failed, and engines that other nodes report and that this
+    /// node used.
+    #[serde(rename = "seen")]
+    pub observations: Vec<Observation>,
+    /// By zone of engines: the zone's number, how many engines the node used recently, and the last attempt
+    /// at how many of them failed.
     pub zones: Vec<(u32, u8, u8)>,
 }
 
 impl OutlierReport {
-    /// As bytes, within the bound of a fact.
+    /// Encodes the report, within the bound of a gossiped fact.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a report; nothing if it is none, or too long.
+    /// Decodes a report; `None` if the bytes are malformed or the report is too long.
     pub fn decode(bytes: &[u8]) -> Option<OutlierReport> {
         let report: OutlierReport = postcard::from_bytes(bytes).ok()?;
-        (report.seen.len() <= MAX_OBSERVATIONS && report.zones.len() <= 16).then_some(report)
+        let fits = report.observations.len() <= MAX_OBSERVATIONS && report.zones.len() <= MAX_REPORTED_ZONES;
+        fits.then_some(report)
     }
 }
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -1,27 +1,27 @@
-//! The figures of verdicts.
+//! Settings of outlier detection.
 
 use pintally_validation::{ensure, InvalidConfiguration};
 
 use crate::Micros;
 
-/// The figures of verdicts. Times in microseconds.
+/// Settings of outlier detection. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Evidence counts for so long.
+    /// How long evidence counts.
     pub evidence_retention: Micros,
-    /// A node accuses after so many failures that no success has followed.
+    /// A node reports an engine after this many consecutive failures.
     pub consecutive_failures: u32,
-    /// So many sound nodes must accuse; in a fleet of one or two, one.
+    /// How many reliable nodes must report an engine; one is enough in a fleet of one or two nodes.
     pub min_reporters: usize,
-    /// An engine that is held back rests for so long before its trial; doubled each time it fails again.
+    /// Time from an ejection to the trial; doubled each time the engine fails again.
     pub base_ejection_time: Micros,
-    /// And no longer than this.
+    /// Upper bound of the doubled ejection time.
     pub max_ejection_time: Micros,
-    /// How long a step of the way back lasts.
+    /// Duration of a step of the recovery ramp.
     pub ramp_step: Micros,
-    /// Of the engines of one kind no more than this part is held back at once.
+    /// Greatest fraction of the engines of one kind that a node ejects at once.
     pub max_ejection_fraction: f64,
-    /// From this part of the engines that a node uses on, its failures tell of itself.
+    /// If this fraction of the engines that a node uses fail for it, the cause is taken to be the node.
     pub self_doubt_fraction: f64,
 }
 
@@ -41,7 +41,11 @@
 }
 
 impl Settings {
-    /// Checks that the figures go together.
+    /// Checks that the settings are consistent.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidConfiguration`] names the violated rule.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
         ensure(self.consecutive_failures != 0, "no failure at all accuses an engine")?;
         ensure(self.min_reporters != 0, "nobody needs to accuse an engine")?;
@@ -60,15 +64,14 @@
         ensure((0.1..=1.0).contains(&self.self_doubt_fraction), "one failure would tell of the node itself")
     }
 
-    /// Failed attempts that the whole fleet pays until an engine is held back, beside what is sent while
-    /// the reports are on their way.
-    pub fn price(&self) -> u32 {
+    /// Failed attempts of the whole fleet until an engine is ejected, besides those made while the reports are
+    /// still on their way.
+    pub fn attempts_until_ejection(&self) -> u32 {
         self.consecutive_failures * self.min_reporters as u32
     }
 
-    /// The longest time for which a verdict outlives all evidence: nobody tries the engine, and it comes
-    /// back by itself.
-    pub fn max_ejection_time(&self) -> Micros {
+    /// The longest time for which an engine that no node tries stays ejected after the last evidence.
+    pub fn max_time_without_evidence(&self) -> Micros {
         self.evidence_retention + 2 * self.max_ejection_time + 2 * self.ramp_step
     }
 }
--- a/crates/pintally-outlier-detection/tests/golden.rs
+++ b/crates/pintally-outlier-detection/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A node's report as bytes: nodes of different builds read each other's.
+//! Encoded outlier reports: nodes of different builds decode each other's.
 
 use pintally_outlier_detection::{EngineIncarnation, Fault, Observation, Observer, OutlierReport, Settings};
 
@@ -17,13 +17,13 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-fn seen(engine: u64, fault: u8) -> Observation {
+fn observation(engine: u64, fault: u8) -> Observation {
     Observation {
         engine: EngineIncarnation(engine),
-        bad: 3,
-        good: 255,
-        bad_age: 300,
-        good_age: u16::MAX,
+        failures: 3,
+        successes: 255,
+        failure_age: 300,
+        success_age: u16::MAX,
         fault,
     }
 }
@@ -31,7 +31,7 @@
 #[test]
 fn report_bytes_are_stable() {
     let full = OutlierReport {
-        seen: vec![seen(u64::MAX, 1), seen(1, 4)],
+        observations: vec![observation(u64::MAX, 1), observation(1, 4)],
         zones: vec![(u32::MAX, 200, 3), (0, 1, 0)],
     };
     for (name, report) in [("report", full), ("report_empty", OutlierReport::default())] {
@@ -40,21 +40,21 @@
     }
 }
 
-/// What a witness has counted is told with the numbers of its faults.
+/// An observer reports the numbers of its faults.
 #[test]
-fn witness_report_bytes_are_stable() {
-    let mut witness = Observer::new(Settings::default());
-    let faults = [Fault::Unreachable, Fault::Broke, Fault::Late, Fault::Wrong];
+fn observer_report_bytes_are_stable() {
+    let mut observer = Observer::new(Settings::default());
+    let faults = [Fault::Unreachable, Fault::ConnectionBroken, Fault::TimedOut, Fault::ErrorResponse];
     for (engine, fault) in (1..).zip(faults) {
-        witness.record(engine * 10_000, EngineIncarnation(engine), 7, Some(fault));
+        observer.record(engine * 10_000, EngineIncarnation(engine), 7, Some(fault));
     }
-    let report = witness.report(100_000, &Default::default());
+    let report = observer.report(100_000, &Default::default());
     assert_bytes("witness_report", &report.encode());
     assert_eq!(OutlierReport::decode(&golden("witness_report")), Some(report));
 }
 
 #[test]
-fn engine_life_hash_is_stable() {
-    let life = EngineIncarnation::of("engine-a", "10.0.0.1:8000", 1_700_000_000_123);
-    assert_bytes("engine_life", &life.0.to_be_bytes());
+fn engine_incarnation_hash_is_stable() {
+    let incarnation = EngineIncarnation::of("engine-a", "10.0.0.1:8000", 1_700_000_000_123);
+    assert_bytes("engine_life", &incarnation.0.to_be_bytes());
 }
