--- a/crates/pintally-failover/src/flow.rs
+++ b/crates/pintally-failover/src/flow.rs
@@ -1,99 +1,150 @@
-//! How much goes where: a flow of least cost from zones that lack room to zones that offer some.
+//! Placement of requests: a minimum-cost flow from zones that lack capacity to zones with spare capacity.
 //!
-//! Exact, by successive cheapest paths (Ahuja, Magnanti and Orlin, *Network Flows*, 1993): with at most 20
-//! zones a path is found by relaxation over a matrix, and there are at most as many as pairs.
+//! Exact, by successive shortest paths (Ahuja, Magnanti and Orlin, *Network Flows*, 1993): with at most 20
+//! zones a path is found by relaxation over a matrix, and there are at most as many paths as pairs of zones.
 
-/// Below this an amount is nothing.
-const NONE: f64 = 1e-9;
+/// Smaller amounts and differences are rounding errors.
+const EPSILON: f64 = 1e-9;
 
-/// What goes where.
+/// Marks a vertex that no path reaches.
+const NO_VERTEX: usize = usize::MAX;
+
+/// A placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowAssignment {
-    /// From each zone to each: how much.
+    /// From each zone to each zone: the amount.
     pub flow: Vec<Vec<f64>>,
-    /// Of each zone what found no room.
-    pub left: Vec<f64>,
-    /// Sum of amounts times prices.
+    /// By zone: the amount that found no capacity.
+    pub unplaced: Vec<f64>,
+    /// The sum of amounts times prices.
     pub cost: f64,
 }
 
-/// Places what each zone needs into what each offers, at the least cost, and as much of it as can be.
+/// Places as much as possible of what each zone needs in the spare capacity of the others, at the least cost.
 /// A price that is not finite forbids the pair.
-pub fn place(needs: &[f64], offers: &[f64], price: impl Fn(usize, usize) -> f64) -> FlowAssignment {
-    let n = needs.len().min(offers.len());
-    let mut left: Vec<f64> = needs[..n].to_vec();
-    let mut room: Vec<f64> = offers[..n].to_vec();
-    let mut flow = vec![vec![0.0f64; n]; n];
-    // Each round sends along one cheapest path; a path may take back what was sent before.
-    for _ in 0..4 * n * n {
-        let Some((path, amount)) = cheapest(&left, &room, &flow, &price) else { break };
-        for step in path.windows(2) {
-            match (step[0] < n, step[1] < n) {
-                (true, false) => flow[step[0]][step[1] - n] += amount,
-                _ => flow[step[1]][step[0] - n] -= amount,
-            }
-        }
-        if let (Some(first), Some(last)) = (path.first(), path.last()) {
-            left[*first] -= amount;
-            room[*last - n] -= amount;
+pub fn place(needs: &[f64], spare: &[f64], price: impl Fn(usize, usize) -> f64) -> FlowAssignment {
+    let zones = needs.len().min(spare.len());
+    let mut unplaced: Vec<f64> = needs[..zones].to_vec();
+    let mut spare: Vec<f64> = spare[..zones].to_vec();
+    let mut flow = vec![vec![0.0f64; zones]; zones];
+    for _ in 0..4 * zones * zones {
+        let Some((path, amount)) = cheapest_path(&unplaced, &spare, &flow, &price) else { break };
+        augment(&mut flow, &path, amount);
+        if let (Some(source), Some(target)) = (path.first(), path.last()) {
+            unplaced[*source] -= amount;
+            spare[*target - zones] -= amount;
         }
     }
     let mut cost = 0.0;
     for (from, row) in flow.iter_mut().enumerate() {
         for (to, amount) in row.iter_mut().enumerate() {
-            if *amount < NONE {
+            if *amount < EPSILON {
                 *amount = 0.0;
             } else {
                 cost += *amount * price(from, to);
             }
         }
     }
-    left.iter_mut().for_each(|l| *l = l.max(0.0));
-    FlowAssignment { flow, left, cost }
+    unplaced.iter_mut().for_each(|amount| *amount = amount.max(0.0));
+    FlowAssignment { flow, unplaced, cost }
 }
 
-/// The cheapest path from a zone that needs (0..n) to one that offers (n..2n), and how much it carries.
-fn cheapest(
-    left: &[f64],
-    room: &[f64],
-    flow: &[Vec<f64>],
-    price: &impl Fn(usize, usize) -> f64,
-) -> Option<(Vec<usize>, f64)> {
-    let n = left.len();
-    let mut cost: Vec<f64> =
-        (0..2 * n).map(|v| if v < n && left[v] > NONE { 0.0 } else { f64::INFINITY }).collect();
-    let mut before = vec![usize::MAX; 2 * n];
-    for _ in 0..2 * n {
+/// Sends an amount along a path. A step from a target back to a source takes back what was sent before.
+fn augment(flow: &mut [Vec<f64>], path: &[usize], amount: f64) {
+    let zones = flow.len();
+    for step in path.windows(2) {
+        let (from, to) = (step[0], step[1]);
+        if from < zones && to >= zones {
+            flow[from][to - zones] += amount;
+        } else {
+            flow[to][from - zones] -= amount;
+        }
+    }
+}
+
+/// Shortest paths from all sources to each vertex: its cost and the vertex before it.
+struct ShortestPaths {
+    cost: Vec<f64>,
+    before: Vec<usize>,
+}
+
+impl ShortestPaths {
+    /// Finds the paths by relaxation. Vertices are the sources (`0..zones`) and targets (`zones..2 * zones`).
+    fn find(unplaced: &[f64], flow: &[Vec<f64>], price: &impl Fn(usize, usize) -> f64) -> ShortestPaths {
+        let zones = unplaced.len();
+        let is_start = |vertex: usize| vertex < zones && unplaced[vertex] > EPSILON;
+        let start_cost = |vertex| if is_start(vertex) { 0.0 } else { f64::INFINITY };
+        let mut paths = ShortestPaths {
+            cost: (0..2 * zones).map(start_cost).collect(),
+            before: vec![NO_VERTEX; 2 * zones],
+        };
+        for _ in 0..2 * zones {
+            if !paths.relax(flow, price) {
+                break;
+            }
+        }
+        paths
+    }
+
+    /// Shortens the paths by each edge once; whether any path became shorter.
+    fn relax(&mut self, flow: &[Vec<f64>], price: &impl Fn(usize, usize) -> f64) -> bool {
+        let zones = flow.len();
         let mut changed = false;
-        for from in 0..n {
-            for to in 0..n {
-                let each = price(from, to);
-                if !each.is_finite() {
+        for (from, row) in flow.iter().enumerate() {
+            for (to, amount) in row.iter().enumerate() {
+                let edge_cost = price(from, to);
+                if !edge_cost.is_finite() {
                     continue;
                 }
-                if cost[from] + each + NONE < cost[n + to] {
-                    (cost[n + to], before[n + to], changed) = (cost[from] + each, from, true);
-                }
-                if flow[from][to] > NONE && cost[n + to] - each + NONE < cost[from] {
-                    (cost[from], before[from], changed) = (cost[n + to] - each, n + to, true);
+                changed |= self.shorten(from, zones + to, edge_cost);
+                if *amount > EPSILON {
+                    changed |= self.shorten(zones + to, from, -edge_cost);
                 }
             }
         }
-        if !changed {
-            break;
+        changed
+    }
+
+    fn shorten(&mut self, from: usize, to: usize, edge_cost: f64) -> bool {
+        let cost = self.cost[from] + edge_cost;
+        if cost + EPSILON >= self.cost[to] {
+            return false;
         }
+        self.cost[to] = cost;
+        self.before[to] = from;
+        true
     }
-    let end = (0..n)
-        .filter(|to| room[*to] > NONE && cost[n + to].is_finite())
-        .min_by(|a, b| cost[n + a].total_cmp(&cost[n + b]))?;
-    let mut path = vec![n + end];
-    while before[path[path.len() - 1]] != usize::MAX && path.len() <= 4 * n {
-        path.push(before[path[path.len() - 1]]);
+
+    /// The path to a vertex, from its source on.
+    fn path_to(&self, target: usize) -> Vec<usize> {
+        let mut path = vec![target];
+        let mut vertex = target;
+        // A path visits each vertex once; the bound guards against a cycle by rounding errors.
+        while self.before[vertex] != NO_VERTEX && path.len() <= 2 * self.cost.len() {
+            vertex = self.before[vertex];
+            path.push(vertex);
+        }
+        path.reverse();
+        path
     }
-    path.reverse();
-    let mut amount = room[end].min(left[path[0]]);
-    for step in path.windows(2).filter(|s| s[0] >= n) {
-        amount = amount.min(flow[step[1]][step[0] - n]);
+}
+
+/// The cheapest path from a zone that needs capacity to one that has some, and the amount that it carries.
+fn cheapest_path(
+    unplaced: &[f64],
+    spare: &[f64],
+    flow: &[Vec<f64>],
+    price: &impl Fn(usize, usize) -> f64,
+) -> Option<(Vec<usize>, f64)> {
+    let zones = unplaced.len();
+    let paths = ShortestPaths::find(unplaced, flow, price);
+    let target = (0..zones)
+        .filter(|to| spare[*to] > EPSILON && paths.cost[zones + to].is_finite())
+        .min_by(|a, b| paths.cost[zones + a].total_cmp(&paths.cost[zones + b]))?;
+    let path = paths.path_to(zones + target);
+    let mut amount = spare[target].min(unplaced[path[0]]);
+    for step in path.windows(2).filter(|step| step[0] >= zones) {
+        amount = amount.min(flow[step[1]][step[0] - zones]);
     }
-    (amount > NONE).then_some((path, amount))
+    (amount > EPSILON).then_some((path, amount))
 }
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -1,67 +1,78 @@
-//! A node that follows plans.
+//! A node that follows the leader's plans.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::map::Settings;
-use crate::plan::FailoverPlan;
+use crate::plan::{FailoverPlan, FULL_PARTS};
 use crate::Micros;
 
-/// Where a request goes.
+/// The routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To the engines of this zone.
+    /// The engines of this zone serve it.
     Zone(usize),
-    /// Nowhere: there is no room that it may use. It may come again after this time.
+    /// No zone that it may use has capacity; the client may retry after this time.
     Reject(Micros),
 }
 
-/// The plan that holds here.
+/// A plan and when it was received.
+#[derive(Clone, Debug)]
+struct ReceivedPlan {
+    plan: FailoverPlan,
+    received: Micros,
+}
+
+/// Routes a node's requests by the latest plan.
 #[derive(Clone, Debug)]
 pub struct PlanFollower {
     settings: Settings,
+    /// The node's own zone.
     home: usize,
-    plan: Option<(FailoverPlan, Micros)>,
+    latest: Option<ReceivedPlan>,
 }
 
 impl PlanFollower {
-    /// A node in a zone that has heard of no plan.
+    /// A node in the zone `home` that has received no plan.
     pub fn new(settings: Settings, home: usize) -> PlanFollower {
-        PlanFollower { settings, home, plan: None }
+        PlanFollower { settings, home, latest: None }
     }
 
-    /// A plan has come; whether it is the latest. An old one that arrives late does nothing.
+    /// Applies a plan, unless it is not later than the current one, and returns whether it did.
     pub fn apply(&mut self, now: Micros, plan: FailoverPlan) -> bool {
-        if !plan.follows(self.plan.as_ref().map(|(known, _)| known)) {
+        if !plan.follows(self.latest.as_ref().map(|latest| &latest.plan)) {
             return false;
         }
-        self.plan = Some((plan, now));
+        self.latest = Some(ReceivedPlan { plan, received: now });
         true
     }
 
-    /// The plan that holds now: it ends by itself.
+    /// The plan in force: a plan expires unless it is renewed.
     pub fn plan(&self, now: Micros) -> Option<&FailoverPlan> {
-        let (plan, at) = self.plan.as_ref()?;
-        (now < at + self.settings.plan_lifetime).then_some(plan)
+        let latest = self.latest.as_ref()?;
+        (now < latest.received + self.settings.plan_lifetime).then_some(&latest.plan)
     }
 
-    /// Where a session's requests go: the same zone for all of them while parts stay as they are, and as
-    /// few of them as can be go elsewhere when parts change. `stays`: it may not leave the region.
-    pub fn route(&self, now: Micros, session: u64, stays: bool) -> Route {
-        let Some(plan) = self.plan(now) else {
-            // Without word of a majority everybody serves what is near, within its own means.
+    /// The route of a session's requests: the same zone while the plan's fractions stay the same, and as few
+    /// sessions as possible change theirs when the fractions do. A session that is `region_bound` may not leave the
+    /// region.
+    pub fn route(&self, now: Micros, session: u64, region_bound: bool) -> Route {
+        // Without a plan, as without a majority of the replicas, every node serves in its own zone what that
+        // can carry.
+        let Some(row) = self.plan(now).and_then(|plan| plan.rows.get(self.home)) else {
             return Route::Zone(self.home);
         };
-        let Some(row) = plan.rows.get(self.home) else { return Route::Zone(self.home) };
-        let own = row.iter().filter(|(zone, _)| usize::from(*zone) == self.home);
-        let others = row.iter().filter(|(zone, _)| usize::from(*zone) != self.home);
-        let may = |zone: u8| !stays || self.settings.zones.together(self.home, usize::from(zone));
-        let allowed: Vec<(u8, u8)> = own.chain(others).filter(|(zone, _)| may(*zone)).copied().collect();
-        let mut place = (xxh3_64(&session.to_le_bytes()) >> 56) as u32 * 255 / 256;
-        for (zone, part) in allowed {
-            if place < u32::from(part) {
-                return Route::Zone(usize::from(zone));
+        let is_home = |route: &&(u8, u8)| usize::from(route.0) == self.home;
+        let own = row.iter().filter(is_home);
+        let others = row.iter().filter(|route| !is_home(route));
+        let is_allowed =
+            |zone: u8| !region_bound || self.settings.zones.in_same_region(self.home, usize::from(zone));
+        // The hash is the session's position in the row.
+        let mut position = (xxh3_64(&session.to_le_bytes()) >> 56) as u32 * u32::from(FULL_PARTS) / 256;
+        for (zone, parts) in own.chain(others).filter(|(zone, _)| is_allowed(*zone)) {
+            if position < u32::from(*parts) {
+                return Route::Zone(usize::from(*zone));
             }
-            place -= u32::from(part);
+            position -= u32::from(*parts);
         }
         Route::Reject(2 * self.settings.plan_interval)
     }
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -1,26 +1,34 @@
-//! Zones and regions decided in common. Each node tells what it is asked for and how each zone's engines
-//! fare for it ([`ZoneObserver`]). Whoever leads the keepers works out how much of each zone's work goes where
-//! ([`Planner`]) and tells it with its term; each node follows the latest plan until it ends
-//! ([`PlanFollower`]), whole sessions at a time. Without a plan a node serves what is near.
+//! Failover between zones and regions, decided by one leader; no input or output.
 //!
-//! Inside a zone the core decides as ever. `docs/regions.md` has the options weighed and the bounds.
+//! Each node reports the requests that its clients send and the outcomes of its attempts by zone
+//! ([`ZoneObserver`]). The leader of the replicas works out how the requests of each zone are divided over zones
+//! and publishes a plan with its term ([`Planner`]); each node follows the latest plan until it expires
+//! ([`PlanFollower`]), whole sessions at a time. Without a plan a node serves its requests in its own zone.
+//!
+//! Inside a zone the decision core is unchanged. `docs/failover.md` has the options weighed and the bounds.
+
+#![deny(missing_docs)]
 
 mod flow;
 mod follower;
-mod local;
+mod health;
 mod map;
+mod observer;
 mod plan;
 mod planner;
-mod zone_state;
+mod routing_row;
+mod status;
+mod zone_recovery;
 
 pub use flow::{place, FlowAssignment};
 pub use follower::{PlanFollower, Route};
-pub use local::{ZoneObserver, ZoneReport};
+pub use health::ZoneHealth;
 pub use map::{Settings, Zone, ZoneMap, MAX_ZONES};
+pub use observer::{ZoneObserver, ZoneReport};
 pub use pintally_validation::InvalidConfiguration;
 pub use plan::FailoverPlan;
-pub use planner::{OperatorOrder, Planner, Status, ZoneStatus};
-pub use zone_state::ZoneHealth;
+pub use planner::{OperatorOrder, Planner};
+pub use status::{Status, ZoneStatus};
 
-/// Microseconds of a clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
--- a/crates/pintally-failover/src/map.rs
+++ b/crates/pintally-failover/src/map.rs
@@ -1,4 +1,4 @@
-//! The map: zones, the regions that they are in, how far they are from each other.
+//! Settings of failover: zones, their regions, the prices between them, and limits.
 
 use std::collections::BTreeSet;
 
@@ -6,78 +6,88 @@
 
 use crate::Micros;
 
-/// Zones at the most: a plan fits into one small fact.
+/// Most zones, so that a plan fits into one gossiped fact.
 pub const MAX_ZONES: usize = 20;
 
-/// A zone.
+/// The price between two zones of one region, unless the settings list one.
+const REGIONAL_PRICE: f64 = 1.0;
+
+/// The price between zones of different regions, unless the settings list one.
+const REMOTE_PRICE: f64 = 10.0;
+
+/// Bounds the shift when the hold-down is doubled; the greatest hold-down applies long before.
+const MAX_HOLD_DOWN_DOUBLINGS: u32 = 20;
+
+/// A zone of engines and nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Zone {
-    /// Its name.
+    /// The zone's name.
     pub name: String,
-    /// The region that it is in.
+    /// The zone's region.
     pub region: String,
 }
 
-/// What is near what. Zones go by their place in the list.
+/// The zones and the prices between them. Zones are identified by their index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneMap {
     /// All zones.
     pub zones: Vec<Zone>,
-    /// Prices of a request's way between two zones; pairs that are not told cost 1 within a region and
-    /// 10 beyond. A price that is not finite forbids it.
+    /// Prices of routing a request between two zones, in both directions; other pairs cost 1 within a region
+    /// and 10 beyond. A price that is not finite forbids the pair.
     pub prices: Vec<(usize, usize, f64)>,
 }
 
 impl ZoneMap {
-    /// A zone's place by its name.
+    /// The index of a zone by its name.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|z| z.name == name)
     }
 
-    /// What a request's way from one zone to another costs.
+    /// The price of routing a request from one zone to another.
     pub fn price(&self, from: usize, to: usize) -> f64 {
-        let told = self.prices.iter().find(|(a, b, _)| (*a, *b) == (from, to) || (*b, *a) == (from, to));
-        match (told, self.zones.get(from), self.zones.get(to)) {
+        let listed = self.prices.iter().find(|(a, b, _)| (*a, *b) == (from, to) || (*b, *a) == (from, to));
+        match (listed, self.zones.get(from), self.zones.get(to)) {
             (Some((_, _, price)), ..) => *price,
             (None, Some(a), Some(b)) if a.name == b.name => 0.0,
-            (None, Some(a), Some(b)) if a.region == b.region => 1.0,
-            _ => 10.0,
+            (None, Some(a), Some(b)) if a.region == b.region => REGIONAL_PRICE,
+            _ => REMOTE_PRICE,
         }
     }
 
-    /// Whether two zones are in one region.
-    pub fn together(&self, a: usize, b: usize) -> bool {
+    /// Whether two zones are in the same region.
+    pub fn in_same_region(&self, a: usize, b: usize) -> bool {
         matches!((self.zones.get(a), self.zones.get(b)), (Some(a), Some(b)) if a.region == b.region)
     }
 }
 
-/// How failover goes. Times in microseconds.
+/// Settings of failover. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The map.
+    /// The zones.
     pub zones: ZoneMap,
-    /// Requests a second that one warm engine carries, over all nodes.
+    /// Requests a second that one warmed-up engine carries, over all nodes.
     pub requests_per_second_per_engine: f64,
-    /// The part of a zone's capacity that may be used: what is over it is offered to nobody.
+    /// The fraction of a zone's capacity that may be used.
     pub max_utilization: f64,
-    /// The part of a zone's capacity that it keeps for its own.
+    /// The fraction of a zone's capacity that is reserved for its own requests.
     pub local_reserve: f64,
-    /// Plans are made this often.
+    /// Time between two plans.
     pub plan_interval: Micros,
-    /// A plan that is not renewed ends after this time.
+    /// A plan that is not renewed expires after this time.
     pub plan_lifetime: Micros,
-    /// A zone must look bad for so long before it is given up.
+    /// A zone must be failing for this long before it is evacuated.
     pub failure_grace: Micros,
-    /// A zone that was given up is tried again after this time; doubled each time it fails again.
+    /// Time from an evacuation to the trickle of requests that begins the recovery; doubled each time the zone
+    /// fails during recovery.
     pub base_hold_down: Micros,
-    /// And no later than this.
+    /// Upper bound of the doubled hold-down.
     pub max_hold_down: Micros,
-    /// How long a step of the way back lasts.
+    /// Duration of a step of the recovery ramp.
     pub ramp_step: Micros,
 }
 
 impl Settings {
-    /// Usual figures for a map.
+    /// Default settings for these zones.
     pub fn new(map: ZoneMap) -> Settings {
         Settings {
             zones: map,
@@ -93,7 +103,11 @@
         }
     }
 
-    /// Checks that the figures go together.
+    /// Checks that the settings are consistent.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidConfiguration`] names the violated rule.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
         let zones = &self.zones.zones;
         let names: BTreeSet<&str> = zones.iter().map(|z| z.name.as_str()).collect();
@@ -119,15 +133,19 @@
         ensure(self.ramp_step >= 2 * self.plan_interval, "a step of the way back is over before it was seen")
     }
 
-    /// From the first sign that a zone is lost to all nodes following the plan without it, with words and
-    /// plans that take `told` to reach everyone.
-    pub fn max_failover_time(&self, told: Micros) -> Micros {
-        self.failure_grace + 2 * self.plan_interval + 2 * told
+    /// The longest time from the first sign that a zone is lost until all nodes follow a plan without it, if
+    /// reports and plans take `gossip_delay` to reach all nodes.
+    pub fn max_failover_time(&self, gossip_delay: Micros) -> Micros {
+        self.failure_grace + 2 * self.plan_interval + 2 * gossip_delay
     }
 
-    /// From the end of a trouble of which a zone was tried `fails` times in vain to its full use.
-    pub fn max_recovery_time(&self, fails: u32) -> Micros {
-        let hold = self.base_hold_down.saturating_mul(1 << fails.min(20)).min(self.max_hold_down);
-        hold + 4 * self.ramp_step + self.plan_interval
+    /// The longest time from the end of a fault until the zone is fully open, if it failed `failures` times during
+    /// recovery before.
+    pub fn max_recovery_time(&self, failures: u32) -> Micros {
+        let hold_down = self
+            .base_hold_down
+            .saturating_mul(1 << failures.min(MAX_HOLD_DOWN_DOUBLINGS))
+            .min(self.max_hold_down);
+        hold_down + 4 * self.ramp_step + self.plan_interval
     }
 }
--- a/crates/pintally-failover/src/plan.rs
+++ b/crates/pintally-failover/src/plan.rs
@@ -1,42 +1,50 @@
-//! A plan, as it is told.
+//! The failover plan, as it is gossiped.
 
 use serde::{Deserialize, Serialize};
 
 use crate::map::MAX_ZONES;
 
-/// Who may go where, decided by one leader in its term. Parts are of 255.
+/// Fractions in a plan are sent in parts of this number.
+pub(crate) const FULL_PARTS: u8 = 255;
+
+/// Most zones that share the requests of one zone, so that a plan of 20 zones fits into one gossiped fact.
+pub(crate) const MAX_ROUTES_PER_ZONE: usize = 4;
+
+/// How the requests of each zone are divided over zones, decided by one leader in its term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverPlan {
     /// The leader's term: a later one wins.
     pub term: u64,
-    /// Counts the plans of a term.
+    /// The number of the plan within its term.
     pub number: u64,
-    /// By zone in which a request comes: which zones serve it, and which part each. What is missing to
-    /// the whole is refused at home.
+    /// By zone in which a request arrives: the zones that serve it, and the fraction of requests that each
+    /// serves, in parts of 255. The fraction that is missing is rejected in the zone of arrival.
     pub rows: Vec<Vec<(u8, u8)>>,
-    /// By zone: how much of its room is in use, on its way back: 255 is all of it, 0 is given up.
+    /// By zone: the fraction of its capacity that is in use, in parts of 255; 0 if it is evacuated.
     pub open: Vec<u8>,
 }
 
 impl FailoverPlan {
-    /// As bytes; at most a fact's length with 20 zones and four targets each.
+    /// Encodes the plan; with 20 zones and four routes each it fits into one gossiped fact.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a plan; nothing if it is none, or names a zone that there is not.
+    /// Decodes a plan; `None` if the bytes are malformed, or if the plan is not one of `zones` zones.
     pub fn decode(bytes: &[u8], zones: usize) -> Option<FailoverPlan> {
         let plan: FailoverPlan = postcard::from_bytes(bytes).ok()?;
-        let sound = |row: &Vec<(u8, u8)>| {
-            let sum: u32 = row.iter().map(|(_, part)| u32::from(*part)).sum();
-            row.len() <= 4 && sum <= 255 && row.iter().all(|(zone, _)| usize::from(*zone) < zones)
+        let is_valid = |row: &Vec<(u8, u8)>| {
+            let sum: u32 = row.iter().map(|(_, parts)| u32::from(*parts)).sum();
+            row.len() <= MAX_ROUTES_PER_ZONE
+                && sum <= u32::from(FULL_PARTS)
+                && row.iter().all(|(zone, _)| usize::from(*zone) < zones)
         };
         let fits = zones <= MAX_ZONES && plan.rows.len() == zones && plan.open.len() == zones;
-        (fits && plan.rows.iter().all(sound)).then_some(plan)
+        (fits && plan.rows.iter().all(is_valid)).then_some(plan)
     }
 
-    /// Whether it holds instead of the one that is known, if any is.
-    pub fn follows(&self, known: Option<&FailoverPlan>) -> bool {
-        known.is_none_or(|known| (known.term, known.number) < (self.term, self.number))
+    /// Whether the plan replaces the current one, if there is any.
+    pub fn follows(&self, current: Option<&FailoverPlan>) -> bool {
+        current.is_none_or(|current| (current.term, current.number) < (self.term, self.number))
     }
 }
--- a/crates/pintally-failover/tests/regions.rs
+++ b/crates/pintally-failover/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Zones in virtual time: clients, nodes and engines as rates; what nodes see reaches the leader late.
+//! Failover of simulated zones in virtual time: clients, nodes and engines are rates, and plans reach the nodes
+//! after a delay.
 
 use pintally_failover::{
     place, FailoverPlan, Micros, OperatorOrder, PlanFollower, Planner, Route, Settings, Zone, ZoneHealth,
@@ -22,21 +23,22 @@
     settings: Settings,
     planner: Planner,
     followers: Vec<PlanFollower>,
-    locals: Vec<ZoneObserver>,
+    observers: Vec<ZoneObserver>,
     loads: Vec<f64>,
-    /// Requests a second that a zone's engines carry now; what is over it fails.
-    carries: Vec<f64>,
-    /// The part that fails whatever the load.
-    fails: Vec<f64>,
-    nodes_here: Vec<usize>,
+    /// Requests a second that a zone's engines carry now; what exceeds it fails.
+    capacity: Vec<f64>,
+    /// The fraction of attempts that fails at any load.
+    failure_rate: Vec<f64>,
+    nodes_alive: Vec<usize>,
     rng: ChaCha8Rng,
-    /// Since the last look: came, served, gone far, by zone; and the most that a zone was sent.
-    came: Vec<f64>,
+    /// Since the last evaluation: requests that arrived and were served by zone, and that were served remotely;
+    /// and the smoothed peak rate of attempts at each zone.
+    arrived: Vec<f64>,
     served: Vec<f64>,
-    far: f64,
+    remote: f64,
     peak: Vec<f64>,
-    told: Vec<(Micros, FailoverPlan)>,
-    moves: u64,
+    pending_plans: Vec<(Micros, FailoverPlan)>,
+    transitions: u64,
 }
 
 impl World {
@@ -47,19 +49,19 @@
             now,
             planner: Planner::new(settings.clone(), 1, None, now),
             followers: (0..6).map(|n| PlanFollower::new(settings.clone(), n % 3)).collect(),
-            locals: (0..6).map(|_| ZoneObserver::new(3)).collect(),
+            observers: (0..6).map(|_| ZoneObserver::new(3)).collect(),
             settings,
             loads: loads.to_vec(),
-            carries: vec![100.0; 3],
-            fails: vec![0.0; 3],
-            nodes_here: vec![2; 3],
+            capacity: vec![100.0; 3],
+            failure_rate: vec![0.0; 3],
+            nodes_alive: vec![2; 3],
             rng: ChaCha8Rng::seed_from_u64(seed),
-            came: vec![0.0; 3],
+            arrived: vec![0.0; 3],
             served: vec![0.0; 3],
-            far: 0.0,
+            remote: 0.0,
             peak: vec![0.0; 3],
-            told: Vec::new(),
-            moves: 0,
+            pending_plans: Vec::new(),
+            transitions: 0,
         }
     }
 
@@ -69,14 +71,15 @@
         let mut sent = vec![Vec::new(); 3];
         for node in 0..6 {
             let home = node % 3;
-            // Clients of a zone whose nodes are gone come to the next zone's.
+            // Clients of a zone without nodes use the nodes of the next zone.
             let loads: f64 = (0..3)
                 .filter(|z| {
-                    *z == home && self.nodes_here[*z] > 0 || self.nodes_here[*z] == 0 && (*z + 1) % 3 == home
+                    *z == home && self.nodes_alive[*z] > 0
+                        || self.nodes_alive[*z] == 0 && (*z + 1) % 3 == home
                 })
                 .map(|z| self.loads[z])
                 .sum();
-            if self.nodes_here[home] == 0 {
+            if self.nodes_alive[home] == 0 {
                 continue;
             }
             let mut count = loads / 2.0 * 0.1;
@@ -85,11 +88,11 @@
                     break;
                 }
                 count -= 1.0;
-                self.came[home] += 1.0;
-                self.locals[node].offered(now);
+                self.arrived[home] += 1.0;
+                self.observers[node].record_request(now);
                 let session = self.rng.random();
                 if let Route::Zone(zone) = self.followers[node].route(now, session, false) {
-                    self.far += f64::from(u8::from(zone != home));
+                    self.remote += f64::from(u8::from(zone != home));
                     sent[zone].push((node, home));
                 }
             }
@@ -97,69 +100,70 @@
         for (zone, requests) in sent.into_iter().enumerate() {
             let rate = requests.len() as f64 * 10.0;
             self.peak[zone] = self.peak[zone] * 0.9 + rate * 0.1;
-            let over = (1.0 - self.carries[zone] / rate.max(1e-9)).max(0.0);
+            let over = (1.0 - self.capacity[zone] / rate.max(1e-9)).max(0.0);
             for (node, home) in requests {
-                let failed =
-                    self.rng.random_bool((self.fails[zone] + (1.0 - self.fails[zone]) * over).min(1.0));
-                self.locals[node].ended(now, zone, failed);
+                let failed = self
+                    .rng
+                    .random_bool((self.failure_rate[zone] + (1.0 - self.failure_rate[zone]) * over).min(1.0));
+                self.observers[node].record_attempt(now, zone, failed);
                 self.served[home] += f64::from(u8::from(!failed));
             }
         }
         if now.is_multiple_of(self.settings.plan_interval) {
-            for node in (0..6).filter(|n| self.nodes_here[n % 3] > 0) {
-                let word = ZoneReport::decode(&self.locals[node].report(now).encode()).unwrap();
-                self.planner.receive_report(now, &format!("n{node}"), node % 3, word);
+            for node in (0..6).filter(|n| self.nodes_alive[n % 3] > 0) {
+                let report = ZoneReport::decode(&self.observers[node].report(now).encode()).unwrap();
+                self.planner.receive_report(now, &format!("n{node}"), node % 3, report);
             }
-            self.planner.update_zones(&self.nodes_here, &[100.0; 3]);
+            self.planner.update_zones(&self.nodes_alive, &[100.0; 3]);
             let plan = self.planner.plan(now);
             assert!(plan.encode().len() < 400);
-            self.told.push((now + 200 * MS, FailoverPlan::decode(&plan.encode(), 3).unwrap()));
-            self.moves = self.planner.status().zones.iter().map(|z| z.moves).sum();
+            self.pending_plans.push((now + 200 * MS, FailoverPlan::decode(&plan.encode(), 3).unwrap()));
+            self.transitions = self.planner.status().zones.iter().map(|z| z.transitions).sum();
         }
-        for (_, plan) in self.told.extract_if(.., |t| t.0 <= now) {
+        for (_, plan) in self.pending_plans.extract_if(.., |t| t.0 <= now) {
             self.followers.iter_mut().for_each(|f| {
                 f.apply(now, plan.clone());
             });
         }
     }
 
-    /// Plays for so long; the part that was served, and the part that went far.
+    /// Runs for `ms`; the fraction of requests that was served, and the fraction that was served remotely.
     fn run(&mut self, ms: u64) -> (f64, f64) {
-        (self.came, self.served, self.far) = (vec![0.0; 3], vec![0.0; 3], 0.0);
+        (self.arrived, self.served, self.remote) = (vec![0.0; 3], vec![0.0; 3], 0.0);
         (0..ms / 100).for_each(|_| self.step());
-        let came: f64 = self.came.iter().sum();
-        (self.served.iter().sum::<f64>() / came.max(1.0), self.far / came.max(1.0))
+        let arrived: f64 = self.arrived.iter().sum();
+        (self.served.iter().sum::<f64>() / arrived.max(1.0), self.remote / arrived.max(1.0))
     }
 }
 
 #[test]
-fn in_calm_nothing_goes_far_and_nothing_moves() {
+fn healthy_zones_serve_locally_without_transitions() {
     for seed in 0..20 {
         let mut world = World::new(seed, [60.0, 55.0, 65.0]);
         world.run(3_000);
-        let (served, far) = world.run(60_000);
-        assert!(served > 0.99 && far < 0.01, "seed {seed}: served {served:.3}, far {far:.3}");
-        assert_eq!(world.moves, 0, "seed {seed}");
+        let (served, remote) = world.run(60_000);
+        assert!(served > 0.99 && remote < 0.01, "seed {seed}: served {served:.3}, remote {remote:.3}");
+        assert_eq!(world.transitions, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_zone_that_is_lost_is_served_by_others_and_comes_back_in_steps() {
+fn lost_zone_is_evacuated_and_recovers_in_steps() {
     let mut world = World::new(3, [30.0, 30.0, 30.0]);
     world.run(4_000);
-    // Its engines are lost; its nodes live, and send their clients' work elsewhere.
-    (world.carries[0], world.fails[0]) = (0.0, 1.0);
+    // Its engines are lost; its nodes are alive, and route their requests to other zones.
+    (world.capacity[0], world.failure_rate[0]) = (0.0, 1.0);
     let moved = world.settings.max_failover_time(200 * MS) / MS;
     world.run(moved + 1_000);
     let (served, _) = world.run(8_000);
-    assert!(served > 0.97, "{served:.3} served while it is gone");
+    assert!(served > 0.97, "{served:.3} served while it is lost");
     assert!(world.peak[1] < 95.0 && world.peak[2] < 95.0, "{:?}", world.peak);
-    (world.carries[0], world.fails[0]) = (100.0, 0.0);
+    (world.capacity[0], world.failure_rate[0]) = (100.0, 0.0);
     let back = world.settings.max_recovery_time(4) / MS;
     let mut opened = Vec::new();
     for _ in 0..back / 500 {
         let (served, _) = world.run(500);
-        assert!(served > 0.9, "{served}: returning is never a wave");
+        assert!(served > 0.9, "{served}: recovery overloads nothing");
         let open = world.planner.status().zones[0].open;
         if opened.last() != Some(&open) {
             opened.push(open);
@@ -170,9 +174,9 @@
     assert!(opened.len() >= 4);
 }
 
-/// Guards against giving up a zone that is only cut off from the leader.
+/// Guards against evacuating a zone that is only partitioned from the leader.
 #[test]
-fn unknown_is_not_gone() {
+fn zone_without_evidence_is_unknown_and_not_evacuated() {
     let mut world = World::new(4, [30.0; 3]);
     world.run(4_000);
     let mut planner = world.planner.clone();
@@ -190,67 +194,70 @@
         let plan = planner.plan(now);
         assert_eq!(plan.open[0], 255);
     }
-    assert_eq!(planner.status().zones[0].known, ZoneHealth::Unknown);
-    assert!(planner.status().zones.iter().all(|z| z.takes == 0.0), "nobody sends anything there either");
+    assert_eq!(planner.status().zones[0].health, ZoneHealth::Unknown);
+    assert!(
+        planner.status().zones.iter().all(|z| z.accepted == 0.0),
+        "no other zone sends requests there either"
+    );
 }
 
 #[test]
-fn a_grey_zone_keeps_what_it_can_carry() {
+fn degraded_zone_serves_up_to_its_capacity() {
     let mut world = World::new(5, [80.0, 30.0, 30.0]);
     world.run(4_000);
-    world.fails[0] = 0.3;
-    world.carries[0] = 70.0;
+    world.failure_rate[0] = 0.3;
+    world.capacity[0] = 70.0;
     world.run(6_000);
     let status = world.planner.status().clone();
-    assert_eq!(status.zones[0].known, ZoneHealth::Grey, "{status:?}");
-    assert_eq!(status.zones[0].open, 1.0, "it is not given up");
-    let near = status.goes[0].iter().find(|g| g.0 == "a").map_or(0.0, |g| g.1);
+    assert_eq!(status.zones[0].health, ZoneHealth::Degraded, "{status:?}");
+    assert_eq!(status.zones[0].open, 1.0, "it is not evacuated");
+    let near = status.routes[0].iter().find(|g| g.0 == "a").map_or(0.0, |g| g.1);
     assert!((0.4..0.95).contains(&near), "{status:?}");
-    assert!(status.goes[0].iter().any(|g| g.0 == "b"), "the near zone takes it: {status:?}");
+    assert!(status.routes[0].iter().any(|g| g.0 == "b"), "the nearest zone serves the rest: {status:?}");
 }
 
-/// A flapping zone is tried ever more rarely, and given up on the first sign.
+/// A flapping zone is tried less and less often, and evacuated at the first failure during recovery.
 #[test]
-fn a_zone_that_flaps_is_left_alone_for_longer_each_time() {
+fn hold_down_grows_for_flapping_zone() {
     let mut world = World::new(6, [30.0; 3]);
     world.run(4_000);
-    let mut moves = Vec::new();
+    let mut transitions = Vec::new();
     for _ in 0..15 {
-        let before = world.moves;
-        world.fails[0] = 1.0;
+        let before = world.transitions;
+        world.failure_rate[0] = 1.0;
         world.run(4_000);
-        world.fails[0] = 0.0;
+        world.failure_rate[0] = 0.0;
         world.run(4_000);
-        moves.push(world.moves - before);
+        transitions.push(world.transitions - before);
     }
-    println!("moves in 8 s of flapping: {moves:?}");
-    let (first, last): (u64, u64) = (moves[..5].iter().sum(), moves[10..].iter().sum());
-    assert!(last <= first, "{moves:?}");
+    println!("transitions in 8 s of flapping: {transitions:?}");
+    let (first, last): (u64, u64) = (transitions[..5].iter().sum(), transitions[10..].iter().sum());
+    assert!(last <= first, "{transitions:?}");
     world.run(200_000);
-    assert_eq!(world.planner.status().zones[0].open, 1.0, "nothing stays broken by itself");
+    assert_eq!(world.planner.status().zones[0].open, 1.0, "the zone recovers in the end");
 }
 
-/// Overload everywhere while a zone goes: nowhere to go, and the others keep their share.
+/// All zones are near their capacity while one is lost: its requests must not overload the others.
 #[test]
-fn with_no_room_anywhere_the_others_do_not_drown() {
+fn evacuation_without_spare_capacity_does_not_overload_others() {
     let mut world = World::new(7, [85.0, 85.0, 85.0]);
     world.run(4_000);
-    (world.carries[0], world.fails[0], world.nodes_here[0]) = (0.0, 1.0, 0);
+    (world.capacity[0], world.failure_rate[0], world.nodes_alive[0]) = (0.0, 1.0, 0);
     world.run(5_000);
-    (world.came, world.served) = (vec![0.0; 3], vec![0.0; 3]);
+    (world.arrived, world.served) = (vec![0.0; 3], vec![0.0; 3]);
     world.peak = vec![0.0; 3];
     world.run(10_000);
-    // The zone to which the lost one's clients came has more than it carries: that is its core's matter,
-    // and no plan sends it on to where there is no room either.
+    // The zone whose nodes the lost zone's clients use is offered more than its capacity: its own admission
+    // handles that, and no plan routes the excess to a zone without capacity.
     assert!(world.peak[2] <= 103.0, "{:?}", world.peak);
-    let (b, c) = (world.served[1] / world.came[1], world.served[2] / world.came[2]);
-    assert!(c > 0.9, "the zone that nobody fled to is served: {c:.2}");
+    let (b, c) = (world.served[1] / world.arrived[1], world.served[2] / world.arrived[2]);
+    assert!(c > 0.9, "the zone without additional clients is served: {c:.2}");
     assert!(b > 0.4, "{b:.2}");
 }
 
-/// After the cause has gone service is whole again, in every seed.
+/// After the end of the faults the service recovers completely, with every seed.
 #[test]
-fn nothing_stays_broken_by_itself() {
+fn service_recovers_after_random_faults() {
     let seeds = std::env::var("REGION_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(150);
     let mut worst = 0;
     for seed in 0..seeds {
@@ -259,37 +266,37 @@
         for _ in 0..4 {
             let zone = world.rng.random_range(0..3);
             match world.rng.random_range(0..4u32) {
-                0 => (world.fails[zone], world.carries[zone]) = (1.0, 0.0),
-                1 => world.fails[zone] = 0.5,
-                2 => world.carries[zone] = 30.0,
+                0 => (world.failure_rate[zone], world.capacity[zone]) = (1.0, 0.0),
+                1 => world.failure_rate[zone] = 0.5,
+                2 => world.capacity[zone] = 30.0,
                 _ => {
-                    (world.fails[zone], world.nodes_here[zone]) =
-                        (1.0, usize::from(world.nodes_here.iter().filter(|n| **n > 0).count() <= 1) * 2)
+                    (world.failure_rate[zone], world.nodes_alive[zone]) =
+                        (1.0, usize::from(world.nodes_alive.iter().filter(|n| **n > 0).count() <= 1) * 2)
                 }
             }
             let span = world.rng.random_range(500..6_000);
             world.run(span);
         }
-        (world.fails, world.carries, world.nodes_here) = (vec![0.0; 3], vec![100.0; 3], vec![2; 3]);
+        (world.failure_rate, world.capacity, world.nodes_alive) = (vec![0.0; 3], vec![100.0; 3], vec![2; 3]);
         let from = world.now;
         let bound = world.settings.max_hold_down + 6 * world.settings.ramp_step + 10_000 * MS;
         loop {
-            let (served, far) = world.run(2_000);
-            if served > 0.98 && far < 0.02 {
+            let (served, remote) = world.run(2_000);
+            if served > 0.98 && remote < 0.02 {
                 break;
             }
             assert!(world.now - from < bound, "seed {seed}: {:?}", world.planner.status());
         }
         worst = worst.max(world.now - from);
     }
-    println!("{seeds} seeds: whole again after {} s at worst", worst / 1_000_000);
+    println!("{seeds} seeds: recovered after {} s at worst", worst / 1_000_000);
 }
 
 #[test]
-fn plans_carry_their_term_and_end_by_themselves() {
+fn plans_are_ordered_by_term_and_expire() {
     let settings = settings();
     let mut follower = PlanFollower::new(settings.clone(), 0);
-    assert_eq!(follower.route(1, 7, false), Route::Zone(0), "without a plan what is near is served");
+    assert_eq!(follower.route(1, 7, false), Route::Zone(0), "without a plan the own zone serves");
     let away = |term, number| FailoverPlan {
         term,
         number,
@@ -298,17 +305,17 @@
     };
     assert!(follower.apply(1, away(3, 1)));
     assert_eq!(follower.route(2, 7, false), Route::Zone(2));
-    assert!(matches!(follower.route(2, 7, true), Route::Reject(_)), "what must stay stays");
+    assert!(matches!(follower.route(2, 7, true), Route::Reject(_)), "a region-bound session stays");
     let home = FailoverPlan { rows: vec![vec![(0, 255)], vec![], vec![]], ..away(2, 900) };
-    assert!(!follower.apply(3, home), "an old one that arrives late does nothing");
-    assert_eq!(follower.route(settings.plan_lifetime + 2, 7, false), Route::Zone(0), "it has ended");
+    assert!(!follower.apply(3, home), "an old plan that arrives late is ignored");
+    assert_eq!(follower.route(settings.plan_lifetime + 2, 7, false), Route::Zone(0), "the plan has expired");
     assert!(FailoverPlan::decode(&[9; 40], 3).is_none());
     assert!(FailoverPlan::decode(&away(1, 1).encode(), 2).is_none());
 }
 
-/// Guards against a planner that begins anew in the same term and whose plans nobody takes.
+/// Guards against a planner that numbers its plans from the start again within a term: no node applies them.
 #[test]
-fn a_lead_that_lapses_goes_on_with_its_plans() {
+fn renewed_leadership_continues_plan_numbers_of_its_term() {
     let mut first = Planner::new(settings(), 4, None, 1);
     let (mut follower, mut last) = (PlanFollower::new(settings(), 0), FailoverPlan::default());
     for step in 1..20 {
@@ -319,11 +326,11 @@
     let next = Planner::new(settings(), 4, Some(&last), now).plan(now);
     assert!(follower.apply(now, next));
     let later = Planner::new(settings(), 5, Some(&last), now).plan(now);
-    assert!(follower.apply(now, later), "and a later term begins anew");
+    assert!(follower.apply(now, later), "and a later term replaces it");
 }
 
 #[test]
-fn whole_sessions_go_and_few_of_them_when_parts_change() {
+fn sessions_are_routed_whole_and_few_move_when_fractions_change() {
     let settings = settings();
     let plan = |number, own: u8| FailoverPlan {
         term: 1,
@@ -339,23 +346,23 @@
     assert!((40..130).contains(&moved), "{moved} of 1000 sessions moved for 8% of them");
 }
 
-/// The flow is the cheapest one: against all divisions of small whole amounts.
+/// Compares the flow with all divisions of small integral amounts.
 #[test]
-fn flows_are_cheapest() {
+fn placement_has_minimum_cost() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     for _ in 0..300 {
         let needs: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(0..3u32))).collect();
         let offers: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(0..4u32))).collect();
         let prices: Vec<f64> = (0..9).map(|_| f64::from(rng.random_range(1..9u32))).collect();
         let placed = place(&needs, &offers, |a, b| prices[a * 3 + b]);
-        let best = all_ways(&needs, &offers, &prices, 0, 0.0, 0.0);
+        let best = best_placement(&needs, &offers, &prices, 0, 0.0, 0.0);
         let amount: f64 = placed.flow.iter().flatten().sum();
         assert!((amount - best.0).abs() < 1e-6 && (placed.cost - best.1).abs() < 1e-6, "{placed:?} {best:?}");
     }
 }
 
-/// The most that can be placed, and its least cost, unit by unit.
-fn all_ways(
+/// The greatest amount that can be placed, and its least cost, by trying all divisions.
+fn best_placement(
     needs: &[f64],
     offers: &[f64],
     prices: &[f64],
@@ -367,28 +374,29 @@
     let mut best: (f64, f64) = {
         let mut rest = needs.to_vec();
         rest[from] = 0.0;
-        all_ways(&rest, offers, prices, from, amount, cost)
+        best_placement(&rest, offers, prices, from, amount, cost)
     };
     for to in (0..3).filter(|t| offers[*t] > 0.5) {
         let (mut rest, mut room) = (needs.to_vec(), offers.to_vec());
         rest[from] -= 1.0;
         room[to] -= 1.0;
-        let way = all_ways(&rest, &room, prices, from, amount + 1.0, cost + prices[from * 3 + to]);
-        if way.0 > best.0 || way.0 == best.0 && way.1 < best.1 {
-            best = way;
+        let candidate =
+            best_placement(&rest, &room, prices, from, amount + 1.0, cost + prices[from * 3 + to]);
+        if candidate.0 > best.0 || candidate.0 == best.0 && candidate.1 < best.1 {
+            best = candidate;
         }
     }
     best
 }
 
 #[test]
-fn people_order_and_rehearse() {
+fn operator_orders_and_dry_run() {
     let mut world = World::new(8, [30.0; 3]);
     world.run(5_000);
     let dry = world.planner.dry_run(world.now, 1);
     assert_eq!(dry.zones[1].open, 0.0);
-    assert!(dry.goes[1].iter().all(|g| g.0 != "b"), "{dry:?}");
-    assert_eq!(world.planner.status().zones[1].open, 1.0, "a rehearsal changes nothing");
+    assert!(dry.routes[1].iter().all(|g| g.0 != "b"), "{dry:?}");
+    assert_eq!(world.planner.status().zones[1].open, 1.0, "a dry run changes nothing");
     world.planner.order(1, Some(OperatorOrder::Evacuate));
     let (served, _) = world.run(20_000);
     assert!(served > 0.97, "{served}");
@@ -397,13 +405,13 @@
     world.run(20_000);
     assert_eq!(world.planner.status().zones[1].open, 1.0);
     world.planner.order(1, Some(OperatorOrder::Hold));
-    world.fails[1] = 1.0;
+    world.failure_rate[1] = 1.0;
     world.run(6_000);
-    assert_eq!(world.planner.status().zones[1].open, 1.0, "held as it is");
+    assert_eq!(world.planner.status().zones[1].open, 1.0, "the order holds it");
 }
 
 #[test]
-fn figures_that_do_not_go_together_are_told() {
+fn inconsistent_settings_are_rejected() {
     let good = settings();
     assert!(good.check().is_ok());
     assert!(Settings { plan_lifetime: good.plan_interval, ..good.clone() }.check().is_err());
--- a/crates/pintally-failover/tests/golden.rs
+++ b/crates/pintally-failover/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Words and plans as bytes: nodes of different builds read each other's.
+//! Encoded reports and plans: nodes of different builds decode each other's.
 
 use pintally_failover::{FailoverPlan, ZoneObserver, ZoneReport};
 
@@ -18,24 +18,24 @@
 }
 
 #[test]
-fn word_bytes_are_stable() {
+fn report_bytes_are_stable() {
     let full = ZoneReport { offered: 12.25, zones: vec![(300, 255, 0), (0, 0, 0), (65_000, 1, 128)] };
-    for (name, word) in [("word", full), ("word_empty", ZoneReport::default())] {
-        assert_bytes(name, &word.encode());
-        assert_eq!(ZoneReport::decode(&golden(name)), Some(word), "word of {name}");
+    for (name, report) in [("word", full), ("word_empty", ZoneReport::default())] {
+        assert_bytes(name, &report.encode());
+        assert_eq!(ZoneReport::decode(&golden(name)), Some(report), "report of {name}");
     }
 }
 
-/// What a node has counted, as it is told.
+/// The report of what an observer counted.
 #[test]
-fn local_word_bytes_are_stable() {
-    let mut local = ZoneObserver::new(3);
-    (0..4).for_each(|_| local.offered(0));
-    (0..4).for_each(|n| local.ended(0, 1, n == 0));
-    local.late(0, 1);
-    let word = local.report(0);
-    assert_bytes("local_word", &word.encode());
-    assert_eq!(ZoneReport::decode(&golden("local_word")), Some(word));
+fn observer_report_bytes_are_stable() {
+    let mut observer = ZoneObserver::new(3);
+    (0..4).for_each(|_| observer.record_request(0));
+    (0..4).for_each(|n| observer.record_attempt(0, 1, n == 0));
+    observer.record_late(0, 1);
+    let report = observer.report(0);
+    assert_bytes("local_word", &report.encode());
+    assert_eq!(ZoneReport::decode(&golden("local_word")), Some(report));
 }
 
 #[test]
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -112,7 +112,7 @@
         session: u64,
     ) -> Option<Result<CellName, Micros>> {
         let regional = self.regional.as_mut()?;
-        regional.local.offered(now);
+        regional.local.record_request(now);
         let told = |of: Option<usize>, list: &[bool]| of.and_then(|i| list.get(i)).copied().unwrap_or(false);
         let stays =
             told(arrival.class, &regional.stay_classes) || told(arrival.tenant, &regional.stay_tenants);
@@ -130,9 +130,9 @@
         let Some(regional) = &mut self.regional else { return };
         let Some(zone) = regional.zones.iter().position(|z| z == cell) else { return };
         match outcome {
-            Outcome::Served | Outcome::Read => regional.local.ended(now, zone, false),
+            Outcome::Served | Outcome::Read => regional.local.record_attempt(now, zone, false),
             Outcome::Error | Outcome::TimedOut | Outcome::Unreachable | Outcome::ConnectionBroken => {
-                regional.local.ended(now, zone, true);
+                regional.local.record_attempt(now, zone, true);
             }
             Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => {}
         }
@@ -142,7 +142,7 @@
     pub(crate) fn zone_late(&mut self, now: Micros, cell: &CellName) {
         let Some(regional) = &mut self.regional else { return };
         if let Some(zone) = regional.zones.iter().position(|z| z == cell) {
-            regional.local.late(now, zone);
+            regional.local.record_late(now, zone);
         }
     }
 
--- a/crates/pintally-kserve-node/src/regions.rs
+++ b/crates/pintally-kserve-node/src/regions.rs
@@ -98,7 +98,7 @@
             let plan = planner.plan(now);
             for (zone, before) in planner.status().zones.iter().zip(before) {
                 if zone.open != before {
-                    info!(zone = zone.zone, open = zone.open, known = ?zone.known, why = zone.why, "a zone's part has changed");
+                    info!(zone = zone.zone, open = zone.open, known = ?zone.health, why = zone.reason, "a zone's part has changed");
                 }
             }
             plan
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -32,10 +32,10 @@
         line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
         line(&[Stage::Reading, Stage::Asking, Stage::Careful, Stage::Serving]),
         line(&[
-            ZoneHealth::Alive,
-            ZoneHealth::Grey,
+            ZoneHealth::Healthy,
+            ZoneHealth::Degraded,
             ZoneHealth::Failing,
-            ZoneHealth::Gone,
+            ZoneHealth::Lost,
             ZoneHealth::Unknown,
         ]),
     ];
