--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -72,7 +72,7 @@
     /// Engines that it has borrowed.
     pub borrowed: usize,
     /// It is late.
-    pub strained: bool,
+    pub overloaded: bool,
     /// Its engines are there and fail.
     pub failing: bool,
 }
@@ -147,7 +147,7 @@
     }
 
     /// Takes in another version of the file; an error says why it does not hold.
-    pub fn replace(&mut self, now: Micros, file: CellsFile) -> Result<EngineAssignment, String> {
+    pub fn replace_file(&mut self, now: Micros, file: CellsFile) -> Result<EngineAssignment, String> {
         if file.version < self.file.version {
             return Err(format!("version {} is older than {}, which holds", file.version, self.file.version));
         }
@@ -155,11 +155,11 @@
             return Err(conflict);
         }
         self.set(file);
-        Ok(self.spread(now))
+        Ok(self.reassign(now))
     }
 
     /// Takes in the list of engines, whole: each with its role and its cell's name.
-    pub fn list(
+    pub fn set_engines(
         &mut self,
         now: Micros,
         members: Vec<(Endpoint, Role, Option<CellName>)>,
@@ -169,11 +169,11 @@
         let members = &self.members;
         self.trust.keep(|e| members.contains_key(e));
         members.values().for_each(|(m, ..)| self.trust.listed(&m.engine, m.started));
-        self.spread(now)
+        self.reassign(now)
     }
 
     /// An attempt of a tenant has ended at an engine.
-    pub fn ended(
+    pub fn record_attempt(
         &mut self,
         now: Micros,
         engine: &EngineId,
@@ -190,12 +190,12 @@
     }
 
     /// An engine has answered a probe.
-    pub fn reached(&mut self, now: Micros, engine: &EngineId) {
+    pub fn record_health_check(&mut self, now: Micros, engine: &EngineId) {
         self.trust.reached(now, engine);
     }
 
     /// A request of a cell has begun to be answered, late or not, or will never be.
-    pub fn heard(&mut self, now: Micros, cell: &CellName, late: bool) {
+    pub fn record_response(&mut self, now: Micros, cell: &CellName, late: bool) {
         self.strain.heard(now, cell, late);
     }
 
@@ -208,7 +208,7 @@
             level: ladder.level(),
             capacity: ladder.capacity(),
             borrowed: lent(name),
-            strained: self.strain.is_strained(now, name),
+            overloaded: self.strain.is_strained(now, name),
             failing: ladder.is_failing(),
         };
         self.ladders.iter().map(one).collect()
@@ -222,7 +222,7 @@
 
     /// When time alone may change something.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let climbs = self.ladders.values().any(|l| l.level() != Level::Well);
+        let climbs = self.ladders.values().any(|l| l.level() != Level::Normal);
         let climb = climbs.then(|| now.saturating_add(1_000_000));
         let uneasy = self.trust.is_uneasy(now) || self.strain.is_uneasy(now);
         let look = uneasy.then(|| now.saturating_add(LOOK_EVERY));
@@ -230,7 +230,7 @@
     }
 
     /// Makes loans, takes steps, and says which engines each cell has.
-    pub fn spread(&mut self, now: Micros) -> EngineAssignment {
+    pub fn reassign(&mut self, now: Micros) -> EngineAssignment {
         let mut spread = EngineAssignment::default();
         if !self.listed {
             return spread;
@@ -289,9 +289,9 @@
                 let percent = (ladder.capacity() * 100.0).round();
                 let fails = if ladder.is_failing() { ", those that are there fail" } else { "" };
                 spread.notes.push(format!(
-                    "cell {} is {:?}: {percent}% of its engines{fails}",
+                    "cell {} is {}: {percent}% of its engines{fails}",
                     cell.name,
-                    ladder.level()
+                    ladder.level().name()
                 ));
             }
             spread.cells.insert(cell.name.clone(), members);
@@ -309,7 +309,7 @@
         };
         ladder.feel(now, self.strain.is_strained(now, &home));
         let (level, serves, share) = (ladder.level(), ladder.serves(ask.class), ladder.share());
-        if level == Level::Lost {
+        if level == Level::Unavailable {
             let harmless = ask.class.and_then(|c| self.safe.get(c)).copied().unwrap_or(false);
             let room = self.edge.used() < self.places && self.edge.has_room(&home, ask.bytes);
             if !(harmless && room && ladder.trial(now)) {
@@ -340,13 +340,13 @@
     /// The cell in which a request belongs: by the file, and by how far this node has let a move come.
     fn belongs(&mut self, now: Micros, ask: AdmissionRequest, unix_ms: u64) -> Option<CellName> {
         let Cells { file, pace, ladders, strain, held, .. } = self;
-        file.belongs_at(ask.tenant, ask.session, |one| {
-            let level = |c: &CellName| ladders.get(c).map_or(Level::Lost, CellHealth::level);
-            let worst = |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(Level::Lost);
+        file.cell_for_share(ask.tenant, ask.session, |one| {
+            let level = |c: &CellName| ladders.get(c).map_or(Level::Unavailable, CellHealth::level);
+            let worst = |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(Level::Unavailable);
             let full = one.to.iter().any(|c| strain.is_strained(now, c));
             // Nobody is kept in a cell that is worse off than the one to which he moves.
             let leaves = worst(&file.home(&one.tenant)) > worst(&one.to);
-            let pressed = (full || worst(&one.to) > Level::Well) && !leaves;
+            let pressed = (full || worst(&one.to) > Level::Normal) && !leaves;
             held.retain(|t| pressed || *t != one.tenant);
             if pressed && !held.contains(&one.tenant) {
                 held.push(one.tenant.clone());
@@ -356,7 +356,7 @@
     }
 
     /// Tenants whose moves this node holds back for now.
-    pub fn held_moves(&self) -> &[String] {
+    pub fn paused_moves(&self) -> &[String] {
         &self.held
     }
 
@@ -365,7 +365,7 @@
     fn elsewhere(&mut self, now: Micros, home: &CellName, ask: AdmissionRequest) -> CellAdmission {
         let lost = CellAdmission::Rejected(Some(home.clone()), LOST_MS, "cell lost");
         let Some(other) = self.file.cell_named(home).and_then(|c| c.fallback.clone()) else { return lost };
-        let well = self.ladders.get(&other).is_some_and(|l| l.level() == Level::Well)
+        let well = self.ladders.get(&other).is_some_and(|l| l.level() == Level::Normal)
             && !self.strain.is_strained(now, &other);
         let (part, used) = self.edge.of(&other);
         let room = self.edge.has_room(&other, ask.bytes);
@@ -377,12 +377,12 @@
     }
 
     /// Gives a request's place back.
-    pub fn give_back(&mut self, cell: &CellName, tenant: Option<&str>, bytes: usize) {
+    pub fn release(&mut self, cell: &CellName, tenant: Option<&str>, bytes: usize) {
         self.edge.give_back(cell, tenant, bytes);
     }
 
     /// The tenant that has the most places of a cell.
-    pub fn heaviest(&self, cell: &CellName) -> Option<Option<String>> {
+    pub fn heaviest_tenant(&self, cell: &CellName) -> Option<Option<String>> {
         self.edge.heaviest(cell)
     }
 }
--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -300,12 +300,12 @@
     }
 
     /// The cell in which a request belongs at a time.
-    pub fn belongs(&self, tenant: Option<&str>, session: u64, unix_ms: u64) -> Option<CellName> {
-        self.belongs_at(tenant, session, |m| m.share(unix_ms))
+    pub fn cell_for(&self, tenant: Option<&str>, session: u64, unix_ms: u64) -> Option<CellName> {
+        self.cell_for_share(tenant, session, |m| m.share(unix_ms))
     }
 
     /// The cell in which a request belongs when a move has come as far as `share` says.
-    pub fn belongs_at(
+    pub fn cell_for_share(
         &self,
         tenant: Option<&str>,
         session: u64,
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -32,13 +32,25 @@
 pub enum Level {
     /// It serves everyone.
     #[default]
-    Well,
+    Normal,
     /// Tenants over their part are turned away sooner.
-    Thin,
+    Constrained,
     /// Only the most worthy classes are served, as many as there are engines for.
-    Shed,
+    Shedding,
     /// It cannot serve: no engine reads, or none writes, or those that are there fail.
-    Lost,
+    Unavailable,
+}
+
+impl Level {
+    /// The name in log lines, older than the variants' names.
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            Level::Normal => "Well",
+            Level::Constrained => "Thin",
+            Level::Shedding => "Shed",
+            Level::Unavailable => "Lost",
+        }
+    }
 }
 
 /// One cell's way down and up.
@@ -67,7 +79,7 @@
         let even = 1.0 / classes.len().max(1) as f64;
         let classes = classes.into_iter().map(|(_, w)| (even, w)).collect();
         CellHealth {
-            level: Level::Well,
+            level: Level::Normal,
             capacity: 1.0,
             calm: None,
             failing: false,
@@ -92,8 +104,8 @@
     /// The share of its places that it may use.
     pub fn share(&self) -> f64 {
         match self.level {
-            Level::Well => 1.0,
-            Level::Shed => self.open,
+            Level::Normal => 1.0,
+            Level::Shedding => self.open,
             _ => self.capacity,
         }
     }
@@ -104,7 +116,7 @@
     pub fn feel(&mut self, now: Micros, late: bool) {
         let passed = now.saturating_sub(self.felt) as f64 / 1e6;
         self.felt = self.felt.max(now);
-        if self.level != Level::Shed {
+        if self.level != Level::Shedding {
             self.open = self.capacity;
         } else if late {
             self.open *= CLOSES.powf(passed);
@@ -143,10 +155,10 @@
         self.failing = listed > 0.0 && counted < bad && (self.failing || counted < FAILING);
         let failing = self.failing;
         let fits = |capacity: f64| match capacity {
-            c if c <= 0.0 || failing => Level::Lost,
-            c if c < SHED => Level::Shed,
-            c if c < THIN => Level::Thin,
-            _ => Level::Well,
+            c if c <= 0.0 || failing => Level::Unavailable,
+            c if c < SHED => Level::Shedding,
+            c if c < THIN => Level::Constrained,
+            _ => Level::Normal,
         };
         let wanted = fits(self.capacity);
         if wanted >= self.level {
@@ -159,21 +171,21 @@
             return changed;
         }
         // A step up needs some more than its share; being able to serve at all needs no margin.
-        let careful = if self.level == Level::Lost { wanted } else { fits(self.capacity - MARGIN) };
+        let careful = if self.level == Level::Unavailable { wanted } else { fits(self.capacity - MARGIN) };
         if careful >= self.level {
             self.calm = None;
             return false;
         }
         let since = *self.calm.get_or_insert(now);
-        let wait = if self.level == Level::Lost { 0 } else { CALM };
+        let wait = if self.level == Level::Unavailable { 0 } else { CALM };
         if now < since.saturating_add(wait) {
             return false;
         }
         self.calm = Some(now);
         self.level = match self.level {
-            Level::Lost => Level::Shed,
-            Level::Shed => Level::Thin,
-            _ => Level::Well,
+            Level::Unavailable => Level::Shedding,
+            Level::Shedding => Level::Constrained,
+            _ => Level::Normal,
         };
         true
     }
@@ -185,10 +197,10 @@
             *share += BLEND * (came - *share);
         }
         match self.level {
-            Level::Well | Level::Thin => true,
-            Level::Lost => false,
+            Level::Normal | Level::Constrained => true,
+            Level::Unavailable => false,
             // The most worthy first, until what they bring is what the engines left can do.
-            Level::Shed => {
+            Level::Shedding => {
                 let Some(&(_, worth)) = class.and_then(|c| self.classes.get(c)) else { return false };
                 let above: f64 = self.classes.iter().filter(|(_, w)| *w > worth).map(|(s, _)| s).sum();
                 above < self.open.max(self.capacity)
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -119,9 +119,9 @@
     assert_eq!(file.home("t"), ["a".into()]);
     assert_eq!(file.home("u").len(), 2);
     assert_eq!(file.home("v").len(), 1);
-    assert!((0..500).all(|s| file.belongs(Some("t"), s, 4999) == Some("a".into())));
-    assert!((0..500).all(|s| file.belongs(Some("t"), s, 6000) == Some("b".into())));
-    let over = (0..2000).filter(|s| file.belongs(Some("t"), *s, 5500) == Some("b".into())).count();
+    assert!((0..500).all(|s| file.cell_for(Some("t"), s, 4999) == Some("a".into())));
+    assert!((0..500).all(|s| file.cell_for(Some("t"), s, 6000) == Some("b".into())));
+    let over = (0..2000).filter(|s| file.cell_for(Some("t"), *s, 5500) == Some("b".into())).count();
     assert!((900..1100).contains(&over), "{over} of 2000 halfway");
 }
 
@@ -248,7 +248,7 @@
                 for session in 0..12u64 {
                     states += 1;
                     let belongs: Vec<Option<CellName>> =
-                        at.iter().map(|v| history[*v].belongs(Some("t"), session, now)).collect();
+                        at.iter().map(|v| history[*v].cell_for(Some("t"), session, now)).collect();
                     // Every node has a cell for it, whichever version it holds.
                     assert!(belongs.iter().all(Option::is_some));
                     // Nodes that hold the same version agree, restarted or not.
@@ -258,8 +258,8 @@
                     // A node that missed `both` or `prepare` agrees with one that saw it.
                     if history[3].moves.iter().any(|m| matches!(m.step, Step::Done { .. })) {
                         assert_eq!(
-                            history[2].belongs(Some("t"), session, now),
-                            history[3].belongs(Some("t"), session, now)
+                            history[2].cell_for(Some("t"), session, now),
+                            history[3].cell_for(Some("t"), session, now)
                         );
                     }
                 }
@@ -267,7 +267,7 @@
             // Whatever a node holds, each later version may follow, and no earlier one is taken.
             let mut node = Cells::new(history[at[0]].clone(), 10, 1 << 20, &core);
             for (v, next) in history.iter().enumerate() {
-                assert_eq!(node.replace(0, next.clone()).is_ok(), v >= node_version(&node, history));
+                assert_eq!(node.replace_file(0, next.clone()).is_ok(), v >= node_version(&node, history));
             }
         }
     }
@@ -296,7 +296,7 @@
         for (turn, at) in turns {
             file = file.step("t", turn.clone(), *at).unwrap();
             assert_eq!(CellsFile::parse("again", &file.render(), &core).unwrap(), file);
-            node.replace(0, file.clone()).unwrap();
+            node.replace_file(0, file.clone()).unwrap();
         }
         file
     };
@@ -341,25 +341,25 @@
     let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     assert!(ladder.update(0, 0.2, 0.2));
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     // Just over the step's share is not enough to go up.
     for s in 1..20 {
         ladder.update(s * second, 0.42, 0.42);
     }
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     ladder.update(20 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     ladder.update(26 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Thin);
+    assert_eq!(ladder.level(), Level::Constrained);
     ladder.update(27 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Thin);
+    assert_eq!(ladder.level(), Level::Constrained);
     ladder.update(32 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Well);
+    assert_eq!(ladder.level(), Level::Normal);
     ladder.update(33 * second, 0.0, 0.0);
-    assert_eq!(ladder.level(), Level::Lost);
+    assert_eq!(ladder.level(), Level::Unavailable);
     // Able to serve at all, it does so at once.
     ladder.update(34 * second, 0.5, 0.5);
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
 }
 
 /// A node that starts knows the cells before their engines: that is no loss.
@@ -367,8 +367,8 @@
 fn cells_without_a_list_are_not_lost() {
     let core = core(&["t", "u", "v"]);
     let mut node = Cells::new(CellsFile::parse("cells", FILE, &core).unwrap(), 10, 1 << 20, &core);
-    node.list(0, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Well));
+    node.set_engines(0, Vec::new());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
     let mut all = Vec::new();
     for cell in ["a", "b"] {
         for (id, role) in
@@ -377,11 +377,11 @@
             all.push((member(&format!("{cell}{id}")), role, Some(CellName::from(cell))));
         }
     }
-    node.list(1, all.clone());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Well));
+    node.set_engines(1, all.clone());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
     // From then on it is: a list that is empty says that all engines are gone.
-    node.list(2, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Lost));
+    node.set_engines(2, Vec::new());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Unavailable));
 }
 
 /// What a cell can do shows in whether it keeps up: it opens while it does, and closes when it does not.
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -133,7 +133,7 @@
         all.push((member("sr"), Role::Reader, None));
         all.push((member("sw"), Role::Writer, None));
     }
-    cells.list(0, all);
+    cells.set_engines(0, all);
     cells
 }
 
@@ -149,11 +149,17 @@
 fn release(cells: &mut Cells, from: Micros) -> Micros {
     for n in 0..60 {
         for engine in ["aw0", "aw1"] {
-            cells.ended(from + n * 50_000, &id(engine), Some(n as usize % 2), Outcome::Error, Some(&idle()));
+            cells.record_attempt(
+                from + n * 50_000,
+                &id(engine),
+                Some(n as usize % 2),
+                Outcome::Error,
+                Some(&idle()),
+            );
         }
     }
     let now = from + 60 * 50_000;
-    cells.spread(now);
+    cells.reassign(now);
     now
 }
 
@@ -162,27 +168,27 @@
     let mut cells = cells(false);
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
-    assert_eq!((a.level, a.failing), (Level::Lost, true));
-    assert_eq!(status(&cells, now, "b").level, Level::Well);
+    assert_eq!((a.level, a.failing), (Level::Unavailable, true));
+    assert_eq!(status(&cells, now, "b").level, Level::Normal);
     // One harmless request a second goes in, to see; what may not be run twice never does.
     assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Into("b".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("a".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("b".into()));
     assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Into("a".into()));
     // The trials go well from here on: it comes back, step by step and for good.
-    let (mut at, mut levels) = (now, vec![Level::Lost]);
+    let (mut at, mut levels) = (now, vec![Level::Unavailable]);
     for _ in 0..90 {
         at += SECOND;
         for engine in ["aw0", "aw1"] {
-            cells.ended(at, &id(engine), Some(0), Outcome::Served, Some(&idle()));
+            cells.record_attempt(at, &id(engine), Some(0), Outcome::Served, Some(&idle()));
         }
-        cells.spread(at);
+        cells.reassign(at);
         let level = status(&cells, at, "a").level;
         if levels.last() != Some(&level) {
             levels.push(level);
         }
     }
-    assert_eq!(levels, [Level::Lost, Level::Shed, Level::Thin, Level::Well]);
+    assert_eq!(levels, [Level::Unavailable, Level::Shedding, Level::Constrained, Level::Normal]);
 }
 
 #[test]
@@ -191,8 +197,8 @@
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
     // One spare writer of the two that it lacks.
-    assert_eq!((a.borrowed, a.level, a.failing), (1, Level::Thin, false));
-    let spread = cells.spread(now + 1);
+    assert_eq!((a.borrowed, a.level, a.failing), (1, Level::Constrained, false));
+    let spread = cells.reassign(now + 1);
     let lent = &spread.cells[&CellName::from("a")];
     let fresh = lent.iter().find(|m| &*m.engine.0 == "sw").expect("the spare writer");
     assert!(fresh.started.is_some(), "a borrowed engine starts as a cold one");
@@ -208,11 +214,11 @@
     let mut now = 0;
     while now < 3 * SECOND {
         now += 20_000;
-        cells.heard(now, &name, now % 60_000 == 0);
-        cells.spread(now);
+        cells.record_response(now, &name, now % 60_000 == 0);
+        cells.reassign(now);
     }
     let b = status(&cells, now, "b");
-    assert_eq!((b.borrowed, b.strained, b.level), (2, true, Level::Well));
+    assert_eq!((b.borrowed, b.overloaded, b.level), (2, true, Level::Normal));
     // What another cell has lost comes first, at once.
     let now = release(&mut cells, now);
     assert_eq!(status(&cells, now, "a").borrowed, 1);
@@ -221,8 +227,8 @@
     let mut at = now;
     while at < now + 60 * SECOND {
         at += 100_000;
-        cells.heard(at, &name, false);
-        cells.spread(at);
+        cells.record_response(at, &name, false);
+        cells.reassign(at);
     }
     assert_eq!(status(&cells, at, "b").borrowed, 0);
 }
@@ -289,7 +295,7 @@
         "(move \"t\" (to \"b\") (over-ms 1000) (step both) (since-unix-ms 5000)) (tenant \"u\"",
     );
     let moving = moving.replace("(version 1)", "(version 2)");
-    cells.replace(0, CellsFile::parse("cells", &moving, &core).unwrap()).unwrap();
+    cells.replace_file(0, CellsFile::parse("cells", &moving, &core).unwrap()).unwrap();
     let over = |cells: &mut Cells, now, unix_ms| {
         let mut over = 0;
         for session in 0..200 {
@@ -297,20 +303,20 @@
             let verdict = cells.admit(now, ask, unix_ms);
             over += usize::from(verdict == CellAdmission::Into("b".into()));
             if let CellAdmission::Into(cell) = verdict {
-                cells.give_back(&cell, Some("t"), 0);
+                cells.release(&cell, Some("t"), 0);
             }
         }
         over
     };
     assert_eq!(over(&mut cells, 0, 5000), 0);
-    (0..40).for_each(|n| cells.heard(n, &"b".into(), true));
+    (0..40).for_each(|n| cells.record_response(n, &"b".into(), true));
     assert_eq!(over(&mut cells, 50, 5900), 0, "the new cell is late: nobody goes");
-    assert_eq!(cells.held_moves(), ["t"]);
+    assert_eq!(cells.paused_moves(), ["t"]);
     // Its own cell fails altogether: now it is better off over there.
     let now = release(&mut cells, 50);
-    (0..40).for_each(|n| cells.heard(now + n, &"b".into(), true));
+    (0..40).for_each(|n| cells.record_response(now + n, &"b".into(), true));
     over(&mut cells, now + 50, 5950);
-    assert!(cells.held_moves().is_empty());
+    assert!(cells.paused_moves().is_empty());
 }
 
 proptest! {
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -168,7 +168,7 @@
         self.touched.push(ticket);
         let (id, cell) = (entry.id.clone(), entry.cell.clone());
         if let Some(cells) = &mut self.cells {
-            cells.ended(now, &ended.engine, entry.tenant, outcome, load.as_ref());
+            cells.record_attempt(now, &ended.engine, entry.tenant, outcome, load.as_ref());
             self.uneasy |= !matches!(outcome, Outcome::Served | Outcome::Read);
         }
         let fresh = states::ended(entry, now, &ended, outcome, state);
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -25,7 +25,7 @@
     pub fn moves_status(&self, unix_ms: u64) -> Vec<(String, f64, bool)> {
         let Some(cells) = &self.cells else { return Vec::new() };
         let status = |(tenant, share)| {
-            let held = cells.held_moves().contains(&tenant);
+            let held = cells.paused_moves().contains(&tenant);
             (tenant, share, held)
         };
         cells.moves(unix_ms).into_iter().map(status).collect()
@@ -37,7 +37,7 @@
             self.zone_late(now, cell);
         }
         if let Some(cells) = &mut self.cells {
-            cells.heard(now, cell, late);
+            cells.record_response(now, cell, late);
             self.uneasy |= late;
         }
     }
@@ -115,7 +115,7 @@
         let listed = self.members.values();
         let all = listed.map(|l| (l.endpoint.clone(), role(&l.endpoint.engine), l.cell.clone())).collect();
         let Some(cells) = &mut self.cells else { return };
-        let spread = cells.list(now, all);
+        let spread = cells.set_engines(now, all);
         self.hand_out(now, spread, true, out);
     }
 
@@ -129,7 +129,7 @@
                 self.cells = Some(Cells::new(file, places, room, &self.settings.core));
                 self.list_to_cells(now, out);
             }
-            Some(cells) => match cells.replace(now, file) {
+            Some(cells) => match cells.replace_file(now, file) {
                 Ok(spread) => self.hand_out(now, spread, true, out),
                 Err(why) => {
                     out.push(Command::Log(format!(
@@ -144,7 +144,7 @@
     pub(crate) fn cells_due(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.cells_due = None;
         if let Some(cells) = &mut self.cells {
-            let spread = cells.spread(now);
+            let spread = cells.reassign(now);
             self.hand_out(now, spread, false, out);
         }
     }
@@ -231,7 +231,7 @@
     /// The youngest request that waits unsent, of the heaviest tenant of a cell, gives up its place.
     /// Where all of them are under way none does: what has cost work is not thrown away.
     fn give_way(&mut self, now: Micros, cell: &CellName, out: &mut Vec<Command>) {
-        let Some(heaviest) = self.cells.as_ref().and_then(|c| c.heaviest(cell)) else { return };
+        let Some(heaviest) = self.cells.as_ref().and_then(|c| c.heaviest_tenant(cell)) else { return };
         let tenants = &self.settings.core.tenants;
         let named = |t: Option<usize>| t.and_then(|t| tenants.get(t)).map(|t| t.name.clone());
         let waits = |e: &crate::ledger::Entry| {
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -304,7 +304,7 @@
                     self.saw(&engine, true);
                 }
                 if let Some(cells) = self.cells.as_mut().filter(|_| answered) {
-                    cells.reached(now, &engine);
+                    cells.record_health_check(now, &engine);
                 }
                 // Whoever has the engine has asked; a second cell hears of it in vain.
                 for cell in self.routers.keys().cloned().collect::<Vec<_>>() {
@@ -492,7 +492,7 @@
             self.by_id.remove(&entry.id);
             if let Some(cells) = &mut self.cells {
                 let tenant = entry.tenant.and_then(|t| self.settings.core.tenants.get(t));
-                cells.give_back(&entry.cell, tenant.map(|t| t.name.as_str()), entry.bytes);
+                cells.release(&entry.cell, tenant.map(|t| t.name.as_str()), entry.bytes);
             }
             self.timers.unset(entry.guard);
             self.give_back(self.now, &std::mem::take(&mut entry.counted));
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -189,10 +189,10 @@
 /// A cell's level as the counters document spells it, whatever the variant is called.
 fn cell_level_name(level: pintally_cells::Level) -> &'static str {
     match level {
-        pintally_cells::Level::Well => "Well",
-        pintally_cells::Level::Thin => "Thin",
-        pintally_cells::Level::Shed => "Shed",
-        pintally_cells::Level::Lost => "Lost",
+        pintally_cells::Level::Normal => "Well",
+        pintally_cells::Level::Constrained => "Thin",
+        pintally_cells::Level::Shedding => "Shed",
+        pintally_cells::Level::Unavailable => "Lost",
     }
 }
 
@@ -205,7 +205,7 @@
         .map(|c| {
             serde_json::json!({
                 "cell": &*c.cell.0, "level": cell_level_name(c.level), "share": c.capacity,
-                "borrowed": c.borrowed, "strained": c.strained, "failing": c.failing,
+                "borrowed": c.borrowed, "strained": c.overloaded, "failing": c.failing,
             })
         })
         .collect();
