--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -6,13 +6,13 @@
     Endpoint, EndpointState, EngineId, Idempotency, LoadReport, Micros, Outcome, Role, Settings,
 };
 
-use crate::edge::{Edge, Place};
+use crate::edge::{EdgeAdmission, EdgeDecision};
+use crate::engine_health::EngineHealth;
 use crate::file::CellsFile;
 use crate::health::{CellHealth, Level};
 use crate::loans::{counted, Has, Lendable, Loans};
-use crate::pace::MoveRateController;
-use crate::strain::Strain;
-use crate::trust::Trust;
+use crate::move_rate::MoveRateController;
+use crate::overload::OverloadTracker;
 use crate::CellName;
 
 /// A cell takes strangers from a lost one only while it uses less than this share of its own part.
@@ -80,14 +80,14 @@
 /// All cells of a fleet as one node sees them.
 pub struct Cells {
     file: CellsFile,
-    edge: Edge,
+    edge: EdgeAdmission,
     places: usize,
     room: usize,
     worths: Vec<f64>,
     /// Whether a class may be run twice without harm.
     safe: Vec<bool>,
-    trust: Trust,
-    strain: Strain,
+    engine_health: EngineHealth,
+    overload: OverloadTracker,
     pace: MoveRateController,
     /// Tenants whose moves are held back.
     held: Vec<String>,
@@ -108,13 +108,13 @@
         let worths: Vec<f64> = core.classes.iter().map(|c| c.priority_weight).collect();
         let mut cells = Cells {
             file: CellsFile::default(),
-            edge: Edge::default(),
+            edge: EdgeAdmission::default(),
             places,
             room: (room as f64 * HELD) as usize,
             worths,
             safe: core.classes.iter().map(|c| c.effect == Idempotency::Idempotent).collect(),
-            trust: Trust::default(),
-            strain: Strain::default(),
+            engine_health: EngineHealth::default(),
+            overload: OverloadTracker::default(),
             pace: MoveRateController::default(),
             held: Vec::new(),
             ladders: BTreeMap::new(),
@@ -135,8 +135,8 @@
         }
         let known = |name: &CellName| file.cells.iter().any(|c| c.name == *name);
         self.ladders.retain(|name, _| known(name));
-        self.strain.keep(known);
-        self.pace.keep(|tenant| file.moves.iter().any(|m| m.tenant == tenant));
+        self.overload.retain(known);
+        self.pace.retain(|tenant| file.moves.iter().any(|m| m.tenant == tenant));
         self.held.retain(|tenant| file.moves.iter().any(|m| m.tenant == *tenant));
         self.file = file;
     }
@@ -167,8 +167,8 @@
         self.listed |= !members.is_empty();
         self.members = members.into_iter().map(|m| (m.0.engine.clone(), m)).collect();
         let members = &self.members;
-        self.trust.keep(|e| members.contains_key(e));
-        members.values().for_each(|(m, ..)| self.trust.listed(&m.engine, m.started));
+        self.engine_health.retain(|e| members.contains_key(e));
+        members.values().for_each(|(m, ..)| self.engine_health.set_started(&m.engine, m.started));
         self.reassign(now)
     }
 
@@ -181,7 +181,7 @@
         outcome: Outcome,
         load: Option<&LoadReport>,
     ) {
-        self.trust.ended(now, engine, tenant, outcome, load);
+        self.engine_health.record_attempt(now, engine, tenant, outcome, load);
         let own = self.members.get(engine).and_then(|(.., own)| own.as_ref());
         let cell = self.loans.borrower(engine).or(own);
         if let Some(ladder) = cell.and_then(|c| self.ladders.get_mut(c)) {
@@ -191,12 +191,12 @@
 
     /// An engine has answered a probe.
     pub fn record_health_check(&mut self, now: Micros, engine: &EngineId) {
-        self.trust.reached(now, engine);
+        self.engine_health.record_health_check(now, engine);
     }
 
     /// A request of a cell has begun to be answered, late or not, or will never be.
     pub fn record_response(&mut self, now: Micros, cell: &CellName, late: bool) {
-        self.strain.heard(now, cell, late);
+        self.overload.record_response(now, cell, late);
     }
 
     /// Where each cell stands.
@@ -208,7 +208,7 @@
             level: ladder.level(),
             capacity: ladder.capacity(),
             borrowed: lent(name),
-            overloaded: self.strain.is_strained(now, name),
+            overloaded: self.overload.is_overloaded(now, name),
             failing: ladder.is_failing(),
         };
         self.ladders.iter().map(one).collect()
@@ -216,7 +216,7 @@
 
     /// How far each move under way has come at this node, as a share of the tenant's sessions.
     pub fn moves(&self, unix_ms: u64) -> Vec<(String, f64)> {
-        let come = |m: &crate::Move| self.pace.of(&m.tenant).unwrap_or_else(|| m.share(unix_ms));
+        let come = |m: &crate::Move| self.pace.current_share(&m.tenant).unwrap_or_else(|| m.share(unix_ms));
         self.file.moves.iter().map(|m| (m.tenant.clone(), come(m))).collect()
     }
 
@@ -224,7 +224,7 @@
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let climbs = self.ladders.values().any(|l| l.level() != Level::Normal);
         let climb = climbs.then(|| now.saturating_add(1_000_000));
-        let uneasy = self.trust.is_uneasy(now) || self.strain.is_uneasy(now);
+        let uneasy = self.engine_health.needs_tick(now) || self.overload.needs_tick(now);
         let look = uneasy.then(|| now.saturating_add(LOOK_EVERY));
         [self.loans.next_end(), climb, look].into_iter().flatten().min()
     }
@@ -235,21 +235,21 @@
         if !self.listed {
             return spread;
         }
-        self.trust.tick(now);
-        self.strain.tick(now);
+        self.engine_health.tick(now);
+        self.overload.tick(now);
         let known = |cell: &CellName| self.file.cells.iter().any(|c| c.name == *cell);
         // An engine that fails is as good as gone: another may stand in for it, and it for none.
         let serving: Vec<Lendable> = self
             .members
             .values()
-            .filter(|(m, ..)| m.state == EndpointState::Serving && !self.trust.is_failing(&m.engine))
+            .filter(|(m, ..)| m.state == EndpointState::Serving && !self.engine_health.is_failing(&m.engine))
             .map(|(m, role, cell)| Lendable {
                 engine: m.engine.clone(),
                 role: *role,
                 cell: cell.clone().filter(&known),
             })
             .collect();
-        if self.loans.update(now, &self.file.cells, &serving, |cell| self.strain.pairs(cell)) {
+        if self.loans.update(now, &self.file.cells, &serving, |cell| self.overload.requested_pairs(cell)) {
             for one in &serving {
                 match (self.loans.borrower(&one.engine), self.borrowed.contains_key(&one.engine)) {
                     (Some(cell), false) => {
@@ -280,7 +280,7 @@
                 }
                 if member.state == EndpointState::Serving {
                     has.add(*role);
-                    weights.push((*role, self.trust.weight(now, &member.engine)));
+                    weights.push((*role, self.engine_health.score(now, &member.engine)));
                 }
                 members.push(member);
             }
@@ -307,43 +307,43 @@
         let Some(ladder) = self.ladders.get_mut(&home) else {
             return CellAdmission::Rejected(Some(home), LOST_MS, "no cell");
         };
-        ladder.feel(now, self.strain.is_strained(now, &home));
+        ladder.feel(now, self.overload.is_overloaded(now, &home));
         let (level, serves, share) = (ladder.level(), ladder.serves(ask.class), ladder.share());
         if level == Level::Unavailable {
             let harmless = ask.class.and_then(|c| self.safe.get(c)).copied().unwrap_or(false);
-            let room = self.edge.used() < self.places && self.edge.has_room(&home, ask.bytes);
+            let room = self.edge.used_slots() < self.places && self.edge.fits_body(&home, ask.bytes);
             if !(harmless && room && ladder.trial(now)) {
                 return self.elsewhere(now, &home, ask);
             }
-            self.edge.take(&home, ask.tenant, ask.bytes);
+            self.edge.reserve(&home, ask.tenant, ask.bytes);
             return CellAdmission::Into(home);
         }
         if !serves {
             return CellAdmission::Rejected(Some(home), SHED_MS, "shed");
         }
-        if !self.edge.has_room(&home, ask.bytes) {
+        if !self.edge.fits_body(&home, ask.bytes) {
             return CellAdmission::Rejected(Some(home), SHED_MS, "no room for its body");
         }
-        match self.edge.ask(&home, ask.tenant, share) {
-            Place::Free => {
-                self.edge.take(&home, ask.tenant, ask.bytes);
+        match self.edge.decide(&home, ask.tenant, share) {
+            EdgeDecision::Admit => {
+                self.edge.reserve(&home, ask.tenant, ask.bytes);
                 CellAdmission::Into(home)
             }
-            Place::InPlaceOf(other) => {
-                self.edge.take(&home, ask.tenant, ask.bytes);
+            EdgeDecision::Displace(other) => {
+                self.edge.reserve(&home, ask.tenant, ask.bytes);
                 CellAdmission::InPlaceOf(home, other)
             }
-            Place::None(after) => CellAdmission::Rejected(Some(home), after, "over its part"),
+            EdgeDecision::Reject(after) => CellAdmission::Rejected(Some(home), after, "over its part"),
         }
     }
 
     /// The cell in which a request belongs: by the file, and by how far this node has let a move come.
     fn belongs(&mut self, now: Micros, ask: AdmissionRequest, unix_ms: u64) -> Option<CellName> {
-        let Cells { file, pace, ladders, strain, held, .. } = self;
+        let Cells { file, pace, ladders, overload, held, .. } = self;
         file.cell_for_share(ask.tenant, ask.session, |one| {
             let level = |c: &CellName| ladders.get(c).map_or(Level::Unavailable, CellHealth::level);
             let worst = |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(Level::Unavailable);
-            let full = one.to.iter().any(|c| strain.is_strained(now, c));
+            let full = one.to.iter().any(|c| overload.is_overloaded(now, c));
             // Nobody is kept in a cell that is worse off than the one to which he moves.
             let leaves = worst(&file.home(&one.tenant)) > worst(&one.to);
             let pressed = (full || worst(&one.to) > Level::Normal) && !leaves;
@@ -366,23 +366,27 @@
         let lost = CellAdmission::Rejected(Some(home.clone()), LOST_MS, "cell lost");
         let Some(other) = self.file.cell_named(home).and_then(|c| c.fallback.clone()) else { return lost };
         let well = self.ladders.get(&other).is_some_and(|l| l.level() == Level::Normal)
-            && !self.strain.is_strained(now, &other);
-        let (part, used) = self.edge.of(&other);
-        let room = self.edge.has_room(&other, ask.bytes);
-        if !well || !room || used as f64 >= part as f64 * STRANGERS || self.edge.used() >= self.places {
+            && !self.overload.is_overloaded(now, &other);
+        let usage = self.edge.usage(&other);
+        let room = self.edge.fits_body(&other, ask.bytes);
+        if !well
+            || !room
+            || usage.used as f64 >= usage.quota as f64 * STRANGERS
+            || self.edge.used_slots() >= self.places
+        {
             return lost;
         }
-        self.edge.take(&other, ask.tenant, ask.bytes);
+        self.edge.reserve(&other, ask.tenant, ask.bytes);
         CellAdmission::Into(other)
     }
 
     /// Gives a request's place back.
     pub fn release(&mut self, cell: &CellName, tenant: Option<&str>, bytes: usize) {
-        self.edge.give_back(cell, tenant, bytes);
+        self.edge.release(cell, tenant, bytes);
     }
 
     /// The tenant that has the most places of a cell.
     pub fn heaviest_tenant(&self, cell: &CellName) -> Option<Option<String>> {
-        self.edge.heaviest(cell)
+        self.edge.heaviest_tenant(cell)
     }
 }
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -8,25 +8,25 @@
 
 mod assign;
 mod edge;
+mod engine_health;
 mod facade;
 mod file;
 mod health;
 mod loans;
+mod move_rate;
 mod moves;
-mod pace;
-mod strain;
-mod trust;
+mod overload;
 
 pub use assign::{cells_of, draw};
-pub use edge::{Edge, Place};
+pub use edge::{EdgeAdmission, EdgeDecision, SlotUsage};
+pub use engine_health::EngineHealth;
 pub use facade::{AdmissionRequest, CellAdmission, CellStatus, Cells, EngineAssignment};
 pub use file::{CellSpec, CellsFile, Home, MoveCommand, Needs, TenantHome};
 pub use health::{CellHealth, Level};
 pub use loans::{Lendable, Loans};
+pub use move_rate::MoveRateController;
 pub use moves::{Move, Step};
-pub use pace::MoveRateController;
-pub use strain::Strain;
-pub use trust::Trust;
+pub use overload::OverloadTracker;
 
 use std::sync::Arc;
 
--- a/crates/pintally-cells/src/moves.rs
+++ b/crates/pintally-cells/src/moves.rs
@@ -33,6 +33,16 @@
     },
 }
 
+impl Step {
+    /// When the first session moved; `None` if the move is only prepared.
+    pub(crate) fn since(&self) -> Option<u64> {
+        match *self {
+            Step::Prepare => None,
+            Step::Both { since } | Step::Done { since } | Step::Back { since, .. } => Some(since),
+        }
+    }
+}
+
 /// A tenant's move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -470,40 +470,40 @@
     fn parts_are_kept_whatever_the_others_do(steps in prop::collection::vec((0usize..3, 0usize..3, any::<bool>()), 1..400)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
         let tenants = [Some("x"), Some("y"), None];
-        let mut edge = Edge::default();
+        let mut edge = EdgeAdmission::default();
         edge.divide(30, 0, names.iter().map(|n| (n, 1.0)));
         let mut held: Vec<(usize, usize)> = Vec::new();
         for (c, t, arrives) in steps {
             if !arrives {
                 if let Some(at) = held.iter().position(|h| *h == (c, t)) {
                     held.swap_remove(at);
-                    edge.give_back(&names[c], tenants[t], 0);
+                    edge.release(&names[c], tenants[t], 0);
                 }
                 continue;
             }
-            let (part, used) = edge.of(&names[c]);
-            match edge.ask(&names[c], tenants[t], 1.0) {
-                Place::Free => {
-                    edge.take(&names[c], tenants[t], 0);
+            let SlotUsage { quota: part, used } = edge.usage(&names[c]);
+            match edge.decide(&names[c], tenants[t], 1.0) {
+                EdgeDecision::Admit => {
+                    edge.reserve(&names[c], tenants[t], 0);
                     held.push((c, t));
                 }
-                Place::InPlaceOf(other) => {
-                    let (their, used) = edge.of(&other);
+                EdgeDecision::Displace(other) => {
+                    let SlotUsage { quota: their, used } = edge.usage(&other);
                     prop_assert!(used > their || other == names[c], "{} of {} gave way", used, their);
-                    let heaviest = edge.heaviest(&other).unwrap();
-                    edge.give_back(&other, heaviest.as_deref(), 0);
+                    let heaviest = edge.heaviest_tenant(&other).unwrap();
+                    edge.release(&other, heaviest.as_deref(), 0);
                     let index = names.iter().position(|n| *n == other).unwrap();
                     let tenant = tenants.iter().position(|t| t.map(str::to_string) == heaviest).unwrap();
                     held.swap_remove(held.iter().position(|h| *h == (index, tenant)).unwrap());
-                    edge.take(&names[c], tenants[t], 0);
+                    edge.reserve(&names[c], tenants[t], 0);
                     held.push((c, t));
                 }
-                Place::None(after) => {
+                EdgeDecision::Reject(after) => {
                     prop_assert!(used >= part, "turned away with {} of {} used", used, part);
                     prop_assert!((1..=2000).contains(&after));
                 }
             }
-            prop_assert_eq!(edge.used(), held.len());
+            prop_assert_eq!(edge.used_slots(), held.len());
             prop_assert!(held.len() <= 30);
         }
     }
@@ -513,20 +513,20 @@
 #[test]
 fn a_flooding_tenant_leaves_the_others_their_parts() {
     let name = CellName::from("a");
-    let mut edge = Edge::default();
+    let mut edge = EdgeAdmission::default();
     edge.divide(20, 0, [(&name, 1.0)].into_iter());
     let mut flood = 0;
-    while edge.ask(&name, Some("flood"), 1.0) == Place::Free {
-        edge.take(&name, Some("flood"), 0);
+    while edge.decide(&name, Some("flood"), 1.0) == EdgeDecision::Admit {
+        edge.reserve(&name, Some("flood"), 0);
         flood += 1;
     }
     assert_eq!(flood, 20);
     for _ in 0..10 {
-        assert_eq!(edge.ask(&name, Some("calm"), 1.0), Place::InPlaceOf(name.clone()));
-        assert_eq!(edge.heaviest(&name), Some(Some("flood".into())));
-        edge.give_back(&name, Some("flood"), 0);
-        edge.take(&name, Some("calm"), 0);
+        assert_eq!(edge.decide(&name, Some("calm"), 1.0), EdgeDecision::Displace(name.clone()));
+        assert_eq!(edge.heaviest_tenant(&name), Some(Some("flood".into())));
+        edge.release(&name, Some("flood"), 0);
+        edge.reserve(&name, Some("calm"), 0);
     }
-    assert!(matches!(edge.ask(&name, Some("calm"), 1.0), Place::None(_)));
-    assert!(matches!(edge.ask(&name, Some("flood"), 1.0), Place::None(_)));
+    assert!(matches!(edge.decide(&name, Some("calm"), 1.0), EdgeDecision::Reject(_)));
+    assert!(matches!(edge.decide(&name, Some("flood"), 1.0), EdgeDecision::Reject(_)));
 }
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -23,83 +23,83 @@
     LoadReport { queue: Some(9.0), slots: Some(1.0), ..LoadReport::default() }
 }
 
-// ---- trust ----
+// ---- health ----
 
 #[test]
 fn an_engine_that_fails_everyone_counts_for_nothing_and_is_forgiven_in_time() {
-    let (mut trust, engine) = (Trust::default(), id("e"));
+    let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..80 {
-        trust.ended(n * 50_000, &engine, Some(n as usize % 3), Outcome::Error, None);
+        health.record_attempt(n * 50_000, &engine, Some(n as usize % 3), Outcome::Error, None);
     }
     let now = 4 * SECOND;
-    assert_eq!(trust.weight(now, &engine), 0.0);
-    assert!(trust.is_failing(&engine) && trust.is_uneasy(now));
-    assert_eq!(trust.weight(now, &id("other")), 1.0);
+    assert_eq!(health.score(now, &engine), 0.0);
+    assert!(health.is_failing(&engine) && health.needs_tick(now));
+    assert_eq!(health.score(now, &id("other")), 1.0);
     // Half of it fades in ten seconds; after two minutes nothing is held against it.
-    assert!((0.1..0.3).contains(&trust.weight(now + 15 * SECOND, &engine)));
-    trust.tick(now + 120 * SECOND);
-    assert!(!trust.is_failing(&engine) && !trust.is_uneasy(now + 120 * SECOND));
+    assert!((0.1..0.3).contains(&health.score(now + 15 * SECOND, &engine)));
+    health.tick(now + 120 * SECOND);
+    assert!(!health.is_failing(&engine) && !health.needs_tick(now + 120 * SECOND));
 }
 
 /// Guards against a tenant whose requests no engine can serve: they must not cost the others a cell.
 #[test]
 fn one_tenants_poison_takes_no_more_than_its_vote() {
-    let (mut trust, engine) = (Trust::default(), id("e"));
+    let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..400 {
-        trust.ended(n * 10_000, &engine, Some(0), Outcome::Error, None);
+        health.record_attempt(n * 10_000, &engine, Some(0), Outcome::Error, None);
         if n % 10 == 0 {
-            trust.ended(n * 10_000, &engine, Some(1), Outcome::Served, None);
-            trust.ended(n * 10_000, &engine, Some(2), Outcome::Served, None);
+            health.record_attempt(n * 10_000, &engine, Some(1), Outcome::Served, None);
+            health.record_attempt(n * 10_000, &engine, Some(2), Outcome::Served, None);
         }
     }
-    let weight = trust.weight(4 * SECOND, &engine);
+    let weight = health.score(4 * SECOND, &engine);
     assert!((0.6..0.75).contains(&weight), "{weight}");
-    assert!(!trust.is_failing(&engine));
+    assert!(!health.is_failing(&engine));
 }
 
 /// Guards against a flood that passes for a bad release: what a full engine is late with is not its
 /// fault, and neither is what it turns away.
 #[test]
 fn an_engine_that_is_full_is_not_failing() {
-    let mut trust = Trust::default();
+    let mut health = EngineHealth::default();
     for n in 0..200 {
         let at = n * 10_000;
-        trust.ended(at, &id("full"), Some(n as usize % 2), Outcome::TimedOut, Some(&full()));
-        trust.ended(at, &id("mute"), Some(n as usize % 2), Outcome::TimedOut, None);
+        health.record_attempt(at, &id("full"), Some(n as usize % 2), Outcome::TimedOut, Some(&full()));
+        health.record_attempt(at, &id("mute"), Some(n as usize % 2), Outcome::TimedOut, None);
         for outcome in [Outcome::Overloaded, Outcome::StateNotFound, Outcome::Cancelled, Outcome::NeverSent] {
-            trust.ended(at, &id("busy"), Some(0), outcome, None);
+            health.record_attempt(at, &id("busy"), Some(0), outcome, None);
         }
-        trust.ended(at, &id("idle"), Some(n as usize % 2), Outcome::TimedOut, Some(&idle()));
+        health.record_attempt(at, &id("idle"), Some(n as usize % 2), Outcome::TimedOut, Some(&idle()));
     }
     for name in ["full", "mute", "busy"] {
-        assert_eq!(trust.weight(2 * SECOND, &id(name)), 1.0, "{name}");
+        assert_eq!(health.score(2 * SECOND, &id(name)), 1.0, "{name}");
     }
-    assert_eq!(trust.weight(2 * SECOND, &id("idle")), 0.0);
+    assert_eq!(health.score(2 * SECOND, &id("idle")), 0.0);
 }
 
 #[test]
 fn an_engine_that_falls_back_again_and_again_is_forgiven_more_slowly() {
-    let (mut trust, engine, mut now) = (Trust::default(), id("e"), 0);
+    let (mut health, engine, mut now) = (EngineHealth::default(), id("e"), 0);
     let mut spans = Vec::new();
     for _ in 0..4 {
-        (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
-        assert!(trust.is_failing(&engine));
+        (0..30).for_each(|_| health.record_attempt(now, &engine, None, Outcome::ConnectionBroken, None));
+        assert!(health.is_failing(&engine));
         let began = now;
-        while trust.is_failing(&engine) {
+        while health.is_failing(&engine) {
             now += SECOND;
-            trust.tick(now);
+            health.tick(now);
         }
         spans.push(now - began);
     }
     assert!(spans.windows(2).all(|w| w[1] >= w[0] * 3 / 2), "{spans:?}");
     // Twenty good ends in a row, and it begins anew.
-    (0..20).for_each(|_| trust.ended(now, &engine, None, Outcome::Served, None));
+    (0..20).for_each(|_| health.record_attempt(now, &engine, None, Outcome::Served, None));
     now += 100 * SECOND;
-    (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
+    (0..30).for_each(|_| health.record_attempt(now, &engine, None, Outcome::ConnectionBroken, None));
     let began = now;
-    while trust.is_failing(&engine) {
+    while health.is_failing(&engine) {
         now += SECOND;
-        trust.tick(now);
+        health.tick(now);
     }
     assert!(now - began <= spans[0] * 2, "{} against {spans:?}", now - began);
 }
@@ -268,15 +268,15 @@
 
 #[test]
 fn a_move_waits_while_its_new_cell_is_late_and_then_goes_on_at_its_pace() {
-    let (mut pace, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
-    assert_eq!(pace.share(&both, 1000, false), 0.0);
-    assert!((pace.share(&both, 3000, false) - 0.2).abs() < 1e-9);
-    assert!((pace.share(&both, 8000, true) - 0.2).abs() < 1e-9);
+    let (mut rate, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
+    assert_eq!(rate.share(&both, 1000, false), 0.0);
+    assert!((rate.share(&both, 3000, false) - 0.2).abs() < 1e-9);
+    assert!((rate.share(&both, 8000, true) - 0.2).abs() < 1e-9);
     // What was held does not come all at once.
-    assert!((pace.share(&both, 9000, false) - 0.3).abs() < 1e-9);
+    assert!((rate.share(&both, 9000, false) - 0.3).abs() < 1e-9);
     let done = a_move(Step::Done { since: 1000 });
-    assert!((pace.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
-    assert_eq!(pace.share(&done, 60_000, false), 1.0);
+    assert!((rate.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
+    assert_eq!(rate.share(&done, 60_000, false), 1.0);
     // A node that hears of it late goes at the pace from then on.
     let mut late = MoveRateController::default();
     assert_eq!(late.share(&a_move(Step::Prepare), 5000, false), 0.0);
@@ -326,18 +326,18 @@
     /// before the file lets it.
     #[test]
     fn a_held_move_never_turns_back_and_never_runs_ahead(steps in prop::collection::vec((0u64..3000, any::<bool>(), any::<bool>()), 1..60)) {
-        let (mut pace, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
+        let (mut rate, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
         for (passed, back, pressed) in steps {
             unix = if back { unix.saturating_sub(passed / 8).max(1000) } else { unix + passed };
             let both = a_move(Step::Both { since: 1000 });
-            let share = pace.share(&both, unix, pressed);
+            let share = rate.share(&both, unix, pressed);
             prop_assert!(share >= last);
             prop_assert!(share <= both.share(unix).max(last));
             last = share;
         }
         let back = a_move(Step::Back { since: 1000, at: unix });
-        prop_assert!(pace.share(&back, unix, false) <= last);
-        prop_assert_eq!(pace.share(&back, unix + 10_001, true), 0.0);
+        prop_assert!(rate.share(&back, unix, false) <= last);
+        prop_assert_eq!(rate.share(&back, unix + 10_001, true), 0.0);
     }
 
     /// Room for bodies: half of a cell's part is there for it whatever the others have taken, all
@@ -345,26 +345,26 @@
     #[test]
     fn half_of_each_cells_room_is_its_own(steps in prop::collection::vec((0usize..3, 1usize..400, any::<bool>()), 1..200)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
-        let mut edge = Edge::default();
+        let mut edge = EdgeAdmission::default();
         edge.divide(10_000, 3000, names.iter().map(|n| (n, 1.0)));
         let mut held: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for (cell, bytes, leaves) in steps {
             let own = held.entry(cell).or_default();
             if leaves {
                 if let Some(bytes) = own.pop() {
-                    edge.give_back(&names[cell], None, bytes);
+                    edge.release(&names[cell], None, bytes);
                 }
                 continue;
             }
             let kept = own.iter().sum::<usize>() + bytes <= 500;
-            let has = edge.has_room(&names[cell], bytes);
+            let has = edge.fits_body(&names[cell], bytes);
             prop_assert!(has || !kept, "a cell within its half was turned away");
             if has {
-                edge.take(&names[cell], None, bytes);
+                edge.reserve(&names[cell], None, bytes);
                 own.push(bytes);
             }
             let all: usize = held.values().flatten().sum();
-            prop_assert_eq!(edge.held_bytes(), all);
+            prop_assert_eq!(edge.body_bytes(), all);
             prop_assert!(all <= 3000);
         }
     }
@@ -374,23 +374,23 @@
 /// anew, is not held to what happened before.
 #[test]
 fn what_is_mended_counts_again_at_once() {
-    let mut trust = Trust::default();
+    let mut health = EngineHealth::default();
     for name in ["cut", "restarted", "mended"] {
         for _ in 0..40 {
-            trust.ended(0, &id(name), None, Outcome::Unreachable, None);
+            health.record_attempt(0, &id(name), None, Outcome::Unreachable, None);
         }
-        trust.listed(&id(name), Some(1));
-        (0..40).for_each(|_| trust.ended(0, &id(name), None, Outcome::ConnectionBroken, None));
-        assert_eq!(trust.weight(0, &id(name)), 0.0);
+        health.set_started(&id(name), Some(1));
+        (0..40).for_each(|_| health.record_attempt(0, &id(name), None, Outcome::ConnectionBroken, None));
+        assert_eq!(health.score(0, &id(name)), 0.0);
     }
-    trust.reached(1, &id("cut"));
-    trust.listed(&id("restarted"), Some(2));
-    (0..9).for_each(|_| trust.ended(1, &id("mended"), None, Outcome::Served, None));
+    health.record_health_check(1, &id("cut"));
+    health.set_started(&id("restarted"), Some(2));
+    (0..9).for_each(|_| health.record_attempt(1, &id("mended"), None, Outcome::Served, None));
     for name in ["cut", "restarted", "mended"] {
-        assert!(trust.weight(1, &id(name)) > 0.75 && !trust.is_failing(&id(name)), "{name}");
+        assert!(health.score(1, &id(name)) > 0.75 && !health.is_failing(&id(name)), "{name}");
     }
     // An answer to a probe says nothing of an engine that fails at its work.
-    (0..40).for_each(|_| trust.ended(2, &id("bad"), None, Outcome::Error, None));
-    trust.reached(3, &id("bad"));
-    assert_eq!(trust.weight(3, &id("bad")), 0.0);
+    (0..40).for_each(|_| health.record_attempt(2, &id("bad"), None, Outcome::Error, None));
+    health.record_health_check(3, &id("bad"));
+    assert_eq!(health.score(3, &id("bad")), 0.0);
 }
