--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -119,9 +119,9 @@
     assert_eq!(file.home("t"), ["a".into()]);
     assert_eq!(file.home("u").len(), 2);
     assert_eq!(file.home("v").len(), 1);
-    assert!((0..500).all(|s| file.belongs(Some("t"), s, 4999) == Some("a".into())));
-    assert!((0..500).all(|s| file.belongs(Some("t"), s, 6000) == Some("b".into())));
-    let over = (0..2000).filter(|s| file.belongs(Some("t"), *s, 5500) == Some("b".into())).count();
+    assert!((0..500).all(|s| file.cell_for(Some("t"), s, 4999) == Some("a".into())));
+    assert!((0..500).all(|s| file.cell_for(Some("t"), s, 6000) == Some("b".into())));
+    let over = (0..2000).filter(|s| file.cell_for(Some("t"), *s, 5500) == Some("b".into())).count();
     assert!((900..1100).contains(&over), "{over} of 2000 halfway");
 }
 
@@ -248,7 +248,7 @@
                 for session in 0..12u64 {
                     states += 1;
                     let belongs: Vec<Option<CellName>> =
-                        at.iter().map(|v| history[*v].belongs(Some("t"), session, now)).collect();
+                        at.iter().map(|v| history[*v].cell_for(Some("t"), session, now)).collect();
                     // Every node has a cell for it, whichever version it holds.
                     assert!(belongs.iter().all(Option::is_some));
                     // Nodes that hold the same version agree, restarted or not.
@@ -258,8 +258,8 @@
                     // A node that missed `both` or `prepare` agrees with one that saw it.
                     if history[3].moves.iter().any(|m| matches!(m.step, Step::Done { .. })) {
                         assert_eq!(
-                            history[2].belongs(Some("t"), session, now),
-                            history[3].belongs(Some("t"), session, now)
+                            history[2].cell_for(Some("t"), session, now),
+                            history[3].cell_for(Some("t"), session, now)
                         );
                     }
                 }
@@ -267,7 +267,7 @@
             // Whatever a node holds, each later version may follow, and no earlier one is taken.
             let mut node = Cells::new(history[at[0]].clone(), 10, 1 << 20, &core);
             for (v, next) in history.iter().enumerate() {
-                assert_eq!(node.replace(0, next.clone()).is_ok(), v >= node_version(&node, history));
+                assert_eq!(node.replace_file(0, next.clone()).is_ok(), v >= node_version(&node, history));
             }
         }
     }
@@ -296,7 +296,7 @@
         for (turn, at) in turns {
             file = file.step("t", turn.clone(), *at).unwrap();
             assert_eq!(CellsFile::parse("again", &file.render(), &core).unwrap(), file);
-            node.replace(0, file.clone()).unwrap();
+            node.replace_file(0, file.clone()).unwrap();
         }
         file
     };
@@ -341,25 +341,25 @@
     let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     assert!(ladder.update(0, 0.2, 0.2));
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     // Just over the step's share is not enough to go up.
     for s in 1..20 {
         ladder.update(s * second, 0.42, 0.42);
     }
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     ladder.update(20 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
     ladder.update(26 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Thin);
+    assert_eq!(ladder.level(), Level::Constrained);
     ladder.update(27 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Thin);
+    assert_eq!(ladder.level(), Level::Constrained);
     ladder.update(32 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Well);
+    assert_eq!(ladder.level(), Level::Normal);
     ladder.update(33 * second, 0.0, 0.0);
-    assert_eq!(ladder.level(), Level::Lost);
+    assert_eq!(ladder.level(), Level::Unavailable);
     // Able to serve at all, it does so at once.
     ladder.update(34 * second, 0.5, 0.5);
-    assert_eq!(ladder.level(), Level::Shed);
+    assert_eq!(ladder.level(), Level::Shedding);
 }
 
 /// A node that starts knows the cells before their engines: that is no loss.
@@ -367,8 +367,8 @@
 fn cells_without_a_list_are_not_lost() {
     let core = core(&["t", "u", "v"]);
     let mut node = Cells::new(CellsFile::parse("cells", FILE, &core).unwrap(), 10, 1 << 20, &core);
-    node.list(0, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Well));
+    node.set_engines(0, Vec::new());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
     let mut all = Vec::new();
     for cell in ["a", "b"] {
         for (id, role) in
@@ -377,11 +377,11 @@
             all.push((member(&format!("{cell}{id}")), role, Some(CellName::from(cell))));
         }
     }
-    node.list(1, all.clone());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Well));
+    node.set_engines(1, all.clone());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
     // From then on it is: a list that is empty says that all engines are gone.
-    node.list(2, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Lost));
+    node.set_engines(2, Vec::new());
+    assert!(node.status(9).iter().all(|s| s.level == Level::Unavailable));
 }
 
 /// What a cell can do shows in whether it keeps up: it opens while it does, and closes when it does not.
@@ -470,40 +470,40 @@
     fn parts_are_kept_whatever_the_others_do(steps in prop::collection::vec((0usize..3, 0usize..3, any::<bool>()), 1..400)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
         let tenants = [Some("x"), Some("y"), None];
-        let mut edge = Edge::default();
+        let mut edge = EdgeAdmission::default();
         edge.divide(30, 0, names.iter().map(|n| (n, 1.0)));
         let mut held: Vec<(usize, usize)> = Vec::new();
         for (c, t, arrives) in steps {
             if !arrives {
                 if let Some(at) = held.iter().position(|h| *h == (c, t)) {
                     held.swap_remove(at);
-                    edge.give_back(&names[c], tenants[t], 0);
+                    edge.release(&names[c], tenants[t], 0);
                 }
                 continue;
             }
-            let (part, used) = edge.of(&names[c]);
-            match edge.ask(&names[c], tenants[t], 1.0) {
-                Place::Free => {
-                    edge.take(&names[c], tenants[t], 0);
+            let SlotUsage { quota: part, used } = edge.usage(&names[c]);
+            match edge.decide(&names[c], tenants[t], 1.0) {
+                EdgeDecision::Admit => {
+                    edge.reserve(&names[c], tenants[t], 0);
                     held.push((c, t));
                 }
-                Place::InPlaceOf(other) => {
-                    let (their, used) = edge.of(&other);
+                EdgeDecision::Displace(other) => {
+                    let SlotUsage { quota: their, used } = edge.usage(&other);
                     prop_assert!(used > their || other == names[c], "{} of {} gave way", used, their);
-                    let heaviest = edge.heaviest(&other).unwrap();
-                    edge.give_back(&other, heaviest.as_deref(), 0);
+                    let heaviest = edge.heaviest_tenant(&other).unwrap();
+                    edge.release(&other, heaviest.as_deref(), 0);
                     let index = names.iter().position(|n| *n == other).unwrap();
                     let tenant = tenants.iter().position(|t| t.map(str::to_string) == heaviest).unwrap();
                     held.swap_remove(held.iter().position(|h| *h == (index, tenant)).unwrap());
-                    edge.take(&names[c], tenants[t], 0);
+                    edge.reserve(&names[c], tenants[t], 0);
                     held.push((c, t));
                 }
-                Place::None(after) => {
+                EdgeDecision::Reject(after) => {
                     prop_assert!(used >= part, "turned away with {} of {} used", used, part);
                     prop_assert!((1..=2000).contains(&after));
                 }
             }
-            prop_assert_eq!(edge.used(), held.len());
+            prop_assert_eq!(edge.used_slots(), held.len());
             prop_assert!(held.len() <= 30);
         }
     }
@@ -513,20 +513,20 @@
 #[test]
 fn a_flooding_tenant_leaves_the_others_their_parts() {
     let name = CellName::from("a");
-    let mut edge = Edge::default();
+    let mut edge = EdgeAdmission::default();
     edge.divide(20, 0, [(&name, 1.0)].into_iter());
     let mut flood = 0;
-    while edge.ask(&name, Some("flood"), 1.0) == Place::Free {
-        edge.take(&name, Some("flood"), 0);
+    while edge.decide(&name, Some("flood"), 1.0) == EdgeDecision::Admit {
+        edge.reserve(&name, Some("flood"), 0);
         flood += 1;
     }
     assert_eq!(flood, 20);
     for _ in 0..10 {
-        assert_eq!(edge.ask(&name, Some("calm"), 1.0), Place::InPlaceOf(name.clone()));
-        assert_eq!(edge.heaviest(&name), Some(Some("flood".into())));
-        edge.give_back(&name, Some("flood"), 0);
-        edge.take(&name, Some("calm"), 0);
+        assert_eq!(edge.decide(&name, Some("calm"), 1.0), EdgeDecision::Displace(name.clone()));
+        assert_eq!(edge.heaviest_tenant(&name), Some(Some("flood".into())));
+        edge.release(&name, Some("flood"), 0);
+        edge.reserve(&name, Some("calm"), 0);
     }
-    assert!(matches!(edge.ask(&name, Some("calm"), 1.0), Place::None(_)));
-    assert!(matches!(edge.ask(&name, Some("flood"), 1.0), Place::None(_)));
+    assert!(matches!(edge.decide(&name, Some("calm"), 1.0), EdgeDecision::Reject(_)));
+    assert!(matches!(edge.decide(&name, Some("flood"), 1.0), EdgeDecision::Reject(_)));
 }
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -23,83 +23,83 @@
     LoadReport { queue: Some(9.0), slots: Some(1.0), ..LoadReport::default() }
 }
 
-// ---- trust ----
+// ---- health ----
 
 #[test]
 fn an_engine_that_fails_everyone_counts_for_nothing_and_is_forgiven_in_time() {
-    let (mut trust, engine) = (Trust::default(), id("e"));
+    let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..80 {
-        trust.ended(n * 50_000, &engine, Some(n as usize % 3), Outcome::Error, None);
+        health.record_attempt(n * 50_000, &engine, Some(n as usize % 3), Outcome::Error, None);
     }
     let now = 4 * SECOND;
-    assert_eq!(trust.weight(now, &engine), 0.0);
-    assert!(trust.is_failing(&engine) && trust.is_uneasy(now));
-    assert_eq!(trust.weight(now, &id("other")), 1.0);
+    assert_eq!(health.score(now, &engine), 0.0);
+    assert!(health.is_failing(&engine) && health.needs_tick(now));
+    assert_eq!(health.score(now, &id("other")), 1.0);
     // Half of it fades in ten seconds; after two minutes nothing is held against it.
-    assert!((0.1..0.3).contains(&trust.weight(now + 15 * SECOND, &engine)));
-    trust.tick(now + 120 * SECOND);
-    assert!(!trust.is_failing(&engine) && !trust.is_uneasy(now + 120 * SECOND));
+    assert!((0.1..0.3).contains(&health.score(now + 15 * SECOND, &engine)));
+    health.tick(now + 120 * SECOND);
+    assert!(!health.is_failing(&engine) && !health.needs_tick(now + 120 * SECOND));
 }
 
 /// Guards against a tenant whose requests no engine can serve: they must not cost the others a cell.
 #[test]
 fn one_tenants_poison_takes_no_more_than_its_vote() {
-    let (mut trust, engine) = (Trust::default(), id("e"));
+    let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..400 {
-        trust.ended(n * 10_000, &engine, Some(0), Outcome::Error, None);
+        health.record_attempt(n * 10_000, &engine, Some(0), Outcome::Error, None);
         if n % 10 == 0 {
-            trust.ended(n * 10_000, &engine, Some(1), Outcome::Served, None);
-            trust.ended(n * 10_000, &engine, Some(2), Outcome::Served, None);
+            health.record_attempt(n * 10_000, &engine, Some(1), Outcome::Served, None);
+            health.record_attempt(n * 10_000, &engine, Some(2), Outcome::Served, None);
         }
     }
-    let weight = trust.weight(4 * SECOND, &engine);
+    let weight = health.score(4 * SECOND, &engine);
     assert!((0.6..0.75).contains(&weight), "{weight}");
-    assert!(!trust.is_failing(&engine));
+    assert!(!health.is_failing(&engine));
 }
 
 /// Guards against a flood that passes for a bad release: what a full engine is late with is not its
 /// fault, and neither is what it turns away.
 #[test]
 fn an_engine_that_is_full_is_not_failing() {
-    let mut trust = Trust::default();
+    let mut health = EngineHealth::default();
     for n in 0..200 {
         let at = n * 10_000;
-        trust.ended(at, &id("full"), Some(n as usize % 2), Outcome::TimedOut, Some(&full()));
-        trust.ended(at, &id("mute"), Some(n as usize % 2), Outcome::TimedOut, None);
+        health.record_attempt(at, &id("full"), Some(n as usize % 2), Outcome::TimedOut, Some(&full()));
+        health.record_attempt(at, &id("mute"), Some(n as usize % 2), Outcome::TimedOut, None);
         for outcome in [Outcome::Overloaded, Outcome::StateNotFound, Outcome::Cancelled, Outcome::NeverSent] {
-            trust.ended(at, &id("busy"), Some(0), outcome, None);
+            health.record_attempt(at, &id("busy"), Some(0), outcome, None);
         }
-        trust.ended(at, &id("idle"), Some(n as usize % 2), Outcome::TimedOut, Some(&idle()));
+        health.record_attempt(at, &id("idle"), Some(n as usize % 2), Outcome::TimedOut, Some(&idle()));
     }
     for name in ["full", "mute", "busy"] {
-        assert_eq!(trust.weight(2 * SECOND, &id(name)), 1.0, "{name}");
+        assert_eq!(health.score(2 * SECOND, &id(name)), 1.0, "{name}");
     }
-    assert_eq!(trust.weight(2 * SECOND, &id("idle")), 0.0);
+    assert_eq!(health.score(2 * SECOND, &id("idle")), 0.0);
 }
 
 #[test]
 fn an_engine_that_falls_back_again_and_again_is_forgiven_more_slowly() {
-    let (mut trust, engine, mut now) = (Trust::default(), id("e"), 0);
+    let (mut health, engine, mut now) = (EngineHealth::default(), id("e"), 0);
     let mut spans = Vec::new();
     for _ in 0..4 {
-        (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
-        assert!(trust.is_failing(&engine));
+        (0..30).for_each(|_| health.record_attempt(now, &engine, None, Outcome::ConnectionBroken, None));
+        assert!(health.is_failing(&engine));
         let began = now;
-        while trust.is_failing(&engine) {
+        while health.is_failing(&engine) {
             now += SECOND;
-            trust.tick(now);
+            health.tick(now);
         }
         spans.push(now - began);
     }
     assert!(spans.windows(2).all(|w| w[1] >= w[0] * 3 / 2), "{spans:?}");
     // Twenty good ends in a row, and it begins anew.
-    (0..20).for_each(|_| trust.ended(now, &engine, None, Outcome::Served, None));
+    (0..20).for_each(|_| health.record_attempt(now, &engine, None, Outcome::Served, None));
     now += 100 * SECOND;
-    (0..30).for_each(|_| trust.ended(now, &engine, None, Outcome::ConnectionBroken, None));
+    (0..30).for_each(|_| health.record_attempt(now, &engine, None, Outcome::ConnectionBroken, None));
     let began = now;
-    while trust.is_failing(&engine) {
+    while health.is_failing(&engine) {
         now += SECOND;
-        trust.tick(now);
+        health.tick(now);
     }
     assert!(now - began <= spans[0] * 2, "{} against {spans:?}", now - began);
 }
@@ -133,7 +133,7 @@
         all.push((member("sr"), Role::Reader, None));
         all.push((member("sw"), Role::Writer, None));
     }
-    cells.list(0, all);
+    cells.set_engines(0, all);
     cells
 }
 
@@ -149,11 +149,17 @@
 fn release(cells: &mut Cells, from: Micros) -> Micros {
     for n in 0..60 {
         for engine in ["aw0", "aw1"] {
-            cells.ended(from + n * 50_000, &id(engine), Some(n as usize % 2), Outcome::Error, Some(&idle()));
+            cells.record_attempt(
+                from + n * 50_000,
+                &id(engine),
+                Some(n as usize % 2),
+                Outcome::Error,
+                Some(&idle()),
+            );
         }
     }
     let now = from + 60 * 50_000;
-    cells.spread(now);
+    cells.reassign(now);
     now
 }
 
@@ -162,27 +168,27 @@
     let mut cells = cells(false);
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
-    assert_eq!((a.level, a.failing), (Level::Lost, true));
-    assert_eq!(status(&cells, now, "b").level, Level::Well);
+    assert_eq!((a.level, a.failing), (Level::Unavailable, true));
+    assert_eq!(status(&cells, now, "b").level, Level::Normal);
     // One harmless request a second goes in, to see; what may not be run twice never does.
     assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Into("b".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("a".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("b".into()));
     assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Into("a".into()));
     // The trials go well from here on: it comes back, step by step and for good.
-    let (mut at, mut levels) = (now, vec![Level::Lost]);
+    let (mut at, mut levels) = (now, vec![Level::Unavailable]);
     for _ in 0..90 {
         at += SECOND;
         for engine in ["aw0", "aw1"] {
-            cells.ended(at, &id(engine), Some(0), Outcome::Served, Some(&idle()));
+            cells.record_attempt(at, &id(engine), Some(0), Outcome::Served, Some(&idle()));
         }
-        cells.spread(at);
+        cells.reassign(at);
         let level = status(&cells, at, "a").level;
         if levels.last() != Some(&level) {
             levels.push(level);
         }
     }
-    assert_eq!(levels, [Level::Lost, Level::Shed, Level::Thin, Level::Well]);
+    assert_eq!(levels, [Level::Unavailable, Level::Shedding, Level::Constrained, Level::Normal]);
 }
 
 #[test]
@@ -191,8 +197,8 @@
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
     // One spare writer of the two that it lacks.
-    assert_eq!((a.borrowed, a.level, a.failing), (1, Level::Thin, false));
-    let spread = cells.spread(now + 1);
+    assert_eq!((a.borrowed, a.level, a.failing), (1, Level::Constrained, false));
+    let spread = cells.reassign(now + 1);
     let lent = &spread.cells[&CellName::from("a")];
     let fresh = lent.iter().find(|m| &*m.engine.0 == "sw").expect("the spare writer");
     assert!(fresh.started.is_some(), "a borrowed engine starts as a cold one");
@@ -208,11 +214,11 @@
     let mut now = 0;
     while now < 3 * SECOND {
         now += 20_000;
-        cells.heard(now, &name, now % 60_000 == 0);
-        cells.spread(now);
+        cells.record_response(now, &name, now % 60_000 == 0);
+        cells.reassign(now);
     }
     let b = status(&cells, now, "b");
-    assert_eq!((b.borrowed, b.strained, b.level), (2, true, Level::Well));
+    assert_eq!((b.borrowed, b.overloaded, b.level), (2, true, Level::Normal));
     // What another cell has lost comes first, at once.
     let now = release(&mut cells, now);
     assert_eq!(status(&cells, now, "a").borrowed, 1);
@@ -221,8 +227,8 @@
     let mut at = now;
     while at < now + 60 * SECOND {
         at += 100_000;
-        cells.heard(at, &name, false);
-        cells.spread(at);
+        cells.record_response(at, &name, false);
+        cells.reassign(at);
     }
     assert_eq!(status(&cells, at, "b").borrowed, 0);
 }
@@ -262,15 +268,15 @@
 
 #[test]
 fn a_move_waits_while_its_new_cell_is_late_and_then_goes_on_at_its_pace() {
-    let (mut pace, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
-    assert_eq!(pace.share(&both, 1000, false), 0.0);
-    assert!((pace.share(&both, 3000, false) - 0.2).abs() < 1e-9);
-    assert!((pace.share(&both, 8000, true) - 0.2).abs() < 1e-9);
+    let (mut rate, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
+    assert_eq!(rate.share(&both, 1000, false), 0.0);
+    assert!((rate.share(&both, 3000, false) - 0.2).abs() < 1e-9);
+    assert!((rate.share(&both, 8000, true) - 0.2).abs() < 1e-9);
     // What was held does not come all at once.
-    assert!((pace.share(&both, 9000, false) - 0.3).abs() < 1e-9);
+    assert!((rate.share(&both, 9000, false) - 0.3).abs() < 1e-9);
     let done = a_move(Step::Done { since: 1000 });
-    assert!((pace.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
-    assert_eq!(pace.share(&done, 60_000, false), 1.0);
+    assert!((rate.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
+    assert_eq!(rate.share(&done, 60_000, false), 1.0);
     // A node that hears of it late goes at the pace from then on.
     let mut late = MoveRateController::default();
     assert_eq!(late.share(&a_move(Step::Prepare), 5000, false), 0.0);
@@ -289,7 +295,7 @@
         "(move \"t\" (to \"b\") (over-ms 1000) (step both) (since-unix-ms 5000)) (tenant \"u\"",
     );
     let moving = moving.replace("(version 1)", "(version 2)");
-    cells.replace(0, CellsFile::parse("cells", &moving, &core).unwrap()).unwrap();
+    cells.replace_file(0, CellsFile::parse("cells", &moving, &core).unwrap()).unwrap();
     let over = |cells: &mut Cells, now, unix_ms| {
         let mut over = 0;
         for session in 0..200 {
@@ -297,20 +303,20 @@
             let verdict = cells.admit(now, ask, unix_ms);
             over += usize::from(verdict == CellAdmission::Into("b".into()));
             if let CellAdmission::Into(cell) = verdict {
-                cells.give_back(&cell, Some("t"), 0);
+                cells.release(&cell, Some("t"), 0);
             }
         }
         over
     };
     assert_eq!(over(&mut cells, 0, 5000), 0);
-    (0..40).for_each(|n| cells.heard(n, &"b".into(), true));
+    (0..40).for_each(|n| cells.record_response(n, &"b".into(), true));
     assert_eq!(over(&mut cells, 50, 5900), 0, "the new cell is late: nobody goes");
-    assert_eq!(cells.held_moves(), ["t"]);
+    assert_eq!(cells.paused_moves(), ["t"]);
     // Its own cell fails altogether: now it is better off over there.
     let now = release(&mut cells, 50);
-    (0..40).for_each(|n| cells.heard(now + n, &"b".into(), true));
+    (0..40).for_each(|n| cells.record_response(now + n, &"b".into(), true));
     over(&mut cells, now + 50, 5950);
-    assert!(cells.held_moves().is_empty());
+    assert!(cells.paused_moves().is_empty());
 }
 
 proptest! {
@@ -320,18 +326,18 @@
     /// before the file lets it.
     #[test]
     fn a_held_move_never_turns_back_and_never_runs_ahead(steps in prop::collection::vec((0u64..3000, any::<bool>(), any::<bool>()), 1..60)) {
-        let (mut pace, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
+        let (mut rate, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
         for (passed, back, pressed) in steps {
             unix = if back { unix.saturating_sub(passed / 8).max(1000) } else { unix + passed };
             let both = a_move(Step::Both { since: 1000 });
-            let share = pace.share(&both, unix, pressed);
+            let share = rate.share(&both, unix, pressed);
             prop_assert!(share >= last);
             prop_assert!(share <= both.share(unix).max(last));
             last = share;
         }
         let back = a_move(Step::Back { since: 1000, at: unix });
-        prop_assert!(pace.share(&back, unix, false) <= last);
-        prop_assert_eq!(pace.share(&back, unix + 10_001, true), 0.0);
+        prop_assert!(rate.share(&back, unix, false) <= last);
+        prop_assert_eq!(rate.share(&back, unix + 10_001, true), 0.0);
     }
 
     /// Room for bodies: half of a cell's part is there for it whatever the others have taken, all
@@ -339,26 +345,26 @@
     #[test]
     fn half_of_each_cells_room_is_its_own(steps in prop::collection::vec((0usize..3, 1usize..400, any::<bool>()), 1..200)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
-        let mut edge = Edge::default();
+        let mut edge = EdgeAdmission::default();
         edge.divide(10_000, 3000, names.iter().map(|n| (n, 1.0)));
         let mut held: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for (cell, bytes, leaves) in steps {
             let own = held.entry(cell).or_default();
             if leaves {
                 if let Some(bytes) = own.pop() {
-                    edge.give_back(&names[cell], None, bytes);
+                    edge.release(&names[cell], None, bytes);
                 }
                 continue;
             }
             let kept = own.iter().sum::<usize>() + bytes <= 500;
-            let has = edge.has_room(&names[cell], bytes);
+            let has = edge.fits_body(&names[cell], bytes);
             prop_assert!(has || !kept, "a cell within its half was turned away");
             if has {
-                edge.take(&names[cell], None, bytes);
+                edge.reserve(&names[cell], None, bytes);
                 own.push(bytes);
             }
             let all: usize = held.values().flatten().sum();
-            prop_assert_eq!(edge.held_bytes(), all);
+            prop_assert_eq!(edge.body_bytes(), all);
             prop_assert!(all <= 3000);
         }
     }
@@ -368,23 +374,23 @@
 /// anew, is not held to what happened before.
 #[test]
 fn what_is_mended_counts_again_at_once() {
-    let mut trust = Trust::default();
+    let mut health = EngineHealth::default();
     for name in ["cut", "restarted", "mended"] {
         for _ in 0..40 {
-            trust.ended(0, &id(name), None, Outcome::Unreachable, None);
+            health.record_attempt(0, &id(name), None, Outcome::Unreachable, None);
         }
-        trust.listed(&id(name), Some(1));
-        (0..40).for_each(|_| trust.ended(0, &id(name), None, Outcome::ConnectionBroken, None));
-        assert_eq!(trust.weight(0, &id(name)), 0.0);
+        health.set_started(&id(name), Some(1));
+        (0..40).for_each(|_| health.record_attempt(0, &id(name), None, Outcome::ConnectionBroken, None));
+        assert_eq!(health.score(0, &id(name)), 0.0);
     }
-    trust.reached(1, &id("cut"));
-    trust.listed(&id("restarted"), Some(2));
-    (0..9).for_each(|_| trust.ended(1, &id("mended"), None, Outcome::Served, None));
+    health.record_health_check(1, &id("cut"));
+    health.set_started(&id("restarted"), Some(2));
+    (0..9).for_each(|_| health.record_attempt(1, &id("mended"), None, Outcome::Served, None));
     for name in ["cut", "restarted", "mended"] {
-        assert!(trust.weight(1, &id(name)) > 0.75 && !trust.is_failing(&id(name)), "{name}");
+        assert!(health.score(1, &id(name)) > 0.75 && !health.is_failing(&id(name)), "{name}");
     }
     // An answer to a probe says nothing of an engine that fails at its work.
-    (0..40).for_each(|_| trust.ended(2, &id("bad"), None, Outcome::Error, None));
-    trust.reached(3, &id("bad"));
-    assert_eq!(trust.weight(3, &id("bad")), 0.0);
+    (0..40).for_each(|_| health.record_attempt(2, &id("bad"), None, Outcome::Error, None));
+    health.record_health_check(3, &id("bad"));
+    assert_eq!(health.score(3, &id("bad")), 0.0);
 }
