--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -13,6 +13,7 @@
 
 use crate::life::{self, Asked};
 use crate::shared::Shared;
+use crate::sync::lock;
 use crate::wait::{wait, Client, Waker};
 
 /// What is read from a client after a refusal, so that it sees the refusal before a reset.
@@ -136,12 +137,12 @@
         Route::Ready => ready(shared),
         Route::ModelReady(model) if known(&model) => ready(shared),
         Route::Counters => (200, counters(shared)),
-        Route::Peers => told(&shared.fleet.peers, "this node has no peers in its settings"),
-        Route::Recovery => told(&shared.fleet.recovery, "this node has no recovery in its settings"),
-        Route::Keepers => told(&shared.fleet.keeper, "this node is no keeper"),
+        Route::Peers => told(&shared.fleet.membership_status, "this node has no peers in its settings"),
+        Route::Recovery => told(&shared.fleet.recovery_status, "this node has no recovery in its settings"),
+        Route::Keepers => told(&shared.fleet.consensus_status, "this node is no keeper"),
         Route::Limits => limits(shared),
-        Route::Regions => told(&shared.fleet.regions, "this node has no regions in its settings"),
-        Route::Verdicts => told(&shared.fleet.verdicts, "this node has no verdicts in its settings"),
+        Route::Regions => told(&shared.fleet.failover_status, "this node has no regions in its settings"),
+        Route::Verdicts => told(&shared.fleet.outlier_status, "this node has no verdicts in its settings"),
         Route::Server => (200, kserve::metadata(env!("CARGO_PKG_VERSION"))),
         Route::Model(model) if known(&model) => (200, kserve::model_metadata(&model)),
         Route::Work(model, form) if known(&model) => return work(shared, stream, waker, form, &request),
@@ -175,13 +176,13 @@
 
 /// How the fleet's limits stand here, who lends, and what this node lends if it does.
 fn limits(shared: &Shared) -> (u16, String) {
-    let limits = crate::fleet::lock(&shared.fleet.limits);
+    let limits = lock(&shared.fleet.limit_status);
     let Some(limits) = limits.as_ref() else {
         return (404, kserve::error("this node has no shared limits in its settings", false));
     };
     let body = serde_json::json!({
-        "node": shared.settings.name, "lender": *crate::fleet::lock(&shared.fleet.lender),
-        "limits": limits, "lends": *crate::fleet::lock(&shared.fleet.pools),
+        "node": shared.settings.name, "lender": *lock(&shared.fleet.lease_granter),
+        "limits": limits, "lends": *lock(&shared.fleet.granted_pools),
     });
     (200, body.to_string())
 }
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -10,8 +10,9 @@
 use tracing::{info, warn};
 
 use crate::errand::{Errand, Errands};
-use crate::fleet::MAX_LEFT;
-use crate::shared::{Mail, Mailbox, Message, Shared};
+use crate::fleet::MAX_STORED_RESERVATIONS;
+use crate::shared::{Mail, Mailbox, Message, OutgoingZoneReport, Shared};
+use crate::sync::lock;
 
 /// Messages taken in one go before timers are looked at.
 const BATCH: usize = 256;
@@ -28,7 +29,7 @@
     pub(crate) ask: Sender<u64>,
     pub(crate) shares: Sender<Vec<pintally_quota::LeaseRequest>>,
     pub(crate) testify: Sender<Vec<u8>>,
-    pub(crate) zones: Sender<(Vec<u8>, Vec<f64>)>,
+    pub(crate) zones: Sender<OutgoingZoneReport>,
 }
 
 struct Decider<'a> {
@@ -67,11 +68,11 @@
         decider.tick();
         let busy = began.elapsed().as_nanos() as u64;
         shared.counts.busy_ns.fetch_add(busy, Ordering::Relaxed);
-        *shared.host_counters.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.counters();
+        *lock(&shared.host_counters) = decider.host.counters();
         if decider.host.take_fleet_change() {
-            *shared.cells.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.cells_status();
+            *lock(&shared.cells) = decider.host.cells_status();
             let moves = decider.host.moves_status(shared.clock.unix_ms());
-            *shared.moves.lock().unwrap_or_else(|e| e.into_inner()) = moves;
+            *lock(&shared.moves) = moves;
             shared.serving.store(decider.host.serving(), Ordering::Relaxed);
         }
         let now = shared.clock.now();
@@ -79,21 +80,19 @@
         let tells = shared.settings.quotas.is_some() || shared.settings.outlier_detection.is_some();
         if tells && now >= limits_at + LIMITS_EVERY {
             limits_at = now;
-            *shared.fleet.verdicts.lock().unwrap_or_else(|e| e.into_inner()) =
-                decider.host.outlier_status(now);
-            *shared.fleet.limits.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.limits_status(now);
+            *lock(&shared.fleet.outlier_status) = decider.host.outlier_status(now);
+            *lock(&shared.fleet.limit_status) = decider.host.limits_status(now);
         }
         if let Some(answer) = decider.host.recovery_answer(now) {
             let stage = answer.stage;
-            let before = shared.fleet.answer.lock().unwrap_or_else(|e| e.into_inner()).replace(answer);
+            let before = lock(&shared.fleet.recovery_answer).replace(answer);
             // What only people and the disk want is not made anew for every batch.
             if now < told_at + TELL_EVERY && before.is_some_and(|b| b.stage == stage) {
                 continue;
             }
             told_at = now;
-            *shared.fleet.recovery.lock().unwrap_or_else(|e| e.into_inner()) =
-                decider.host.recovery_status(now);
-            *shared.fleet.usual.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.service_rates();
+            *lock(&shared.fleet.recovery_status) = decider.host.recovery_status(now);
+            *lock(&shared.fleet.service_rates) = decider.host.service_rates();
         }
     }
 }
@@ -128,7 +127,7 @@
             return;
         }
         self.at = now;
-        shared.fleet.keep_left(host.reservations_at_exit(MAX_LEFT));
+        shared.fleet.store_reservations_at_exit(host.reservations_at_exit(MAX_STORED_RESERVATIONS));
     }
 }
 
@@ -215,8 +214,8 @@
                     Command::RequestQuota(asks) => {
                         let _ = self.ends.shares.try_send(asks);
                     }
-                    Command::PublishZoneReport(word, engines) => {
-                        let _ = self.ends.zones.try_send((word, engines));
+                    Command::PublishZoneReport(encoded, engines_per_zone) => {
+                        let _ = self.ends.zones.try_send(OutgoingZoneReport { encoded, engines_per_zone });
                     }
                     Command::PublishOutlierReport(report) => {
                         let _ = self.ends.testify.try_send(report);
--- /dev/null
+++ b/crates/pintally-kserve-node/src/fleet/link.rs
@@ -0,0 +1,106 @@
+//! The node's sockets towards its peers, and the membership protocol on them.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use crossbeam_channel::Sender;
+use pintally_config::{MembershipSettings, NodeSettings};
+use pintally_membership::{Membership, PeerName, Settings};
+use pintally_recovery::RememberedState;
+use pintally_transport::{StreamServer, Udp, Waker};
+
+use super::operator_commands::execute_command;
+use super::startup::RestoredState;
+use super::topics::StreamRequest;
+use crate::replica_thread::ReplicaInput;
+use crate::shared::Shared;
+use crate::sync::lock;
+
+/// The node's end of the fleet: sockets and membership.
+pub(crate) struct FleetLink {
+    pub(super) udp: Udp,
+    pub(super) membership: Membership,
+    /// Answers stream requests until it is dropped.
+    _stream_server: StreamServer,
+    pub(super) remembered: RememberedState,
+    /// Where this node's replica takes input, if it runs one.
+    pub(super) replica: Option<Sender<ReplicaInput>>,
+}
+
+/// Opens the sockets towards peers. `replica` is where this node's replica takes input, if it runs one.
+///
+/// # Errors
+///
+/// An address that cannot be bound, or settings that the membership protocol rejects.
+pub(crate) fn open(
+    shared: &Arc<Shared>,
+    settings: &MembershipSettings,
+    restored: &RestoredState,
+    seed: u64,
+    replica: Option<Sender<ReplicaInput>>,
+) -> io::Result<FleetLink> {
+    let udp = Udp::bind(settings.listen)?;
+    let stream_server = serve_streams(shared, settings.listen, replica.clone())?;
+    let membership_settings = membership_settings(&shared.settings, settings, restored);
+    membership_settings
+        .check()
+        .map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error.to_string()))?;
+    let membership = Membership::new(membership_settings, restored.incarnation, seed, shared.clock.now());
+    Ok(FleetLink {
+        udp,
+        membership,
+        _stream_server: stream_server,
+        remembered: restored.remembered.clone(),
+        replica,
+    })
+}
+
+/// Serves the endpoint list and takes operators' commands.
+fn serve_streams(
+    shared: &Arc<Shared>,
+    listen: SocketAddr,
+    replica: Option<Sender<ReplicaInput>>,
+) -> io::Result<StreamServer> {
+    let shared = shared.clone();
+    StreamServer::serve(listen, move |number, body| match StreamRequest::from_number(number)? {
+        StreamRequest::OperatorCommand => {
+            serde_json::to_vec(&execute_command(&shared, replica.as_ref(), body)).ok()
+        }
+        StreamRequest::EndpointList => {
+            let list = lock(&shared.fleet.endpoint_list).clone();
+            list.map(|list| list.text.as_bytes().to_vec())
+        }
+    })
+}
+
+fn membership_settings(
+    node: &NodeSettings,
+    settings: &MembershipSettings,
+    restored: &RestoredState,
+) -> Settings {
+    let mut membership =
+        Settings::new(&settings.fleet, &node.name, &node.core.zone, settings.listen, settings.seeds.clone());
+    membership.seeds.extend(&restored.peer_addresses);
+    membership.reach =
+        settings.reach.iter().map(|(name, address)| (PeerName::from(name.as_str()), *address)).collect();
+    membership.probe_interval = settings.period;
+    membership.probe_timeout = settings.answer;
+    membership.indirect_probes = settings.indirect;
+    membership.suspicion_multiplier = settings.suspicion;
+    membership.anti_entropy_interval = settings.repair;
+    membership.dead_member_retention = settings.forget;
+    membership
+}
+
+impl FleetLink {
+    /// Wakes the fleet thread from its wait for datagrams.
+    pub(crate) fn waker(&self) -> io::Result<Waker> {
+        self.udp.waker()
+    }
+
+    /// Where peers reach this node.
+    pub(crate) fn address(&self) -> io::Result<SocketAddr> {
+        self.udp.address()
+    }
+}
--- /dev/null
+++ b/crates/pintally-kserve-node/src/fleet/shared_state.rs
@@ -0,0 +1,92 @@
+//! What the fleet thread and the node's other threads share.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::AtomicBool;
+use std::sync::Mutex;
+
+use pintally_host::OrphanedReservation;
+use pintally_quota::{LimitStatus, PoolStatus};
+use pintally_recovery::Answer;
+use pintally_storage::Store;
+
+use super::endpoint_list::EndpointListSnapshot;
+use super::startup::RestoredState;
+use super::topics::RecordKey;
+use crate::failover_leader::DryRunRequest;
+use crate::sync::lock;
+
+/// State between the fleet thread and the others, each part behind a lock of its own.
+#[derive(Default)]
+pub(crate) struct FleetShared {
+    /// The answer to a peer's recovery query; set by the decision thread.
+    pub(crate) recovery_answer: Mutex<Option<Answer>>,
+    /// The stage of recovery, for the status document.
+    pub(crate) recovery_status: Mutex<Option<pintally_recovery::Status>>,
+    /// The members that this node knows, for the status document.
+    pub(crate) membership_status: Mutex<Option<pintally_membership::Status>>,
+    /// The replica's state, if this node runs one.
+    pub(crate) consensus_status: Mutex<Option<pintally_consensus::Status>>,
+    /// What this node has granted of each limit while it is the lease granter.
+    pub(crate) granted_pools: Mutex<Option<Vec<PoolStatus>>>,
+    /// This node's allocations of the fleet's limits; set by the decision thread.
+    pub(crate) limit_status: Mutex<Option<Vec<LimitStatus>>>,
+    /// Health and ejection of engines; set by the decision thread.
+    pub(crate) outlier_status: Mutex<Option<pintally_outlier_detection::Status>>,
+    /// Zones, the failover plan and its leader, for the status document.
+    pub(crate) failover_status: Mutex<Option<serde_json::Value>>,
+    /// What operators have ordered for zones, by the replicated store.
+    pub(crate) zone_orders: Mutex<BTreeMap<String, String>>,
+    /// A dry run of the failover plan that an operator waits for.
+    pub(crate) pending_dry_run: Mutex<Option<DryRunRequest>>,
+    /// Engines that operators have cleared at this node and that peers are not notified of yet.
+    pub(super) cleared_engines: Mutex<Vec<String>>,
+    /// The lease granter, as far as this node knows.
+    pub(crate) lease_granter: Mutex<Option<String>>,
+    /// Answers a second of one warm engine of each role; set by the decision thread.
+    pub(crate) service_rates: Mutex<[f64; 3]>,
+    /// Reservations that engines would hold if the process ended now; set by the decision thread.
+    pub(super) reservations_at_exit: Mutex<Vec<OrphanedReservation>>,
+    /// The endpoint list in force.
+    pub(super) endpoint_list: Mutex<Option<EndpointListSnapshot>>,
+    /// A peer's endpoint list, for the thread that watches the list.
+    pub(super) offered_list: Mutex<Option<String>>,
+    /// A peer's endpoint list is being fetched.
+    pub(super) list_fetch_running: AtomicBool,
+    store: Mutex<Option<Store>>,
+}
+
+impl FleetShared {
+    /// The endpoint list in force from now on: gossiped, served to peers and stored.
+    pub(crate) fn set_endpoint_list(&self, version: u64, text: &str) {
+        *lock(&self.endpoint_list) = Some(EndpointListSnapshot::new(version, text));
+        self.store_record(RecordKey::EndpointList, text.as_bytes().to_vec());
+    }
+
+    /// Takes the endpoint list that a peer has offered, if there is one.
+    pub(crate) fn take_offered_list(&self) -> Option<String> {
+        lock(&self.offered_list).take()
+    }
+
+    /// Records are stored in the restored state's store from now on.
+    pub(crate) fn attach_store(&self, restored: &mut RestoredState) {
+        *lock(&self.store) = restored.store.take();
+    }
+
+    /// Stores the reservations that engines would hold if the process ended now, if they have changed.
+    pub(crate) fn store_reservations_at_exit(&self, reservations: Vec<OrphanedReservation>) {
+        let mut stored = lock(&self.reservations_at_exit);
+        if *stored == reservations {
+            return;
+        }
+        let named: Vec<_> = reservations.iter().map(|(engine, name)| (&*engine.0, &*name.0)).collect();
+        self.store_record(RecordKey::ReservationsAtExit, serde_json::to_vec(&named).unwrap_or_default());
+        *stored = reservations;
+    }
+
+    /// Stores a record, if the node has a store.
+    pub(super) fn store_record(&self, key: RecordKey, payload: Vec<u8>) {
+        if let Some(store) = lock(&self.store).as_ref() {
+            store.put(key.as_str(), payload);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -0,0 +1,186 @@
+//! What a start restores of the node's store, and the recovery that begins with it.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use pintally::interface::{EngineId, Idempotency, Micros, RequestId};
+use pintally_config::{NodeSettings, RecoverySettings};
+use pintally_host::{Input, OrphanedReservation};
+use pintally_membership::ProcessIncarnation;
+use pintally_recovery::{self as recovery, ClassPriority, Recovery, RememberedState};
+use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
+use tracing::warn;
+
+use super::topics::RecordKey;
+use crate::shared::Shared;
+
+/// The most reservations that are stored for the next start.
+pub(crate) const MAX_STORED_RESERVATIONS: usize = 4096;
+/// The most peer addresses that are taken from the store as seeds.
+const MAX_RESTORED_PEERS: usize = 16;
+/// How long a disk with the injected fault `slow` takes.
+const SLOW_DISK_DELAY: Duration = Duration::from_secs(3);
+
+/// What a start has restored of the process before.
+pub(crate) struct RestoredState {
+    pub(super) store: Option<Store>,
+    pub(crate) endpoint_list: Option<String>,
+    /// Answers a second of one warm engine of each role.
+    pub(crate) service_rates: [f64; 3],
+    /// Reservations that the process before may have left at engines.
+    pub(crate) orphaned_reservations: Vec<OrphanedReservation>,
+    pub(super) remembered: RememberedState,
+    pub(super) incarnation: ProcessIncarnation,
+    /// Where peers were.
+    pub(super) peer_addresses: Vec<SocketAddr>,
+}
+
+/// Opens the store and reads its records, within the time that the settings give.
+pub(crate) fn restore_state(settings: &NodeSettings, seed: u64) -> RestoredState {
+    let (store, loaded) = match &settings.recovery {
+        Some(recovery) => open_store(recovery),
+        None => (None, Loaded::default()),
+    };
+    for issue in &loaded.issues {
+        warn!(%issue, "stored records are missing or corrupt");
+    }
+    let records = StoredRecords(&loaded);
+    let mut issues: Vec<String> = loaded.issues.iter().map(ToString::to_string).collect();
+    if loaded.is_empty() && store.is_some() {
+        issues.push("there is no record of a life before".into());
+    }
+    let boot = loaded.latest().0.max(records.number(RecordKey::Boot).unwrap_or(0)) + 1;
+    if let Some(store) = &store {
+        store.put(RecordKey::Boot.as_str(), boot.to_le_bytes().to_vec());
+    }
+    let carried = records.number(RecordKey::FleetRate).map_or(0.0, f64::from_bits);
+    RestoredState {
+        endpoint_list: records.text(RecordKey::EndpointList),
+        service_rates: records.service_rates(settings),
+        orphaned_reservations: records.orphaned_reservations(),
+        remembered: RememberedState { carried, issues },
+        incarnation: ProcessIncarnation { boot, mark: seed },
+        peer_addresses: records.peer_addresses(),
+        store,
+    }
+}
+
+/// The records of a store, by key and decoded.
+struct StoredRecords<'a>(&'a Loaded);
+
+impl StoredRecords<'_> {
+    fn text(&self, key: RecordKey) -> Option<String> {
+        let record = self.0.get(key.as_str())?;
+        String::from_utf8(record.payload.clone()).ok()
+    }
+
+    fn numbers(&self, key: RecordKey) -> Vec<u64> {
+        let bytes = self.0.get(key.as_str()).map_or(&[][..], |record| &record.payload);
+        let words = bytes.chunks_exact(size_of::<u64>());
+        words.filter_map(|word| word.try_into().ok()).map(u64::from_le_bytes).collect()
+    }
+
+    fn number(&self, key: RecordKey) -> Option<u64> {
+        self.numbers(key).first().copied()
+    }
+
+    /// Stored service rates. Without a record a node takes what the settings give for an engine over all
+    /// nodes.
+    fn service_rates(&self, settings: &NodeSettings) -> [f64; 3] {
+        let per_engine = settings.recovery.as_ref().map_or(0.0, |r| r.requests_per_second_per_engine);
+        let mut rates = [per_engine / f64::from(settings.core.nodes.max(1)); 3];
+        let stored = self.numbers(RecordKey::ServiceRates).into_iter().map(f64::from_bits);
+        for (rate, stored) in rates.iter_mut().zip(stored) {
+            if stored.is_finite() && stored > 0.0 {
+                *rate = stored;
+            }
+        }
+        rates
+    }
+
+    fn orphaned_reservations(&self) -> Vec<OrphanedReservation> {
+        let text = self.text(RecordKey::ReservationsAtExit);
+        let named = text.and_then(|text| serde_json::from_str::<Vec<(String, String)>>(&text).ok());
+        let named = named.unwrap_or_default().into_iter().take(MAX_STORED_RESERVATIONS);
+        named.map(|(engine, name)| (EngineId(engine.into()), RequestId(name.into()))).collect()
+    }
+
+    fn peer_addresses(&self) -> Vec<SocketAddr> {
+        let text = self.text(RecordKey::PeerAddresses).unwrap_or_default();
+        text.lines().filter_map(|line| line.parse().ok()).take(MAX_RESTORED_PEERS).collect()
+    }
+}
+
+fn open_store(settings: &RecoverySettings) -> (Option<Store>, Loaded) {
+    let Some(folder) = &settings.store else { return (None, Loaded::default()) };
+    let (store, loaded) = Store::open(&StoreSettings {
+        folder: PathBuf::from(folder),
+        every: Duration::from_micros(settings.commit_interval),
+        within: Duration::from_micros(settings.read_within),
+        storage_fault: injected_fault(settings),
+    });
+    (Some(store), loaded)
+}
+
+/// The storage fault that the settings inject, with its seed.
+pub(crate) fn injected_fault(settings: &RecoverySettings) -> Option<(StorageFault, u64)> {
+    let (name, seed) = settings.storage_fault.as_ref()?;
+    Some((storage_fault(name)?, *seed))
+}
+
+/// A storage fault by its name in settings.
+fn storage_fault(name: &str) -> Option<StorageFault> {
+    Some(match name {
+        "lost-syncs" => StorageFault::LostSyncs,
+        "torn-write" => StorageFault::TornWrite,
+        "flipped-bit" => StorageFault::FlippedBit,
+        "older-image" => StorageFault::OlderImage,
+        "full" => StorageFault::Full,
+        "read-only" => StorageFault::ReadOnly,
+        "slow" => StorageFault::Slow(SLOW_DISK_DELAY),
+        "read-errors" => StorageFault::ReadErrors,
+        _ => return None,
+    })
+}
+
+/// The recovery that the settings ask for; `None` without `(recovery ...)`.
+pub(crate) fn new_recovery(settings: &NodeSettings, now: Micros) -> Option<Recovery> {
+    let own = settings.recovery.as_ref()?;
+    let core = &settings.core;
+    let classes = core.classes.iter().map(|class| ClassPriority {
+        priority_weight: class.priority_weight,
+        at_most_once: class.effect == Idempotency::NotIdempotent,
+    });
+    let recovery_settings = recovery::Settings {
+        expected_nodes: expected_nodes(settings),
+        peers: settings.membership.is_some(),
+        peers_queried: own.peers_queried,
+        answer_timeout: own.answer_within,
+        query_rounds: own.rounds,
+        max_slow_start: own.max_slow_start,
+        slow_start_min_capacity: core.slow_start_min_capacity,
+        slow_start_duration: core.slow_start_duration,
+        requests_per_second_per_engine: own.requests_per_second_per_engine,
+        uncached_capacity_fraction: own.uncached_capacity_fraction,
+        max_retry_after: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
+        classes: classes.collect(),
+    };
+    Some(Recovery::new(recovery_settings, now, own.read_within))
+}
+
+/// Nodes that send to the same engines. Where zones have cores of their own, a zone's engines are shared
+/// by the nodes there: as many in each zone, as far as a node can know.
+fn expected_nodes(settings: &NodeSettings) -> usize {
+    let nodes = settings.core.nodes.max(1) as usize;
+    match &settings.failover {
+        Some(failover) => nodes.div_ceil(failover.policy.zones.zones.len()),
+        None => nodes,
+    }
+}
+
+/// The start of a node without peers: its recovery has nothing but the store's records.
+pub(crate) fn start_without_peers(shared: &Shared, restored: &RestoredState) {
+    let loaded = recovery::Input::StateLoaded(restored.remembered.clone());
+    shared.send_input(Input::Recovery(loaded));
+}
--- a/crates/pintally-kserve-node/src/fleet/tests.rs
+++ b/crates/pintally-kserve-node/src/fleet/tests.rs
@@ -1,23 +1,54 @@
 //! Topic numbers, record keys and hashes: nodes of different builds go by the same ones.
 
-use super::*;
-use crate::regions::{PLAN, ZONE_WORD};
+use super::endpoint_list::list_checksum;
+use super::topics::{FactTopic, MessageTopic, RecordKey, StreamRequest};
 
 #[test]
 fn topic_numbers_are_stable() {
-    assert_eq!([LIST_TEXT, ORDER], [1, 128]);
-    assert_eq!([CARRIED, LIST, LENDER, EVIDENCE, CLEARED, PLAN].map(|t| t.0), [1, 2, 3, 4, 5, 6]);
-    assert_eq!([HOW, SO, KEEPERS, ASKS, GRANTS, ZONE_WORD, HELD].map(|t| t.0), [32, 33, 34, 35, 36, 37, 38]);
+    let requests = [StreamRequest::EndpointList, StreamRequest::OperatorCommand];
+    assert_eq!(requests.map(StreamRequest::number), [1, 128]);
+    let facts = [
+        FactTopic::ServedRate,
+        FactTopic::EndpointList,
+        FactTopic::Leadership,
+        FactTopic::OutlierReport,
+        FactTopic::EngineCleared,
+        FactTopic::FailoverPlan,
+    ];
+    assert_eq!(facts.map(|f| f.topic().0), [1, 2, 3, 4, 5, 6]);
+    let messages = [
+        MessageTopic::RecoveryQuery,
+        MessageTopic::RecoveryAnswer,
+        MessageTopic::Consensus,
+        MessageTopic::LeaseRequests,
+        MessageTopic::LeaseGrants,
+        MessageTopic::ZoneReport,
+        MessageTopic::Reservations,
+    ];
+    assert_eq!(messages.map(|m| m.topic().0), [32, 33, 34, 35, 36, 37, 38]);
+    for number in 0..=u8::MAX {
+        let topic = pintally_membership::Topic(number);
+        assert_eq!(FactTopic::from_topic(topic).is_some(), (1..=6).contains(&number), "{number}");
+        assert_eq!(MessageTopic::from_topic(topic).is_some(), (32..=38).contains(&number), "{number}");
+        assert_eq!(StreamRequest::from_number(number).is_some(), [1, 128].contains(&number), "{number}");
+    }
 }
 
 #[test]
 fn record_keys_are_stable() {
-    let keys = [KEY_LIST, KEY_CARRIED, KEY_BOOT, KEY_USUAL, KEY_PEERS, KEY_LEFT];
-    assert_eq!(keys, ["list", "carried", "boot", "usual", "peers", "left"]);
+    let keys = [
+        RecordKey::EndpointList,
+        RecordKey::FleetRate,
+        RecordKey::Boot,
+        RecordKey::ServiceRates,
+        RecordKey::PeerAddresses,
+        RecordKey::ReservationsAtExit,
+    ];
+    assert_eq!(keys.map(RecordKey::as_str), ["list", "carried", "boot", "usual", "peers", "left"]);
 }
 
 #[test]
 fn list_hash_is_stable() {
-    assert_eq!(recovery_sum(""), 0x811c_9dc5);
-    assert_eq!(recovery_sum("(engines (version 1))"), 890_304_815);
+    assert_eq!(list_checksum(""), 0x811c_9dc5);
+    assert_eq!(list_checksum("(engines (version 1))"), 890_304_815);
 }
--- a/crates/pintally-kserve-node/src/lib.rs
+++ b/crates/pintally-kserve-node/src/lib.rs
@@ -11,13 +11,15 @@
 mod decide;
 mod door;
 mod errand;
+mod failover_leader;
 mod fleet;
-mod keeper;
 mod life;
 mod node;
+mod operator_command;
 mod pool;
-mod regions;
+mod replica_thread;
 mod shared;
+mod sync;
 mod wait;
 mod watch;
 
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -14,9 +14,11 @@
 use tracing::info;
 
 use crate::decide::Ends;
+use crate::fleet::FleetInputs;
+use crate::replica_thread::ReplicaOutputs;
 use crate::shared::{spawn_small, Message, NodeCounters, Shared};
 use crate::wait::Waker;
-use crate::{decide, door, errand, fleet, keeper, watch};
+use crate::{decide, door, errand, fleet, replica_thread, watch};
 
 /// Messages that may wait for the deciding thread.
 const MESSAGES: usize = 1 << 16;
@@ -61,13 +63,13 @@
         let (errands, errand_queue) = errand::way().map_err(fail("cannot make a waker"))?;
         let (look, look_queue) = bounded(1);
         let (stopped_sender, stopped) = bounded(1);
-        let mut before = fleet::read_before(&settings, seed);
+        let mut restored = fleet::restore_state(&settings, seed);
         let mut settings = settings;
         if settings.recovery.is_some() {
-            Arc::make_mut(&mut settings).core.remembered_service_rates = before.usual;
+            Arc::make_mut(&mut settings).core.remembered_service_rates = restored.service_rates;
         }
         let shared = Arc::new(Shared::new(settings.clone(), decide));
-        shared.fleet.keep_in(&mut before);
+        shared.fleet.attach_store(&mut restored);
         let door_waker = Arc::new(Waker::new().map_err(fail("cannot make a waker"))?);
         let mut node = Node {
             shared: shared.clone(),
@@ -78,11 +80,11 @@
             look: None,
         };
         let mut host = Host::new(settings.clone(), seed);
-        if let Some(recovery) = fleet::recovery_of(&settings, shared.clock.now()) {
+        if let Some(recovery) = fleet::new_recovery(&settings, shared.clock.now()) {
             host = host.with_recovery(recovery);
         }
         host = host
-            .with_orphaned_reservations(std::mem::take(&mut before.left))
+            .with_orphaned_reservations(std::mem::take(&mut restored.orphaned_reservations))
             .with_limits(shared.clock.now())
             .with_outlier_detection(shared.clock.now())
             .with_regions(shared.clock.now());
@@ -93,8 +95,8 @@
         let keeps = settings.consensus.clone().filter(|k| k.names.contains(&settings.name));
         let link = match &settings.membership {
             Some(peers) => {
-                let keeper = keeps.as_ref().map(|_| to_keeper);
-                let link = fleet::open(&shared, peers, &before, seed, keeper);
+                let replica = keeps.as_ref().map(|_| to_keeper);
+                let link = fleet::open(&shared, peers, &restored, seed, replica);
                 Some(link.map_err(fail("cannot reach for peers"))?)
             }
             None => None,
@@ -107,7 +109,7 @@
         let mut follower = ListFollower::default();
         let cells = watch::restore_cells(&shared);
         watch::restore(&shared, &mut follower);
-        watch::restore_text(&shared, &mut follower, before.list.as_deref());
+        watch::restore_text(&shared, &mut follower, restored.endpoint_list.as_deref());
         match link {
             Some(link) => {
                 info!(peers = %link.address().map_err(fail("cannot reach for peers"))?, "link to peers");
@@ -115,20 +117,21 @@
                     let waker = link.waker().map_err(fail("cannot reach for peers"))?;
                     let own = shared.clone();
                     node.spawn("keeper", move || {
-                        keeper::run(&own, &keeps, seed, &keeper_mail, (from_keeper, waker));
+                        let outputs = ReplicaOutputs { sender: from_keeper, waker };
+                        replica_thread::run(&own, &keeps, seed, &keeper_mail, outputs);
                     })?;
                 }
                 let (own, look) = (shared.clone(), look.clone());
-                let mail = fleet::Mail {
-                    ask: asked,
-                    shares: shares_asked,
-                    testimonies,
-                    zone_words,
-                    keeper: keeper_words,
+                let mail = FleetInputs {
+                    peer_queries: asked,
+                    lease_requests: shares_asked,
+                    outlier_reports: testimonies,
+                    zone_reports: zone_words,
+                    replica: keeper_words,
                 };
                 node.spawn("fleet", move || fleet::run(&own, link, &mail, look))?;
             }
-            None => fleet::alone(&shared, &before),
+            None => fleet::start_without_peers(&shared, &restored),
         }
         let own = shared.clone();
         node.spawn("list", move || watch::run(&own, follower, cells, &look_queue))?;
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -15,6 +15,7 @@
 use crate::clock::Clock;
 use crate::fleet::FleetShared;
 use crate::pool::Pool;
+use crate::sync::lock;
 use crate::wait::Waker;
 
 /// The stack of a thread that serves one connection.
@@ -39,6 +40,14 @@
     Over,
 }
 
+/// What this node observes of zones, on its way to the failover leader.
+pub(crate) struct OutgoingZoneReport {
+    /// The report, encoded.
+    pub(crate) encoded: Vec<u8>,
+    /// Engines that take work in each zone, by this node's endpoint list.
+    pub(crate) engines_per_zone: Vec<f64>,
+}
+
 /// Where a request's commands go.
 pub(crate) struct Mailbox {
     pub(crate) mail: Sender<Mail>,
@@ -150,7 +159,7 @@
     }
 
     fn wake_all(&self) {
-        self.connections.lock().unwrap_or_else(|e| e.into_inner()).values().for_each(|w| w.wake());
+        lock(&self.connections).values().for_each(|w| w.wake());
     }
 
     /// Takes room for bytes of a request; `false` if there is none.
@@ -170,7 +179,7 @@
 
     /// Enters a connection; `None` if there are as many as allowed.
     pub(crate) fn enter(&self, number: u64, waker: Arc<Waker>) -> Option<()> {
-        let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
+        let mut connections = lock(&self.connections);
         if connections.len() >= self.settings.limits.max_connections {
             return None;
         }
@@ -179,12 +188,12 @@
     }
 
     pub(crate) fn leave(&self, number: u64) {
-        self.connections.lock().unwrap_or_else(|e| e.into_inner()).remove(&number);
+        lock(&self.connections).remove(&number);
     }
 
     /// Connections that are open.
     pub(crate) fn open_connections(&self) -> usize {
-        self.connections.lock().unwrap_or_else(|e| e.into_inner()).len()
+        lock(&self.connections).len()
     }
 
     /// What the node has counted.
@@ -199,7 +208,7 @@
             unwritten: read(&c.unwritten),
             lists_refused: read(&c.lists_refused),
             deciding: Duration::from_nanos(read(&c.busy_ns)),
-            host: *self.host_counters.lock().unwrap_or_else(|e| e.into_inner()),
+            host: *lock(&self.host_counters),
         }
     }
 
--- a/crates/pintally-kserve-node/src/watch.rs
+++ b/crates/pintally-kserve-node/src/watch.rs
@@ -64,7 +64,7 @@
                 shared.send_input(Input::EndpointList(ListUpdate::Failed, Vec::new()));
             }
         }
-        if let Some(text) = shared.fleet.take_offered() {
+        if let Some(text) = shared.fleet.take_offered_list() {
             apply(shared, &mut follower, "a peer's list", text.as_bytes(), false);
         }
         match look.recv_timeout(every) {
@@ -137,7 +137,7 @@
         take(shared, follower, "the kept state", text.as_bytes());
     }
     if let (Some(version), Some(text)) = (follower.version(), follower.kept()) {
-        shared.fleet.hold_list(version, &text);
+        shared.fleet.set_endpoint_list(version, &text);
     }
 }
 
@@ -165,7 +165,7 @@
     }
     let Some(text) = follower.kept() else { return };
     if let Some(version) = follower.version() {
-        shared.fleet.hold_list(version, &text);
+        shared.fleet.set_endpoint_list(version, &text);
     }
     let Some(kept) = &shared.settings.cached_list_file else { return };
     if let Err(e) = write_whole(Path::new(kept), text.as_bytes()) {
