--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crossbeam_channel::{Receiver, Sender};
+use crossbeam_channel::{bounded, Receiver, Sender};
 use pintally::interface::Micros;
 use pintally_consensus::ReplicaName;
 use pintally_host::Input;
@@ -43,30 +43,57 @@
 pub(crate) use self::link::{open, FleetLink};
 pub(crate) use self::shared_state::FleetShared;
 pub(crate) use self::startup::{
-    injected_fault, new_recovery, restore_state, start_without_peers, MAX_STORED_RESERVATIONS,
+    injected_fault, new_recovery, restore_state, start_without_peers, RestoredState, MAX_STORED_RESERVATIONS,
 };
 
 /// An iteration of the thread waits no longer for datagrams, so that other threads' messages go out.
 const MAX_RECEIVE_WAIT: Duration = Duration::from_millis(20);
 
-/// What the fleet thread takes from the node's other threads.
-pub(crate) struct FleetInputs {
+/// Messages of one kind that may wait for the fleet thread. One that does not fit is sent again later.
+const MAX_WAITING_MESSAGES: usize = 64;
+
+/// Where the decision thread hands in messages.
+pub(crate) struct FleetSenders {
     /// Numbers of peers to query for recovery.
-    pub(crate) peer_queries: Receiver<u64>,
+    pub(crate) peer_queries: Sender<u64>,
     /// Leases to request.
-    pub(crate) lease_requests: Receiver<Vec<LeaseRequest>>,
+    pub(crate) lease_requests: Sender<Vec<LeaseRequest>>,
     /// What this node observes of zones.
-    pub(crate) zone_reports: Receiver<OutgoingZoneReport>,
+    pub(crate) zone_reports: Sender<OutgoingZoneReport>,
     /// What this node observed of engines, encoded.
-    pub(crate) outlier_reports: Receiver<Vec<u8>>,
-    /// What this node's replica sends.
-    pub(crate) replica: Receiver<ReplicaOutput>,
+    pub(crate) outlier_reports: Sender<Vec<u8>>,
+}
+
+/// Where the fleet thread takes the decision thread's messages.
+pub(crate) struct FleetInputs {
+    peer_queries: Receiver<u64>,
+    lease_requests: Receiver<Vec<LeaseRequest>>,
+    zone_reports: Receiver<OutgoingZoneReport>,
+    outlier_reports: Receiver<Vec<u8>>,
+}
+
+/// Channels from the decision thread to the fleet thread.
+pub(crate) fn channels() -> (FleetSenders, FleetInputs) {
+    let (peer_queries, queried) = bounded(MAX_WAITING_MESSAGES);
+    let (lease_requests, requested) = bounded(MAX_WAITING_MESSAGES);
+    let (zone_reports, zones_reported) = bounded(MAX_WAITING_MESSAGES);
+    let (outlier_reports, outliers_reported) = bounded(MAX_WAITING_MESSAGES);
+    let senders = FleetSenders { peer_queries, lease_requests, zone_reports, outlier_reports };
+    let inputs = FleetInputs {
+        peer_queries: queried,
+        lease_requests: requested,
+        zone_reports: zones_reported,
+        outlier_reports: outliers_reported,
+    };
+    (senders, inputs)
 }
 
 /// The state of the fleet thread.
 struct FleetThread<'a> {
     shared: &'a Arc<Shared>,
     link: FleetLink,
+    /// What this node's replica sends, if it runs one.
+    replica_outputs: Option<Receiver<ReplicaOutput>>,
     /// Has the endpoint list looked at again at once.
     reload_list: Sender<()>,
     failover: Option<FailoverLeader>,
@@ -76,13 +103,20 @@
 }
 
 /// Runs until the node ends.
-pub(crate) fn run(shared: &Arc<Shared>, link: FleetLink, inputs: &FleetInputs, reload_list: Sender<()>) {
+pub(crate) fn run(
+    shared: &Arc<Shared>,
+    link: FleetLink,
+    inputs: &FleetInputs,
+    replica_outputs: Option<Receiver<ReplicaOutput>>,
+    reload_list: Sender<()>,
+) {
     let loaded = pintally_recovery::Input::StateLoaded(link.remembered.clone());
     shared.send_input(Input::Recovery(loaded));
     let rates = ServedRates::new(shared.clock.now(), link.remembered.carried);
     let mut thread = FleetThread {
         shared,
         link,
+        replica_outputs,
         reload_list,
         failover: shared.settings.failover.as_ref().map(FailoverLeader::new),
         peer_numbers: PeerNumbers::default(),
@@ -117,7 +151,7 @@
         for number in inputs.peer_queries.try_iter() {
             self.query_peer(number, out);
         }
-        for output in inputs.replica.try_iter() {
+        while let Some(output) = self.next_replica_output() {
             self.handle_replica_output(output, out);
         }
         for report in inputs.outlier_reports.try_iter() {
@@ -243,6 +277,10 @@
         }
     }
 
+    fn next_replica_output(&self) -> Option<ReplicaOutput> {
+        self.replica_outputs.as_ref()?.try_recv().ok()
+    }
+
     fn handle_replica_output(&mut self, output: ReplicaOutput, out: &mut Vec<Output>) {
         match output {
             ReplicaOutput::Message { to, bytes } => {
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -1,6 +1,5 @@
-//! A node as a whole: its threads, how it starts, stops in good order, and is killed.
+//! A node as a whole: its threads, how it starts, shuts down, and is killed.
 
-use std::fmt;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::Ordering;
@@ -9,157 +8,149 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pintally_config::NodeSettings;
-use pintally_host::{Host, Input, ListFollower};
+use pintally_config::{ConsensusSettings, NodeSettings};
+use pintally_host::{Host, Input};
+use thiserror::Error;
 use tracing::info;
 
-use crate::decide::Ends;
-use crate::fleet::FleetInputs;
-use crate::replica_thread::ReplicaOutputs;
-use crate::shared::{spawn_small, Message, NodeCounters, Shared};
+use crate::decision_thread::DecisionOutputs;
+use crate::fleet::{FleetInputs, FleetLink, RestoredState};
+use crate::replica_thread::{ReplicaInput, ReplicaOutput, ReplicaOutputs};
+use crate::shared::{spawn_small, DecisionMessage, NodeCounters, Shared};
 use crate::wait::Waker;
-use crate::{decide, door, errand, fleet, replica_thread, watch};
+use crate::watcher::{CellsWatcher, EndpointListWatcher};
+use crate::{background_calls, decision_thread, fleet, listener, replica_thread, watcher};
 
-/// Messages that may wait for the deciding thread.
-const MESSAGES: usize = 1 << 16;
-/// Messages that may wait for the keeper, and from it; one that does not fit is lost like one on a link.
-const KEEPER: usize = 4096;
-/// Questions to peers that may wait; one that does not fit is asked again later.
-const ASKED: usize = 64;
+/// Messages that may wait for the decision thread.
+const MAX_DECISION_MESSAGES: usize = 1 << 16;
+/// Messages that may wait for the replica, and from it; one that does not fit is lost like a datagram.
+const MAX_REPLICA_MESSAGES: usize = 4096;
+/// What a shutdown may take beyond the time in the settings, for threads to end.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
+/// Between two looks at whether all connections have closed.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Why a node could not start.
-#[derive(Debug)]
-pub struct StartError {
-    what: &'static str,
-    error: io::Error,
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The address for clients cannot be bound.
+    #[error("cannot listen: {0}")]
+    Listen(io::Error),
+    /// The system has no file descriptor for a waker.
+    #[error("cannot make a waker: {0}")]
+    Waker(io::Error),
+    /// The sockets towards peers cannot be opened.
+    #[error("cannot reach for peers: {0}")]
+    Peers(io::Error),
+    /// The system starts no more threads.
+    #[error("cannot start a thread: {0}")]
+    Thread(io::Error),
 }
 
-impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.what, self.error)
-    }
-}
-
-impl std::error::Error for StartError {}
-
 /// A running node. Dropping it kills it.
 pub struct Node {
     shared: Arc<Shared>,
     address: SocketAddr,
     stopped: Receiver<()>,
-    door: Arc<Waker>,
+    listener_waker: Arc<Waker>,
     threads: Vec<JoinHandle<()>>,
-    look: Option<Sender<()>>,
+    /// The watcher runs until this is dropped.
+    reload_list: Option<Sender<()>>,
 }
 
 impl Node {
     /// Starts a node; the seed is for its router and the names of its requests.
+    ///
+    /// # Errors
+    ///
+    /// A socket that cannot be opened, or a thread that the system does not start.
     pub fn start(settings: Arc<NodeSettings>, seed: u64) -> Result<Node, StartError> {
-        let fail = |what| move |error| StartError { what, error };
-        let listener = TcpListener::bind(settings.listen).map_err(fail("cannot listen"))?;
-        listener.set_nonblocking(true).map_err(fail("cannot listen"))?;
-        let address = listener.local_addr().map_err(fail("cannot listen"))?;
-        let (decide, messages) = bounded(MESSAGES);
-        let (errands, errand_queue) = errand::way().map_err(fail("cannot make a waker"))?;
-        let (look, look_queue) = bounded(1);
+        let (listener, address) = bind(settings.listen).map_err(StartError::Listen)?;
+        let (decide, messages) = bounded(MAX_DECISION_MESSAGES);
+        let (background_calls, call_queue) = background_calls::channel().map_err(StartError::Waker)?;
+        let (reload_list, reload_requests) = bounded(1);
         let (stopped_sender, stopped) = bounded(1);
         let mut restored = fleet::restore_state(&settings, seed);
-        let mut settings = settings;
-        if settings.recovery.is_some() {
-            Arc::make_mut(&mut settings).core.remembered_service_rates = restored.service_rates;
-        }
-        let shared = Arc::new(Shared::new(settings.clone(), decide));
+        let settings = with_remembered_rates(settings, &restored);
+        let shared = Arc::new(Shared::new(settings, decide));
         shared.fleet.attach_store(&mut restored);
-        let door_waker = Arc::new(Waker::new().map_err(fail("cannot make a waker"))?);
+        let listener_waker = Arc::new(Waker::new().map_err(StartError::Waker)?);
         let mut node = Node {
             shared: shared.clone(),
             address,
             stopped,
-            door: door_waker.clone(),
+            listener_waker: listener_waker.clone(),
             threads: Vec::new(),
-            look: None,
+            reload_list: None,
         };
-        let mut host = Host::new(settings.clone(), seed);
-        if let Some(recovery) = fleet::new_recovery(&settings, shared.clock.now()) {
-            host = host.with_recovery(recovery);
-        }
-        host = host
-            .with_orphaned_reservations(std::mem::take(&mut restored.orphaned_reservations))
-            .with_limits(shared.clock.now())
-            .with_outlier_detection(shared.clock.now())
-            .with_regions(shared.clock.now());
-        let ((ask, asked), (shares, shares_asked)) = (bounded(ASKED), bounded(ASKED));
-        let ((testify, testimonies), (zones, zone_words)) = (bounded(ASKED), bounded(ASKED));
-        let ends = Ends { errands, look: look.clone(), stopped: stopped_sender, ask, shares, testify, zones };
-        let ((to_keeper, keeper_mail), (from_keeper, keeper_words)) = (bounded(KEEPER), bounded(KEEPER));
-        let keeps = settings.consensus.clone().filter(|k| k.names.contains(&settings.name));
-        let link = match &settings.membership {
-            Some(peers) => {
-                let replica = keeps.as_ref().map(|_| to_keeper);
-                let link = fleet::open(&shared, peers, &restored, seed, replica);
-                Some(link.map_err(fail("cannot reach for peers"))?)
-            }
-            None => None,
+        let host = new_host(&shared, &mut restored, seed);
+        let (fleet_senders, fleet_receivers) = fleet::channels();
+        let outputs = DecisionOutputs {
+            background_calls,
+            reload_list: reload_list.clone(),
+            stopped: stopped_sender,
+            fleet: fleet_senders,
         };
+        let (replica, to_replica) = ReplicaChannels::new(&shared.settings).unzip();
+        let link = open_link(&shared, &restored, seed, to_replica)?;
         let own = shared.clone();
-        node.spawn("decide", move || decide::run(&own, host, &messages, ends))?;
+        node.spawn("decide", move || decision_thread::run(&own, host, &messages, outputs))?;
         let own = shared.clone();
-        node.spawn("errands", move || errand::run(&own, &errand_queue))?;
-        // What was known before the last end comes first, then the list as it is now.
-        let mut follower = ListFollower::default();
-        let cells = watch::restore_cells(&shared);
-        watch::restore(&shared, &mut follower);
-        watch::restore_text(&shared, &mut follower, restored.endpoint_list.as_deref());
+        node.spawn("errands", move || background_calls::run(&own, &call_queue))?;
+        // What was cached before the last end comes first, then the files as they are now.
+        let cells = CellsWatcher::restore(&shared);
+        let list = EndpointListWatcher::restore(&shared, restored.endpoint_list.as_deref());
         match link {
-            Some(link) => {
-                info!(peers = %link.address().map_err(fail("cannot reach for peers"))?, "link to peers");
-                if let Some(keeps) = keeps {
-                    let waker = link.waker().map_err(fail("cannot reach for peers"))?;
-                    let own = shared.clone();
-                    node.spawn("keeper", move || {
-                        let outputs = ReplicaOutputs { sender: from_keeper, waker };
-                        replica_thread::run(&own, &keeps, seed, &keeper_mail, outputs);
-                    })?;
-                }
-                let (own, look) = (shared.clone(), look.clone());
-                let mail = FleetInputs {
-                    peer_queries: asked,
-                    lease_requests: shares_asked,
-                    outlier_reports: testimonies,
-                    zone_reports: zone_words,
-                    replica: keeper_words,
-                };
-                node.spawn("fleet", move || fleet::run(&own, link, &mail, look))?;
-            }
+            Some(link) => node.start_fleet(link, fleet_receivers, replica, seed, reload_list.clone())?,
             None => fleet::start_without_peers(&shared, &restored),
         }
         let own = shared.clone();
-        node.spawn("list", move || watch::run(&own, follower, cells, &look_queue))?;
-        node.look = Some(look);
+        node.spawn("list", move || watcher::run(&own, list, cells, &reload_requests))?;
+        node.reload_list = Some(reload_list);
         let own = shared.clone();
-        node.spawn("door", move || door::run(&own, &listener, &door_waker))?;
-        info!(node = settings.name, %address, "node started");
+        node.spawn("door", move || listener::run(&own, &listener, &listener_waker))?;
+        info!(node = shared.settings.name, %address, "node started");
         Ok(node)
     }
 
+    /// Starts the threads of a node with peers.
+    fn start_fleet(
+        &mut self,
+        link: FleetLink,
+        inputs: FleetInputs,
+        replica: Option<ReplicaChannels>,
+        seed: u64,
+        reload_list: Sender<()>,
+    ) -> Result<(), StartError> {
+        info!(address = %link.address().map_err(StartError::Peers)?, "peer link opened");
+        let mut replica_outputs = None;
+        if let Some(replica) = replica {
+            let waker = link.waker().map_err(StartError::Peers)?;
+            let outputs = ReplicaOutputs { sender: replica.sender, waker };
+            replica_outputs = Some(replica.receiver);
+            let (shared, settings, inputs) = (self.shared.clone(), replica.settings, replica.inputs);
+            self.spawn("keeper", move || replica_thread::run(&shared, &settings, seed, &inputs, outputs))?;
+        }
+        let shared = self.shared.clone();
+        self.spawn("fleet", move || fleet::run(&shared, link, &inputs, replica_outputs, reload_list))
+    }
+
     fn spawn(&mut self, name: &str, f: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
-        let thread =
-            spawn_small(name, f).map_err(|error| StartError { what: "cannot start a thread", error })?;
-        self.threads.push(thread);
+        self.threads.push(spawn_small(name, f).map_err(StartError::Thread)?);
         Ok(())
     }
 
-    /// Where it listens.
+    /// Where it listens for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has counted.
+    /// Its counters as they are now.
     pub fn counters(&self) -> NodeCounters {
         self.shared.counters()
     }
 
-    /// Engines that take work, by the list that the node knows.
+    /// Engines that take work, by the node's endpoint list.
     pub fn serving(&self) -> usize {
         self.shared.serving.load(Ordering::Relaxed)
     }
@@ -169,19 +160,18 @@
         self.shared.open_connections()
     }
 
-    /// Stops in good order: takes nothing new, ends what it holds, lets go of what it has at
-    /// engines, within the time that the settings give. Returns what it has counted.
+    /// Shuts down gracefully: takes nothing new, ends requests in flight and releases its reservations at
+    /// engines, within the time that the settings give. Returns the counters at the end.
     pub fn stop(mut self) -> NodeCounters {
-        let bound =
-            Duration::from_micros(self.shared.settings.limits.shutdown_timeout) + Duration::from_secs(1);
-        let by = Instant::now() + bound;
+        let timeout = Duration::from_micros(self.shared.settings.limits.shutdown_timeout);
+        let deadline = Instant::now() + timeout + SHUTDOWN_GRACE;
         self.shared.close();
-        self.door.wake();
+        self.listener_waker.wake();
         self.shared.send_input(Input::Stop);
-        let _ = self.stopped.recv_deadline(by);
+        let _ = self.stopped.recv_deadline(deadline);
         // The last answers are on their way out of the clients' threads.
-        while self.shared.open_connections() > 0 && Instant::now() < by {
-            std::thread::sleep(Duration::from_millis(2));
+        while self.shared.open_connections() > 0 && Instant::now() < deadline {
+            std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
         self.end();
         let counters = self.counters();
@@ -196,9 +186,9 @@
 
     fn end(&mut self) {
         self.shared.kill();
-        self.door.wake();
-        let _ = self.shared.decide.send(Message::Kill);
-        self.look = None;
+        self.listener_waker.wake();
+        let _ = self.shared.decide.send(DecisionMessage::Kill);
+        self.reload_list = None;
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -212,3 +202,59 @@
         }
     }
 }
+
+/// A listener that does not block, and its address.
+fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
+    let listener = TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    let address = listener.local_addr()?;
+    Ok((listener, address))
+}
+
+/// The settings with the service rates that the process before has measured, where the node recovers.
+fn with_remembered_rates(mut settings: Arc<NodeSettings>, restored: &RestoredState) -> Arc<NodeSettings> {
+    if settings.recovery.is_some() {
+        Arc::make_mut(&mut settings).core.remembered_service_rates = restored.service_rates;
+    }
+    settings
+}
+
+fn new_host(shared: &Shared, restored: &mut RestoredState, seed: u64) -> Host {
+    let mut host = Host::new(shared.settings.clone(), seed);
+    if let Some(recovery) = fleet::new_recovery(&shared.settings, shared.clock.now()) {
+        host = host.with_recovery(recovery);
+    }
+    host.with_orphaned_reservations(std::mem::take(&mut restored.orphaned_reservations))
+        .with_limits(shared.clock.now())
+        .with_outlier_detection(shared.clock.now())
+        .with_regions(shared.clock.now())
+}
+
+/// The link to peers, where the settings have any.
+fn open_link(
+    shared: &Arc<Shared>,
+    restored: &RestoredState,
+    seed: u64,
+    replica: Option<Sender<ReplicaInput>>,
+) -> Result<Option<FleetLink>, StartError> {
+    let Some(membership) = &shared.settings.membership else { return Ok(None) };
+    fleet::open(shared, membership, restored, seed, replica).map(Some).map_err(StartError::Peers)
+}
+
+/// What the replica's thread is started with, where this node runs a replica.
+struct ReplicaChannels {
+    settings: ConsensusSettings,
+    inputs: Receiver<ReplicaInput>,
+    sender: Sender<ReplicaOutput>,
+    receiver: Receiver<ReplicaOutput>,
+}
+
+impl ReplicaChannels {
+    /// Channels to and from the replica, and the sender to it; `None` where this node runs none.
+    fn new(settings: &NodeSettings) -> Option<(ReplicaChannels, Sender<ReplicaInput>)> {
+        let consensus = settings.consensus.clone().filter(|c| c.names.contains(&settings.name))?;
+        let (to_replica, inputs) = bounded(MAX_REPLICA_MESSAGES);
+        let (sender, receiver) = bounded(MAX_REPLICA_MESSAGES);
+        Some((ReplicaChannels { settings: consensus, inputs, sender, receiver }, to_replica))
+    }
+}
--- a/crates/pintally-kserve-node/src/pool.rs
+++ b/crates/pintally-kserve-node/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: kept open between attempts, bounded in number for each engine.
+//! The pool of connections to engines: reused between attempts, bounded in number for each engine.
 
 use std::collections::HashMap;
 use std::io;
@@ -9,74 +9,105 @@
 use rustix::net::RecvFlags;
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Idle connections kept for each engine.
-const MAX_IDLE: usize = 64;
+use crate::sync::lock;
 
+/// Idle connections to one engine.
+const MAX_IDLE_PER_ENGINE: usize = 64;
+/// The least time for a connect: the system takes no shorter one.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// Connections to one engine.
 #[derive(Default)]
-struct Line {
+struct EngineConnections {
+    /// Idle connections, and since when.
     idle: Vec<(TcpStream, Instant)>,
-    used: usize,
+    /// Attempts in flight.
+    in_use: usize,
 }
 
-impl Line {
-    fn keep(&mut self, stream: TcpStream) {
-        if self.idle.len() < MAX_IDLE {
+impl EngineConnections {
+    fn add_idle(&mut self, stream: TcpStream) {
+        if self.idle.len() < MAX_IDLE_PER_ENGINE {
             self.idle.push((stream, Instant::now()));
         }
     }
+
+    /// The latest idle connection that is still open; those that are not are closed.
+    fn take_idle(&mut self) -> Option<TcpStream> {
+        std::iter::from_fn(|| self.idle.pop()).map(|(stream, _)| stream).find(is_open)
+    }
+
+    fn close_expired(&mut self, keep_alive: Duration) {
+        self.idle.retain(|(_, since)| since.elapsed() < keep_alive);
+    }
+}
+
+/// Whether an idle connection may be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Reuse {
+    /// An idle one if there is one.
+    Idle,
+    /// Only one that is opened for the purpose.
+    Never,
+}
+
+/// A connection for a background call.
+pub(crate) struct CallConnection {
+    pub(crate) stream: TcpStream,
+    /// Whether it is established, or about to be.
+    pub(crate) connected: bool,
 }
 
 /// Connections by where engines listen.
 pub(crate) struct Pool {
     source: Option<IpAddr>,
-    streams: usize,
+    max_streams_per_engine: usize,
     keep_alive: Duration,
-    lines: Mutex<HashMap<SocketAddr, Line>>,
+    engines: Mutex<HashMap<SocketAddr, EngineConnections>>,
 }
 
 /// Why there is no connection.
 #[derive(Debug)]
-pub(crate) enum NoConnection {
-    /// As many attempts as allowed are out at this engine.
-    Limit,
-    /// It could not be had.
-    Io,
+pub(crate) enum PoolError {
+    /// As many attempts as allowed are in flight at this engine.
+    LimitReached,
+    /// It could not be established.
+    Connect(io::Error),
 }
 
 impl Pool {
-    pub(crate) fn new(source: Option<IpAddr>, streams: usize, keep_alive: Duration) -> Pool {
-        Pool { source, streams, keep_alive, lines: Mutex::default() }
+    pub(crate) fn new(source: Option<IpAddr>, max_streams_per_engine: usize, keep_alive: Duration) -> Pool {
+        Pool { source, max_streams_per_engine, keep_alive, engines: Mutex::default() }
     }
 
-    fn line<T>(&self, address: SocketAddr, f: impl FnOnce(&mut Line) -> T) -> T {
-        let mut lines = self.lines.lock().unwrap_or_else(|e| e.into_inner());
-        f(lines.entry(address).or_default())
+    fn with_engine<T>(&self, address: SocketAddr, f: impl FnOnce(&mut EngineConnections) -> T) -> T {
+        f(lock(&self.engines).entry(address).or_default())
     }
 
-    /// A connection that does not block, idle or new.
-    pub(crate) fn take(&self, address: SocketAddr, within: Duration) -> Result<TcpStream, NoConnection> {
-        let idle = self.line(address, |line| {
-            if line.used >= self.streams {
-                return Err(NoConnection::Limit);
+    /// A connection for an attempt that does not block, idle or new. It counts as in use until it is
+    /// [returned](Pool::give_back).
+    pub(crate) fn take(&self, address: SocketAddr, timeout: Duration) -> Result<TcpStream, PoolError> {
+        let idle = self.with_engine(address, |engine| {
+            if engine.in_use >= self.max_streams_per_engine {
+                return Err(PoolError::LimitReached);
             }
-            line.used += 1;
-            let keep_alive = self.keep_alive;
-            line.idle.retain(|(_, since)| since.elapsed() < keep_alive);
-            Ok(std::iter::from_fn(|| line.idle.pop()).map(|(s, _)| s).find(is_open))
+            engine.in_use += 1;
+            engine.close_expired(self.keep_alive);
+            Ok(engine.take_idle())
         })?;
         let stream = match idle {
             Some(stream) => Ok(stream),
-            None => self.connect(address, within),
+            None => self.connect(address, timeout),
         };
-        stream.map_err(|_| {
-            self.line(address, |line| line.used -= 1);
-            NoConnection::Io
+        stream.map_err(|error| {
+            self.with_engine(address, |engine| engine.in_use -= 1);
+            PoolError::Connect(error)
         })
     }
 
-    fn connect(&self, address: SocketAddr, within: Duration) -> io::Result<TcpStream> {
+    fn connect(&self, address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
         let socket = self.socket(address)?;
-        socket.connect_timeout(&address.into(), within.max(Duration::from_millis(1)))?;
+        socket.connect_timeout(&address.into(), timeout.max(MIN_CONNECT_TIMEOUT))?;
         let stream: TcpStream = socket.into();
         stream.set_nodelay(true)?;
         stream.set_nonblocking(true)?;
@@ -91,13 +122,13 @@
         Ok(socket)
     }
 
-    /// A connection beside those of attempts, and whether it is up: an idle one, if one may be used, or
-    /// one that is about to come up.
-    pub(crate) fn for_errand(&self, address: SocketAddr, idle: bool) -> io::Result<(TcpStream, bool)> {
-        let pop = |line: &mut Line| std::iter::from_fn(|| line.idle.pop()).map(|(s, _)| s).find(is_open);
-        let found = if idle { self.line(address, pop) } else { None };
-        if let Some(stream) = found {
-            return Ok((stream, true));
+    /// A connection for a background call, beside those of attempts: an idle one, if one may be used, or
+    /// one that is about to be established.
+    pub(crate) fn connect_for_call(&self, address: SocketAddr, reuse: Reuse) -> io::Result<CallConnection> {
+        if reuse == Reuse::Idle {
+            if let Some(stream) = self.with_engine(address, EngineConnections::take_idle) {
+                return Ok(CallConnection { stream, connected: true });
+            }
         }
         let socket = self.socket(address)?;
         socket.set_nonblocking(true)?;
@@ -108,31 +139,29 @@
         }
         let stream: TcpStream = socket.into();
         stream.set_nodelay(true)?;
-        Ok((stream, false))
+        Ok(CallConnection { stream, connected: false })
     }
 
-    /// A connection of an errand may be used again.
-    pub(crate) fn keep(&self, address: SocketAddr, stream: TcpStream) {
-        self.line(address, |line| line.keep(stream));
+    /// Adds a background call's connection that may be used again.
+    pub(crate) fn add_idle(&self, address: SocketAddr, stream: TcpStream) {
+        self.with_engine(address, |engine| engine.add_idle(stream));
     }
 
-    /// An attempt is over; its connection comes back if it may be used again.
+    /// An attempt has ended; its connection comes back if it may be used again.
     pub(crate) fn give_back(&self, address: SocketAddr, stream: Option<TcpStream>) {
-        self.line(address, |line| {
-            line.used = line.used.saturating_sub(1);
+        self.with_engine(address, |engine| {
+            engine.in_use = engine.in_use.saturating_sub(1);
             if let Some(stream) = stream {
-                line.keep(stream);
+                engine.add_idle(stream);
             }
         });
     }
 
     /// Closes what has been idle too long and forgets engines without connections.
-    pub(crate) fn sweep(&self) {
-        let keep_alive = self.keep_alive;
-        let mut lines = self.lines.lock().unwrap_or_else(|e| e.into_inner());
-        lines.retain(|_, line| {
-            line.idle.retain(|(_, since)| since.elapsed() < keep_alive);
-            line.used > 0 || !line.idle.is_empty()
+    pub(crate) fn close_expired(&self) {
+        lock(&self.engines).retain(|_, engine| {
+            engine.close_expired(self.keep_alive);
+            engine.in_use > 0 || !engine.idle.is_empty()
         });
     }
 }
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the node's threads share: settings, channels, flags and counts.
+//! What the node's threads share: settings, channels, flags and counters.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -18,26 +18,29 @@
 use crate::sync::lock;
 use crate::wait::Waker;
 
-/// The stack of a thread that serves one connection.
-const SMALL_STACK: usize = 256 << 10;
+/// The stack of a thread, small as each connection has one.
+const STACK_BYTES: usize = 256 << 10;
 
-/// To the deciding thread.
-pub(crate) enum Message {
+/// To the decision thread.
+pub(crate) enum DecisionMessage {
     /// For the host.
     Host(Input),
-    /// A request, and where its commands go.
-    Arrived(IncomingRequest, Mailbox),
+    /// A request, and where its messages go.
+    RequestArrived(IncomingRequest, RequestMailbox),
     /// End at once.
     Kill,
 }
 
 /// To the thread of a request.
-pub(crate) enum Mail {
+pub(crate) enum RequestMessage {
+    /// Make an attempt.
     Attempt(AttemptOrder),
+    /// Cancel an attempt.
     Cancel(Attempt),
+    /// Give the final answer.
     Answer(FinalAnswer),
     /// Nothing more comes for this request.
-    Over,
+    Finished,
 }
 
 /// What this node observes of zones, on its way to the failover leader.
@@ -48,42 +51,42 @@
     pub(crate) engines_per_zone: Vec<f64>,
 }
 
-/// Where a request's commands go.
-pub(crate) struct Mailbox {
-    pub(crate) mail: Sender<Mail>,
+/// Where a request's messages go.
+pub(crate) struct RequestMailbox {
+    pub(crate) sender: Sender<RequestMessage>,
     pub(crate) waker: Arc<Waker>,
 }
 
-/// Counts that only the sockets' side sees.
+/// Counters of the sockets' side, which the host does not see.
 #[derive(Default)]
-pub(crate) struct DoorCounts {
+pub(crate) struct SocketCounters {
     pub(crate) connections: AtomicU64,
     pub(crate) over_limit: AtomicU64,
     pub(crate) bad_requests: AtomicU64,
     pub(crate) turned_away: AtomicU64,
     pub(crate) unwritten: AtomicU64,
     pub(crate) lists_refused: AtomicU64,
-    pub(crate) busy_ns: AtomicU64,
+    pub(crate) deciding_ns: AtomicU64,
 }
 
 /// What a node has counted: on its sockets and in its host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeCounters {
-    /// Client connections let in.
+    /// Client connections admitted.
     pub connections: u64,
-    /// Client connections turned away for their number.
+    /// Client connections rejected because there were too many.
     pub over_limit: u64,
     /// Requests that were not understood.
     pub bad_requests: u64,
-    /// Requests turned away before the host saw them.
+    /// Requests rejected before the host saw them.
     pub turned_away: u64,
     /// Final answers that could not be written.
     pub unwritten: u64,
-    /// Lists that were not sound, or older than the one that held.
+    /// Endpoint lists and cells files that were invalid, or older than the one in force.
     pub lists_refused: u64,
-    /// Time that the deciding thread has spent deciding.
+    /// Time that the decision thread has spent on messages.
     pub deciding: Duration,
-    /// The host's counts.
+    /// The host's counters.
     pub host: Counters,
 }
 
@@ -92,44 +95,44 @@
     pub(crate) settings: Arc<NodeSettings>,
     pub(crate) clock: Clock,
     pub(crate) pool: Pool,
-    pub(crate) decide: Sender<Message>,
-    pub(crate) counts: DoorCounts,
+    pub(crate) decide: Sender<DecisionMessage>,
+    pub(crate) counters: SocketCounters,
     pub(crate) host_counters: Mutex<Counters>,
-    /// Where each cell stands.
+    /// The status of each cell.
     pub(crate) cells: Mutex<Vec<CellStatus>>,
-    /// Tenants on the move: the share of their sessions that is over, and whether it is held back.
+    /// Tenants that migrate: the fraction of their sessions that has moved, and whether the rest is held back.
     pub(crate) moves: Mutex<Vec<(String, f64, bool)>>,
-    /// Engines that take work, by the list; the node is ready while there are any.
+    /// Engines that take work, by the endpoint list; the node is ready while there are any.
     pub(crate) serving: AtomicUsize,
     pub(crate) next_ticket: AtomicU64,
-    /// What it knows of its peers, and what it keeps.
+    /// What the fleet thread and the others share.
     pub(crate) fleet: FleetShared,
-    /// Bytes of requests that are held, of all connections together.
-    bodies: AtomicUsize,
-    /// Nothing new is taken.
+    /// Bytes of request bodies in memory, of all connections together.
+    body_bytes: AtomicUsize,
+    /// The node shuts down: nothing new is taken.
     closing: AtomicBool,
-    /// Everything ends at once.
+    /// The node is killed: everything ends at once.
     dead: AtomicBool,
     /// Wakers of all connection threads.
     connections: Mutex<HashMap<u64, Arc<Waker>>>,
 }
 
 impl Shared {
-    pub(crate) fn new(settings: Arc<NodeSettings>, decide: Sender<Message>) -> Shared {
+    pub(crate) fn new(settings: Arc<NodeSettings>, decide: Sender<DecisionMessage>) -> Shared {
         let limits = &settings.limits;
         let keep_alive = Duration::from_micros(limits.keep_alive);
         Shared {
             pool: Pool::new(settings.source, limits.max_streams_per_engine, keep_alive),
             clock: Clock::new(),
             decide,
-            counts: DoorCounts::default(),
+            counters: SocketCounters::default(),
             host_counters: Mutex::default(),
             cells: Mutex::default(),
             moves: Mutex::default(),
             serving: AtomicUsize::new(0),
             next_ticket: AtomicU64::new(1),
             fleet: FleetShared::default(),
-            bodies: AtomicUsize::new(0),
+            body_bytes: AtomicUsize::new(0),
             closing: AtomicBool::new(false),
             dead: AtomicBool::new(false),
             connections: Mutex::default(),
@@ -162,32 +165,33 @@
         lock(&self.connections).values().for_each(|w| w.wake());
     }
 
-    /// Takes room for bytes of a request; `false` if there is none.
-    pub(crate) fn take_room(&self, bytes: usize) -> bool {
-        let held = self.bodies.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        if held > self.settings.limits.max_total_body_bytes {
-            self.bodies.fetch_sub(bytes, Ordering::Relaxed);
+    /// Reserves bytes of the limit for all bodies; `false` if there are not as many.
+    pub(crate) fn reserve_body_bytes(&self, bytes: usize) -> bool {
+        let reserved = self.body_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        if reserved > self.settings.limits.max_total_body_bytes {
+            self.body_bytes.fetch_sub(bytes, Ordering::Relaxed);
             return false;
         }
         true
     }
 
-    /// Gives room back.
-    pub(crate) fn give_room(&self, bytes: usize) {
-        self.bodies.fetch_sub(bytes, Ordering::Relaxed);
+    /// Returns bytes that were reserved.
+    pub(crate) fn return_body_bytes(&self, bytes: usize) {
+        self.body_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Enters a connection; `None` if there are as many as allowed.
-    pub(crate) fn enter(&self, number: u64, waker: Arc<Waker>) -> Option<()> {
+    /// Adds a connection to the table; `false` if there are as many as allowed.
+    pub(crate) fn add_connection(&self, number: u64, waker: Arc<Waker>) -> bool {
         let mut connections = lock(&self.connections);
         if connections.len() >= self.settings.limits.max_connections {
-            return None;
+            return false;
         }
         connections.insert(number, waker);
-        Some(())
+        true
     }
 
-    pub(crate) fn leave(&self, number: u64) {
+    /// Removes a connection from the table.
+    pub(crate) fn remove_connection(&self, number: u64) {
         lock(&self.connections).remove(&number);
     }
 
@@ -196,10 +200,10 @@
         lock(&self.connections).len()
     }
 
-    /// What the node has counted.
+    /// The counters as they are now.
     pub(crate) fn counters(&self) -> NodeCounters {
-        let c = &self.counts;
-        let read = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
+        let c = &self.counters;
+        let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         NodeCounters {
             connections: read(&c.connections),
             over_limit: read(&c.over_limit),
@@ -207,15 +211,15 @@
             turned_away: read(&c.turned_away),
             unwritten: read(&c.unwritten),
             lists_refused: read(&c.lists_refused),
-            deciding: Duration::from_nanos(read(&c.busy_ns)),
+            deciding: Duration::from_nanos(read(&c.deciding_ns)),
             host: *lock(&self.host_counters),
         }
     }
 
-    /// Tells the host something. It waits where the channel is full: the deciding thread never waits
-    /// for the one that calls, so the wait ends.
+    /// Sends an input to the host. It waits where the channel is full: the decision thread never waits for
+    /// the thread that calls, so the wait ends.
     pub(crate) fn send_input(&self, input: Input) {
-        let _ = self.decide.send(Message::Host(input));
+        let _ = self.decide.send(DecisionMessage::Host(input));
     }
 }
 
@@ -224,5 +228,5 @@
     name: &str,
     f: impl FnOnce() + Send + 'static,
 ) -> std::io::Result<thread::JoinHandle<()>> {
-    thread::Builder::new().name(name.to_string()).stack_size(SMALL_STACK).spawn(f)
+    thread::Builder::new().name(name.to_string()).stack_size(STACK_BYTES).spawn(f)
 }
--- /dev/null
+++ b/crates/pintally-kserve-node/src/status.rs
@@ -0,0 +1,115 @@
+//! Status documents and counters as JSON, for operators and tools. Names in them are those that tools read.
+
+use std::sync::atomic::Ordering;
+use std::sync::Mutex;
+
+use pintally_cells::Level;
+use pintally_kserve as kserve;
+use serde::Serialize;
+use serde_json::{json, Value};
+
+use crate::shared::Shared;
+use crate::sync::lock;
+
+/// The answer to a status request.
+pub(crate) struct StatusResponse {
+    /// The HTTP status.
+    pub(crate) status: u16,
+    /// The body, JSON.
+    pub(crate) body: String,
+}
+
+impl StatusResponse {
+    pub(crate) fn ok(body: impl Into<String>) -> StatusResponse {
+        StatusResponse { status: 200, body: body.into() }
+    }
+
+    /// An error that a retry will not mend.
+    pub(crate) fn error(status: u16, message: &str) -> StatusResponse {
+        StatusResponse { status, body: kserve::error(message, false) }
+    }
+}
+
+/// Whether the node takes requests.
+pub(crate) fn readiness(shared: &Shared) -> StatusResponse {
+    if shared.serving.load(Ordering::Relaxed) > 0 && !shared.is_closing() {
+        StatusResponse::ok("{\"ready\":true}")
+    } else {
+        StatusResponse { status: 503, body: "{\"ready\":false}".into() }
+    }
+}
+
+/// A document that another thread has published; `absent` is the error where there is none.
+pub(crate) fn published<T: Serialize>(document: &Mutex<Option<T>>, absent: &str) -> StatusResponse {
+    let document = lock(document);
+    match document.as_ref().and_then(|document| serde_json::to_string(document).ok()) {
+        Some(body) => StatusResponse::ok(body),
+        None => StatusResponse::error(404, absent),
+    }
+}
+
+/// The fleet's limits: this node's allocations, the lease granter, and what this node has granted.
+pub(crate) fn limits(shared: &Shared) -> StatusResponse {
+    let limits = lock(&shared.fleet.limit_status);
+    let Some(limits) = limits.as_ref() else {
+        return StatusResponse::error(404, "this node has no shared limits in its settings");
+    };
+    let document = json!({
+        "node": shared.settings.name, "lender": *lock(&shared.fleet.lease_granter),
+        "limits": limits, "lends": *lock(&shared.fleet.granted_pools),
+    });
+    StatusResponse::ok(document.to_string())
+}
+
+/// Counters of the node's sockets and of its host, with cells and moves of tenants.
+pub(crate) fn counters(shared: &Shared) -> StatusResponse {
+    let c = shared.counters();
+    let h = c.host;
+    let document = json!({
+        "cells": cells(shared), "moves": moves(shared),
+        "at_the_edge": h.rejected_by_cell, "gave_way": h.preempted_while_queued,
+        "connections": c.connections, "open_connections": shared.open_connections(),
+        "over_limit": c.over_limit, "bad_requests": c.bad_requests, "turned_away": c.turned_away,
+        "unwritten": c.unwritten, "lists_refused": c.lists_refused,
+        "deciding_us": c.deciding.as_micros() as u64,
+        "serving_engines": shared.serving.load(Ordering::Relaxed),
+        "taken": h.accepted, "served": h.served, "refused": h.rejected, "failed": h.failed,
+        "cut": h.streams_cut, "left": h.clients_left, "kept_out": h.rejected_during_recovery,
+        "limited": h.rejected_over_quota, "retries_limited": h.retries_over_quota,
+        "no_zone": h.rejected_no_zone, "led_far": h.routed_to_other_zone, "attempts": h.attempts,
+        "never_sent": h.never_sent, "overdue": h.overdue,
+        "releases": h.releases, "releases_by_host": h.releases_by_host,
+        "releases_lost": h.releases_lost, "releases_of_left": h.orphaned_releases,
+        "inherited": h.reservations_inherited, "stray": h.unmatched_inputs,
+    });
+    StatusResponse::ok(document.to_string())
+}
+
+fn cells(shared: &Shared) -> Vec<Value> {
+    let cells = lock(&shared.cells);
+    let document = cells.iter().map(|cell| {
+        json!({
+            "cell": &*cell.cell.0, "level": cell_level_name(cell.level), "share": cell.capacity,
+            "borrowed": cell.borrowed, "strained": cell.strained, "failing": cell.failing,
+        })
+    });
+    document.collect()
+}
+
+fn moves(shared: &Shared) -> Vec<Value> {
+    let moves = lock(&shared.moves);
+    let document = moves
+        .iter()
+        .map(|(tenant, share, held_back)| json!({ "tenant": tenant, "share": share, "held": held_back }));
+    document.collect()
+}
+
+/// A cell's level as the counters document spells it, whatever the variant is called.
+fn cell_level_name(level: Level) -> &'static str {
+    match level {
+        Level::Well => "Well",
+        Level::Thin => "Thin",
+        Level::Shed => "Shed",
+        Level::Lost => "Lost",
+    }
+}
--- a/crates/pintally-kserve-node/src/wait.rs
+++ b/crates/pintally-kserve-node/src/wait.rs
@@ -1,12 +1,16 @@
-//! Waiting for sockets and for mail at the same time.
+//! Waiting for sockets and for messages of other threads at the same time.
 
 use std::io;
 use std::net::TcpStream;
-use std::os::fd::{AsFd, OwnedFd};
+use std::os::fd::{BorrowedFd, OwnedFd};
 use std::time::{Duration, Instant};
 
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
 
+/// A wait is this much longer than the time left, so that it does not end just before its time again and
+/// again.
+const WAIT_ROUNDING: Duration = Duration::from_micros(1);
+
 /// Wakes a thread that waits for sockets.
 #[derive(Debug)]
 pub(crate) struct Waker(OwnedFd);
@@ -28,22 +32,54 @@
 }
 
 /// What is waited for at a client's socket.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Client {
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ClientInterest {
     /// Bytes, or its end.
     Readable,
-    /// Only that it leaves.
-    Leaving,
+    /// Only that the client leaves.
+    HangUp,
     /// Nothing: it has left.
     Nothing,
 }
 
+impl ClientInterest {
+    fn flags(self) -> Option<PollFlags> {
+        let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        match self {
+            ClientInterest::Readable => Some(PollFlags::IN | hang_up),
+            ClientInterest::HangUp => Some(hang_up),
+            ClientInterest::Nothing => None,
+        }
+    }
+}
+
+/// What is waited for at an engine's socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Interest {
+    /// Bytes, or its end.
+    Read,
+    /// That it takes bytes.
+    Write,
+    /// Both.
+    ReadWrite,
+}
+
+impl Interest {
+    fn flags(self) -> PollFlags {
+        match self {
+            Interest::Read => PollFlags::IN,
+            Interest::Write => PollFlags::OUT,
+            Interest::ReadWrite => PollFlags::IN | PollFlags::OUT,
+        }
+    }
+}
+
 /// What has happened.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Ready {
-    /// The client's bytes are here, or it leaves: as was asked.
+    /// The client has sent bytes or has left, as the interest was.
     pub(crate) client: bool,
-    /// The engine's bytes are here, or its end.
+    /// The engine has sent bytes or has closed.
     pub(crate) engine_read: bool,
     /// The engine takes bytes.
     pub(crate) engine_write: bool,
@@ -54,29 +90,23 @@
 /// Waits until something happens, or until a time.
 pub(crate) fn wait(
     waker: &Waker,
-    client: Option<(&dyn AsFdDyn, Client)>,
-    engine: Option<(&dyn AsFdDyn, bool)>,
+    client: Option<(BorrowedFd, ClientInterest)>,
+    engine: Option<(BorrowedFd, Interest)>,
     until: Option<Instant>,
 ) -> io::Result<Ready> {
-    let mut fds = Vec::with_capacity(3);
-    fds.push(PollFd::new(&waker.0, PollFlags::IN));
-    let leaving = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let client = client.filter(|(_, what)| *what != Client::Nothing);
-    if let Some((fd, what)) = &client {
-        let flags = if *what == Client::Readable { PollFlags::IN | leaving } else { leaving };
-        fds.push(PollFd::from_borrowed_fd(fd.borrowed(), flags));
-    }
-    if let Some((fd, writes)) = &engine {
-        let flags = if *writes { PollFlags::IN | PollFlags::OUT } else { PollFlags::IN };
-        fds.push(PollFd::from_borrowed_fd(fd.borrowed(), flags));
-    }
+    let client = client.and_then(|(fd, interest)| Some((fd, interest.flags()?)));
+    let engine = engine.map(|(fd, interest)| (fd, interest.flags()));
+    let mut fds = vec![PollFd::new(&waker.0, PollFlags::IN)];
+    fds.extend(client.iter().chain(&engine).map(|(fd, flags)| PollFd::from_borrowed_fd(*fd, *flags)));
     poll_until(&mut fds, until)?;
-    let mut ready = Ready { woken: !fds[0].revents().is_empty(), ..Ready::default() };
+    let mut events = fds.iter().map(PollFd::revents);
+    let mut next_events = || events.next().unwrap_or(PollFlags::empty());
+    let mut ready = Ready { woken: !next_events().is_empty(), ..Ready::default() };
     if client.is_some() {
-        ready.client = !fds[1].revents().is_empty();
+        ready.client = !next_events().is_empty();
     }
     if engine.is_some() {
-        let events = fds[fds.len() - 1].revents();
+        let events = next_events();
         ready.engine_write = events.contains(PollFlags::OUT);
         ready.engine_read = events.intersects(PollFlags::IN | PollFlags::HUP | PollFlags::ERR);
     }
@@ -86,16 +116,15 @@
     Ok(ready)
 }
 
-/// Waits until any of some engines' sockets can be read, or written where that is wanted, or the waker
-/// is used, or until a time; tells for each socket whether something has happened at it.
+/// Waits until one of several engines' sockets is ready, the waker is used, or until a time; for each socket
+/// whether something has happened at it.
 pub(crate) fn wait_for_many(
     waker: &Waker,
-    engines: &[(&TcpStream, bool)],
+    engines: &[(&TcpStream, Interest)],
     until: Option<Instant>,
 ) -> io::Result<Vec<bool>> {
-    let flags = |writes: bool| if writes { PollFlags::OUT } else { PollFlags::IN };
     let mut fds = vec![PollFd::new(&waker.0, PollFlags::IN)];
-    fds.extend(engines.iter().map(|(stream, writes)| PollFd::new(*stream, flags(*writes))));
+    fds.extend(engines.iter().map(|(stream, interest)| PollFd::new(*stream, interest.flags())));
     poll_until(&mut fds, until)?;
     if !fds[0].revents().is_empty() {
         waker.clear();
@@ -105,27 +134,14 @@
 
 fn poll_until(fds: &mut [PollFd], until: Option<Instant>) -> io::Result<()> {
     loop {
-        let left = until.map(|at| at.saturating_duration_since(Instant::now()));
-        let spec = left.map(|left| {
-            // Rounded up, so that a wait is not ended just before its time again and again.
-            let left = left + Duration::from_micros(1);
-            Timespec { tv_sec: left.as_secs() as i64, tv_nsec: i64::from(left.subsec_nanos()) }
+        let timeout = until.map(|at| {
+            let remaining = at.saturating_duration_since(Instant::now()) + WAIT_ROUNDING;
+            Timespec { tv_sec: remaining.as_secs() as i64, tv_nsec: i64::from(remaining.subsec_nanos()) }
         });
-        match poll(fds, spec.as_ref()) {
+        match poll(fds, timeout.as_ref()) {
             Ok(_) => return Ok(()),
             Err(rustix::io::Errno::INTR) => continue,
-            Err(e) => return Err(e.into()),
+            Err(error) => return Err(error.into()),
         }
     }
 }
-
-/// A socket of any kind.
-pub(crate) trait AsFdDyn {
-    fn borrowed(&self) -> rustix::fd::BorrowedFd<'_>;
-}
-
-impl<T: AsFd> AsFdDyn for T {
-    fn borrowed(&self) -> rustix::fd::BorrowedFd<'_> {
-        self.as_fd()
-    }
-}
