--- /dev/null
+++ b/crates/pintally-config/src/consensus.rs
@@ -0,0 +1,89 @@
+//! The replicas of the fleet's key-value store: `(keepers ...)`. Without it nothing is agreed on.
+
+use std::fmt;
+
+use pintally::interface::Micros;
+use pintally_consensus::Settings;
+
+use crate::form::{millis, quoted, Form};
+use crate::{ConfigError, NodeSettings};
+
+/// A name for the check of settings that no node has yet.
+const ANY_NODE: &str = "x";
+
+/// The replicas at the fleet's first start, and their timing. Times in microseconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ConsensusSettings {
+    /// Names of the nodes that run replicas.
+    pub names: Vec<String>,
+    /// Between two heartbeats of the leader.
+    pub heartbeat_interval: Micros,
+    /// Without a heartbeat for so long a replica becomes a candidate.
+    pub election_timeout: Micros,
+    /// A replica whose disk shows no harm takes its stored vote for the latest after this time.
+    pub vote_recovery_timeout: Micros,
+    /// The most by which the rates of clocks differ, as a fraction.
+    pub max_clock_drift: f64,
+}
+
+impl fmt::Display for ConsensusSettings {
+    /// The form that reads back as these settings.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("(keepers (names")?;
+        self.names.iter().try_for_each(|name| write!(f, " {}", quoted(name)))?;
+        write!(
+            f,
+            ") (beat-ms {}) (election-ms {})",
+            millis(self.heartbeat_interval),
+            millis(self.election_timeout)
+        )?;
+        write!(f, " (doubt-ms {}) (drift {:?}))", millis(self.vote_recovery_timeout), self.max_clock_drift)
+    }
+}
+
+impl ConsensusSettings {
+    /// The settings of the replica of this node.
+    pub fn figures(&self, name: &str) -> Settings {
+        let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
+        Settings {
+            heartbeat_interval: self.heartbeat_interval,
+            election_timeout: self.election_timeout,
+            vote_recovery_timeout: self.vote_recovery_timeout,
+            max_clock_drift: self.max_clock_drift,
+            ..Settings::new(name, &names)
+        }
+    }
+}
+
+/// Reads the form, if it is there.
+pub(crate) fn read(root: &Form) -> Result<Option<ConsensusSettings>, ConfigError> {
+    root.maybe("keepers")?.map(|form| read_form(&form)).transpose()
+}
+
+fn read_form(form: &Form) -> Result<ConsensusSettings, ConfigError> {
+    let mut names = Vec::new();
+    if let Some(list) = form.maybe("names")? {
+        while let Some(name) = list.maybe_text()? {
+            names.push(name);
+        }
+        list.finish()?;
+    }
+    let settings = ConsensusSettings {
+        names,
+        heartbeat_interval: form.millis_or("beat-ms", 100.0, 1.0, 60_000.0)?,
+        election_timeout: form.millis_or("election-ms", 600.0, 1.0, 600_000.0)?,
+        vote_recovery_timeout: form.millis_or("doubt-ms", 5_000.0, 1.0, 3_600_000.0)?,
+        max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
+    };
+    form.finish()?;
+    settings.figures(ANY_NODE).check().map_err(|error| form.error(error.to_string()))?;
+    Ok(settings)
+}
+
+/// What the form needs of the other settings.
+pub(crate) fn check(root: &Form, settings: &NodeSettings) -> Result<(), ConfigError> {
+    if settings.consensus.is_some() && settings.membership.is_none() {
+        return Err(root.error_at("keepers", "keepers need `(peers ...)`: they talk to each other")?);
+    }
+    Ok(())
+}
--- a/crates/pintally-config/src/members.rs
+++ b/crates/pintally-config/src/endpoint_list.rs
@@ -1,14 +1,22 @@
-//! The list of engines as a file: read whole or not at all, and written the same way.
+//! The endpoint list as a file: read completely or not at all, and written the same way.
 
+use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, Micros};
 
-use crate::form::{quoted, Document};
+use crate::form::{quoted, Document, Form};
 use crate::ConfigError;
 
-/// A list of engines with its version.
+/// The largest integer that files hold: numbers are read as floating point, which is exact up to here.
+const MAX_EXACT_INTEGER: u64 = 1 << 52;
+/// The longest id of an engine.
+const MAX_ID_BYTES: usize = 256;
+/// The largest registered weight.
+const MAX_WEIGHT: f64 = 1e9;
+
+/// An endpoint list with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineList {
     /// Grows with each change.
@@ -30,9 +38,9 @@
     pub kind: String,
     /// The rack whose link it shares.
     pub rack: u64,
-    /// The cell that it belongs to; spare if none.
+    /// The cell that it belongs to; without one it is spare.
     pub cell: Option<String>,
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub state: EndpointState,
     /// Its registered weight.
     pub weight: f64,
@@ -42,46 +50,23 @@
 
 impl EngineList {
     /// Reads a list. `file` is used in errors only.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake in the text, with its position.
     pub fn parse(file: &str, text: &str) -> Result<EngineList, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only("engines")?;
         let version = root.need("version")?;
-        let mut list = EngineList { version: version.count(0, 1 << 52)?, engines: Vec::new() };
+        let mut list = EngineList { version: version.count(0, MAX_EXACT_INTEGER)?, engines: Vec::new() };
         version.finish()?;
-        let mut seen = std::collections::BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for form in root.all("engine")? {
-            let id = form.text()?;
-            if id.is_empty() || id.len() > 256 {
-                return Err(form.error("an engine's id must have 1 to 256 bytes"));
-            }
+            let id = engine_id(&form)?;
             if !seen.insert(id.clone()) {
                 return Err(form.error(format!("engine `{id}` is listed twice")));
             }
-            let address = form.text_or("address", "")?;
-            let address = address
-                .parse()
-                .map_err(|_| form.error(format!("`address` is `{address}`, not an address and port")))?;
-            let listing = match form.text_or("state", "serving")?.as_str() {
-                "serving" => EndpointState::Serving,
-                "draining" => EndpointState::Draining,
-                "gone" => EndpointState::Gone,
-                other => {
-                    return Err(form.error(format!("`state` is `{other}`, not serving, draining or gone")))
-                }
-            };
-            let cell = Some(form.text_or("cell", "")?).filter(|c| !c.is_empty());
-            let started = form.count_or("started-unix-ms", 0, 0, 1 << 52)?;
-            list.engines.push(EngineEntry {
-                id: EngineId(id.into()),
-                address,
-                zone: form.text_or("zone", "")?,
-                kind: form.text_or("kind", "")?,
-                rack: form.count_or("rack", 0, 0, 1 << 52)?,
-                cell,
-                state: listing,
-                weight: form.number_or("weight", 1.0, 0.0, 1e9)?,
-                started_unix_ms: (started > 0).then_some(started),
-            });
+            list.engines.push(EngineEntry::read(&form, id)?);
             form.finish()?;
         }
         root.finish()?;
@@ -92,11 +77,7 @@
     pub fn render(&self) -> String {
         let mut out = format!("(engines (version {})", self.version);
         for e in &self.engines {
-            let state = match e.state {
-                EndpointState::Serving => "serving",
-                EndpointState::Draining => "draining",
-                EndpointState::Gone => "gone",
-            };
+            let state = state_name(e.state);
             let _ = write!(
                 out,
                 "\n  (engine {} (address \"{}\") (zone {}) (kind {}) (rack {}) (state {state}) (weight {})",
@@ -121,6 +102,28 @@
 }
 
 impl EngineEntry {
+    /// Reads the form behind the engine's id.
+    fn read(form: &Form, id: String) -> Result<EngineEntry, ConfigError> {
+        let address = form.text_or("address", "")?;
+        let address = address
+            .parse()
+            .map_err(|_| form.error(format!("`address` is `{address}`, not an address and port")))?;
+        let state = engine_state(form)?;
+        let cell = Some(form.text_or("cell", "")?).filter(|cell| !cell.is_empty());
+        let started_unix_ms = form.count_or("started-unix-ms", 0, 0, MAX_EXACT_INTEGER)?;
+        Ok(EngineEntry {
+            id: EngineId(id.into()),
+            address,
+            zone: form.text_or("zone", "")?,
+            kind: form.text_or("kind", "")?,
+            rack: form.count_or("rack", 0, 0, MAX_EXACT_INTEGER)?,
+            cell,
+            state,
+            weight: form.number_or("weight", 1.0, 0.0, MAX_WEIGHT)?,
+            started_unix_ms: (started_unix_ms > 0).then_some(started_unix_ms),
+        })
+    }
+
     /// The entry as the core takes it; `clock` turns Unix milliseconds into the node's time.
     pub fn member(&self, clock: impl Fn(u64) -> Micros) -> Endpoint {
         Endpoint {
@@ -134,3 +137,28 @@
         }
     }
 }
+
+fn engine_id(form: &Form) -> Result<String, ConfigError> {
+    let id = form.text()?;
+    if id.is_empty() || id.len() > MAX_ID_BYTES {
+        return Err(form.error(format!("an engine's id must have 1 to {MAX_ID_BYTES} bytes")));
+    }
+    Ok(id)
+}
+
+fn engine_state(form: &Form) -> Result<EndpointState, ConfigError> {
+    match form.text_or("state", "serving")?.as_str() {
+        "serving" => Ok(EndpointState::Serving),
+        "draining" => Ok(EndpointState::Draining),
+        "gone" => Ok(EndpointState::Gone),
+        other => Err(form.error(format!("`state` is `{other}`, not serving, draining or gone"))),
+    }
+}
+
+fn state_name(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Serving => "serving",
+        EndpointState::Draining => "draining",
+        EndpointState::Gone => "gone",
+    }
+}
--- /dev/null
+++ b/crates/pintally-config/src/failover.rs
@@ -0,0 +1,163 @@
+//! Failover between zones: `(regions ...)`. Without it every zone's engines serve everyone.
+
+use std::fmt;
+
+use pintally::interface::Micros;
+use pintally_failover::{Settings, Zone, ZoneMap};
+
+use crate::form::{millis, quoted, Form};
+use crate::{rule, ConfigError, NodeSettings};
+
+/// The highest price of work between two zones.
+const MAX_PRICE: f64 = 1e6;
+/// Steps in which the work of a zone comes back.
+const RAMP_STEPS: Micros = 4;
+
+/// Zones, their regions, and requests that may not leave their region.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FailoverSettings {
+    /// The policy of failover, with its zones.
+    pub policy: Settings,
+    /// Classes whose requests may not leave their region.
+    pub pinned_classes: Vec<String>,
+    /// Tenants whose requests may not leave their region.
+    pub pinned_tenants: Vec<String>,
+}
+
+impl fmt::Display for FailoverSettings {
+    /// The form that reads back as these settings.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let s = &self.policy;
+        write!(
+            f,
+            "(regions (per-engine-per-s {:?}) (fill {:?}) (floor {:?})",
+            s.requests_per_second_per_engine, s.max_utilization, s.local_reserve
+        )?;
+        write!(
+            f,
+            " (every-ms {}) (lasts-ms {}) (grace-ms {})",
+            millis(s.plan_interval),
+            millis(s.plan_lifetime),
+            millis(s.failure_grace)
+        )?;
+        write!(
+            f,
+            " (hold-ms {}) (hold-most-ms {}) (step-ms {})",
+            millis(s.base_hold_down),
+            millis(s.max_hold_down),
+            millis(s.ramp_step)
+        )?;
+        for zone in &s.zones.zones {
+            write!(f, " (zone {} {})", quoted(&zone.name), quoted(&zone.region))?;
+        }
+        let name = |zone: usize| quoted(&s.zones.zones[zone].name);
+        for (a, b, price) in &s.zones.prices {
+            if price.is_finite() {
+                write!(f, " (price {} {} {price:?})", name(*a), name(*b))?;
+            } else {
+                write!(f, " (no-way {} {})", name(*a), name(*b))?;
+            }
+        }
+        self.pinned_classes.iter().try_for_each(|c| write!(f, " (class-stays {})", quoted(c)))?;
+        self.pinned_tenants.iter().try_for_each(|t| write!(f, " (tenant-stays {})", quoted(t)))?;
+        f.write_str(")")
+    }
+}
+
+/// Reads the form, if it is there.
+pub(crate) fn read(root: &Form) -> Result<Option<FailoverSettings>, ConfigError> {
+    root.maybe("regions")?.map(|form| read_form(&form)).transpose()
+}
+
+fn read_form(form: &Form) -> Result<FailoverSettings, ConfigError> {
+    let policy = policy(form, zone_map(form)?)?;
+    let (pinned_classes, pinned_tenants) = (names(form, "class-stays")?, names(form, "tenant-stays")?);
+    form.finish()?;
+    Ok(FailoverSettings { policy, pinned_classes, pinned_tenants })
+}
+
+/// Zones with their regions, and the prices between them. A pair without a way has an infinite price.
+fn zone_map(form: &Form) -> Result<ZoneMap, ConfigError> {
+    let mut map = ZoneMap::default();
+    for zone in form.all("zone")? {
+        map.zones.push(Zone { name: zone.text()?, region: zone.text()? });
+        zone.finish()?;
+    }
+    for pair in form.all("price")? {
+        let (a, b) = (known_zone(&map, &pair)?, known_zone(&map, &pair)?);
+        let price = pair.number(0.0, MAX_PRICE)?;
+        pair.finish()?;
+        map.prices.push((a, b, price));
+    }
+    for pair in form.all("no-way")? {
+        let (a, b) = (known_zone(&map, &pair)?, known_zone(&map, &pair)?);
+        pair.finish()?;
+        map.prices.push((a, b, f64::INFINITY));
+    }
+    Ok(map)
+}
+
+/// The next value of a form, which must name a zone.
+fn known_zone(map: &ZoneMap, form: &Form) -> Result<usize, ConfigError> {
+    let name = form.text()?;
+    map.zone(&name).ok_or_else(|| form.error(format!("no zone of a region is named `{name}`")))
+}
+
+fn policy(form: &Form, map: ZoneMap) -> Result<Settings, ConfigError> {
+    let defaults = Settings::new(map);
+    let requests_per_second_per_engine =
+        form.number_or("per-engine-per-s", defaults.requests_per_second_per_engine, 0.001, 1e6)?;
+    let policy = Settings {
+        requests_per_second_per_engine,
+        max_utilization: form.number_or("fill", defaults.max_utilization, 0.0, 1.0)?,
+        local_reserve: form.number_or("floor", defaults.local_reserve, 0.0, 1.0)?,
+        plan_interval: form.millis_or("every-ms", millis(defaults.plan_interval), 10.0, 60_000.0)?,
+        plan_lifetime: form.millis_or("lasts-ms", millis(defaults.plan_lifetime), 10.0, 600_000.0)?,
+        failure_grace: form.millis_or("grace-ms", millis(defaults.failure_grace), 10.0, 600_000.0)?,
+        base_hold_down: form.millis_or("hold-ms", millis(defaults.base_hold_down), 10.0, 3_600_000.0)?,
+        max_hold_down: form.millis_or("hold-most-ms", millis(defaults.max_hold_down), 10.0, 86_400_000.0)?,
+        ramp_step: form.millis_or("step-ms", millis(defaults.ramp_step), 10.0, 3_600_000.0)?,
+        ..defaults
+    };
+    policy.check().map_err(|error| form.error(error.to_string()))?;
+    Ok(policy)
+}
+
+/// The names in all inner forms of a key.
+fn names(form: &Form, key: &str) -> Result<Vec<String>, ConfigError> {
+    let mut names = Vec::new();
+    for named in form.all(key)? {
+        names.push(named.text()?);
+        named.finish()?;
+    }
+    Ok(names)
+}
+
+/// What the form needs of the other settings.
+pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
+    let (Some(regions), Some(form)) = (&s.failover, root.maybe("regions")?) else { return Ok(()) };
+    if s.consensus.is_none() {
+        return Err(form.error("regions need `(keepers ...)`: their leader decides what is given up"));
+    }
+    if s.cells_file.is_some() {
+        return Err(form.error("regions and cells do not go together yet"));
+    }
+    let unknown = regions.pinned_classes.iter().find(|c| !s.core.classes.iter().any(|k| k.name == **c));
+    if let Some(class) = unknown {
+        return Err(form.error(format!("no `class` is named `{class}`")));
+    }
+    let unknown = regions.pinned_tenants.iter().find(|t| !s.core.tenants.iter().any(|k| k.name == **t));
+    if let Some(tenant) = unknown {
+        return Err(form.error(format!("no `tenant` is named `{tenant}`")));
+    }
+    let home = &s.core.zone;
+    if !home.is_empty() && regions.policy.zones.zone(home).is_none() {
+        return Err(form.error(format!("the node's zone `{home}` is in no region")));
+    }
+    if RAMP_STEPS * regions.policy.ramp_step < s.core.slow_start_duration {
+        let what =
+            "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
+        return Err(form.breaks(rule::COLD_ENGINES_PROTECTED, what));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/pintally-config/src/form/document.rs
@@ -0,0 +1,128 @@
+//! The text of a file, parsed into S-expressions.
+
+use lexpr::{Datum, Parser};
+
+use super::Form;
+use crate::ConfigError;
+
+/// The largest file that is read.
+pub const MAX_FILE: usize = 16 << 20;
+/// The deepest nesting that is read: the parser recurses.
+const MAX_DEPTH: usize = 64;
+
+/// A parsed file.
+pub struct Document {
+    file: String,
+    data: Vec<Datum>,
+}
+
+impl Document {
+    /// Parses a text; `file` is used in errors only.
+    ///
+    /// # Errors
+    ///
+    /// A text that is too large, nested too deep, or not a sequence of S-expressions.
+    pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
+        let error = |line, column, what: String| ConfigError {
+            file: file.to_string(),
+            line,
+            column,
+            what,
+            rule: None,
+        };
+        if text.len() > MAX_FILE {
+            return Err(error(0, 0, format!("the file is larger than {MAX_FILE} bytes")));
+        }
+        if let Some(line) = first_line_too_deep(text) {
+            return Err(error(line, 1, format!("lists are nested more than {MAX_DEPTH} deep")));
+        }
+        let mut parser = Parser::from_str(text);
+        let mut data = Vec::new();
+        loop {
+            match parser.next_datum() {
+                Ok(Some(datum)) => data.push(datum),
+                Ok(None) => return Ok(Document { file: file.to_string(), data }),
+                Err(parse_error) => {
+                    let (line, column) =
+                        parse_error.location().map_or((0, 0), |l| (l.line(), l.column() + 1));
+                    // The place is in the error's own fields.
+                    let message = parse_error.to_string();
+                    let message = message.split(" at line ").next().unwrap_or(&message);
+                    return Err(error(line, column, format!("not an S-expression: {message}")));
+                }
+            }
+        }
+    }
+
+    /// All forms at the top of the file.
+    ///
+    /// # Errors
+    ///
+    /// Something at the top that is not a form.
+    pub fn forms(&self) -> Result<Vec<Form<'_>>, ConfigError> {
+        self.data.iter().map(|datum| Form::read(&self.file, datum.as_ref())).collect()
+    }
+
+    /// The form of a name at the top of the file, which must hold nothing else.
+    ///
+    /// # Errors
+    ///
+    /// Another form, more than one, or none.
+    pub fn only(&self, name: &str) -> Result<Form<'_>, ConfigError> {
+        let mut forms = self.forms()?;
+        if forms.len() == 1 && forms[0].name() == name {
+            return Ok(forms.remove(0));
+        }
+        Err(ConfigError {
+            file: self.file.clone(),
+            line: 1,
+            column: 1,
+            what: format!("the file must hold one form `({name} ...)` and nothing else"),
+            rule: None,
+        })
+    }
+}
+
+/// Where the scan of a text for its nesting is.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Lexeme {
+    /// Between tokens and in bare words.
+    Plain,
+    /// Inside a string.
+    Quoted,
+    /// Inside a string, behind a backslash.
+    Escaped,
+    /// Inside a comment.
+    Comment,
+}
+
+/// The first line in which lists are nested too deep, if any.
+fn first_line_too_deep(text: &str) -> Option<usize> {
+    let (mut depth, mut line, mut lexeme) = (0usize, 1, Lexeme::Plain);
+    for c in text.chars() {
+        if c == '\n' {
+            line += 1;
+        }
+        lexeme = match (lexeme, c) {
+            (Lexeme::Comment, '\n') => Lexeme::Plain,
+            (Lexeme::Escaped, _) => Lexeme::Quoted,
+            (Lexeme::Quoted, '\\') => Lexeme::Escaped,
+            (Lexeme::Quoted, '"') => Lexeme::Plain,
+            (Lexeme::Plain, '"') => Lexeme::Quoted,
+            (Lexeme::Plain, ';') => Lexeme::Comment,
+            (Lexeme::Plain, '(' | '[' | '\'' | '`' | ',') => {
+                depth += 1;
+                Lexeme::Plain
+            }
+            (Lexeme::Plain, ')' | ']') => {
+                depth = depth.saturating_sub(1);
+                Lexeme::Plain
+            }
+            (lexeme, _) => lexeme,
+        };
+        if depth > MAX_DEPTH {
+            return Some(line);
+        }
+    }
+    None
+}
--- a/crates/pintally-config/src/lib.rs
+++ b/crates/pintally-config/src/lib.rs
@@ -3,19 +3,34 @@
 //! This package does no input or output: callers hand it the text of a file and its name, and get
 //! values or a [`ConfigError`] with line and column.
 
+#![deny(missing_docs)]
+
 mod check;
+mod class;
+mod consensus;
+mod endpoint_list;
 mod error;
-mod fleet;
+mod failover;
 pub mod form;
-mod members;
-mod regions;
-mod settings;
-mod shared;
+mod limits;
+mod membership;
+mod node;
+mod outlier_detection;
+mod quota;
+mod recovery;
+mod router;
+mod rule;
 
 pub use check::check;
+pub use class::ClassSettings;
+pub use consensus::ConsensusSettings;
+pub use endpoint_list::{EngineEntry, EngineList};
 pub use error::ConfigError;
-pub use fleet::{MembershipSettings, RecoverySettings, STORAGE_FAULTS};
-pub use members::{EngineEntry, EngineList};
-pub use regions::FailoverSettings;
-pub use settings::{shape, ClassSettings, Limits, NodeSettings};
-pub use shared::{verdicts_form, ConsensusSettings, Counts, QuotaSettings, QuotaSpec};
+pub use failover::FailoverSettings;
+pub use limits::Limits;
+pub use membership::MembershipSettings;
+pub use node::NodeSettings;
+pub use outlier_detection::verdicts_form;
+pub use quota::{Counts, QuotaSettings, QuotaSpec};
+pub use recovery::{RecoverySettings, STORAGE_FAULTS};
+pub use router::shape;
--- /dev/null
+++ b/crates/pintally-config/src/node.rs
@@ -0,0 +1,211 @@
+//! The settings of one node, and how they are read from a file.
+
+use std::net::{IpAddr, SocketAddr};
+
+use pintally::interface::{EngineKind, Micros, Role, Settings, Tenant};
+
+use crate::form::{Document, Form};
+use crate::{
+    check, class, consensus, failover, limits, membership, outlier_detection, quota, recovery, router,
+    ClassSettings, ConfigError, ConsensusSettings, FailoverSettings, Limits, MembershipSettings,
+    QuotaSettings, RecoverySettings,
+};
+
+/// The longest name of a node.
+const MAX_NODE_NAME_BYTES: usize = 64;
+
+/// All settings of one node.
+#[derive(Clone, Debug)]
+pub struct NodeSettings {
+    /// The node's name, used in request ids and logs.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The address from which it connects to engines; without one the system's choice.
+    pub source: Option<IpAddr>,
+    /// The name of the model that it serves.
+    pub model: String,
+    /// The watched file of the endpoint list.
+    pub engines_file: String,
+    /// How often the file is read, in microseconds.
+    pub engines_poll_interval: Micros,
+    /// Where the last valid list is cached for a restart, if anywhere.
+    pub cached_list_file: Option<String>,
+    /// The watched cells file; without one all engines serve everyone.
+    pub cells_file: Option<String>,
+    /// Where the last valid cells file is cached for a restart, if anywhere.
+    pub cached_cells_file: Option<String>,
+    /// Membership in a fleet; none where the node knows no other.
+    pub membership: Option<MembershipSettings>,
+    /// Recovery after a start; without it the node takes all requests from the first second.
+    pub recovery: Option<RecoverySettings>,
+    /// The replicas of the fleet's key-value store; none where nothing is agreed on.
+    pub consensus: Option<ConsensusSettings>,
+    /// Limits that hold for the whole fleet.
+    pub quotas: Option<QuotaSettings>,
+    /// Outlier detection by all nodes together; none where each node detects alone.
+    pub outlier_detection: Option<pintally_outlier_detection::Settings>,
+    /// Failover between zones by a common plan; none where all serve everyone.
+    pub failover: Option<FailoverSettings>,
+    /// Limits on what clients and engines may use.
+    pub limits: Limits,
+    /// Settings of the routing core.
+    pub core: Settings,
+    /// Further settings of the core's classes, in the same order.
+    pub classes: Vec<ClassSettings>,
+    /// Slots of one engine of each kind, 0 if not given; in the order of the core's kinds.
+    pub slots: Vec<u64>,
+}
+
+impl NodeSettings {
+    /// Reads and checks a file's text. `file` is used in errors only.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake in the text, with its position and the rule that it would break.
+    pub fn parse(file: &str, text: &str) -> Result<NodeSettings, ConfigError> {
+        let document = Document::parse(file, text)?;
+        let root = document.only("pintally")?;
+        let settings = NodeSettings::read(&root, &root.need("node")?)?;
+        root.finish()?;
+        Ok(settings)
+    }
+
+    /// Reads the settings of a node out of its own form and a form that holds the rest, which may
+    /// hold more than that.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake in the forms, with its position and the rule that it would break.
+    pub fn read(root: &Form, node: &Form) -> Result<NodeSettings, ConfigError> {
+        let name = node_name(node)?;
+        let listen = listen_address(node)?;
+        let source = source_address(node)?;
+        let (engines_file, engines_poll_interval) = endpoint_list_file(node)?;
+        let cached_list_file = optional_path(node, "kept-list")?;
+        let cells_file = optional_path(node, "cells")?;
+        let cached_cells_file = optional_path(node, "kept-cells")?;
+        let mut core = router::read(root, node)?;
+        let classes = class::read(root, &mut core)?;
+        core.tenants = tenants(root)?;
+        let slots = engine_kinds(root, &mut core)?;
+        check::kinds(root, &core)?;
+        let membership = membership::read(root)?;
+        let recovery = recovery::read(root)?;
+        let consensus = consensus::read(root)?;
+        let quotas = quota::read(root)?;
+        let outlier_detection = outlier_detection::read(root)?;
+        let limits = limits::read(root)?;
+        core.connect_timeout = limits.connect_timeout;
+        let mut settings = NodeSettings {
+            name,
+            listen,
+            source,
+            model: node.text_or("model", "default")?,
+            engines_file,
+            engines_poll_interval,
+            cached_list_file,
+            cells_file,
+            cached_cells_file,
+            membership,
+            recovery,
+            consensus,
+            quotas,
+            outlier_detection,
+            failover: failover::read(root)?,
+            limits,
+            core,
+            classes,
+            slots,
+        };
+        node.finish()?;
+        settings.check(root)?;
+        Ok(settings)
+    }
+
+    /// The settings against each other, and what some take from others.
+    fn check(&mut self, root: &Form) -> Result<(), ConfigError> {
+        check::check(root, self)?;
+        recovery::check(root, self)?;
+        consensus::check(root, self)?;
+        outlier_detection::check(root, self)?;
+        quota::check(root, self)?;
+        failover::check(root, self)
+    }
+}
+
+fn node_name(node: &Form) -> Result<String, ConfigError> {
+    let name = node.text_or("name", "node")?;
+    let valid_characters = name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
+    if name.is_empty() || name.len() > MAX_NODE_NAME_BYTES || !valid_characters {
+        return Err(node.error("`name` must be 1 to 64 letters, digits and dashes"));
+    }
+    Ok(name)
+}
+
+fn listen_address(node: &Form) -> Result<SocketAddr, ConfigError> {
+    let listen = node.text_or("listen", "127.0.0.1:8080")?;
+    listen.parse().map_err(|_| node.error(format!("`listen` is `{listen}`, not an address and port")))
+}
+
+fn source_address(node: &Form) -> Result<Option<IpAddr>, ConfigError> {
+    let source = node.text_or("source", "")?;
+    if source.is_empty() {
+        return Ok(None);
+    }
+    let address = source.parse();
+    address.map(Some).map_err(|_| node.error(format!("`source` is `{source}`, not an address")))
+}
+
+/// The file of the endpoint list, and how often it is read.
+fn endpoint_list_file(node: &Form) -> Result<(String, Micros), ConfigError> {
+    let engines = node.need("engines")?;
+    let file = engines.text()?;
+    let interval = engines.millis_or("every-ms", 100.0, 1.0, 60_000.0)?;
+    engines.finish()?;
+    Ok((file, interval))
+}
+
+fn optional_path(node: &Form, key: &str) -> Result<Option<String>, ConfigError> {
+    Ok(Some(node.text_or(key, "")?).filter(|path| !path.is_empty()))
+}
+
+fn tenants(root: &Form) -> Result<Vec<Tenant>, ConfigError> {
+    let mut tenants: Vec<Tenant> = Vec::new();
+    for form in root.all("tenant")? {
+        let name = form.text()?;
+        if tenants.iter().any(|tenant| tenant.name == name) {
+            return Err(form.error(format!("tenant `{name}` is given twice")));
+        }
+        let quota_per_s = form.number_or("quota-per-s", 0.0, 0.0, 1e9)?;
+        form.finish()?;
+        tenants.push(Tenant { name, quota_per_s });
+    }
+    Ok(tenants)
+}
+
+/// Reads the kinds of engines into the core's settings; returns the slots of each.
+fn engine_kinds(root: &Form, core: &mut Settings) -> Result<Vec<u64>, ConfigError> {
+    let mut slots = Vec::new();
+    for form in root.all("kind")? {
+        let name = form.text()?;
+        if core.kinds.iter().any(|kind| kind.name == name) {
+            return Err(form.error(format!("kind `{name}` is given twice")));
+        }
+        let role = role(&form)?;
+        let memory_tokens = form.count_or("memory-tokens", 0, 0, 1 << 40)?;
+        slots.push(form.count_or("slots", 0, 0, 1 << 20)?);
+        form.finish()?;
+        core.kinds.push(EngineKind { name, role, memory_tokens });
+    }
+    Ok(slots)
+}
+
+fn role(kind: &Form) -> Result<Role, ConfigError> {
+    match kind.text_or("role", "")?.as_str() {
+        "reader" => Ok(Role::Reader),
+        "writer" => Ok(Role::Writer),
+        "mixed" => Ok(Role::Mixed),
+        other => Err(kind.error(format!("`role` is `{other}`, not reader, writer or mixed"))),
+    }
+}
--- /dev/null
+++ b/crates/pintally-config/src/quota.rs
@@ -0,0 +1,209 @@
+//! Limits that hold for the whole fleet: `(shared-limits ...)`.
+
+use std::fmt;
+
+use pintally_quota::{Enforcement, Limit, LimitId, LimitKind, Settings};
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::form::{millis, quoted, Form};
+use crate::{ConfigError, NodeSettings};
+
+/// The longest name of a limit.
+const MAX_LIMIT_NAME_BYTES: usize = 64;
+/// The largest amount of a limit.
+const MAX_LIMIT_AMOUNT: f64 = 1e9;
+
+/// What a limit counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Counts {
+    /// Requests that begin, a second.
+    Requests,
+    /// Tokens of prompts and of the longest answers, a second.
+    Tokens,
+    /// Requests in flight, at once.
+    Streams,
+    /// Retries, a second.
+    Retries,
+}
+
+impl Counts {
+    const NAMES: [(&'static str, Counts); 4] = [
+        ("requests", Counts::Requests),
+        ("tokens", Counts::Tokens),
+        ("streams", Counts::Streams),
+        ("retries", Counts::Retries),
+    ];
+
+    /// Its name in settings.
+    pub fn name(self) -> &'static str {
+        Counts::NAMES.iter().find(|(_, c)| *c == self).map_or("", |(name, _)| name)
+    }
+}
+
+/// One limit of the fleet.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QuotaSpec {
+    /// Its name.
+    pub name: String,
+    /// The tenant whose requests it counts; without one it counts all.
+    pub tenant: Option<String>,
+    /// What it counts.
+    pub counts: Counts,
+    /// Whether the limit or availability gives way where nodes cannot reach each other.
+    pub enforcement: Enforcement,
+    /// The amount for the whole fleet.
+    pub limit: f64,
+}
+
+impl QuotaSpec {
+    /// Its id among nodes.
+    pub fn id(&self) -> LimitId {
+        LimitId(xxh3_64(self.name.as_bytes()) as u32)
+    }
+
+    /// The limit as the lease granter and holders take it.
+    pub fn limit(&self) -> Limit {
+        let kind = if self.counts == Counts::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
+        Limit { kind, enforcement: self.enforcement, amount: self.limit }
+    }
+}
+
+/// Limits of the fleet, and how they are allocated to nodes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QuotaSettings {
+    /// How they are allocated.
+    pub allocation: Settings,
+    /// The limits.
+    pub limits: Vec<QuotaSpec>,
+}
+
+impl fmt::Display for QuotaSettings {
+    /// The form that reads back as these settings.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let s = &self.allocation;
+        write!(
+            f,
+            "(shared-limits (lease-ms {}) (every-ms {})",
+            millis(s.lease_duration),
+            millis(s.request_interval)
+        )?;
+        write!(
+            f,
+            " (reserve {:?}) (over {:?}) (burst-ms {})",
+            s.reserved_fraction,
+            s.soft_excess_fraction,
+            millis(s.burst)
+        )?;
+        write!(
+            f,
+            " (hold-ms {}) (fade-ms {}) (drift {:?})",
+            millis(s.max_hold),
+            millis(s.soft_decay),
+            s.max_clock_drift
+        )?;
+        for limit in &self.limits {
+            write!(f, " (limit {} (counts {})", quoted(&limit.name), limit.counts.name())?;
+            if let Some(tenant) = &limit.tenant {
+                write!(f, " (tenant {})", quoted(tenant))?;
+            }
+            let enforcement = enforcement_name(limit.enforcement);
+            write!(f, " (bound {enforcement}) (most {:?}))", limit.limit)?;
+        }
+        f.write_str(")")
+    }
+}
+
+/// Reads the form, if it is there.
+pub(crate) fn read(root: &Form) -> Result<Option<QuotaSettings>, ConfigError> {
+    root.maybe("shared-limits")?.map(|form| read_form(&form)).transpose()
+}
+
+fn read_form(form: &Form) -> Result<QuotaSettings, ConfigError> {
+    let allocation = allocation(form)?;
+    let mut limits: Vec<QuotaSpec> = Vec::new();
+    for limit_form in form.all("limit")? {
+        let limit = limit(&limit_form)?;
+        if let Some(other) = limits.iter().find(|other| other.id() == limit.id()) {
+            return Err(limit_form.error(format!(
+                "limits `{}` and `{}` cannot be told apart among nodes: another name is needed",
+                other.name, limit.name
+            )));
+        }
+        limits.push(limit);
+    }
+    form.finish()?;
+    Ok(QuotaSettings { allocation, limits })
+}
+
+fn allocation(form: &Form) -> Result<Settings, ConfigError> {
+    let defaults = Settings::default();
+    let allocation = Settings {
+        lease_duration: form.millis_or("lease-ms", 4_000.0, 1.0, 3_600_000.0)?,
+        request_interval: form.millis_or("every-ms", 400.0, 1.0, 600_000.0)?,
+        reserved_fraction: form.number_or("reserve", defaults.reserved_fraction, 0.0, 1.0)?,
+        soft_excess_fraction: form.number_or("over", defaults.soft_excess_fraction, 0.0, 1.0)?,
+        burst: form.millis_or("burst-ms", 1_000.0, 1.0, 3_600_000.0)?,
+        max_hold: form.millis_or("hold-ms", 30_000.0, 0.0, 86_400_000.0)?,
+        soft_decay: form.millis_or("fade-ms", 4_000.0, 0.0, 3_600_000.0)?,
+        max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
+        ..defaults
+    };
+    allocation.check().map_err(|error| form.error(error.to_string()))?;
+    Ok(allocation)
+}
+
+fn limit(form: &Form) -> Result<QuotaSpec, ConfigError> {
+    let name = form.text()?;
+    if name.is_empty() || name.len() > MAX_LIMIT_NAME_BYTES {
+        return Err(form.error(format!("a limit's name needs 1 to {MAX_LIMIT_NAME_BYTES} bytes")));
+    }
+    let counts = counted(form)?;
+    let enforcement = enforcement(form)?;
+    let amount = form.need("most")?;
+    let limit = amount.number(0.0, MAX_LIMIT_AMOUNT)?;
+    amount.finish()?;
+    let tenant = Some(form.text_or("tenant", "")?).filter(|tenant| !tenant.is_empty());
+    form.finish()?;
+    Ok(QuotaSpec { name, tenant, counts, enforcement, limit })
+}
+
+fn counted(form: &Form) -> Result<Counts, ConfigError> {
+    let counts = form.need("counts")?;
+    let name = counts.text()?;
+    counts.finish()?;
+    let known = Counts::NAMES.iter().find(|(known, _)| *known == name).map(|(_, counts)| *counts);
+    known.ok_or_else(|| counts.error(format!("`{name}` is not requests, tokens, streams or retries")))
+}
+
+fn enforcement(form: &Form) -> Result<Enforcement, ConfigError> {
+    match form.text_or("bound", "hard")?.as_str() {
+        "hard" => Ok(Enforcement::Hard),
+        "soft" => Ok(Enforcement::Soft),
+        other => Err(form.error(format!("`bound` is `{other}`, not hard or soft"))),
+    }
+}
+
+fn enforcement_name(enforcement: Enforcement) -> &'static str {
+    match enforcement {
+        Enforcement::Hard => "hard",
+        Enforcement::Soft => "soft",
+    }
+}
+
+/// Takes the number of nodes, and checks what the form needs of the other settings.
+pub(crate) fn check(root: &Form, settings: &mut NodeSettings) -> Result<(), ConfigError> {
+    let Some(quotas) = &mut settings.quotas else { return Ok(()) };
+    quotas.allocation.nodes = settings.core.nodes.max(1);
+    if settings.consensus.is_none() {
+        return Err(root.error_at("shared-limits", "shared limits need `(keepers ...)`: their leader lends")?);
+    }
+    let tenants = &settings.core.tenants;
+    for limit in &quotas.limits {
+        let Some(tenant) = &limit.tenant else { continue };
+        if !tenants.iter().any(|known| known.name == *tenant) {
+            let what = format!("limit `{}`: no `tenant` is named `{tenant}`", limit.name);
+            return Err(root.error_at("shared-limits", what)?);
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/pintally-config/src/router.rs
@@ -0,0 +1,100 @@
+//! Settings of the routing core: `(rules ...)`, and the parts of `(node ...)` that it needs.
+
+use pintally::interface::{DiscoveryMode, LoadReporting, Settings};
+
+use crate::form::{millis, Document, Form};
+use crate::{check, ConfigError};
+
+/// The most nodes of a fleet.
+const MAX_NODES: u64 = 100_000;
+
+/// The core's settings, without classes, tenants and kinds.
+pub(crate) fn read(root: &Form, node: &Form) -> Result<Settings, ConfigError> {
+    let nodes = node.count_or("of", 1, 1, MAX_NODES)? as u32;
+    let number = node.count_or("number", 0, 0, MAX_NODES)? as u32;
+    if number >= nodes {
+        return Err(node.error(format!("`number` is {number}, but there are {nodes} nodes, counted from 0")));
+    }
+    let mut settings = defaults(node.text_or("zone", "")?, number, nodes);
+    let empty = Document::parse("", "(rules)")?;
+    let rules = match root.maybe("rules")? {
+        Some(form) => form,
+        None => empty.only("rules")?,
+    };
+    shape(&rules, &mut settings)?;
+    rules.finish()?;
+    Ok(settings)
+}
+
+/// The defaults of a node in this zone, by its number among the nodes.
+fn defaults(zone: String, node: u32, nodes: u32) -> Settings {
+    Settings {
+        zone,
+        node,
+        nodes,
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        kinds: Vec::new(),
+        discovery: DiscoveryMode::Push,
+        reports: LoadReporting::Inline,
+        weights: true,
+        writers_read_prompts: false,
+        cancellation_allowed: true,
+        health_checks_allowed: true,
+        health_check_price: 0.0,
+        clients_honour_retry_after: true,
+        max_retry_after: 2_000_000,
+        max_attempts: 6,
+        slow_start_min_capacity: 0.3,
+        slow_start_duration: 14_000_000,
+        overload_factor: 2.5,
+        overload_window: 2_000_000,
+        connect_timeout: 250_000,
+        release_deadline: 500_000,
+        max_poll_interval: 0,
+        remembered_service_rates: [0.0; 3],
+    }
+}
+
+/// Reads the shape of a deployment into the settings; what the form leaves out stays. The caller finishes the
+/// form, which may hold more.
+///
+/// # Errors
+///
+/// A value that is not valid, or values that contradict each other.
+pub fn shape(form: &Form, settings: &mut Settings) -> Result<(), ConfigError> {
+    settings.reports = load_reporting(form, settings.reports)?;
+    settings.weights = form.yes_or("weights", settings.weights)?;
+    settings.writers_read_prompts = form.yes_or("writers-read", settings.writers_read_prompts)?;
+    settings.cancellation_allowed = form.yes_or("cancel", settings.cancellation_allowed)?;
+    settings.health_checks_allowed = form.yes_or("probes", settings.health_checks_allowed)?;
+    settings.health_check_price = form.number_or("probe-price", settings.health_check_price, 0.0, 100.0)?;
+    settings.clients_honour_retry_after = form.yes_or("retry-after", settings.clients_honour_retry_after)?;
+    settings.max_retry_after =
+        form.millis_or("retry-after-most-ms", millis(settings.max_retry_after), 0.0, 600_000.0)?;
+    settings.max_attempts = form.count_or("attempts", settings.max_attempts.into(), 1, 100)? as u32;
+    settings.slow_start_min_capacity =
+        form.number_or("cold-from", settings.slow_start_min_capacity, 0.001, 1.0)?;
+    settings.slow_start_duration =
+        form.millis_or("warm-after-ms", millis(settings.slow_start_duration), 0.0, 3_600_000.0)?;
+    settings.overload_factor = form.number_or("tip-multiple", settings.overload_factor, 0.1, 1000.0)?;
+    settings.overload_window =
+        form.millis_or("tip-window-ms", millis(settings.overload_window), 1.0, 600_000.0)?;
+    settings.release_deadline =
+        form.millis_or("release-within-ms", millis(settings.release_deadline), 1.0, 600_000.0)?;
+    check::rules(form, settings)
+}
+
+fn load_reporting(form: &Form, default: LoadReporting) -> Result<LoadReporting, ConfigError> {
+    let default = match default {
+        LoadReporting::Inline => "inline",
+        LoadReporting::OnHealthCheck => "on-probe",
+        LoadReporting::Off => "off",
+    };
+    match form.text_or("reports", default)?.as_str() {
+        "inline" => Ok(LoadReporting::Inline),
+        "on-probe" => Ok(LoadReporting::OnHealthCheck),
+        "off" => Ok(LoadReporting::Off),
+        other => Err(form.error(format!("`reports` is `{other}`, not inline, on-probe or off"))),
+    }
+}
--- a/crates/pintally-config/tests/bad_files.rs
+++ b/crates/pintally-config/tests/bad_files.rs
@@ -15,7 +15,7 @@
 "#;
 
 #[test]
-fn a_good_file_is_taken_with_its_defaults() {
+fn valid_file_has_defaults() {
     let settings = NodeSettings::parse("good", GOOD).unwrap();
     assert_eq!((settings.core.classes.len(), settings.core.kinds.len()), (2, 2));
     assert_eq!((settings.core.max_attempts, settings.core.cancellation_allowed), (6, true));
@@ -24,7 +24,7 @@
 
 /// What a deployment of another build needs is off by default, and asks for what it speaks of.
 #[test]
-fn writers_that_read_are_told_and_must_be_there() {
+fn writers_reading_prompts_require_a_writer() {
     let read = |text: &str| NodeSettings::parse("file", text);
     assert!(!read(GOOD).unwrap().core.writers_read_prompts);
     let told = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
@@ -38,7 +38,7 @@
 
 /// Each case changes one piece of the good file and says in which line, why, and by which rule.
 #[test]
-fn each_bad_file_is_refused_with_line_and_reason() {
+fn errors_carry_line_reason_and_rule() {
     let cases: &[(&str, &str, usize, &str, Option<&str>)] = &[
         ("(name \"n0\")", "(nam \"n0\")", 2, "unknown key `nam`", None),
         ("(name \"n0\")", "(name \"n 0\")", 2, "letters, digits", None),
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_list_comes_back_as_it_was_written() {
+fn endpoint_list_round_trips() {
     let text = r#"(engines (version 4)
       (engine "a \"b\"" (address "127.0.0.1:1") (zone "z") (kind "r") (rack 3) (state draining) (weight 1.5))
       (engine "c" (address "[::1]:2") (kind "w") (started-unix-ms 1700000000000)))"#;
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bad_lists_are_refused() {
+fn invalid_lists_are_rejected() {
     for (text, why) in [
         ("", "one form"),
         ("(engines)", "lacks `(version"),
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn forms_come_back_as_they_were_read() {
+fn forms_round_trip() {
     let text = example();
     let first = NodeSettings::parse("x.sexp", &text).unwrap();
     let forms = [
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_does_not_go_together_is_told_with_its_place() {
+fn contradictions_carry_positions() {
     let text = example();
     for (from, to, what) in [
         ("(names \"n0\" \"n1\" \"n2\")", "(names \"n0\" \"n0\")", "named twice"),
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -215,7 +215,7 @@
 
 /// The words for disks that lie are settings too.
 #[test]
-fn lying_disks() {
+fn storage_faults() {
     let words = [
         "lost-syncs",
         "torn-write",
