--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -1,86 +1,99 @@
-//! What a router believes of each engine, for people on call and for checks against the sockets.
+//! A router's estimates of engines and of its own admission, for operators and for checks against
+//! what engines measure of themselves.
 
 use crate::interface::*;
+use crate::state::{AttemptKind, Engine};
 use crate::Router;
 
-/// What a router believes of an engine.
+/// A router's estimate of one engine's state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEstimate {
     /// The engine.
     pub engine: EngineId,
-    /// What the list says of it.
+    /// Its state by the endpoint list.
     pub state: EndpointState,
-    /// Attempts that are out there and have not begun to answer.
+    /// Attempts in flight that have not begun to answer.
     pub in_flight: usize,
-    /// Attempts that write there.
+    /// Attempts in flight that write or are to write an answer.
     pub streams: u32,
-    /// The last report of its load: memory held, work that waits.
+    /// The last report of its load: memory in use, and work that waits.
     pub load: Option<(f64, f64)>,
-    /// How old that is.
+    /// How old that report is.
     pub report_age: Option<Micros>,
-    /// It was last found unreachable or broken.
+    /// It was last found to refuse connections.
     pub unreachable: bool,
-    /// For how long it is still left alone.
+    /// For how long it remains ejected.
     pub ejected_for: Micros,
-    /// For how long it still counts as full.
+    /// For how long it still counts as overloaded.
     pub overloaded_for: Micros,
-    /// For how long it still counts as cold.
+    /// For how long it remains in slow start.
     pub warming_up_for: Micros,
 }
 
-/// What a router believes of the way of requests as a whole.
+/// A router's estimate of how requests as a whole are doing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionEstimate {
-    /// How many requests may be on their way to a first token.
+    /// How many requests may be in flight before their first token.
     pub in_flight_limit: f64,
     /// The usual time from the first send to the first token.
     pub time_to_first_token: Micros,
-    /// Requests that it knows.
+    /// Requests that have not ended.
     pub requests: usize,
-    /// Those of them that wait unsent.
+    /// Those of them that wait to be dispatched.
     pub waiting: usize,
-    /// The usual time to a first token when the state stays in its rack, and when it leaves it.
+    /// The usual time to a first token when the state stays in its rack.
     pub time_to_first_token_same_rack: Micros,
-    /// See `near`.
+    /// The usual time to a first token when the state leaves its rack.
     pub time_to_first_token_other_rack: Micros,
-    /// The same for each rack that states leave, with how many were heard of.
+    /// The same for each rack that states leave, with the number of transfers observed.
     pub racks: Vec<(u64, Micros, u32)>,
 }
 
 impl Router {
-    /// What it believes of the way of requests as a whole.
+    /// How requests as a whole are doing.
     pub fn admission_estimate(&self) -> AdmissionEstimate {
+        let measured = &self.measurements;
         AdmissionEstimate {
-            in_flight_limit: self.gauges.flight,
-            time_to_first_token: self.gauges.lead as Micros,
-            requests: self.live.len(),
-            waiting: self.live.values().filter(|l| l.waiting).count(),
-            time_to_first_token_same_rack: self.gauges.near.0 as Micros,
-            time_to_first_token_other_rack: self.gauges.far.0 as Micros,
-            racks: self.racks.iter().map(|(rack, r)| (*rack, r.far.0 as Micros, r.heard)).collect(),
+            in_flight_limit: measured.in_flight_limit,
+            time_to_first_token: measured.time_to_first_token as Micros,
+            requests: self.requests.len(),
+            waiting: self.requests.values().filter(|request| request.pending).count(),
+            time_to_first_token_same_rack: measured.same_rack_wait.value as Micros,
+            time_to_first_token_other_rack: measured.other_rack_wait.value as Micros,
+            racks: self
+                .racks
+                .iter()
+                .map(|(name, rack)| (*name, rack.outbound_wait.value as Micros, rack.transfers))
+                .collect(),
         }
     }
 
-    /// Answers a second that it has had from one warm engine of each role lately, to be remembered over
-    /// a restart; 0 where too little was seen.
+    /// Answers a second that one warm engine of each role has given lately, to be remembered over a
+    /// restart; 0 where too little was seen.
     pub fn service_rates(&self) -> [f64; 3] {
-        [crate::state::READ, crate::state::WRITE, crate::state::BOTH].map(|step| self.usual(step))
+        AttemptKind::ALL.map(|kind| self.service_rate(kind))
     }
 
-    /// What it believes now of each engine that it knows.
+    /// The estimates of all engines that the router knows.
     pub fn engine_estimates(&self, now: Micros) -> Vec<EngineEstimate> {
-        let belief = |e: &crate::state::Engine| EngineEstimate {
-            engine: e.id.clone(),
-            state: e.listing,
-            in_flight: e.pending.len(),
-            streams: e.streams,
-            load: e.report.map(|(_, l)| (l.memory.unwrap_or(0.0), l.backlog.unwrap_or(0.0))),
-            report_age: e.report.map(|(at, _)| now.saturating_sub(at)),
-            unreachable: e.down,
-            ejected_for: e.shut_until.saturating_sub(now),
-            overloaded_for: e.full_until.saturating_sub(now),
-            warming_up_for: e.cold_until.saturating_sub(now),
-        };
-        self.engines.iter().map(belief).collect()
+        self.engines.iter().map(|engine| engine.estimate(now)).collect()
+    }
+}
+
+impl Engine {
+    fn estimate(&self, now: Micros) -> EngineEstimate {
+        let occupancy = |load: LoadReport| (load.memory.unwrap_or(0.0), load.backlog.unwrap_or(0.0));
+        EngineEstimate {
+            engine: self.id.clone(),
+            state: self.listing,
+            in_flight: self.pending.len(),
+            streams: self.streams,
+            load: self.report.map(|report| occupancy(report.load)),
+            report_age: self.report.map(|report| now.saturating_sub(report.at)),
+            unreachable: self.unreachable,
+            ejected_for: self.ejected_until.saturating_sub(now),
+            overloaded_for: self.overloaded_until.saturating_sub(now),
+            warming_up_for: self.warming_up_until.saturating_sub(now),
+        }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decision core of pintally, a request router before separate readers (prefill)
-//! and writers (decode) of a language model.
+//! Decision core of pintally, a request router in front of separate readers (prefill engines)
+//! and writers (decode engines) of a language model.
 //!
 //! The core does no input or output. A host builds a [`Router`] from its
 //! [`Settings`](interface::Settings), hands it every [`Event`](interface::Event)
@@ -8,8 +8,8 @@
 
 mod estimates;
 pub mod interface;
-pub mod rules;
+mod policy;
 mod state;
 
 pub use estimates::{AdmissionEstimate, EngineEstimate};
-pub use rules::Router;
+pub use policy::Router;
--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,201 @@
+//! Admission: arrivals, and how many requests may be in flight before their first token.
+
+use std::collections::hash_map::Entry;
+
+use super::slowdown::SAMPLE_WEIGHT;
+use super::Router;
+use crate::interface::*;
+use crate::state::{AttemptKind, InFlightAttempt, PromptKey, RequestState};
+
+/// First tokens are to come within this part of the tightest objective; what the rest of the queue would
+/// add is spent waiting at the node, where the order can still be chosen.
+pub(super) const TARGET_FRACTION: f64 = 0.5;
+/// The objective that counts where no class is known.
+const DEFAULT_OBJECTIVE_US: Micros = 1_000_000;
+/// The in-flight limit grows by this many requests a round while first tokens come on target.
+const LIMIT_INCREASE: f64 = 2.0;
+/// And is multiplied by this factor when one comes late.
+const LIMIT_DECREASE_FACTOR: f64 = 0.94;
+/// This part of the requests has its first token within the time that counts as usual.
+const TIME_TO_FIRST_TOKEN_QUANTILE: f64 = 0.75;
+/// No more requests in flight than this for each reader, over all nodes.
+const MAX_IN_FLIGHT_PER_READER: f64 = 15.0;
+/// And no fewer than this for each reader, over all nodes.
+const MIN_IN_FLIGHT_PER_READER: f64 = 4.0;
+/// The limit's maximum is no less than this, however few the readers of each node are.
+const MIN_MAX_IN_FLIGHT: f64 = 4.0;
+/// While no engine that writes has capacity, no more in flight than this for each of them.
+const MAX_IN_FLIGHT_PER_OVERLOADED_WRITER: f64 = 2.5;
+/// First tokens further apart than this count as several.
+const SAMPLE_INTERVAL_US: f64 = 100_000.0;
+/// But as no more than this many.
+const MAX_SAMPLES_AT_ONCE: f64 = 5.0;
+
+/// What the serving engines can take now, and what is in flight at them.
+#[derive(Clone, Copy, Debug, Default)]
+struct Occupancy {
+    /// Attempts in flight no longer than the target.
+    recent: usize,
+    /// Attempts in flight longer than that.
+    late: usize,
+    /// Engines that write and are not ejected.
+    writers: u32,
+    /// Those of them that are not overloaded.
+    writers_with_capacity: usize,
+    /// Engines that read and are not marked overloaded.
+    readers_with_capacity: usize,
+    /// Those of them that are not ejected.
+    readers: u32,
+}
+
+/// When a request was started and when its first token was wanted.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RequestTiming {
+    pub(super) started_at: Micros,
+    /// The first token comes on target within this time from the start, in microseconds.
+    pub(super) target: f64,
+    pub(super) attempts: u32,
+}
+
+impl RequestTiming {
+    pub(super) fn of(request: &RequestState) -> RequestTiming {
+        RequestTiming {
+            started_at: request.started_at,
+            target: request.objective as f64 * TARGET_FRACTION,
+            attempts: request.attempts,
+        }
+    }
+}
+
+impl Router {
+    /// Takes in a client's request.
+    pub(super) fn request_arrived(&mut self, now: Micros, request: Request) {
+        let class = request.class.and_then(|class| self.settings.classes.get(class));
+        let objective = latency_objective(&request, class);
+        // A request of an unknown class must not run twice.
+        let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.effect);
+        let over_quota = self.is_over_quota(now, request.tenant);
+        // Guards against retry storms: a prompt that was rejected lately has its objective counted from
+        // its first attempt, so that a retry that can only be late does not go before fresh requests.
+        let rejected = self.rejected_prompts.get(&PromptKey::of(&request));
+        let first_arrived_at = rejected.map_or(now, |first_arrived_at| *first_arrived_at);
+        self.measurements.arrivals += 1.0;
+        if let Some(prefix) = request.prefix {
+            *self.prefix_arrivals.entry(prefix).or_default() += 1.0;
+            self.measurements.shared_prefix_arrivals += 1.0;
+        }
+        let id = request.id.clone();
+        if let Entry::Vacant(entry) = self.requests.entry(id.clone()) {
+            let state = RequestState::new(now, request, idempotency, first_arrived_at, objective, over_quota);
+            entry.insert(state);
+            self.pending.push(id);
+        }
+    }
+
+    /// The tightest latency objective of any class, in microseconds.
+    pub(super) fn tightest_objective(&self) -> f64 {
+        let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
+        objectives.min().unwrap_or(DEFAULT_OBJECTIVE_US) as f64
+    }
+
+    /// Requests that may still be started before earlier ones get their first tokens. Guards against
+    /// reads that finish while no writer has capacity: they wait before the read, not after.
+    /// Of many nodes each may have less than one in flight: then there is time between its starts.
+    pub(super) fn capacity(&self, now: Micros) -> usize {
+        let occupancy = self.occupancy(now);
+        let nodes = f64::from(self.settings.nodes.max(1));
+        let limit = match (occupancy.writers_with_capacity, occupancy.readers_with_capacity) {
+            (0, _) => MAX_IN_FLIGHT_PER_OVERLOADED_WRITER / nodes * f64::from(occupancy.writers),
+            (_, 0) => 0.0,
+            _ => {
+                let least = MIN_IN_FLIGHT_PER_READER / nodes * f64::from(occupancy.readers);
+                self.measurements.in_flight_limit.max(least)
+            }
+        };
+        let limit = limit.max(MAX_IN_FLIGHT_PER_OVERLOADED_WRITER / nodes);
+        let target = self.tightest_objective() * TARGET_FRACTION;
+        let start_interval = self.measurements.time_to_first_token.max(target) / limit.fract();
+        let since_last_start = now.saturating_sub(self.measurements.last_start_at) as f64;
+        let one_more = since_last_start >= start_interval;
+        // What is over the target at a slow engine takes no capacity from others, where a node has little.
+        let counted_late = (occupancy.late as f64 * self.visibility()) as usize;
+        (limit as usize + usize::from(one_more)).saturating_sub(occupancy.recent + counted_late)
+    }
+
+    fn occupancy(&self, now: Micros) -> Occupancy {
+        let target_us = (self.tightest_objective() * TARGET_FRACTION) as Micros;
+        let recent_from = now.saturating_sub(target_us);
+        let mut occupancy = Occupancy::default();
+        for (index, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.is_serving()) {
+            let reads = engine.reads() && now >= engine.overloaded_until;
+            occupancy.readers_with_capacity += usize::from(reads);
+            // What waits at an engine that has failed takes no capacity from the others.
+            if self.is_ejected(now, index) {
+                continue;
+            }
+            let recent = engine.pending.range((recent_from, 0)..).count();
+            occupancy.recent += recent;
+            occupancy.late += engine.pending.len() - recent;
+            occupancy.readers += u32::from(reads);
+            occupancy.writers += u32::from(engine.writes());
+            let has_capacity = engine.writes() && !self.is_overloaded(now, index);
+            occupancy.writers_with_capacity += usize::from(has_capacity);
+        }
+        occupancy
+    }
+
+    /// Takes in the time from a request's first send to its first token. Guards against queues that
+    /// build up at engines, whatever fills them. What a failed attempt has cost shows nothing of the queues.
+    pub(super) fn record_time_to_first_token(
+        &mut self,
+        now: Micros,
+        request: &RequestTiming,
+        attempt: &InFlightAttempt,
+    ) {
+        let attempts_without_retries = if attempt.kind == AttemptKind::Write { 2 } else { 1 };
+        if request.attempts != attempts_without_retries {
+            return;
+        }
+        let elapsed = now.saturating_sub(request.started_at) as f64;
+        let usual = self.measurements.time_to_first_token;
+        let step = if elapsed > usual {
+            SAMPLE_WEIGHT * TIME_TO_FIRST_TOKEN_QUANTILE
+        } else {
+            SAMPLE_WEIGHT * (TIME_TO_FIRST_TOKEN_QUANTILE - 1.0)
+        };
+        self.measurements.time_to_first_token = if usual == 0.0 { elapsed } else { usual * (1.0 + step) };
+        self.adjust_in_flight_limit(now, elapsed < request.target);
+    }
+
+    /// Raises the limit after a first token on target and lowers it after a late one. A node that has
+    /// few of them takes longer steps.
+    pub(super) fn adjust_in_flight_limit(&mut self, now: Micros, on_target: bool) {
+        let readers =
+            self.engines.iter().filter(|engine| engine.is_serving() && engine.reads()).count() as f64;
+        let nodes = f64::from(self.settings.nodes.max(1));
+        let max_samples = MAX_SAMPLES_AT_ONCE - (MAX_SAMPLES_AT_ONCE - 1.0) * self.visibility();
+        let since_last = now.saturating_sub(self.measurements.limit_adjusted_at) as f64;
+        let samples = (since_last / SAMPLE_INTERVAL_US).clamp(1.0, max_samples);
+        self.measurements.limit_adjusted_at = now;
+        let limit = self.measurements.in_flight_limit;
+        let adjusted = if on_target {
+            limit + (LIMIT_INCREASE * samples / limit.max(1.0)).min(limit / 2.0)
+        } else {
+            limit * LIMIT_DECREASE_FACTOR.powf(samples)
+        };
+        let least = MIN_IN_FLIGHT_PER_READER * readers / nodes;
+        let most = MAX_IN_FLIGHT_PER_READER * readers / nodes;
+        self.measurements.in_flight_limit = adjusted.max(least).min(most.max(MIN_MAX_IN_FLIGHT));
+    }
+}
+
+/// How long a request's first token may take. A client that comes back after a broken stream has had its
+/// first token; one of an unknown class has half its own time-out.
+fn latency_objective(request: &Request, class: Option<&Class>) -> Micros {
+    if request.resumed {
+        return request.client_timeout;
+    }
+    let Some(class) = class else { return request.client_timeout / 2 };
+    let by_length = class.latency_objective_per_1000_tokens.saturating_mul(request.prompt_tokens) / 1000;
+    class.latency_objective.saturating_add(by_length)
+}
--- /dev/null
+++ b/src/policy/endpoints.rs
@@ -0,0 +1,93 @@
+//! The endpoint list: engines that come, change and go.
+
+use std::collections::BTreeSet;
+
+use super::maintenance::MAINTENANCE_INTERVAL_US;
+use super::Router;
+use crate::interface::*;
+use crate::state::{update_racks_and_weights, Engine};
+
+impl Router {
+    /// Takes in an endpoint list, or that none could be had.
+    pub(super) fn update_endpoints(
+        &mut self,
+        now: Micros,
+        update: ListUpdate,
+        endpoints: Vec<Endpoint>,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.measurements.maintenance_timer_set {
+            self.measurements.subscribed = update != ListUpdate::Failed;
+        } else {
+            self.start_maintenance(now, actions);
+        }
+        if update == ListUpdate::Failed {
+            return;
+        }
+        let mut listed = BTreeSet::new();
+        for endpoint in endpoints {
+            if let Some(index) = self.update_endpoint(now, &endpoint) {
+                listed.insert(index);
+            }
+        }
+        if update == ListUpdate::Full {
+            let unlisted = |(index, _): &(usize, &mut Engine)| !listed.contains(index);
+            for (_, engine) in self.engines.iter_mut().enumerate().filter(unlisted) {
+                engine.listing = EndpointState::Gone;
+            }
+        }
+        update_racks_and_weights(&mut self.racks, &mut self.engines);
+    }
+
+    /// The first list starts the periodic maintenance and subscribes where discovery asks for it.
+    fn start_maintenance(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.measurements.maintenance_timer_set = true;
+        self.measurements.service_rates_updated_at = now;
+        actions.push(Action::SetTimer(Timer::Maintenance, MAINTENANCE_INTERVAL_US));
+        if self.settings.discovery == DiscoveryMode::Subscribe {
+            self.measurements.polled_at = now;
+            actions.push(Action::Subscribe);
+        }
+    }
+
+    /// Takes in one entry and returns the engine's index; entries of unknown kinds are skipped.
+    fn update_endpoint(&mut self, now: Micros, endpoint: &Endpoint) -> Option<usize> {
+        let role = self.settings.kinds.iter().find(|kind| kind.name == endpoint.kind)?.role;
+        let index = match self.engine_indices.get(&endpoint.engine) {
+            Some(&index) => index,
+            None => self.insert_engine(Engine::new(now, endpoint, role)),
+        };
+        let engine = &mut self.engines[index];
+        engine.listing = endpoint.state;
+        engine.registered_weight = if endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+        if let Some(started) = endpoint.started.filter(|_| engine.started_at != endpoint.started) {
+            // Guards against overloading an engine in slow start, and against table entries for
+            // prefixes that a restart has wiped.
+            let warm_at = started.saturating_add(self.settings.slow_start_duration);
+            engine.started_at = endpoint.started;
+            engine.warming_up_until = engine.warming_up_until.max(warm_at);
+            engine.cache_valid_from = engine.cache_valid_from.max(started);
+            engine.consecutive_failures = 0;
+            engine.ejected_until = 0;
+        }
+        Some(index)
+    }
+
+    /// Gives a new engine an index. Guards against unbounded growth where ever new engines come: the
+    /// index of an engine that is gone, and to which no request refers any more, is used again.
+    fn insert_engine(&mut self, engine: Engine) -> usize {
+        let used: BTreeSet<usize> = self.requests.values().flat_map(|request| request.engines()).collect();
+        let is_free =
+            |index: &usize| self.engines[*index].listing == EndpointState::Gone && !used.contains(index);
+        let index = (0..self.engines.len()).find(is_free).unwrap_or(self.engines.len());
+        self.engine_indices.insert(engine.id.clone(), index);
+        match self.engines.get_mut(index) {
+            Some(old) => {
+                self.engine_indices.remove(&old.id);
+                *old = engine;
+            }
+            None => self.engines.push(engine),
+        }
+        index
+    }
+}
--- /dev/null
+++ b/src/policy/health_checks.rs
@@ -0,0 +1,175 @@
+//! Health checks: when engines are asked for their load, within what traffic pays for.
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::maintenance::MAINTENANCE_INTERVAL_US;
+use super::Router;
+use crate::interface::*;
+use crate::state::{Engine, ReceivedReport};
+
+/// What the health checks for one request may cost, in points.
+const MAX_COST_PER_REQUEST: f64 = 0.01;
+/// The most health checks for one request, however cheap.
+const MAX_CHECKS_PER_REQUEST: f64 = 3.0;
+/// A prompt waits this long for the load of the engines that could read it.
+const MAX_WAIT_BEFORE_READ_US: Micros = 30_000;
+/// No more prompts than this wait for it at once.
+const MAX_PROMPTS_WAITING: usize = 4;
+
+impl Router {
+    /// Takes in the result of a health check.
+    pub(super) fn health_checked(
+        &mut self,
+        now: Micros,
+        id: &EngineId,
+        answered: bool,
+        load: Option<LoadReport>,
+    ) {
+        let Some(&index) = self.engine_indices.get(id) else { return };
+        let engine = &mut self.engines[index];
+        if let Some(load) = load {
+            engine.report = Some(ReceivedReport { at: now, load });
+        }
+        if !answered {
+            // A check that is rejected or waits too long shows an overloaded engine, if nothing worse.
+            engine.overloaded_until = now + MAINTENANCE_INTERVAL_US;
+        }
+    }
+
+    /// Checks all engines that write, where own traffic pays for it: over many nodes the checks would
+    /// outweigh it.
+    pub(super) fn check_all_writers(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.settings.health_checks_allowed || self.settings.reports != LoadReporting::OnHealthCheck {
+            return;
+        }
+        let is_writer = |index: &usize| {
+            let engine = &self.engines[*index];
+            engine.is_serving() && engine.writes()
+        };
+        let writers: Vec<usize> = (0..self.engines.len()).filter(is_writer).collect();
+        let cost = writers.len() as f64;
+        if self.measurements.health_check_budget >= cost {
+            self.measurements.health_check_budget -= cost;
+            self.send_health_checks(now, writers, actions);
+        }
+    }
+
+    /// Guards against engines that other nodes fill, which one of many nodes cannot see: before a read
+    /// the engine and the next ones are checked, and the prompt waits a moment for the results.
+    /// Whether it waits now.
+    pub(super) fn waits_for_health_checks(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        index: usize,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(request) = self.requests.get(id) else { return false };
+        let sees_little =
+            self.is_one_of_many() && self.settings.health_checks_allowed && !self.without_load_reports();
+        let is_fresh = request.attempts == 0 && !request.request.resumed;
+        let has_waited = request.checked_at.is_some_and(|at| now >= at + MAX_WAIT_BEFORE_READ_US);
+        // In a burst a node sees enough, and nothing is gained by looking again and again for each.
+        let in_burst = self.pending.len() >= MAX_PROMPTS_WAITING;
+        if !sees_little || !is_fresh || has_waited || in_burst || !is_report_stale(now, &self.engines[index])
+        {
+            return false;
+        }
+        if request.checked_at.is_none() {
+            let candidates = self.readers_to_check(now, &request.request, index);
+            self.send_health_checks(now, candidates, actions);
+        }
+        if let Some(request) = self.requests.get_mut(id) {
+            request.checked_at = request.checked_at.or(Some(now));
+            request.pending = true;
+            self.pending.push(id.clone());
+        }
+        true
+    }
+
+    /// The chosen reader and the next ones of the ring whose load is not known, as many as the price
+    /// allows.
+    fn readers_to_check(&self, now: Micros, request: &Request, chosen: usize) -> Vec<usize> {
+        let mut ring = self.ring(request);
+        let start = ring.iter().position(|&index| index == chosen).unwrap_or(0);
+        ring.rotate_left(start);
+        ring.retain(|&index| !self.is_ejected(now, index) && is_report_stale(now, &self.engines[index]));
+        ring.truncate(self.checks_per_request() as usize);
+        ring
+    }
+
+    /// How many health checks the price allows for a request.
+    fn checks_per_request(&self) -> f64 {
+        let least_price = MAX_COST_PER_REQUEST / MAX_CHECKS_PER_REQUEST;
+        (MAX_COST_PER_REQUEST / self.settings.health_check_price.max(least_price)).min(MAX_CHECKS_PER_REQUEST)
+    }
+
+    /// Guards against a choice of writer by reports that are old or missing: while a prompt is read
+    /// a few likely writers are checked, near ones first, as far as the price allows.
+    pub(super) fn check_likely_writers(&mut self, now: Micros, reader: usize, actions: &mut Vec<Action>) {
+        if !self.settings.health_checks_allowed || self.without_load_reports() {
+            return;
+        }
+        let per_request = self.checks_per_request();
+        let max_budget = self.writers().max(per_request);
+        self.measurements.health_check_budget =
+            (self.measurements.health_check_budget + per_request).min(max_budget);
+        let seed = self.random.draw();
+        let likely = self.likely_writers(now, reader, seed);
+        let max_checks = (per_request as usize).min(self.measurements.health_check_budget as usize);
+        // The last one is taken from outside the rack, so that there is a choice.
+        let outside = likely.iter().position(|writer| writer.other_rack).filter(|&at| at >= max_checks);
+        let checked: Vec<usize> = outside
+            .into_iter()
+            .chain(0..likely.len())
+            .take(max_checks)
+            .map(|position| likely[position].index)
+            .collect();
+        self.measurements.health_check_budget -= checked.len() as f64;
+        self.send_health_checks(now, checked, actions);
+    }
+
+    /// The writers that were not checked lately, near ones first, those as near as each other in an order
+    /// drawn from the seed.
+    fn likely_writers(&self, now: Micros, reader: usize, seed: u64) -> Vec<LikelyWriter> {
+        let reader = &self.engines[reader];
+        let mut likely: Vec<LikelyWriter> = self
+            .engines
+            .iter()
+            .enumerate()
+            .filter(|(_, engine)| engine.is_serving() && engine.role == Role::Writer)
+            .filter(|(index, _)| !self.is_ejected(now, *index))
+            .filter(|(_, engine)| now > engine.health_checked_at + MAINTENANCE_INTERVAL_US)
+            .map(|(index, engine)| LikelyWriter {
+                other_rack: engine.rack != reader.rack,
+                other_zone: engine.zone != reader.zone,
+                drawn: xxh3_64_with_seed(engine.id.0.as_bytes(), seed),
+                index,
+            })
+            .collect();
+        likely.sort_unstable();
+        likely
+    }
+
+    fn send_health_checks(&mut self, now: Micros, engines: Vec<usize>, actions: &mut Vec<Action>) {
+        for index in engines {
+            let engine = &mut self.engines[index];
+            engine.health_checked_at = now;
+            actions.push(Action::HealthCheck(engine.id.clone()));
+        }
+    }
+}
+
+/// A writer that may be chosen after a read. The order of the fields is the order of preference.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LikelyWriter {
+    other_rack: bool,
+    other_zone: bool,
+    drawn: u64,
+    index: usize,
+}
+
+/// Whether an engine has not reported its load lately.
+fn is_report_stale(now: Micros, engine: &Engine) -> bool {
+    engine.report.is_none_or(|report| now > report.at + MAINTENANCE_INTERVAL_US)
+}
--- /dev/null
+++ b/src/policy/reader_choice.rs
@@ -0,0 +1,112 @@
+//! The choice of the engine that reads a prompt.
+
+use super::spill::LOAD_BOUND_FACTOR;
+use super::Router;
+use crate::interface::*;
+use crate::state::RequestState;
+
+/// Expected cached tokens below this count as no match (the paper's smallest block).
+const MIN_MATCH_TOKENS: f64 = 16.0;
+/// Where a prefix has several replicas, another one is preferred only if it has this many times as much
+/// in its cache.
+const REPLICA_SWITCH_FACTOR: f64 = 1.25;
+
+impl Router {
+    /// The engine to read a request's prompt, if any may be sent to.
+    pub(super) fn choose_reader(&self, now: Micros, request: &RequestState) -> Option<usize> {
+        let mut ring = self.ring(&request.request);
+        let preferred = ring.first().copied();
+        let start = self.best_match(now, request, &ring);
+        ring.rotate_left(start);
+        ring.retain(|&index| self.may_send(now, request, index));
+        let usable = self.usable_readers(now, request, &ring, preferred);
+        let wait = |&index: &usize| self.expected_wait(now, &request.request, index, preferred);
+        let first_wait = usable.first().map_or(0, wait);
+        // Guards against spills that only read the same prefix again: the other queue must be shorter.
+        let shares = self.even_shares(now);
+        let fits = |index: &usize| {
+            let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
+            !self.is_over_cap(now, &request.request, *index, uncached, shares) && wait(index) <= first_wait
+        };
+        // Where every reader is over its cap the shortest queue serves; where all are ejected, the one
+        // that has failed least: backing off all of them would be the harm.
+        let shortest_wait = |index: &usize| (self.is_overloaded(now, *index), wait(index));
+        let least_bad = |index: &usize| (request.tried.contains(index), self.engines[*index].ejected_until);
+        let under_cap = usable.iter().copied().find(fits);
+        under_cap
+            .or_else(|| usable.iter().copied().min_by_key(shortest_wait))
+            .or_else(|| ring.iter().copied().min_by_key(least_bad))
+    }
+
+    /// The position on the ring of the reader that is expected to have most of the prompt in its cache;
+    /// the first where none has a match.
+    fn best_match(&self, now: Micros, request: &RequestState, ring: &[usize]) -> usize {
+        let preferred = ring.first().copied();
+        // Of several replicas of a prefix each session has its own, though another be the fresher one.
+        let several_replicas = self.prefix_demand(&request.request) > 1.0;
+        let switch_factor = if several_replicas { REPLICA_SWITCH_FACTOR } else { 1.0 };
+        let tokens_at = |&index: &usize| self.expected_cached_tokens(now, &request.request, index, preferred);
+        let expected: Vec<f64> = ring.iter().map(tokens_at).collect();
+        let mut best = 0;
+        for (position, &tokens) in expected.iter().enumerate() {
+            let better = expected[best] < MIN_MATCH_TOKENS || tokens > expected[best] * switch_factor;
+            if tokens >= MIN_MATCH_TOKENS && better {
+                best = position;
+            }
+        }
+        best
+    }
+
+    /// The readers of the ring that are neither ejected nor tried and that take the request's tenant,
+    /// for a shared prefix without those behind a slow link.
+    fn usable_readers(
+        &self,
+        now: Micros,
+        request: &RequestState,
+        ring: &[usize],
+        preferred: Option<usize>,
+    ) -> Vec<usize> {
+        let is_usable = |&index: &usize| {
+            !self.is_ejected(now, index)
+                && !request.tried.contains(&index)
+                && !self.engines[index].rejects_tenant_of(now, request)
+        };
+        let mut usable: Vec<usize> = ring.iter().copied().filter(is_usable).collect();
+        if request.request.prefix.is_none() {
+            return usable;
+        }
+        // Guards against replicas behind a slow link with too few writers before it: what is read there
+        // stays. Nor may the readers that are left drown in reads: a link is slow for seconds, a queue
+        // that long for longer.
+        let shares = self.even_shares(now);
+        let has_capacity = |index: &usize| {
+            let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
+            !self.is_over_cap(now, &request.request, *index, uncached, shares)
+                && !self.is_overloaded(now, *index)
+        };
+        let has_outlet = |index: &usize| self.has_outlet(now, *index);
+        if usable.iter().any(|index| has_outlet(index) && has_capacity(index)) {
+            usable.retain(has_outlet);
+        }
+        usable
+    }
+
+    /// Whether what is read at an engine can be written: its rack's link is not known to be slow, or the
+    /// rack's own writers can take its states.
+    fn has_outlet(&self, now: Micros, index: usize) -> bool {
+        let rack = self.engines[index].rack;
+        let slow = self.known_link(now, rack).is_some() && self.is_slow_link(now, rack);
+        !slow || self.expected_rack_load(rack) < LOAD_BOUND_FACTOR
+    }
+
+    /// Prompt tokens that an engine would have to read.
+    fn uncached_tokens(&self, now: Micros, request: &Request, index: usize, preferred: Option<usize>) -> f64 {
+        request.prompt_tokens as f64 - self.expected_cached_tokens(now, request, index, preferred)
+    }
+
+    /// How long a read would take at an engine, in tokens of an engine of usual speed.
+    fn expected_wait(&self, now: Micros, request: &Request, index: usize, preferred: Option<usize>) -> u64 {
+        let tokens = self.read_queue(now, index) + self.uncached_tokens(now, request, index, preferred);
+        (tokens * self.slowdown(now, index)) as u64
+    }
+}
--- /dev/null
+++ b/src/policy/releases.rs
@@ -0,0 +1,60 @@
+//! The end of a request: its final answer and the release of what engines have reserved for it.
+
+use super::Router;
+use crate::interface::*;
+use crate::state::{PromptKey, RequestState};
+
+/// The shortest Retry-After is this part of the longest that clients follow, and the jitter on top of it
+/// is up to as much again.
+const RETRY_AFTER_DIVISOR: Micros = 4;
+
+impl Router {
+    /// Ends a request that cannot be served: rejected where a repeat does no harm, else failed.
+    pub(super) fn give_up(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id) else { return };
+        self.rejected_prompts.insert(PromptKey::of(&request.request), request.first_arrived_at);
+        let answer = if is_safe_to_repeat(request) {
+            Action::Reject(id.clone(), self.retry_after())
+        } else {
+            Action::Fail(id.clone())
+        };
+        self.close(id, Some(answer), actions);
+    }
+
+    /// Ends a request; an attempt still in flight is cancelled and watched until its outcome.
+    pub(super) fn close(&mut self, id: &RequestId, answer: Option<Action>, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(id).filter(|request| !request.closed) else { return };
+        actions.extend(answer);
+        request.closed = true;
+        request.pending = false;
+        if let Some(attempt) = request.in_flight {
+            if self.settings.cancellation_allowed && !attempt.started {
+                actions.push(Action::Cancel(id.clone(), attempt.number));
+            }
+            return;
+        }
+        if request.was_read {
+            actions.push(Action::Release(id.clone()));
+        }
+        self.requests.remove(id);
+    }
+
+    /// When a rejected client should come back, jittered so that not all come at once.
+    fn retry_after(&mut self) -> Option<Micros> {
+        let longest = self.settings.max_retry_after;
+        let drawn = self.random.draw();
+        if !self.settings.clients_honour_retry_after || longest == 0 {
+            return None;
+        }
+        let shortest = longest / RETRY_AFTER_DIVISOR;
+        Some(shortest + drawn % shortest.max(1))
+    }
+}
+
+/// Whether the client may send a request again wherever it has run so far.
+fn is_safe_to_repeat(request: &RequestState) -> bool {
+    match request.idempotency {
+        Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
+        Idempotency::WithKey(..) | Idempotency::NotIdempotent => request.first_execution.is_none(),
+    }
+}
--- /dev/null
+++ b/src/policy/service_rates.rs
@@ -0,0 +1,41 @@
+//! How many answers a second a warm engine of each role gives this node.
+
+use super::Router;
+use crate::interface::*;
+use crate::state::AttemptKind;
+
+/// Counts of what has happened lately decay by this factor at each maintenance, which is by half in
+/// twelve seconds.
+pub(super) const COUNT_DECAY: f64 = 0.97;
+/// Rates are underestimated until engines have been observed for about this many seconds each.
+const RATE_WARM_UP_S: f64 = 5.0;
+
+impl Router {
+    /// Answers a second of one warm engine: as remembered from the incarnation before, until this one has
+    /// seen more.
+    pub(crate) fn service_rate(&self, kind: AttemptKind) -> f64 {
+        let pool = self.pool(kind);
+        let remembered = self.settings.remembered_service_rates[kind.index()];
+        (pool.answers / pool.warm_engines.max(1.0) / (pool.observed_s + RATE_WARM_UP_S)).max(remembered)
+    }
+
+    /// Adds the answers since the last maintenance to the pools of their engines.
+    pub(super) fn update_service_rates(&mut self, now: Micros) {
+        let elapsed_s = now.saturating_sub(self.measurements.service_rates_updated_at) as f64 / 1e6;
+        self.measurements.service_rates_updated_at = now;
+        let mut warm_engines = [0.0f64; 3];
+        for engine in &mut self.engines {
+            let answers = f64::from(std::mem::take(&mut engine.answers));
+            if engine.is_serving() && now >= engine.warming_up_until {
+                let pool = AttemptKind::of_role(engine.role).index();
+                warm_engines[pool] += 1.0;
+                self.pools[pool].answers += answers;
+            }
+        }
+        for (pool, warm_engines) in self.pools.iter_mut().zip(warm_engines) {
+            pool.answers *= COUNT_DECAY;
+            pool.observed_s = (pool.observed_s + elapsed_s) * COUNT_DECAY;
+            pool.warm_engines = warm_engines.max(1.0);
+        }
+    }
+}
--- /dev/null
+++ b/src/state/mod.rs
@@ -0,0 +1,15 @@
+//! What the decision module remembers: plain data and its bookkeeping. It takes no decisions.
+
+mod affinity;
+mod engine;
+mod measurements;
+mod rack;
+mod random;
+mod request;
+
+pub(crate) use affinity::{prefix_keys, CachedPrefix, PrefixAffinityTable, PrefixKey, PromptKey};
+pub(crate) use engine::{Engine, PendingAttempt, ReceivedReport, TenantRejection};
+pub(crate) use measurements::{AttemptKind, MovingMean, NodeMeasurements, Pool, TokenBucket};
+pub(crate) use rack::{update_racks_and_weights, Rack};
+pub(crate) use random::Random;
+pub(crate) use request::{FirstExecution, InFlightAttempt, RequestState};
--- /dev/null
+++ b/src/state/rack.rs
@@ -0,0 +1,45 @@
+//! The racks of the endpoint list and the relative weights of their engines.
+
+use std::collections::BTreeMap;
+
+use super::{AttemptKind, Engine, MovingMean};
+use crate::interface::*;
+
+/// A rack: its engines that only read, those that write, and the link that leaves it.
+#[derive(Default)]
+pub(crate) struct Rack {
+    pub(crate) readers: f64,
+    pub(crate) writers: f64,
+    /// Usual wait for a first token when a state leaves the rack over its link, in microseconds.
+    pub(crate) outbound_wait: MovingMean,
+    /// How many transfers in a row that mean is made of.
+    pub(crate) transfers: u32,
+}
+
+/// The registered weights of the serving engines of one role.
+#[derive(Clone, Copy, Default)]
+struct RoleWeights {
+    sum: f64,
+    engines: f64,
+}
+
+/// Counts the listed engines of each rack anew, and relates each engine's weight to its role's mean.
+pub(crate) fn update_racks_and_weights(racks: &mut BTreeMap<u64, Rack>, engines: &mut [Engine]) {
+    for rack in racks.values_mut() {
+        rack.readers = 0.0;
+        rack.writers = 0.0;
+    }
+    let mut weights = [RoleWeights::default(); 3];
+    for engine in engines.iter().filter(|engine| engine.is_serving()) {
+        let rack = racks.entry(engine.rack).or_default();
+        rack.readers += f64::from(engine.role == Role::Reader);
+        rack.writers += f64::from(engine.role != Role::Reader);
+        let of_role = &mut weights[AttemptKind::of_role(engine.role).index()];
+        of_role.sum += engine.registered_weight;
+        of_role.engines += 1.0;
+    }
+    for engine in engines {
+        let RoleWeights { sum, engines } = weights[AttemptKind::of_role(engine.role).index()];
+        engine.relative_weight = if sum > 0.0 { engine.registered_weight * engines / sum } else { 1.0 };
+    }
+}
--- /dev/null
+++ b/src/state/random.rs
@@ -0,0 +1,20 @@
+//! The seeded source of random numbers, so that a run can be repeated exactly.
+
+/// A seeded sequence of numbers (splitmix64).
+pub(crate) struct Random(pub(crate) u64);
+
+impl Random {
+    /// The next number.
+    pub(crate) fn draw(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    /// The next number as a fraction between 0 and 1.
+    pub(crate) fn draw_fraction(&mut self) -> f64 {
+        self.draw() as f64 / u64::MAX as f64
+    }
+}
