--- a/crates/pintally-bench-adapter/src/main.rs
+++ b/crates/pintally-bench-adapter/src/main.rs
@@ -10,7 +10,7 @@
 
 use pintally::interface::{Action, Event};
 use pintally::Router;
-use pintally_wire::{Names, Told};
+use pintally_wire::{LabelIndex, NodeConfiguration};
 use wire::{Incoming, Outgoing};
 
 /// What went wrong, and in which line of the input.
@@ -28,7 +28,7 @@
 /// One instance of the decision module and the names of its settings.
 struct Instance {
     router: Router,
-    names: Names,
+    labels: LabelIndex,
 }
 
 /// Reads lines of JSON and counts them.
@@ -79,9 +79,9 @@
                 Incoming::Batch { .. } => return Err(input.fault("a batch began inside a batch")),
                 Incoming::Begin { node, salt, conf } => {
                     match pintally_wire::settings(conf) {
-                        Ok(Told { settings, names, .. }) => {
+                        Ok(NodeConfiguration { settings, labels, .. }) => {
                             let router = Router::new(settings, salt);
-                            instances.insert(node, Instance { router, names });
+                            instances.insert(node, Instance { router, labels });
                         }
                         Err(reason_text) => {
                             put(&mut output, &input, &Outgoing::Broken { node, reason_text })?
@@ -99,7 +99,7 @@
                 },
             };
             let Some(instance) = instances.get_mut(&node) else { continue };
-            let Some(event) = wire::event(&instance.names, event) else { continue };
+            let Some(event) = wire::event(&instance.labels, event) else { continue };
             relay(instance, clock, event, &mut actions);
             for action in actions.drain(..) {
                 put(&mut output, &input, &wire::outgoing(node, action))?;
--- a/crates/pintally-bench-adapter/src/wire.rs
+++ b/crates/pintally-bench-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The words of the wire, and their translation to and from the interface.
 
 use pintally::interface::*;
-use pintally_wire::{count, micros, seconds, Entry, Names};
+use pintally_wire::{count, micros, seconds, Entry, LabelIndex};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -203,7 +203,7 @@
 }
 
 /// The event of a message, if it is one that the router knows.
-pub fn event(names: &Names, message: Incoming) -> Option<Event> {
+pub fn event(labels: &LabelIndex, message: Incoming) -> Option<Event> {
     Some(match message {
         Incoming::Update { form, hosts, .. } => {
             let form = match form {
@@ -213,7 +213,7 @@
             };
             Event::EndpointList(form, hosts.unwrap_or_default().into_iter().map(member).collect())
         }
-        Incoming::Demand(d) => Event::RequestArrived(request(names, *d)),
+        Incoming::Demand(d) => Event::RequestArrived(request(labels, *d)),
         Incoming::HeadReceived { txn, r#try, .. } => Event::FirstToken(request_id(&txn), r#try),
         Incoming::Ended(e) => Event::AttemptEnded(AttemptEnd {
             id: request_id(&e.txn),
@@ -221,7 +221,7 @@
             outcome: outcome(e.state_code, e.detail)?,
             is_final: e.no_more.unwrap_or(false),
             cached_tokens: count(e.detail),
-            load: e.feedback.map(|row| names.load(&row)),
+            load: e.feedback.map(|row| labels.load(&row)),
         }),
         Incoming::Withdrawn { txn, .. } => Event::ClientLeft(request_id(&txn)),
         Incoming::Elapsed { r#ref, .. } => Event::TimerFired(match r#ref.as_str() {
@@ -230,19 +230,19 @@
             _ => return None,
         }),
         Incoming::StatusBack { state_code, engine, feedback, .. } => {
-            let load = feedback.map(|row| names.load(&row));
+            let load = feedback.map(|row| labels.load(&row));
             Event::HealthChecked(EngineId(engine.into()), state_code == 0, load)
         }
         _ => return None,
     })
 }
 
-fn request(names: &Names, d: Demand) -> Request {
+fn request(labels: &LabelIndex, d: Demand) -> Request {
     let tenant = d.user_group.as_ref().and_then(Value::as_str);
     Request {
         id: request_id(&d.txn),
-        class: names.class(&d.band),
-        tenant: tenant.and_then(|name| names.tenant(name)),
+        class: labels.class(&d.band),
+        tenant: tenant.and_then(|name| labels.tenant(name)),
         session: d.dialogue.unwrap_or(0),
         prefix: d.prefix.filter(|p| *p != 0),
         prompt_tokens: count(d.prompt_tokens),
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -132,7 +132,7 @@
 
     fn request(&mut self, key: Key, request: pintally_http::Request) {
         let ticket = self.next_ticket;
-        match call(&self.config.told.names, ticket, request) {
+        match call(&self.config.told.labels, ticket, request) {
             Ok(Call::Ready) => {
                 let status = if self.is_ready() { 200 } else { 503 };
                 self.answer_whole(key, response(status, &[], b""));
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -116,7 +116,7 @@
         let mut told = Vec::new();
         for _ in 0..MAX_READS {
             let now = self.clock.now();
-            let names = &self.config.told.names;
+            let names = &self.config.told.labels;
             let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
             if conn.work.is_none() {
                 // What comes of a connection that is not in use is no answer to anything.
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -168,7 +168,7 @@
     let mut node = Node {
         poll,
         clock,
-        watch: Watch::new(config.discovery, now, config.told.ways.drain_grace),
+        watch: Watch::new(config.discovery, now, config.told.transport.drain_grace),
         config,
         config_file,
         settings,
--- a/crates/pintally-platform/src/answer.rs
+++ b/crates/pintally-platform/src/answer.rs
@@ -5,7 +5,7 @@
 
 use pintally::interface::{LoadReport, Outcome};
 use pintally_http::{Headers, HttpError, Part, ResponseReader};
-use pintally_wire::Names;
+use pintally_wire::LabelIndex;
 use serde_json::Value;
 
 use crate::{of_answer, MAX_BODY, MAX_HEAD};
@@ -81,7 +81,7 @@
     }
 
     /// Takes in bytes and appends what they tell.
-    pub fn push(&mut self, bytes: &[u8], names: &Names, out: &mut Vec<Progress>) {
+    pub fn push(&mut self, bytes: &[u8], names: &LabelIndex, out: &mut Vec<Progress>) {
         if self.over {
             return;
         }
@@ -104,7 +104,7 @@
     }
 
     /// The engine has closed the connection.
-    pub fn closed(&mut self, names: &Names, out: &mut Vec<Progress>) {
+    pub fn closed(&mut self, names: &LabelIndex, out: &mut Vec<Progress>) {
         if self.over {
             return;
         }
@@ -121,7 +121,7 @@
         self.end(Outcome::ConnectionBroken, false, out);
     }
 
-    fn part(&mut self, part: Part, names: &Names, out: &mut Vec<Progress>) {
+    fn part(&mut self, part: Part, names: &LabelIndex, out: &mut Vec<Progress>) {
         match part {
             Part::Head(status, headers) => self.head(status, &headers, names),
             Part::Body(bytes) if self.status == 200 => {
@@ -138,14 +138,14 @@
         }
     }
 
-    fn head(&mut self, status: u16, headers: &Headers, names: &Names) {
+    fn head(&mut self, status: u16, headers: &Headers, names: &LabelIndex) {
         self.status = status;
         self.turned_away = headers.get("x-turned-away").is_some_and(|v| v.trim() == "1");
         self.load = headers.get(LOAD).and_then(|v| names.load_of_pairs(v));
     }
 
     /// Hands on what is whole of the stream.
-    fn events(&mut self, names: &Names, out: &mut Vec<Progress>) {
+    fn events(&mut self, names: &LabelIndex, out: &mut Vec<Progress>) {
         let Some(end) = last_boundary(&self.body) else {
             if self.body.len() > MAX_EVENT {
                 self.spoilt("an event is too long", out);
@@ -169,7 +169,7 @@
     }
 
     /// Looks at lines of a stream; whether any carries data, or an error if one cannot be read.
-    fn lines(&mut self, bytes: &[u8], names: &Names) -> Result<bool, ()> {
+    fn lines(&mut self, bytes: &[u8], names: &LabelIndex) -> Result<bool, ()> {
         let mut any = false;
         for line in bytes.split(|b| *b == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -202,7 +202,7 @@
         }
     }
 
-    fn comment(&mut self, comment: &[u8], names: &Names) {
+    fn comment(&mut self, comment: &[u8], names: &LabelIndex) {
         let Ok(text) = std::str::from_utf8(comment) else { return };
         if let Some((name, value)) = text.split_once(':') {
             if name.trim().eq_ignore_ascii_case(LOAD) {
@@ -211,7 +211,7 @@
         }
     }
 
-    fn finish(&mut self, reusable: bool, names: &Names, out: &mut Vec<Progress>) {
+    fn finish(&mut self, reusable: bool, names: &LabelIndex, out: &mut Vec<Progress>) {
         let outcome = of_answer(self.status, self.turned_away);
         if outcome == Outcome::Served {
             // A last line without the empty one behind it.
--- a/crates/pintally-platform/src/ask.rs
+++ b/crates/pintally-platform/src/ask.rs
@@ -3,7 +3,7 @@
 use pintally::interface::{Micros, RequestId};
 use pintally_host::{IncomingRequest, RequestNumber};
 use pintally_http::{header_line, Request};
-use pintally_wire::Names;
+use pintally_wire::LabelIndex;
 use serde::de::IgnoredAny;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
 }
 
 /// What a whole request asks for.
-pub fn call(names: &Names, ticket: RequestNumber, request: Request) -> Result<Call, Rejected> {
+pub fn call(names: &LabelIndex, ticket: RequestNumber, request: Request) -> Result<Call, Rejected> {
     let path = request.target.split('?').next().unwrap_or("");
     match (request.method.as_str(), path) {
         ("POST", WORK) => work(names, ticket, request).map(|ask| Call::Work(Box::new(ask))),
@@ -65,7 +65,7 @@
     }
 }
 
-fn work(names: &Names, ticket: RequestNumber, request: Request) -> Result<Ask, Rejected> {
+fn work(names: &LabelIndex, ticket: RequestNumber, request: Request) -> Result<Ask, Rejected> {
     let header = |name: &str| request.headers.get(name).map(str::trim);
     for name in ["x-txn", "x-lane", "x-remaining-ms", "x-entity", "x-labels"] {
         if request.headers.0.iter().filter(|(n, _)| n == name).count() > 1 {
--- a/crates/pintally-platform/src/config.rs
+++ b/crates/pintally-platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pintally_config::{ClassSettings, Limits as HostLimits, NodeSettings};
-use pintally_wire::Told;
+use pintally_wire::NodeConfiguration;
 use serde_json::Value;
 
 use crate::discovery::List;
@@ -36,7 +36,7 @@
     /// The list as this node last had it.
     pub known: Option<List>,
     /// The settings object.
-    pub told: Told,
+    pub told: NodeConfiguration,
 }
 
 /// The fewest descriptors and megabytes with which a node can do its work.
@@ -106,7 +106,7 @@
     pub fn node(&self) -> NodeSettings {
         let told = &self.told;
         let patience = |ms: u64| if ms == 0 { 60_000_000 } else { ms };
-        let held = match told.ways.max_open {
+        let held = match told.transport.max_open {
             0 => self.clients_most(),
             most => self.clients_most().min(most as usize),
         };
@@ -119,9 +119,9 @@
             receive_timeout: 2_500_000,
             write_timeout: 10_000_000,
             idle_timeout: 10_000_000,
-            connect_timeout: told.ways.connect_timeout,
+            connect_timeout: told.transport.connect_timeout,
             // Closed well before the engine may close it itself: what is written after that is lost.
-            keep_alive: told.ways.keep_alive / 2,
+            keep_alive: told.transport.keep_alive / 2,
             max_streams_per_engine: self.limits.sockets,
             // A call to let go that is not answered by then is counted as unheard; the next ones do not
             // wait for it.
@@ -152,7 +152,7 @@
             limits,
             core: told.settings.clone(),
             classes: told
-                .ways
+                .transport
                 .deadlines
                 .iter()
                 .map(|d| ClassSettings { default_client_timeout: patience(*d), max_tokens: 256 })
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -57,7 +57,7 @@
 
 /// What comes of a stream's bytes, one at a time: its events, its end, the memory that it reported.
 fn told(bytes: &[u8], closed: bool) -> (Vec<u8>, End, Option<f64>) {
-    let (names, mut reader, mut out) = (config().told.names, AnswerReader::default(), Vec::new());
+    let (names, mut reader, mut out) = (config().told.labels, AnswerReader::default(), Vec::new());
     bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut out));
     if closed {
         reader.closed(&names, &mut out);
@@ -113,7 +113,7 @@
 /// Guards against a second answer being taken for the next request's: all bytes come at once here.
 #[test]
 fn a_connection_with_bytes_left_over_is_not_used_again() {
-    let (names, mut reader, mut out) = (config().told.names, AnswerReader::default(), Vec::new());
+    let (names, mut reader, mut out) = (config().told.labels, AnswerReader::default(), Vec::new());
     let twice = [stream(&[TOKEN, DONE]), stream(&[TOKEN, DONE])].concat();
     reader.push(&twice, &names, &mut out);
     assert!(matches!(out.last(), Some(Progress::Over { outcome: Outcome::Served, reusable: false, .. })));
@@ -172,7 +172,7 @@
     let (config, mut reader) = (config(), RequestReader::new(MAX_HEAD, MAX_BODY));
     reader.push(format!("{head}content-length: {}\r\n\r\n{body}", body.len()).as_bytes());
     let request = reader.next_request().expect("it can be read").expect("it is whole");
-    pintally_platform::call(&config.told.names, 7, request)
+    pintally_platform::call(&config.told.labels, 7, request)
 }
 
 const LINE: &str = "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: service.internal\r\n";
@@ -344,7 +344,7 @@
     /// No bytes make a reader panic, serve or hold more than its bounds.
     #[test]
     fn hostile_bytes(noise in prop::collection::vec(any::<u8>(), 0..600), at in 0usize..400) {
-        let names = config().told.names;
+        let names = config().told.labels;
         let good = stream(&[TOKEN, USAGE, DONE]);
         let at = at.min(good.len());
         let mixed = [&good[..at], &noise[..], &good[at..]].concat();
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -58,7 +58,7 @@
 }
 
 fn call_of(bytes: &[u8]) -> Result<Call, Rejected> {
-    call(&configuration().told.names, 7, request(bytes))
+    call(&configuration().told.labels, 7, request(bytes))
 }
 
 #[test]
@@ -225,7 +225,8 @@
 
 /// What an engine's answer tells, as text; the answer comes one byte at a time.
 fn answer_text(bytes: &[u8]) -> String {
-    let (names, mut reader, mut progress) = (configuration().told.names, AnswerReader::default(), Vec::new());
+    let (names, mut reader, mut progress) =
+        (configuration().told.labels, AnswerReader::default(), Vec::new());
     bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut progress));
     let mut got = String::new();
     for one in progress {
--- a/crates/pintally-wire/src/labels.rs
+++ b/crates/pintally-wire/src/labels.rs
@@ -1,4 +1,4 @@
-//! Names and labels of events: classes, tenants, load fields, states of engines.
+//! LabelIndex and labels of events: classes, tenants, load fields, states of engines.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,23 @@
 
 /// What turns the names of an instance's events into indices.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct LabelIndex {
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
     fields: Vec<String>,
 }
 
-impl Names {
+impl LabelIndex {
     pub(crate) fn new<'a>(
         classes: impl Iterator<Item = &'a String>,
         tenants: impl Iterator<Item = &'a String>,
         fields: Vec<String>,
-    ) -> Names {
+    ) -> LabelIndex {
         let index = |names: &mut dyn Iterator<Item = &'a String>| {
             names.enumerate().map(|(i, n)| (n.clone(), i)).collect()
         };
         let (mut classes, mut tenants) = (classes, tenants);
-        Names { classes: index(&mut classes), tenants: index(&mut tenants), fields }
+        LabelIndex { classes: index(&mut classes), tenants: index(&mut tenants), fields }
     }
 
     /// The index of a class.
--- a/crates/pintally-wire/src/lib.rs
+++ b/crates/pintally-wire/src/lib.rs
@@ -6,8 +6,8 @@
 mod labels;
 mod settings;
 
-pub use labels::{listing, Entry, Names};
-pub use settings::{settings, Told, Ways};
+pub use labels::{listing, Entry, LabelIndex};
+pub use settings::{settings, NodeConfiguration, TransportSettings};
 
 use pintally::interface::Micros;
 
--- a/crates/pintally-wire/src/settings.rs
+++ b/crates/pintally-wire/src/settings.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::{count, micros, Names};
+use crate::{count, micros, LabelIndex};
 
 /// Where the settings name no time for letting go, what the platform's deployments are given, in
 /// microseconds: a state is never held without a deadline.
@@ -12,18 +12,18 @@
 
 /// All that a settings object tells.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct NodeConfiguration {
     /// What the decision core is told.
     pub settings: Settings,
     /// What turns names into indices.
-    pub names: Names,
+    pub labels: LabelIndex,
     /// What only a host with sockets needs.
-    pub ways: Ways,
+    pub transport: TransportSettings,
 }
 
 /// What only a host with sockets needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ways {
+pub struct TransportSettings {
     /// The longest time that clients of each class wait, in the order of the classes; 0 if not told.
     pub deadlines: Vec<Micros>,
     /// A connection that is not up by then has failed.
@@ -152,7 +152,7 @@
 }
 
 /// The settings of an instance; an error says what is missing or wrong.
-pub fn settings(conf: Value) -> Result<Told, String> {
+pub fn settings(conf: Value) -> Result<NodeConfiguration, String> {
     let conf: Conf = serde_json::from_value(conf).map_err(|e| format!("settings: {e}"))?;
     if conf.me >= conf.balancers {
         return Err(format!("settings: `me` is {}, outside the {} of `balancers`", conf.me, conf.balancers));
@@ -196,14 +196,14 @@
             late_weight_fraction: p.late_value,
         });
     }
-    let ways = Ways {
+    let transport = TransportSettings {
         deadlines: conf.profiles.iter().map(|p| micros(p.deadline)).collect(),
         connect_timeout: micros(conf.permissions.connect_timeout),
         keep_alive: micros(conf.permissions.keepalive),
         drain_grace: micros(conf.rules.stop_sending_within),
         max_open: count(Some(conf.permissions.max_open)),
     };
-    let names = Names::new(
+    let labels = LabelIndex::new(
         conf.profiles.iter().map(|p| &p.name),
         conf.accounts.iter().map(|a| &a.name),
         conf.feedback.fields,
@@ -239,7 +239,7 @@
         slow_start_duration: micros(conf.rules.warm_after),
         overload_factor: conf.rules.tip_multiple,
         overload_window: micros(conf.rules.overload_for),
-        connect_timeout: ways.connect_timeout,
+        connect_timeout: transport.connect_timeout,
         release_deadline: match micros(conf.family_info.let_go_by) {
             0 => LET_GO_BY,
             told => told,
@@ -247,5 +247,5 @@
         max_poll_interval: micros(conf.rules.ask_within),
         remembered_service_rates: [0.0; 3],
     };
-    Ok(Told { settings, names, ways })
+    Ok(NodeConfiguration { settings, labels, transport })
 }
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -1,12 +1,12 @@
 //! A golden settings object with every key and word, and the labels of load reports and lists.
 
 use pintally::interface::{DiscoveryMode, EndpointState, Idempotency, IdempotencyScope, LoadReporting, Role};
-use pintally_wire::{listing, settings, Told};
+use pintally_wire::{listing, settings, NodeConfiguration};
 use serde_json::Value;
 
 const SETTINGS: &str = include_str!("golden/settings.json");
 
-fn read(text: &str) -> Told {
+fn read(text: &str) -> NodeConfiguration {
     settings(serde_json::from_str::<Value>(text).expect("JSON")).expect("a sound object")
 }
 
@@ -51,10 +51,10 @@
 
 #[test]
 fn settings_of_sockets() {
-    let ways = read(SETTINGS).ways;
-    assert_eq!(ways.deadlines, [5_000_000, 0, 0, 0, 0]);
-    assert_eq!((ways.connect_timeout, ways.keep_alive), (200_000, 12_000_000));
-    assert_eq!((ways.drain_grace, ways.max_open), (800_000, 40));
+    let transport = read(SETTINGS).transport;
+    assert_eq!(transport.deadlines, [5_000_000, 0, 0, 0, 0]);
+    assert_eq!((transport.connect_timeout, transport.keep_alive), (200_000, 12_000_000));
+    assert_eq!((transport.drain_grace, transport.max_open), (800_000, 40));
 }
 
 #[test]
@@ -71,12 +71,12 @@
 
 #[test]
 fn labels() {
-    let names = read(SETTINGS).names;
-    assert_eq!((names.class("cell"), names.class("none")), (Some(4), None));
-    assert_eq!((names.tenant("acme"), names.tenant("none")), (Some(0), None));
-    let row = names.load(&[Some(0.5), Some(2.0), Some(0.25), Some(3.0), Some(9.0)]);
-    let pairs = names.load_of_pairs("busy=0.5, q=2,x0=0.25,x1=3,other=9").expect("a report");
-    let more = names.load_of_pairs("util=0.5,queue=2,x0=0.25,x1=3").expect("a report");
+    let labels = read(SETTINGS).labels;
+    assert_eq!((labels.class("cell"), labels.class("none")), (Some(4), None));
+    assert_eq!((labels.tenant("acme"), labels.tenant("none")), (Some(0), None));
+    let row = labels.load(&[Some(0.5), Some(2.0), Some(0.25), Some(3.0), Some(9.0)]);
+    let pairs = labels.load_of_pairs("busy=0.5, q=2,x0=0.25,x1=3,other=9").expect("a report");
+    let more = labels.load_of_pairs("util=0.5,queue=2,x0=0.25,x1=3").expect("a report");
     for load in [row, pairs, more] {
         assert_eq!((load.slots, load.queue), (Some(0.5), Some(2.0)));
         assert_eq!((load.memory, load.backlog), (Some(0.25), Some(3.0)));
