--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// An entry: the kind is the first letter of the name.
-pub fn member(name: &str, zone: &str, rack: u64) -> Endpoint {
+pub fn endpoint(name: &str, zone: &str, rack: u64) -> Endpoint {
     Endpoint {
         engine: engine(name),
         zone: zone.into(),
@@ -100,93 +100,99 @@
     pub router: Router,
     pub settings: Settings,
     pub now: Micros,
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
     classes: BTreeMap<RequestId, usize>,
     deadlines: BTreeMap<RequestId, Micros>,
-    members: BTreeMap<EngineId, Endpoint>,
+    endpoints: BTreeMap<EngineId, Endpoint>,
     /// Attempts by request: where, and the outcome once there is one.
     pub attempts: BTreeMap<RequestId, Vec<(EngineId, Micros, Option<Outcome>)>>,
-    pub finals: BTreeMap<RequestId, Action>,
+    pub final_answers: BTreeMap<RequestId, Action>,
     /// Served, broken or withdrawn: nothing more is owed.
     over: BTreeSet<RequestId>,
     /// Requests with a state that waits, and since when.
-    held: BTreeMap<RequestId, Micros>,
+    waiting_states: BTreeMap<RequestId, Micros>,
     started: BTreeSet<RequestId>,
     /// Timers that are to come due.
     timers: Vec<(Micros, Timer)>,
 }
 
 impl Node {
-    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Node {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Node {
         let mut node = Node {
             router: Router::new(settings.clone(), 7),
             settings,
             now: 1_000 * SECOND,
-            acts: vec![],
+            actions: vec![],
             classes: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            members: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            finals: BTreeMap::new(),
+            final_answers: BTreeMap::new(),
             over: BTreeSet::new(),
-            held: BTreeMap::new(),
+            waiting_states: BTreeMap::new(),
             started: BTreeSet::new(),
             timers: vec![],
         };
-        node.members(ListUpdate::Full, members);
+        node.update_endpoints(ListUpdate::Full, endpoints);
         node
     }
 
     /// Hands over an event and returns what it brought about, checked against the rules.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut acts = vec![];
-        self.router.handle(self.now, event, &mut acts);
-        for act in &acts {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = vec![];
+        self.router.handle(self.now, event, &mut actions);
+        for act in &actions {
             self.check(act);
         }
-        for (request, since) in &self.held {
+        for (request, since) in &self.waiting_states {
             let out = self.attempts[request].iter().any(|a| a.2.is_none());
             assert!(
                 out || self.now <= since + self.settings.release_deadline,
                 "state of {request:?} is left pinned"
             );
         }
-        self.acts.extend(acts.clone());
-        acts
+        self.actions.extend(actions.clone());
+        actions
     }
 
-    pub fn members(&mut self, form: ListUpdate, members: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(&mut self, form: ListUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
         if form == ListUpdate::Full {
-            for member in self.members.values_mut() {
+            for member in self.endpoints.values_mut() {
                 member.state = EndpointState::Gone;
             }
         }
-        for member in &members {
-            self.members.insert(member.engine.clone(), member.clone());
+        for member in &endpoints {
+            self.endpoints.insert(member.engine.clone(), member.clone());
         }
-        self.tell(Event::EndpointList(form, members))
+        self.handle(Event::EndpointList(form, endpoints))
     }
 
-    pub fn arrive(&mut self, request: Request) -> Vec<Action> {
+    pub fn request_arrived(&mut self, request: Request) -> Vec<Action> {
         self.classes.insert(request.id.clone(), request.class.unwrap_or(usize::MAX));
         self.deadlines.insert(request.id.clone(), self.now + request.client_timeout);
-        self.tell(Event::RequestArrived(request))
+        self.handle(Event::RequestArrived(request))
     }
 
     /// Ends the latest attempt of a request.
-    pub fn end(&mut self, name: &str, outcome: Outcome) -> Vec<Action> {
+    pub fn attempt_ended(&mut self, name: &str, outcome: Outcome) -> Vec<Action> {
         let attempt = self.attempts[&id(name)].len() - 1;
-        self.end_attempt(name, attempt, outcome, 0)
+        self.attempt_ended_with(name, attempt, outcome, 0)
     }
 
-    pub fn end_attempt(&mut self, name: &str, attempt: usize, outcome: Outcome, kept: u64) -> Vec<Action> {
+    pub fn attempt_ended_with(
+        &mut self,
+        name: &str,
+        attempt: usize,
+        outcome: Outcome,
+        kept: u64,
+    ) -> Vec<Action> {
         let request = id(name);
         let place = &mut self.attempts.get_mut(&request).unwrap()[attempt];
         assert!(place.2.is_none(), "an attempt ends once");
         place.2 = Some(outcome);
         if outcome == Outcome::Read {
-            self.held.insert(request.clone(), self.now);
-        } else if let Some(since) = self.held.get_mut(&request) {
+            self.waiting_states.insert(request.clone(), self.now);
+        } else if let Some(since) = self.waiting_states.get_mut(&request) {
             *since = self.now;
         }
         let broke = self.started.contains(&request);
@@ -194,11 +200,11 @@
         if last {
             self.over.insert(request.clone());
             if outcome == Outcome::Served || broke {
-                self.held.remove(&request);
+                self.waiting_states.remove(&request);
             }
         }
         let attempt = attempt as Attempt;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id: request,
             attempt,
             outcome,
@@ -210,51 +216,51 @@
 
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
         let attempt = self.attempts[&id(name)].len() as Attempt - 1;
-        self.held.remove(&id(name));
+        self.waiting_states.remove(&id(name));
         self.started.insert(id(name));
-        self.tell(Event::FirstToken(id(name), attempt))
+        self.handle(Event::FirstToken(id(name), attempt))
     }
 
-    pub fn withdraw(&mut self, name: &str) -> Vec<Action> {
+    pub fn client_left(&mut self, name: &str) -> Vec<Action> {
         self.over.insert(id(name));
-        if let Some(since) = self.held.get_mut(&id(name)) {
+        if let Some(since) = self.waiting_states.get_mut(&id(name)) {
             *since = self.now;
         }
-        self.tell(Event::ClientLeft(id(name)))
+        self.handle(Event::ClientLeft(id(name)))
     }
 
-    pub fn sweep(&mut self) -> Vec<Action> {
-        self.tell(Event::TimerFired(Timer::DispatchPending))
+    pub fn dispatch_pending(&mut self) -> Vec<Action> {
+        self.handle(Event::TimerFired(Timer::DispatchPending))
     }
 
     /// Fires the timers that have come due.
-    pub fn fire(&mut self) {
+    pub fn fire_due_timers(&mut self) {
         let due: Vec<_> = self.timers.iter().filter(|t| t.0 <= self.now).cloned().collect();
         self.timers.retain(|t| t.0 > self.now);
         for (_, timer) in due {
-            self.tell(Event::TimerFired(timer));
+            self.handle(Event::TimerFired(timer));
         }
     }
 
     /// Where the latest attempt of a request went.
-    pub fn at(&self, name: &str) -> Option<&str> {
+    pub fn engine_of(&self, name: &str) -> Option<&str> {
         self.attempts.get(&id(name)).and_then(|a| a.last()).map(|a| &*a.0 .0)
     }
 
     pub fn is_over(&self, request: &RequestId) -> bool {
-        self.over.contains(request) || self.finals.contains_key(request)
+        self.over.contains(request) || self.final_answers.contains_key(request)
     }
 
     /// Requests that are owed a final answer.
-    pub fn owed(&self) -> Vec<RequestId> {
+    pub fn unanswered(&self) -> Vec<RequestId> {
         self.classes.keys().filter(|r| !self.is_over(r) && !self.started.contains(*r)).cloned().collect()
     }
 
-    pub fn has_out(&self, request: &RequestId) -> bool {
+    pub fn has_attempt_in_flight(&self, request: &RequestId) -> bool {
         self.attempts.get(request).is_some_and(|a| a.iter().any(|a| a.2.is_none()))
     }
 
-    pub fn streams(&self, request: &RequestId) -> bool {
+    pub fn has_first_token(&self, request: &RequestId) -> bool {
         self.started.contains(request)
     }
 
@@ -263,11 +269,11 @@
     }
 
     fn role(&self, engine: &EngineId) -> Role {
-        let kind = &self.members[engine].kind;
+        let kind = &self.endpoints[engine].kind;
         self.settings.kinds.iter().find(|k| k.name == *kind).unwrap().role
     }
 
-    fn harmless(&self, attempt: &(EngineId, Micros, Option<Outcome>)) -> bool {
+    fn cannot_have_run(&self, attempt: &(EngineId, Micros, Option<Outcome>)) -> bool {
         let never_ran = matches!(
             attempt.2,
             Some(
@@ -290,18 +296,18 @@
             Action::Send(request, engine, timeout) => {
                 assert!(!self.is_over(request), "{request:?} is over and is sent");
                 assert!(*timeout > 0 && self.now < self.deadlines[request]);
-                let member = self.members[engine].clone();
+                let member = self.endpoints[engine].clone();
                 assert_eq!(member.state, EndpointState::Serving, "{engine:?} drains and is sent to");
                 let effect = self.effect(request);
                 let attempts = self.attempts.entry(request.clone()).or_default().clone();
                 assert!(attempts.len() < self.settings.max_attempts as usize);
                 assert!(attempts.iter().all(|a| a.2.is_some()), "two attempts of {request:?} are out");
-                if let Some(first) = attempts.iter().find(|a| !self.harmless(a)) {
+                if let Some(first) = attempts.iter().find(|a| !self.cannot_have_run(a)) {
                     match effect {
                         Idempotency::Idempotent => {}
                         Idempotency::NotIdempotent => panic!("{request:?} may have run and is sent again"),
                         Idempotency::WithKey(group, window) => {
-                            let from = &self.members[&first.0];
+                            let from = &self.endpoints[&first.0];
                             assert!(self.now <= first.1 + window, "outside the window");
                             assert!(match group {
                                 IdempotencyScope::All => true,
@@ -317,7 +323,7 @@
             Action::Reject(request, _) => {
                 self.answer(request, act);
                 let attempts = self.attempts.get(request).cloned().unwrap_or_default();
-                let may_have_run = attempts.iter().any(|a| !self.harmless(a));
+                let may_have_run = attempts.iter().any(|a| !self.cannot_have_run(a));
                 let allowed = match self.effect(request) {
                     Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
                     _ => !may_have_run,
@@ -326,7 +332,7 @@
             }
             Action::Fail(request) => self.answer(request, act),
             Action::Release(request) => {
-                self.held.remove(request);
+                self.waiting_states.remove(request);
             }
             Action::Cancel(request, attempt) => {
                 assert!(self.settings.cancellation_allowed);
@@ -334,7 +340,7 @@
             }
             Action::HealthCheck(engine) => {
                 assert!(self.settings.health_checks_allowed);
-                assert!(self.members.contains_key(engine));
+                assert!(self.endpoints.contains_key(engine));
             }
             Action::SetTimer(timer, after) => {
                 assert!(*after > 0);
@@ -348,6 +354,6 @@
     fn answer(&mut self, request: &RequestId, act: &Action) {
         assert!(!self.is_over(request), "{request:?} has two final answers");
         assert!(self.now <= self.deadlines[request] + 16 * MS, "{request:?} is answered late");
-        self.finals.insert(request.clone(), act.clone());
+        self.final_answers.insert(request.clone(), act.clone());
     }
 }
--- /dev/null
+++ b/tests/policy/health_checks.rs
@@ -0,0 +1,92 @@
+//! Health checks before reads and writes.
+
+use crate::common::*;
+use crate::fixtures::{fleet, pair, serve, session_of};
+use pintally::interface::*;
+
+/// One of many nodes, at a site where probes are allowed.
+fn one_of_many() -> Settings {
+    Settings { nodes: 100, health_checks_allowed: true, ..settings() }
+}
+
+fn health_checked(actions: &[Action]) -> Vec<&str> {
+    actions.iter().filter_map(|a| if let Action::HealthCheck(e) = a { Some(&*e.0) } else { None }).collect()
+}
+
+#[test]
+fn request_with_little_time_does_not_wait_for_health_check() {
+    let shape = Settings { nodes: 100, health_checks_allowed: true, ..settings() };
+    for patience in [20 * MS, 90 * MS, 2 * SECOND] {
+        let mut node = Node::new(shape.clone(), fleet());
+        node.request_arrived(Request { client_timeout: patience, ..request("a", 0, 1) });
+        let held = node.engine_of("a").is_none() && !node.final_answers.contains_key(&id("a"));
+        assert_eq!(held, patience > SECOND, "with {patience} us left");
+    }
+}
+
+#[test]
+fn health_checks_are_paid_for_by_own_traffic() {
+    let shape = Settings { reports: LoadReporting::OnHealthCheck, ..one_of_many() };
+    let endpoints = (0..60).map(|i| endpoint(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
+    let mut node = Node::new(shape, endpoints);
+    let mut all = 0;
+    for _ in 0..100 {
+        node.now += 500 * MS;
+        all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
+    }
+    assert_eq!(all, 0, "without traffic there are no probes");
+    for i in 0..100 {
+        let name = format!("a{i}");
+        let arrival = node.request_arrived(request(&name, 0, i));
+        all += health_checked(&arrival).len();
+        node.now += 60 * MS;
+        all += health_checked(&node.dispatch_pending()).len();
+        node.attempt_ended(&name, Outcome::Read);
+        node.now += 500 * MS;
+        all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
+    }
+    assert!((100..=600).contains(&all), "{all} probes for 100 requests");
+}
+
+#[test]
+fn one_of_many_nodes_checks_readers_before_a_read() {
+    let endpoints = vec![endpoint("r1", "near", 1), endpoint("r2", "near", 1), endpoint("w1", "near", 1)];
+    let session = session_of("r1", &endpoints);
+    for (nodes, queue, expected) in [(100, 0.0, Some("r1")), (100, 20.0, Some("r2")), (2, 0.0, Some("r1"))] {
+        let mut node = Node::new(Settings { nodes, ..one_of_many() }, endpoints.clone());
+        node.request_arrived(request("usual", 0, 900));
+        node.now += 60 * MS;
+        node.dispatch_pending();
+        serve(&mut node, "usual");
+        node.now += 5 * SECOND;
+        let actions = node.request_arrived(request("a", 0, session));
+        assert_eq!(health_checked(&actions).contains(&"r1"), nodes > 10);
+        for (name, waits) in [("r1", queue), ("r2", 0.0)] {
+            let load = LoadReport { queue: Some(waits), slots: Some(0.5), ..LoadReport::default() };
+            node.handle(Event::HealthChecked(engine(name), true, Some(load)));
+        }
+        assert_eq!(node.engine_of("a"), expected, "{nodes} nodes, {queue} wait");
+    }
+}
+
+#[test]
+fn unanswered_health_check_delays_read_briefly() {
+    let mut node = Node::new(one_of_many(), pair());
+    node.request_arrived(request("a", 0, 1));
+    assert_eq!(node.engine_of("a"), None);
+    node.now += 50 * MS;
+    node.dispatch_pending();
+    assert_eq!(node.engine_of("a"), Some("r1"));
+}
+
+#[test]
+fn burst_does_not_wait_for_health_checks() {
+    let mut node = Node::new(one_of_many(), fleet());
+    for i in 0..200 {
+        node.request_arrived(request(&format!("a{i}"), 0, i));
+    }
+    let names = (0..200).map(|i| format!("a{i}"));
+    let held =
+        names.filter(|n| node.engine_of(n).is_none() && !node.final_answers.contains_key(&id(n))).count();
+    assert!(held <= 4, "{held} of a burst wait for probes, each looked at again at every event");
+}
--- /dev/null
+++ b/tests/policy/main.rs
@@ -0,0 +1,16 @@
+//! The decisions of the router, file by file as in `src/policy/`.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod fixtures;
+
+mod admission;
+mod endpoints;
+mod health_checks;
+mod outlier_ejection;
+mod prefix_affinity;
+mod request_flow;
+mod retries;
+mod slow_start;
+mod spill;
+mod writer_choice;
--- /dev/null
+++ b/tests/policy/slow_start.rs
@@ -0,0 +1,164 @@
+//! The budget of engines that have just started.
+
+use crate::common::*;
+use crate::fixtures::{key_of, pair, serve};
+use pintally::interface::*;
+
+/// The sends that all nodes together make to a cold engine `target`, by time, where each node has a
+/// request every `gap`; with `known` each has served for a minute before the engine starts.
+fn sends_during_slow_start(
+    nodes: u32,
+    gap: Micros,
+    target: &str,
+    known: bool,
+    prefix: Option<u64>,
+) -> Vec<Micros> {
+    let mut sends = vec![];
+    for number in 0..nodes {
+        let writers = if target == "m2" { ["m1", "m2"] } else { ["w1", "w2"] };
+        let names = ["r1", "r2"].iter().chain(&writers);
+        let endpoints = names.map(|name| endpoint(name, "near", 1)).collect();
+        let mut node = Node::new(Settings { node: number, nodes, ..settings() }, endpoints);
+        let begin = node.now + if known { 60 * SECOND } else { 0 };
+        node.now += gap * Micros::from(number) / Micros::from(nodes);
+        let mut told = false;
+        for turn in 0.. {
+            if node.now >= begin && !told {
+                told = true;
+                let cold = Endpoint { started: Some(begin), ..endpoint(target, "near", 1) };
+                node.update_endpoints(ListUpdate::Delta, vec![cold]);
+            }
+            if node.now >= begin + 9 * SECOND {
+                break;
+            }
+            let name = format!("a{turn}");
+            let prefix_tokens = prefix.map_or(0, |_| 1_500);
+            node.request_arrived(Request {
+                prefix,
+                prefix_tokens,
+                ..request(&name, 0, u64::from(number) << 32 | turn)
+            });
+            sends.extend((told && node.engine_of(&name) == Some(target)).then_some(node.now));
+            if node.engine_of(&name).is_some_and(|at| at.starts_with('r')) {
+                node.attempt_ended(&name, Outcome::Read);
+                sends.extend((told && node.engine_of(&name) == Some(target)).then_some(node.now));
+            }
+            node.first_token(&name);
+            node.attempt_ended(&name, Outcome::Served);
+            let next = node.now + gap;
+            while node.now < next {
+                node.now = next.min(node.now + 100 * MS);
+                node.fire_due_timers();
+            }
+        }
+    }
+    sends
+}
+
+#[test]
+fn engine_gets_few_requests_during_slow_start() {
+    let started = |node: &Node| Some(node.now);
+    let mut node = Node::new(settings(), pair());
+    let cold = Endpoint { started: started(&node), ..endpoint("r2", "near", 1) };
+    node.update_endpoints(ListUpdate::Delta, vec![cold]);
+    let mut sends = 0;
+    for session in 0..40 {
+        let name = format!("c{session}");
+        node.request_arrived(request(&name, 0, session));
+        sends += usize::from(node.engine_of(&name) == Some("r2"));
+        serve(&mut node, &name);
+    }
+    // 40 requests in 6.8 s: four windows of 2 s at the most.
+    assert!((1..=4).contains(&sends), "{sends} sends to a cold engine");
+    node.now += 20 * SECOND;
+    let mut sends = 0;
+    for session in 0..40 {
+        let name = format!("d{session}");
+        node.request_arrived(request(&name, 0, 100 + session));
+        sends += usize::from(node.engine_of(&name) == Some("r2"));
+        serve(&mut node, &name);
+    }
+    assert!(sends > 8, "{sends} sends to an engine that is warm again");
+}
+
+#[test]
+fn engine_that_returns_unannounced_enters_slow_start() {
+    let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
+    // One that restarts refuses connections meanwhile, time and again.
+    node.request_arrived(request("a", 0, 1));
+    node.attempt_ended("a", Outcome::Unreachable);
+    node.attempt_ended("a", Outcome::Unreachable);
+    node.client_left("a");
+    node.attempt_ended("a", Outcome::Cancelled);
+    node.now += 10 * SECOND;
+    node.request_arrived(request("b", 0, 2));
+    serve(&mut node, "b");
+    node.request_arrived(request("c", 0, 3));
+    assert_eq!(node.engine_of("c"), None, "its budget for this window is used up");
+}
+
+#[test]
+fn single_broken_connection_does_not_start_slow_start() {
+    // On sockets a day of resets under sound engines had all fourteen count as cold from start to end.
+    for outcome in [Outcome::ConnectionBroken, Outcome::Unreachable] {
+        let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
+        for round in 0..20 {
+            let (name, next) = (format!("a{round}"), format!("b{round}"));
+            node.request_arrived(request(&name, 0, round));
+            node.attempt_ended(&name, outcome);
+            serve(&mut node, &name);
+            node.request_arrived(request(&next, 0, 100 + round));
+            assert_eq!(node.engine_of(&next), Some("r1"), "{outcome:?}, round {round}");
+            node.attempt_ended(&next, Outcome::Read);
+            assert_eq!(node.engine_of(&next), Some("w1"), "{outcome:?}, round {round}");
+            // The writer's first break is no strike either: the next state goes there at once.
+            node.attempt_ended(&next, outcome);
+            node.client_left(&next);
+            node.now += SECOND;
+        }
+    }
+}
+
+#[test]
+fn slow_start_budget_holds_over_all_nodes() {
+    // Nodes, time between the requests of one, whether they know the usual rates.
+    let cases = [(1, 200 * MS), (3, 400 * MS), (40, SECOND), (200, 4 * SECOND)];
+    let targets = [("r2", true), ("w2", true), ("m2", true), ("r2", false), ("w2", false), ("m2", false)];
+    for ((nodes, gap), (target, known)) in cases.iter().flat_map(|c| targets.map(|t| (*c, t))) {
+        let shape = settings();
+        // Two engines share the requests; each could do a good deal more than it answers here.
+        let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
+        let window = shape.overload_window;
+        let budget = shape.overload_factor * shape.slow_start_min_capacity * capacity * window as f64 / 1e6;
+        let sends = sends_during_slow_start(nodes, gap, target, known, None);
+        let within = |from: Micros| sends.iter().filter(|at| (from..from + window).contains(at)).count();
+        let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
+        assert!(most as f64 <= budget + 1.0, "{most} sends to {target}, {nodes} nodes, budget {budget:.1}");
+        assert!(!known || most > 0, "{nodes} nodes never warm {target}");
+    }
+}
+
+#[test]
+fn hot_prefix_does_not_overload_replica_in_slow_start() {
+    // A recorded rule broken: 26 of 46 nodes each sent one prompt of a hot beginning to its home within 1.5 s of
+    // its start. Reads are spread only where prompts begin differently.
+    let endpoints: Vec<Endpoint> = ["r1", "r2", "w1", "w2"].map(|name| endpoint(name, "near", 1)).into();
+    let key = key_of(&["r2"], &endpoints, |key| Request {
+        prefix: Some(key),
+        prefix_tokens: 1_500,
+        ..request("x", 0, 1)
+    });
+    for (nodes, gap) in [(40, SECOND), (200, 4 * SECOND)] {
+        let shape = settings();
+        let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
+        let budget =
+            shape.overload_factor * shape.slow_start_min_capacity * capacity * shape.overload_window as f64
+                / 1e6;
+        let sends = sends_during_slow_start(nodes, gap, "r2", true, Some(key));
+        let within = |from: Micros| {
+            sends.iter().filter(|at| (from..from + shape.overload_window).contains(at)).count()
+        };
+        let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
+        assert!(most > 0 && most as f64 <= budget, "{most} sends, {nodes} nodes, budget {budget:.1}");
+    }
+}
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -67,12 +67,15 @@
 
 fn entry(index: usize) -> Endpoint {
     let zone = if index < 4 { "near" } else { "far" };
-    member(names()[index], zone, index as u64 / 2)
+    endpoint(names()[index], zone, index as u64 / 2)
 }
 
 /// Requests with an attempt out, in a fixed order.
 fn out(node: &Node, streaming: bool) -> Vec<RequestId> {
-    let all = node.attempts.keys().filter(|r| node.has_out(r) && node.streams(r) == streaming);
+    let all = node
+        .attempts
+        .keys()
+        .filter(|r| node.has_attempt_in_flight(r) && node.has_first_token(r) == streaming);
     all.cloned().collect()
 }
 
@@ -87,10 +90,10 @@
         node.now = until.min(node.now + 10 * MS);
         for request in out(node, false) {
             if node.now >= node.deadline(&request) {
-                node.end(&request.0, Outcome::TimedOut);
+                node.attempt_ended(&request.0, Outcome::TimedOut);
             }
         }
-        node.fire();
+        node.fire_due_timers();
     }
 }
 
@@ -99,7 +102,7 @@
     for (number, step) in steps.iter().enumerate() {
         match step.clone() {
             Step::Arrive { class, session, prefix, tokens, patience } => {
-                node.arrive(Request {
+                node.request_arrived(Request {
                     class: (class < 3).then_some(class),
                     tenant: (session % 2 == 0).then_some(0),
                     prefix: (prefix > 0).then_some(prefix),
@@ -129,7 +132,7 @@
                     _ => Outcome::TimedOut,
                 };
                 let attempt = node.attempts[&request].len() - 1;
-                node.end_attempt(&request.0, attempt, outcome, kept);
+                node.attempt_ended_with(&request.0, attempt, outcome, kept);
             }
             Step::First { which } => {
                 let open: Vec<_> = out(&node, false).into_iter().filter(|r| !reads(&node, r)).collect();
@@ -138,9 +141,9 @@
                 }
             }
             Step::Withdraw { which } => {
-                let owed = node.owed();
+                let owed = node.unanswered();
                 if let Some(request) = owed.get(which % owed.len().max(1)) {
-                    node.withdraw(&request.0.clone());
+                    node.client_left(&request.0.clone());
                 }
             }
             Step::List { full, engine, listing, restarted } => {
@@ -148,19 +151,26 @@
                 let started = restarted.then_some(node.now);
                 let changed = Endpoint { state: listing, started, ..entry(engine) };
                 match full {
-                    true => node.members(ListUpdate::Full, (0..engine).map(entry).chain([changed]).collect()),
-                    false => node.members(ListUpdate::Delta, vec![changed]),
+                    true => node.update_endpoints(
+                        ListUpdate::Full,
+                        (0..engine).map(entry).chain([changed]).collect(),
+                    ),
+                    false => node.update_endpoints(ListUpdate::Delta, vec![changed]),
                 };
             }
             Step::Fire { watch } => {
-                node.tell(Event::TimerFired(if watch { Timer::Maintenance } else { Timer::DispatchPending }));
+                node.handle(Event::TimerFired(if watch {
+                    Timer::Maintenance
+                } else {
+                    Timer::DispatchPending
+                }));
             }
             Step::Pass { span } => pass(&mut node, span),
         }
     }
     pass(&mut node, 8 * SECOND);
-    assert_eq!(node.owed(), Vec::<RequestId>::new(), "every request has its final answer");
-    node.acts
+    assert_eq!(node.unanswered(), Vec::<RequestId>::new(), "every request has its final answer");
+    node.actions
 }
 
 fn runner() -> TestRunner {
--- a/tests/cold_admission.rs
+++ b/tests/slow_start_budget.rs
@@ -48,7 +48,7 @@
 
 fn engines(from: usize, to: usize, started: Option<Micros>) -> Vec<Endpoint> {
     let names = (from..to).flat_map(|i| [(format!("r{i}"), i), (format!("w{i}"), i)]);
-    names.map(|(name, i)| Endpoint { started, ..member(&name, "near", (i % 2) as u64) }).collect()
+    names.map(|(name, i)| Endpoint { started, ..endpoint(&name, "near", (i % 2) as u64) }).collect()
 }
 
 /// How much of the traffic each node sees: some see several times the mean.
@@ -93,7 +93,10 @@
                 node.now = now;
                 under_way.clear();
             }
-            node.members(ListUpdate::Delta, engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)));
+            node.update_endpoints(
+                ListUpdate::Delta,
+                engines(WARM_ENGINES, WARM_ENGINES + COLD_ENGINES, Some(start)),
+            );
         }
         let wanted = rate * if told { BURST } else { 1.0 } * STEP as f64 / 1e6;
         let whole = wanted.floor() as usize;
@@ -102,16 +105,16 @@
         for _ in 0..many {
             serial += 1;
             let name = format!("n{number}-{serial}");
-            node.arrive(drawn_request(&name, scenario, fresh, &mut dice));
+            node.request_arrived(drawn_request(&name, scenario, fresh, &mut dice));
         }
-        node.fire();
+        node.fire_due_timers();
         for (_, name) in extract_due(&mut under_way, node.now) {
-            let reads = node.at(&name).is_some_and(|at| at.starts_with('r'));
+            let reads = node.engine_of(&name).is_some_and(|at| at.starts_with('r'));
             if reads {
-                node.end(&name, Outcome::Read);
+                node.attempt_ended(&name, Outcome::Read);
             } else {
                 node.first_token(&name);
-                node.end(&name, Outcome::Served);
+                node.attempt_ended(&name, Outcome::Served);
             }
         }
         let fresh = node.attempts.iter().filter(|(id, all)| !seen.contains(&((*id).clone(), all.len())));
