--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -1,5 +1,7 @@
-//! Attempts of a request: whether one may be sent, may still start when its connection is up, and
-//! whether the request may be refused.
+//! Guards of attempts and rejections.
+//!
+//! They decide whether an attempt may be sent, whether it may still start when its connection comes up,
+//! and whether a request may be rejected.
 
 use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 
@@ -16,31 +18,31 @@
     pub rack: u64,
 }
 
-/// What is known of a request.
+/// The state of a request that the guards depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
-    /// What running it twice would do.
-    pub effect: Idempotency,
-    /// Its final answer is given, or its client has left.
-    pub over: bool,
-    /// An attempt of it is out.
-    pub attempt_out: bool,
-    /// Attempts that it has had.
+    /// Whether running it twice is harmless, and where.
+    pub idempotency: Idempotency,
+    /// The final answer was given or the client has left.
+    pub closed: bool,
+    /// An attempt is in flight.
+    pub attempt_in_flight: bool,
+    /// Attempts made so far.
     pub attempts: u32,
-    /// The most attempts that it may have.
+    /// Limit of attempts.
     pub max_attempts: u32,
-    /// The client's time is up then.
+    /// Time at which the client gives up.
     pub deadline: Micros,
-    /// Its first attempt that may have run; one at a reader has no effect and is none.
+    /// The first attempt that may have run. Attempts at readers have no effect and never appear here.
     pub may_have_run: Option<&'a MayHaveRun>,
 }
 
-/// What is known of an engine.
+/// The state of an engine that the guards depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFacts<'a> {
-    /// What the list says of it.
+    /// Its state in the endpoint list.
     pub listing: EndpointState,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its zone.
     pub zone: &'a str,
@@ -48,12 +50,16 @@
     pub rack: u64,
 }
 
-/// Whether an attempt of a request may be sent to an engine now.
+/// Checks that an attempt of a request may be sent to an engine now.
+///
+/// # Errors
+///
+/// The first rule that the attempt would break.
 pub fn may_send(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
-    if request.over {
+    if request.closed {
         return Err(Denial::RequestOver);
     }
-    if request.attempt_out {
+    if request.attempt_in_flight {
         return Err(Denial::AttemptOut);
     }
     if request.attempts >= request.max_attempts {
@@ -62,9 +68,14 @@
     may_start(now, request, engine)
 }
 
-/// Whether an attempt that was allowed may still start now, as when its connection has come up late.
+/// Checks that an attempt that was allowed earlier may still start now, for example after its connection
+/// came up late.
+///
+/// # Errors
+///
+/// The first rule that the attempt would break.
 pub fn may_start(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
-    if request.over {
+    if request.closed {
         return Err(Denial::RequestOver);
     }
     if engine.listing != EndpointState::Serving {
@@ -80,18 +91,19 @@
     may_repeat(now, request, engine)
 }
 
+/// Checks that running the request at this engine is harmless even if its first attempt ran.
 fn may_repeat(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
     let Some(first) = request.may_have_run else { return Ok(()) };
-    match request.effect {
+    match request.idempotency {
         Idempotency::Idempotent => Ok(()),
         Idempotency::NotIdempotent => Err(Denial::MayRunTwice),
-        Idempotency::WithKey(group, window) => {
-            let inside = match group {
+        Idempotency::WithKey(scope, window) => {
+            let in_scope = match scope {
                 IdempotencyScope::All => true,
                 IdempotencyScope::Zone => first.zone == engine.zone,
                 IdempotencyScope::Rack => first.rack == engine.rack,
             };
-            if !inside {
+            if !in_scope {
                 return Err(Denial::OutsideGroup);
             }
             if now >= first.sent.saturating_add(window) {
@@ -102,14 +114,18 @@
     }
 }
 
-/// Whether a request may be refused: a refusal tells the client that trying again is harmless.
-pub fn may_refuse(request: &RequestFacts<'_>) -> Result<(), Denial> {
-    let harmless = match request.effect {
+/// Checks that a request may be rejected: a rejection promises the client that a retry is harmless.
+///
+/// # Errors
+///
+/// [`Denial::RejectionAfterEffect`] if an attempt may have run and a retry could run the request twice.
+pub fn may_reject(request: &RequestFacts<'_>) -> Result<(), Denial> {
+    let harmless = match request.idempotency {
         Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
         Idempotency::WithKey(..) | Idempotency::NotIdempotent => request.may_have_run.is_none(),
     };
-    match harmless {
-        true => Ok(()),
-        false => Err(Denial::RefusalAfterEffect),
+    if !harmless {
+        return Err(Denial::RejectionAfterEffect);
     }
+    Ok(())
 }
--- a/crates/pintally-guards/src/connection.rs
+++ b/crates/pintally-guards/src/connection.rs
@@ -1,32 +1,32 @@
-//! Clients' connections: whether one may be closed now, for a stated reason.
+//! Guard of client connections: whether one may be closed now, for a stated reason.
 
 use crate::Denial;
 
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The client has ended or reset it.
+    /// The client closed or reset it.
     ClientLeft,
-    /// Nothing can be written to it any more.
+    /// Writing to it failed.
     Broken,
-    /// Its client takes nothing of what is written, for longer than it may.
+    /// The client has read nothing for longer than the write timeout.
     Stuck,
-    /// An answer that had begun is cut off: its end without a last chunk says so.
+    /// A streamed answer was aborted; the missing last chunk signals it to the client.
     StreamCut,
-    /// It has rested for long enough.
+    /// The keep-alive timeout expired.
     Idle,
-    /// It never brought a request.
+    /// No request arrived on it in time.
     Silent,
-    /// All of its last answer is written, and its client has had the time to read it.
+    /// Its last answer is completely written and the client had time to read it.
     Answered,
-    /// The node ends.
+    /// The node shuts down.
     Stopping,
-    /// Descriptors run low.
+    /// File descriptors run low.
     Evicted,
 }
 
 impl CloseReason {
-    /// All of them, in the order in which they are counted.
+    /// All reasons, in the order of their counts.
     pub const ALL: [CloseReason; 9] = [
         CloseReason::ClientLeft,
         CloseReason::Broken,
@@ -39,7 +39,7 @@
         CloseReason::Evicted,
     ];
 
-    /// Its name in logs and on status pages.
+    /// The name in logs and status documents.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientLeft => "client_left",
@@ -54,28 +54,34 @@
         }
     }
 
-    /// Whether nothing can be owed on the connection any more, whatever is left on it.
-    fn ends_what_is_owed(self) -> bool {
+    /// Whether a close for this reason leaves nobody to whom an answer could still be delivered.
+    fn voids_owed_answers(self) -> bool {
         use CloseReason::{Broken, ClientLeft, StreamCut, Stuck};
         matches!(self, ClientLeft | Broken | Stuck | StreamCut)
     }
 }
 
-/// What is known of a client's connection.
+/// The state of a client connection that the guard depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionFacts {
-    /// A request of it is held.
+    /// A request of the connection is in flight.
     pub answer_owed: bool,
-    /// Bytes of answers that have not been written to it.
+    /// Bytes of answers not yet written.
     pub unwritten: usize,
-    /// Bytes have come that nobody has looked at, and something may still be answered on it.
+    /// Received bytes are not parsed yet, and the connection may still answer a request.
     pub unread: bool,
 }
 
-/// Whether a client's connection may be closed now. Guards, on every path that closes one, against an
-/// answer that is dropped half written, and against a request that was sent and is closed on unread.
+/// Checks that a client connection may be closed now.
+///
+/// Guards every path that closes a connection against dropping an answer that is half written, and against
+/// closing on a request that was sent and not read.
+///
+/// # Errors
+///
+/// The first kind of pending data found on the connection.
 pub fn may_close(connection: &ConnectionFacts, reason: CloseReason) -> Result<(), Denial> {
-    if reason.ends_what_is_owed() {
+    if reason.voids_owed_answers() {
         return Ok(());
     }
     if connection.answer_owed {
--- a/crates/pintally-guards/src/counts.rs
+++ b/crates/pintally-guards/src/counts.rs
@@ -1,13 +1,13 @@
-//! Counts by kind, for status pages and for whoever judges a run.
+//! Counters by kind, for status documents and the checks of simulated runs.
 
 use crate::{CloseReason, Denial};
 
-/// Something that is counted by kind.
+/// An enumeration whose variants are counted.
 pub trait Counted: Copy + Eq + 'static {
-    /// All kinds.
+    /// All variants.
     const KINDS: &'static [Self];
 
-    /// The kind's name.
+    /// The variant's name in status documents.
     fn kind_name(self) -> &'static str;
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// How often each kind was counted.
+/// A counter for each variant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counts<K: Counted> {
     counts: Vec<u64>,
     kinds: std::marker::PhantomData<K>,
 }
 
-/// How often something was denied.
+/// Violations prevented by the guards, by rule.
 pub type Denials = Counts<Denial>;
 
 impl<K: Counted> Default for Counts<K> {
@@ -44,24 +44,24 @@
 }
 
 impl<K: Counted> Counts<K> {
-    /// One more of a kind.
+    /// Increments the counter of a kind.
     pub fn add(&mut self, kind: K) {
-        if let Some(at) = K::KINDS.iter().position(|k| *k == kind) {
-            self.counts[at] += 1;
+        if let Some(index) = K::KINDS.iter().position(|k| *k == kind) {
+            self.counts[index] += 1;
         }
     }
 
-    /// How many of a kind there were.
+    /// The count of a kind.
     pub fn of(&self, kind: K) -> u64 {
-        K::KINDS.iter().position(|k| *k == kind).map_or(0, |at| self.counts[at])
+        K::KINDS.iter().position(|k| *k == kind).map_or(0, |index| self.counts[index])
     }
 
-    /// How many there were of all kinds.
+    /// The sum over all kinds.
     pub fn total(&self) -> u64 {
         self.counts.iter().sum()
     }
 
-    /// The kinds that were counted at all, by name.
+    /// Names and counts of the kinds that were counted at least once.
     pub fn by_name(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let all = K::KINDS.iter().zip(&self.counts).map(|(kind, count)| (kind.kind_name(), *count));
         all.filter(|(_, count)| *count > 0)
--- a/crates/pintally-guards/src/lib.rs
+++ b/crates/pintally-guards/src/lib.rs
@@ -1,50 +1,53 @@
-//! Whether something may be done now: the rules on requests as functions of plain facts.
+//! Send and close guards: the invariants of requests and client connections as pure functions.
 //!
-//! The decision module chooses what to do. Before it is done, whoever carries it out asks here, whatever
-//! path led there (a first attempt, a retry, a late connection, a shutdown, a reload, an eviction). A denial
-//! is an error of ours: nothing is done then, and it is counted and logged.
+//! The decision core chooses what to do. The code that carries it out checks the guard first, whatever path
+//! led there (a first attempt, a retry, a late connection, a shutdown, a reload, an eviction). A denial means
+//! that a violation was prevented: the action is not carried out, and the denial is counted and logged as a
+//! defect of the router.
+
+#![deny(missing_docs)]
 
 mod attempt;
 mod connection;
 mod counts;
 
-pub use attempt::{may_refuse, may_send, may_start, EngineFacts, MayHaveRun, RequestFacts};
+pub use attempt::{may_reject, may_send, may_start, EngineFacts, MayHaveRun, RequestFacts};
 pub use connection::{may_close, CloseReason, ConnectionFacts};
 pub use counts::{Counted, Counts, Denials};
 
 use std::fmt;
 
-/// Why something must not be done now.
+/// The rule that an action would break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
-    /// The request has its final answer, or its client has left.
+    /// The request has its final answer or its client has left.
     RequestOver,
-    /// Another attempt of the request is out.
+    /// Another attempt of the request is in flight.
     AttemptOut,
-    /// The engine drains or has left the list.
+    /// The engine is draining or no longer listed.
     EngineNotServing,
-    /// An earlier attempt may have run and the class must not run twice.
+    /// An earlier attempt may have run and the request is not idempotent.
     MayRunTwice,
-    /// An earlier attempt may have run, and this engine does not drop repeats of it.
+    /// An earlier attempt may have run, and this engine is outside the scope of its idempotency key.
     OutsideGroup,
-    /// An earlier attempt may have run, and repeats are not dropped any more.
+    /// An earlier attempt may have run, and the window of its idempotency key has expired.
     WindowOver,
-    /// The client's time is up.
+    /// The deadline of the request has passed.
     NoTimeLeft,
-    /// The request has had all its attempts.
+    /// The limit of attempts is reached.
     AttemptsSpent,
-    /// A refusal promises no effect, and an attempt may have had one.
-    RefusalAfterEffect,
-    /// A request is held on the connection, and its answer is owed.
+    /// A rejection promises that nothing ran, and an attempt may have run.
+    RejectionAfterEffect,
+    /// A request of the connection is in flight.
     AnswerOwed,
-    /// Part of an answer has not been written to the connection.
+    /// Part of an answer is not written to the connection yet.
     AnswerUnwritten,
-    /// A request waits unread on the connection.
+    /// A request on the connection has not been read.
     RequestUnread,
 }
 
 impl Denial {
-    /// All of them, in the order in which they are counted.
+    /// All denials, in the order of their counts.
     pub const ALL: [Denial; 12] = [
         Denial::RequestOver,
         Denial::AttemptOut,
@@ -54,13 +57,13 @@
         Denial::WindowOver,
         Denial::NoTimeLeft,
         Denial::AttemptsSpent,
-        Denial::RefusalAfterEffect,
+        Denial::RejectionAfterEffect,
         Denial::AnswerOwed,
         Denial::AnswerUnwritten,
         Denial::RequestUnread,
     ];
 
-    /// Its name in logs and on status pages.
+    /// The name in logs and status documents.
     pub fn name(self) -> &'static str {
         match self {
             Denial::RequestOver => "request_over",
@@ -71,7 +74,7 @@
             Denial::WindowOver => "window_over",
             Denial::NoTimeLeft => "no_time_left",
             Denial::AttemptsSpent => "attempts_spent",
-            Denial::RefusalAfterEffect => "refusal_after_effect",
+            Denial::RejectionAfterEffect => "refusal_after_effect",
             Denial::AnswerOwed => "answer_owed",
             Denial::AnswerUnwritten => "answer_unwritten",
             Denial::RequestUnread => "request_unread",
--- a/crates/pintally-guards/tests/permits.rs
+++ b/crates/pintally-guards/tests/guards.rs
@@ -1,8 +1,8 @@
-//! The rules, each by a case that must be denied and its neighbour that must not.
+//! Each guard by a case that it must deny and the nearest case that it must allow.
 
 use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 use pintally_guards::{
-    may_close, may_refuse, may_send, may_start, CloseReason, ConnectionFacts, Denial, Denials, EngineFacts,
+    may_close, may_reject, may_send, may_start, CloseReason, ConnectionFacts, Denial, Denials, EngineFacts,
     MayHaveRun, RequestFacts,
 };
 use proptest::prelude::*;
@@ -11,11 +11,11 @@
 const DEADLINE: Micros = 5_000_000;
 const NOW: Micros = 1_000_000;
 
-fn request(effect: Idempotency, may_have_run: Option<&MayHaveRun>) -> RequestFacts<'_> {
+fn request(idempotency: Idempotency, may_have_run: Option<&MayHaveRun>) -> RequestFacts<'_> {
     RequestFacts {
-        effect,
-        over: false,
-        attempt_out: false,
+        idempotency,
+        closed: false,
+        attempt_in_flight: false,
         attempts: 1,
         max_attempts: 6,
         deadline: DEADLINE,
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn a_send_needs_an_open_request_and_an_engine_that_serves() {
+fn send_requires_open_request_and_serving_engine() {
     let good = request(Idempotency::NotIdempotent, None);
     let writer = engine(Role::Writer);
     assert_eq!(may_send(NOW, &good, &writer), Ok(()));
-    let over = RequestFacts { over: true, ..good };
-    assert_eq!(may_send(NOW, &over, &writer), Err(Denial::RequestOver));
-    assert_eq!(may_start(NOW, &over, &writer), Err(Denial::RequestOver));
-    let out = RequestFacts { attempt_out: true, ..good };
-    assert_eq!(may_send(NOW, &out, &writer), Err(Denial::AttemptOut));
-    assert_eq!(may_start(NOW, &out, &writer), Ok(()), "it is the one that is out");
+    let closed = RequestFacts { closed: true, ..good };
+    assert_eq!(may_send(NOW, &closed, &writer), Err(Denial::RequestOver));
+    assert_eq!(may_start(NOW, &closed, &writer), Err(Denial::RequestOver));
+    let in_flight = RequestFacts { attempt_in_flight: true, ..good };
+    assert_eq!(may_send(NOW, &in_flight, &writer), Err(Denial::AttemptOut));
+    assert_eq!(may_start(NOW, &in_flight, &writer), Ok(()), "the attempt in flight is the one that starts");
     let spent = RequestFacts { attempts: 6, ..good };
     assert_eq!(may_send(NOW, &spent, &writer), Err(Denial::AttemptsSpent));
     assert_eq!(may_send(DEADLINE - 1, &good, &writer), Ok(()));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_that_does_no_harm() {
+fn repetition_requires_idempotency_at_the_engine() {
     let (writer, first) = (engine(Role::Writer), ran(NOW, "a", 1));
     assert_eq!(may_send(NOW, &request(Idempotency::Idempotent, Some(&first)), &writer), Ok(()));
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_refusal_promises_that_nothing_has_run() {
+fn rejection_requires_that_repetition_is_harmless() {
     let first = ran(NOW, "a", 1);
     for (effect, after_effect) in [
         (Idempotency::Idempotent, true),
@@ -99,9 +99,9 @@
         (Idempotency::WithKey(IdempotencyScope::Rack, WINDOW), false),
         (Idempotency::NotIdempotent, false),
     ] {
-        assert_eq!(may_refuse(&request(effect, None)), Ok(()));
-        let expected = if after_effect { Ok(()) } else { Err(Denial::RefusalAfterEffect) };
-        assert_eq!(may_refuse(&request(effect, Some(&first))), expected);
+        assert_eq!(may_reject(&request(effect, None)), Ok(()));
+        let expected = if after_effect { Ok(()) } else { Err(Denial::RejectionAfterEffect) };
+        assert_eq!(may_reject(&request(effect, Some(&first))), expected);
     }
 }
 
@@ -117,16 +117,16 @@
 }
 
 proptest! {
-    /// No reason of the node's own closes a connection on which anything is owed; the client's reasons always do.
+    /// The node's own reasons never close a connection with a pending answer; reasons on the client's side always do.
     #[test]
-    fn a_connection_is_closed_by_the_node_only_when_nothing_is_owed_on_it(
+    fn node_closes_only_connections_without_pending_data(
         answer_owed: bool, unwritten in 0usize..3, unread: bool, reason in 0usize..CloseReason::ALL.len()
     ) {
         use CloseReason::{Broken, ClientLeft, StreamCut, Stuck};
         let facts = ConnectionFacts { answer_owed, unwritten, unread };
         let reason = CloseReason::ALL[reason];
-        let ends = [ClientLeft, Broken, Stuck, StreamCut].contains(&reason);
+        let voids_owed_answers = [ClientLeft, Broken, Stuck, StreamCut].contains(&reason);
         let clean = facts == ConnectionFacts::default();
-        prop_assert_eq!(may_close(&facts, reason).is_ok(), ends || clean);
+        prop_assert_eq!(may_close(&facts, reason).is_ok(), voids_owed_answers || clean);
     }
 }
--- a/crates/pintally-host/src/answers.rs
+++ b/crates/pintally-host/src/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers: each request gets one, in one place, whoever decides it.
 
 use pintally::interface::{Event, Micros, RequestId};
-use pintally_guards::may_refuse;
+use pintally_guards::may_reject;
 
 use crate::host::Host;
 use crate::input::{Command, FinalAnswer, RequestNumber};
@@ -14,7 +14,7 @@
         let most = self.settings.core.max_attempts;
         let Some(entry) = self.entries.get_mut(&ticket).filter(|e| !e.over) else { return };
         let permit = match answer {
-            FinalAnswer::Rejected(_) => may_refuse(&entry.facts(most)),
+            FinalAnswer::Rejected(_) => may_reject(&entry.facts(most)),
             _ => Ok(()),
         };
         entry.over = true;
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -87,9 +87,9 @@
     /// What permits go by.
     pub(crate) fn facts(&self, max_attempts: u32) -> RequestFacts<'_> {
         RequestFacts {
-            effect: self.effect,
-            over: self.over,
-            attempt_out: self.out.is_some(),
+            idempotency: self.effect,
+            closed: self.over,
+            attempt_in_flight: self.out.is_some(),
             attempts: self.attempts,
             max_attempts,
             deadline: self.deadline,
