--- a/crates/pintally-host/src/answers.rs
+++ b/crates/pintally-host/src/answers.rs
@@ -25,7 +25,7 @@
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
         let attempts = entry.attempts;
         self.touched.push(ticket);
-        self.timers.unset(entry.guard);
+        self.timers.cancel(entry.guard);
         if !std::mem::replace(&mut entry.heard, true) {
             let (cell, late) = (entry.cell.clone(), answer != FinalAnswer::Served || self.now > entry.aim);
             self.hear(self.now, &cell, late);
--- a/crates/pintally-host/src/attempts.rs
+++ b/crates/pintally-host/src/attempts.rs
@@ -129,7 +129,7 @@
         entry.held.retain(|h| !(freed || step == Step::Fetch && h.state.is_some()));
         // What streams has no deadline from here on.
         if entry.streamed {
-            self.timers.unset(entry.guard);
+            self.timers.cancel(entry.guard);
         }
         let (id, cell, late) = (entry.id.clone(), entry.cell.clone(), now > entry.aim);
         let engine = entry.out.as_ref().map(|o| o.engine.clone());
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -9,7 +9,7 @@
 use crate::host::{Host, Place};
 use crate::input::{Command, EngineEndpoint, FinalAnswer, IncomingRequest, RequestNumber};
 use crate::refusal::RefusalReason;
-use crate::timers::Due;
+use crate::timers::TimerEvent;
 
 /// Whoever comes before any file of cells is known is told to come back after this time.
 const UNKNOWN: Micros = 1_000_000;
@@ -105,7 +105,7 @@
             self.places.retain(|engine, p| p.listing != EndpointState::Gone || used.contains(engine));
             let places = &self.places;
             self.members.retain(|engine, _| places.contains_key(engine));
-            self.letting.retain(|engine| places.contains_key(engine));
+            self.release_scheduler.retain_engines(|engine| places.contains_key(engine));
         }
     }
 
@@ -174,12 +174,12 @@
         let Some(at) = self.cells.as_ref().and_then(|c| c.next_change(now)) else { return };
         let at = at.max(now + 1);
         if let Some(set) = self.cells_due {
-            if set.0 <= at {
+            if set.at() <= at {
                 return;
             }
-            self.timers.unset(set);
+            self.timers.cancel(set);
         }
-        self.cells_due = Some(self.timers.set(at, Due::Cells));
+        self.cells_due = Some(self.timers.set(at, TimerEvent::CellAssignment));
     }
 
     /// The cell for a request, with a place in it; `None` if it was turned away.
--- a/crates/pintally-host/src/counters.rs
+++ b/crates/pintally-host/src/counters.rs
@@ -49,7 +49,7 @@
     pub reservations_inherited: u64,
     /// Calls of releases, repeats counted.
     pub release_calls: u64,
-    /// Releases given up because the engine never heard them.
+    /// ReleaseRetries given up because the engine never heard them.
     pub releases_lost: u64,
     /// Inputs that fitted nothing: late or doubled word of what is over.
     pub unmatched_inputs: u64,
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -18,13 +18,13 @@
 use crate::judged::Judging;
 use crate::ledger::Entry;
 use crate::left::OrphanedReservation;
-use crate::letting::Letting;
 use crate::limits::Limiting;
 use crate::recover::Recovering;
 use crate::refusal::{RefusalReason, Refusals};
 use crate::regional::Regional;
-use crate::releases::Releases;
-use crate::timers::{Due, Timers};
+use crate::release_retries::ReleaseRetries;
+use crate::release_scheduler::ReleaseScheduler;
+use crate::timers::{TimerEvent, TimerKey, Timers};
 use crate::Counters;
 
 /// What the host knows of an engine.
@@ -60,15 +60,15 @@
     /// The time of the last input.
     pub(crate) now: Micros,
     /// A timer for cells is out.
-    pub(crate) cells_due: Option<(Micros, u64)>,
+    pub(crate) cells_due: Option<TimerKey>,
     pub(crate) seed: u64,
     /// Begins the names of this start's requests.
     stamp: String,
     pub(crate) places: BTreeMap<EngineId, Place>,
     pub(crate) entries: BTreeMap<RequestNumber, Entry>,
     pub(crate) by_id: HashMap<RequestId, RequestNumber>,
-    pub(crate) releases: Releases,
-    pub(crate) letting: Letting,
+    pub(crate) release_retries: ReleaseRetries,
+    pub(crate) release_scheduler: ReleaseScheduler,
     pub(crate) scope: ReleaseScope,
     pub(crate) timers: Timers,
     /// Events that the host itself owes the core.
@@ -110,12 +110,12 @@
             cells_due: None,
             seed,
             stamp: format!("{}-{:08x}", settings.name, seed as u32),
-            letting: Letting::new(settings.core.release_deadline),
+            release_scheduler: ReleaseScheduler::new(settings.core.release_deadline),
             settings,
             places: BTreeMap::new(),
             entries: BTreeMap::new(),
             by_id: HashMap::new(),
-            releases: Releases::default(),
+            release_retries: ReleaseRetries::default(),
             scope: ReleaseScope::default(),
             timers: Timers::default(),
             owed: VecDeque::new(),
@@ -228,35 +228,35 @@
 
     /// Timers set and releases not yet heard, for audits of what it holds.
     pub fn open(&self) -> (usize, usize) {
-        (self.timers.len(), self.releases.len() + self.letting.len())
+        (self.timers.len(), self.release_retries.len() + self.release_scheduler.len())
     }
 
-    /// Releases for which an engine's word is still expected.
+    /// ReleaseRetries for which an engine's word is still expected.
     fn expected(&self) -> usize {
-        self.releases.expected() + self.letting.expected()
+        self.release_retries.awaiting_acknowledgement() + self.release_scheduler.awaiting_acknowledgement()
     }
 
     /// When [`Host::tick`] has something to do.
     pub fn next_wake(&self) -> Option<Micros> {
-        self.timers.next()
+        self.timers.next_expiry()
     }
 
     /// Does what has come due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.now = now;
-        while let Some(due) = self.timers.pop(now) {
+        while let Some(due) = self.timers.pop_expired(now) {
             match due {
-                Due::Core(cell, timer) => self.event(now, &cell, Event::TimerFired(timer), out),
-                Due::Cells => self.cells_due(now, out),
-                Due::Answer(ticket) => self.overdue(now, ticket, out),
-                Due::Release(id, engine) => self.release_again(id, engine, out),
-                Due::Guard(ticket) => self.guard_due(ticket, out),
-                Due::Call(id) => self.call(id, out),
-                Due::Recovery => self.recovery_due(now, out),
-                Due::Shares => self.shares_due(now, out),
-                Due::Verdicts => self.verdicts_due(now, out),
-                Due::Regions => self.regions_due(now, out),
-                Due::Stop => self.give_up_all(now, out),
+                TimerEvent::Core(cell, timer) => self.event(now, &cell, Event::TimerFired(timer), out),
+                TimerEvent::CellAssignment => self.cells_due(now, out),
+                TimerEvent::AnswerOverdue(ticket) => self.overdue(now, ticket, out),
+                TimerEvent::ReservationRelease(id, engine) => self.release_again(id, engine, out),
+                TimerEvent::ReservationDeadline(ticket) => self.guard_due(ticket, out),
+                TimerEvent::RequestRelease(id) => self.call(id, out),
+                TimerEvent::Recovery => self.recovery_due(now, out),
+                TimerEvent::QuotaRequest => self.shares_due(now, out),
+                TimerEvent::OutlierEvaluation => self.verdicts_due(now, out),
+                TimerEvent::ZoneReport => self.regions_due(now, out),
+                TimerEvent::ShutdownTimeout => self.give_up_all(now, out),
             }
             self.settle(out);
         }
@@ -315,7 +315,10 @@
             Input::Stop => {
                 if !self.stopping {
                     self.stopping = true;
-                    self.timers.set(now.saturating_add(self.settings.limits.shutdown_timeout), Due::Stop);
+                    self.timers.set(
+                        now.saturating_add(self.settings.limits.shutdown_timeout),
+                        TimerEvent::ShutdownTimeout,
+                    );
                 }
             }
         }
@@ -356,7 +359,7 @@
                 None => self.owed.push_back((cell.clone(), Event::HealthChecked(engine, false, None))),
             },
             Action::SetTimer(timer, after) => {
-                self.timers.set(now.saturating_add(after), Due::Core(cell.clone(), timer));
+                self.timers.set(now.saturating_add(after), TimerEvent::Core(cell.clone(), timer));
             }
             Action::Subscribe => out.push(Command::ReloadEndpointList),
             Action::Log(text) if cell.0.is_empty() => out.push(Command::Log(text)),
@@ -418,7 +421,7 @@
         let counted = self.charge(now, &costs);
         // The core answers by the deadline; the guard stands behind it, before the client gives up.
         let deadline = now.saturating_add(left);
-        let guard = self.timers.set(deadline + margin / 2, Due::Answer(arrival.ticket));
+        let guard = self.timers.set(deadline + margin / 2, TimerEvent::AnswerOverdue(arrival.ticket));
         let aims = arrival.class.and_then(|c| self.settings.core.classes.get(c));
         let aim = aims.map_or(left, |c| {
             c.latency_objective + c.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000
@@ -475,7 +478,7 @@
         entry.over = true;
         self.counters.clients_left += 1;
         let (id, cell) = (entry.id.clone(), entry.cell.clone());
-        self.timers.unset(entry.guard);
+        self.timers.cancel(entry.guard);
         self.event(now, &cell, Event::ClientLeft(id), out);
     }
 
@@ -494,7 +497,7 @@
                 let tenant = entry.tenant.and_then(|t| self.settings.core.tenants.get(t));
                 cells.give_back(&entry.cell, tenant.map(|t| t.name.as_str()), entry.bytes);
             }
-            self.timers.unset(entry.guard);
+            self.timers.cancel(entry.guard);
             self.give_back(self.now, &std::mem::take(&mut entry.counted));
             out.push(Command::Over(ticket));
             self.release_left(entry, out);
--- a/crates/pintally-host/src/judged.rs
+++ b/crates/pintally-host/src/judged.rs
@@ -11,7 +11,7 @@
 
 use crate::host::Host;
 use crate::input::{Command, EngineEndpoint};
-use crate::timers::Due;
+use crate::timers::TimerEvent;
 
 /// How often reports are weighed.
 const EVERY: Micros = 100_000;
@@ -47,7 +47,7 @@
                 held: BTreeSet::new(),
                 said: (Vec::new(), 0),
             });
-            self.timers.set(now + EVERY, Due::Verdicts);
+            self.timers.set(now + EVERY, TimerEvent::OutlierEvaluation);
         }
         self
     }
@@ -158,6 +158,6 @@
         if !changed.is_empty() {
             self.list(now, ListUpdate::Delta, changed, out);
         }
-        self.timers.set(now + EVERY, Due::Verdicts);
+        self.timers.set(now + EVERY, TimerEvent::OutlierEvaluation);
     }
 }
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -9,6 +9,8 @@
 use pintally_quota::LimitId;
 use serde_json::Value;
 
+use crate::timers::TimerKey;
+
 /// Connection probes to an engine that has not shown yet that it has an attempt.
 pub(crate) const FIRST_PROBES: u8 = 1;
 /// And to one that has: a connection that comes up late must not undo what an earlier one has shown.
@@ -57,7 +59,7 @@
     pub(crate) max_tokens: u64,
     pub(crate) deadline: Micros,
     /// The timer that guards the deadline.
-    pub(crate) guard: (Micros, u64),
+    pub(crate) guard: TimerKey,
     pub(crate) attempts: Attempt,
     pub(crate) out: Option<Out>,
     pub(crate) held: Vec<HeldState>,
@@ -67,7 +69,7 @@
     /// What is held has been let go while an attempt was out that may have been waiting for it.
     pub(crate) gone: bool,
     /// When what is held is let go although an attempt is out: the timer, and the time it follows from.
-    pub(crate) let_go: Option<((Micros, u64), Micros)>,
+    pub(crate) let_go: Option<(TimerKey, Micros)>,
     /// The state that the core means to have fetched has been let go, or is about to be.
     pub(crate) lost: bool,
     /// The final answer is given, or the client has left and none is owed.
--- a/crates/pintally-host/src/left.rs
+++ b/crates/pintally-host/src/left.rs
@@ -8,6 +8,7 @@
 
 use crate::host::Host;
 use crate::input::{Command, ReleaseScope};
+use crate::release_retries::Certainty;
 use crate::states::state_name;
 
 /// A state: the engine that holds it, and its name there.
@@ -36,7 +37,7 @@
             let all = held.chain(reads.map(|out| (&out.engine, out.attempt)));
             all.map(|(engine, attempt)| (engine.clone(), state_name(&entry.id, attempt)))
         });
-        let unheard = self.releases.all().map(|(engine, name)| (engine.clone(), name.clone()));
+        let unheard = self.release_retries.iter().map(|(engine, name)| (engine.clone(), name.clone()));
         held.chain(unheard).chain(self.left_before.iter().cloned()).take(most).collect()
     }
 
@@ -57,7 +58,7 @@
             match self.places.get(&engine).map(|p| p.address) {
                 Some(address) => {
                     self.counters.orphaned_releases += 1;
-                    self.begin_at(name, engine, address, true, out);
+                    self.begin_at(name, engine, address, Certainty::Confirmed, out);
                 }
                 None if self.list_fresh => {}
                 None => self.left_before.push((engine, name)),
--- a/crates/pintally-host/src/lib.rs
+++ b/crates/pintally-host/src/lib.rs
@@ -18,13 +18,13 @@
 mod judged;
 mod ledger;
 mod left;
-mod letting;
 mod limits;
 mod list;
 mod recover;
 mod refusal;
 mod regional;
-mod releases;
+mod release_retries;
+mod release_scheduler;
 mod states;
 mod timers;
 
--- a/crates/pintally-host/src/limits.rs
+++ b/crates/pintally-host/src/limits.rs
@@ -6,7 +6,7 @@
 
 use crate::host::Host;
 use crate::input::{Command, IncomingRequest};
-use crate::timers::Due;
+use crate::timers::TimerEvent;
 
 /// How often, within the time between two asks, it is looked whether one is due.
 const LOOKS: Micros = 5;
@@ -62,7 +62,7 @@
     pub fn with_limits(mut self, now: Micros) -> Host {
         if let Some(limits) = &self.settings.quotas {
             let limiting = Limiting::new(&self.settings, limits);
-            self.timers.set(now + limiting.every, Due::Shares);
+            self.timers.set(now + limiting.every, TimerEvent::QuotaRequest);
             self.limiting = Some(limiting);
         }
         self
@@ -142,6 +142,6 @@
             out.push(Command::RequestQuota(asks));
         }
         let at = now + limiting.every;
-        self.timers.set(at, Due::Shares);
+        self.timers.set(at, TimerEvent::QuotaRequest);
     }
 }
--- a/crates/pintally-host/src/recover.rs
+++ b/crates/pintally-host/src/recover.rs
@@ -5,12 +5,12 @@
 
 use crate::host::Host;
 use crate::input::{Command, EngineEndpoint, IncomingRequest};
-use crate::timers::Due;
+use crate::timers::{TimerEvent, TimerKey};
 
 /// A node's recovery, its timer, and since when engines count as started anew.
 pub(crate) struct Recovering {
     pub(crate) machine: Recovery,
-    due: Option<(Micros, u64)>,
+    due: Option<TimerKey>,
     cold_since: Option<Micros>,
 }
 
@@ -71,13 +71,13 @@
     fn wake_recovery(&mut self) {
         let Some(recovering) = &mut self.recovering else { return };
         let next = recovering.machine.next_wake();
-        if recovering.due.map(|d| d.0) == next {
+        if recovering.due.map(TimerKey::at) == next {
             return;
         }
         if let Some(old) = recovering.due.take() {
-            self.timers.unset(old);
+            self.timers.cancel(old);
         }
-        recovering.due = next.map(|at| self.timers.set(at, Due::Recovery));
+        recovering.due = next.map(|at| self.timers.set(at, TimerEvent::Recovery));
     }
 
     /// Guards against a core that takes engines for warm, and texts for kept, which a power loss has
--- a/crates/pintally-host/src/regional.rs
+++ b/crates/pintally-host/src/regional.rs
@@ -9,7 +9,7 @@
 
 use crate::host::Host;
 use crate::input::{Command, EngineEndpoint, IncomingRequest};
-use crate::timers::Due;
+use crate::timers::TimerEvent;
 
 /// What this node sees of zones, and the plan that it follows.
 pub(crate) struct Regional {
@@ -43,7 +43,7 @@
             far: 0,
             follower: PlanFollower::new(regions.policy, home),
         });
-        self.timers.set(now + 1, Due::Regions);
+        self.timers.set(now + 1, TimerEvent::ZoneReport);
         self
     }
 
@@ -165,7 +165,7 @@
         }
         let at = now + regional.every;
         out.push(Command::PublishZoneReport(word, engines));
-        self.timers.set(at, Due::Regions);
+        self.timers.set(at, TimerEvent::ZoneReport);
     }
 
     /// Whom a list is for: as the fleet judges them, each to its zone's core if there are zones.
--- a/crates/pintally-host/src/states.rs
+++ b/crates/pintally-host/src/states.rs
@@ -15,9 +15,9 @@
 use crate::host::Host;
 use crate::input::{Command, ReleaseScope, RequestNumber};
 use crate::ledger::{Entry, HeldState, Out};
-use crate::letting::Call;
-use crate::releases::Verdict;
-use crate::timers::Due;
+use crate::release_retries::{Certainty, ReleaseProgress, Wakeup};
+use crate::release_scheduler::{EndedRelease, ReleaseCall};
+use crate::timers::TimerEvent;
 
 /// What becomes of held states with the end of an attempt; whether it has left, or may have left, a new
 /// one.
@@ -84,16 +84,18 @@
     pub(crate) fn saw(&mut self, engine: &EngineId, heard: bool) {
         match self.scope {
             ReleaseScope::Request => {
-                self.letting.saw(self.now, engine, heard);
                 if heard {
+                    self.release_scheduler.record_heard(self.now, engine);
                     self.call_anew();
+                } else {
+                    self.release_scheduler.record_failure(self.now, engine);
                 }
             }
             ReleaseScope::Attempt if heard => {
-                for (id, timer, at) in self.releases.anew(self.now, engine) {
-                    let due = Due::Release(id.clone(), engine.clone());
-                    let timer = self.timers.instead(timer, at, due);
-                    self.releases.timer(&id, engine, timer);
+                for Wakeup { name, replaced_timer, at } in self.release_retries.wake(self.now, engine) {
+                    let event = TimerEvent::ReservationRelease(name.clone(), engine.clone());
+                    let timer = self.timers.replace(replaced_timer, at, event);
+                    self.release_retries.set_timer(&name, engine, timer);
                 }
             }
             ReleaseScope::Attempt => {}
@@ -104,7 +106,7 @@
     pub(crate) fn engines_in_use(&self) -> HashSet<EngineId> {
         let out = self.entries.values().filter_map(|e| e.out.as_ref().map(|o| &o.engine));
         let held = self.entries.values().flat_map(|e| e.held.iter().map(|h| &h.engine));
-        out.chain(held).chain(self.releases.engines()).cloned().collect()
+        out.chain(held).chain(self.release_retries.engines()).cloned().collect()
     }
 
     /// Lets go of everything held for a request.
@@ -153,14 +155,14 @@
     /// Lets go of what a request that is over has left.
     pub(crate) fn release_left(&mut self, mut entry: Entry, out: &mut Vec<Command>) {
         if let Some((timer, _)) = entry.let_go {
-            self.timers.unset(timer);
+            self.timers.cancel(timer);
         }
         if self.scope == ReleaseScope::Attempt {
             for state in std::mem::take(&mut entry.held) {
                 self.counters.releases_by_host += 1;
                 self.release_at(&entry.id, state, out);
             }
-        } else if !self.letting.waits(&entry.id) {
+        } else if !self.release_scheduler.is_pending(&entry.id) {
             let Some(last) = entry.held.last() else { return };
             self.counters.releases_by_host += 1;
             self.begin(&entry.id, last.engine.clone(), entry.since, out);
@@ -174,30 +176,31 @@
     fn release_at(&mut self, id: &RequestId, held: HeldState, out: &mut Vec<Command>) {
         let Some(address) = self.places.get(&held.engine).map(|p| p.address) else { return };
         self.counters.releases += 1;
-        self.begin_at(state_name(id, held.attempt), held.engine, address, held.state.is_some(), out);
+        let certainty = if held.state.is_some() { Certainty::Confirmed } else { Certainty::Uncertain };
+        self.begin_at(state_name(id, held.attempt), held.engine, address, certainty, out);
     }
 
-    /// The first call for a state by its name, to its holder; `sure` if it was told to be there.
+    /// The first call for a state by its name, to its holder; with what is known of its existence.
     pub(crate) fn begin_at(
         &mut self,
         name: RequestId,
         holder: EngineId,
         address: SocketAddr,
-        sure: bool,
+        certainty: Certainty,
         out: &mut Vec<Command>,
     ) {
         self.counters.release_calls += 1;
-        self.releases.begin(self.now, &name, &holder, sure);
+        self.release_retries.begin(self.now, &name, &holder, certainty);
         out.push(Command::Release { name, engine: holder, address, anew: false });
     }
 
     pub(crate) fn release_again(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Command>) {
-        if !self.releases.waits(&id, &engine) {
+        if !self.release_retries.is_pending(&id, &engine) {
             return;
         }
         if let Some(place) = self.places.get(&engine) {
             self.counters.release_calls += 1;
-            let anew = self.releases.on_a_new_one(&id, &engine);
+            let anew = self.release_retries.needs_new_connection(&id, &engine);
             out.push(Command::Release { name: id, engine, address: place.address, anew });
         }
     }
@@ -212,13 +215,18 @@
             return;
         }
         let within = self.settings.core.release_deadline;
-        match self.releases.heard(self.now, &id, &engine, heard, within) {
-            Verdict::Done => {}
-            Verdict::Lost => self.counters.releases_lost += 1,
-            Verdict::Again(after) => {
+        let progress = if heard {
+            self.release_retries.acknowledge(self.now, &id, &engine, within)
+        } else {
+            self.release_retries.fail(self.now, &id, &engine)
+        };
+        match progress {
+            ReleaseProgress::Done => {}
+            ReleaseProgress::GivenUp => self.counters.releases_lost += 1,
+            ReleaseProgress::RetryAfter(after) => {
                 let at = self.now.saturating_add(after);
-                let timer = self.timers.set(at, Due::Release(id.clone(), engine.clone()));
-                self.releases.timer(&id, &engine, timer);
+                let timer = self.timers.set(at, TimerEvent::ReservationRelease(id.clone(), engine.clone()));
+                self.release_retries.set_timer(&id, &engine, timer);
             }
         }
         if heard {
@@ -230,7 +238,7 @@
 
     /// Lets go of what a request holds, from now on.
     fn let_go(&mut self, id: &RequestId, out: &mut Vec<Command>) {
-        if self.letting.waits(id) {
+        if self.release_scheduler.is_pending(id) {
             return;
         }
         let Some(entry) = self.entry(id) else { return };
@@ -242,7 +250,7 @@
 
     fn begin(&mut self, id: &RequestId, holder: EngineId, since: Micros, out: &mut Vec<Command>) {
         self.counters.releases += 1;
-        self.letting.begin(self.now, id, holder, since);
+        self.release_scheduler.begin(self.now, id, holder, since);
         self.call(id.clone(), out);
     }
 
@@ -250,22 +258,25 @@
     pub(crate) fn call(&mut self, id: RequestId, out: &mut Vec<Command>) {
         let now = self.now;
         let engines = self.places.iter().map(|(engine, place)| (engine, place.listing));
-        let Some(Call { engine, after, anew, last }) = self.letting.call(now, &id, engines) else {
+        let Some(ReleaseCall { engine, new_connection, next_call_after, is_last_expected }) =
+            self.release_scheduler.next_call(now, &id, engines)
+        else {
             return;
         };
         let to = engine.and_then(|e| self.places.get(&e).map(|p| (e, p.address)));
         if let Some((engine, address)) = to {
             self.counters.release_calls += 1;
-            out.push(Command::Release { name: id.clone(), engine, address, anew });
+            out.push(Command::Release { name: id.clone(), engine, address, anew: new_connection });
         }
-        match after {
+        match next_call_after {
             Some(after) => {
-                let timer = self.timers.set(now.saturating_add(after), Due::Call(id.clone()));
-                self.letting.timer(&id, timer);
+                let timer =
+                    self.timers.set(now.saturating_add(after), TimerEvent::RequestRelease(id.clone()));
+                self.release_scheduler.set_timer(&id, timer);
             }
-            None => drop(self.letting.end(&id)),
+            None => drop(self.release_scheduler.end(&id)),
         }
-        if last || after.is_none() {
+        if is_last_expected || next_call_after.is_none() {
             self.counters.releases_lost += 1;
             out.push(Command::Log(format!("no engine has heard that request {} lets go", id.0)));
             // Without a word it counts as gone for the core; calls go on as long as there is room for them.
@@ -275,18 +286,18 @@
 
     /// An engine has been heard: what was called for in vain is called for anew.
     fn call_anew(&mut self) {
-        for (id, timer, at) in self.letting.anew(self.now) {
-            let timer = self.timers.instead(timer, at, Due::Call(id.clone()));
-            self.letting.timer(&id, timer);
+        for Wakeup { name, replaced_timer, at } in self.release_scheduler.wake(self.now) {
+            let timer = self.timers.replace(replaced_timer, at, TimerEvent::RequestRelease(name.clone()));
+            self.release_scheduler.set_timer(&name, timer);
         }
     }
 
     /// Calls for a request are taken back, but for so many that have been answered; whether it was being
     /// let go at all.
     pub(crate) fn taken_back(&mut self, id: &RequestId, answered: u32, out: &mut Vec<Command>) -> bool {
-        let Some((calls, timer)) = self.letting.end(id) else { return false };
+        let Some(EndedRelease { calls, timer }) = self.release_scheduler.end(id) else { return false };
         if let Some(timer) = timer {
-            self.timers.unset(timer);
+            self.timers.cancel(timer);
         }
         if calls > answered {
             out.push(Command::WithdrawReleases(id.clone()));
@@ -306,17 +317,20 @@
     /// Sees to it that what a request holds is let go in time although an attempt of it is out.
     pub(crate) fn watch_held(&mut self, ticket: RequestNumber) {
         let Some(entry) = self.entries.get_mut(&ticket) else { return };
-        let waits = self.letting.waits(&entry.id);
-        let at = entry.waits_since().filter(|_| !waits).map(|since| self.letting.guard(since));
+        let waits = self.release_scheduler.is_pending(&entry.id);
+        let at = entry
+            .waits_since()
+            .filter(|_| !waits)
+            .map(|since| self.release_scheduler.in_flight_deadline(since));
         if at == entry.let_go.map(|(_, at)| at) {
             return;
         }
         if let Some((timer, _)) = entry.let_go.take() {
-            self.timers.unset(timer);
+            self.timers.cancel(timer);
         }
         if let Some(at) = at {
-            let due = at.max(self.now.saturating_add(self.letting.settling()));
-            entry.let_go = Some((self.timers.set(due, Due::Guard(ticket)), at));
+            let due = at.max(self.now.saturating_add(self.release_scheduler.settle_time()));
+            entry.let_go = Some((self.timers.set(due, TimerEvent::ReservationDeadline(ticket)), at));
         }
     }
 
@@ -327,7 +341,9 @@
         let Some(entry) = self.entries.get_mut(&ticket) else { return false };
         let Some(out) = entry.out.as_mut() else { return false };
         // What has come from the engine on other connections meanwhile says as much, at no cost.
-        if let Some(at) = self.letting.heard_at(&out.engine).filter(|at| out.arrived && *at > since) {
+        if let Some(at) =
+            self.release_scheduler.last_heard(&out.engine).filter(|at| out.arrived && *at > since)
+        {
             entry.seen_at_engine(at);
             self.watch_held(ticket);
             return true;
@@ -335,9 +351,9 @@
         let Some(place) = self.places.get(&out.engine).filter(|_| out.probes_left > 0) else { return false };
         out.probes_left -= 1;
         commands.push(Command::ProbeConnection(ticket, out.attempt, out.engine.clone(), place.address));
-        let at = self.now.saturating_add(self.letting.patience());
-        let timer = self.timers.set(at, Due::Guard(ticket));
-        entry.let_go = Some((timer, self.letting.guard(since)));
+        let at = self.now.saturating_add(self.release_scheduler.probe_timeout());
+        let timer = self.timers.set(at, TimerEvent::ReservationDeadline(ticket));
+        entry.let_go = Some((timer, self.release_scheduler.in_flight_deadline(since)));
         true
     }
 
@@ -361,7 +377,7 @@
             for state in held {
                 self.release_at(&id, state, commands);
             }
-        } else if !self.letting.waits(&id) {
+        } else if !self.release_scheduler.is_pending(&id) {
             self.counters.releases_guarded += 1;
             self.let_go(&id, commands);
         }
--- a/crates/pintally-host/src/timers.rs
+++ b/crates/pintally-host/src/timers.rs
@@ -1,81 +1,95 @@
-//! Timers in the order in which they come due.
+//! Timers of the host, ordered by the time at which they expire.
 
 use std::collections::BTreeMap;
 
 use pintally::interface::{EngineId, Micros, RequestId, Timer};
-
 use pintally_cells::CellName;
 
 use crate::RequestNumber;
 
-/// What a timer is for.
+/// What is done when a timer expires.
 #[derive(Clone, Debug)]
-pub(crate) enum Due {
-    /// A cell's core asked to be woken.
+pub(crate) enum TimerEvent {
+    /// A timer that a cell's decision core has set.
     Core(CellName, Timer),
-    /// Time alone may change what cells have.
-    Cells,
-    /// A request's final answer is overdue.
-    Answer(RequestNumber),
-    /// A release is to be repeated.
-    Release(RequestId, EngineId),
-    /// What a request holds is to be let go although an attempt is out.
-    Guard(RequestNumber),
-    /// Everything of a request is being let go: the next engine is called.
-    Call(RequestId),
-    /// Recovery has something to do.
+    /// The assignment of engines to cells may change by the passage of time alone.
+    CellAssignment,
+    /// The core has not answered a request by its deadline.
+    AnswerOverdue(RequestNumber),
+    /// The release of one reservation at its engine is retried.
+    ReservationRelease(RequestId, EngineId),
+    /// The reservations of a request are released although an attempt is in flight.
+    ReservationDeadline(RequestNumber),
+    /// The next call that releases all reservations of a request.
+    RequestRelease(RequestId),
+    /// The recovery after a start has something to do.
     Recovery,
-    /// Shares of limits are asked for.
-    Shares,
-    /// What the fleet saw of engines is weighed.
-    Verdicts,
-    /// What this node sees of zones is told.
-    Regions,
-    /// Stopping has taken its whole time.
-    Stop,
+    /// Quota allocations are requested.
+    QuotaRequest,
+    /// Reports about engines are exchanged and evaluated.
+    OutlierEvaluation,
+    /// The observations about zones are published.
+    ZoneReport,
+    /// The graceful shutdown has taken all its time.
+    ShutdownTimeout,
+}
+
+/// Identifies a timer that is set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct TimerKey {
+    at: Micros,
+    serial: u64,
 }
 
-/// Timers; those that come due at the same time do so in the order in which they were set.
+impl TimerKey {
+    /// When the timer expires.
+    pub(crate) fn at(self) -> Micros {
+        self.at
+    }
+}
+
+/// Pending timers; those that expire at the same time do so in the order in which they were set.
 #[derive(Default)]
 pub(crate) struct Timers {
-    due: BTreeMap<(Micros, u64), Due>,
-    serial: u64,
+    pending: BTreeMap<TimerKey, TimerEvent>,
+    last_serial: u64,
 }
 
 impl Timers {
-    /// Sets a timer and returns the key by which it is taken back.
-    pub(crate) fn set(&mut self, at: Micros, due: Due) -> (Micros, u64) {
-        self.serial += 1;
-        self.due.insert((at, self.serial), due);
-        (at, self.serial)
+    /// Sets a timer and returns the key with which it is cancelled.
+    pub(crate) fn set(&mut self, at: Micros, event: TimerEvent) -> TimerKey {
+        self.last_serial += 1;
+        let key = TimerKey { at, serial: self.last_serial };
+        self.pending.insert(key, event);
+        key
     }
 
-    /// Takes a timer back; one that has come due is not there any more.
-    pub(crate) fn unset(&mut self, key: (Micros, u64)) {
-        self.due.remove(&key);
+    /// Cancels a timer; has no effect on one that has expired.
+    pub(crate) fn cancel(&mut self, key: TimerKey) {
+        self.pending.remove(&key);
     }
 
-    /// Sets a timer in the place of one that is void then.
-    pub(crate) fn instead(&mut self, old: Option<(Micros, u64)>, at: Micros, due: Due) -> (Micros, u64) {
+    /// Sets a timer in place of another one, if there was one.
+    pub(crate) fn replace(&mut self, old: Option<TimerKey>, at: Micros, event: TimerEvent) -> TimerKey {
         if let Some(old) = old {
-            self.unset(old);
+            self.cancel(old);
         }
-        self.set(at, due)
+        self.set(at, event)
     }
 
-    /// When the next one comes due.
-    pub(crate) fn next(&self) -> Option<Micros> {
-        self.due.keys().next().map(|(at, _)| *at)
+    /// When the next timer expires.
+    pub(crate) fn next_expiry(&self) -> Option<Micros> {
+        self.pending.keys().next().map(|key| key.at)
     }
 
-    /// The next one that has come due.
-    pub(crate) fn pop(&mut self, now: Micros) -> Option<Due> {
-        let entry = self.due.first_entry().filter(|e| e.key().0 <= now)?;
+    /// Removes the next timer that has expired by now.
+    pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<TimerEvent> {
+        let entry = self.pending.first_entry().filter(|entry| entry.key().at <= now)?;
         Some(entry.remove())
     }
 
-    /// How many are set.
+    /// The number of timers that are set.
     pub(crate) fn len(&self) -> usize {
-        self.due.len()
+        self.pending.len()
     }
 }
