--- a/crates/pintally-host/src/counters.rs
+++ b/crates/pintally-host/src/counters.rs
@@ -1,56 +1,57 @@
-//! What a host counts.
+//! Counters of the host.
 
-/// Counts since the host began; they only grow.
+/// Counters since the start of the host; they only increase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests that arrived.
     pub accepted: u64,
-    /// Requests turned away before the core saw them.
+    /// Requests rejected before a core saw them.
     pub rejected_before_dispatch: u64,
-    /// Of these, turned away at the edge of their cell.
+    /// Of these, rejected by the admission of their cell.
     pub rejected_by_cell: u64,
-    /// Of these, kept out while the fleet recovers.
+    /// Of these, rejected while the fleet recovers.
     pub rejected_during_recovery: u64,
-    /// Of these, over a limit of the whole fleet.
+    /// Of these, rejected because a quota of the whole fleet is used up.
     pub rejected_over_quota: u64,
-    /// Further attempts that a limit of the whole fleet did not allow.
+    /// Retries that a quota of the whole fleet did not allow.
     pub retries_over_quota: u64,
-    /// Of those turned away, for want of room in any zone that they may use.
+    /// Of those rejected before a core saw them, rejected because no zone that they may use has capacity.
     pub rejected_no_zone: u64,
-    /// Requests led to another zone than their node's.
+    /// Requests routed to another zone than their node's.
     pub routed_to_other_zone: u64,
-    /// Requests that waited and gave up their place to another's part.
+    /// Requests that gave up their capacity to another tenant while they were queued.
     pub preempted_while_queued: u64,
-    /// Final answers.
+    /// Final answers with a complete answer.
     pub served: u64,
-    /// Final answers that turn away, those at the door included.
+    /// Final answers with a rejection, those before dispatch included.
     pub rejected: u64,
-    /// Final answers that say it failed.
+    /// Final answers that report a failure.
     pub failed: u64,
-    /// Answers cut off after they had begun.
+    /// Answers aborted after they had begun.
     pub streams_cut: u64,
     /// Clients that left before their final answer.
     pub clients_left: u64,
     /// Attempts made.
     pub attempts: u64,
-    /// Attempts that the core wanted and that could not be made.
+    /// Attempts that a core wanted and that were not sent.
     pub never_sent: u64,
-    /// Requests whose final answer the core owed and the host gave in its place.
+    /// Requests that the host ended because the core gave no final answer by the deadline.
     pub overdue: u64,
-    /// Read states let go, repeats not counted.
+    /// Releases, retries not counted.
     pub releases: u64,
-    /// Read states that the host let go in the core's place.
+    /// Releases that the host made in place of the core.
     pub releases_by_host: u64,
-    /// Of these, those that no attempt's end let go in time: an attempt was out that may never have arrived.
+    /// Releases made by the deadline of reservations, while an attempt was in flight that may never have reached
+    /// its engine.
     pub releases_guarded: u64,
-    /// Read states of a life before that were let go.
+    /// Releases of reservations of an earlier incarnation.
     pub orphaned_releases: u64,
-    /// Read states of peers that stayed dead, taken over to be let go.
+    /// Reservations taken over from dead peers to be released.
     pub reservations_inherited: u64,
-    /// Calls of releases, repeats counted.
+    /// Calls of releases, retries counted.
     pub release_calls: u64,
-    /// ReleaseRetries given up because the engine never heard them.
+    /// Releases given up because no engine acknowledged them.
     pub releases_lost: u64,
-    /// Inputs that fitted nothing: late or doubled word of what is over.
+    /// Inputs that match nothing: late or repeated reports of what is complete.
     pub unmatched_inputs: u64,
 }
--- /dev/null
+++ b/crates/pintally-host/src/endpoint_list.rs
@@ -0,0 +1,123 @@
+//! Follows the endpoint list: each valid version becomes the changes against the version in force.
+
+use std::collections::BTreeMap;
+
+use pintally::interface::{EndpointState, EngineId, ListUpdate, Micros};
+use pintally_cells::CellName;
+use pintally_config::{ConfigError, EngineEntry, EngineList};
+
+use crate::input::EngineEndpoint;
+
+/// What a version of the list changes.
+#[derive(Debug)]
+pub enum ListChange {
+    /// Nothing.
+    Same,
+    /// These entries are new or changed; entries that are missing in the new version are among them as gone.
+    Changes(ListUpdate, Vec<EngineEndpoint>),
+    /// It is invalid, and the version in force remains. The error is reported once while it stays the same.
+    Bad(Option<ConfigError>),
+    /// It is older than the version in force, which remains. Each older version is reported once.
+    Older(Option<u64>),
+}
+
+/// The version of the list in force.
+#[derive(Default)]
+pub struct ListFollower {
+    version: Option<u64>,
+    entries: BTreeMap<EngineId, EngineEntry>,
+    reported_error: Option<ConfigError>,
+    reported_older: Option<u64>,
+}
+
+impl ListFollower {
+    /// Applies the content of a list file. `clock` converts Unix milliseconds to the node's time.
+    pub fn apply(&mut self, file: &str, text: &str, clock: impl Fn(u64) -> Micros) -> ListChange {
+        let list = match EngineList::parse(file, text) {
+            Ok(list) => list,
+            Err(error) => return self.report_error(error),
+        };
+        self.reported_error = None;
+        // Guards against a list that goes back in time, as after a restore: a drain must not be undone.
+        if self.version.is_some_and(|version| list.version < version) {
+            return self.report_older(list.version);
+        }
+        self.reported_older = None;
+        let is_first = self.version.replace(list.version).is_none();
+        let changes = self.replace_entries(list.engines, is_first, clock);
+        if is_first {
+            return ListChange::Changes(ListUpdate::Full, changes);
+        }
+        if changes.is_empty() {
+            return ListChange::Same;
+        }
+        ListChange::Changes(ListUpdate::Delta, changes)
+    }
+
+    fn report_error(&mut self, error: ConfigError) -> ListChange {
+        let is_new = self.reported_error.as_ref() != Some(&error);
+        self.reported_error = Some(error.clone());
+        ListChange::Bad(is_new.then_some(error))
+    }
+
+    fn report_older(&mut self, version: u64) -> ListChange {
+        let is_new = self.reported_older != Some(version);
+        self.reported_older = Some(version);
+        ListChange::Older(is_new.then_some(version))
+    }
+
+    /// Replaces the entries and returns those that have changed; all of the first version.
+    fn replace_entries(
+        &mut self,
+        entries: Vec<EngineEntry>,
+        is_first: bool,
+        clock: impl Fn(u64) -> Micros,
+    ) -> Vec<EngineEndpoint> {
+        let mut next = BTreeMap::new();
+        let mut changes = Vec::new();
+        for entry in entries {
+            if is_first || self.entries.get(&entry.id) != Some(&entry) {
+                changes.push(to_endpoint(&entry, &clock));
+            }
+            next.insert(entry.id.clone(), entry);
+        }
+        for (id, old) in &self.entries {
+            if !next.contains_key(id) && old.state != EndpointState::Gone {
+                let gone = EngineEntry { state: EndpointState::Gone, ..old.clone() };
+                changes.push(to_endpoint(&gone, &clock));
+            }
+        }
+        self.entries = next;
+        changes
+    }
+
+    /// The version in force as the content of a list file, to be cached over a restart.
+    pub fn kept(&self) -> Option<String> {
+        let engines = self.entries.values().cloned().collect();
+        Some(EngineList { version: self.version?, engines }.render())
+    }
+
+    /// The version in force, if there is one.
+    pub fn version(&self) -> Option<u64> {
+        self.version
+    }
+
+    /// The number of engines that it names.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether it names none.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+}
+
+fn to_endpoint(entry: &EngineEntry, clock: impl Fn(u64) -> Micros) -> EngineEndpoint {
+    EngineEndpoint {
+        endpoint: entry.member(clock),
+        address: entry.address,
+        cell: entry.cell.as_deref().map(CellName::from),
+        started_unix_ms: entry.started_unix_ms,
+    }
+}
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -1,239 +1,175 @@
-//! The host: inputs to events of the core, actions of the core to commands.
+//! The host itself: it dispatches inputs to its parts and turns the actions of the decision cores into commands.
+
+mod admission;
+mod attempts;
+mod final_answers;
+mod fleet;
+mod recovery;
+mod releases;
+mod status;
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::net::SocketAddr;
 use std::sync::Arc;
 
-use pintally::interface::{
-    Action, EndpointState, EngineId, Event, Idempotency, Micros, Request, RequestId, Role,
-};
-use pintally::Router;
-use pintally_cells::{CellName, Cells};
+use pintally::interface::{Action, EngineId, Event, LoadReport, Micros, RequestId};
+use pintally_cells::CellName;
 use pintally_config::NodeSettings;
-use pintally_guards::{may_start, Denial, Denials, EngineFacts};
-
-use crate::input::{
-    Command, EngineEndpoint, FinalAnswer, IncomingRequest, Input, ReleaseScope, RequestNumber,
-};
-use crate::judged::Judging;
-use crate::ledger::Entry;
-use crate::left::OrphanedReservation;
-use crate::limits::Limiting;
-use crate::recover::Recovering;
-use crate::refusal::{RefusalReason, Refusals};
-use crate::regional::Regional;
+use pintally_guards::{may_start, Denial, Denials};
+use pintally_recovery::Recovery;
+
+use crate::cell_routing::CellRouting;
+use crate::command::{Command, FinalAnswer};
+use crate::cores::DecisionCores;
+use crate::counters::Counters;
+use crate::endpoint_directory::EndpointDirectory;
+use crate::input::{Input, ReleaseScope, RequestNumber};
+use crate::ledger::RequestLedger;
+use crate::orphaned_reservations::OrphanedReservations;
+use crate::outlier_detection::{OutlierEjection, EVALUATION_INTERVAL};
+use crate::quota_admission::QuotaAdmission;
+use crate::recovery_admission::RecoveryAdmission;
+use crate::rejections::Rejections;
 use crate::release_retries::ReleaseRetries;
 use crate::release_scheduler::ReleaseScheduler;
-use crate::timers::{TimerEvent, TimerKey, Timers};
-use crate::Counters;
-
-/// What the host knows of an engine.
-pub(crate) struct Place {
-    pub(crate) address: SocketAddr,
-    pub(crate) role: Role,
-    pub(crate) slots: u64,
-    pub(crate) listing: EndpointState,
-    pub(crate) zone: Arc<str>,
-    pub(crate) rack: u64,
-}
-
-impl Place {
-    pub(crate) fn facts(&self) -> EngineFacts<'_> {
-        EngineFacts { listing: self.listing, role: self.role, zone: &self.zone, rack: self.rack }
-    }
+use crate::timers::{TimerEvent, Timers};
+use crate::zone_routing::ZoneRouting;
+use crate::OrphanedReservation;
+
+/// Whether the host takes requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Lifecycle {
+    Running,
+    /// Graceful shutdown: no new requests, those in flight go on.
+    Draining,
+    Stopped,
 }
 
-/// Owns a router, and answers for what its actions become.
+/// Owns the decision cores and is responsible for the effects of their actions.
 pub struct Host {
-    pub(crate) settings: Arc<NodeSettings>,
-    pub(crate) routers: BTreeMap<CellName, Router>,
-    /// The cells; without a file of them there is one, which has no name and every engine.
-    pub(crate) cells: Option<Cells>,
-    pub(crate) members: BTreeMap<EngineId, EngineEndpoint>,
-    /// The fleet has changed since it was last asked.
-    pub(crate) fleet_changed: bool,
-    /// The engines that each cell's core was last told of, and when they started: all that time alone
-    /// can change of them.
-    pub(crate) handed: BTreeMap<CellName, Vec<(EngineId, Option<Micros>)>>,
-    /// Something has gone wrong since cells were last looked at.
-    pub(crate) uneasy: bool,
+    settings: Arc<NodeSettings>,
     /// The time of the last input.
-    pub(crate) now: Micros,
-    /// A timer for cells is out.
-    pub(crate) cells_due: Option<TimerKey>,
-    pub(crate) seed: u64,
-    /// Begins the names of this start's requests.
-    stamp: String,
-    pub(crate) places: BTreeMap<EngineId, Place>,
-    pub(crate) entries: BTreeMap<RequestNumber, Entry>,
-    pub(crate) by_id: HashMap<RequestId, RequestNumber>,
-    pub(crate) release_retries: ReleaseRetries,
-    pub(crate) release_scheduler: ReleaseScheduler,
-    pub(crate) scope: ReleaseScope,
-    pub(crate) timers: Timers,
-    /// Events that the host itself owes the core.
-    pub(crate) owed: VecDeque<(CellName, Event)>,
-    /// Requests that the current input has touched.
-    pub(crate) touched: Vec<RequestNumber>,
-    actions: Vec<Action>,
-    stopping: bool,
-    pub(crate) stopped: bool,
-    /// The way back to service after a start, if there is one.
-    pub(crate) recovering: Option<Recovering>,
-    /// Limits of the whole fleet, if there are any.
-    pub(crate) limiting: Option<Limiting>,
-    /// Verdicts of the whole fleet on engines, if there are any.
-    pub(crate) judging: Option<Judging>,
-    /// Zones with a core each, if there are any.
-    pub(crate) regional: Option<Regional>,
-    /// Read states that a life before has left and that are still to be let go.
-    pub(crate) left_before: Vec<OrphanedReservation>,
-    /// The list that holds has come from its source in this life.
-    pub(crate) list_fresh: bool,
-    pub(crate) counters: Counters,
+    now: Micros,
+    lifecycle: Lifecycle,
+    release_scope: ReleaseScope,
+    /// Prefix of the names of requests that arrive in this incarnation without a name.
+    request_id_prefix: String,
+    requests: RequestLedger,
+    timers: Timers,
+    cores: DecisionCores,
+    endpoints: EndpointDirectory,
+    /// Engines or cells have changed since [`Host::take_fleet_change`].
+    has_fleet_changed: bool,
+    cells: CellRouting,
+    zones: Option<ZoneRouting>,
+    outliers: Option<OutlierEjection>,
+    quota: Option<QuotaAdmission>,
+    recovery: Option<RecoveryAdmission>,
+    /// Releases of single reservations, with [`ReleaseScope::Attempt`].
+    release_retries: ReleaseRetries,
+    /// Releases of all reservations of a request, with [`ReleaseScope::Request`].
+    release_scheduler: ReleaseScheduler,
+    orphaned: OrphanedReservations,
+    counters: Counters,
     denials: Denials,
     withheld: Denials,
-    pub(crate) refusals: Refusals,
+    rejections: Rejections,
 }
 
 impl Host {
-    /// A host that knows its settings and nothing of the fleet.
+    /// A host that knows its settings and no engines.
     pub fn new(settings: Arc<NodeSettings>, seed: u64) -> Host {
         Host {
-            routers: BTreeMap::new(),
-            cells: None,
-            members: BTreeMap::new(),
-            fleet_changed: true,
-            handed: BTreeMap::new(),
-            uneasy: false,
             now: 0,
-            cells_due: None,
-            seed,
-            stamp: format!("{}-{:08x}", settings.name, seed as u32),
-            release_scheduler: ReleaseScheduler::new(settings.core.release_deadline),
-            settings,
-            places: BTreeMap::new(),
-            entries: BTreeMap::new(),
-            by_id: HashMap::new(),
-            release_retries: ReleaseRetries::default(),
-            scope: ReleaseScope::default(),
+            lifecycle: Lifecycle::Running,
+            release_scope: ReleaseScope::default(),
+            request_id_prefix: format!("{}-{:08x}", settings.name, seed as u32),
+            requests: RequestLedger::default(),
             timers: Timers::default(),
-            owed: VecDeque::new(),
-            touched: Vec::new(),
-            actions: Vec::new(),
-            stopping: false,
-            stopped: false,
-            recovering: None,
-            limiting: None,
-            judging: None,
-            regional: None,
-            left_before: Vec::new(),
-            list_fresh: false,
+            cores: DecisionCores::new(settings.clone(), seed),
+            endpoints: EndpointDirectory::default(),
+            has_fleet_changed: true,
+            cells: CellRouting::new(&settings),
+            zones: None,
+            outliers: None,
+            quota: None,
+            recovery: None,
+            release_retries: ReleaseRetries::default(),
+            release_scheduler: ReleaseScheduler::new(settings.core.release_deadline),
+            orphaned: OrphanedReservations::default(),
             counters: Counters::default(),
             denials: Denials::default(),
             withheld: Denials::default(),
-            refusals: Refusals::default(),
+            rejections: Rejections::default(),
+            settings,
         }
     }
 
-    /// The same host where one release lets go of so much.
+    /// Sets what one release frees.
     pub fn with_scope(mut self, scope: ReleaseScope) -> Host {
-        self.scope = scope;
+        self.release_scope = scope;
         self
     }
 
-    /// Whether a request of this name has its answer or its last attempt outstanding.
-    pub fn knows(&self, name: &RequestId) -> bool {
-        self.by_id.contains_key(name)
-    }
-
-    /// What it has counted.
-    pub fn counters(&self) -> Counters {
-        Counters { routed_to_other_zone: self.routed_to_other_zone(), ..self.counters }
-    }
-
-    /// What cores wanted and the rules did not permit: each is an error of ours.
-    pub fn denials(&self) -> &Denials {
-        &self.denials
-    }
-
-    /// Refusals, by reason.
-    pub fn rejections(&self) -> &Refusals {
-        &self.refusals
-    }
-
-    /// Attempts that were sent and not started, as the rules did not permit it any more when their connections
-    /// came up. That is no error.
-    pub fn withheld(&self) -> &Denials {
-        &self.withheld
-    }
-
-    /// Whether the attempt of a request that is out may still start now, as when its connection has come up
-    /// late; a denial is counted as withheld.
-    pub fn may_start(&mut self, now: Micros, ticket: RequestNumber) -> Result<(), Denial> {
-        let entry = self.entries.get(&ticket);
-        let out = entry.and_then(|e| e.out.as_ref().map(|out| (e, out)));
-        let Some((entry, out)) = out else { return Err(Denial::RequestOver) };
-        let place = self.places.get(&out.engine).ok_or(Denial::EngineNotServing);
-        let most = self.settings.core.max_attempts;
-        let permit = place.and_then(|place| may_start(now, &entry.facts(most), &place.facts()));
-        permit.inspect_err(|denial| self.withheld.add(*denial))
-    }
-
-    /// Counts and tells what the rules did not permit.
-    pub(crate) fn deny(&mut self, id: &RequestId, what: &str, denial: Denial, out: &mut Vec<Command>) {
-        self.denials.add(denial);
-        out.push(Command::Log(format!("request {}: {what} is not permitted: {denial}", id.0)));
-    }
-
-    /// Requests whose answer or last attempt is outstanding.
-    pub fn open_requests(&self) -> usize {
-        self.entries.len()
-    }
-
-    /// Whether engines or cells may stand otherwise than when this was last asked.
-    pub fn take_fleet_change(&mut self) -> bool {
-        std::mem::take(&mut self.fleet_changed)
-    }
-
-    /// What the list says of an engine, if it knows it.
-    pub fn listing(&self, engine: &EngineId) -> Option<EndpointState> {
-        self.places.get(engine).map(|p| p.listing)
-    }
-
-    /// Where the engines that it knows listen.
-    pub fn addresses(&self) -> std::collections::HashSet<SocketAddr> {
-        self.places.values().map(|p| p.address).collect()
+    /// Adds quotas of the whole fleet, if the settings define any.
+    pub fn with_limits(mut self, now: Micros) -> Host {
+        if let Some(quotas) = &self.settings.quotas {
+            let quota = QuotaAdmission::new(&self.settings, quotas);
+            self.timers.set(now + quota.check_interval(), TimerEvent::QuotaRequest);
+            self.quota = Some(quota);
+        }
+        self
     }
 
-    /// What its cores believe of the engines that they know.
-    pub fn engine_estimates(&self, now: Micros) -> Vec<pintally::EngineEstimate> {
-        self.routers.values().flat_map(|r| r.engine_estimates(now)).collect()
+    /// Adds outlier detection by the whole fleet, if the settings define it.
+    pub fn with_outlier_detection(mut self, now: Micros) -> Host {
+        if let Some(outliers) = OutlierEjection::new(&self.settings) {
+            self.outliers = Some(outliers);
+            self.timers.set(now + EVALUATION_INTERVAL, TimerEvent::OutlierEvaluation);
+        }
+        self
     }
 
-    /// What its cores believe of the way of requests as a whole.
-    pub fn admission_estimates(&self) -> Vec<pintally::AdmissionEstimate> {
-        self.routers.values().map(pintally::Router::admission_estimate).collect()
+    /// Adds a core for each zone, if the settings define a failover policy that contains the node's zone.
+    pub fn with_regions(mut self, now: Micros) -> Host {
+        if let Some(zones) = ZoneRouting::new(&self.settings) {
+            self.zones = Some(zones);
+            self.timers.set(now + 1, TimerEvent::ZoneReport);
+        }
+        self
     }
 
-    /// Engines that take work, by the list.
-    pub fn serving(&self) -> usize {
-        self.places.values().filter(|p| p.listing == EndpointState::Serving).count()
+    /// Adds the recovery after a start. Without it the host admits requests at once.
+    pub fn with_recovery(mut self, machine: Recovery) -> Host {
+        let mut recovery = RecoveryAdmission::new(machine);
+        recovery.update_timer(&mut self.timers);
+        self.recovery = Some(recovery);
+        self
     }
 
-    /// Whether a name is one of this life's own requests.
-    pub(crate) fn names_own(&self, name: &RequestId) -> bool {
-        name.0.strip_prefix(&self.stamp).is_some_and(|rest| rest.starts_with('-'))
+    /// Adds reservations that an earlier incarnation may have left. They are released with the first endpoint
+    /// list that names their engine. Those whose engine is missing in a list from its source are dropped, as
+    /// they are gone with the engine.
+    pub fn with_orphaned_reservations(mut self, orphaned: Vec<OrphanedReservation>) -> Host {
+        // Guards against reservations of this incarnation with the same name, as after a start with the same seed.
+        let mut others = orphaned;
+        others.retain(|(_, name)| !self.is_own_name(name));
+        self.orphaned = OrphanedReservations::new(others);
+        self
     }
 
-    /// Timers set and releases not yet heard, for audits of what it holds.
-    pub fn open(&self) -> (usize, usize) {
-        (self.timers.len(), self.release_retries.len() + self.release_scheduler.len())
+    /// Takes in one input and appends the commands that follow.
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
+        self.now = now;
+        self.dispatch_input(input, out);
+        self.finish_changed_requests(out);
     }
 
-    /// ReleaseRetries for which an engine's word is still expected.
-    fn expected(&self) -> usize {
-        self.release_retries.awaiting_acknowledgement() + self.release_scheduler.awaiting_acknowledgement()
+    /// Handles the timers that have expired.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
+        self.now = now;
+        while let Some(event) = self.timers.pop_expired(now) {
+            self.dispatch_timer(event, out);
+            self.finish_changed_requests(out);
+        }
     }
 
     /// When [`Host::tick`] has something to do.
@@ -241,273 +177,203 @@
         self.timers.next_expiry()
     }
 
-    /// Does what has come due.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
-        self.now = now;
-        while let Some(due) = self.timers.pop_expired(now) {
-            match due {
-                TimerEvent::Core(cell, timer) => self.event(now, &cell, Event::TimerFired(timer), out),
-                TimerEvent::CellAssignment => self.cells_due(now, out),
-                TimerEvent::AnswerOverdue(ticket) => self.overdue(now, ticket, out),
-                TimerEvent::ReservationRelease(id, engine) => self.release_again(id, engine, out),
-                TimerEvent::ReservationDeadline(ticket) => self.guard_due(ticket, out),
-                TimerEvent::RequestRelease(id) => self.call(id, out),
-                TimerEvent::Recovery => self.recovery_due(now, out),
-                TimerEvent::QuotaRequest => self.shares_due(now, out),
-                TimerEvent::OutlierEvaluation => self.verdicts_due(now, out),
-                TimerEvent::ZoneReport => self.regions_due(now, out),
-                TimerEvent::ShutdownTimeout => self.give_up_all(now, out),
-            }
-            self.settle(out);
-        }
+    /// Checks that the attempt of a request that is in flight may still start now, as when its connection came
+    /// up late. A denial is counted as withheld.
+    ///
+    /// # Errors
+    ///
+    /// The rule that the attempt would break.
+    pub fn may_start(&mut self, now: Micros, ticket: RequestNumber) -> Result<(), Denial> {
+        let record = self.requests.get(ticket).ok_or(Denial::RequestOver)?;
+        let in_flight = record.in_flight.as_ref().ok_or(Denial::RequestOver)?;
+        let facts = record.facts(self.settings.core.max_attempts);
+        let engine = self.endpoints.get(&in_flight.engine).ok_or(Denial::EngineNotServing);
+        let permission = engine.and_then(|engine| may_start(now, &facts, &engine.facts()));
+        permission.inspect_err(|denial| self.withheld.add(*denial))
     }
 
-    /// Takes in one input and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
-        self.now = now;
+    fn dispatch_input(&mut self, input: Input, out: &mut Vec<Command>) {
         match input {
-            Input::EndpointList(form, members) => {
-                self.list(now, form, members, out);
-                self.relist();
-                self.recount(now, out);
-                self.let_go_of_left(out);
-            }
-            Input::EndpointListConfirmed => {
-                if !std::mem::replace(&mut self.list_fresh, true) {
-                    self.recount(now, out);
-                    self.let_go_of_left(out);
+            Input::EndpointList(update, endpoints) => self.on_endpoint_list(update, endpoints, out),
+            Input::EndpointListConfirmed => self.on_endpoint_list_confirmed(out),
+            Input::Cells(file) => self.on_cells_file(*file, out),
+            Input::Recovery(input) => self.handle_recovery(input, out),
+            Input::ReservationsInherited(orphaned) => self.on_reservations_inherited(orphaned, out),
+            Input::QuotaGranted(grants) => {
+                if let Some(quota) = &mut self.quota {
+                    quota.apply_grants(self.now, &grants);
                 }
             }
-            Input::Recovery(heard) => self.recover(now, heard, out),
-            Input::ReservationsInherited(left) => self.inherit(left, out),
-            Input::QuotaGranted(grants) => self.granted(now, &grants),
-            Input::OutlierReport(from, report) => self.evidence(now, &from, &report),
-            Input::PeersChanged(nodes) => self.nodes_here(nodes),
-            Input::EngineCleared(engine) => self.cleared(now, &engine),
-            Input::FailoverPlan(bytes) => self.planned(now, &bytes),
-            Input::Cells(file) => self.take_cells(now, *file, out),
-            Input::RequestArrived(arrival) => self.arrived(now, arrival, out),
-            Input::DeliveryConfirmed(ticket, attempt) => {
-                let entry = self.entries.get_mut(&ticket).filter(|e| e.has_out(attempt));
-                if let Some(entry) = entry {
-                    entry.seen_at_engine(now);
-                    self.touched.push(ticket);
+            Input::OutlierReport(from, report) => {
+                if let Some(outliers) = &mut self.outliers {
+                    outliers.receive_report(self.now, &from, &report);
                 }
             }
-            Input::FirstToken(ticket, attempt) => self.first_token(now, ticket, attempt, out),
-            Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state } => {
-                self.ended(now, ticket, attempt, outcome, (kept, load, state), out)
-            }
-            Input::ClientLeft(ticket) => self.left(now, ticket, out),
-            Input::HealthChecked(engine, answered, load) => {
-                if answered {
-                    self.saw(&engine, true);
+            Input::PeersChanged(nodes) => {
+                if let Some(outliers) = &mut self.outliers {
+                    outliers.set_peers(nodes);
                 }
-                if let Some(cells) = self.cells.as_mut().filter(|_| answered) {
-                    cells.reached(now, &engine);
-                }
-                // Whoever has the engine has asked; a second cell hears of it in vain.
-                for cell in self.routers.keys().cloned().collect::<Vec<_>>() {
-                    self.event(now, &cell, Event::HealthChecked(engine.clone(), answered, load), out);
+            }
+            Input::EngineCleared(engine) => {
+                if let Some(outliers) = &mut self.outliers {
+                    outliers.clear(self.now, &engine);
                 }
             }
-            Input::Released(id, engine, heard) => self.released(id, engine, heard, out),
-            Input::Stop => {
-                if !self.stopping {
-                    self.stopping = true;
-                    self.timers.set(
-                        now.saturating_add(self.settings.limits.shutdown_timeout),
-                        TimerEvent::ShutdownTimeout,
-                    );
+            Input::FailoverPlan(bytes) => {
+                if let Some(zones) = &mut self.zones {
+                    zones.apply_plan(self.now, &bytes);
                 }
             }
+            Input::RequestArrived(arrival) => self.on_request_arrived(arrival, out),
+            Input::DeliveryConfirmed(number, attempt) => self.on_delivery_confirmed(number, attempt),
+            Input::FirstToken(number, attempt) => self.on_first_token(number, attempt, out),
+            Input::AttemptEnded { ticket, attempt, outcome, cached_tokens, load, state } => {
+                let result = attempts::AttemptResult { attempt, outcome, cached_tokens, load, state };
+                self.on_attempt_ended(ticket, result, out);
+            }
+            Input::ClientLeft(number) => self.on_client_left(number, out),
+            Input::HealthChecked(engine, answered, load) => {
+                self.on_health_checked(engine, answered, load, out);
+            }
+            Input::Released(name, engine, acknowledged) => {
+                self.on_release_result(name, engine, acknowledged, out);
+            }
+            Input::Stop => self.on_stop(),
+        }
+    }
+
+    fn dispatch_timer(&mut self, event: TimerEvent, out: &mut Vec<Command>) {
+        match event {
+            TimerEvent::Core(cell, timer) => self.handle_event(&cell, Event::TimerFired(timer), out),
+            TimerEvent::CellAssignment => self.on_cell_timer(out),
+            TimerEvent::AnswerOverdue(number) => self.on_answer_overdue(number, out),
+            TimerEvent::ReservationRelease(name, engine) => self.retry_release(name, engine, out),
+            TimerEvent::ReservationDeadline(number) => self.on_reservation_deadline(number, out),
+            TimerEvent::RequestRelease(id) => self.call_release(id, out),
+            TimerEvent::Recovery => self.on_recovery_timer(out),
+            TimerEvent::QuotaRequest => self.request_quota(out),
+            TimerEvent::OutlierEvaluation => self.evaluate_outliers(out),
+            TimerEvent::ZoneReport => self.publish_zone_report(out),
+            TimerEvent::ShutdownTimeout => self.abort_all(out),
         }
-        self.settle(out);
     }
 
-    /// Hands a cell's core an event and carries out its actions, and what they in turn owe the cores.
-    pub(crate) fn event(&mut self, now: Micros, cell: &CellName, event: Event, out: &mut Vec<Command>) {
+    /// Hands an event to a cell's core and carries out its actions, and then the events that these have queued.
+    fn handle_event(&mut self, cell: &CellName, event: Event, out: &mut Vec<Command>) {
         let mut next = Some((cell.clone(), event));
         while let Some((cell, event)) = next {
-            let mut actions = std::mem::take(&mut self.actions);
-            if let Some(router) = self.routers.get_mut(&cell) {
-                router.handle(now, event, &mut actions);
-            }
+            let mut actions = self.cores.handle(self.now, &cell, event);
             for action in actions.drain(..) {
-                self.action(now, &cell, action, out);
+                self.carry_out(&cell, action, out);
             }
-            self.actions = actions;
-            next = self.owed.pop_front();
+            self.cores.recycle(actions);
+            next = self.cores.next_event();
         }
     }
 
-    fn action(&mut self, now: Micros, cell: &CellName, action: Action, out: &mut Vec<Command>) {
+    fn carry_out(&mut self, cell: &CellName, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Send(id, engine, timeout) => self.send(now, cell, id, engine, timeout, out),
-            Action::Reject(id, after) => self.answer(&id, FinalAnswer::Rejected(after), out),
+            Action::Send(id, engine, timeout) => self.send(cell, id, engine, timeout, out),
+            Action::Reject(id, retry_after) => self.answer(&id, FinalAnswer::Rejected(retry_after), out),
             Action::Fail(id) => self.answer(&id, FinalAnswer::Failed, out),
-            Action::Cancel(id, attempt) => {
-                let Some(&ticket) = self.by_id.get(&id) else { return };
-                let entry = self.entries.get(&ticket);
-                if entry.and_then(|e| e.out.as_ref()).is_some_and(|o| o.attempt == attempt && !o.started) {
-                    out.push(Command::Cancel(ticket, attempt));
-                }
-            }
+            Action::Cancel(id, attempt) => self.cancel(&id, attempt, out),
             Action::Release(id) => self.release(&id, out),
-            Action::HealthCheck(engine) => match self.places.get(&engine) {
-                Some(place) => out.push(Command::HealthCheck(engine, place.address, place.slots)),
-                None => self.owed.push_back((cell.clone(), Event::HealthChecked(engine, false, None))),
-            },
+            Action::HealthCheck(engine) => self.check_health(cell, engine, out),
             Action::SetTimer(timer, after) => {
-                self.timers.set(now.saturating_add(after), TimerEvent::Core(cell.clone(), timer));
+                let at = self.now.saturating_add(after);
+                self.timers.set(at, TimerEvent::Core(cell.clone(), timer));
             }
             Action::Subscribe => out.push(Command::ReloadEndpointList),
-            Action::Log(text) if cell.0.is_empty() => out.push(Command::Log(text)),
-            Action::Log(text) => out.push(Command::Log(format!("cell {cell}: {text}"))),
+            Action::Log(message) if cell.0.is_empty() => out.push(Command::Log(message)),
+            Action::Log(message) => out.push(Command::Log(format!("cell {cell}: {message}"))),
         }
     }
 
-    // ---- the fleet ----
+    fn check_health(&mut self, cell: &CellName, engine: EngineId, out: &mut Vec<Command>) {
+        match self.endpoints.get(&engine) {
+            Some(known) => out.push(Command::HealthCheck(engine, known.address, known.slots)),
+            None => {
+                let unanswered = Event::HealthChecked(engine, false, None);
+                self.cores.queue_event(cell.clone(), unanswered);
+            }
+        }
+    }
 
-    // ---- requests ----
+    fn on_health_checked(
+        &mut self,
+        engine: EngineId,
+        answered: bool,
+        load: Option<LoadReport>,
+        out: &mut Vec<Command>,
+    ) {
+        if answered {
+            self.record_heard(&engine);
+            self.cells.record_health_check(self.now, &engine);
+        }
+        // Only the cell that has the engine has requested the check; all others ignore the result.
+        for cell in self.cores.cells() {
+            self.handle_event(&cell, Event::HealthChecked(engine.clone(), answered, load), out);
+        }
+    }
 
-    fn arrived(&mut self, now: Micros, arrival: IncomingRequest, out: &mut Vec<Command>) {
-        self.counters.accepted += 1;
-        let limits = &self.settings.limits;
-        let class = arrival.class.and_then(|c| self.settings.classes.get(c));
-        let usual = match class {
-            Some(class) => class.default_client_timeout,
-            // A class that nobody named waits as long as the least patient one.
-            None => self.settings.classes.iter().map(|c| c.default_client_timeout).min().unwrap_or(1_000_000),
-        };
-        let max_tokens = arrival.max_tokens.unwrap_or(class.map_or(256, |c| c.max_tokens));
-        let patience = arrival.client_timeout.map_or(usual, |own| own.min(usual));
-        let left = patience.saturating_sub(limits.answer_margin);
-        let full = self.cells.is_none() && self.entries.len() >= limits.max_open_requests;
-        let reason = match (self.stopping, left, full) {
-            (true, ..) => Some(RefusalReason::Stopping),
-            (_, 0, _) => Some(RefusalReason::NoTimeLeft),
-            (.., true) => Some(RefusalReason::TooManyHeld),
-            _ => None,
-        };
-        if let Some(reason) = reason {
-            return self.turn_away(arrival.ticket, reason, None, out);
+    fn request_quota(&mut self, out: &mut Vec<Command>) {
+        let Some(quota) = &mut self.quota else { return };
+        let requests = quota.lease_requests(self.now);
+        if !requests.is_empty() {
+            out.push(Command::RequestQuota(requests));
         }
-        if self.entries.contains_key(&arrival.ticket) {
-            self.counters.unmatched_inputs += 1;
-            return;
+        let next = self.now + quota.check_interval();
+        self.timers.set(next, TimerEvent::QuotaRequest);
+    }
+
+    fn on_stop(&mut self) {
+        if self.lifecycle == Lifecycle::Running {
+            self.lifecycle = Lifecycle::Draining;
+            let at = self.now.saturating_add(self.settings.limits.shutdown_timeout);
+            self.timers.set(at, TimerEvent::ShutdownTimeout);
         }
-        let margin = limits.answer_margin;
-        if let Some(after) = self.kept_out(now, &arrival) {
-            self.counters.rejected_during_recovery += 1;
-            return self.turn_away(arrival.ticket, RefusalReason::Recovering, after, out);
+    }
+
+    /// Removes the requests that are complete, releases what remains of them, and reports the end of a graceful
+    /// shutdown.
+    fn finish_changed_requests(&mut self, out: &mut Vec<Command>) {
+        for number in self.requests.take_changed() {
+            self.finish_if_complete(number, out);
         }
-        let costs = match self.costs(now, &arrival, max_tokens) {
-            Ok(costs) => costs,
-            Err(after) => {
-                self.counters.rejected_over_quota += 1;
-                return self.turn_away(arrival.ticket, RefusalReason::OverLimit, after, out);
-            }
-        };
-        let session = arrival.session.unwrap_or(arrival.ticket | 1 << 52);
-        let Some(cell) = self.cell_for(now, &arrival, session, out) else { return };
-        let own = || RequestId(format!("{}-{}", self.stamp, arrival.ticket).into());
-        let id = arrival.name.clone().unwrap_or_else(own);
-        // Guards against two requests of one name: the first would never be ended.
-        if self.by_id.contains_key(&id) {
-            self.counters.unmatched_inputs += 1;
-            return self.turn_away(arrival.ticket, RefusalReason::NameInUse, None, out);
+        self.cells.update_timer_after_fault(self.now, &mut self.timers);
+        let is_drained = self.requests.is_empty() && self.releases_awaiting_acknowledgement() == 0;
+        if self.lifecycle == Lifecycle::Draining && is_drained {
+            self.lifecycle = Lifecycle::Stopped;
+            out.push(Command::Stopped);
         }
-        let counted = self.charge(now, &costs);
-        // The core answers by the deadline; the guard stands behind it, before the client gives up.
-        let deadline = now.saturating_add(left);
-        let guard = self.timers.set(deadline + margin / 2, TimerEvent::AnswerOverdue(arrival.ticket));
-        let aims = arrival.class.and_then(|c| self.settings.core.classes.get(c));
-        let aim = aims.map_or(left, |c| {
-            c.latency_objective + c.latency_objective_per_1000_tokens * arrival.prompt_tokens / 1000
-        });
-        let entry = Entry {
-            id: id.clone(),
-            cell: cell.clone(),
-            tenant: arrival.tenant,
-            // A class that nobody named must not run twice.
-            effect: aims.map_or(Idempotency::NotIdempotent, |class| class.effect),
-            may_have_run: None,
-            bytes: arrival.bytes,
-            aim: now.saturating_add(aim),
-            heard: false,
-            streamed: arrival.streamed,
-            max_tokens,
-            deadline,
-            guard,
-            attempts: 0,
-            out: None,
-            held: Vec::new(),
-            since: now,
-            gone: false,
-            let_go: None,
-            lost: false,
-            over: false,
-            failed: false,
-            counted,
-        };
-        self.entries.insert(arrival.ticket, entry);
-        self.by_id.insert(id.clone(), arrival.ticket);
-        self.touched.push(arrival.ticket);
-        let request = Request {
-            id,
-            class: arrival.class,
-            tenant: arrival.tenant,
-            session,
-            prefix: arrival.prefix,
-            prompt_tokens: arrival.prompt_tokens,
-            prefix_tokens: arrival.prefix_tokens.min(arrival.prompt_tokens),
-            max_tokens,
-            client_timeout: left,
-            resumed: arrival.resumed,
-        };
-        self.event(now, &cell, Event::RequestArrived(request), out);
     }
 
-    fn left(&mut self, now: Micros, ticket: RequestNumber, out: &mut Vec<Command>) {
-        let Some(entry) = self.entries.get_mut(&ticket).filter(|e| !e.over) else {
-            self.counters.unmatched_inputs += 1;
+    fn finish_if_complete(&mut self, number: RequestNumber, out: &mut Vec<Command>) {
+        let Some(record) = self.requests.remove_complete(number) else {
+            self.update_reservation_deadline(number);
             return;
         };
-        self.touched.push(ticket);
-        entry.over = true;
-        self.counters.clients_left += 1;
-        let (id, cell) = (entry.id.clone(), entry.cell.clone());
-        self.timers.cancel(entry.guard);
-        self.event(now, &cell, Event::ClientLeft(id), out);
+        let tenant = record.tenant.and_then(|tenant| self.settings.core.tenants.get(tenant));
+        self.cells.release(&record.cell, tenant.map(|tenant| tenant.name.as_str()), record.body_bytes);
+        self.timers.cancel(record.overdue_timer);
+        if let Some(quota) = &mut self.quota {
+            quota.release(self.now, &record.concurrency_limits);
+        }
+        out.push(Command::Over(number));
+        self.release_remaining(record, out);
     }
 
-    // ---- bookkeeping ----
+    /// Counts and logs a violation that a guard has prevented.
+    fn report_denial(&mut self, id: &RequestId, action: &str, denial: Denial, out: &mut Vec<Command>) {
+        self.denials.add(denial);
+        out.push(Command::Log(format!(
+            "violation prevented: request_id={} action={action} reason={denial}",
+            id.0
+        )));
+    }
 
-    /// Drops what is finished, and sees to it that nothing of it is left pinned.
-    fn settle(&mut self, out: &mut Vec<Command>) {
-        for ticket in std::mem::take(&mut self.touched) {
-            if !self.entries.get(&ticket).is_some_and(Entry::finished) {
-                self.watch_held(ticket);
-                continue;
-            }
-            let Some(mut entry) = self.entries.remove(&ticket) else { continue };
-            self.by_id.remove(&entry.id);
-            if let Some(cells) = &mut self.cells {
-                let tenant = entry.tenant.and_then(|t| self.settings.core.tenants.get(t));
-                cells.give_back(&entry.cell, tenant.map(|t| t.name.as_str()), entry.bytes);
-            }
-            self.timers.cancel(entry.guard);
-            self.give_back(self.now, &std::mem::take(&mut entry.counted));
-            out.push(Command::Over(ticket));
-            self.release_left(entry, out);
-        }
-        if std::mem::take(&mut self.uneasy) {
-            self.watch_cells(self.now);
-        }
-        if self.stopping && !self.stopped && self.entries.is_empty() && self.expected() == 0 {
-            self.stopped = true;
-            out.push(Command::Stopped);
-        }
+    /// Whether a name is one of the names that this incarnation gives to requests.
+    fn is_own_name(&self, name: &RequestId) -> bool {
+        name.0.strip_prefix(&self.request_id_prefix).is_some_and(|rest| rest.starts_with('-'))
     }
 }
--- /dev/null
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -0,0 +1,310 @@
+//! Attempts: those that the cores want sent, and their outcomes.
+
+use std::sync::Arc;
+
+use pintally::interface::{
+    Attempt, AttemptEnd, EngineId, Event, LoadReport, Micros, Outcome, RequestId, Role,
+};
+use pintally_cells::CellName;
+use pintally_engine::Step;
+use pintally_guards::{may_send, Denial, MayHaveRun};
+use serde_json::Value;
+
+use super::Host;
+use crate::command::{AttemptOrder, Command, FinalAnswer};
+use crate::input::{ReleaseScope, RequestNumber};
+use crate::request_record::{InFlightAttempt, RequestRecord};
+
+/// Why an attempt that a core wanted was not sent.
+enum NotSent {
+    /// A guard has prevented it.
+    Denied(Denial),
+    /// It is a retry, and the quota of retries is used up.
+    RetryOverQuota,
+    /// It should fetch a state that was released.
+    ReservationReleased,
+}
+
+/// What an attempt that has ended returned.
+pub(super) struct AttemptResult {
+    pub(super) attempt: Attempt,
+    pub(super) outcome: Outcome,
+    pub(super) cached_tokens: u64,
+    pub(super) load: Option<LoadReport>,
+    /// What fetches the state that was read.
+    pub(super) state: Option<Arc<Value>>,
+}
+
+impl Host {
+    /// Sends an attempt, or notifies the core that it was not sent: the core expects an outcome in any case.
+    pub(super) fn send(
+        &mut self,
+        cell: &CellName,
+        id: RequestId,
+        engine: EngineId,
+        timeout: Micros,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(number) = self.requests.number(&id) else {
+            self.counters.never_sent += 1;
+            self.cores.queue_event(cell.clone(), not_sent_event(id, 0, Outcome::NeverSent));
+            return;
+        };
+        let Some(record) = self.requests.get(number) else { return };
+        let attempt = record.attempts;
+        let checked = self.check_send(number, &engine);
+        if let Some(record) = self.requests.get_mut(number) {
+            record.attempts += 1;
+        }
+        let checked = checked.and_then(|()| self.check_retry_and_reservation(number, &engine));
+        match checked {
+            Ok(()) => self.start_attempt(number, attempt, engine, timeout, out),
+            Err(reason) => self.report_not_sent(cell, id, attempt, reason, out),
+        }
+    }
+
+    fn check_send(&self, number: RequestNumber, engine: &EngineId) -> Result<(), NotSent> {
+        let record = self.requests.get(number).ok_or(NotSent::Denied(Denial::RequestOver))?;
+        let known = self.endpoints.get(engine).ok_or(NotSent::Denied(Denial::EngineNotServing))?;
+        let facts = record.facts(self.settings.core.max_attempts);
+        may_send(self.now, &facts, &known.facts()).map_err(NotSent::Denied)
+    }
+
+    fn check_retry_and_reservation(
+        &mut self,
+        number: RequestNumber,
+        engine: &EngineId,
+    ) -> Result<(), NotSent> {
+        let Some(record) = self.requests.get(number) else { return Ok(()) };
+        let quota = self.quota.as_mut().filter(|_| record.has_failed_attempt);
+        if quota.is_some_and(|quota| !quota.admit_retry(self.now, record.tenant)) {
+            return Err(NotSent::RetryOverQuota);
+        }
+        let is_writer = self.endpoints.get(engine).is_some_and(|known| known.role == Role::Writer);
+        if is_writer && record.reservations.is_fetch_lost() {
+            return Err(NotSent::ReservationReleased);
+        }
+        Ok(())
+    }
+
+    fn report_not_sent(
+        &mut self,
+        cell: &CellName,
+        id: RequestId,
+        attempt: Attempt,
+        reason: NotSent,
+        out: &mut Vec<Command>,
+    ) {
+        self.counters.never_sent += 1;
+        let outcome = match reason {
+            NotSent::Denied(denial) => {
+                self.report_denial(&id, "send", denial, out);
+                Outcome::NeverSent
+            }
+            NotSent::RetryOverQuota => {
+                self.counters.retries_over_quota += 1;
+                Outcome::NeverSent
+            }
+            // Guards against an attempt that is spent on a state that was released: the core gets the outcome that
+            // the writer would give, and has the prompt read again.
+            NotSent::ReservationReleased => Outcome::StateNotFound,
+        };
+        self.cores.queue_event(cell.clone(), not_sent_event(id, attempt, outcome));
+    }
+
+    fn start_attempt(
+        &mut self,
+        number: RequestNumber,
+        attempt: Attempt,
+        engine: EngineId,
+        timeout: Micros,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(record) = self.requests.get_mut(number) else { return };
+        let Some(known) = self.endpoints.get(&engine) else { return };
+        let state = record.reservations.fetchable_state();
+        let step = match known.role {
+            Role::Reader => Step::Read,
+            _ if state.is_some() => Step::Fetch,
+            _ => Step::Both,
+        };
+        let sent = MayHaveRun { sent: self.now, zone: known.zone.to_string(), rack: known.rack };
+        record.in_flight = Some(InFlightAttempt::new(attempt, engine.clone(), step, sent));
+        let time_left = record.deadline.saturating_sub(self.now);
+        out.push(Command::Attempt(AttemptOrder {
+            ticket: number,
+            request: record.id.clone(),
+            attempt,
+            cell: record.cell.clone(),
+            address: known.address,
+            slots: known.slots,
+            engine,
+            step,
+            state: state.filter(|_| step == Step::Fetch),
+            max_tokens: record.max_tokens,
+            timeout: if timeout == 0 { time_left } else { timeout.min(time_left) },
+            complete_by: (!record.streamed && step != Step::Read).then_some(time_left),
+        }));
+        self.counters.attempts += 1;
+        self.requests.mark_changed(number);
+    }
+
+    pub(super) fn cancel(&mut self, id: &RequestId, attempt: Attempt, out: &mut Vec<Command>) {
+        let Some(number) = self.requests.number(id) else { return };
+        let in_flight = self.requests.get(number).and_then(|record| record.in_flight.as_ref());
+        let is_cancellable =
+            |in_flight: &InFlightAttempt| in_flight.attempt == attempt && !in_flight.has_first_token;
+        if in_flight.is_some_and(is_cancellable) {
+            out.push(Command::Cancel(number, attempt));
+        }
+    }
+
+    pub(super) fn on_delivery_confirmed(&mut self, number: RequestNumber, attempt: Attempt) {
+        let record = self.requests.get_mut(number).filter(|record| record.is_in_flight(attempt));
+        if let Some(record) = record {
+            record.record_delivery(self.now);
+            self.requests.mark_changed(number);
+        }
+    }
+
+    pub(super) fn on_first_token(&mut self, number: RequestNumber, attempt: Attempt, out: &mut Vec<Command>) {
+        let Some((engine, step)) = self.record_first_token(number, attempt) else {
+            self.counters.unmatched_inputs += 1;
+            return;
+        };
+        let Some(record) = self.requests.get_mut(number) else { return };
+        // A state that was fetched is not reserved any more; where one release frees all reservations of a
+        // request, the writer has freed the others as well with the first token.
+        let frees_all = self.release_scope == ReleaseScope::Request && step != Step::Read;
+        if frees_all {
+            record.reservations.clear();
+        } else if step == Step::Fetch {
+            record.reservations.remove_fetched();
+        }
+        // A streamed answer has no deadline from here on.
+        if record.streamed {
+            self.timers.cancel(record.overdue_timer);
+        }
+        let (id, cell) = (record.id.clone(), record.cell.clone());
+        let is_late = self.now > record.latency_deadline;
+        let is_latency_recorded = std::mem::replace(&mut record.is_latency_recorded, true);
+        self.requests.mark_changed(number);
+        if !is_latency_recorded {
+            self.record_latency(&cell, is_late);
+        }
+        if frees_all {
+            self.withdraw_release(&id, 0, out);
+        }
+        self.record_heard(&engine);
+        self.report_answer_to_recovery(&engine, out);
+        self.handle_event(&cell, Event::FirstToken(id, attempt), out);
+    }
+
+    /// Notes the first token of an attempt, if it is expected; the attempt's engine and step.
+    fn record_first_token(&mut self, number: RequestNumber, attempt: Attempt) -> Option<(EngineId, Step)> {
+        let record = self.requests.open_mut(number)?;
+        let in_flight = record.in_flight.as_mut()?;
+        if in_flight.attempt != attempt || in_flight.has_first_token {
+            return None;
+        }
+        in_flight.has_first_token = true;
+        Some((in_flight.engine.clone(), in_flight.step))
+    }
+
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        number: RequestNumber,
+        result: AttemptResult,
+        out: &mut Vec<Command>,
+    ) {
+        let record = self.requests.get_mut(number);
+        let Some((record, ended)) = record.and_then(|record| take_attempt(record, result.attempt)) else {
+            self.counters.unmatched_inputs += 1;
+            return;
+        };
+        let (id, cell, was_closed) = (record.id.clone(), record.cell.clone(), record.is_closed);
+        let reported = result.outcome;
+        self.cells.record_outcome(self.now, &ended.engine, record.tenant, reported, result.load.as_ref());
+        let may_be_reserved = record.reservations.record_outcome(self.now, &ended, reported, result.state);
+        let outcome = effective_outcome(ended.step, reported);
+        if outcome == Outcome::Served {
+            record.reservations.remove_fetched();
+        }
+        record.record_effect(&ended, outcome);
+        record.has_failed_attempt |= !matches!(outcome, Outcome::Read | Outcome::Served | Outcome::NeverSent);
+        self.requests.mark_changed(number);
+        if may_be_reserved {
+            // Guards against a call for older reservations that frees the one that was just created.
+            self.withdraw_release(&id, 0, out);
+        }
+        self.record_engine_outcome(&cell, &ended.engine, outcome, out);
+        if outcome == Outcome::Served && !was_closed {
+            self.answer(&id, FinalAnswer::Served, out);
+        } else if ended.has_first_token && !was_closed {
+            // An answer that has begun cannot be retried: its client would get a second beginning.
+            self.answer(&id, FinalAnswer::StreamCut, out);
+        }
+        let event = AttemptEnd {
+            id: id.clone(),
+            attempt: result.attempt,
+            outcome,
+            is_final: was_closed || ended.has_first_token || outcome == Outcome::Served,
+            cached_tokens: result.cached_tokens,
+            load: result.load,
+        };
+        self.handle_event(&cell, Event::AttemptEnded(event), out);
+        self.release_uncertain(&id, out);
+    }
+
+    /// Notifies the parts of the host of what an outcome shows of an engine.
+    fn record_engine_outcome(
+        &mut self,
+        cell: &CellName,
+        engine: &EngineId,
+        outcome: Outcome,
+        out: &mut Vec<Command>,
+    ) {
+        match outcome {
+            Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Unreachable | Outcome::TimedOut | Outcome::ConnectionBroken => {
+                self.record_failure(engine);
+            }
+            _ => self.record_heard(engine),
+        }
+        if let Some(outliers) = &mut self.outliers {
+            outliers.record_outcome(self.now, engine, outcome);
+        }
+        if let Some(zones) = &mut self.zones {
+            zones.record_outcome(self.now, cell, outcome);
+        }
+        match outcome {
+            Outcome::Read | Outcome::Served => self.report_answer_to_recovery(engine, out),
+            Outcome::Unreachable => self.report_unreachable_to_recovery(engine, out),
+            _ => {}
+        }
+    }
+}
+
+/// Removes an attempt from its request, if it is in flight.
+fn take_attempt(
+    record: &mut RequestRecord,
+    attempt: Attempt,
+) -> Option<(&mut RequestRecord, InFlightAttempt)> {
+    let ended = record.in_flight.take_if(|in_flight| in_flight.attempt == attempt)?;
+    Some((record, ended))
+}
+
+/// The outcome as it counts: an engine that was to read and reports that it served, or was to answer and reports
+/// that it read, has not done its work.
+fn effective_outcome(step: Step, reported: Outcome) -> Outcome {
+    match (step, reported) {
+        (Step::Read, Outcome::Served) => Outcome::Error,
+        (Step::Fetch | Step::Both, Outcome::Read) => Outcome::Error,
+        _ => reported,
+    }
+}
+
+fn not_sent_event(id: RequestId, attempt: Attempt, outcome: Outcome) -> Event {
+    let end = AttemptEnd { id, attempt, outcome, is_final: false, cached_tokens: 0, load: None };
+    Event::AttemptEnded(end)
+}
--- /dev/null
+++ b/crates/pintally-host/src/host/fleet.rs
@@ -0,0 +1,208 @@
+//! Endpoint lists and cells files: which engines each core gets.
+
+use std::collections::HashSet;
+
+use pintally::interface::{Endpoint, EngineId, Event, ListUpdate, Role};
+use pintally_cells::{CellName, CellsFile, EngineAssignment};
+
+use super::Host;
+use crate::cell_routing::{CellsUpdate, ListedEndpoint};
+use crate::command::Command;
+use crate::input::EngineEndpoint;
+use crate::outlier_detection::{EjectionChange, Evaluation, EVALUATION_INTERVAL};
+use crate::timers::TimerEvent;
+
+/// The cells whose cores are notified of an assignment of engines.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum NotifiedCells {
+    All,
+    /// Those whose engines or their starts differ from the assignment before.
+    Changed,
+}
+
+impl Host {
+    pub(super) fn on_endpoint_list(
+        &mut self,
+        update: ListUpdate,
+        endpoints: Vec<EngineEndpoint>,
+        out: &mut Vec<Command>,
+    ) {
+        self.update_endpoints(update, endpoints, out);
+        if let Some(outliers) = &mut self.outliers {
+            outliers.set_endpoints(self.endpoints.endpoints());
+        }
+        self.report_endpoints_to_recovery(out);
+        self.release_orphaned(out);
+    }
+
+    pub(super) fn on_endpoint_list_confirmed(&mut self, out: &mut Vec<Command>) {
+        if self.endpoints.confirm() {
+            self.report_endpoints_to_recovery(out);
+            self.release_orphaned(out);
+        }
+    }
+
+    pub(super) fn on_cells_file(&mut self, file: CellsFile, out: &mut Vec<Command>) {
+        let version = file.version;
+        match self.cells.update(self.now, file, &self.settings) {
+            CellsUpdate::Loaded => self.assign_to_cells(out),
+            CellsUpdate::Replaced(assignment) => {
+                self.announce_assignment(assignment, NotifiedCells::All, out);
+            }
+            CellsUpdate::Invalid(reason) => {
+                out.push(Command::Log(format!("cells file rejected: version={version} reason={reason}")));
+            }
+        }
+    }
+
+    pub(super) fn on_cell_timer(&mut self, out: &mut Vec<Command>) {
+        if let Some(assignment) = self.cells.timer_expired(self.now) {
+            self.announce_assignment(assignment, NotifiedCells::Changed, out);
+        }
+    }
+
+    /// Publishes this node's report, evaluates those of all nodes, and notifies the cores of engines that are
+    /// ejected or readmitted.
+    pub(super) fn evaluate_outliers(&mut self, out: &mut Vec<Command>) {
+        let Some(outliers) = &mut self.outliers else { return };
+        let Evaluation { report, changes } = outliers.evaluate(self.now);
+        out.extend(report.map(Command::PublishOutlierReport));
+        for EjectionChange { engine, is_ejected } in &changes {
+            let event = if *is_ejected { "ejected" } else { "readmitted" };
+            out.push(Command::Log(format!("engine {event}: engine={} reason=outlier_detection", engine.0)));
+        }
+        let listed = changes.iter().filter_map(|change| self.endpoints.endpoint(&change.engine));
+        let changed: Vec<EngineEndpoint> = listed.cloned().collect();
+        if !changed.is_empty() {
+            self.update_endpoints(ListUpdate::Delta, changed, out);
+        }
+        self.timers.set(self.now + EVALUATION_INTERVAL, TimerEvent::OutlierEvaluation);
+    }
+
+    pub(super) fn publish_zone_report(&mut self, out: &mut Vec<Command>) {
+        let Some(zones) = &mut self.zones else { return };
+        let report = zones.report(self.now, |engine| self.endpoints.is_serving(engine));
+        out.push(Command::PublishZoneReport(report.observations, report.serving_engines));
+        self.timers.set(self.now + zones.report_interval(), TimerEvent::ZoneReport);
+    }
+
+    /// Updates the directory of engines and notifies the cores.
+    pub(super) fn update_endpoints(
+        &mut self,
+        update: ListUpdate,
+        mut endpoints: Vec<EngineEndpoint>,
+        out: &mut Vec<Command>,
+    ) {
+        self.has_fleet_changed = true;
+        if update == ListUpdate::Full {
+            self.endpoints.begin_full_list();
+        }
+        for listed in &mut endpoints {
+            if let Some(recovery) = &self.recovery {
+                listed.endpoint.started = recovery.effective_start(listed.endpoint.started);
+            }
+            if let Err(unknown_kind) = self.endpoints.register(listed, &self.settings) {
+                out.push(Command::Log(unknown_kind.to_string()));
+            }
+        }
+        if !self.cells.is_divided() {
+            self.announce_endpoints(update, endpoints, out);
+        } else if update != ListUpdate::Failed {
+            self.assign_to_cells(out);
+        }
+        self.forget_gone_engines();
+    }
+
+    /// An engine that has left the list may still run and have something of this node; it is forgotten when it
+    /// has nothing any more.
+    fn forget_gone_engines(&mut self) {
+        if !self.endpoints.has_gone_engines() {
+            return;
+        }
+        let in_use = self.engines_in_use();
+        self.endpoints.forget_gone(&in_use);
+        let endpoints = &self.endpoints;
+        self.release_scheduler.retain_engines(|engine| endpoints.contains(engine));
+    }
+
+    /// Engines with attempts, reservations or pending releases.
+    fn engines_in_use(&self) -> HashSet<EngineId> {
+        let records = || self.requests.iter().map(|(_, record)| record);
+        let in_flight = records().filter_map(|record| record.in_flight.as_ref()).map(|a| &a.engine);
+        let reserved = records().flat_map(|record| record.reservations.iter()).map(|held| &held.engine);
+        in_flight.chain(reserved).chain(self.release_retries.engines()).cloned().collect()
+    }
+
+    /// Notifies the cores of endpoints where there are no cells: the core of each zone if there are zones, and
+    /// else the only core.
+    fn announce_endpoints(
+        &mut self,
+        update: ListUpdate,
+        endpoints: Vec<EngineEndpoint>,
+        out: &mut Vec<Command>,
+    ) {
+        let with_ejection = |listed: EngineEndpoint| match &self.outliers {
+            Some(outliers) => outliers.apply_ejection(listed.endpoint),
+            None => listed.endpoint,
+        };
+        let endpoints: Vec<Endpoint> = endpoints.into_iter().map(with_ejection).collect();
+        if self.zones.is_some() {
+            return self.announce_to_zones(update, &endpoints, out);
+        }
+        let only_cell = CellName::default();
+        self.cores.ensure(&only_cell);
+        self.handle_event(&only_cell, Event::EndpointList(update, endpoints), out);
+    }
+
+    fn announce_to_zones(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Command>) {
+        let Some(zones) = &mut self.zones else { return };
+        let assignment = zones.assign(update, endpoints);
+        for Endpoint { engine, zone, .. } in &assignment.unassigned {
+            let engine = &engine.0;
+            out.push(Command::Log(format!(
+                "endpoint ignored: engine={engine} reason=unknown_zone zone={zone}"
+            )));
+        }
+        for (cell, endpoints) in assignment.zones {
+            self.cores.ensure(&cell);
+            if update != ListUpdate::Delta || !endpoints.is_empty() {
+                self.handle_event(&cell, Event::EndpointList(update, endpoints), out);
+            }
+        }
+    }
+
+    fn assign_to_cells(&mut self, out: &mut Vec<Command>) {
+        let listed = |listed: &EngineEndpoint| -> ListedEndpoint {
+            let known = self.endpoints.get(&listed.endpoint.engine);
+            let role = known.map_or(Role::Reader, |known| known.role);
+            (listed.endpoint.clone(), role, listed.cell.clone())
+        };
+        let endpoints = self.endpoints.endpoints().map(listed).collect();
+        if let Some(assignment) = self.cells.assign(self.now, endpoints) {
+            self.announce_assignment(assignment, NotifiedCells::All, out);
+        }
+    }
+
+    /// Notifies the cells' cores of their engines. A cell that was removed gets none; its core completes the
+    /// requests that it has.
+    fn announce_assignment(
+        &mut self,
+        assignment: EngineAssignment,
+        notified: NotifiedCells,
+        out: &mut Vec<Command>,
+    ) {
+        self.has_fleet_changed = true;
+        out.extend(assignment.notes.into_iter().map(Command::Log));
+        for cell in assignment.cells.keys() {
+            self.cores.ensure(cell);
+        }
+        for cell in self.cores.cells() {
+            let endpoints = assignment.cells.get(&cell).cloned().unwrap_or_default();
+            let has_changed = self.cells.record_announcement(&cell, &endpoints);
+            if has_changed || notified == NotifiedCells::All {
+                self.handle_event(&cell, Event::EndpointList(ListUpdate::Full, endpoints), out);
+            }
+        }
+        self.cells.update_timer(self.now, &mut self.timers);
+    }
+}
--- a/crates/pintally-host/src/lib.rs
+++ b/crates/pintally-host/src/lib.rs
@@ -1,39 +1,47 @@
-//! The host of the decision core: a state machine that owns one [`Router`](pintally::Router).
+//! The host of the decision core: a sans-I/O state machine that owns a [`Router`](pintally::Router) for each
+//! cell or zone.
 //!
-//! Inputs come in with the time at which they came; commands go out. The same settings, seed and
-//! inputs always give the same commands, so sockets and a virtual clock can drive the same host.
+//! Inputs are handed over with the time at which they arrived, and commands are returned. The same settings,
+//! seed and inputs always give the same commands, so sockets and a simulated clock can drive the same host.
 //!
-//! What it answers for, whatever order things end in:
-//! - each request that it takes gets exactly one [`FinalAnswer`], and no attempt after it;
+//! It guarantees, in whatever order attempts end:
+//! - each request gets exactly one [`FinalAnswer`], and no attempt after it;
 //! - each attempt that it commands is ended towards the router exactly once;
-//! - each read state that may wait at an engine is fetched or let go, and letting go is repeated
-//!   until the engine has heard it.
+//! - each reservation that may exist at an engine is fetched or released, and the release is retried until the
+//!   engine has acknowledged it.
+//!
+//! [`Host`] orchestrates parts that each keep their own state: the ledger of requests, timers, the endpoint
+//! directory, the decision cores, routing between cells and zones, outlier detection, admission by quotas and
+//! during recovery, and the schedulers of releases.
+
+#![deny(missing_docs)]
 
-mod answers;
-mod attempts;
-mod cellular;
+mod cell_routing;
+mod command;
+mod cores;
 mod counters;
+mod endpoint_directory;
+mod endpoint_list;
 mod host;
 mod input;
-mod judged;
 mod ledger;
-mod left;
-mod limits;
-mod list;
-mod recover;
-mod refusal;
-mod regional;
+mod orphaned_reservations;
+mod outlier_detection;
+mod quota_admission;
+mod recovery_admission;
+mod rejections;
 mod release_retries;
 mod release_scheduler;
-mod states;
+mod request_record;
+mod reservations;
 mod timers;
+mod zone_routing;
 
+pub use command::{AttemptOrder, Command, FinalAnswer};
 pub use counters::Counters;
+pub use endpoint_list::{ListChange, ListFollower};
 pub use host::Host;
-pub use input::{
-    AttemptOrder, Command, EngineEndpoint, FinalAnswer, IncomingRequest, Input, ReleaseScope, RequestNumber,
-};
-pub use left::OrphanedReservation;
-pub use list::{ListChange, ListFollower};
-pub use refusal::{RefusalReason, Refusals};
-pub use states::state_name;
+pub use input::{EngineEndpoint, IncomingRequest, Input, ReleaseScope, RequestNumber};
+pub use orphaned_reservations::OrphanedReservation;
+pub use rejections::{RejectionReason, Rejections};
+pub use reservations::state_name;
--- a/crates/pintally-host/tests/golden.rs
+++ b/crates/pintally-host/tests/golden.rs
@@ -1,12 +1,12 @@
 //! The golden file of the names under which refusals are counted in status documents.
 
 use pintally_guards::Counted;
-use pintally_host::{RefusalReason, Refusals};
+use pintally_host::{RejectionReason, Rejections};
 
 #[test]
 fn names_of_refusals() {
-    let mut counts = Refusals::default();
-    RefusalReason::KINDS.iter().for_each(|kind| counts.add(*kind));
+    let mut counts = Rejections::default();
+    RejectionReason::KINDS.iter().for_each(|kind| counts.add(*kind));
     let got: String = counts.by_name().map(|(name, count)| format!("{name} {count}\n")).collect();
     assert_eq!(got, include_str!("golden/refusals.txt"));
 }
--- a/crates/pintally-host/tests/guards.rs
+++ b/crates/pintally-host/tests/guards.rs
@@ -6,7 +6,7 @@
 use pintally_config::NodeSettings;
 use pintally_guards::Denial;
 use pintally_host::{
-    Command, EngineEndpoint, FinalAnswer, Host, IncomingRequest, Input, RefusalReason, RequestNumber,
+    Command, EngineEndpoint, FinalAnswer, Host, IncomingRequest, Input, RejectionReason, RequestNumber,
 };
 
 const SETTINGS: &str = r#"
@@ -95,5 +95,5 @@
     assert!(refused(&arrives(&mut host, 5, 1_000_000)));
     let counts: Vec<_> = host.rejections().by_name().collect();
     assert_eq!(counts, [("stopping", 1), ("no_time_left", 1), ("too_many_held", 1)]);
-    assert_eq!(host.rejections().of(RefusalReason::Stopping), 1);
+    assert_eq!(host.rejections().of(RejectionReason::Stopping), 1);
 }
--- a/crates/pintally-host/tests/scope.rs
+++ b/crates/pintally-host/tests/scope.rs
@@ -419,7 +419,8 @@
         node.pass(node.now + WITHIN);
     }
     assert_eq!(node.host.counters().releases_lost, 1);
-    assert!(node.out.iter().any(|c| matches!(c, Command::Log(text) if text.contains("x lets go"))));
+    let warning = "release not acknowledged by any engine: request_id=x";
+    assert!(node.out.iter().any(|command| matches!(command, Command::Log(text) if text == warning)));
     assert_eq!((node.host.open_requests(), node.host.open().1), (0, 1));
     // Another request is read: r0 is there again, and hears it within the time.
     node.arrive(2, "y");
