--- a/crates/pintally-host/tests/list.rs
+++ b/crates/pintally-host/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Following the list of engines: changes only, nothing from a bad text, never back in time.
+//! Following the endpoint list: only changes are reported, invalid versions are ignored, and older ones never apply.
 
 use pintally::interface::{EndpointState, ListUpdate};
 use pintally_host::{ListChange, ListFollower};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_first_list_is_whole_and_later_ones_are_changes() {
+fn first_list_is_complete_and_later_ones_are_changes() {
     let mut follower = ListFollower::default();
     let first = apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).unwrap();
     assert_eq!(first.0, ListUpdate::Full);
@@ -33,36 +33,36 @@
     let next = apply(&mut follower, &list(2, &[("a", "draining"), ("c", "serving")])).unwrap();
     let want = [("a", EndpointState::Draining), ("b", EndpointState::Gone), ("c", EndpointState::Serving)];
     assert_eq!(next, (ListUpdate::Delta, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
-    // One that is gone is told once.
+    // An engine that is gone is reported once.
     assert!(apply(&mut follower, &list(3, &[("a", "draining"), ("c", "serving")])).is_none());
     assert_eq!(follower.len(), 2);
 }
 
 #[test]
-fn a_bad_text_changes_nothing_and_is_told_once() {
+fn invalid_list_changes_nothing_and_is_reported_once() {
     let mut follower = ListFollower::default();
     apply(&mut follower, &list(1, &[("a", "serving")]));
-    let told =
+    let is_reported =
         |f: &mut ListFollower, text: &str| matches!(f.apply("list", text, |ms| ms), ListChange::Bad(Some(_)));
-    assert!(told(&mut follower, "(engines"));
-    assert!(!told(&mut follower, "(engines"));
-    assert!(told(&mut follower, "(other)"));
+    assert!(is_reported(&mut follower, "(engines"));
+    assert!(!is_reported(&mut follower, "(engines"));
+    assert!(is_reported(&mut follower, "(other)"));
     assert_eq!(follower.len(), 1);
     assert!(apply(&mut follower, &list(2, &[("a", "draining")])).is_some());
-    assert!(told(&mut follower, "(engines"), "the same mistake after a sound list is a new one");
+    assert!(is_reported(&mut follower, "(engines"), "the same error after a valid list is a new one");
 }
 
-/// Guards against a restored file that takes a drain back.
+/// Guards against a restored file that undoes a drain.
 #[test]
-fn an_older_list_does_not_undo_a_younger_one() {
+fn older_list_is_ignored() {
     let mut follower = ListFollower::default();
     apply(&mut follower, &list(5, &[("a", "draining")]));
     let old = list(4, &[("a", "serving")]);
     assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Older(Some(4))));
     assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Older(None)));
-    // What is kept over a restart holds the same way.
-    let kept = follower.kept().unwrap();
-    let mut again = ListFollower::default();
-    assert_eq!(apply(&mut again, &kept).unwrap().1, vec![("a".to_string(), EndpointState::Draining)]);
-    assert!(apply(&mut again, &old).is_none());
+    // The cached list has the same version after a restart.
+    let cached = follower.kept().unwrap();
+    let mut restarted = ListFollower::default();
+    assert_eq!(apply(&mut restarted, &cached).unwrap().1, vec![("a".to_string(), EndpointState::Draining)]);
+    assert!(apply(&mut restarted, &old).is_none());
 }
--- a/crates/pintally-host/tests/golden.rs
+++ b/crates/pintally-host/tests/golden.rs
@@ -1,10 +1,10 @@
-//! The golden file of the names under which refusals are counted in status documents.
+//! The golden file of the names under which rejections are counted in status documents.
 
 use pintally_guards::Counted;
 use pintally_host::{RejectionReason, Rejections};
 
 #[test]
-fn names_of_refusals() {
+fn names_of_rejections() {
     let mut counts = Rejections::default();
     RejectionReason::KINDS.iter().for_each(|kind| counts.add(*kind));
     let got: String = counts.by_name().map(|(name, count)| format!("{name} {count}\n")).collect();
--- a/crates/pintally-host/tests/guards.rs
+++ b/crates/pintally-host/tests/guards.rs
@@ -1,4 +1,4 @@
-//! What the host asks pintally-guards: late starts, and why requests are refused.
+//! The guards in the host: attempts that start late, and the reasons of rejections.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 
 const START: Micros = 1_000_000;
 
-fn listed(id: &str, kind: &str, listing: EndpointState) -> EngineEndpoint {
+fn endpoint(id: &str, kind: &str, listing: EndpointState) -> EngineEndpoint {
     EngineEndpoint {
         endpoint: Endpoint {
             engine: EngineId(id.into()),
@@ -37,9 +37,9 @@
 }
 
 fn host() -> Host {
-    let settings = Arc::new(NodeSettings::parse("test", SETTINGS).expect("they are sound"));
+    let settings = Arc::new(NodeSettings::parse("test", SETTINGS).expect("the settings are valid"));
     let mut host = Host::new(settings, 7);
-    let all = vec![listed("r0", "r", EndpointState::Serving), listed("w0", "w", EndpointState::Serving)];
+    let all = vec![endpoint("r0", "r", EndpointState::Serving), endpoint("w0", "w", EndpointState::Serving)];
     host.handle(START, Input::EndpointList(ListUpdate::Full, all), &mut Vec::new());
     host
 }
@@ -61,16 +61,16 @@
     out.iter().any(|command| matches!(command, Command::Attempt(_)))
 }
 
-/// Guards against an attempt that starts on a connection which came up after its engine's drain, its client's
-/// leaving or its time.
+/// Guards against an attempt that starts on a connection which came up after its engine began to drain, its client left
+/// or its deadline passed.
 #[test]
-fn an_attempt_starts_late_only_while_it_may() {
+fn late_start_requires_open_request_serving_engine_and_time_left() {
     let mut sent = host();
     assert!(is_sent(&arrives(&mut sent, 1, 1_000_000)));
     assert_eq!(sent.may_start(START + 1, 1), Ok(()));
     assert_eq!(sent.may_start(START + 1_000_000, 1), Err(Denial::NoTimeLeft));
-    assert_eq!(sent.may_start(START, 2), Err(Denial::RequestOver), "nobody knows it");
-    let drained = vec![listed("r0", "r", EndpointState::Draining)];
+    assert_eq!(sent.may_start(START, 2), Err(Denial::RequestOver), "the request is unknown");
+    let drained = vec![endpoint("r0", "r", EndpointState::Draining)];
     sent.handle(START + 2, Input::EndpointList(ListUpdate::Delta, drained), &mut Vec::new());
     assert_eq!(sent.may_start(START + 3, 1), Err(Denial::EngineNotServing));
     assert_eq!((sent.withheld().total(), sent.denials().total()), (2, 0));
@@ -82,17 +82,17 @@
 }
 
 #[test]
-fn refusals_are_counted_by_reason() {
+fn rejections_are_counted_by_reason() {
     let mut host = host();
-    let refused = |out: &[Command]| {
+    let is_rejected = |out: &[Command]| {
         out.iter().any(|command| matches!(command, Command::Answer(_, FinalAnswer::Rejected(_))))
     };
-    assert!(refused(&arrives(&mut host, 1, 20_000)), "its time is the margin");
+    assert!(is_rejected(&arrives(&mut host, 1, 20_000)), "its timeout is the answer margin");
     assert!(is_sent(&arrives(&mut host, 2, 1_000_000)));
     arrives(&mut host, 3, 1_000_000);
-    assert!(refused(&arrives(&mut host, 4, 1_000_000)), "two are held");
+    assert!(is_rejected(&arrives(&mut host, 4, 1_000_000)), "two requests are open");
     host.handle(START, Input::Stop, &mut Vec::new());
-    assert!(refused(&arrives(&mut host, 5, 1_000_000)));
+    assert!(is_rejected(&arrives(&mut host, 5, 1_000_000)));
     let counts: Vec<_> = host.rejections().by_name().collect();
     assert_eq!(counts, [("stopping", 1), ("no_time_left", 1), ("too_many_held", 1)]);
     assert_eq!(host.rejections().of(RejectionReason::Stopping), 1);
--- a/crates/pintally-host/tests/host.rs
+++ b/crates/pintally-host/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! The host under generated orders of events: a small world of engines and clients without sockets
-//! plays whatever proptest draws, and checks after every step what the host answers for.
+//! Property tests of the host: a small simulation of engines and clients without sockets runs generated sequences of
+//! events and checks the guarantees of the host after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -35,13 +35,13 @@
     ("m1", "m", "b"),
 ];
 
-/// Worlds with an even seed are divided: their first engines of each kind are cell x, the others y.
+/// Simulations with an even seed have cells: the first engine of each kind is in cell x, the others in y.
 fn cell_of(engine: &str) -> Option<CellName> {
     Some(if engine.ends_with('0') { "x".into() } else { "y".into() })
 }
 
 struct Client {
-    /// The cell in which it began.
+    /// The cell that routes it.
     cell: Option<CellName>,
     class: usize,
     gone: bool,
@@ -49,45 +49,45 @@
     due: Micros,
     streamed: bool,
     started: bool,
-    /// The zone of the engine at which it may have run, if it may.
+    /// The zone of the engine at which it may have run first.
     ran: Option<String>,
 }
 
-struct World {
+struct Simulation {
     now: Micros,
     host: Host,
     clients: BTreeMap<RequestNumber, Client>,
-    out: BTreeMap<RequestNumber, (AttemptOrder, Micros, bool)>,
+    in_flight: BTreeMap<RequestNumber, (AttemptOrder, Micros, bool)>,
     cancelled: BTreeSet<RequestNumber>,
-    states: BTreeSet<(String, EngineId)>,
+    reservations: BTreeSet<(String, EngineId)>,
     listing: BTreeMap<&'static str, EndpointState>,
     stopped: bool,
     over: BTreeSet<RequestNumber>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut settings = NodeSettings::parse("test", SETTINGS).unwrap();
         let divided = seed.is_multiple_of(2);
         settings.cells_file = divided.then(|| "cells".to_string());
         let settings = Arc::new(settings);
         let file = CellsFile::parse("cells", CELLS, &settings.core).unwrap();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 1_000_000,
             host: Host::new(settings, seed),
             clients: BTreeMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             cancelled: BTreeSet::new(),
-            states: BTreeSet::new(),
+            reservations: BTreeSet::new(),
             listing: ENGINES.iter().map(|e| (e.0, EndpointState::Serving)).collect(),
             stopped: false,
             over: BTreeSet::new(),
         };
-        world.list(ListUpdate::Full);
+        simulation.list(ListUpdate::Full);
         if divided {
-            world.handle(Input::Cells(Box::new(file)));
+            simulation.handle(Input::Cells(Box::new(file)));
         }
-        world
+        simulation
     }
 
     fn list(&mut self, form: ListUpdate) {
@@ -124,16 +124,16 @@
                 Command::Attempt(order) => self.attempt(order),
                 Command::Answer(ticket, answer) => self.answer(ticket, answer),
                 Command::Cancel(ticket, attempt) => {
-                    let (order, _, started) = &self.out[&ticket];
+                    let (order, _, started) = &self.in_flight[&ticket];
                     assert_eq!(order.attempt, attempt);
                     assert!(!started || self.clients[&ticket].answer.is_some());
                     self.cancelled.insert(ticket);
                 }
                 Command::Release { name, engine, .. } => {
-                    // Every third release gets lost on its way.
+                    // Every third release is lost.
                     let heard = !(self.now + name.0.len() as u64).is_multiple_of(3);
                     if heard {
-                        self.states.remove(&(name.0.to_string(), engine.clone()));
+                        self.reservations.remove(&(name.0.to_string(), engine.clone()));
                     }
                     self.handle(Input::Released(name, engine, heard));
                 }
@@ -143,12 +143,12 @@
                 }
                 Command::Over(ticket) => {
                     assert!(self.over.insert(ticket), "over twice");
-                    assert!(!self.out.contains_key(&ticket), "over with an attempt out");
+                    assert!(!self.in_flight.contains_key(&ticket), "complete with an attempt in flight");
                 }
                 Command::ProbeConnection(ticket, attempt, engine, _) => {
-                    let out = self.out.get(&ticket).is_some_and(|o| o.0.attempt == attempt);
-                    assert!(out, "a connection probe for an attempt that is not out");
-                    // Behind every third engine's silence there is nobody.
+                    let out = self.in_flight.get(&ticket).is_some_and(|o| o.0.attempt == attempt);
+                    assert!(out, "a connection probe for an attempt that is not in flight");
+                    // Every third probe of some engines is not answered.
                     if !engine.0.ends_with('1') || ticket % 3 != 0 {
                         self.handle(Input::DeliveryConfirmed(ticket, attempt));
                     }
@@ -159,7 +159,7 @@
                 | Command::RequestQuota(_)
                 | Command::PublishOutlierReport(_)
                 | Command::PublishZoneReport(..) => {
-                    panic!("it knows no others")
+                    panic!("the settings define none of these")
                 }
                 Command::ReloadEndpointList | Command::Log(_) => {}
             }
@@ -175,8 +175,8 @@
             "an engine of another cell"
         );
         assert!(client.answer.is_none() && !client.gone, "an attempt after the end");
-        assert!(!self.over.contains(&order.ticket), "an attempt after all was over");
-        assert!(!self.out.contains_key(&order.ticket), "two attempts at once");
+        assert!(!self.over.contains(&order.ticket), "an attempt after the request was complete");
+        assert!(!self.in_flight.contains_key(&order.ticket), "two attempts at once");
         assert_eq!(self.listing[&*order.engine.0], EndpointState::Serving, "an attempt at a drained engine");
         assert!(order.timeout > 0 && self.now + order.timeout <= client.due);
         if let Some(zone) = &client.ran {
@@ -186,7 +186,7 @@
             assert!(order.state.is_some(), "a fetch without what fetches it");
         }
         let by = self.now + order.timeout;
-        self.out.insert(order.ticket, (order, by, false));
+        self.in_flight.insert(order.ticket, (order, by, false));
     }
 
     fn answer(&mut self, ticket: RequestNumber, answer: FinalAnswer) {
@@ -195,19 +195,19 @@
         assert!(!client.gone, "an answer to a client that has left");
         assert!(self.now <= client.due || (client.streamed && client.started), "an answer too late");
         if matches!(answer, FinalAnswer::Rejected(_)) {
-            assert!(client.ran.is_none() || client.class != 1, "refused, but it may have run");
+            assert!(client.ran.is_none() || client.class != 1, "rejected, but it may have run");
         }
     }
 
-    fn end(&mut self, ticket: RequestNumber, outcome: Outcome, leaves_state: bool) {
-        let Some((order, _, _)) = self.out.remove(&ticket) else { return };
+    fn end(&mut self, ticket: RequestNumber, outcome: Outcome, creates_reservation: bool) {
+        let Some((order, _, _)) = self.in_flight.remove(&ticket) else { return };
         self.cancelled.remove(&ticket);
         let name = (format!("{}.{}", order.request.0, order.attempt), order.engine.clone());
         let mut state = None;
         let read = order.step == Step::Read;
         let proven = matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent);
-        if read && (outcome == Outcome::Read || (leaves_state && !proven)) {
-            self.states.insert(name);
+        if read && (outcome == Outcome::Read || (creates_reservation && !proven)) {
+            self.reservations.insert(name);
             state = (outcome == Outcome::Read).then(|| Arc::new(serde_json::json!({ "n": order.attempt })));
         }
         if outcome == Outcome::Served {
@@ -233,12 +233,12 @@
     fn fetched(&mut self, order: &AttemptOrder) {
         if let Some(n) = order.state.as_ref().and_then(|s| s["n"].as_u64()) {
             let name = format!("{}.{n}", order.request.0);
-            self.states.retain(|(s, _)| *s != name);
+            self.reservations.retain(|(s, _)| *s != name);
         }
     }
 
     fn first_token(&mut self, ticket: RequestNumber) {
-        let Some((order, _, started)) = self.out.get_mut(&ticket) else { return };
+        let Some((order, _, started)) = self.in_flight.get_mut(&ticket) else { return };
         if order.step == Step::Read || std::mem::replace(started, true) {
             return;
         }
@@ -248,12 +248,12 @@
         self.handle(Input::FirstToken(ticket, order.attempt));
     }
 
-    /// Time passes; what was promised for a time happens at that time.
-    fn pass(&mut self, span: Micros) {
+    /// Advances the time; attempts time out and timers expire on the way.
+    fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
-            let timeouts = self.out.values().filter(|(_, _, started)| !started).map(|(_, by, _)| *by);
-            let wholes = self.out.iter().filter(|(t, (_, _, s))| *s && !self.clients[t].streamed);
+            let timeouts = self.in_flight.values().filter(|(_, _, started)| !started).map(|(_, by, _)| *by);
+            let wholes = self.in_flight.iter().filter(|(t, (_, _, s))| *s && !self.clients[t].streamed);
             let wholes = wholes.map(|(t, _)| self.clients[t].due - 20_000);
             let next = timeouts.chain(wholes).chain(self.host.next_wake()).min().unwrap_or(until);
             if next > until {
@@ -264,7 +264,7 @@
             self.host.tick(self.now, &mut out);
             self.carry_out(out);
             let late: Vec<RequestNumber> = self
-                .out
+                .in_flight
                 .iter()
                 .filter(|(t, (_, by, started))| match started {
                     false => *by <= self.now,
@@ -275,22 +275,20 @@
             for ticket in late {
                 self.end(ticket, Outcome::TimedOut, ticket % 2 == 0);
             }
-            self.call_off();
+            self.end_cancelled();
         }
         self.now = until;
     }
 
-    fn call_off(&mut self) {
+    fn end_cancelled(&mut self) {
         for ticket in std::mem::take(&mut self.cancelled) {
             self.end(ticket, Outcome::Cancelled, ticket % 2 == 0);
         }
     }
 
-    fn play(&mut self, step: &(u8, u8, u16)) {
-        let (what, which, amount) = *step;
-        let pick =
-            |out: &BTreeMap<RequestNumber, _>| out.keys().nth(usize::from(which) % out.len().max(1)).copied();
-        match what % 12 {
+    fn run_step(&mut self, step: &(u8, u8, u16)) {
+        let (kind, which, amount) = *step;
+        match kind % 12 {
             0..=2 => {
                 let ticket = self.clients.len() as u64 + 1;
                 let class = usize::from(which) % 3;
@@ -320,8 +318,8 @@
                 }));
             }
             3..=6 => {
-                let Some(ticket) = pick_of(&self.out, which) else { return };
-                let (order, _, started) = &self.out[&ticket];
+                let Some(ticket) = pick_of(&self.in_flight, which) else { return };
+                let (order, _, started) = &self.in_flight[&ticket];
                 let outcome = match (order.step, started, amount % 10) {
                     (Step::Read, _, 0..=5) => Outcome::Read,
                     (_, true, 0..=6) => Outcome::Served,
@@ -336,7 +334,7 @@
                 self.end(ticket, outcome, amount % 3 == 0);
             }
             7 => {
-                if let Some(ticket) = pick(&self.out) {
+                if let Some(ticket) = pick_of(&self.in_flight, which) {
                     self.first_token(ticket);
                 }
             }
@@ -350,7 +348,7 @@
                 if let Some(ticket) = open.get(usize::from(which) % open.len().max(1)).copied() {
                     self.clients.get_mut(&ticket).unwrap().gone = true;
                     self.handle(Input::ClientLeft(ticket));
-                    if self.out.get(&ticket).is_some_and(|o| o.2) {
+                    if self.in_flight.get(&ticket).is_some_and(|o| o.2) {
                         self.end(ticket, Outcome::Cancelled, false);
                     }
                 }
@@ -365,14 +363,14 @@
                 ];
                 self.listing.insert(engine, states[usize::from(amount) % 4]);
                 if self.listing[engine] == EndpointState::Gone {
-                    self.states.retain(|(_, e)| &*e.0 != engine);
+                    self.reservations.retain(|(_, e)| &*e.0 != engine);
                 }
                 self.list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Delta });
             }
-            // Word that fits nothing: of what is over, of what never was, twice.
+            // Inputs that match nothing: for requests that are complete or never existed, repeated.
             10 => {
                 let ticket = RequestNumber::from(which);
-                if !self.out.contains_key(&ticket) {
+                if !self.in_flight.contains_key(&ticket) {
                     self.handle(Input::FirstToken(ticket, 0));
                     let (outcome, state) = (Outcome::Served, None);
                     self.handle(Input::AttemptEnded {
@@ -385,28 +383,29 @@
                     });
                 }
             }
-            _ => self.pass(Micros::from(amount) * 10),
+            _ => self.advance(Micros::from(amount) * 10),
         }
-        self.call_off();
+        self.end_cancelled();
     }
 
     fn finish(mut self) {
         self.handle(Input::Stop);
         for _ in 0..40 {
-            let started: Vec<RequestNumber> = self.out.iter().filter(|o| o.1 .2).map(|o| *o.0).collect();
+            let started: Vec<RequestNumber> =
+                self.in_flight.iter().filter(|o| o.1 .2).map(|o| *o.0).collect();
             started.into_iter().for_each(|t| self.end(t, Outcome::Served, false));
-            self.pass(500_000);
+            self.advance(500_000);
         }
         for (ticket, client) in &self.clients {
             assert!(client.gone || client.answer.is_some(), "request {ticket} has no final answer");
         }
-        assert_eq!(self.over.len(), self.clients.len(), "not all were told that all is over");
-        assert_eq!(self.host.open_requests(), 0, "requests are left in the ledger");
-        assert!(self.stopped, "it never said that it has stopped");
+        assert_eq!(self.over.len(), self.clients.len(), "not all requests were reported complete");
+        assert_eq!(self.host.open_requests(), 0, "requests remain in the ledger");
+        assert!(self.stopped, "it never reported that it has stopped");
         let listing = &self.listing;
-        self.states.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
-        assert!(self.states.is_empty(), "states are left pinned: {:?}", self.states);
-        assert_eq!(self.host.open().1, 0, "releases are left open");
+        self.reservations.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
+        assert!(self.reservations.is_empty(), "reservations remain: {:?}", self.reservations);
+        assert_eq!(self.host.open().1, 0, "releases remain pending");
         let c = self.host.counters();
         assert_eq!(c.accepted, c.served + c.rejected + c.failed + c.streams_cut + c.clients_left, "{c:?}");
         assert_eq!(c.accepted, self.clients.len() as u64);
@@ -414,40 +413,40 @@
     }
 }
 
-fn pick_of<T>(out: &BTreeMap<RequestNumber, T>, which: u8) -> Option<RequestNumber> {
-    out.keys().nth(usize::from(which) % out.len().max(1)).copied()
+fn pick_of<T>(in_flight: &BTreeMap<RequestNumber, T>, which: u8) -> Option<RequestNumber> {
+    in_flight.keys().nth(usize::from(which) % in_flight.len().max(1)).copied()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order things end in: one final answer each, in time, nothing after it, no effect
-    /// twice, no drained engine, no state left, nothing left in the ledger.
+    /// In whatever order attempts end: each request gets one final answer in time and no attempt after it, nothing that
+    /// is not idempotent runs twice, no attempt goes to a draining engine, and no reservation and no record remains.
     #[test]
-    fn any_order_of_events_keeps_what_the_host_answers_for(
+    fn invariants_hold_for_any_order_of_events(
         seed in any::<u64>(),
         steps in prop::collection::vec(any::<(u8, u8, u16)>(), 1..200),
     ) {
-        let mut world = World::new(seed);
-        steps.iter().for_each(|s| world.play(s));
-        world.finish();
+        let mut simulation = Simulation::new(seed);
+        steps.iter().for_each(|s| simulation.run_step(s));
+        simulation.finish();
     }
 
     /// The same inputs always give the same commands.
     #[test]
-    fn the_same_inputs_give_the_same_commands(
+    fn host_is_deterministic(
         seed in any::<u64>(),
         steps in prop::collection::vec(any::<(u8, u8, u16)>(), 1..80),
     ) {
-        let play = || {
-            let mut world = World::new(seed);
-            steps.iter().for_each(|s| world.play(s));
+        let run = || {
+            let mut simulation = Simulation::new(seed);
+            steps.iter().for_each(|s| simulation.run_step(s));
             let (out, answers): (Vec<_>, Vec<_>) = (
-                world.out.values().map(|o| format!("{:?}", o.0)).collect(),
-                world.clients.values().map(|c| c.answer).collect(),
+                simulation.in_flight.values().map(|o| format!("{:?}", o.0)).collect(),
+                simulation.clients.values().map(|c| c.answer).collect(),
             );
-            (out, answers, world.host.counters())
+            (out, answers, simulation.host.counters())
         };
-        prop_assert_eq!(play(), play());
+        prop_assert_eq!(run(), run());
     }
 }
