--- a/crates/pintally-platform-node/src/acceptor.rs
+++ b/crates/pintally-platform-node/src/acceptor.rs
@@ -6,7 +6,7 @@
 use pintally::interface::Micros;
 use pintally_guards::CloseReason;
 use pintally_http::RequestReader;
-use pintally_platform::{MAX_BODY, MAX_HEAD};
+use pintally_platform::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 use crate::arrivals::Arrivals;
 use crate::conn::{Client, Conn, Key, Stage};
@@ -159,7 +159,7 @@
         let flags = Flags::IN | Flags::RDHUP;
         let client = Client {
             stream,
-            reader: RequestReader::new(MAX_HEAD, MAX_BODY),
+            reader: RequestReader::new(MAX_HEAD_BYTES, MAX_BODY_BYTES),
             arrivals: Arrivals::default(),
             out: Vec::new(),
             gone: 0,
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -5,7 +5,7 @@
 
 use pintally::interface::{EngineId, Micros, Outcome, RequestId};
 use pintally_host::{AttemptOrder, Command, Input, RequestNumber};
-use pintally_platform::{attempt_head, release, AnswerReader};
+use pintally_platform::{encode_attempt_head, encode_release, EngineResponseReader};
 use serde_json::Value;
 
 use crate::conn::{Conn, Engine, Key, Work};
@@ -61,7 +61,7 @@
             return self.over(order.ticket, order.attempt, Outcome::NeverSent);
         };
         let timeout_at = now.saturating_add(order.timeout);
-        let head = attempt_head(&job.head, order.timeout / 1000, job.body.len());
+        let head = encode_attempt_head(&job.head, order.timeout / 1000, job.body.len());
         let body = job.body.clone();
         let work = Work::Attempt {
             ticket: order.ticket,
@@ -101,7 +101,7 @@
     fn release(&mut self, id: RequestId, engine: EngineId, address: SocketAddr, anew: bool) {
         let until = self.clock.now() + self.settings.limits.background_call_timeout;
         let work = Work::Release { id: id.clone(), engine: engine.clone(), until };
-        match self.carry(address, &engine, release(&id.0), None, work, anew) {
+        match self.carry(address, &engine, encode_release(&id.0), None, work, anew) {
             Ok(key) => {
                 tracing::debug!(id = %id.0, engine = %engine.0, "a call to let go goes out");
                 self.engine_writes(key);
@@ -187,7 +187,7 @@
             conn.head = head;
             conn.body = body;
             conn.gone = 0;
-            conn.reader = AnswerReader::default();
+            conn.reader = EngineResponseReader::default();
             conn.paused = false;
             conn.last = now;
             conn.connect_by = now + connect;
@@ -215,7 +215,7 @@
             head: Vec::new(),
             body: None,
             gone: 0,
-            reader: AnswerReader::default(),
+            reader: EngineResponseReader::default(),
             work: None,
             idle: None,
             last: now,
@@ -253,7 +253,7 @@
         let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
         let reusable = reusable && conn.written();
         let Some(work) = conn.work.take() else { return self.close_engine(key) };
-        let (engine, why) = (conn.engine.clone(), conn.reader.why());
+        let (engine, why) = (conn.engine.clone(), conn.reader.error());
         let idle_ms = conn.idle.map(|span| span / 1000);
         match work {
             Work::Attempt { ticket, attempt, step, .. } => {
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -8,7 +8,7 @@
 use pintally_guards::CloseReason;
 use pintally_host::{FinalAnswer, Input, RequestNumber};
 use pintally_http::{chunk, response, response_head, LAST_CHUNK};
-use pintally_platform::{call, Ask, Call, Rejected};
+use pintally_platform::{parse_client_request, ClientRequest, InferenceRequest, RequestError};
 
 use crate::conn::{Client, Conn, Key, Stage, SLOW, SLOW_NO_MORE};
 use crate::node::{Job, Node};
@@ -63,7 +63,7 @@
 
     /// Counts what a client's request holds while it comes in; whether it is within bounds.
     fn count(&mut self, key: Key) -> bool {
-        let most = self.config.bodies_most();
+        let most = self.config.max_total_body_bytes();
         let Some(Conn::Client(client)) = self.conns.get_mut(key) else { return true };
         let held = client.reader.held_bytes();
         self.bytes = self.bytes + held - client.counted;
@@ -87,18 +87,18 @@
                         self.dirty.push(key);
                     }
                     if !self.count(key) {
-                        self.reject(key, Rejected { status: 503, why: "no room for the body" });
+                        self.reject(key, RequestError { status: 503, message: "no room for the body" });
                     }
                     return self.client_waits(key);
                 }
                 Err(e) => {
-                    let why = match e.status() {
+                    let message = match e.status() {
                         413 => "the body is too long",
                         431 => "the head is too long",
                         501 => "this transfer encoding is not served",
                         _ => "not a request that can be read",
                     };
-                    self.reject(key, Rejected { status: e.status(), why });
+                    self.reject(key, RequestError { status: e.status(), message });
                     return self.client_waits(key);
                 }
             }
@@ -132,29 +132,29 @@
 
     fn request(&mut self, key: Key, request: pintally_http::Request) {
         let ticket = self.next_ticket;
-        match call(&self.config.told.names, ticket, request) {
-            Ok(Call::Ready) => {
+        match parse_client_request(&self.config.settings.names, ticket, request) {
+            Ok(ClientRequest::Readiness) => {
                 let status = if self.is_ready() { 200 } else { 503 };
                 self.answer_whole(key, response(status, &[], b""));
             }
-            Ok(Call::Beliefs) => {
+            Ok(ClientRequest::Status) => {
                 let page = self.status_document().to_string();
                 let kind = [("content-type", "application/json")];
                 self.answer_whole(key, response(200, &kind, page.as_bytes()));
             }
-            Ok(Call::Work(ask)) => self.work(key, ticket, *ask),
+            Ok(ClientRequest::Inference(ask)) => self.work(key, ticket, *ask),
             Err(rejected) => self.reject(key, rejected),
         }
     }
 
-    fn work(&mut self, key: Key, ticket: RequestNumber, mut ask: Ask) {
+    fn work(&mut self, key: Key, ticket: RequestNumber, mut ask: InferenceRequest) {
         let waited = self.waited(key);
         ask.arrival.client_timeout =
             ask.arrival.client_timeout.map(|patience| patience.saturating_sub(waited));
         if ask.arrival.name.as_ref().is_some_and(|name| self.host.knows(name)) {
-            return self.reject(key, Rejected { status: 409, why: "this id is in use" });
+            return self.reject(key, RequestError { status: 409, message: "this id is in use" });
         }
-        if self.bytes + ask.body.len() > self.config.bodies_most() {
+        if self.bytes + ask.body.len() > self.config.max_total_body_bytes() {
             return self.answer_whole(key, response(503, &[], b"no room\n"));
         }
         self.next_ticket += 1;
@@ -194,15 +194,15 @@
     }
 
     /// An error for what cannot be used; the connection ends behind it.
-    pub(crate) fn reject(&mut self, key: Key, rejected: Rejected) {
+    pub(crate) fn reject(&mut self, key: Key, rejected: RequestError) {
         let Some(client) = self.client(key) else { return };
-        let body = format!("{}\n", rejected.why);
+        let body = format!("{}\n", rejected.message);
         client.out.extend_from_slice(&response(rejected.status, &[("connection", "close")], body.as_bytes()));
         client.last = true;
         self.answered(key);
         // Guards against bad clients that use up the lines that people on call need.
         if tracing::enabled!(tracing::Level::DEBUG) && self.quota.allows(self.clock.now()) {
-            tracing::debug!(status = rejected.status, why = rejected.why, "a request got an error");
+            tracing::debug!(status = rejected.status, why = rejected.message, "a request got an error");
         }
     }
 
--- a/crates/pintally-platform-node/src/closing.rs
+++ b/crates/pintally-platform-node/src/closing.rs
@@ -106,7 +106,10 @@
             Stage::Open if reason == CloseReason::Silent && client.reader.is_partial() => {
                 self.reject(
                     key,
-                    pintally_platform::Rejected { status: 408, why: "the request did not come in time" },
+                    pintally_platform::RequestError {
+                        status: 408,
+                        message: "the request did not come in time",
+                    },
                 );
             }
             _ => drop(self.close_client(key, reason)),
--- a/crates/pintally-platform-node/src/conn.rs
+++ b/crates/pintally-platform-node/src/conn.rs
@@ -7,7 +7,7 @@
 use pintally_engine::Step;
 use pintally_host::RequestNumber;
 use pintally_http::RequestReader;
-use pintally_platform::{AnswerReader, Phase};
+use pintally_platform::{EngineResponseReader, Phase};
 
 use crate::arrivals::Arrivals;
 use crate::poll::Flags;
@@ -129,7 +129,7 @@
     pub(crate) head: Vec<u8>,
     pub(crate) body: Option<Rc<[u8]>>,
     pub(crate) gone: usize,
-    pub(crate) reader: AnswerReader,
+    pub(crate) reader: EngineResponseReader,
     pub(crate) work: Option<Work>,
     /// How long it had been idle before that work; none if it was opened for it.
     pub(crate) idle: Option<Micros>,
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -6,7 +6,7 @@
 use pintally::interface::{Attempt, Micros, Outcome};
 use pintally_guards::CloseReason;
 use pintally_host::{Input, RequestNumber};
-use pintally_platform::{attempt_head, of_transport, Progress};
+use pintally_platform::{encode_attempt_head, outcome_of_failure, ResponseEvent};
 use socket2::SockRef;
 
 use crate::conn::{Conn, Engine, Key, Work};
@@ -79,7 +79,7 @@
         let Some(Work::Attempt { ticket, timeout_at, .. }) = &conn.work else { return };
         let Some(job) = self.jobs.get(ticket) else { return };
         let left_ms = timeout_at.saturating_sub(now) / 1000;
-        conn.head = attempt_head(&job.head, left_ms, conn.body.as_ref().map_or(0, |body| body.len()));
+        conn.head = encode_attempt_head(&job.head, left_ms, conn.body.as_ref().map_or(0, |body| body.len()));
     }
 
     /// Writes what is left of the request.
@@ -116,7 +116,7 @@
         let mut told = Vec::new();
         for _ in 0..MAX_READS {
             let now = self.clock.now();
-            let names = &self.config.told.names;
+            let names = &self.config.settings.names;
             let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
             if conn.work.is_none() {
                 // What comes of a connection that is not in use is no answer to anything.
@@ -151,14 +151,14 @@
         }
     }
 
-    fn progress(&mut self, key: Key, progress: Progress) {
+    fn progress(&mut self, key: Key, progress: ResponseEvent) {
         let now = self.clock.now();
         let Some(conn) = self.engine(key) else { return };
         match progress {
-            Progress::Over { outcome, kept, load, reusable } => {
+            ResponseEvent::Ended { outcome, cached_tokens, load, reusable } => {
                 // Guards against a request that never arrived whole being taken for one that ran.
                 let outcome = match outcome {
-                    Outcome::ConnectionBroken => of_transport(conn.phase(), false),
+                    Outcome::ConnectionBroken => outcome_of_failure(conn.phase(), false),
                     other => other,
                 };
                 // A release is heard by whatever status that says so; an attempt has its table.
@@ -166,9 +166,9 @@
                     Some(Work::Release { .. }) if conn.reader.is_success() => Outcome::Served,
                     _ => outcome,
                 };
-                self.end_attempt(key, outcome, kept, load, reusable);
+                self.end_attempt(key, outcome, cached_tokens, load, reusable);
             }
-            Progress::Events(events) => {
+            ResponseEvent::Events(events) => {
                 let Some(Work::Attempt { ticket, attempt, begun, .. }) = &mut conn.work else { return };
                 let (ticket, attempt) = (*ticket, *attempt);
                 conn.progressed = now;
@@ -232,7 +232,7 @@
         if let Some(idle) = stale(conn, now) {
             self.keep.ended(now, idle);
         }
-        self.give_up(key, of_transport(phase, false));
+        self.give_up(key, outcome_of_failure(phase, false));
     }
 
     /// A connection is not in use any more: a sound one is kept unless the node is about to end.
@@ -314,7 +314,7 @@
                     }
                 }
                 Some(Work::Attempt { .. }) => {
-                    self.give_up(key, of_transport(phase, true));
+                    self.give_up(key, outcome_of_failure(phase, true));
                 }
             }
             self.work_off();
--- a/crates/pintally-platform-node/src/list.rs
+++ b/crates/pintally-platform-node/src/list.rs
@@ -6,7 +6,9 @@
 use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
 use pintally_host::{EngineEndpoint, Input};
 use pintally_http::{Part, ResponseReader};
-use pintally_platform::{watch, Follower, Lines, List, Taken, MAX_HEAD};
+use pintally_platform::{
+    encode_watch, EndpointList, EndpointListTracker, ListChange, WatchDecoder, MAX_HEAD_BYTES,
+};
 
 use crate::conn::{Conn, Key, Work};
 use crate::node::{Node, WATCH};
@@ -34,7 +36,7 @@
 /// The watch of discovery.
 pub(crate) struct Watch {
     address: SocketAddr,
-    follower: Follower,
+    follower: EndpointListTracker,
     open: Option<Open>,
     /// When it is opened again, and the pause before that.
     again: Micros,
@@ -57,7 +59,7 @@
     up: bool,
     out: Vec<u8>,
     reader: ResponseReader,
-    lines: Lines,
+    lines: WatchDecoder,
     status: u16,
     heard: Micros,
     /// Something of its answer has come.
@@ -70,7 +72,7 @@
         let pause_max = (drain_grace / 4).clamp(PAUSE_MIN, PAUSE_MAX);
         Watch {
             address,
-            follower: Follower::default(),
+            follower: EndpointListTracker::default(),
             open: None,
             again: now,
             pause: pause_max / 4,
@@ -103,24 +105,24 @@
 impl Node {
     /// Takes in the list as it was last known.
     pub(crate) fn known(&mut self) {
-        if let Some(known) = self.config.known.clone() {
-            self.take_list(List { complete: true, ..known }, None);
+        if let Some(known) = self.config.last_known_list.clone() {
+            self.take_list(EndpointList { complete: true, ..known }, None);
         }
     }
 
     /// Takes in a list. `word_before` is when discovery was last heard before it, if it comes from there: a list
     /// that was kept elsewhere may tell of starts of any age.
-    fn take_list(&mut self, list: List, word_before: Option<Micros>) {
+    fn take_list(&mut self, list: EndpointList, word_before: Option<Micros>) {
         let (now, revision) = (self.clock.now(), list.revision);
-        match self.watch.follower.take(list) {
-            Taken::Same => {}
-            Taken::Older => {
+        match self.watch.follower.advance(list) {
+            ListChange::Unchanged => {}
+            ListChange::Stale => {
                 self.say(now, &format!("revision {revision} of the list is older than what holds"))
             }
-            Taken::InvalidConfiguration(why) => {
+            ListChange::Invalid(why) => {
                 self.say(now, &format!("revision {revision} of the list does not hold: {why}"))
             }
-            Taken::Holds(form, mut members) => {
+            ListChange::Apply(form, mut members) => {
                 self.watch.starts.take(now, word_before, &mut members);
                 self.list(form, members);
                 let host = &self.host;
@@ -216,9 +218,9 @@
         Ok(Open {
             stream,
             up: false,
-            out: watch(self.watch.follower.revision()),
-            reader: ResponseReader::new(MAX_HEAD),
-            lines: Lines::default(),
+            out: encode_watch(self.watch.follower.revision()),
+            reader: ResponseReader::new(MAX_HEAD_BYTES),
+            lines: WatchDecoder::default(),
             status: 0,
             heard: now,
             answered: false,
@@ -296,7 +298,7 @@
                 Some(Part::Body(_)) if open.status != 200 => {}
                 Some(Part::Body(bytes)) => {
                     any = true;
-                    open.lines.push(&bytes)?;
+                    open.lines.push(&bytes).map_err(|e| e.to_string())?;
                     self.watch_lines()?;
                 }
             }
@@ -304,8 +306,8 @@
     }
 
     fn watch_lines(&mut self) -> Result<(), String> {
-        while let Some(line) = self.watch.open.as_mut().and_then(|open| open.lines.next_line()) {
-            let list = List::parse(&line)?;
+        while let Some(line) = self.watch.open.as_mut().and_then(|open| open.lines.next_object()) {
+            let list = EndpointList::parse(&line).map_err(|e| e.to_string())?;
             self.watch.begin_pauses_anew();
             self.take_list(list, self.watch.word);
         }
@@ -325,9 +327,9 @@
     }
 
     /// Takes a whole list that came with a configuration, if it is newer than what holds.
-    pub(crate) fn take_known(&mut self, known: List) {
+    pub(crate) fn take_known(&mut self, known: EndpointList) {
         if Some(known.revision) > self.watch.follower.revision() {
-            self.take_list(List { complete: true, ..known }, None);
+            self.take_list(EndpointList { complete: true, ..known }, None);
         }
     }
 }
--- a/crates/pintally-platform-node/src/log.rs
+++ b/crates/pintally-platform-node/src/log.rs
@@ -2,7 +2,7 @@
 
 use pintally::interface::Micros;
 
-/// Lines that may be written in one second.
+/// WatchDecoder that may be written in one second.
 const MAX_LINES_PER_WINDOW: u32 = 20;
 
 /// Counts lines by the second.
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -158,7 +158,7 @@
     {
         at_start("epoll", || poll.add(what, token, waits)).map_err(|e| failed("epoll", &e))?;
     }
-    let settings = Arc::new(config.node());
+    let settings = Arc::new(config.node_settings());
     let clock = Clock::new();
     let now = clock.now();
     let keep = Keep::new(settings.limits.keep_alive);
@@ -168,7 +168,7 @@
     let mut node = Node {
         poll,
         clock,
-        watch: Watch::new(config.discovery, now, config.told.ways.drain_grace),
+        watch: Watch::new(config.discovery, now, config.settings.ways.drain_grace),
         config,
         config_file,
         settings,
--- a/crates/pintally-platform-node/src/reload.rs
+++ b/crates/pintally-platform-node/src/reload.rs
@@ -40,7 +40,7 @@
         reload.due = now.saturating_add(reload.pause);
         reload.pause = (reload.pause * 2).min(RETRY_MAX);
         let text = std::fs::read_to_string(&self.config_file).map_err(|e| e.to_string());
-        match text.and_then(|text| Configuration::parse(&text)) {
+        match text.and_then(|text| Configuration::parse(&text).map_err(|e| e.to_string())) {
             Ok(config) => {
                 self.reloading = None;
                 self.reloads += 1;
@@ -60,7 +60,7 @@
     /// Discovery may have moved, and the list that comes with it may be newer.
     fn reconfigure(&mut self, now: Micros, config: Configuration) {
         tracing::info!(discovery = %config.discovery, "the configuration was read again");
-        if let Some(known) = config.known {
+        if let Some(known) = config.last_known_list {
             self.take_known(known);
         }
         self.follow(config.discovery, now);
--- /dev/null
+++ b/crates/pintally-platform/src/configuration.rs
@@ -0,0 +1,257 @@
+//! A node's configuration file: limits, settings, and the endpoint list as it was last known.
+
+use std::net::SocketAddr;
+
+use pintally::interface::Micros;
+use pintally_config::{ClassSettings, Limits as HostLimits, NodeSettings};
+use pintally_wire::Told;
+use serde_json::Value;
+use thiserror::Error;
+
+use crate::endpoint_list::{EndpointList, EndpointListError};
+use crate::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+
+/// Minimum number of file descriptors with which a node can work.
+const MIN_SOCKETS: u64 = 64;
+/// Maximum number of file descriptors that is used of a limit.
+const MAX_SOCKETS: u64 = 1 << 20;
+/// Minimum memory with which a node can work, in megabytes.
+const MIN_MEMORY_MB: u64 = 16;
+/// Bounds of the timeout of a release call.
+const MIN_RELEASE_TIMEOUT: Micros = 50_000;
+const MAX_RELEASE_TIMEOUT: Micros = 500_000;
+/// Timeout of a class without a deadline.
+const DEFAULT_CLIENT_TIMEOUT: Micros = 60_000_000;
+/// `max_tokens` of a request that does not state it.
+const DEFAULT_MAX_TOKENS: u64 = 256;
+/// A request has to arrive completely within this time.
+const RECEIVE_TIMEOUT: Micros = 2_500_000;
+/// A client has to take some of its response within this time.
+const WRITE_TIMEOUT: Micros = 10_000_000;
+/// A client's connection may be idle for this time.
+const IDLE_TIMEOUT: Micros = 10_000_000;
+/// A stream that has gone silent has to end before its client has waited 5 s.
+const STALL_TIMEOUT: Micros = 4_600_000;
+/// A final answer is given this long before the client's deadline.
+const ANSWER_MARGIN: Micros = 20_000;
+/// Accepted requests are answered, however long that takes; the platform ends the process.
+const SHUTDOWN_TIMEOUT: Micros = 3_600_000_000;
+
+/// Why a configuration is invalid.
+#[derive(Debug, Error)]
+pub enum ConfigurationError {
+    /// It is not JSON.
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A field is missing.
+    #[error("`{0}` is missing")]
+    Missing(&'static str),
+    /// A field is not a string.
+    #[error("`{0}` is no text")]
+    NotAString(&'static str),
+    /// A field is not a socket address.
+    #[error("`{field}` is `{value}`, not an address and port")]
+    NotAnAddress {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// The seed is not a number.
+    #[error("`seed` is no hexadecimal number")]
+    Seed,
+    /// A limit is missing or not a positive number.
+    #[error("`limits.{0}` is missing or not a number above 0")]
+    Limit(&'static str),
+    /// A limit is too low.
+    #[error("`limits.{field}` is {value}, at least {min} are needed")]
+    LimitTooLow {
+        /// The field in `limits`.
+        field: &'static str,
+        /// Its value.
+        value: u64,
+        /// The minimum.
+        min: u64,
+    },
+    /// The endpoint list is invalid.
+    #[error("`known`: {0}")]
+    EndpointList(#[from] EndpointListError),
+    /// The settings object is invalid.
+    #[error("{0}")]
+    Settings(String),
+}
+
+/// Resource limits of a node.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Limits {
+    /// Part of a core.
+    pub cores: f64,
+    /// Memory in megabytes.
+    pub memory_mb: u64,
+    /// File descriptors.
+    pub sockets: usize,
+}
+
+impl Limits {
+    fn parse(value: &Value) -> Result<Limits, ConfigurationError> {
+        let cores = positive_number(value, "cores")?;
+        let memory_mb = positive_number(value, "memory_mb")? as u64;
+        let sockets = positive_number(value, "sockets")? as u64;
+        ensure_min("sockets", sockets, MIN_SOCKETS)?;
+        ensure_min("memory_mb", memory_mb, MIN_MEMORY_MB)?;
+        Ok(Limits { cores, memory_mb, sockets: sockets.min(MAX_SOCKETS) as usize })
+    }
+}
+
+fn positive_number(limits: &Value, field: &'static str) -> Result<f64, ConfigurationError> {
+    let number = limits.get(field).and_then(Value::as_f64);
+    number.filter(|n| n.is_finite() && *n > 0.0).ok_or(ConfigurationError::Limit(field))
+}
+
+fn ensure_min(field: &'static str, value: u64, min: u64) -> Result<(), ConfigurationError> {
+    if value < min {
+        return Err(ConfigurationError::LimitTooLow { field, value, min });
+    }
+    Ok(())
+}
+
+/// A node's configuration.
+#[derive(Clone, Debug)]
+pub struct Configuration {
+    /// The node's name.
+    pub name: String,
+    /// Address of the listener.
+    pub listen: SocketAddr,
+    /// Address of discovery.
+    pub discovery: SocketAddr,
+    /// Seed of random numbers.
+    pub seed: u64,
+    /// Resource limits.
+    pub limits: Limits,
+    /// The endpoint list as this node last had it (`known`).
+    pub last_known_list: Option<EndpointList>,
+    /// The settings object.
+    pub settings: Told,
+}
+
+impl Configuration {
+    /// Parses the text of a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// The error names the first field that is missing or invalid.
+    pub fn parse(text: &str) -> Result<Configuration, ConfigurationError> {
+        let root: Value = serde_json::from_str(text)?;
+        let seed = seed(field(&root, "seed")?);
+        let limits = Limits::parse(field(&root, "limits")?)?;
+        let last_known_list = match root.get("known") {
+            None | Some(Value::Null) => None,
+            Some(value) => Some(EndpointList::from_value(value)?),
+        };
+        Ok(Configuration {
+            name: string(&root, "name")?.to_string(),
+            listen: address(&root, "listen")?,
+            discovery: address(&root, "discovery")?,
+            seed: seed.ok_or(ConfigurationError::Seed)?,
+            limits,
+            last_known_list,
+            settings: pintally_wire::settings(field(&root, "settings")?.clone())
+                .map_err(ConfigurationError::Settings)?,
+        })
+    }
+
+    /// Maximum number of client connections: usual clients use a third of all descriptors at most, each of
+    /// their requests needs one for an engine, and the rest is for idle clients.
+    pub fn max_client_connections(&self) -> usize {
+        self.limits.sockets / 2 - 8
+    }
+
+    /// Maximum size of the bodies of all requests together: a quarter of the memory, in bytes.
+    pub fn max_total_body_bytes(&self) -> usize {
+        (self.limits.memory_mb as usize) << 18
+    }
+
+    /// The settings of the host.
+    pub fn node_settings(&self) -> NodeSettings {
+        NodeSettings {
+            name: self.name.clone(),
+            listen: self.listen,
+            source: None,
+            model: String::new(),
+            engines_file: String::new(),
+            engines_poll_interval: 0,
+            cached_list_file: None,
+            cells_file: None,
+            cached_cells_file: None,
+            membership: None,
+            recovery: None,
+            consensus: None,
+            quotas: None,
+            outlier_detection: None,
+            failover: None,
+            limits: self.host_limits(),
+            core: self.settings.settings.clone(),
+            classes: self.settings.ways.deadlines.iter().copied().map(class_settings).collect(),
+            slots: vec![0; self.settings.settings.kinds.len()],
+        }
+    }
+
+    fn host_limits(&self) -> HostLimits {
+        let max_connections = self.max_client_connections();
+        let max_open_requests = match self.settings.ways.max_open {
+            0 => max_connections,
+            max => max_connections.min(max as usize),
+        };
+        // A release call without an answer by then counts as failed; the next ones do not wait for it.
+        let release_timeout =
+            (self.settings.settings.release_deadline / 4).clamp(MIN_RELEASE_TIMEOUT, MAX_RELEASE_TIMEOUT);
+        HostLimits {
+            max_connections,
+            max_open_requests,
+            max_head_bytes: MAX_HEAD_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
+            max_total_body_bytes: self.max_total_body_bytes(),
+            receive_timeout: RECEIVE_TIMEOUT,
+            write_timeout: WRITE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
+            connect_timeout: self.settings.ways.connect_timeout,
+            // Closed well before the engine may close it itself: what is written after that is lost.
+            keep_alive: self.settings.ways.keep_alive / 2,
+            max_streams_per_engine: self.limits.sockets,
+            background_call_timeout: release_timeout,
+            max_background_calls: 1,
+            stall_timeout: STALL_TIMEOUT,
+            answer_margin: ANSWER_MARGIN,
+            shutdown_timeout: SHUTDOWN_TIMEOUT,
+        }
+    }
+}
+
+fn field<'a>(root: &'a Value, name: &'static str) -> Result<&'a Value, ConfigurationError> {
+    root.get(name).ok_or(ConfigurationError::Missing(name))
+}
+
+fn string<'a>(root: &'a Value, name: &'static str) -> Result<&'a str, ConfigurationError> {
+    field(root, name)?.as_str().ok_or(ConfigurationError::NotAString(name))
+}
+
+fn address(root: &Value, name: &'static str) -> Result<SocketAddr, ConfigurationError> {
+    let value = string(root, name)?;
+    let not_an_address = |_| ConfigurationError::NotAnAddress { field: name, value: value.to_string() };
+    value.parse().map_err(not_an_address)
+}
+
+/// A seed: a number, or a string of hexadecimal digits.
+fn seed(value: &Value) -> Option<u64> {
+    match value {
+        Value::Number(number) => number.as_u64(),
+        Value::String(text) => u64::from_str_radix(text.trim_start_matches("0x"), 16).ok(),
+        _ => None,
+    }
+}
+
+/// The settings of a class with this deadline; 0 is none.
+fn class_settings(deadline: Micros) -> ClassSettings {
+    let default_client_timeout = if deadline == 0 { DEFAULT_CLIENT_TIMEOUT } else { deadline };
+    ClassSettings { default_client_timeout, max_tokens: DEFAULT_MAX_TOKENS }
+}
--- a/crates/pintally-platform/src/lib.rs
+++ b/crates/pintally-platform/src/lib.rs
@@ -1,23 +1,27 @@
-//! The operators' platform protocol as state machines: bytes in, events for the host out.
+//! Codec of the operators' platform protocol: bytes in, typed messages and events for the host out.
 //!
-//! Nothing here reads a socket, a file or a clock, and nothing decides where a request goes. The
-//! loop of `pintally-platform-node` carries the bytes.
+//! No input or output and no clock here, and no routing decisions: the event loop of
+//! `pintally-platform-node` carries the bytes.
 
-mod answer;
-mod ask;
-mod config;
-mod discovery;
+#![deny(missing_docs)]
+
+mod client_request;
+mod configuration;
+mod encode;
+mod endpoint_list;
+mod endpoint_watch;
+mod engine_response;
 mod outcome;
-mod outgoing;
 
-pub use answer::{AnswerReader, Progress};
-pub use ask::{call, Ask, Call, Rejected};
-pub use config::{Configuration, Limits};
-pub use discovery::{Follower, Lines, List, Taken};
-pub use outcome::{of_answer, of_transport, Phase};
-pub use outgoing::{attempt_head, release, watch};
+pub use client_request::{parse_client_request, ClientRequest, InferenceRequest, RequestError};
+pub use configuration::{Configuration, ConfigurationError, Limits};
+pub use encode::{encode_attempt_head, encode_release, encode_watch};
+pub use endpoint_list::{EndpointList, EndpointListError, EndpointListTracker, InvalidList, ListChange};
+pub use endpoint_watch::{ObjectTooLong, WatchDecoder};
+pub use engine_response::{EngineResponseReader, ResponseEvent};
+pub use outcome::{outcome_of_failure, outcome_of_response, Phase};
 
-/// The most bytes of a message's body.
-pub const MAX_BODY: usize = 256 << 10;
-/// The most bytes of a message's head.
-pub const MAX_HEAD: usize = 16 << 10;
+/// Maximum size of a message body, in bytes.
+pub const MAX_BODY_BYTES: usize = 256 << 10;
+/// Maximum size of a message head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/crates/pintally-platform/src/outcome.rs
+++ b/crates/pintally-platform/src/outcome.rs
@@ -1,31 +1,31 @@
-//! The one table from what came back to an [`Outcome`].
+//! The only mapping from the end of an attempt to an [`Outcome`].
 //!
-//! | what came back | outcome | may have run |
+//! | end of the attempt | outcome | may have run |
 //! | --- | --- | --- |
 //! | 200 and events to the last chunk | `Served` | yes |
 //! | 202 | `Read` | no |
-//! | 410 on which the engine vouches that it was turned away | `NoState` | no |
-//! | any other status on which it does | `Full` | no |
+//! | 410 with the engine's confirmation that it was rejected | `StateNotFound` | no |
+//! | any other status with that confirmation | `Overloaded` | no |
 //! | any other status | `Error` | yes |
 //! | no connection, or it ended before the request's last byte was written | `Unreachable` | no |
-//! | it ended, or brought what cannot be read, after that | `Broken` | yes |
-//! | nothing in time, before the request's last byte was written | `Unreachable` | no |
-//! | nothing in time, after that | `TimedOut` | yes |
+//! | it ended, or the response cannot be parsed, after that | `ConnectionBroken` | yes |
+//! | timeout before the request's last byte was written | `Unreachable` | no |
+//! | timeout after that | `TimedOut` | yes |
 
 use pintally::interface::Outcome;
 
-/// How far an attempt had come.
+/// How far the request of an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The request's last byte has not been written.
     Unwritten,
-    /// It has.
+    /// The request's last byte has been written.
     Written,
 }
 
-/// The outcome of a whole answer by its status and whether the engine vouches that nothing ran.
-pub fn of_answer(status: u16, turned_away: bool) -> Outcome {
-    match (status, turned_away) {
+/// The outcome of a complete response; `rejected` is the engine's confirmation that nothing ran.
+pub fn outcome_of_response(status: u16, rejected: bool) -> Outcome {
+    match (status, rejected) {
         (200, false) => Outcome::Served,
         (202, false) => Outcome::Read,
         (410, true) => Outcome::StateNotFound,
@@ -34,8 +34,8 @@
     }
 }
 
-/// The outcome of a connection that failed, or of a time that ran out.
-pub fn of_transport(phase: Phase, timed_out: bool) -> Outcome {
+/// The outcome of an attempt without a complete response: the connection failed, or it timed out.
+pub fn outcome_of_failure(phase: Phase, timed_out: bool) -> Outcome {
     match (phase, timed_out) {
         (Phase::Unwritten, _) => Outcome::Unreachable,
         (Phase::Written, true) => Outcome::TimedOut,
--- a/crates/pintally-platform/src/outcome/tests.rs
+++ b/crates/pintally-platform/src/outcome/tests.rs
@@ -1,21 +1,22 @@
-//! The table of outcomes, row by row.
+//! Each row of the table of outcomes.
 
 use super::*;
 
-/// Guards against an unsafe request being sent again on an answer that proves nothing.
+/// Guards against a retry of a request that is not idempotent after a response that does not show that
+/// nothing ran.
 #[test]
-fn every_row_of_the_table() {
-    assert_eq!(of_answer(200, false), Outcome::Served);
-    assert_eq!(of_answer(202, false), Outcome::Read);
-    assert_eq!(of_answer(410, true), Outcome::StateNotFound);
-    assert_eq!(of_answer(410, false), Outcome::Error);
-    assert_eq!(of_answer(503, true), Outcome::Overloaded);
-    assert_eq!(of_answer(504, true), Outcome::Overloaded);
-    assert_eq!(of_answer(503, false), Outcome::Error);
-    assert_eq!(of_answer(500, false), Outcome::Error);
-    assert_eq!(of_answer(404, false), Outcome::Error);
-    assert_eq!(of_transport(Phase::Unwritten, false), Outcome::Unreachable);
-    assert_eq!(of_transport(Phase::Unwritten, true), Outcome::Unreachable);
-    assert_eq!(of_transport(Phase::Written, false), Outcome::ConnectionBroken);
-    assert_eq!(of_transport(Phase::Written, true), Outcome::TimedOut);
+fn outcome_table() {
+    assert_eq!(outcome_of_response(200, false), Outcome::Served);
+    assert_eq!(outcome_of_response(202, false), Outcome::Read);
+    assert_eq!(outcome_of_response(410, true), Outcome::StateNotFound);
+    assert_eq!(outcome_of_response(410, false), Outcome::Error);
+    assert_eq!(outcome_of_response(503, true), Outcome::Overloaded);
+    assert_eq!(outcome_of_response(504, true), Outcome::Overloaded);
+    assert_eq!(outcome_of_response(503, false), Outcome::Error);
+    assert_eq!(outcome_of_response(500, false), Outcome::Error);
+    assert_eq!(outcome_of_response(404, false), Outcome::Error);
+    assert_eq!(outcome_of_failure(Phase::Unwritten, false), Outcome::Unreachable);
+    assert_eq!(outcome_of_failure(Phase::Unwritten, true), Outcome::Unreachable);
+    assert_eq!(outcome_of_failure(Phase::Written, false), Outcome::ConnectionBroken);
+    assert_eq!(outcome_of_failure(Phase::Written, true), Outcome::TimedOut);
 }
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The protocol's codecs: bytes cut anywhere, hostile bytes, each row of what a client may send.
+//! Tests of the codec: bytes split anywhere, arbitrary bytes, each field of a client request.
 
 use pintally::interface::{EndpointState, Outcome};
 use pintally_http::{chunk, response, response_head, RequestReader, LAST_CHUNK};
@@ -28,13 +28,13 @@
 }
 
 fn config() -> Configuration {
-    Configuration::parse(&configuration().to_string()).expect("it is sound")
+    Configuration::parse(&configuration().to_string()).expect("a valid configuration")
 }
 
-/// Guards against states without a deadline: no release time, or 0, stands for the usual one; a short one
-/// holds as it is told, and one that is no number is refused with its field.
+/// Guards against reservations without a deadline: a missing release deadline, or 0, means the default; a
+/// short one is applied unchanged, and one that is not a number is rejected with its value.
 #[test]
-fn a_release_time_that_is_missing_or_zero_has_a_fallback() {
+fn release_deadline_default() {
     let with = |time: Option<serde_json::Value>| {
         let mut all = configuration();
         let info = all["settings"]["family_info"].as_object_mut().expect("an object");
@@ -44,20 +44,20 @@
         }
         Configuration::parse(&all.to_string())
     };
-    let within = |time| with(time).expect("it is sound").told.settings.release_deadline;
+    let within = |time| with(time).expect("a valid configuration").settings.settings.release_deadline;
     assert_eq!(within(None), 500_000);
     assert_eq!(within(Some(0.into())), 500_000);
     assert_eq!(within(Some((-1).into())), 500_000);
     assert_eq!(within(Some(0.001.into())), 1_000);
-    assert!(with(Some("soon".into())).unwrap_err().contains("soon"));
+    assert!(with(Some("soon".into())).unwrap_err().to_string().contains("soon"));
 }
 
-/// An outcome, kept tokens, and whether the connection may be used again.
+/// Outcome, cached tokens, and whether the connection is reusable.
 type End = Option<(Outcome, u64, bool)>;
 
-/// What comes of a stream's bytes, one at a time: its events, its end, the memory that it reported.
-fn told(bytes: &[u8], closed: bool) -> (Vec<u8>, End, Option<f64>) {
-    let (names, mut reader, mut out) = (config().told.names, AnswerReader::default(), Vec::new());
+/// Reads a response one byte at a time: its events, its end, the memory in its load report.
+fn read_response(bytes: &[u8], closed: bool) -> (Vec<u8>, End, Option<f64>) {
+    let (names, mut reader, mut out) = (config().settings.names, EngineResponseReader::default(), Vec::new());
     bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut out));
     if closed {
         reader.closed(&names, &mut out);
@@ -65,12 +65,12 @@
     let (mut events, mut end, mut memory) = (Vec::new(), None, None);
     for progress in out {
         match progress {
-            Progress::Events(bytes) => {
+            ResponseEvent::Events(bytes) => {
                 assert!(end.is_none(), "events behind the end");
                 events.extend(bytes);
             }
-            Progress::Over { outcome, kept, load, reusable } => {
-                assert!(end.replace((outcome, kept, reusable)).is_none(), "two ends");
+            ResponseEvent::Ended { outcome, cached_tokens, load, reusable } => {
+                assert!(end.replace((outcome, cached_tokens, reusable)).is_none(), "two ends");
                 memory = load.and_then(|l| l.memory);
             }
         }
@@ -91,71 +91,79 @@
 }
 
 #[test]
-fn a_whole_stream_is_served_with_its_events_unchanged() {
+fn complete_stream_is_served_unchanged() {
     let report: &[u8] = b": X-Pressure: x0=0.5,x1=3\n\n";
     // An event in two chunks, two events in one, a report behind all.
     let two = [TOKEN, USAGE].concat();
     let bytes = stream(&[&TOKEN[..9], &TOKEN[9..], &two, DONE, report]);
-    let (events, end, memory) = told(&bytes, false);
+    let (events, end, memory) = read_response(&bytes, false);
     assert_eq!(events, [TOKEN, TOKEN, USAGE, DONE, report].concat());
     assert_eq!(end, Some((Outcome::Served, 4096, true)));
     assert_eq!(memory, Some(0.5));
     for cut in 1..bytes.len() {
-        assert_eq!(told(&bytes[..cut], true).1.map(|e| e.0), Some(Outcome::ConnectionBroken), "cut at {cut}");
+        assert_eq!(
+            read_response(&bytes[..cut], true).1.map(|e| e.0),
+            Some(Outcome::ConnectionBroken),
+            "cut at {cut}"
+        );
     }
     // Notices in front change nothing; a report that cannot be read is no report.
     let notice =
         [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), stream(&[TOKEN, DONE, b": X-Pressure: x0=?\n\n"])];
-    let (_, end, memory) = told(&notice.concat(), false);
+    let (_, end, memory) = read_response(&notice.concat(), false);
     assert_eq!((end, memory), (Some((Outcome::Served, 0, true)), None));
 }
 
 /// Guards against a second answer being taken for the next request's: all bytes come at once here.
 #[test]
-fn a_connection_with_bytes_left_over_is_not_used_again() {
-    let (names, mut reader, mut out) = (config().told.names, AnswerReader::default(), Vec::new());
+fn connection_with_surplus_bytes_is_not_reusable() {
+    let (names, mut reader, mut out) = (config().settings.names, EngineResponseReader::default(), Vec::new());
     let twice = [stream(&[TOKEN, DONE]), stream(&[TOKEN, DONE])].concat();
     reader.push(&twice, &names, &mut out);
-    assert!(matches!(out.last(), Some(Progress::Over { outcome: Outcome::Served, reusable: false, .. })));
+    assert!(matches!(
+        out.last(),
+        Some(ResponseEvent::Ended { outcome: Outcome::Served, reusable: false, .. })
+    ));
 }
 
 /// Guards against noise reaching a client as though an engine had said it.
 #[test]
-fn what_is_spoilt_is_broken_and_none_of_it_is_passed_on() {
+fn malformed_response_is_broken_and_not_forwarded() {
     let head = response_head(200, &[]);
     let with = |body: &[u8]| [head.clone(), chunk(TOKEN), body.to_vec()].concat();
     let mut swallows = format!("{:x}\r\n", TOKEN.len() + 40).into_bytes();
     swallows.extend([TOKEN, b"\r\n", &chunk(TOKEN)[..], &chunk(TOKEN)[..]].concat());
-    for spoilt in [
+    for malformed in [
         with(b"zz\r\n"),
         with(b"-5\r\n"),
         with(b"C0000000\r\ndata: {}\n\n"),
         with(&[b"5\r\n".as_slice(), TOKEN].concat()),
         with(&chunk(b"\x00\xff\x13noise\n\n")),
     ] {
-        let (events, end, _) = told(&spoilt, false);
+        let (events, end, _) = read_response(&malformed, false);
         assert_eq!(events, TOKEN);
         assert_eq!(end, Some((Outcome::ConnectionBroken, 0, false)));
     }
     // A chunk that swallows the next one's size: what was whole before that is passed on, the rest is not.
-    let (events, end, _) = told(&with(&swallows), false);
+    let (events, end, _) = read_response(&with(&swallows), false);
     assert_eq!((events, end), ([TOKEN, TOKEN].concat(), Some((Outcome::ConnectionBroken, 0, false))));
     let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), b"x: y\r\n".repeat(4000)].concat();
     for opening in [b"\x16\x03\x01 noise\r\n\r\n".to_vec(), endless, b"HTTP/1.1 200 OK\r\n\r\n".to_vec()] {
-        let (events, end, _) = told(&opening, true);
+        let (events, end, _) = read_response(&opening, true);
         assert_eq!((events.len(), end), (0, Some((Outcome::ConnectionBroken, 0, false))));
     }
     // 3 GB that keep coming as one event that never ends.
     let mut long = [head, b"10000\r\n".to_vec()].concat();
     long.extend(vec![b'a'; 0x10000]);
     long.extend(b"\r\n10000\r\naaaa");
-    assert_eq!(told(&long, false).1, Some((Outcome::ConnectionBroken, 0, false)));
+    assert_eq!(read_response(&long, false).1, Some((Outcome::ConnectionBroken, 0, false)));
 }
 
 #[test]
-fn reads_and_refusals_have_their_outcomes() {
-    let outcome =
-        |status, headers: &[(&str, &str)], body: &[u8]| told(&response(status, headers, body), false).1;
+fn prefill_and_rejection_outcomes() {
+    let outcome = |status, headers: &[(&str, &str)], body: &[u8]| {
+        read_response(&response(status, headers, body), false).1
+    };
     let away: &[(&str, &str)] = &[("X-Turned-Away", "1")];
     assert_eq!(outcome(202, &[], b"{\"cached_tokens\":77}"), Some((Outcome::Read, 77, true)));
     assert_eq!(outcome(202, &[], b"what"), Some((Outcome::Read, 0, true)));
@@ -165,26 +173,28 @@
     assert_eq!(outcome(503, &[], b""), Some((Outcome::Error, 0, true)));
     assert_eq!(outcome(500, &[], b""), Some((Outcome::Error, 0, true)));
     let loaded = response(503, &[("X-Turned-Away", "1"), ("X-Pressure", "x0=0.9,x1=12")], b"");
-    assert_eq!(told(&loaded, false).2, Some(0.9));
+    assert_eq!(read_response(&loaded, false).2, Some(0.9));
 }
 
-fn call(head: &str, body: &str) -> Result<Call, Rejected> {
-    let (config, mut reader) = (config(), RequestReader::new(MAX_HEAD, MAX_BODY));
+fn call(head: &str, body: &str) -> Result<ClientRequest, RequestError> {
+    let (config, mut reader) = (config(), RequestReader::new(MAX_HEAD_BYTES, MAX_BODY_BYTES));
     reader.push(format!("{head}content-length: {}\r\n\r\n{body}", body.len()).as_bytes());
     let request = reader.next_request().expect("it can be read").expect("it is whole");
-    pintally_platform::call(&config.told.names, 7, request)
+    parse_client_request(&config.settings.names, 7, request)
 }
 
 const LINE: &str = "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: service.internal\r\n";
 
 #[test]
-fn a_request_is_read_with_all_its_headers() {
+fn client_request_headers() {
     let head = format!(
         "{LINE}X-Txn: 9b1f03aa5c7e2d41\r\nX-Lane: chat\r\nX-Entity: 7f3a9c21e0b4d655\r\nX-Remaining-Ms: 4800\r\n\
          X-Labels: prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800\r\nX-Resent: again\r\n"
     );
-    let Ok(Call::Work(ask)) = call(&head, "{\"model\":\"chat\"}") else { panic!("no request") };
-    let a = &ask.arrival;
+    let Ok(ClientRequest::Inference(inference)) = call(&head, "{\"model\":\"chat\"}") else {
+        panic!("no request")
+    };
+    let a = &inference.arrival;
     assert_eq!(a.name.as_ref().map(|n| n.0.as_ref()), Some("9b1f03aa5c7e2d41"));
     assert_eq!(
         (a.class, a.session, a.prefix),
@@ -192,7 +202,8 @@
     );
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.max_tokens), (5120, 2048, Some(800)));
     assert_eq!((a.client_timeout, a.resumed, a.streamed), (Some(4_800_000), true, true));
-    let out = String::from_utf8(attempt_head(&ask.head, 900, ask.body.len())).expect("text");
+    let out =
+        String::from_utf8(encode_attempt_head(&inference.head, 900, inference.body.len())).expect("text");
     assert!(out.starts_with("POST /v1/chat/completions?a=b HTTP/1.1\r\n"), "{out}");
     assert!(
         out.contains("\r\nx-txn: 9b1f03aa5c7e2d41\r\n") && out.ends_with("Content-Length: 16\r\n\r\n"),
@@ -203,7 +214,7 @@
 }
 
 #[test]
-fn what_a_request_lacks_or_has_wrong_is_an_error_of_its_own() {
+fn invalid_client_requests() {
     let good = "X-Txn: a1\r\nX-Lane: chat\r\nX-Remaining-Ms: 900\r\n";
     assert!(call(&format!("{LINE}{good}"), "{}").is_ok());
     for (lines, body) in [
@@ -231,7 +242,7 @@
 }
 
 #[test]
-fn an_unsound_configuration_names_its_field() {
+fn invalid_configuration_names_its_field() {
     for (path, value, names) in [
         ("/seed", json!("xyz"), "seed"),
         ("/listen", json!("here"), "listen"),
@@ -245,11 +256,11 @@
         let mut config = configuration();
         *config.pointer_mut(path).expect("the field") = value;
         let error = Configuration::parse(&config.to_string()).expect_err(path);
-        assert!(error.contains(names), "{path}: {error}");
+        assert!(error.to_string().contains(names), "{path}: {error}");
     }
     assert!(Configuration::parse("{").is_err());
     let config = config();
-    let node = config.node();
+    let node = config.node_settings();
     assert!(
         node.limits.max_connections + config.limits.sockets / 3 < config.limits.sockets,
         "engines keep theirs"
@@ -257,56 +268,57 @@
 }
 
 #[test]
-fn a_list_goes_forward_only() {
+fn endpoint_list_revisions_are_monotonic() {
     let list = |revision: u64, complete: bool, members: Vec<Value>| {
-        List::parse(
+        EndpointList::parse(
             json!({"revision": revision, "complete": complete, "members": members}).to_string().as_bytes(),
         )
     };
     let (up, gone) = (member("s-1", "up", 7), member("s-1", "removed", 0));
-    let mut follower = Follower::default();
-    assert!(matches!(
-        follower.take(list(3, false, vec![up.clone()]).unwrap()),
-        Taken::InvalidConfiguration(_)
-    ));
-    let Taken::Holds(_, members) = follower.take(list(3, true, vec![up.clone()]).unwrap()) else { panic!() };
+    let mut tracker = EndpointListTracker::default();
+    assert!(matches!(tracker.advance(list(3, false, vec![up.clone()]).unwrap()), ListChange::Invalid(_)));
+    let ListChange::Apply(_, members) = tracker.advance(list(3, true, vec![up.clone()]).unwrap()) else {
+        panic!()
+    };
     assert_eq!(
         (members[0].endpoint.state, members[0].endpoint.started),
         (EndpointState::Serving, Some(7000))
     );
-    assert!(matches!(follower.take(list(3, false, vec![]).unwrap()), Taken::Same));
-    assert!(matches!(follower.take(list(2, true, vec![up.clone()]).unwrap()), Taken::Older));
-    assert!(matches!(follower.take(list(9, true, vec![]).unwrap()), Taken::InvalidConfiguration(_)));
-    assert_eq!(follower.revision(), Some(3));
-    let Taken::Holds(_, members) = follower.take(list(4, false, vec![gone]).unwrap()) else { panic!() };
+    assert!(matches!(tracker.advance(list(3, false, vec![]).unwrap()), ListChange::Unchanged));
+    assert!(matches!(tracker.advance(list(2, true, vec![up.clone()]).unwrap()), ListChange::Stale));
+    assert!(matches!(tracker.advance(list(9, true, vec![]).unwrap()), ListChange::Invalid(_)));
+    assert_eq!(tracker.revision(), Some(3));
+    let ListChange::Apply(_, members) = tracker.advance(list(4, false, vec![gone]).unwrap()) else {
+        panic!()
+    };
     assert_eq!(members[0].endpoint.state, EndpointState::Gone);
     assert!(list(5, true, vec![up.clone(), up]).is_err(), "an engine listed twice");
-    assert!(List::parse(b"{\"revision\":1}").is_err());
+    assert!(EndpointList::parse(b"{\"revision\":1}").is_err());
 }
 
 #[test]
-fn lines_of_a_watch_are_cut_anywhere_and_bounded() {
-    let mut lines = Lines::default();
+fn watch_decoder_framing_and_limit() {
+    let mut decoder = WatchDecoder::default();
     let mut got = Vec::new();
     for byte in b"{\"a\":1}\n\n\r\n{}\n{" {
-        lines.push(&[*byte]).expect("short");
-        got.extend(lines.next_line());
+        decoder.push(&[*byte]).expect("short");
+        got.extend(decoder.next_object());
     }
     assert_eq!(got, [b"{\"a\":1}".to_vec(), b"{}".to_vec()]);
-    let mut lines = Lines::default();
-    assert!((0..200).any(|_| lines.push(&[b'x'; 64 << 10]).is_err()), "an endless line");
+    let mut decoder = WatchDecoder::default();
+    assert!((0..200).any(|_| decoder.push(&[b'x'; 64 << 10]).is_err()), "an endless line");
     // What is no object ends with its line, an unfinished text in it too.
-    let mut lines = Lines::default();
-    lines.push(b"no \"object\n{\"b\":\"}\\\"{\"}\n").expect("short");
-    assert_eq!(lines.next_line().as_deref(), Some(&b"no \"object"[..]));
-    assert_eq!(lines.next_line().as_deref(), Some(&b"{\"b\":\"}\\\"{\"}"[..]));
-    assert_eq!(lines.next_line(), None);
+    let mut decoder = WatchDecoder::default();
+    decoder.push(b"no \"object\n{\"b\":\"}\\\"{\"}\n").expect("short");
+    assert_eq!(decoder.next_object().as_deref(), Some(&b"no \"object"[..]));
+    assert_eq!(decoder.next_object().as_deref(), Some(&b"{\"b\":\"}\\\"{\"}"[..]));
+    assert_eq!(decoder.next_object(), None);
 }
 
 /// Guards against large fleets whose list does not fit, or is cut where it is indented: 1,024 and 4,096
 /// engines, in one line and indented, whole and in pieces of a few bytes.
 #[test]
-fn lists_of_thousands_of_engines_arrive_whole_however_they_are_written() {
+fn large_endpoint_lists() {
     for many in [1_024, 4_096] {
         let members: Vec<_> = (0..many)
             .map(|n| {
@@ -316,47 +328,47 @@
             .collect();
         let list = serde_json::json!({"revision": 7, "complete": true, "members": members});
         let flat = format!("{list}\n\n");
-        let indented = format!("{}\n\n", serde_json::to_string_pretty(&list).expect("it is sound"));
+        let indented = format!("{}\n\n", serde_json::to_string_pretty(&list).expect("JSON"));
         for text in [flat, indented] {
             for piece in [text.len(), 16 << 10, 7] {
-                let mut lines = Lines::default();
+                let mut decoder = WatchDecoder::default();
                 let mut got = Vec::new();
                 for bytes in text.as_bytes().chunks(piece) {
-                    lines.push(bytes).expect("it fits");
-                    while let Some(line) = lines.next_line() {
-                        got.push(List::parse(&line).expect("it is sound"));
+                    decoder.push(bytes).expect("it fits");
+                    while let Some(line) = decoder.next_object() {
+                        got.push(EndpointList::parse(&line).expect("a valid list"));
                     }
                 }
                 assert_eq!(got.len(), 1, "{many} engines in pieces of {piece}");
-                assert_eq!(got[0].members.len(), many);
+                assert_eq!(got[0].endpoints.len(), many);
             }
         }
     }
     // Beyond the bound: a clear error, and never a list that is cut.
-    let mut lines = Lines::default();
-    let endless = (0..200).find_map(|_| lines.push(&[b'['; 64 << 10]).err()).expect("an error");
-    assert!(endless.contains("longer than"), "{endless}");
+    let mut decoder = WatchDecoder::default();
+    let endless = (0..200).find_map(|_| decoder.push(&[b'['; 64 << 10]).err()).expect("an error");
+    assert!(endless.to_string().contains("longer than"), "{endless}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No bytes make a reader panic, serve or hold more than its bounds.
+    /// No bytes make a reader panic, or exceed its limits.
     #[test]
-    fn hostile_bytes(noise in prop::collection::vec(any::<u8>(), 0..600), at in 0usize..400) {
-        let names = config().told.names;
+    fn arbitrary_bytes(noise in prop::collection::vec(any::<u8>(), 0..600), at in 0usize..400) {
+        let names = config().settings.names;
         let good = stream(&[TOKEN, USAGE, DONE]);
         let at = at.min(good.len());
         let mixed = [&good[..at], &noise[..], &good[at..]].concat();
-        let (mut reader, mut out) = (AnswerReader::default(), Vec::new());
+        let (mut reader, mut out) = (EngineResponseReader::default(), Vec::new());
         reader.push(&mixed, &names, &mut out);
         reader.closed(&names, &mut out);
-        let ends = out.iter().filter(|p| matches!(p, Progress::Over { .. })).count();
+        let ends = out.iter().filter(|p| matches!(p, ResponseEvent::Ended { .. })).count();
         prop_assert_eq!(ends, 1);
-        let mut lines = Lines::default();
-        if lines.push(&noise).is_ok() {
-            while let Some(line) = lines.next_line() {
-                let _ = List::parse(&line);
+        let mut decoder = WatchDecoder::default();
+        if decoder.push(&noise).is_ok() {
+            while let Some(line) = decoder.next_object() {
+                let _ = EndpointList::parse(&line);
             }
         }
         let _ = Configuration::parse(&String::from_utf8_lossy(&noise));
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -52,13 +52,13 @@
 }
 
 fn request(bytes: &[u8]) -> Request {
-    let mut reader = RequestReader::new(MAX_HEAD, MAX_BODY);
+    let mut reader = RequestReader::new(MAX_HEAD_BYTES, MAX_BODY_BYTES);
     reader.push(bytes);
     reader.next_request().expect("a readable request").expect("a whole request")
 }
 
-fn call_of(bytes: &[u8]) -> Result<Call, Rejected> {
-    call(&configuration().told.names, 7, request(bytes))
+fn call_of(bytes: &[u8]) -> Result<ClientRequest, RequestError> {
+    parse_client_request(&configuration().settings.names, 7, request(bytes))
 }
 
 #[test]
@@ -69,17 +69,17 @@
     assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!((config.limits.cores, config.limits.memory_mb, config.limits.sockets), (0.5, 32, 256));
-    assert_eq!((config.clients_most(), config.bodies_most()), (120, 8 << 20));
-    let known = config.known.as_ref().expect("a list");
-    assert_eq!((known.revision, known.complete, known.members.len()), (4, true, 1));
-    let engine = &known.members[0];
+    assert_eq!((config.max_client_connections(), config.max_total_body_bytes()), (120, 8 << 20));
+    let known = config.last_known_list.as_ref().expect("a list");
+    assert_eq!((known.revision, known.complete, known.endpoints.len()), (4, true, 1));
+    let engine = &known.endpoints[0];
     assert_eq!((&*engine.endpoint.engine.0, engine.address.to_string()), ("s-1", "127.0.0.1:3001".into()));
     assert_eq!(
         (engine.endpoint.rack, engine.endpoint.weight, engine.endpoint.started),
         (3, 1.5, Some(7_000))
     );
 
-    let node = config.node();
+    let node = config.node_settings();
     assert_eq!((node.name.as_str(), node.listen), ("n0", config.listen));
     let limits = &node.limits;
     assert_eq!(
@@ -149,21 +149,25 @@
 
 #[test]
 fn client_request_values() {
-    let Ok(Call::Work(ask)) = call_of(CLIENT_REQUEST.as_bytes()) else { panic!("no request for work") };
-    let a = &ask.arrival;
+    let Ok(ClientRequest::Inference(inference)) = call_of(CLIENT_REQUEST.as_bytes()) else {
+        panic!("no request for work")
+    };
+    let a = &inference.arrival;
     assert_eq!(a.ticket, 7);
     assert_eq!(a.name.as_ref().map(|n| n.0.as_ref()), Some("9b1f03aa5c7e2d41"));
     assert_eq!((a.class, a.tenant), (Some(0), Some(0)));
     assert_eq!((a.session, a.prefix), (Some(0x7f3a_9c21_e0b4_d655), Some(0x5c0f_6e1a_2b3d_4c59)));
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.max_tokens), (5120, 2048, Some(800)));
     assert_eq!((a.client_timeout, a.streamed, a.resumed, a.bytes), (Some(4_800_000), true, true, 30));
-    assert_eq!(ask.body, b"{\"model\":\"chat\",\"stream\":true}");
+    assert_eq!(inference.body, b"{\"model\":\"chat\",\"stream\":true}");
 
     // Headers with a default, and names that are no hexadecimal number.
     let least = "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Entity: somebody\r\n\
                  X-Labels: prefix=somewhere\r\nContent-Length: 9\r\n\r\n{\"a\":\"b\"}";
-    let Ok(Call::Work(ask)) = call_of(least.as_bytes()) else { panic!("no request for work") };
-    let a = &ask.arrival;
+    let Ok(ClientRequest::Inference(inference)) = call_of(least.as_bytes()) else {
+        panic!("no request for work")
+    };
+    let a = &inference.arrival;
     assert_eq!((a.class, a.tenant, a.client_timeout, a.max_tokens), (Some(1), None, None, None));
     assert_eq!((a.prompt_tokens, a.prefix_tokens, a.resumed), (2, 0, false));
     assert_eq!((a.session, a.prefix), (Some(12_888_409_040_968_592_598), Some(13_161_270_434_569_206_740)));
@@ -171,15 +175,17 @@
 
 #[test]
 fn attempt_bytes() {
-    let Ok(Call::Work(ask)) = call_of(CLIENT_REQUEST.as_bytes()) else { panic!("no request for work") };
-    let mut attempt = attempt_head(&ask.head, 900, ask.body.len());
-    attempt.extend_from_slice(&ask.body);
+    let Ok(ClientRequest::Inference(inference)) = call_of(CLIENT_REQUEST.as_bytes()) else {
+        panic!("no request for work")
+    };
+    let mut attempt = encode_attempt_head(&inference.head, 900, inference.body.len());
+    attempt.extend_from_slice(&inference.body);
     assert_golden("attempt.http", &String::from_utf8(attempt).expect("text"));
 }
 
 #[test]
 fn release_and_watch_bytes() {
-    let all = [release("9b1f03aa5c7e2d41"), watch(None), watch(Some(17))].concat();
+    let all = [encode_release("9b1f03aa5c7e2d41"), encode_watch(None), encode_watch(Some(17))].concat();
     assert_golden("release_and_watch.http", &String::from_utf8(all).expect("text"));
 }
 
@@ -210,7 +216,7 @@
     for (line, headers, body) in cases {
         let bytes = format!("{line}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         let rejected = call_of(bytes.as_bytes()).expect_err(&bytes);
-        let _ = writeln!(got, "{} {}", rejected.status, rejected.why);
+        let _ = writeln!(got, "{} {}", rejected.status, rejected.message);
     }
     assert_golden("client_request_errors.txt", &got);
 }
@@ -218,22 +224,23 @@
 #[test]
 fn routes() {
     let of = |line: &str| call_of(format!("{line} HTTP/1.1\r\n\r\n").as_bytes());
-    assert!(matches!(of("GET /up"), Ok(Call::Ready)));
-    assert!(matches!(of("HEAD /up?x=1"), Ok(Call::Ready)));
-    assert!(matches!(of("GET /pintally/beliefs"), Ok(Call::Beliefs)));
+    assert!(matches!(of("GET /up"), Ok(ClientRequest::Readiness)));
+    assert!(matches!(of("HEAD /up?x=1"), Ok(ClientRequest::Readiness)));
+    assert!(matches!(of("GET /pintally/beliefs"), Ok(ClientRequest::Status)));
 }
 
 /// What an engine's answer tells, as text; the answer comes one byte at a time.
 fn answer_text(bytes: &[u8]) -> String {
-    let (names, mut reader, mut progress) = (configuration().told.names, AnswerReader::default(), Vec::new());
+    let (names, mut reader, mut progress) =
+        (configuration().settings.names, EngineResponseReader::default(), Vec::new());
     bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut progress));
     let mut got = String::new();
     for one in progress {
         let _ = match one {
-            Progress::Events(bytes) => write!(got, "events:\n{}", String::from_utf8_lossy(&bytes)),
-            Progress::Over { outcome, kept, load, reusable } => writeln!(
+            ResponseEvent::Events(bytes) => write!(got, "events:\n{}", String::from_utf8_lossy(&bytes)),
+            ResponseEvent::Ended { outcome, cached_tokens, load, reusable } => writeln!(
                 got,
-                "outcome: {}\nkept tokens: {kept}\nload: {}\nreusable: {reusable}",
+                "outcome: {}\nkept tokens: {cached_tokens}\nload: {}\nreusable: {reusable}",
                 outcome_name(outcome),
                 load_text(load)
             ),
@@ -258,11 +265,11 @@
 fn outcomes_of_statuses() {
     let mut got = String::new();
     for status in [200, 202, 400, 404, 409, 410, 429, 500, 502, 503, 504] {
-        let names = [false, true].map(|turned_away| outcome_name(of_answer(status, turned_away)));
+        let names = [false, true].map(|turned_away| outcome_name(outcome_of_response(status, turned_away)));
         let _ = writeln!(got, "{status}: {}; turned away: {}", names[0], names[1]);
     }
     for (phase, name) in [(Phase::Unwritten, "unwritten"), (Phase::Written, "written")] {
-        let names = [false, true].map(|timed_out| outcome_name(of_transport(phase, timed_out)));
+        let names = [false, true].map(|timed_out| outcome_name(outcome_of_failure(phase, timed_out)));
         let _ = writeln!(got, "{name}: {}; in time: {}", names[0], names[1]);
     }
     assert_golden("outcomes.txt", &got);
@@ -270,10 +277,11 @@
 
 #[test]
 fn discovery_messages() {
-    let (mut lines, mut follower, mut got) = (Lines::default(), Follower::default(), String::new());
-    lines.push(include_bytes!("golden/discovery.txt")).expect("short");
-    while let Some(line) = lines.next_line() {
-        let list = match List::parse(&line) {
+    let (mut decoder, mut tracker, mut got) =
+        (WatchDecoder::default(), EndpointListTracker::default(), String::new());
+    decoder.push(include_bytes!("golden/discovery.txt")).expect("short");
+    while let Some(line) = decoder.next_object() {
+        let list = match EndpointList::parse(&line) {
             Ok(list) => list,
             Err(error) => {
                 let _ = writeln!(got, "error: {error}");
@@ -281,11 +289,11 @@
             }
         };
         let _ = writeln!(got, "revision {}, complete {}:", list.revision, list.complete);
-        let _ = match follower.take(list) {
-            Taken::Same => writeln!(got, "  same"),
-            Taken::Older => writeln!(got, "  older"),
-            Taken::InvalidConfiguration(why) => writeln!(got, "  unsound: {why}"),
-            Taken::Holds(form, members) => {
+        let _ = match tracker.advance(list) {
+            ListChange::Unchanged => writeln!(got, "  same"),
+            ListChange::Stale => writeln!(got, "  older"),
+            ListChange::Invalid(why) => writeln!(got, "  unsound: {why}"),
+            ListChange::Apply(form, members) => {
                 let full = matches!(form, ListUpdate::Full);
                 let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
                 members.iter().try_for_each(|listed| {
@@ -296,7 +304,7 @@
                 })
             }
         };
-        let _ = writeln!(got, "  follows from {:?}", follower.revision());
+        let _ = writeln!(got, "  follows from {:?}", tracker.revision());
     }
     assert_golden("discovery_taken.txt", &got);
 }
