--- a/crates/pintally-platform-node/src/arrivals/tests.rs
+++ b/crates/pintally-platform-node/src/arrival_times/tests.rs
@@ -1,10 +1,12 @@
+//! Arrival times of requests behind each other.
+
 use super::*;
 
 const MS: Micros = 1_000;
 
 #[test]
-fn a_request_came_when_its_last_byte_did() {
-    let mut arrivals = Arrivals::default();
+fn arrival_time_is_that_of_the_last_byte() {
+    let mut arrivals = ArrivalTimes::default();
     assert_eq!(arrivals.last_before(0), None);
     arrivals.push(0, 100);
     arrivals.push(50 * MS, 100);
@@ -18,11 +20,13 @@
 }
 
 #[test]
-fn single_bytes_in_close_succession_are_kept_as_one_run() {
-    let mut arrivals = Arrivals::default();
+fn single_bytes_are_coalesced() {
+    let mut arrivals = ArrivalTimes::default();
     (0..100_000).for_each(|n| arrivals.push(n * 10, 1));
     assert!(arrivals.runs.len() <= 201, "{}", arrivals.runs.len());
-    // With the first of them: never later than they came.
+    // With the time of the first: never later than they arrived.
     let last = 999_990;
-    assert!(arrivals.last_before(0).is_some_and(|came| (last - TOGETHER..=last).contains(&came)));
+    assert!(arrivals
+        .last_before(0)
+        .is_some_and(|arrived| (last - COALESCE_WITHIN..=last).contains(&arrived)));
 }
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -1,94 +1,78 @@
-//! Commands of the host, carried out: attempts, calls off, answers, releases.
+//! Attempts: how they start, are cancelled, and end.
 
-use std::io::ErrorKind;
-use std::net::SocketAddr;
+use std::sync::Arc;
 
-use pintally::interface::{EngineId, Micros, Outcome, RequestId};
-use pintally_host::{AttemptOrder, Command, Input, RequestNumber};
-use pintally_platform::{encode_attempt_head, encode_release, EngineResponseReader};
+use pintally::interface::{Attempt, EngineId, LoadReport, Micros, Outcome};
+use pintally_host::{AttemptOrder, Input, RequestNumber};
+use pintally_platform::encode_attempt_head;
 use serde_json::Value;
 
-use crate::conn::{Conn, Engine, Key, Work};
+use crate::connection::{Connection, ConnectionKey};
+use crate::engine_connect::Reuse;
+use crate::engine_connection::{AttemptWork, OutgoingRequest, Work};
 use crate::node::Node;
-use crate::poll::{self, Flags};
 
-/// So much later than the close of its connection the host hears that an attempt was given up. Guards against
-/// a second copy: what is sent or answered then goes over another connection, on which it could overtake
-/// the close, and the engine, or whoever counts there, would see two attempts at once.
+/// The host is notified of an abandoned attempt this long after the close of its connection. Guards against a
+/// hedged request by accident: what is sent or answered then uses another connection, on which it could
+/// overtake the close, and the engine, or whoever counts there, would see two attempts at once.
 const CLOSE_LEAD: Micros = 2_000;
 
-impl Node {
-    pub(crate) fn command(&mut self, command: Command) {
-        match command {
-            Command::Attempt(order) => self.attempt(order),
-            Command::Cancel(ticket, _) => self.call_off(ticket),
-            Command::Answer(ticket, answer) => self.final_answer(ticket, answer),
-            Command::Over(ticket) => {
-                if let Some(job) = self.jobs.remove(&ticket) {
-                    self.bytes -= job.body.len();
-                }
-            }
-            Command::Release { name, engine, address, anew } => self.release(name, engine, address, anew),
-            Command::ProbeConnection(ticket, attempt, engine, address) => {
-                self.probe_connection(ticket, attempt, &engine, address)
-            }
-            Command::WithdrawReleases(id) => self.call_back(&id),
-            // The platform's engines are not probed, and its list comes by itself.
-            Command::HealthCheck(engine, _, _) => {
-                self.inputs.push_back(Input::HealthChecked(engine, false, None))
-            }
-            Command::ReloadEndpointList => self.watch_again(),
-            Command::Log(text) => {
-                if self.quota.allows(self.clock.now()) {
-                    tracing::info!("{text}");
-                }
-            }
-            // Nodes on the platform know of no peers.
-            Command::QueryPeer(_)
-            | Command::RecoveryStage(_)
-            | Command::RequestQuota(_)
-            | Command::PublishOutlierReport(_)
-            | Command::PublishZoneReport(..) => {}
-            Command::Stopped => self.stopped = true,
-        }
+/// How the work on an engine connection ended.
+pub(crate) struct WorkResult {
+    pub(crate) outcome: Outcome,
+    pub(crate) cached_tokens: u64,
+    pub(crate) load: Option<LoadReport>,
+    /// Whether the response leaves the connection reusable.
+    pub(crate) reusable: bool,
+}
+
+impl WorkResult {
+    /// The end of work without a complete response.
+    fn without_response(outcome: Outcome) -> WorkResult {
+        WorkResult { outcome, cached_tokens: 0, load: None, reusable: false }
     }
+}
 
-    fn attempt(&mut self, order: AttemptOrder) {
+impl Node {
+    pub(crate) fn start_attempt(&mut self, order: AttemptOrder) {
         let now = self.clock.now();
-        // Guards against a second copy: an attempt that is still out ends before the next one begins.
-        self.call_off(order.ticket);
-        let Some(job) = self.jobs.get(&order.ticket) else {
-            return self.over(order.ticket, order.attempt, Outcome::NeverSent);
+        // Guards against two attempts at once: one that is in flight ends before the next one starts.
+        self.cancel_attempt(order.ticket);
+        let Some(request) = self.requests.by_number.get(&order.ticket) else {
+            return self.fail_unsent(order.ticket, order.attempt, Outcome::NeverSent);
         };
-        let timeout_at = now.saturating_add(order.timeout);
-        let head = encode_attempt_head(&job.head, order.timeout / 1000, job.body.len());
-        let body = job.body.clone();
-        let work = Work::Attempt {
-            ticket: order.ticket,
+        let timeout_ms = order.timeout / 1000;
+        let head = encode_attempt_head(&request.head, timeout_ms, request.body.len());
+        let outgoing = OutgoingRequest::new(head, Some(request.body.clone()));
+        let work = Work::Attempt(AttemptWork {
+            number: order.ticket,
             attempt: order.attempt,
             step: order.step,
-            timeout_at,
-            begun: false,
-        };
-        match self.carry(order.address, &order.engine, head, Some(body), work, false) {
-            Ok(key) => {
-                if let Some(job) = self.jobs.get_mut(&order.ticket) {
-                    job.out = Some((order.attempt, key));
-                }
-                tracing::debug!(ticket = order.ticket, attempt = order.attempt, engine = %order.engine.0,
-                    step = ?order.step, timeout_ms = order.timeout / 1000, "an attempt goes out");
-                let tally = self.tallies.entry(order.engine).or_default();
-                tally.sent += 1;
-                tally.out += 1;
-                self.engine_writes(key);
-            }
-            Err(outcome) => self.over(order.ticket, order.attempt, outcome),
+            timeout_at: now.saturating_add(order.timeout),
+            has_started: false,
+        });
+        match self.assign_connection(order.address, &order.engine, outgoing, work, Reuse::Allowed) {
+            Ok(key) => self.attempt_assigned(&order, key),
+            Err(outcome) => self.fail_unsent(order.ticket, order.attempt, outcome),
         }
     }
 
-    fn over(&mut self, ticket: RequestNumber, attempt: u32, outcome: Outcome) {
-        self.inputs.push_back(Input::AttemptEnded {
-            ticket,
+    fn attempt_assigned(&mut self, order: &AttemptOrder, key: ConnectionKey) {
+        if let Some(request) = self.requests.by_number.get_mut(&order.ticket) {
+            request.attempt = Some((order.attempt, key));
+        }
+        tracing::debug!(request = order.ticket, attempt = order.attempt, engine = %order.engine.0,
+            step = ?order.step, timeout_ms = order.timeout / 1000, "attempt started");
+        let counters = self.engines.counters_of(&order.engine);
+        counters.sent += 1;
+        counters.in_flight += 1;
+        self.write_engine(key);
+    }
+
+    /// Notifies the host of an attempt that has no connection.
+    fn fail_unsent(&mut self, number: RequestNumber, attempt: Attempt, outcome: Outcome) {
+        self.host_queue.inputs.push_back(Input::AttemptEnded {
+            ticket: number,
             attempt,
             outcome,
             cached_tokens: 0,
@@ -97,206 +81,87 @@
         });
     }
 
-    /// Lets go of what is held for a request.
-    fn release(&mut self, id: RequestId, engine: EngineId, address: SocketAddr, anew: bool) {
-        let until = self.clock.now() + self.settings.limits.background_call_timeout;
-        let work = Work::Release { id: id.clone(), engine: engine.clone(), until };
-        match self.carry(address, &engine, encode_release(&id.0), None, work, anew) {
-            Ok(key) => {
-                tracing::debug!(id = %id.0, engine = %engine.0, "a call to let go goes out");
-                self.engine_writes(key);
-            }
-            Err(_) => self.inputs.push_back(Input::Released(id, engine, false)),
-        }
-    }
-
-    /// Whether an attempt is out and its last byte has been written on a connection opened for it. Guards
-    /// against a kept one that has fallen silent while its engine's machine is there, or there again.
-    pub(crate) fn is_written(&self, ticket: RequestNumber, attempt: u32) -> bool {
-        let out = self.jobs.get(&ticket).and_then(|job| job.out).filter(|out| out.0 == attempt);
-        let conn = out.and_then(|(_, key)| self.conns.get(key));
-        matches!(conn, Some(Conn::Engine(e)) if e.written() && e.idle.is_none())
+    /// Whether an attempt is in flight and its last byte has been written on a connection opened for it. Guards
+    /// against a reused one that has fallen silent while its engine's machine is up, or up again.
+    pub(crate) fn is_attempt_written(&self, number: RequestNumber, attempt: Attempt) -> bool {
+        let in_flight = self.requests.attempt_of(number).filter(|(in_flight, _)| *in_flight == attempt);
+        let connection = in_flight.and_then(|(_, key)| self.connections.get(key));
+        matches!(connection, Some(Connection::Engine(engine)) if engine.is_written() && engine.idle_before.is_none())
     }
 
-    /// Opens a connection beside that of an attempt that is silent: whether its engine's machine is there.
-    fn probe_connection(
-        &mut self,
-        ticket: RequestNumber,
-        attempt: u32,
-        engine: &EngineId,
-        address: SocketAddr,
-    ) {
-        if !self.is_written(ticket, attempt) {
-            return;
-        }
-        let Ok(key) = self.connect(address, engine, true) else { return };
-        let (now, connect) = (self.clock.now(), self.settings.limits.connect_timeout);
-        let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
-        conn.work = Some(Work::ConnectionProbe { ticket, attempt });
-        conn.connect_by = now + connect;
-        if conn.up {
-            return self.connection_probe_answered(key, ticket, attempt);
-        }
-        self.watch_over(key);
+    /// Cancels the request's attempt, if one is in flight: its connection ends.
+    pub(crate) fn cancel_attempt(&mut self, number: RequestNumber) {
+        let Some((_, key)) = self.requests.attempt_of(number) else { return };
+        self.abandon(key, Outcome::Cancelled);
     }
 
-    /// Ends calls that let go of a request, on whatever connection they wait.
-    fn call_back(&mut self, id: &RequestId) {
-        let calls = |c: &Conn| match c {
-            Conn::Engine(e) => matches!(&e.work, Some(Work::Release { id: own, .. }) if own == id),
-            Conn::Client(_) => false,
-        };
-        let keys: Vec<Key> = self.conns.iter().filter(|(_, c)| calls(c)).map(|(key, _)| key).collect();
-        for key in keys {
-            self.abort_engine(key);
-        }
+    /// Ends the work on a connection without a response, and the connection.
+    pub(crate) fn abandon(&mut self, key: ConnectionKey, outcome: Outcome) {
+        self.finish_work(key, WorkResult::without_response(outcome));
     }
 
-    /// Gives work to a connection: the sound one that was used last, or a new one; `anew` if only that will do.
-    fn carry(
-        &mut self,
-        address: SocketAddr,
-        engine: &EngineId,
-        head: Vec<u8>,
-        body: Option<std::rc::Rc<[u8]>>,
-        work: Work,
-        anew: bool,
-    ) -> Result<Key, Outcome> {
-        let now = self.clock.now();
-        let (mut found, mut idle) = (None, None);
-        while let Some(key) = (!anew).then(|| self.pool.take(now, address)).flatten() {
-            let Some(Conn::Engine(conn)) = self.conns.get(key) else { continue };
-            // Guards against a request on a connection that the engine has closed or spoilt, which
-            // would end as a reset that may have run.
-            let fresh = now < conn.last + self.keep.limit(now);
-            let quiet = matches!(conn.stream.peek(&mut [0; 1]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-            if fresh && quiet {
-                idle = Some(now - conn.last);
-                found = Some(key);
-                break;
-            }
-            self.close_engine(key);
-        }
-        let key = match found {
-            Some(key) => key,
-            None => self.connect(address, engine, matches!(work, Work::Release { .. }))?,
-        };
-        let connect = self.settings.limits.connect_timeout;
-        if let Some(Conn::Engine(conn)) = self.conns.get_mut(key) {
-            conn.engine = engine.clone();
-            conn.head = head;
-            conn.body = body;
-            conn.gone = 0;
-            conn.reader = EngineResponseReader::default();
-            conn.paused = false;
-            conn.last = now;
-            conn.connect_by = now + connect;
-            conn.work = Some(work);
-            conn.idle = idle;
-        }
-        self.watch_over(key);
-        Ok(key)
-    }
-
-    fn connect(&mut self, address: SocketAddr, engine: &EngineId, call: bool) -> Result<Key, Outcome> {
-        if !self.room_for_engine(call) {
-            return Err(Outcome::NeverSent);
-        }
-        let socket = poll::socket(address).map_err(|_| Outcome::NeverSent)?;
-        let up = poll::connect(&socket, address).map_err(|_| Outcome::Unreachable)?;
-        let now = self.clock.now();
-        let flags = if up { Flags::IN | Flags::RDHUP } else { Flags::OUT };
-        let conn = Engine {
-            stream: socket.into(),
-            address,
-            engine: engine.clone(),
-            up,
-            connect_by: now,
-            head: Vec::new(),
-            body: None,
-            gone: 0,
-            reader: EngineResponseReader::default(),
-            work: None,
-            idle: None,
-            last: now,
-            paused: false,
-            progressed: now,
-            flags,
-            due: Micros::MAX,
-        };
-        let key = self.enter(Conn::Engine(Box::new(conn))).ok_or(Outcome::NeverSent)?;
-        self.tallies.entry(engine.clone()).or_default().connections += 1;
-        Ok(key)
-    }
-
-    /// Calls the request's attempt off, if one is out: its connection ends.
-    pub(crate) fn call_off(&mut self, ticket: RequestNumber) {
-        let Some((_, key)) = self.jobs.get(&ticket).and_then(|job| job.out) else { return };
-        self.give_up(key, Outcome::Cancelled);
-    }
-
-    /// What a connection is used for ends without an answer, and so does the connection.
-    pub(crate) fn give_up(&mut self, key: Key, outcome: Outcome) {
-        self.end_attempt(key, outcome, 0, None, false);
-    }
-
-    /// The attempt on a connection has ended; the host hears of it, and the connection is kept if it
-    /// is sound.
-    pub(crate) fn end_attempt(
-        &mut self,
-        key: Key,
-        outcome: Outcome,
-        kept: u64,
-        load: Option<pintally::interface::LoadReport>,
-        reusable: bool,
-    ) {
-        let Some(Conn::Engine(conn)) = self.conns.get_mut(key) else { return };
-        let reusable = reusable && conn.written();
-        let Some(work) = conn.work.take() else { return self.close_engine(key) };
-        let (engine, why) = (conn.engine.clone(), conn.reader.error());
-        let idle_ms = conn.idle.map(|span| span / 1000);
+    /// Ends the work on a connection: the host is notified, and the connection pooled if it is reusable.
+    pub(crate) fn finish_work(&mut self, key: ConnectionKey, result: WorkResult) {
+        let Some(connection) = self.engine_mut(key) else { return };
+        let reusable = result.reusable && connection.is_written();
+        let Some(work) = connection.work.take() else { return self.close_engine(key) };
+        let outcome = result.outcome;
         match work {
-            Work::Attempt { ticket, attempt, step, .. } => {
-                if let Some(job) = self.jobs.get_mut(&ticket).filter(|j| j.out == Some((attempt, key))) {
-                    job.out = None;
-                }
-                self.count_end(&engine, outcome);
-                tracing::debug!(ticket, attempt, engine = %engine.0, ?step, ?outcome, kept, ?load, reusable, why, idle_ms,
-                    "an attempt has ended");
-                let state = (outcome == Outcome::Read).then(|| std::sync::Arc::new(Value::Null));
-                let ended =
-                    Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state };
-                match outcome {
-                    Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
-                        let heard_at = self.clock.now().saturating_add(CLOSE_LEAD);
-                        self.given_up.push_back((heard_at, ended));
-                    }
-                    _ => self.inputs.push_back(ended),
-                }
-            }
+            Work::Attempt(work) => self.attempt_ended(key, &work, WorkResult { reusable, ..result }),
             Work::Release { id, engine, .. } => {
-                tracing::debug!(id = %id.0, engine = %engine.0, ?outcome, "a call to let go has ended");
-                self.inputs.push_back(Input::Released(id, engine, outcome == Outcome::Served));
+                tracing::debug!(request_id = %id.0, engine = %engine.0, ?outcome, "release call ended");
+                let released = Input::Released(id, engine, outcome == Outcome::Served);
+                self.host_queue.inputs.push_back(released);
             }
             Work::ConnectionProbe { .. } => {}
         }
         match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled | Outcome::Unreachable => {
-                self.abort_engine(key);
+                self.reset_engine(key);
+            }
+            _ => self.release_connection(key, reusable),
+        }
+    }
+
+    fn attempt_ended(&mut self, key: ConnectionKey, work: &AttemptWork, result: WorkResult) {
+        let (number, attempt) = (work.number, work.attempt);
+        if let Some(request) = self.requests.by_number.get_mut(&number) {
+            request.attempt.take_if(|in_flight| *in_flight == (attempt, key));
+        }
+        self.log_attempt_end(key, work, &result);
+        let WorkResult { outcome, cached_tokens, load, .. } = result;
+        let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
+        let ended = Input::AttemptEnded { ticket: number, attempt, outcome, cached_tokens, load, state };
+        match outcome {
+            Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
+                let notify_at = self.clock.now().saturating_add(CLOSE_LEAD);
+                self.host_queue.delayed.push_back((notify_at, ended));
             }
-            _ => self.done_with(key, reusable),
+            _ => self.host_queue.inputs.push_back(ended),
         }
     }
 
-    fn count_end(&mut self, engine: &EngineId, outcome: Outcome) {
-        let tally = self.tallies.entry(engine.clone()).or_default();
-        tally.out = tally.out.saturating_sub(1);
+    /// Counts and logs the end of an attempt.
+    fn log_attempt_end(&mut self, key: ConnectionKey, work: &AttemptWork, result: &WorkResult) {
+        let Some(Connection::Engine(connection)) = self.connections.get(key) else { return };
+        let engine = connection.engine.clone();
+        let reason = connection.reader.error();
+        let idle_before_ms = connection.idle_before.map(|idle| idle / 1000);
+        self.count_outcome(&engine, result.outcome);
+        tracing::debug!(request = work.number, attempt = work.attempt, engine = %engine.0, step = ?work.step,
+            outcome = ?result.outcome, cached_tokens = result.cached_tokens, load = ?result.load,
+            reusable = result.reusable, reason, idle_before_ms, "attempt ended");
+    }
+
+    fn count_outcome(&mut self, engine: &EngineId, outcome: Outcome) {
+        let counters = self.engines.counters_of(engine);
+        counters.in_flight = counters.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Served => tally.served += 1,
-            Outcome::Read => tally.read += 1,
-            Outcome::Overloaded | Outcome::StateNotFound => tally.turned_away += 1,
+            Outcome::Served => counters.served += 1,
+            Outcome::Read => counters.read += 1,
+            Outcome::Overloaded | Outcome::StateNotFound => counters.rejected += 1,
             Outcome::Cancelled | Outcome::NeverSent => {}
-            _ => tally.failed += 1,
+            _ => counters.failed += 1,
         }
     }
 }
--- /dev/null
+++ b/crates/pintally-platform-node/src/background_calls.rs
@@ -0,0 +1,87 @@
+//! Release calls and connection probes.
+
+use std::net::SocketAddr;
+
+use pintally::interface::{Attempt, EngineId, RequestId};
+use pintally_host::{Input, RequestNumber};
+use pintally_platform::encode_release;
+
+use crate::connection::{Connection, ConnectionKey};
+use crate::engine_connect::Reuse;
+use crate::engine_connection::{OutgoingRequest, Work};
+use crate::eviction::ConnectionPurpose;
+use crate::node::Node;
+
+impl Node {
+    /// Sends a call that releases the reservations of a request; `anew` on a new connection only.
+    pub(crate) fn send_release(&mut self, id: RequestId, engine: EngineId, address: SocketAddr, anew: bool) {
+        let timeout_at = self.clock.now() + self.settings.limits.background_call_timeout;
+        let reuse = if anew { Reuse::NewOnly } else { Reuse::Allowed };
+        let request = OutgoingRequest::new(encode_release(&id.0), None);
+        let work = Work::Release { id: id.clone(), engine: engine.clone(), timeout_at };
+        match self.assign_connection(address, &engine, request, work, reuse) {
+            Ok(key) => {
+                tracing::debug!(request_id = %id.0, engine = %engine.0, "release call started");
+                self.write_engine(key);
+            }
+            Err(_) => self.host_queue.inputs.push_back(Input::Released(id, engine, false)),
+        }
+    }
+
+    /// Ends the release calls of a request, on whichever connections they wait.
+    pub(crate) fn withdraw_releases(&mut self, id: &RequestId) {
+        let is_release = |connection: &Connection| match connection {
+            Connection::Engine(engine) => {
+                matches!(&engine.work, Some(Work::Release { id: released, .. }) if released == id)
+            }
+            Connection::Client(_) => false,
+        };
+        let keys: Vec<ConnectionKey> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_release(connection))
+            .map(|(key, _)| key)
+            .collect();
+        for key in keys {
+            self.reset_engine(key);
+        }
+    }
+
+    /// Opens a connection beside that of a silent attempt, to check whether its engine's machine is up.
+    pub(crate) fn probe_connection(
+        &mut self,
+        number: RequestNumber,
+        attempt: Attempt,
+        engine: &EngineId,
+        address: SocketAddr,
+    ) {
+        if !self.is_attempt_written(number, attempt) {
+            return;
+        }
+        let Ok(key) = self.connect(address, engine, ConnectionPurpose::BackgroundCall) else { return };
+        let connect_deadline = self.clock.now() + self.settings.limits.connect_timeout;
+        let Some(connection) = self.engine_mut(key) else { return };
+        connection.work = Some(Work::ConnectionProbe { number, attempt });
+        connection.connect_deadline = connect_deadline;
+        if connection.is_connected {
+            return self.connection_probe_succeeded(key, number, attempt);
+        }
+        self.schedule_deadline(key);
+    }
+
+    /// Handles a connection probe that has connected.
+    pub(crate) fn connection_probe_succeeded(
+        &mut self,
+        key: ConnectionKey,
+        number: RequestNumber,
+        attempt: Attempt,
+    ) {
+        if let Some(connection) = self.engine_mut(key) {
+            connection.work = None;
+        }
+        self.release_connection(key, true);
+        if self.is_attempt_written(number, attempt) {
+            self.host_queue.inputs.push_back(Input::DeliveryConfirmed(number, attempt));
+        }
+    }
+}
--- a/crates/pintally-platform-node/src/clock.rs
+++ b/crates/pintally-platform-node/src/clock.rs
@@ -1,22 +1,22 @@
-//! The node's time: it counts from the same beginning as the platform's, and never goes back.
+//! The node's time: microseconds of the platform's epoch, monotonic.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use pintally::interface::Micros;
 
-/// Reads the system's clock once and goes on by the monotonic one.
+/// Reads the wall clock once, and the monotonic clock from then on.
 pub(crate) struct Clock {
-    base: Micros,
-    since: Instant,
+    started_at: Micros,
+    started: Instant,
 }
 
 impl Clock {
     pub(crate) fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { base: unix.as_micros() as Micros, since: Instant::now() }
+        let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: wall_clock.as_micros() as Micros, started: Instant::now() }
     }
 
     pub(crate) fn now(&self) -> Micros {
-        self.base + self.since.elapsed().as_micros() as Micros
+        self.started_at + self.started.elapsed().as_micros() as Micros
     }
 }
--- /dev/null
+++ b/crates/pintally-platform-node/src/endpoint_list.rs
@@ -0,0 +1,120 @@
+//! The endpoint list: how received revisions are applied, and whether the node is ready.
+
+use std::fmt;
+
+use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
+use pintally_host::{EngineEndpoint, Input};
+use pintally_platform::{EndpointList, ListChange};
+
+use crate::connection::{Connection, ConnectionKey};
+use crate::engine_connection::Work;
+use crate::node::Node;
+
+/// A process that has not heard from discovery in this time is ready with the list in its configuration.
+const FIRST_LIST_TIMEOUT: Micros = 3_000_000;
+
+impl Node {
+    /// Applies the list in the configuration, as the node last had it.
+    pub(crate) fn apply_last_known_list(&mut self) {
+        if let Some(list) = self.config.last_known_list.clone() {
+            self.apply_list(EndpointList { complete: true, ..list }, None);
+        }
+    }
+
+    /// Applies a complete list that came with a new configuration, if it is newer than the applied one.
+    pub(crate) fn apply_newer_list(&mut self, list: EndpointList) {
+        if Some(list.revision) > self.watch.list.revision() {
+            self.apply_list(EndpointList { complete: true, ..list }, None);
+        }
+    }
+
+    /// Applies a list. `last_message` is when discovery was last heard before it, if it comes from there: a list
+    /// that was stored elsewhere may have starts of any age.
+    pub(crate) fn apply_list(&mut self, list: EndpointList, last_message: Option<Micros>) {
+        let (now, revision) = (self.clock.now(), list.revision);
+        match self.watch.list.advance(list) {
+            ListChange::Unchanged => {}
+            ListChange::Stale => {
+                self.warn(
+                    now,
+                    format_args!("endpoint list ignored: revision {revision} is older than the applied one"),
+                );
+            }
+            ListChange::Invalid(reason) => {
+                self.warn(
+                    now,
+                    format_args!("endpoint list ignored: revision {revision} is invalid: {reason}"),
+                );
+            }
+            ListChange::Apply(update, mut endpoints) => {
+                self.watch.start_times.adjust(now, last_message, &mut endpoints);
+                self.update_endpoints(update, endpoints);
+                let host = &self.host;
+                self.watch.start_times.retain(|engine| host.listing(engine).is_some());
+            }
+        }
+    }
+
+    fn update_endpoints(&mut self, update: ListUpdate, endpoints: Vec<EngineEndpoint>) {
+        self.handle_input(Input::EndpointList(update, endpoints));
+        self.abandon_unsent_to_unlisted();
+        self.drain_inputs();
+        self.close_unlisted_connections();
+        let host = &self.host;
+        self.engines
+            .counters
+            .retain(|engine, counters| counters.in_flight > 0 || host.listing(engine).is_some());
+    }
+
+    /// Abandons attempts that wait for a connection to an engine that is not serving any more. Guards against a
+    /// send after the notification of a drain.
+    fn abandon_unsent_to_unlisted(&mut self) {
+        let is_affected = |connection: &Connection| match connection {
+            Connection::Engine(engine) => {
+                !engine.is_connected
+                    && matches!(engine.work, Some(Work::Attempt(_)))
+                    && self.host.listing(&engine.engine) != Some(EndpointState::Serving)
+            }
+            Connection::Client(_) => false,
+        };
+        let affected: Vec<ConnectionKey> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_affected(connection))
+            .map(|(key, _)| key)
+            .collect();
+        for key in affected {
+            self.abandon(key, Outcome::Unreachable);
+        }
+    }
+
+    /// Closes idle connections to addresses that no endpoint has any more.
+    fn close_unlisted_connections(&mut self) {
+        let addresses = self.host.addresses();
+        let unlisted: Vec<ConnectionKey> = self
+            .engines
+            .pool
+            .iter()
+            .filter(|(address, _)| !addresses.contains(address))
+            .map(|(_, key)| key)
+            .collect();
+        for key in unlisted {
+            self.close_engine(key);
+        }
+    }
+
+    /// Whether clients may come. Guards against sends by a list that is out of date: the one in the configuration
+    /// makes the node ready only when discovery has had some time to send its own.
+    pub(crate) fn is_ready(&self) -> bool {
+        let has_list =
+            self.watch.last_message.is_some() || self.clock.now() >= self.started_at + FIRST_LIST_TIMEOUT;
+        !self.shutdown.is_requested() && self.host.serving() > 0 && has_list
+    }
+
+    /// Logs a warning, within the limit of log lines.
+    pub(crate) fn warn(&mut self, now: Micros, message: fmt::Arguments<'_>) {
+        if self.log_limiter.allows(now) {
+            tracing::warn!("{message}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/pintally-platform-node/src/endpoint_watch.rs
@@ -0,0 +1,149 @@
+//! The watch of discovery: when it is opened, reopened after failures, and moved to another address.
+
+use std::net::SocketAddr;
+
+use pintally::interface::Micros;
+use pintally_platform::EndpointListTracker;
+
+use crate::node::Node;
+use crate::start_times::StartTimes;
+use crate::watch_connection::{WatchConnection, WatchState};
+
+/// A watch that is silent for this time, without even a message that nothing has changed, is reopened.
+const SILENCE_TIMEOUT: Micros = 3_100_000;
+/// A watch without any response gets more time: discovery may be slow. Guards against a node that opens one
+/// watch after another and hears none; the next one gets twice as long, up to a limit.
+const FIRST_RESPONSE_TIMEOUT: Micros = 5_000_000;
+const MAX_FIRST_RESPONSE_TIMEOUT: Micros = 20_000_000;
+/// Bounds of the connect timeout of a watch, which is half of the grace of drains.
+const MIN_CONNECT_TIMEOUT: Micros = 100_000;
+const MAX_CONNECT_TIMEOUT: Micros = 500_000;
+/// Bounds of the longest backoff before a failed watch is reopened, which is a quarter of the grace of drains;
+/// the first one is a quarter of that. Guards against a drain that is heard too late: what discovery has when it
+/// is back counts as notified at once.
+const MIN_BACKOFF: Micros = 20_000;
+const MAX_BACKOFF: Micros = 1_000_000;
+
+/// The watch of discovery.
+pub(crate) struct EndpointWatch {
+    pub(crate) address: SocketAddr,
+    /// The applied revision of the list.
+    pub(crate) list: EndpointListTracker,
+    pub(crate) connection: Option<WatchConnection>,
+    /// When it is reopened, if it is closed.
+    reopen_at: Micros,
+    /// The backoff after the next failure.
+    backoff: Micros,
+    max_backoff: Micros,
+    connect_timeout: Micros,
+    first_response_timeout: Micros,
+    /// When discovery was last heard in this process.
+    pub(crate) last_message: Option<Micros>,
+    pub(crate) start_times: StartTimes,
+    /// How often it was opened.
+    pub(crate) opened: u64,
+    /// How often it has failed.
+    pub(crate) failed: u64,
+}
+
+impl EndpointWatch {
+    /// A watch that is to be opened now; sends have to stop within `drain_grace` of a drain.
+    pub(crate) fn new(address: SocketAddr, now: Micros, drain_grace: Micros) -> EndpointWatch {
+        let max_backoff = (drain_grace / 4).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        EndpointWatch {
+            address,
+            list: EndpointListTracker::default(),
+            connection: None,
+            reopen_at: now,
+            backoff: max_backoff / 4,
+            max_backoff,
+            connect_timeout: (drain_grace / 2).clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT),
+            first_response_timeout: FIRST_RESPONSE_TIMEOUT,
+            last_message: None,
+            start_times: StartTimes::default(),
+            opened: 0,
+            failed: 0,
+        }
+    }
+
+    pub(crate) fn reset_backoff(&mut self) {
+        self.backoff = self.max_backoff / 4;
+    }
+
+    pub(crate) fn reset_first_response_timeout(&mut self) {
+        self.first_response_timeout = FIRST_RESPONSE_TIMEOUT;
+    }
+
+    /// When it has to be reopened or its timeout expires.
+    pub(crate) fn deadline(&self) -> Micros {
+        let Some(connection) = &self.connection else { return self.reopen_at };
+        let timeout = match connection.state {
+            WatchState::Connecting => self.connect_timeout,
+            WatchState::Connected => self.first_response_timeout,
+            WatchState::Responding => SILENCE_TIMEOUT,
+        };
+        connection.last_active.saturating_add(timeout)
+    }
+
+    /// Closes the watch after a failure: the list remains, and the watch is reopened after the backoff.
+    pub(crate) fn fail(&mut self, now: Micros) {
+        self.failed += 1;
+        self.connection = None;
+        self.reopen_at = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(self.max_backoff);
+    }
+}
+
+impl Node {
+    /// Reopens a closed watch at once, as the core wants a current list.
+    pub(crate) fn reopen_watch(&mut self) {
+        if self.watch.connection.is_none() {
+            self.watch.reopen_at = self.clock.now();
+        }
+    }
+
+    /// Opens the watch when it is time, and reopens one whose timeout has expired.
+    pub(crate) fn maintain_watch(&mut self, now: Micros) {
+        if now < self.watch.deadline() {
+            return;
+        }
+        if let Some(connection) = &self.watch.connection {
+            let state = connection.state;
+            self.expire_watch(now, state);
+        }
+        match WatchConnection::open(&self.poller, self.watch.address, self.watch.list.revision(), now) {
+            Ok(connection) => {
+                self.watch.opened += 1;
+                self.watch.connection = Some(connection);
+            }
+            Err(_) => self.watch.fail(now),
+        }
+    }
+
+    fn expire_watch(&mut self, now: Micros, state: WatchState) {
+        let message = match state {
+            WatchState::Connecting => "endpoint watch failed: discovery is unreachable",
+            WatchState::Connected => "endpoint watch failed: discovery does not respond",
+            WatchState::Responding => "endpoint watch failed: discovery has gone silent",
+        };
+        if state == WatchState::Connected {
+            self.watch.first_response_timeout =
+                (self.watch.first_response_timeout * 2).min(MAX_FIRST_RESPONSE_TIMEOUT);
+        }
+        self.warn(now, format_args!("{message}"));
+        self.watch.fail(now);
+        self.watch.reopen_at = now;
+    }
+
+    /// Moves the watch to an address of discovery, if it is another one.
+    pub(crate) fn set_discovery_address(&mut self, address: SocketAddr, now: Micros) {
+        if address == self.watch.address {
+            return;
+        }
+        self.watch.address = address;
+        self.watch.connection = None;
+        self.watch.reopen_at = now;
+        self.watch.reset_backoff();
+        self.maintain_watch(now);
+    }
+}
--- /dev/null
+++ b/crates/pintally-platform-node/src/engine_connect.rs
@@ -0,0 +1,155 @@
+//! Engine connections: reuse, opening, return to the pool, and close.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use pintally::interface::{EngineId, Micros, Outcome};
+use pintally_platform::EngineResponseReader;
+use socket2::SockRef;
+
+use crate::connection::{Connection, ConnectionKey};
+use crate::engine_connection::{EngineConnection, OutgoingRequest, Work};
+use crate::eviction::ConnectionPurpose;
+use crate::node::Node;
+use crate::poller::{self, Interest};
+
+/// Which connection a call may use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Reuse {
+    /// An idle one if there is one.
+    Allowed,
+    /// Only a new one.
+    NewOnly,
+}
+
+impl Node {
+    /// Assigns work to a connection: the valid idle one that was used last, or a new one.
+    pub(crate) fn assign_connection(
+        &mut self,
+        address: SocketAddr,
+        engine: &EngineId,
+        request: OutgoingRequest,
+        work: Work,
+        reuse: Reuse,
+    ) -> Result<ConnectionKey, Outcome> {
+        let now = self.clock.now();
+        let idle = match reuse {
+            Reuse::Allowed => self.take_idle_connection(now, address),
+            Reuse::NewOnly => None,
+        };
+        let (key, idle_before) = match idle {
+            Some((key, idle_time)) => (key, Some(idle_time)),
+            None => (self.connect(address, engine, purpose_of(&work))?, None),
+        };
+        let connect_timeout = self.settings.limits.connect_timeout;
+        if let Some(connection) = self.engine_mut(key) {
+            connection.engine = engine.clone();
+            connection.request = request;
+            connection.reader = EngineResponseReader::default();
+            connection.is_paused = false;
+            connection.last_active = now;
+            connection.connect_deadline = now + connect_timeout;
+            connection.work = Some(work);
+            connection.idle_before = idle_before;
+        }
+        self.schedule_deadline(key);
+        Ok(key)
+    }
+
+    /// Takes the valid idle connection that was used last, and how long it has been idle; invalid ones are
+    /// closed.
+    fn take_idle_connection(&mut self, now: Micros, address: SocketAddr) -> Option<(ConnectionKey, Micros)> {
+        while let Some(key) = self.engines.pool.take(now, address) {
+            let Some(Connection::Engine(connection)) = self.connections.get(key) else { continue };
+            // Guards against a request on a connection that the engine has closed or that has surplus bytes,
+            // which would end as a reset that may have run.
+            let is_fresh = now < connection.last_active + self.engines.idle_limit.at(now);
+            let is_quiet = connection.is_quiet();
+            if is_fresh && is_quiet {
+                return Some((key, now - connection.last_active));
+            }
+            self.close_engine(key);
+        }
+        None
+    }
+
+    /// Opens a connection; it may be established later.
+    pub(crate) fn connect(
+        &mut self,
+        address: SocketAddr,
+        engine: &EngineId,
+        purpose: ConnectionPurpose,
+    ) -> Result<ConnectionKey, Outcome> {
+        if !self.reserve_engine_descriptor(purpose) {
+            return Err(Outcome::NeverSent);
+        }
+        let socket = poller::socket(address).map_err(|_| Outcome::NeverSent)?;
+        let is_connected = poller::connect(&socket, address).map_err(|_| Outcome::Unreachable)?;
+        let now = self.clock.now();
+        let connection = EngineConnection {
+            stream: socket.into(),
+            address,
+            engine: engine.clone(),
+            is_connected,
+            connect_deadline: now,
+            request: OutgoingRequest::default(),
+            reader: EngineResponseReader::default(),
+            work: None,
+            idle_before: None,
+            last_active: now,
+            is_paused: false,
+            last_progress: now,
+            interest: if is_connected { Interest::IN | Interest::RDHUP } else { Interest::OUT },
+            deadline: Micros::MAX,
+        };
+        let key = self.register(Connection::Engine(Box::new(connection))).ok_or(Outcome::NeverSent)?;
+        self.engines.counters_of(engine).connections += 1;
+        Ok(key)
+    }
+
+    /// Handles a connection whose work has ended: a reusable one is pooled unless the node is draining.
+    pub(crate) fn release_connection(&mut self, key: ConnectionKey, reusable: bool) {
+        if reusable && !self.shutdown.is_requested() {
+            self.return_to_pool(key);
+        } else {
+            self.close_engine(key);
+        }
+    }
+
+    fn return_to_pool(&mut self, key: ConnectionKey) {
+        let now = self.clock.now();
+        let Some(connection) = self.engine_mut(key) else { return };
+        connection.last_active = now;
+        connection.is_paused = false;
+        connection.request = OutgoingRequest::default();
+        let address = connection.address;
+        self.engines.pool.put(now, address, key);
+        self.schedule_deadline(key);
+        self.update_engine_interest(key);
+    }
+
+    /// Closes a connection whose work was abandoned, with a reset. Guards against bytes that wait in the system
+    /// for an engine that is partitioned or does not read: after an ordinary close they would still arrive, and
+    /// the attempt or the release would start when nobody accounts for it any more.
+    pub(crate) fn reset_engine(&mut self, key: ConnectionKey) {
+        if let Some(Connection::Engine(connection)) = self.connections.get(key) {
+            // If the system refuses, the ordinary close remains.
+            let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
+        }
+        self.close_engine(key);
+    }
+
+    pub(crate) fn close_engine(&mut self, key: ConnectionKey) {
+        if let Some(Connection::Engine(connection)) = self.connections.remove(key) {
+            self.engines.pool.remove(connection.address, key);
+            self.engines.deadlines.remove(&(connection.deadline, key));
+        }
+    }
+}
+
+fn purpose_of(work: &Work) -> ConnectionPurpose {
+    match work {
+        Work::Attempt(_) => ConnectionPurpose::Attempt,
+        Work::Release { .. } | Work::ConnectionProbe { .. } => ConnectionPurpose::BackgroundCall,
+    }
+}
--- /dev/null
+++ b/crates/pintally-platform-node/src/engine_response.rs
@@ -0,0 +1,88 @@
+//! Progress of engine responses: streams forwarded to clients, and the end of attempts.
+
+use pintally::interface::Outcome;
+use pintally_host::{Input, RequestNumber};
+use pintally_platform::{outcome_of_failure, ResponseEvent};
+
+use crate::attempts::WorkResult;
+use crate::client_response::ClientPace;
+use crate::connection::ConnectionKey;
+use crate::engine_connection::Work;
+use crate::node::Node;
+
+impl Node {
+    pub(crate) fn handle_response_event(&mut self, key: ConnectionKey, event: ResponseEvent) {
+        match event {
+            ResponseEvent::Events(events) => self.handle_stream_events(key, &events),
+            ResponseEvent::Ended { outcome, cached_tokens, load, reusable } => {
+                let Some(outcome) = self.outcome_of_work(key, outcome) else { return };
+                self.finish_work(key, WorkResult { outcome, cached_tokens, load, reusable });
+            }
+        }
+    }
+
+    /// The outcome of a response, considering the request.
+    fn outcome_of_work(&mut self, key: ConnectionKey, outcome: Outcome) -> Option<Outcome> {
+        let connection = self.engine_mut(key)?;
+        // A release succeeds by any status of success; an attempt has its table.
+        if matches!(connection.work, Some(Work::Release { .. })) && connection.reader.is_success() {
+            return Some(Outcome::Served);
+        }
+        // Guards against a request that never arrived completely being taken for one that ran.
+        match outcome {
+            Outcome::ConnectionBroken => Some(outcome_of_failure(connection.phase(), false)),
+            other => Some(other),
+        }
+    }
+
+    fn handle_stream_events(&mut self, key: ConnectionKey, events: &[u8]) {
+        let now = self.clock.now();
+        let Some(connection) = self.engine_mut(key) else { return };
+        let Some(Work::Attempt(work)) = &mut connection.work else { return };
+        let number = work.number;
+        connection.last_progress = now;
+        if !std::mem::replace(&mut work.has_started, true) {
+            self.stream_started(key, events.len());
+        }
+        match self.forward_events(number, events) {
+            None => self.abandon(key, Outcome::Cancelled),
+            Some(ClientPace::Slow) => self.pause_stream(key),
+            Some(ClientPace::KeepsUp) => {}
+        }
+    }
+
+    /// Handles the first event of a stream.
+    fn stream_started(&mut self, key: ConnectionKey, bytes: usize) {
+        let Some(connection) = self.engine_mut(key) else { return };
+        let Some(Work::Attempt(work)) = &connection.work else { return };
+        let (number, attempt, engine) = (work.number, work.attempt, connection.engine.clone());
+        self.engines.counters_of(&engine).started += 1;
+        self.schedule_deadline(key);
+        tracing::debug!(request = number, attempt, bytes, "stream started");
+        // The body is not needed any more: a stream that has started is not retried.
+        if let Some(request) = self.requests.by_number.get_mut(&number) {
+            self.requests.bytes -= request.body.len();
+            request.body = std::rc::Rc::from([]);
+        }
+        self.handle_input(Input::FirstToken(number, attempt));
+    }
+
+    /// Stops reading a stream whose client is slow.
+    fn pause_stream(&mut self, key: ConnectionKey) {
+        if let Some(connection) = self.engine_mut(key) {
+            connection.is_paused = true;
+        }
+        self.update_engine_interest(key);
+    }
+
+    /// Resumes reading the request's stream after its client has taken the output.
+    pub(crate) fn resume_stream(&mut self, number: RequestNumber) {
+        let Some((_, key)) = self.requests.attempt_of(number) else { return };
+        let now = self.clock.now();
+        let Some(connection) = self.engine_mut(key).filter(|connection| connection.is_paused) else { return };
+        connection.is_paused = false;
+        connection.last_active = now;
+        connection.last_progress = now;
+        self.update_engine_interest(key);
+    }
+}
--- /dev/null
+++ b/crates/pintally-platform-node/src/event_loop.rs
@@ -0,0 +1,109 @@
+//! The event loop: each iteration handles readiness events, then expired timers, and writes the output.
+
+use std::io;
+use std::time::Duration;
+
+use pintally::interface::Micros;
+use pintally_guards::CloseReason;
+use pintally_host::Input;
+
+use crate::connection::Connection;
+use crate::event_source::EventSource;
+use crate::node::Node;
+use crate::poller::ReadyEvent;
+
+/// Maximum wait for events.
+const MAX_WAIT: Micros = 100_000;
+
+impl Node {
+    /// Runs until a signal to stop and the graceful shutdown behind it.
+    pub(crate) fn run(&mut self) -> io::Result<()> {
+        let mut events: Vec<ReadyEvent> = Vec::new();
+        while !self.run_iteration(&mut events)? {}
+        tracing::info!("graceful shutdown complete");
+        Ok(())
+    }
+
+    /// One iteration; whether the graceful shutdown is complete.
+    fn run_iteration(&mut self, events: &mut Vec<ReadyEvent>) -> io::Result<bool> {
+        let timeout = self.poll_timeout();
+        events.clear();
+        self.poller.wait(Duration::from_micros(timeout), events)?;
+        self.handle_disconnected_clients(events);
+        if self.signals.is_pending() {
+            self.handle_signals();
+        }
+        for event in events.iter() {
+            self.handle_event(*event);
+        }
+        self.run_timers();
+        self.process_pending_requests();
+        self.flush_pending_clients();
+        Ok(self.is_shutdown_complete())
+    }
+
+    /// How long the poller may wait: until the next timer, and not at all if requests wait to be parsed.
+    fn poll_timeout(&self) -> Micros {
+        let now = self.clock.now();
+        if !self.clients.pending_requests.is_empty() {
+            return 0;
+        }
+        let timers = [
+            self.host.next_wake(),
+            self.engines.deadlines.first().map(|(at, _)| *at),
+            self.host_queue.delayed.front().map(|(at, _)| *at),
+            self.reload.next_attempt(),
+            self.acceptor.paused_until,
+            Some(self.watch.deadline()),
+        ];
+        let next = timers.into_iter().flatten().min().unwrap_or(Micros::MAX);
+        next.saturating_sub(now).min(MAX_WAIT)
+    }
+
+    /// Disconnected clients are handled first. Guards against an attempt that starts, because of another event
+    /// of the iteration, for a client whose connection had ended by then.
+    pub(crate) fn handle_disconnected_clients(&mut self, events: &[ReadyEvent]) {
+        for event in events {
+            let EventSource::Connection(key) = EventSource::from_token(event.token) else { continue };
+            if self.client_mut(key).is_some_and(|client| client.has_disconnected(event.flags)) {
+                self.client_disconnected(key, CloseReason::ClientLeft);
+            }
+        }
+    }
+
+    fn handle_event(&mut self, event: ReadyEvent) {
+        match EventSource::from_token(event.token) {
+            EventSource::Listener => self.accept_clients(),
+            EventSource::Signals => self.handle_signals(),
+            EventSource::EndpointWatch => self.handle_watch_event(event.flags),
+            EventSource::Connection(key) => match self.connections.get(key) {
+                Some(Connection::Client(_)) => self.handle_client_event(key, event.flags),
+                Some(Connection::Engine(_)) => self.handle_engine_event(key, event.flags),
+                None => {}
+            },
+        }
+    }
+
+    fn handle_signals(&mut self) {
+        let pending = self.signals.take();
+        if pending.reload {
+            self.start_reload();
+        }
+        if pending.stop && !self.shutdown.is_requested() {
+            self.shutdown.requested_at = Some(self.clock.now());
+            tracing::info!(in_flight = self.host.open_requests(), "draining: graceful shutdown started");
+            self.handle_input(Input::Stop);
+        }
+    }
+
+    fn run_timers(&mut self) {
+        let now = self.clock.now();
+        self.tick_host(now);
+        self.expire_engine_work(now);
+        self.deliver_delayed_inputs(now);
+        self.retry_reload(now);
+        self.resume_accepting(now);
+        self.maintain_watch(now);
+        self.run_periodic_cleanup(now);
+    }
+}
--- /dev/null
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -0,0 +1,88 @@
+//! Inputs to the host, and the execution of its commands.
+
+use pintally::interface::Micros;
+use pintally_host::{Command, Host, Input, RequestNumber};
+
+use crate::node::Node;
+
+impl Node {
+    /// Hands the host an input and executes its commands, until the queue of inputs is empty.
+    pub(crate) fn handle_input(&mut self, input: Input) {
+        self.host_queue.inputs.push_back(input);
+        self.drain_inputs();
+    }
+
+    /// Hands the host all queued inputs.
+    pub(crate) fn drain_inputs(&mut self) {
+        while let Some(input) = self.host_queue.inputs.pop_front() {
+            let now = self.clock.now();
+            self.run_host(|host, commands| host.handle(now, input, commands));
+        }
+    }
+
+    /// Runs the host's timers if one has expired.
+    pub(crate) fn tick_host(&mut self, now: Micros) {
+        if self.host.next_wake().is_some_and(|at| at <= now) {
+            self.run_host(|host, commands| host.tick(now, commands));
+            self.drain_inputs();
+        }
+    }
+
+    /// Notifies the host of abandoned attempts whose delay is over.
+    pub(crate) fn deliver_delayed_inputs(&mut self, now: Micros) {
+        while let Some((_, input)) = self.host_queue.delayed.pop_front_if(|(at, _)| *at <= now) {
+            self.handle_input(input);
+        }
+    }
+
+    /// Calls the host and executes the commands that it issues.
+    fn run_host(&mut self, call: impl FnOnce(&mut Host, &mut Vec<Command>)) {
+        let mut commands = std::mem::take(&mut self.host_queue.commands);
+        call(&mut self.host, &mut commands);
+        for command in commands.drain(..) {
+            self.execute(command);
+        }
+        self.host_queue.commands = commands;
+    }
+
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Attempt(order) => self.start_attempt(order),
+            Command::Cancel(number, _) => self.cancel_attempt(number),
+            Command::Answer(number, answer) => self.send_final_answer(number, answer),
+            Command::Over(number) => self.forget_request(number),
+            Command::Release { name, engine, address, anew } => {
+                self.send_release(name, engine, address, anew)
+            }
+            Command::ProbeConnection(number, attempt, engine, address) => {
+                self.probe_connection(number, attempt, &engine, address)
+            }
+            Command::WithdrawReleases(id) => self.withdraw_releases(&id),
+            // The platform has no health checks of engines, and its list arrives by the watch.
+            Command::HealthCheck(engine, _, _) => {
+                self.host_queue.inputs.push_back(Input::HealthChecked(engine, false, None))
+            }
+            Command::ReloadEndpointList => self.reopen_watch(),
+            Command::Log(text) => self.log_host_message(&text),
+            // Nodes on the platform have no peers.
+            Command::QueryPeer(_)
+            | Command::RecoveryStage(_)
+            | Command::RequestQuota(_)
+            | Command::PublishOutlierReport(_)
+            | Command::PublishZoneReport(..) => {}
+            Command::Stopped => self.shutdown.host_stopped = true,
+        }
+    }
+
+    fn forget_request(&mut self, number: RequestNumber) {
+        if let Some(request) = self.requests.by_number.remove(&number) {
+            self.requests.bytes -= request.body.len();
+        }
+    }
+
+    fn log_host_message(&mut self, text: &str) {
+        if self.log_limiter.allows(self.clock.now()) {
+            tracing::info!("{text}");
+        }
+    }
+}
--- a/crates/pintally-platform-node/src/lib.rs
+++ b/crates/pintally-platform-node/src/lib.rs
@@ -1,29 +1,45 @@
 //! A node on the operators' platform.
 //!
-//! One thread runs one non-blocking loop, which owns the host of the decision core, the listener,
-//! all connections, the watch of discovery and the timers; signals come into the loop through a
-//! socket. What an event makes the core decide is on its way in the same turn. A stream costs two
+//! One thread runs one non-blocking event loop, which owns the host of the decision core, the listener,
+//! all connections, the endpoint watch and the timers; signals wake the loop through a socket. The
+//! commands that an event makes the core issue are executed in the same iteration. A stream uses two
 //! descriptors: its client's and its engine's.
 
-mod acceptor;
-mod arrivals;
+#![deny(missing_docs)]
+
+mod arrival_times;
 mod attempts;
-mod clients;
+mod background_calls;
+mod cleanup;
+mod client_close;
+mod client_connection;
+mod client_read;
+mod client_requests;
+mod client_response;
 mod clock;
-mod closing;
-mod conn;
-mod engines;
-mod list;
-mod log;
+mod connection;
+mod endpoint_list;
+mod endpoint_watch;
+mod engine_connect;
+mod engine_connection;
+mod engine_io;
+mod engine_response;
+mod engine_timeouts;
+mod event_loop;
+mod event_source;
+mod eviction;
+mod host_commands;
+mod listener;
+mod log_limiter;
 mod node;
-mod poll;
+mod poller;
 mod pool;
 mod reload;
 mod signals;
-mod starts;
+mod start_times;
+mod state;
 mod status;
-mod sweep;
-mod system;
-mod turn;
+mod syscall;
+mod watch_connection;
 
 pub use node::{start, StartError};
--- /dev/null
+++ b/crates/pintally-platform-node/src/listener.rs
@@ -0,0 +1,144 @@
+//! The listener: accepting client connections, pauses after failures, and its close.
+
+use std::collections::BTreeMap;
+use std::net::{TcpListener, TcpStream};
+
+use pintally::interface::Micros;
+
+use crate::client_connection::ClientConnection;
+use crate::connection::Connection;
+use crate::event_source::EventSource;
+use crate::node::Node;
+use crate::poller::Interest;
+use crate::syscall::{accept_failure, AcceptFailure};
+
+/// Connections that are accepted in one iteration.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// After a failure accepting pauses for this time.
+const ACCEPT_PAUSE: Micros = 5_000;
+/// Failures over this time are persistent: a client is evicted.
+const PERSISTENT_FAILURE_AFTER: Micros = 1_000_000;
+
+/// The listener and the state of accepting.
+pub(crate) struct Acceptor {
+    /// None once it is closed.
+    pub(crate) listener: Option<TcpListener>,
+    /// Until when accepting pauses, if it does.
+    pub(crate) paused_until: Option<Micros>,
+    /// Since when every accept has failed.
+    failing_since: Option<Micros>,
+    /// Failures by error number.
+    pub(crate) failures: BTreeMap<i32, u64>,
+}
+
+impl Acceptor {
+    pub(crate) fn new(listener: TcpListener) -> Acceptor {
+        Acceptor {
+            listener: Some(listener),
+            paused_until: None,
+            failing_since: None,
+            failures: BTreeMap::new(),
+        }
+    }
+}
+
+impl Node {
+    /// Accepts connections that wait.
+    pub(crate) fn accept_clients(&mut self) {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
+            let Some(listener) = &self.acceptor.listener else { return };
+            match listener.accept() {
+                Ok((stream, _)) => {
+                    self.acceptor.failing_since = None;
+                    self.add_client(stream);
+                }
+                Err(error) => match accept_failure(&error) {
+                    AcceptFailure::NobodyWaits => return,
+                    AcceptFailure::TryNext => self.record_accept_failure(&error),
+                    AcceptFailure::OutOfDescriptors => {
+                        self.record_accept_failure(&error);
+                        self.free_descriptor();
+                        return self.pause_accepting();
+                    }
+                    AcceptFailure::TryLater => {
+                        self.record_accept_failure(&error);
+                        return self.pause_accepting();
+                    }
+                },
+            }
+        }
+    }
+
+    fn record_accept_failure(&mut self, error: &std::io::Error) {
+        let now = self.clock.now();
+        let since = *self.acceptor.failing_since.get_or_insert(now);
+        *self.acceptor.failures.entry(error.raw_os_error().unwrap_or(0)).or_default() += 1;
+        if self.log_limiter.allows(now) {
+            tracing::warn!(%error, failing_for_ms = (now - since) / 1000, "accept failed");
+        }
+    }
+
+    /// The process is out of descriptors: closes an idle engine connection, or else a client's. Guards against
+    /// clients that are evicted for a failure that passes by itself: by the node's own count there are
+    /// descriptors.
+    fn free_descriptor(&mut self) {
+        let now = self.clock.now();
+        let is_persistent =
+            self.acceptor.failing_since.is_some_and(|since| now >= since + PERSISTENT_FAILURE_AFTER);
+        if !self.close_idle_engine() && (is_persistent || !self.has_free_descriptor()) {
+            self.evict_client();
+        }
+    }
+
+    /// Pauses accepting. Guards against a loop that spins on connections that cannot be accepted.
+    fn pause_accepting(&mut self) {
+        let Some(listener) = &self.acceptor.listener else { return };
+        if self.poller.modify(listener, EventSource::Listener.token(), Interest::empty()).is_ok() {
+            self.acceptor.paused_until = Some(self.clock.now() + ACCEPT_PAUSE);
+        }
+    }
+
+    /// Resumes accepting when the pause is over.
+    pub(crate) fn resume_accepting(&mut self, now: Micros) {
+        if self.acceptor.paused_until.is_none_or(|until| now < until) {
+            return;
+        }
+        let Some(listener) = &self.acceptor.listener else {
+            self.acceptor.paused_until = None;
+            return;
+        };
+        let resumed = self.poller.modify(listener, EventSource::Listener.token(), Interest::IN);
+        self.acceptor.paused_until = match resumed {
+            Ok(()) => None,
+            Err(_) => Some(now + ACCEPT_PAUSE),
+        };
+    }
+
+    /// Closes the listener, after it has accepted the connections that wait.
+    pub(crate) fn close_listener(&mut self) {
+        self.accept_clients();
+        self.acceptor.paused_until = None;
+        self.acceptor.listener = None;
+    }
+
+    /// Adds an accepted connection, if need be in place of another one.
+    fn add_client(&mut self, stream: TcpStream) {
+        let now = self.clock.now();
+        // An idle engine connection costs less to lose than a client's.
+        if !self.has_free_descriptor() {
+            self.close_idle_engine();
+        }
+        let is_full =
+            self.clients.count >= self.settings.limits.max_connections || !self.has_free_descriptor();
+        if is_full && !self.evict_client() {
+            return;
+        }
+        if stream.set_nonblocking(true).is_err() || stream.set_nodelay(true).is_err() {
+            return;
+        }
+        let client = ClientConnection::new(stream, now);
+        if self.register(Connection::Client(Box::new(client))).is_some() {
+            self.clients.count += 1;
+        }
+    }
+}
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -1,218 +1,182 @@
-//! The node: what it owns, and how it starts.
+//! The node: its parts, and how it starts.
 
-use std::collections::{BTreeSet, HashMap, VecDeque};
-use std::fmt;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::AsFd;
-use std::path::PathBuf;
-use std::rc::Rc;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, Micros};
+use pintally::interface::Micros;
 use pintally_config::NodeSettings;
-use pintally_guards::{CloseReason, Counts, Denials};
-use pintally_host::{Command, Host, Input, ReleaseScope, RequestNumber};
-use pintally_platform::Configuration;
-use slotmap::{KeyData, SlotMap};
+use pintally_host::{Host, ReleaseScope};
+use pintally_platform::{Configuration, ConfigurationError};
+use slotmap::SlotMap;
 use socket2::{Domain, Protocol, Socket, Type};
+use thiserror::Error;
 
-use crate::acceptor::Accepting;
 use crate::clock::Clock;
-use crate::conn::{Conn, Key};
-use crate::list::Watch;
-use crate::log::Quota;
-use crate::poll::{Flags, Poll};
-use crate::pool::{Keep, Pool};
+use crate::connection::{Connection, ConnectionKey};
+use crate::endpoint_watch::EndpointWatch;
+use crate::event_source::EventSource;
+use crate::listener::Acceptor;
+use crate::log_limiter::LogLimiter;
+use crate::poller::{Interest, Poller};
 use crate::reload::Reload;
 use crate::signals::Signals;
-use crate::system::at_start;
+use crate::state::{Clients, Engines, HostQueue, Requests, Shutdown};
+use crate::syscall::retry_at_start;
 
-/// Tokens of what is no connection; keys of connections are above them.
-pub(crate) const LISTENER: u64 = 0;
-pub(crate) const SIGNALS: u64 = 1;
-pub(crate) const WATCH: u64 = 2;
-
-/// What something has happened to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
-    Listener,
-    Signals,
-    Watch,
-    Connection(Key),
-}
-
-impl Source {
-    /// The only reading of a token. Guards against a reserved one being taken for a key: slotmap reads any
-    /// number as some key, and these as a node's first connections.
-    pub(crate) fn of(token: u64) -> Source {
-        match token {
-            LISTENER => Source::Listener,
-            SIGNALS => Source::Signals,
-            WATCH => Source::Watch,
-            key => Source::Connection(KeyData::from_ffi(key).into()),
-        }
-    }
-}
-
-/// Descriptors that are neither clients nor engines: standard ones, epoll, listener, signals, watch,
-/// and a few for files.
-pub(crate) const OWN_DESCRIPTORS: usize = 20;
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
-
-/// Why a node does not start.
-#[derive(Debug)]
-pub struct StartError(pub String);
-
-impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
+const LISTEN_BACKLOG: i32 = 1024;
+/// Size of the buffer into which sockets are read.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
-impl std::error::Error for StartError {}
-
-/// What the loop keeps of a request until nothing more can come for it.
-pub(crate) struct Job {
-    pub(crate) client: Option<Key>,
-    pub(crate) head: String,
-    pub(crate) body: Rc<[u8]>,
-    pub(crate) out: Option<(Attempt, Key)>,
-}
-
-/// What has passed on the sockets of one engine; counts only grow.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
-    pub(crate) sent: u64,
-    pub(crate) begun: u64,
-    pub(crate) served: u64,
-    pub(crate) read: u64,
-    pub(crate) turned_away: u64,
-    pub(crate) failed: u64,
-    pub(crate) connections: u64,
-    /// Attempts that are out now.
-    pub(crate) out: u64,
+/// Why a node does not start, or does not go on.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The signal handlers cannot be installed.
+    #[error("signals: {0}")]
+    Signals(std::io::Error),
+    /// The configuration file cannot be read.
+    #[error("{file}: {error}", file = .file.display())]
+    ReadConfiguration {
+        /// The file.
+        file: PathBuf,
+        /// The system's error.
+        error: std::io::Error,
+    },
+    /// The configuration is invalid.
+    #[error("{file}: {error}", file = .file.display())]
+    Configuration {
+        /// The file.
+        file: PathBuf,
+        /// What is invalid.
+        error: ConfigurationError,
+    },
+    /// The listener cannot be opened.
+    #[error("cannot listen on {address}: {error}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        error: std::io::Error,
+    },
+    /// The epoll instance cannot be set up.
+    #[error("epoll: {0}")]
+    Epoll(std::io::Error),
+    /// The event loop has failed.
+    #[error("the loop: {0}")]
+    EventLoop(std::io::Error),
 }
 
-/// A node.
+/// A node: the host, its sockets, and the state between them.
 pub(crate) struct Node {
-    pub(crate) poll: Poll,
+    pub(crate) poller: Poller,
     pub(crate) clock: Clock,
     pub(crate) config: Configuration,
     pub(crate) config_file: PathBuf,
     pub(crate) settings: Arc<NodeSettings>,
     pub(crate) host: Host,
-    pub(crate) listener: Option<TcpListener>,
-    pub(crate) accepting: Accepting,
+    pub(crate) host_queue: HostQueue,
+    pub(crate) acceptor: Acceptor,
     pub(crate) signals: Signals,
-    pub(crate) watch: Watch,
-    pub(crate) conns: SlotMap<Key, Conn>,
-    pub(crate) clients: usize,
-    pub(crate) pool: Pool,
-    pub(crate) keep: Keep,
-    pub(crate) due: BTreeSet<(Micros, Key)>,
-    pub(crate) jobs: HashMap<RequestNumber, Job>,
-    pub(crate) next_ticket: RequestNumber,
-    /// Bytes of bodies that are held, and of requests that come in.
-    pub(crate) bytes: usize,
-    pub(crate) inputs: VecDeque<Input>,
-    /// Ends of attempts that were given up, in the order in which the host is to hear of them, and when.
-    pub(crate) given_up: VecDeque<(Micros, Input)>,
-    pub(crate) commands: Vec<Command>,
-    /// Clients with something to write, and those that may have a request ready.
-    pub(crate) dirty: Vec<Key>,
-    pub(crate) ready: Vec<Key>,
-    pub(crate) buffer: Vec<u8>,
-    pub(crate) tallies: HashMap<EngineId, Tally>,
-    pub(crate) quota: Quota,
-    /// Clients' connections that were closed, by reason, and closes that were not permitted.
-    pub(crate) closes: Counts<CloseReason>,
-    pub(crate) denied_closes: Denials,
-    /// When the process started.
-    pub(crate) started: Micros,
-    pub(crate) swept: Micros,
-    /// A new configuration that has not been read yet, and how many have been.
-    pub(crate) reloading: Option<Reload>,
-    pub(crate) reloads: u64,
-    /// When it was told to stop, and whether the host has ended all it held.
-    pub(crate) stopping: Option<Micros>,
-    pub(crate) stopped: bool,
+    pub(crate) watch: EndpointWatch,
+    pub(crate) connections: SlotMap<ConnectionKey, Connection>,
+    pub(crate) clients: Clients,
+    pub(crate) engines: Engines,
+    pub(crate) requests: Requests,
+    pub(crate) read_buffer: Vec<u8>,
+    pub(crate) log_limiter: LogLimiter,
+    pub(crate) started_at: Micros,
+    pub(crate) last_cleanup: Micros,
+    pub(crate) reload: Reload,
+    pub(crate) shutdown: Shutdown,
 }
 
-/// Starts a node by its configuration file and runs it until it is told to stop and all is done.
+/// Runs a node until a signal to stop and the graceful shutdown behind it; `listen` replaces the address in
+/// the configuration.
+///
+/// # Errors
+///
+/// If the configuration is invalid, or a system call that the node cannot do without fails.
 pub fn start(config_file: PathBuf, listen: Option<SocketAddr>) -> Result<(), StartError> {
-    let failed = |what: &str, e: &dyn fmt::Display| StartError(format!("{what}: {e}"));
-    let name = config_file.display().to_string();
-    // Before anything can be taken that a signal to stop would lose.
-    let signals = at_start("setting up signals", Signals::new).map_err(|e| failed("signals", &e))?;
-    let read = || std::fs::read_to_string(&config_file);
-    let text = at_start("reading the configuration", read).map_err(|e| failed(&name, &e))?;
-    let config = Configuration::parse(&text).map_err(|e| failed(&name, &e))?;
+    // First, so that no signal to stop is lost.
+    let signals = retry_at_start("setting up signals", Signals::new).map_err(StartError::Signals)?;
+    let config = read_configuration(&config_file)?;
     let address = listen.unwrap_or(config.listen);
-    let listener = at_start("listening", || listen_at(address))
-        .map_err(|e| failed(&format!("cannot listen on {address}"), &e))?;
-    let poll = at_start("epoll", Poll::new).map_err(|e| failed("epoll", &e))?;
-    let waits = Flags::IN;
-    for (what, token) in
-        [(listener.as_fd(), LISTENER), (signals.stop_fd(), SIGNALS), (signals.reload_fd(), SIGNALS)]
-    {
-        at_start("epoll", || poll.add(what, token, waits)).map_err(|e| failed("epoll", &e))?;
+    let listener = retry_at_start("listening", || listen_at(address))
+        .map_err(|error| StartError::Listen { address, error })?;
+    let poller = register_sources(&listener, &signals).map_err(StartError::Epoll)?;
+    let mut node = Node::new(config, config_file, poller, listener, signals);
+    let limits = node.config.limits;
+    tracing::info!(name = %node.config.name, %address, sockets = limits.sockets, memory_mb = limits.memory_mb,
+        cores = limits.cores, "node started");
+    node.apply_last_known_list();
+    // Guards against sends by a list that is out of date, until the first periodic cleanup.
+    node.maintain_watch(node.started_at);
+    node.run().map_err(StartError::EventLoop)
+}
+
+fn read_configuration(file: &Path) -> Result<Configuration, StartError> {
+    let text = retry_at_start("reading the configuration", || std::fs::read_to_string(file))
+        .map_err(|error| StartError::ReadConfiguration { file: file.to_path_buf(), error })?;
+    Configuration::parse(&text).map_err(|error| StartError::Configuration { file: file.to_path_buf(), error })
+}
+
+/// A poller with the listener and both signal sockets.
+fn register_sources(listener: &TcpListener, signals: &Signals) -> std::io::Result<Poller> {
+    let poller = retry_at_start("epoll", Poller::new)?;
+    for (fd, source) in [
+        (listener.as_fd(), EventSource::Listener),
+        (signals.stop_fd(), EventSource::Signals),
+        (signals.reload_fd(), EventSource::Signals),
+    ] {
+        retry_at_start("epoll", || poller.add(fd, source.token(), Interest::IN))?;
     }
-    let settings = Arc::new(config.node_settings());
-    let clock = Clock::new();
-    let now = clock.now();
-    let keep = Keep::new(settings.limits.keep_alive);
-    let host = Host::new(settings.clone(), config.seed).with_scope(ReleaseScope::Request);
-    tracing::info!(name = %config.name, %address, sockets = config.limits.sockets,
-        memory_mb = config.limits.memory_mb, cores = config.limits.cores, "started");
-    let mut node = Node {
-        poll,
-        clock,
-        watch: Watch::new(config.discovery, now, config.settings.ways.drain_grace),
-        config,
-        config_file,
-        settings,
-        host,
-        listener: Some(listener),
-        accepting: Accepting::default(),
-        signals,
-        conns: SlotMap::with_key(),
-        clients: 0,
-        pool: Pool::default(),
-        keep,
-        due: BTreeSet::new(),
-        jobs: HashMap::new(),
-        next_ticket: 0,
-        bytes: 0,
-        inputs: VecDeque::new(),
-        given_up: VecDeque::new(),
-        commands: Vec::new(),
-        dirty: Vec::new(),
-        ready: Vec::new(),
-        buffer: vec![0; 64 << 10],
-        tallies: HashMap::new(),
-        quota: Quota::default(),
-        closes: Counts::default(),
-        denied_closes: Denials::default(),
-        started: now,
-        swept: now,
-        reloading: None,
-        reloads: 0,
-        stopping: None,
-        stopped: false,
-    };
-    node.known();
-    // Guards against sends by a list that is out of date, for as long as the first sweep takes to come.
-    node.look_after_watch(now);
-    node.run().map_err(|e| failed("the loop", &e))
+    Ok(poller)
 }
 
 fn listen_at(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // A node that starts again takes over the address of the one that was killed.
+    // A restarted node takes over the address of the one that was killed.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
+
+impl Node {
+    fn new(
+        config: Configuration,
+        config_file: PathBuf,
+        poller: Poller,
+        listener: TcpListener,
+        signals: Signals,
+    ) -> Node {
+        let settings = Arc::new(config.node_settings());
+        let clock = Clock::new();
+        let now = clock.now();
+        Node {
+            poller,
+            clock,
+            host: Host::new(settings.clone(), config.seed).with_scope(ReleaseScope::Request),
+            host_queue: HostQueue::default(),
+            acceptor: Acceptor::new(listener),
+            signals,
+            watch: EndpointWatch::new(config.discovery, now, config.settings.ways.drain_grace),
+            connections: SlotMap::with_key(),
+            clients: Clients::default(),
+            engines: Engines::new(settings.limits.keep_alive),
+            requests: Requests::default(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            log_limiter: LogLimiter::default(),
+            started_at: now,
+            last_cleanup: now,
+            reload: Reload::default(),
+            shutdown: Shutdown::default(),
+            config,
+            config_file,
+            settings,
+        }
+    }
+}
--- a/crates/pintally-platform-node/src/pool.rs
+++ b/crates/pintally-platform-node/src/pool.rs
@@ -1,100 +1,101 @@
-//! Connections to engines that are not in use, newest last, and how long they may be kept.
+//! Idle engine connections, and how long they may be reused.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use pintally::interface::Micros;
 
-use crate::conn::Key;
+use crate::connection::ConnectionKey;
 
-/// A connection is kept for so long whatever has been seen.
+/// Idle connections may be reused for at least this time.
 const MIN_IDLE_LIMIT: Micros = 10_000;
-/// A connection that has just brought an answer is not used again before this time is over. Guards against a
-/// second answer that its engine sends some milliseconds after the first: it would be taken for the answer
-/// to the next request, which nothing in an answer could tell apart.
-pub(crate) const SETTLE: Micros = 30_000;
-/// What has been seen holds for so long; then connections are kept for twice as long again.
-const HOLDS: Micros = 8_000_000;
-
-/// For how long connections may be kept. Guards against engines, or a network before them, that end
-/// idle connections far earlier than the settings say, with and without word: what is written to one
-/// of those ends as a reset that may have run. A new connection costs little beside that.
+/// A connection is not reused within this time of a response. Guards against a second response that its engine
+/// sends some milliseconds after the first: it would be taken for the response to the next request, which nothing
+/// in a response could tell apart.
+const SETTLE_TIME: Micros = 30_000;
+/// The limit doubles in each such interval after an early close.
+const LIMIT_DOUBLING_INTERVAL: Micros = 8_000_000;
+/// Keeps the doubling within the integer's range.
+const MAX_DOUBLINGS: u64 = 20;
+
+/// How long idle connections may be reused. Guards against engines, or a network before them, that close idle
+/// connections far earlier than the settings say, with and without notification: what is written to one of those
+/// ends as a reset that may have run. A new connection costs little beside that.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Keep {
-    most: Micros,
-    now: Micros,
-    seen_at: Micros,
+pub(crate) struct IdleLimit {
+    max: Micros,
+    after_close: Micros,
+    closed_at: Micros,
 }
 
-impl Keep {
-    /// As long as the settings say.
-    pub(crate) fn new(most: Micros) -> Keep {
-        Keep { most, now: most, seen_at: 0 }
+impl IdleLimit {
+    /// The limit in the settings, until an early close.
+    pub(crate) fn new(max: Micros) -> IdleLimit {
+        IdleLimit { max, after_close: max, closed_at: 0 }
     }
 
-    /// A connection was ended by its engine's side when it had been idle for so long.
-    pub(crate) fn ended(&mut self, at: Micros, idle: Micros) {
-        let limit = self.limit(at);
-        self.now = limit.min((idle / 2).max(MIN_IDLE_LIMIT));
-        self.seen_at = at;
+    /// Lowers the limit: a connection was closed by its engine's side after it had been idle for `idle`.
+    pub(crate) fn record_close(&mut self, now: Micros, idle: Micros) {
+        let limit = self.at(now);
+        self.after_close = limit.min((idle / 2).max(MIN_IDLE_LIMIT));
+        self.closed_at = now;
     }
 
-    /// How long a connection may have been idle to be used again.
-    pub(crate) fn limit(&self, at: Micros) -> Micros {
-        let times = at.saturating_sub(self.seen_at) / HOLDS;
-        self.now.saturating_mul(1 << times.min(20)).min(self.most)
+    /// How long a connection may have been idle to be reused at this time.
+    pub(crate) fn at(&self, now: Micros) -> Micros {
+        let doublings = now.saturating_sub(self.closed_at) / LIMIT_DOUBLING_INTERVAL;
+        self.after_close.saturating_mul(1 << doublings.min(MAX_DOUBLINGS)).min(self.max)
     }
 }
 
-/// Idle connections by the address they lead to.
+/// Idle connections by address, the most recently used last.
 #[derive(Default)]
-pub(crate) struct Pool {
-    idle: HashMap<SocketAddr, Vec<Idle>>,
+pub(crate) struct IdlePool {
+    idle: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
-/// An idle connection, and since when.
-struct Idle {
-    key: Key,
+struct IdleConnection {
+    key: ConnectionKey,
     since: Micros,
 }
 
-impl Pool {
-    /// A connection is not in use any more.
-    pub(crate) fn put(&mut self, now: Micros, address: SocketAddr, key: Key) {
-        self.idle.entry(address).or_default().push(Idle { key, since: now });
+impl IdlePool {
+    /// Adds a connection whose work has ended.
+    pub(crate) fn put(&mut self, now: Micros, address: SocketAddr, key: ConnectionKey) {
+        self.idle.entry(address).or_default().push(IdleConnection { key, since: now });
     }
 
-    /// Takes out the one that was used last, of those that have settled: older ones are nearer to being
-    /// closed.
-    pub(crate) fn take(&mut self, now: Micros, address: SocketAddr) -> Option<Key> {
-        let all = self.idle.get_mut(&address)?;
-        let settled = all.iter().rposition(|idle| now >= idle.since.saturating_add(SETTLE))?;
-        let key = all.remove(settled).key;
-        if all.is_empty() {
+    /// Takes the most recently used connection that has settled: older ones are closer to being closed by the
+    /// engine's side.
+    pub(crate) fn take(&mut self, now: Micros, address: SocketAddr) -> Option<ConnectionKey> {
+        let idle = self.idle.get_mut(&address)?;
+        let settled =
+            idle.iter().rposition(|connection| now >= connection.since.saturating_add(SETTLE_TIME))?;
+        let key = idle.remove(settled).key;
+        if idle.is_empty() {
             self.idle.remove(&address);
         }
         Some(key)
     }
 
-    /// A connection has gone.
-    pub(crate) fn remove(&mut self, address: SocketAddr, key: Key) {
-        if let Some(all) = self.idle.get_mut(&address) {
-            all.retain(|idle| idle.key != key);
-            if all.is_empty() {
-                self.idle.remove(&address);
-            }
+    /// Removes a connection that was closed.
+    pub(crate) fn remove(&mut self, address: SocketAddr, key: ConnectionKey) {
+        let Some(idle) = self.idle.get_mut(&address) else { return };
+        idle.retain(|connection| connection.key != key);
+        if idle.is_empty() {
+            self.idle.remove(&address);
         }
     }
 
-    /// The longest unused one of the address that has most of them.
-    pub(crate) fn spare(&self) -> Option<Key> {
-        let most = self.idle.iter().max_by_key(|(address, all)| (all.len(), **address))?;
-        most.1.first().map(|idle| idle.key)
+    /// The oldest connection of the address that has most of them.
+    pub(crate) fn least_valuable(&self) -> Option<ConnectionKey> {
+        let (_, idle) = self.idle.iter().max_by_key(|(address, idle)| (idle.len(), **address))?;
+        idle.first().map(|connection| connection.key)
     }
 
-    /// Addresses and connections, for a sweep.
-    pub(crate) fn all(&self) -> impl Iterator<Item = (SocketAddr, Key)> + '_ {
-        self.idle.iter().flat_map(|(a, all)| all.iter().map(|idle| (*a, idle.key)))
+    /// All connections, with their addresses.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (SocketAddr, ConnectionKey)> + '_ {
+        self.idle.iter().flat_map(|(address, idle)| idle.iter().map(|connection| (*address, connection.key)))
     }
 }
 
--- a/crates/pintally-platform-node/src/pool/tests.rs
+++ b/crates/pintally-platform-node/src/pool/tests.rs
@@ -1,19 +1,19 @@
-//! For how long idle connections are kept.
+//! The limit of idle time.
 
 use super::*;
 
 #[test]
-fn what_ends_early_is_kept_for_less_and_for_longer_again_after_a_while() {
-    let (second, most) = (1_000_000, 7_500_000);
-    let mut keep = Keep::new(most);
-    assert_eq!(keep.limit(second), most);
-    keep.ended(second, 300_000);
-    assert_eq!(keep.limit(2 * second), 150_000);
-    // One that had been idle for longer says nothing new.
-    keep.ended(2 * second, 900_000);
-    assert_eq!(keep.limit(3 * second), 150_000);
-    keep.ended(3 * second, 0);
-    assert_eq!(keep.limit(3 * second), MIN_IDLE_LIMIT);
-    assert!(keep.limit(30 * second) < 200_000);
-    assert_eq!(keep.limit(200 * second), most);
+fn idle_limit_falls_on_early_closes_and_recovers() {
+    let (second, max) = (1_000_000, 7_500_000);
+    let mut limit = IdleLimit::new(max);
+    assert_eq!(limit.at(second), max);
+    limit.record_close(second, 300_000);
+    assert_eq!(limit.at(2 * second), 150_000);
+    // A close after a longer idle time does not change the limit.
+    limit.record_close(2 * second, 900_000);
+    assert_eq!(limit.at(3 * second), 150_000);
+    limit.record_close(3 * second, 0);
+    assert_eq!(limit.at(3 * second), MIN_IDLE_LIMIT);
+    assert!(limit.at(30 * second) < 200_000);
+    assert_eq!(limit.at(200 * second), max);
 }
--- a/crates/pintally-platform-node/src/reload.rs
+++ b/crates/pintally-platform-node/src/reload.rs
@@ -1,68 +1,100 @@
-//! New configurations, read when a signal says so.
+//! Reload of the configuration on a signal.
+
+use std::path::Path;
 
 use pintally::interface::Micros;
-use pintally_platform::Configuration;
+use pintally_platform::{Configuration, ConfigurationError};
+use thiserror::Error;
 
 use crate::node::Node;
 
-/// A configuration that cannot be read is read again after this time, which doubles up to a bound.
-const RETRY_FIRST: Micros = 100_000;
-const RETRY_MAX: Micros = 800_000;
-/// After so long it is left at the old one.
-const RETRY_FOR: Micros = 10_000_000;
+/// A reload that has failed is retried after this time, which doubles up to a limit.
+const FIRST_RETRY_DELAY: Micros = 100_000;
+const MAX_RETRY_DELAY: Micros = 800_000;
+/// After this time the old configuration remains.
+const RELOAD_TIMEOUT: Micros = 10_000_000;
 
-/// A reload that has not succeeded yet.
+/// The state of reloads.
+#[derive(Default)]
 pub(crate) struct Reload {
-    due: Micros,
-    pause: Micros,
-    until: Micros,
+    pending: Option<PendingReload>,
+    /// How many have succeeded.
+    pub(crate) completed: u64,
+}
+
+impl Reload {
+    /// When a reload is attempted or retried.
+    pub(crate) fn next_attempt(&self) -> Option<Micros> {
+        self.pending.as_ref().map(|reload| reload.next_attempt)
+    }
+}
+
+/// A reload that has not succeeded yet.
+struct PendingReload {
+    next_attempt: Micros,
+    retry_delay: Micros,
+    give_up_at: Micros,
+}
+
+/// Why a reload has failed.
+#[derive(Debug, Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Read(#[from] std::io::Error),
+    #[error(transparent)]
+    Invalid(#[from] ConfigurationError),
+}
+
+fn read_configuration(file: &Path) -> Result<Configuration, ReloadError> {
+    let text = std::fs::read_to_string(file)?;
+    Ok(Configuration::parse(&text)?)
 }
 
 impl Node {
-    /// A signal says that there is a new configuration.
-    pub(crate) fn reload(&mut self) {
+    /// Starts a reload, on a signal.
+    pub(crate) fn start_reload(&mut self) {
         let now = self.clock.now();
-        self.reloading = Some(Reload { due: now, pause: RETRY_FIRST, until: now.saturating_add(RETRY_FOR) });
+        self.reload.pending = Some(PendingReload {
+            next_attempt: now,
+            retry_delay: FIRST_RETRY_DELAY,
+            give_up_at: now.saturating_add(RELOAD_TIMEOUT),
+        });
         self.retry_reload(now);
     }
 
-    /// When a reload is tried again.
-    pub(crate) fn reload_due(&self) -> Option<Micros> {
-        self.reloading.as_ref().map(|reload| reload.due)
-    }
-
-    /// Reads the configuration if it is time. Guards against one that is lost because it cannot be read in the moment of the
-    /// signal: the file is half written, or the system refuses for a moment. An unsound one changes nothing.
+    /// Reads the configuration if it is time. Guards against a reload that is lost because the file cannot be read at
+    /// the moment of the signal: it is half written, or the system refuses for a moment. An invalid configuration
+    /// changes nothing.
     pub(crate) fn retry_reload(&mut self, now: Micros) {
-        let Some(reload) = self.reloading.as_mut().filter(|reload| now >= reload.due) else { return };
-        let first = reload.pause == RETRY_FIRST;
-        let last = now >= reload.until;
-        reload.due = now.saturating_add(reload.pause);
-        reload.pause = (reload.pause * 2).min(RETRY_MAX);
-        let text = std::fs::read_to_string(&self.config_file).map_err(|e| e.to_string());
-        match text.and_then(|text| Configuration::parse(&text).map_err(|e| e.to_string())) {
+        let pending = self.reload.pending.as_mut().filter(|reload| now >= reload.next_attempt);
+        let Some(reload) = pending else { return };
+        let is_first = reload.retry_delay == FIRST_RETRY_DELAY;
+        let is_last = now >= reload.give_up_at;
+        reload.next_attempt = now.saturating_add(reload.retry_delay);
+        reload.retry_delay = (reload.retry_delay * 2).min(MAX_RETRY_DELAY);
+        match read_configuration(&self.config_file) {
             Ok(config) => {
-                self.reloading = None;
-                self.reloads += 1;
+                self.reload.pending = None;
+                self.reload.completed += 1;
                 self.reconfigure(now, config);
             }
-            Err(why) if last => {
-                self.reloading = None;
-                self.say(now, &format!("the old configuration goes on, as the new one does not hold: {why}"));
+            Err(error) if is_last => {
+                self.reload.pending = None;
+                self.warn(now, format_args!("reload failed: the old configuration remains: {error}"));
             }
-            Err(why) if first => {
-                self.say(now, &format!("the new configuration does not hold, and is read again: {why}"));
+            Err(error) if is_first => {
+                self.warn(now, format_args!("reload failed and will be retried: {error}"));
             }
             Err(_) => {}
         }
     }
 
-    /// Discovery may have moved, and the list that comes with it may be newer.
+    /// Applies what a reload may change: the address of discovery, and a newer list.
     fn reconfigure(&mut self, now: Micros, config: Configuration) {
-        tracing::info!(discovery = %config.discovery, "the configuration was read again");
-        if let Some(known) = config.last_known_list {
-            self.take_known(known);
+        tracing::info!(discovery = %config.discovery, "configuration reloaded");
+        if let Some(list) = config.last_known_list {
+            self.apply_newer_list(list);
         }
-        self.follow(config.discovery, now);
+        self.set_discovery_address(config.discovery, now);
     }
 }
--- a/crates/pintally-platform-node/src/signals.rs
+++ b/crates/pintally-platform-node/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals: a flag for each that has come, and readable sockets that wake the loop for it.
+//! Signals: a flag for each that has arrived, and readable sockets that wake the event loop.
 //!
-//! The flag is what counts. The byte that wakes the loop is sent by a system call, which may fail; the signal is then
-//! found in the next iteration, a tenth of a second later at the latest.
+//! The flag is what counts. The byte that wakes the loop is sent by a system call, which may fail; the signal is
+//! then found in the next iteration, a tenth of a second later at the latest.
 
 use std::io::{self, Read};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -13,59 +13,75 @@
 use signal_hook::flag;
 use signal_hook::low_level::pipe;
 
-/// One thing that signals ask for.
-struct Asked {
+/// A group of signals with one meaning.
+struct SignalFlag {
     flag: Arc<AtomicBool>,
-    wakes: UnixStream,
+    wakeups: UnixStream,
 }
 
-impl Asked {
-    /// Asked for by any of these signals.
-    fn by(signals: &[i32]) -> io::Result<Asked> {
+impl SignalFlag {
+    /// Installs handlers for these signals.
+    fn register(signals: &[i32]) -> io::Result<SignalFlag> {
         let flag = Arc::new(AtomicBool::new(false));
-        let (wakes, end) = UnixStream::pair()?;
-        wakes.set_nonblocking(true)?;
+        let (wakeups, sender) = UnixStream::pair()?;
+        wakeups.set_nonblocking(true)?;
         for signal in signals {
             flag::register(*signal, flag.clone())?;
-            pipe::register(*signal, end.try_clone()?)?;
+            pipe::register(*signal, sender.try_clone()?)?;
         }
-        Ok(Asked { flag, wakes })
+        Ok(SignalFlag { flag, wakeups })
     }
 
-    /// Whether it was asked for since this was last called.
+    fn is_set(&self) -> bool {
+        self.flag.load(Ordering::SeqCst)
+    }
+
+    /// Clears the flag and the wakeups; whether it was set.
     fn take(&self) -> bool {
-        let mut some = [0; 64];
-        while matches!((&self.wakes).read(&mut some), Ok(count) if count > 0) {}
+        let mut buffer = [0; 64];
+        while matches!((&self.wakeups).read(&mut buffer), Ok(count) if count > 0) {}
         self.flag.swap(false, Ordering::SeqCst)
     }
 }
 
-/// What signals ask for.
+/// The signals that the node handles.
 pub(crate) struct Signals {
-    stop: Asked,
-    reload: Asked,
+    stop: SignalFlag,
+    reload: SignalFlag,
+}
+
+/// Signals that have arrived.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingSignals {
+    /// Stop gracefully.
+    pub(crate) stop: bool,
+    /// Reload the configuration.
+    pub(crate) reload: bool,
 }
 
 impl Signals {
     pub(crate) fn new() -> io::Result<Signals> {
-        Ok(Signals { stop: Asked::by(&[SIGINT, SIGTERM])?, reload: Asked::by(&[SIGHUP])? })
+        Ok(Signals {
+            stop: SignalFlag::register(&[SIGINT, SIGTERM])?,
+            reload: SignalFlag::register(&[SIGHUP])?,
+        })
     }
 
     pub(crate) fn stop_fd(&self) -> BorrowedFd<'_> {
-        self.stop.wakes.as_fd()
+        self.stop.wakeups.as_fd()
     }
 
     pub(crate) fn reload_fd(&self) -> BorrowedFd<'_> {
-        self.reload.wakes.as_fd()
+        self.reload.wakeups.as_fd()
     }
 
-    /// Whether any signal has come that was not taken in.
-    pub(crate) fn have_come(&self) -> bool {
-        self.stop.flag.load(Ordering::SeqCst) || self.reload.flag.load(Ordering::SeqCst)
+    /// Whether any signal has arrived that was not taken.
+    pub(crate) fn is_pending(&self) -> bool {
+        self.stop.is_set() || self.reload.is_set()
     }
 
-    /// Takes in what has come: whether to stop, and whether to read the configuration again.
-    pub(crate) fn take(&self) -> (bool, bool) {
-        (self.stop.take(), self.reload.take())
+    /// Takes the signals that have arrived.
+    pub(crate) fn take(&self) -> PendingSignals {
+        PendingSignals { stop: self.stop.take(), reload: self.reload.take() }
     }
 }
--- a/crates/pintally-platform-node/src/status.rs
+++ b/crates/pintally-platform-node/src/status.rs
@@ -5,58 +5,89 @@
 
 use std::fmt;
 
-use pintally::interface::EndpointState;
-use pintally::AdmissionEstimate;
+use pintally::interface::{EndpointState, Micros};
+use pintally::{AdmissionEstimate, EngineEstimate};
 use pintally_host::Counters;
+use serde_json::{json, Map, Value};
 
 use crate::node::Node;
+use crate::state::EngineCounters;
 
 impl Node {
     /// The status document: what is estimated of each engine, beside what passed on its sockets.
-    pub(crate) fn status_document(&self) -> serde_json::Value {
-        let engines: Vec<serde_json::Value> = self
-            .believed(self.clock.now())
-            .map(|(b, t)| {
-                serde_json::json!({
-                    "engine": b.engine.0.as_ref(),
-                    "believed": {
-                        "listing": state_name(b.state), "out": b.in_flight, "streams": b.streams,
-                        "load": b.load, "down": b.unreachable, "shut_ms": b.ejected_for / 1000, "full_ms": b.overloaded_for / 1000,
-                        "cold_ms": b.warming_up_for / 1000, "report_age_ms": b.report_age.map(|a| a / 1000),
-                    },
-                    "sockets": {
-                        "out": t.out, "sent": t.sent, "begun": t.begun, "served": t.served, "read": t.read,
-                        "turned_away": t.turned_away, "failed": t.failed, "connections": t.connections,
-                    },
-                })
-            })
+    pub(crate) fn status_document(&self) -> Value {
+        let engines: Vec<Value> = self
+            .engine_estimates(self.clock.now())
+            .map(|(estimate, sockets)| engine_status(&estimate, &sockets))
             .collect();
-        let counters = counters_text(&self.host.counters());
-        let by_name = |counts: Vec<(&'static str, u64)>| {
-            serde_json::Map::from_iter(
-                counts.into_iter().map(|(name, count)| (name.to_string(), count.into())),
-            )
-        };
-        let closes = by_name(self.closes.by_name().collect());
-        let accept_failures: serde_json::Map<String, serde_json::Value> = self
-            .accepting
-            .failures
-            .iter()
-            .map(|(errno, count)| (errno.to_string(), (*count).into()))
-            .collect();
-        let withheld = by_name(self.host.withheld().by_name().collect());
-        let refusals = by_name(self.host.rejections().by_name().collect());
-        let denied = by_name(self.host.denials().by_name().chain(self.denied_closes.by_name()).collect());
-        serde_json::json!({
-            "held": self.host.open_requests(), "clients": self.clients, "connections": self.conns.len(),
-            "bytes": self.bytes, "pace": admission_text(&self.host.admission_estimates()), "counters": counters,
-            "closes": closes, "refusals": refusals, "denied": denied, "accept_failures": accept_failures, "reloads": self.reloads,
-            "withheld": withheld, "watches": {"opened": self.watch.opened, "failed": self.watch.failed},
-            "clock_corrections": self.watch.starts.corrections, "engines": engines,
+        let denials = self.host.denials().by_name().chain(self.clients.denied_closes.by_name());
+        json!({
+            "held": self.host.open_requests(),
+            "clients": self.clients.count,
+            "connections": self.connections.len(),
+            "bytes": self.requests.bytes,
+            "pace": admission_text(&self.host.admission_estimates()),
+            "counters": counters_text(&self.host.counters()),
+            "closes": counts_by_name(self.clients.closes.by_name()),
+            "refusals": counts_by_name(self.host.rejections().by_name()),
+            "denied": counts_by_name(denials),
+            "accept_failures": self.accept_failures(),
+            "reloads": self.reload.completed,
+            "withheld": counts_by_name(self.host.withheld().by_name()),
+            "watches": {"opened": self.watch.opened, "failed": self.watch.failed},
+            "clock_corrections": self.watch.start_times.corrections,
+            "engines": engines,
+        })
+    }
+
+    fn accept_failures(&self) -> Map<String, Value> {
+        let failures = self.acceptor.failures.iter();
+        failures.map(|(errno, count)| (errno.to_string(), (*count).into())).collect()
+    }
+
+    /// What the core estimates of each engine, and the counters of its sockets.
+    pub(crate) fn engine_estimates(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (EngineEstimate, EngineCounters)> + '_ {
+        self.host.engine_estimates(now).into_iter().map(|estimate| {
+            let counters = self.engines.counters.get(&estimate.engine).copied().unwrap_or_default();
+            (estimate, counters)
         })
     }
 }
 
+fn engine_status(estimate: &EngineEstimate, sockets: &EngineCounters) -> Value {
+    json!({
+        "engine": estimate.engine.0.as_ref(),
+        "believed": {
+            "listing": state_name(estimate.state),
+            "out": estimate.in_flight,
+            "streams": estimate.streams,
+            "load": estimate.load,
+            "down": estimate.unreachable,
+            "shut_ms": estimate.ejected_for / 1000,
+            "full_ms": estimate.overloaded_for / 1000,
+            "cold_ms": estimate.warming_up_for / 1000,
+            "report_age_ms": estimate.report_age.map(|age| age / 1000),
+        },
+        "sockets": {
+            "out": sockets.in_flight,
+            "sent": sockets.sent,
+            "begun": sockets.started,
+            "served": sockets.served,
+            "read": sockets.read,
+            "turned_away": sockets.rejected,
+            "failed": sockets.failed,
+            "connections": sockets.connections,
+        },
+    })
+}
+
+fn counts_by_name(counts: impl Iterator<Item = (&'static str, u64)>) -> Map<String, Value> {
+    counts.map(|(name, count)| (name.to_string(), count.into())).collect()
+}
+
 /// An endpoint's state as the document spells it.
 fn state_name(state: EndpointState) -> &'static str {
     match state {
@@ -81,33 +112,33 @@
 
 impl fmt::Debug for CountersText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let c = self.0;
+        let counters = self.0;
         f.debug_struct("Counters")
-            .field("taken", &c.accepted)
-            .field("turned_away", &c.rejected_before_dispatch)
-            .field("at_the_edge", &c.rejected_by_cell)
-            .field("kept_out", &c.rejected_during_recovery)
-            .field("limited", &c.rejected_over_quota)
-            .field("retries_limited", &c.retries_over_quota)
-            .field("no_zone", &c.rejected_no_zone)
-            .field("led_far", &c.routed_to_other_zone)
-            .field("gave_way", &c.preempted_while_queued)
-            .field("served", &c.served)
-            .field("refused", &c.rejected)
-            .field("failed", &c.failed)
-            .field("cut", &c.streams_cut)
-            .field("left", &c.clients_left)
-            .field("attempts", &c.attempts)
-            .field("never_sent", &c.never_sent)
-            .field("overdue", &c.overdue)
-            .field("releases", &c.releases)
-            .field("releases_by_host", &c.releases_by_host)
-            .field("releases_guarded", &c.releases_guarded)
-            .field("releases_of_left", &c.orphaned_releases)
-            .field("inherited", &c.reservations_inherited)
-            .field("release_calls", &c.release_calls)
-            .field("releases_lost", &c.releases_lost)
-            .field("stray", &c.unmatched_inputs)
+            .field("taken", &counters.accepted)
+            .field("turned_away", &counters.rejected_before_dispatch)
+            .field("at_the_edge", &counters.rejected_by_cell)
+            .field("kept_out", &counters.rejected_during_recovery)
+            .field("limited", &counters.rejected_over_quota)
+            .field("retries_limited", &counters.retries_over_quota)
+            .field("no_zone", &counters.rejected_no_zone)
+            .field("led_far", &counters.routed_to_other_zone)
+            .field("gave_way", &counters.preempted_while_queued)
+            .field("served", &counters.served)
+            .field("refused", &counters.rejected)
+            .field("failed", &counters.failed)
+            .field("cut", &counters.streams_cut)
+            .field("left", &counters.clients_left)
+            .field("attempts", &counters.attempts)
+            .field("never_sent", &counters.never_sent)
+            .field("overdue", &counters.overdue)
+            .field("releases", &counters.releases)
+            .field("releases_by_host", &counters.releases_by_host)
+            .field("releases_guarded", &counters.releases_guarded)
+            .field("releases_of_left", &counters.orphaned_releases)
+            .field("inherited", &counters.reservations_inherited)
+            .field("release_calls", &counters.release_calls)
+            .field("releases_lost", &counters.releases_lost)
+            .field("stray", &counters.unmatched_inputs)
             .finish()
     }
 }
--- a/crates/pintally-platform-node/src/system/tests.rs
+++ b/crates/pintally-platform-node/src/syscall/tests.rs
@@ -1,4 +1,4 @@
-//! Each error that Linux documents for a call, and what it means.
+//! Each error that Linux documents for a call, and its meaning.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn each_error_of_accept_has_a_meaning() {
+fn accept_error_table() {
     use AcceptFailure::{NobodyWaits, OutOfDescriptors, TryLater, TryNext};
     let table = [
         (Errno::AGAIN, NobodyWaits),
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_start_tries_again_what_may_pass_and_nothing_else() {
+fn start_retries_transient_errors_only() {
     let mut left = 3;
-    let done = at_start("a call", || {
+    let done = retry_at_start("a call", || {
         left -= 1;
         match left {
             0 => Ok("done"),
@@ -50,7 +50,7 @@
     assert_eq!(done.ok(), Some("done"));
     for errno in [Errno::NOENT, Errno::ACCESS, Errno::INVAL, Errno::AFNOSUPPORT] {
         let mut calls = 0;
-        let failed = at_start("a call", || -> io::Result<()> {
+        let failed = retry_at_start("a call", || -> io::Result<()> {
             calls += 1;
             Err(error(errno))
         });
