--- a/crates/pintally-platform-node/src/endpoint_list.rs
+++ b/crates/pintally-platform-node/src/endpoint_list.rs
@@ -1,7 +1,5 @@
 //! The endpoint list: how received revisions are applied, and whether the node is ready.
 
-use std::fmt;
-
 use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
 use pintally_host::{EngineEndpoint, Input};
 use pintally_platform::{EndpointList, ListChange};
@@ -35,16 +33,18 @@
         match self.watch.list.advance(list) {
             ListChange::Unchanged => {}
             ListChange::Stale => {
-                self.warn(
-                    now,
-                    format_args!("endpoint list ignored: revision {revision} is older than the applied one"),
-                );
+                if self.log_limiter.allows(now) {
+                    tracing::warn!(
+                        revision,
+                        reason = "older than the applied revision",
+                        "endpoint list ignored"
+                    );
+                }
             }
             ListChange::Invalid(reason) => {
-                self.warn(
-                    now,
-                    format_args!("endpoint list ignored: revision {revision} is invalid: {reason}"),
-                );
+                if self.log_limiter.allows(now) {
+                    tracing::warn!(revision, %reason, "endpoint list ignored");
+                }
             }
             ListChange::Apply(update, mut endpoints) => {
                 self.watch.start_times.adjust(now, last_message, &mut endpoints);
@@ -110,11 +110,4 @@
             self.watch.last_message.is_some() || self.clock.now() >= self.started_at + FIRST_LIST_TIMEOUT;
         !self.shutdown.is_requested() && self.host.serving() > 0 && has_list
     }
-
-    /// Logs a warning, within the limit of log lines.
-    pub(crate) fn warn(&mut self, now: Micros, message: fmt::Arguments<'_>) {
-        if self.log_limiter.allows(now) {
-            tracing::warn!("{message}");
-        }
-    }
 }
--- a/crates/pintally-platform-node/src/endpoint_watch.rs
+++ b/crates/pintally-platform-node/src/endpoint_watch.rs
@@ -121,16 +121,18 @@
     }
 
     fn expire_watch(&mut self, now: Micros, state: WatchState) {
-        let message = match state {
-            WatchState::Connecting => "endpoint watch failed: discovery is unreachable",
-            WatchState::Connected => "endpoint watch failed: discovery does not respond",
-            WatchState::Responding => "endpoint watch failed: discovery has gone silent",
+        let reason = match state {
+            WatchState::Connecting => "discovery is unreachable",
+            WatchState::Connected => "discovery does not respond",
+            WatchState::Responding => "discovery has gone silent",
         };
         if state == WatchState::Connected {
             self.watch.first_response_timeout =
                 (self.watch.first_response_timeout * 2).min(MAX_FIRST_RESPONSE_TIMEOUT);
         }
-        self.warn(now, format_args!("{message}"));
+        if self.log_limiter.allows(now) {
+            tracing::warn!(reason, address = %self.watch.address, "endpoint watch failed");
+        }
         self.watch.fail(now);
         self.watch.reopen_at = now;
     }
--- a/crates/pintally-platform-node/src/reload.rs
+++ b/crates/pintally-platform-node/src/reload.rs
@@ -80,10 +80,14 @@
             }
             Err(error) if is_last => {
                 self.reload.pending = None;
-                self.warn(now, format_args!("reload failed: the old configuration remains: {error}"));
+                if self.log_limiter.allows(now) {
+                    tracing::warn!(reason = %error, "reload failed: the old configuration remains");
+                }
             }
             Err(error) if is_first => {
-                self.warn(now, format_args!("reload failed and will be retried: {error}"));
+                if self.log_limiter.allows(now) {
+                    tracing::warn!(reason = %error, "reload failed and will be retried");
+                }
             }
             Err(_) => {}
         }
--- a/crates/pintally-platform-node/src/watch_connection.rs
+++ b/crates/pintally-platform-node/src/watch_connection.rs
@@ -42,13 +42,13 @@
 /// Why a watch's response cannot be used.
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error(transparent)]
+    #[error("the response cannot be read: {0}")]
     Http(#[from] HttpError),
     #[error("the watch ended with status {0}")]
     Ended(u16),
     #[error(transparent)]
     ObjectTooLong(#[from] ObjectTooLong),
-    #[error(transparent)]
+    #[error("the endpoint list is invalid: {0}")]
     List(#[from] EndpointListError),
 }
 
@@ -136,7 +136,9 @@
             }
             Ok(_) => {}
             Err(error) => {
-                self.warn(now, format_args!("endpoint watch failed: {error}"));
+                if self.log_limiter.allows(now) {
+                    tracing::warn!(reason = %error, address = %self.watch.address, "endpoint watch failed");
+                }
                 self.watch.fail(now);
             }
         }
--- a/crates/pintally-platform/src/endpoint_list.rs
+++ b/crates/pintally-platform/src/endpoint_list.rs
@@ -131,7 +131,7 @@
     #[error("a whole list without an engine")]
     Empty,
     /// Changes came before any complete list.
-    #[error("changes to a list that was never told")]
+    #[error("changes without a complete list before them")]
     ChangesWithoutBase,
 }
 
--- a/crates/pintally-platform/tests/codec.rs
+++ b/crates/pintally-platform/tests/codec.rs
@@ -144,7 +144,7 @@
         assert_eq!(events, TOKEN);
         assert_eq!(end, Some((Outcome::ConnectionBroken, 0, false)));
     }
-    // A chunk that swallows the next one's size: what was whole before that is passed on, the rest is not.
+    // A chunk that swallows the next one's size: events that were complete before it are forwarded, the rest is not.
     let (events, end, _) = read_response(&with(&swallows), false);
     assert_eq!((events, end), ([TOKEN, TOKEN].concat(), Some((Outcome::ConnectionBroken, 0, false))));
     let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), b"x: y\r\n".repeat(4000)].concat();
@@ -179,7 +179,7 @@
 fn call(head: &str, body: &str) -> Result<ClientRequest, RequestError> {
     let (config, mut reader) = (config(), RequestReader::new(MAX_HEAD_BYTES, MAX_BODY_BYTES));
     reader.push(format!("{head}content-length: {}\r\n\r\n{body}", body.len()).as_bytes());
-    let request = reader.next_request().expect("it can be read").expect("it is whole");
+    let request = reader.next_request().expect("a readable request").expect("a complete request");
     parse_client_request(&config.settings.names, 7, request)
 }
 
@@ -316,7 +316,7 @@
 }
 
 /// Guards against large fleets whose list does not fit, or is cut where it is indented: 1,024 and 4,096
-/// engines, in one line and indented, whole and in pieces of a few bytes.
+/// engines, in one line and indented, at once and in pieces of a few bytes.
 #[test]
 fn large_endpoint_lists() {
     for many in [1_024, 4_096] {
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -19,7 +19,7 @@
 }
 
 fn configuration() -> Configuration {
-    Configuration::parse(CONFIGURATION).expect("a sound configuration")
+    Configuration::parse(CONFIGURATION).expect("a valid configuration")
 }
 
 fn outcome_name(outcome: Outcome) -> &'static str {
@@ -54,7 +54,7 @@
 fn request(bytes: &[u8]) -> Request {
     let mut reader = RequestReader::new(MAX_HEAD_BYTES, MAX_BODY_BYTES);
     reader.push(bytes);
-    reader.next_request().expect("a readable request").expect("a whole request")
+    reader.next_request().expect("a readable request").expect("a complete request")
 }
 
 fn call_of(bytes: &[u8]) -> Result<ClientRequest, RequestError> {
@@ -115,7 +115,7 @@
 fn configuration_seeds() {
     for (written, seed) in [("\"0x1f\"", 0x1f), ("31", 31), ("\"31\"", 0x31)] {
         let text = CONFIGURATION.replace("\"8c1f30d27a5be964\"", written);
-        assert_eq!(Configuration::parse(&text).expect("a sound configuration").seed, seed, "{written}");
+        assert_eq!(Configuration::parse(&text).expect("a valid configuration").seed, seed, "{written}");
     }
 }
 
@@ -229,7 +229,7 @@
     assert!(matches!(of("GET /pintally/beliefs"), Ok(ClientRequest::Status)));
 }
 
-/// What an engine's answer tells, as text; the answer comes one byte at a time.
+/// An engine's response as text, read one byte at a time.
 fn answer_text(bytes: &[u8]) -> String {
     let (names, mut reader, mut progress) =
         (configuration().settings.names, EngineResponseReader::default(), Vec::new());
