--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -38,7 +38,7 @@
         let now = self.clock.now();
         // Guards against two attempts at once: one that is in flight ends before the next one starts.
         self.cancel_attempt(order.ticket);
-        let Some(request) = self.requests.by_number.get(&order.ticket) else {
+        let Some(request) = self.requests.get(order.ticket) else {
             return self.fail_unsent(order.ticket, order.attempt, Outcome::NeverSent);
         };
         let timeout_ms = order.timeout / 1000;
@@ -58,7 +58,7 @@
     }
 
     fn attempt_assigned(&mut self, order: &AttemptOrder, key: ConnectionKey) {
-        if let Some(request) = self.requests.by_number.get_mut(&order.ticket) {
+        if let Some(request) = self.requests.get_mut(order.ticket) {
             request.attempt = Some((order.attempt, key));
         }
         tracing::debug!(request = order.ticket, attempt = order.attempt, engine = %order.engine.0,
@@ -71,7 +71,7 @@
 
     /// Notifies the host of an attempt that has no connection.
     fn fail_unsent(&mut self, number: RequestNumber, attempt: Attempt, outcome: Outcome) {
-        self.host_queue.inputs.push_back(Input::AttemptEnded {
+        self.host_queue.push(Input::AttemptEnded {
             ticket: number,
             attempt,
             outcome,
@@ -111,7 +111,7 @@
             Work::Release { id, engine, .. } => {
                 tracing::debug!(request_id = %id.0, engine = %engine.0, ?outcome, "release call ended");
                 let released = Input::Released(id, engine, outcome == Outcome::Served);
-                self.host_queue.inputs.push_back(released);
+                self.host_queue.push(released);
             }
             Work::ConnectionProbe { .. } => {}
         }
@@ -125,7 +125,7 @@
 
     fn attempt_ended(&mut self, key: ConnectionKey, work: &AttemptWork, result: WorkResult) {
         let (number, attempt) = (work.number, work.attempt);
-        if let Some(request) = self.requests.by_number.get_mut(&number) {
+        if let Some(request) = self.requests.get_mut(number) {
             request.attempt.take_if(|in_flight| *in_flight == (attempt, key));
         }
         self.log_attempt_end(key, work, &result);
@@ -135,9 +135,9 @@
         match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
                 let notify_at = self.clock.now().saturating_add(CLOSE_LEAD);
-                self.host_queue.delayed.push_back((notify_at, ended));
+                self.host_queue.push_delayed(notify_at, ended);
             }
-            _ => self.host_queue.inputs.push_back(ended),
+            _ => self.host_queue.push(ended),
         }
     }
 
--- a/crates/pintally-platform-node/src/background_calls.rs
+++ b/crates/pintally-platform-node/src/background_calls.rs
@@ -24,7 +24,7 @@
                 tracing::debug!(request_id = %id.0, engine = %engine.0, "release call started");
                 self.write_engine(key);
             }
-            Err(_) => self.host_queue.inputs.push_back(Input::Released(id, engine, false)),
+            Err(_) => self.host_queue.push(Input::Released(id, engine, false)),
         }
     }
 
@@ -81,7 +81,7 @@
         }
         self.release_connection(key, true);
         if self.is_attempt_written(number, attempt) {
-            self.host_queue.inputs.push_back(Input::DeliveryConfirmed(number, attempt));
+            self.host_queue.push(Input::DeliveryConfirmed(number, attempt));
         }
     }
 }
--- a/crates/pintally-platform-node/src/client_close.rs
+++ b/crates/pintally-platform-node/src/client_close.rs
@@ -27,7 +27,7 @@
             "client connection closed");
         if let Some(Connection::Client(client)) = self.connections.remove(key) {
             self.clients.count -= 1;
-            self.requests.bytes -= client.accounted_bytes;
+            self.requests.account_buffered(client.accounted_bytes, 0);
         }
         true
     }
@@ -58,7 +58,7 @@
         let state = self.client_mut(key).map(|client| client.state);
         self.close_client(key, reason);
         let Some(ClientState::Active(number)) = state else { return };
-        if let Some(request) = self.requests.by_number.get_mut(&number) {
+        if let Some(request) = self.requests.get_mut(number) {
             request.client = None;
         }
         self.handle_input(Input::ClientLeft(number));
--- a/crates/pintally-platform-node/src/client_read.rs
+++ b/crates/pintally-platform-node/src/client_read.rs
@@ -22,7 +22,7 @@
         let Some(client) = self.client_mut(key) else { return };
         let wants_input = client.wants_input();
         if events.contains(Interest::OUT) {
-            self.clients.pending_writes.push(key);
+            self.clients.queue_write(key);
         }
         if events.intersects(Interest::IN | Interest::RDHUP) && wants_input {
             self.read_client(key);
@@ -76,7 +76,7 @@
         let Some(client) = self.client_mut(key) else { return };
         if client.reader.wants_continue() {
             client.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-            self.clients.pending_writes.push(key);
+            self.clients.queue_write(key);
         }
         if !self.account_buffered_bytes(key) {
             self.reject(key, RequestError { status: 503, message: "no room for the body" });
@@ -89,22 +89,22 @@
         let limit = self.config.max_total_body_bytes();
         let Some(Connection::Client(client)) = self.connections.get_mut(key) else { return true };
         let buffered = client.reader.held_bytes();
-        self.requests.bytes = self.requests.bytes + buffered - client.accounted_bytes;
+        self.requests.account_buffered(client.accounted_bytes, buffered);
         client.accounted_bytes = buffered;
-        self.requests.bytes <= limit
+        self.requests.bytes() <= limit
     }
 
     /// Schedules the connection's next requests for the next iteration, if they may be parsed.
     pub(crate) fn queue_requests(&mut self, key: ConnectionKey) {
         let Some(client) = self.client_mut(key).filter(|client| client.accepts_requests()) else { return };
         if !std::mem::replace(&mut client.is_queued, true) {
-            self.clients.pending_requests.push(key);
+            self.clients.queue_requests(key);
         }
     }
 
     /// Parses the requests that earlier events, or the iteration before, have scheduled.
     pub(crate) fn process_pending_requests(&mut self) {
-        for key in std::mem::take(&mut self.clients.pending_requests) {
+        for key in self.clients.take_pending_requests() {
             if let Some(client) = self.client_mut(key) {
                 client.is_queued = false;
             }
--- a/crates/pintally-platform-node/src/client_requests.rs
+++ b/crates/pintally-platform-node/src/client_requests.rs
@@ -1,7 +1,5 @@
 //! Client requests: readiness and status are answered here, inference requests go to the host.
 
-use std::rc::Rc;
-
 use pintally::interface::Micros;
 use pintally_host::{IncomingRequest, Input, RequestNumber};
 use pintally_http::{response, Request};
@@ -10,11 +8,10 @@
 use crate::client_connection::ClientState;
 use crate::connection::ConnectionKey;
 use crate::node::Node;
-use crate::state::ActiveRequest;
 
 impl Node {
     pub(crate) fn handle_request(&mut self, key: ConnectionKey, request: Request) {
-        let number = self.requests.next_number;
+        let number = self.requests.next_number();
         match parse_client_request(&self.config.settings.names, number, request) {
             Ok(ClientRequest::Readiness) => {
                 let status = if self.is_ready() { 200 } else { 503 };
@@ -37,13 +34,10 @@
         if arrival.name.as_ref().is_some_and(|name| self.host.knows(name)) {
             return self.reject(key, RequestError { status: 409, message: "this id is in use" });
         }
-        if self.requests.bytes + body.len() > self.config.max_total_body_bytes() {
+        if self.requests.bytes() + body.len() > self.config.max_total_body_bytes() {
             return self.respond(key, response(503, &[], b"no room\n"));
         }
-        self.requests.next_number += 1;
-        self.requests.bytes += body.len();
-        let active = ActiveRequest { client: Some(key), head, body: Rc::from(body), attempt: None };
-        self.requests.by_number.insert(number, active);
+        self.requests.insert(key, head, body);
         let Some(client) = self.client_mut(key) else { return };
         client.state = ClientState::Active(number);
         client.streaming = false;
--- a/crates/pintally-platform-node/src/client_response.rs
+++ b/crates/pintally-platform-node/src/client_response.rs
@@ -65,13 +65,13 @@
         client.last_active = now;
         client.receiving_since = now;
         client.state = if closes { ClientState::Closing } else { ClientState::Receiving };
-        self.clients.pending_writes.push(key);
+        self.clients.queue_write(key);
         self.queue_requests(key);
     }
 
     /// Sends the final answer of a request.
     pub(crate) fn send_final_answer(&mut self, number: RequestNumber, answer: FinalAnswer) {
-        let request = self.requests.by_number.get_mut(&number);
+        let request = self.requests.get_mut(number);
         let Some(key) = request.and_then(|request| request.client.take()) else { return };
         let closes = self.closes_after_response(key);
         let active = ClientState::Active(number);
@@ -95,7 +95,7 @@
 
     /// Forwards events of the engine's stream to the client; none if the client is gone.
     pub(crate) fn forward_events(&mut self, number: RequestNumber, events: &[u8]) -> Option<ClientPace> {
-        let key = self.requests.by_number.get(&number)?.client?;
+        let key = self.requests.get(number)?.client?;
         let closes = self.closes_after_response(key);
         let client = self.client_mut(key)?;
         if !std::mem::replace(&mut client.streaming, true) {
@@ -106,12 +106,12 @@
         }
         client.output.extend_from_slice(&chunk(events));
         let is_slow = client.unwritten_bytes() > MAX_OUTPUT_BYTES;
-        self.clients.pending_writes.push(key);
+        self.clients.queue_write(key);
         Some(if is_slow { ClientPace::Slow } else { ClientPace::KeepsUp })
     }
 
     pub(crate) fn flush_pending_clients(&mut self) {
-        for key in std::mem::take(&mut self.clients.pending_writes) {
+        for key in self.clients.take_pending_writes() {
             self.flush_client(key);
         }
     }
--- a/crates/pintally-platform-node/src/engine_connect.rs
+++ b/crates/pintally-platform-node/src/engine_connect.rs
@@ -142,7 +142,7 @@
     pub(crate) fn close_engine(&mut self, key: ConnectionKey) {
         if let Some(Connection::Engine(connection)) = self.connections.remove(key) {
             self.engines.pool.remove(connection.address, key);
-            self.engines.deadlines.remove(&(connection.deadline, key));
+            self.engines.remove_deadline(connection.deadline, key);
         }
     }
 }
--- a/crates/pintally-platform-node/src/engine_io.rs
+++ b/crates/pintally-platform-node/src/engine_io.rs
@@ -78,7 +78,7 @@
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get_mut(key) else { return };
         let Some(Work::Attempt(work)) = &connection.work else { return };
-        let Some(request) = self.requests.by_number.get(&work.number) else { return };
+        let Some(request) = self.requests.get(work.number) else { return };
         let remaining_ms = work.timeout_at.saturating_sub(now) / 1000;
         let body_bytes = connection.request.body_bytes();
         connection.request.head = encode_attempt_head(&request.head, remaining_ms, body_bytes);
--- a/crates/pintally-platform-node/src/engine_response.rs
+++ b/crates/pintally-platform-node/src/engine_response.rs
@@ -60,10 +60,7 @@
         self.schedule_deadline(key);
         tracing::debug!(request = number, attempt, bytes, "stream started");
         // The body is not needed any more: a stream that has started is not retried.
-        if let Some(request) = self.requests.by_number.get_mut(&number) {
-            self.requests.bytes -= request.body.len();
-            request.body = std::rc::Rc::from([]);
-        }
+        self.requests.discard_body(number);
         self.handle_input(Input::FirstToken(number, attempt));
     }
 
--- a/crates/pintally-platform-node/src/engine_timeouts.rs
+++ b/crates/pintally-platform-node/src/engine_timeouts.rs
@@ -17,9 +17,9 @@
         let Some(Connection::Engine(connection)) = self.connections.get_mut(key) else { return };
         let deadline = connection.timeout_at(idle_limit, stall_timeout);
         if deadline != connection.deadline {
-            self.engines.deadlines.remove(&(connection.deadline, key));
+            self.engines.remove_deadline(connection.deadline, key);
             connection.deadline = deadline;
-            self.engines.deadlines.insert((deadline, key));
+            self.engines.add_deadline(deadline, key);
         }
     }
 
@@ -27,9 +27,9 @@
     pub(crate) fn expire_engine_work(&mut self, now: Micros) {
         let idle_limit = self.engines.idle_limit.at(now);
         let stall_timeout = self.settings.limits.stall_timeout;
-        while let Some(&(at, key)) = self.engines.deadlines.first().filter(|(at, _)| *at <= now) {
+        while let Some((at, key)) = self.engines.next_deadline().filter(|(at, _)| *at <= now) {
             let Some(Connection::Engine(connection)) = self.connections.get(key) else {
-                self.engines.deadlines.remove(&(at, key));
+                self.engines.remove_deadline(at, key);
                 continue;
             };
             if connection.timeout_at(idle_limit, stall_timeout) > now {
@@ -48,7 +48,7 @@
     /// Ends a stream without progress; one that waits for its client is ended as the client's fault, not the
     /// engine's.
     fn expire_stream(&mut self, key: ConnectionKey, stream: StalledStream) {
-        let request = self.requests.by_number.get(&stream.number);
+        let request = self.requests.get(stream.number);
         match request.and_then(|request| request.client).filter(|_| stream.is_paused) {
             Some(client) => self.client_disconnected(client, CloseReason::Stuck),
             None => self.abandon(key, Outcome::ConnectionBroken),
--- a/crates/pintally-platform-node/src/event_loop.rs
+++ b/crates/pintally-platform-node/src/event_loop.rs
@@ -45,13 +45,13 @@
     /// How long the poller may wait: until the next timer, and not at all if requests wait to be parsed.
     fn poll_timeout(&self) -> Micros {
         let now = self.clock.now();
-        if !self.clients.pending_requests.is_empty() {
+        if self.clients.has_pending_requests() {
             return 0;
         }
         let timers = [
             self.host.next_wake(),
-            self.engines.deadlines.first().map(|(at, _)| *at),
-            self.host_queue.delayed.front().map(|(at, _)| *at),
+            self.engines.next_deadline().map(|(at, _)| at),
+            self.host_queue.next_delayed_at(),
             self.reload.next_attempt(),
             self.acceptor.paused_until,
             Some(self.watch.deadline()),
--- a/crates/pintally-platform-node/src/host_commands.rs
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -1,20 +1,20 @@
 //! Inputs to the host, and the execution of its commands.
 
 use pintally::interface::Micros;
-use pintally_host::{Command, Host, Input, RequestNumber};
+use pintally_host::{Command, Host, Input};
 
 use crate::node::Node;
 
 impl Node {
     /// Hands the host an input and executes its commands, until the queue of inputs is empty.
     pub(crate) fn handle_input(&mut self, input: Input) {
-        self.host_queue.inputs.push_back(input);
+        self.host_queue.push(input);
         self.drain_inputs();
     }
 
     /// Hands the host all queued inputs.
     pub(crate) fn drain_inputs(&mut self) {
-        while let Some(input) = self.host_queue.inputs.pop_front() {
+        while let Some(input) = self.host_queue.pop() {
             let now = self.clock.now();
             self.run_host(|host, commands| host.handle(now, input, commands));
         }
@@ -30,7 +30,7 @@
 
     /// Notifies the host of abandoned attempts whose delay is over.
     pub(crate) fn deliver_delayed_inputs(&mut self, now: Micros) {
-        while let Some((_, input)) = self.host_queue.delayed.pop_front_if(|(at, _)| *at <= now) {
+        while let Some(input) = self.host_queue.pop_delayed(now) {
             self.handle_input(input);
         }
     }
@@ -50,7 +50,7 @@
             Command::Attempt(order) => self.start_attempt(order),
             Command::Cancel(number, _) => self.cancel_attempt(number),
             Command::Answer(number, answer) => self.send_final_answer(number, answer),
-            Command::Over(number) => self.forget_request(number),
+            Command::Over(number) => self.requests.remove(number),
             Command::Release { name, engine, address, anew } => {
                 self.send_release(name, engine, address, anew)
             }
@@ -60,7 +60,7 @@
             Command::WithdrawReleases(id) => self.withdraw_releases(&id),
             // The platform has no health checks of engines, and its list arrives by the watch.
             Command::HealthCheck(engine, _, _) => {
-                self.host_queue.inputs.push_back(Input::HealthChecked(engine, false, None))
+                self.host_queue.push(Input::HealthChecked(engine, false, None))
             }
             Command::ReloadEndpointList => self.reopen_watch(),
             Command::Log(text) => self.log_host_message(&text),
@@ -74,12 +74,6 @@
         }
     }
 
-    fn forget_request(&mut self, number: RequestNumber) {
-        if let Some(request) = self.requests.by_number.remove(&number) {
-            self.requests.bytes -= request.body.len();
-        }
-    }
-
     fn log_host_message(&mut self, text: &str) {
         if self.log_limiter.allows(self.clock.now()) {
             tracing::info!("{text}");
--- a/crates/pintally-platform-node/src/listener.rs
+++ b/crates/pintally-platform-node/src/listener.rs
@@ -53,14 +53,14 @@
                     self.add_client(stream);
                 }
                 Err(error) => match accept_failure(&error) {
-                    AcceptFailure::NobodyWaits => return,
-                    AcceptFailure::TryNext => self.record_accept_failure(&error),
+                    AcceptFailure::NonePending => return,
+                    AcceptFailure::RetryNow => self.record_accept_failure(&error),
                     AcceptFailure::OutOfDescriptors => {
                         self.record_accept_failure(&error);
                         self.free_descriptor();
                         return self.pause_accepting();
                     }
-                    AcceptFailure::TryLater => {
+                    AcceptFailure::RetryLater => {
                         self.record_accept_failure(&error);
                         return self.pause_accepting();
                     }
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -13,16 +13,20 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use thiserror::Error;
 
+use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::connection::{Connection, ConnectionKey};
 use crate::endpoint_watch::EndpointWatch;
+use crate::engines::Engines;
 use crate::event_source::EventSource;
+use crate::host_queue::HostQueue;
 use crate::listener::Acceptor;
 use crate::log_limiter::LogLimiter;
 use crate::poller::{Interest, Poller};
 use crate::reload::Reload;
+use crate::requests::Requests;
+use crate::shutdown::Shutdown;
 use crate::signals::Signals;
-use crate::state::{Clients, Engines, HostQueue, Requests, Shutdown};
 use crate::syscall::retry_at_start;
 
 /// Connections that may wait to be accepted.
--- /dev/null
+++ b/crates/pintally-platform-node/src/requests.rs
@@ -0,0 +1,80 @@
+//! The requests in flight, and the memory that requests use.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use pintally::interface::Attempt;
+use pintally_host::RequestNumber;
+
+use crate::connection::ConnectionKey;
+
+/// A request, from its arrival until the host has ended it.
+pub(crate) struct ActiveRequest {
+    pub(crate) client: Option<ConnectionKey>,
+    pub(crate) head: String,
+    pub(crate) body: Rc<[u8]>,
+    /// The attempt in flight, and its connection.
+    pub(crate) attempt: Option<(Attempt, ConnectionKey)>,
+}
+
+/// The requests in flight.
+#[derive(Default)]
+pub(crate) struct Requests {
+    by_number: HashMap<RequestNumber, ActiveRequest>,
+    next_number: RequestNumber,
+    /// Bytes of the bodies of requests in flight, and of requests that are being received.
+    bytes: usize,
+}
+
+impl Requests {
+    /// The number of the next request.
+    pub(crate) fn next_number(&self) -> RequestNumber {
+        self.next_number
+    }
+
+    /// Bytes of the bodies of requests in flight, and of requests that are being received.
+    pub(crate) fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    pub(crate) fn get(&self, number: RequestNumber) -> Option<&ActiveRequest> {
+        self.by_number.get(&number)
+    }
+
+    pub(crate) fn get_mut(&mut self, number: RequestNumber) -> Option<&mut ActiveRequest> {
+        self.by_number.get_mut(&number)
+    }
+
+    /// The attempt in flight of a request, and its connection.
+    pub(crate) fn attempt_of(&self, number: RequestNumber) -> Option<(Attempt, ConnectionKey)> {
+        self.get(number).and_then(|request| request.attempt)
+    }
+
+    /// Adds a request under the next number.
+    pub(crate) fn insert(&mut self, client: ConnectionKey, head: String, body: Vec<u8>) {
+        self.bytes += body.len();
+        let request = ActiveRequest { client: Some(client), head, body: Rc::from(body), attempt: None };
+        self.by_number.insert(self.next_number, request);
+        self.next_number += 1;
+    }
+
+    /// Removes a request that the host has ended.
+    pub(crate) fn remove(&mut self, number: RequestNumber) {
+        if let Some(request) = self.by_number.remove(&number) {
+            self.bytes -= request.body.len();
+        }
+    }
+
+    /// Frees the body of a request that is not retried any more.
+    pub(crate) fn discard_body(&mut self, number: RequestNumber) {
+        if let Some(request) = self.by_number.get_mut(&number) {
+            self.bytes -= request.body.len();
+            request.body = Rc::from([]);
+        }
+    }
+
+    /// Replaces the number of bytes that a connection has buffered of requests that are being received.
+    pub(crate) fn account_buffered(&mut self, before: usize, after: usize) {
+        self.bytes = self.bytes + after - before;
+    }
+}
--- a/crates/pintally-platform-node/src/status.rs
+++ b/crates/pintally-platform-node/src/status.rs
@@ -10,8 +10,8 @@
 use pintally_host::Counters;
 use serde_json::{json, Map, Value};
 
+use crate::engines::EngineCounters;
 use crate::node::Node;
-use crate::state::EngineCounters;
 
 impl Node {
     /// The status document: what is estimated of each engine, beside what passed on its sockets.
@@ -25,7 +25,7 @@
             "held": self.host.open_requests(),
             "clients": self.clients.count,
             "connections": self.connections.len(),
-            "bytes": self.requests.bytes,
+            "bytes": self.requests.bytes(),
             "pace": admission_text(&self.host.admission_estimates()),
             "counters": counters_text(&self.host.counters()),
             "closes": counts_by_name(self.clients.closes.by_name()),
--- a/crates/pintally-platform-node/src/syscall.rs
+++ b/crates/pintally-platform-node/src/syscall.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptFailure {
     /// No connection waits to be accepted.
-    NobodyWaits,
+    NonePending,
     /// That connection is gone, or the call was interrupted: another one may wait.
-    TryNext,
+    RetryNow,
     /// The process is at its limit of descriptors.
     OutOfDescriptors,
     /// The system cannot accept at this moment.
-    TryLater,
+    RetryLater,
 }
 
 /// The meaning of a failed accept. Network errors that Linux returns from the new connection concern only that
@@ -23,7 +23,7 @@
 pub(crate) fn accept_failure(error: &io::Error) -> AcceptFailure {
     let errno = Errno::from_io_error(error);
     match errno {
-        Some(Errno::AGAIN) => AcceptFailure::NobodyWaits,
+        Some(Errno::AGAIN) => AcceptFailure::NonePending,
         Some(
             Errno::INTR
             | Errno::CONNABORTED
@@ -36,9 +36,9 @@
             | Errno::OPNOTSUPP
             | Errno::NETUNREACH
             | Errno::TIMEDOUT,
-        ) => AcceptFailure::TryNext,
+        ) => AcceptFailure::RetryNow,
         Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
-        _ => AcceptFailure::TryLater,
+        _ => AcceptFailure::RetryLater,
     }
 }
 
--- a/crates/pintally-platform-node/src/syscall/tests.rs
+++ b/crates/pintally-platform-node/src/syscall/tests.rs
@@ -8,29 +8,29 @@
 
 #[test]
 fn accept_error_table() {
-    use AcceptFailure::{NobodyWaits, OutOfDescriptors, TryLater, TryNext};
+    use AcceptFailure::{NonePending, OutOfDescriptors, RetryLater, RetryNow};
     let table = [
-        (Errno::AGAIN, NobodyWaits),
-        (Errno::WOULDBLOCK, NobodyWaits),
-        (Errno::INTR, TryNext),
-        (Errno::CONNABORTED, TryNext),
-        (Errno::PROTO, TryNext),
-        (Errno::NETDOWN, TryNext),
-        (Errno::NOPROTOOPT, TryNext),
-        (Errno::HOSTDOWN, TryNext),
-        (Errno::NONET, TryNext),
-        (Errno::HOSTUNREACH, TryNext),
-        (Errno::OPNOTSUPP, TryNext),
-        (Errno::NETUNREACH, TryNext),
-        (Errno::TIMEDOUT, TryNext),
+        (Errno::AGAIN, NonePending),
+        (Errno::WOULDBLOCK, NonePending),
+        (Errno::INTR, RetryNow),
+        (Errno::CONNABORTED, RetryNow),
+        (Errno::PROTO, RetryNow),
+        (Errno::NETDOWN, RetryNow),
+        (Errno::NOPROTOOPT, RetryNow),
+        (Errno::HOSTDOWN, RetryNow),
+        (Errno::NONET, RetryNow),
+        (Errno::HOSTUNREACH, RetryNow),
+        (Errno::OPNOTSUPP, RetryNow),
+        (Errno::NETUNREACH, RetryNow),
+        (Errno::TIMEDOUT, RetryNow),
         (Errno::MFILE, OutOfDescriptors),
-        (Errno::NFILE, TryLater),
-        (Errno::NOBUFS, TryLater),
-        (Errno::NOMEM, TryLater),
-        (Errno::PERM, TryLater),
-        (Errno::BADF, TryLater),
-        (Errno::INVAL, TryLater),
-        (Errno::NOTSOCK, TryLater),
+        (Errno::NFILE, RetryLater),
+        (Errno::NOBUFS, RetryLater),
+        (Errno::NOMEM, RetryLater),
+        (Errno::PERM, RetryLater),
+        (Errno::BADF, RetryLater),
+        (Errno::INVAL, RetryLater),
+        (Errno::NOTSOCK, RetryLater),
     ];
     for (errno, meaning) in table {
         assert_eq!(accept_failure(&error(errno)), meaning, "{errno}");
