--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -259,7 +259,7 @@
         for limit in &limits.limits {
             let told = self.keeper.store().get(&format!("{LIMIT}{}", limit.name));
             let most = told.and_then(|v| std::str::from_utf8(&v.bytes).ok()).and_then(|t| t.parse().ok());
-            lending.change(limit.id(), most.unwrap_or(limit.limit));
+            lending.set_limit_amount(limit.id(), most.unwrap_or(limit.limit));
         }
     }
 
--- a/crates/pintally-quota/src/granter.rs
+++ b/crates/pintally-quota/src/granter.rs
@@ -79,7 +79,7 @@
     }
 
     /// Changes the amount of a limit. Allocations follow as they are requested again.
-    pub fn change(&mut self, id: LimitId, amount: f64) {
+    pub fn set_limit_amount(&mut self, id: LimitId, amount: f64) {
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.limit.amount = amount;
         }
@@ -105,8 +105,8 @@
         let knows_all_leases = now >= self.started_at + debit_duration;
         pool.allocations.retain(|_, allocation| now < allocation.expires_at);
         let held = pool.record(&key, request, now + debit_duration, knows_all_leases)?;
-        let lendable = self.settings.lendable(&pool.limit).max(0.0);
-        let granted = pool.allocate(&key, held, lendable, knows_all_leases);
+        let grantable = self.settings.grantable(&pool.limit).max(0.0);
+        let granted = pool.allocate(&key, held, grantable, knows_all_leases);
         if let Some(allocation) = pool.allocations.get_mut(&key) {
             allocation.debit = held.max(f64::from(granted));
         }
@@ -153,17 +153,17 @@
     }
 
     /// The new allocation of a holder that holds `held`.
-    fn allocate(&self, key: &HolderKey, held: f64, lendable: f64, knows_all_leases: bool) -> f32 {
+    fn allocate(&self, key: &HolderKey, held: f64, grantable: f64, knows_all_leases: bool) -> f32 {
         let debited_to_others: f64 = self
             .allocations
             .iter()
             .filter(|(other, _)| *other != key)
             .map(|(_, allocation)| allocation.debit)
             .sum();
-        let available = if knows_all_leases { (lendable - debited_to_others).max(0.0) } else { held };
-        let mut target = self.target(key, held, lendable, available);
+        let available = if knows_all_leases { (grantable - debited_to_others).max(0.0) } else { held };
+        let mut target = self.target(key, held, grantable, available);
         let is_small_change = (target - held).abs() <= HYSTERESIS_FRACTION * held;
-        if is_small_change && held <= lendable - debited_to_others {
+        if is_small_change && held <= grantable - debited_to_others {
             target = held;
         }
         let granted = if target > held { target.min(available.max(held)) } else { target };
@@ -174,8 +174,8 @@
     }
 
     /// What a holder should have: its fair allocation, in whole units where the limit counts those.
-    fn target(&self, key: &HolderKey, held: f64, lendable: f64, available: f64) -> f64 {
-        let fair = self.fair_allocation(key, lendable);
+    fn target(&self, key: &HolderKey, held: f64, grantable: f64, available: f64) -> f64 {
+        let fair = self.fair_allocation(key, grantable);
         if self.limit.kind == LimitKind::Rate {
             return fair;
         }
@@ -190,15 +190,15 @@
 
     /// The fair allocation of a holder by water-filling: all get what they want, or as much as the others
     /// that want more.
-    fn fair_allocation(&self, key: &HolderKey, lendable: f64) -> f64 {
+    fn fair_allocation(&self, key: &HolderKey, grantable: f64) -> f64 {
         let mut wanted: Vec<f64> = self.allocations.values().map(|allocation| allocation.wanted).collect();
         let own = self.wanted_by(key);
         let total: f64 = wanted.iter().sum();
-        if total <= lendable {
-            return own + self.spare_per_holder(lendable - total, wanted.len());
+        if total <= grantable {
+            return own + self.spare_per_holder(grantable - total, wanted.len());
         }
         wanted.sort_by(f64::total_cmp);
-        let mut remaining = lendable;
+        let mut remaining = grantable;
         let count = wanted.len();
         for (satisfied, want) in wanted.into_iter().enumerate() {
             let equal_part = remaining / (count - satisfied) as f64;
--- a/crates/pintally-quota/src/leader_granter.rs
+++ b/crates/pintally-quota/src/leader_granter.rs
@@ -46,12 +46,12 @@
     }
 
     /// Changes the amount of a limit, for this granter and later ones.
-    pub fn change(&mut self, id: LimitId, amount: f64) {
+    pub fn set_limit_amount(&mut self, id: LimitId, amount: f64) {
         for (_, limit) in self.limits.iter_mut().filter(|(limit_id, _)| *limit_id == id) {
             limit.amount = amount;
         }
         if let Some(current) = &mut self.current {
-            current.granter.change(id, amount);
+            current.granter.set_limit_amount(id, amount);
         }
     }
 
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -131,7 +131,7 @@
     }
 
     /// The part of a limit that can be granted.
-    pub fn lendable(&self, limit: &Limit) -> f64 {
+    pub fn grantable(&self, limit: &Limit) -> f64 {
         match limit.enforcement {
             Enforcement::Hard => limit.amount - self.floor(limit) * f64::from(self.nodes.max(1)),
             Enforcement::Soft => limit.amount,
--- a/crates/pintally-quota/tests/allocation.rs
+++ b/crates/pintally-quota/tests/allocation.rs
@@ -102,7 +102,7 @@
     }
     fleet.run(8_000).unwrap();
     if let Some(granter) = &mut fleet.granter {
-        granter.change(ONE, 40.0);
+        granter.set_limit_amount(ONE, 40.0);
     }
     let from = fleet.now;
     while fleet.sum() > 40.0 * 1.0001 {
