--- a/crates/pintally-consensus/src/output.rs
+++ b/crates/pintally-consensus/src/output.rs
@@ -16,10 +16,10 @@
     Send(ReplicaName, Message),
     /// The proposal with this number was committed and applied: the resulting version, or, if the write
     /// was conditional and failed, the version that is stored instead.
-    Done(u64, Result<u64, u64>),
+    ProposalApplied(u64, Result<u64, u64>),
     /// The proposal with this number was rejected by this replica; see
     /// [`ProposalError::LeadershipLost`] for the case in which a later leader may still commit it.
-    Refused(u64, ProposalError),
+    ProposalRejected(u64, ProposalError),
     /// The contents of the store or the set of replicas changed.
     Changed,
 }
--- a/crates/pintally-consensus/src/replica/leadership.rs
+++ b/crates/pintally-consensus/src/replica/leadership.rs
@@ -89,7 +89,7 @@
         if self.role.is_leader() {
             self.leader = None;
             for proposal in std::mem::take(&mut self.pending_proposals).into_values() {
-                self.outbox.report(Output::Refused(proposal.number, ProposalError::LeadershipLost));
+                self.outbox.report(Output::ProposalRejected(proposal.number, ProposalError::LeadershipLost));
             }
         }
         self.joining = None;
--- a/crates/pintally-consensus/src/replica/membership_change.rs
+++ b/crates/pintally-consensus/src/replica/membership_change.rs
@@ -12,7 +12,7 @@
 impl Replica {
     /// Proposes another set of replicas, which adds or removes exactly one. A replica that is added has to
     /// catch up first: until it has, the proposal is rejected as [`ProposalError::Busy`] and has to be
-    /// repeated. The result is returned as [`Output::Done`] or [`Output::Refused`] with `number`.
+    /// repeated. The result is returned as [`Output::ProposalApplied`] or [`Output::ProposalRejected`] with `number`.
     pub fn propose_replicas(
         &mut self,
         now: Micros,
@@ -25,16 +25,16 @@
         let changed_count = current.symmetric_difference(&proposed).count();
         let resulting = Settings { replicas: replicas.clone(), ..self.settings.clone() };
         if changed_count != 1 || resulting.check().is_err() {
-            return out.push(Output::Refused(number, ProposalError::OutOfBounds));
+            return out.push(Output::ProposalRejected(number, ProposalError::OutOfBounds));
         }
         if self.role.is_leader() && !self.is_ready_for_change() {
-            return out.push(Output::Refused(number, ProposalError::Busy));
+            return out.push(Output::ProposalRejected(number, ProposalError::Busy));
         }
         if let Some(added) = proposed.difference(&current).next() {
             if self.role.is_leader() && !self.has_caught_up(added) {
                 self.joining = Some(added.clone());
                 self.track_progress();
-                out.push(Output::Refused(number, ProposalError::Busy));
+                out.push(Output::ProposalRejected(number, ProposalError::Busy));
                 return self.flush(out);
             }
         }
--- a/crates/pintally-consensus/src/replica/proposals.rs
+++ b/crates/pintally-consensus/src/replica/proposals.rs
@@ -20,11 +20,11 @@
 }
 
 impl Replica {
-    /// Proposes a write to the store. Its result is returned as [`Output::Done`] or [`Output::Refused`]
+    /// Proposes a write to the store. Its result is returned as [`Output::ProposalApplied`] or [`Output::ProposalRejected`]
     /// with `number`, now or after a later event.
     pub fn propose(&mut self, now: Micros, number: u64, write: Write, out: &mut Vec<Output>) {
         if !write.is_within_bounds() {
-            return out.push(Output::Refused(number, ProposalError::OutOfBounds));
+            return out.push(Output::ProposalRejected(number, ProposalError::OutOfBounds));
         }
         self.enter_proposal(now, number, LogCommand::Write(write), out);
     }
@@ -39,10 +39,10 @@
     ) {
         if self.leadership(now).is_none() {
             let other_leader = self.leader.clone().filter(|leader| *leader != self.settings.name);
-            return out.push(Output::Refused(number, ProposalError::NotLeader(other_leader)));
+            return out.push(Output::ProposalRejected(number, ProposalError::NotLeader(other_leader)));
         }
         if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
-            return out.push(Output::Refused(number, ProposalError::Busy));
+            return out.push(Output::ProposalRejected(number, ProposalError::Busy));
         }
         if matches!(command, LogCommand::ChangeReplicas(_)) {
             self.joining = None;
@@ -78,9 +78,9 @@
     fn report_applied(&mut self, entry_term: u64, result: Result<u64, u64>) {
         let Some(proposal) = self.pending_proposals.remove(&self.last_applied) else { return };
         self.outbox.report(if proposal.term == entry_term {
-            Output::Done(proposal.number, result)
+            Output::ProposalApplied(proposal.number, result)
         } else {
-            Output::Refused(proposal.number, ProposalError::LeadershipLost)
+            Output::ProposalRejected(proposal.number, ProposalError::LeadershipLost)
         });
     }
 
--- a/crates/pintally-consensus/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -174,8 +174,8 @@
                         self.push(after, Event::Deliver(to, from, message.clone()));
                     }
                 }
-                Output::Done(..) => self.completed += 1,
-                Output::Refused(..) | Output::Changed => {}
+                Output::ProposalApplied(..) => self.completed += 1,
+                Output::ProposalRejected(..) | Output::Changed => {}
             }
         }
         self.check(k);
--- a/crates/pintally-consensus/tests/membership_change.rs
+++ b/crates/pintally-consensus/tests/membership_change.rs
@@ -19,7 +19,7 @@
     let change = |cluster: &mut Cluster, k: usize, replicas: Vec<ReplicaName>| {
         let (clock, mut out) = (cluster.clock(k), Vec::new());
         cluster.nodes[k].replica.as_mut().unwrap().propose_replicas(clock, 1, replicas, &mut out);
-        let rejected = out.iter().any(|o| matches!(o, Output::Refused(..)));
+        let rejected = out.iter().any(|o| matches!(o, Output::ProposalRejected(..)));
         cluster.execute(k, out);
         !rejected
     };
--- a/crates/pintally-kserve-node/src/keeper.rs
+++ b/crates/pintally-kserve-node/src/keeper.rs
@@ -287,7 +287,7 @@
             }
             // Guards against a vote, or a confirmation, that a loss of power would undo.
             if !self.safe() {
-                if let Output::Done(number, _) = one {
+                if let Output::ProposalApplied(number, _) = one {
                     self.answer(
                         number,
                         Answer::no("this keeper's disk does not take it: ask whether it was made"),
@@ -302,11 +302,13 @@
                         self.send(FromReplica::To(to, bytes));
                     }
                 }
-                Output::Done(number, Ok(_)) => self.answer(number, Answer { done: true, why: "made".into() }),
-                Output::Done(number, Err(at)) => {
+                Output::ProposalApplied(number, Ok(_)) => {
+                    self.answer(number, Answer { done: true, why: "made".into() })
+                }
+                Output::ProposalApplied(number, Err(at)) => {
                     self.answer(number, Answer::no(format!("version {at} stands in its way")));
                 }
-                Output::Refused(number, why) => self.answer(number, Answer::no(why.to_string())),
+                Output::ProposalRejected(number, why) => self.answer(number, Answer::no(why.to_string())),
                 Output::Changed => self.changed(),
             }
         }
