--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -95,11 +95,11 @@
             limit.name,
             limit.limit,
             limit.counts.name(),
-            bounds.at_once,
-            bounds.each_more,
+            bounds.max_total,
+            bounds.per_additional_node,
             settings.core.nodes,
             bounds.floor,
-            bounds.returns_within as f64 / 1e6
+            bounds.max_reallocation_delay as f64 / 1e6
         );
     }
     lines
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -24,7 +24,13 @@
         held_back: true,
         for_ms: 5,
     };
-    let pool = PoolStatus { limit: 7, most: 12.0, lent: 3.0, wanted: 4.5, holders: vec![("n0".into(), 3.0)] };
+    let pool = PoolStatus {
+        limit: 7,
+        limit_amount: 12.0,
+        granted: 3.0,
+        wanted: 4.5,
+        holders: vec![("n0".into(), 3.0)],
+    };
     let got = [
         line(&verdict),
         line(&pool),
--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The greatest sum of all allocations at one time, with as many nodes as the settings name.
-    pub at_once: f64,
+    pub max_total: f64,
     /// What each additional node adds to that sum, and each additional process under a name in use.
-    pub each_more: f64,
+    pub per_additional_node: f64,
     /// By how much a rate is exceeded in any window at most, besides the largest single cost for each
     /// node that has used it and for each lease that expired in the window.
     pub burst: f64,
@@ -17,7 +17,7 @@
     pub floor: f64,
     /// The time after which an allocation that was lost with its holder can be granted again, provided
     /// that there is a granter. Before this time is over, a new granter only renews what is already held.
-    pub returns_within: Micros,
+    pub max_reallocation_delay: Micros,
 }
 
 impl Settings {
@@ -25,15 +25,15 @@
     pub fn bounds(&self, limit: &Limit) -> Bounds {
         let floor = self.floor(limit);
         let floors = floor * f64::from(self.nodes.max(1));
-        let at_once = match limit.enforcement {
+        let max_total = match limit.enforcement {
             Enforcement::Hard => limit.amount,
             Enforcement::Soft => limit.amount + floors,
         };
         let burst = match limit.kind {
-            LimitKind::Rate => at_once * self.burst as f64 / MICROS_PER_SECOND,
+            LimitKind::Rate => max_total * self.burst as f64 / MICROS_PER_SECOND,
             LimitKind::Concurrency => 0.0,
         };
-        let returns_within = self.debited_for(limit);
-        Bounds { at_once, each_more: floor, burst, floor, returns_within }
+        let max_reallocation_delay = self.debited_for(limit);
+        Bounds { max_total, per_additional_node: floor, burst, floor, max_reallocation_delay }
     }
 }
--- a/crates/pintally-quota/src/granter.rs
+++ b/crates/pintally-quota/src/granter.rs
@@ -49,9 +49,11 @@
     /// The limit.
     pub limit: u32,
     /// Its amount.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub limit_amount: f64,
     /// The sum of what is debited.
-    pub lent: f64,
+    #[serde(rename = "lent")]
+    pub granted: f64,
     /// The sum of what the holders could use.
     pub wanted: f64,
     /// What is debited for each holder.
@@ -227,8 +229,8 @@
         let holders = self.allocations.iter().map(|(key, allocation)| (key.name.clone(), allocation.debit));
         PoolStatus {
             limit: id.0,
-            most: self.limit.amount,
-            lent: self.allocations.values().map(|allocation| allocation.debit).sum(),
+            limit_amount: self.limit.amount,
+            granted: self.allocations.values().map(|allocation| allocation.debit).sum(),
             wanted: self.allocations.values().map(|allocation| allocation.wanted).sum(),
             holders: holders.collect(),
         }
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -303,14 +303,16 @@
         self.peak = self.peak.max(sum);
         let bounds = self.settings.bounds(&self.limit);
         let more = self.nodes.len().saturating_sub(self.settings.nodes as usize) as f64;
-        let most = bounds.at_once + more * bounds.each_more;
+        let most = bounds.max_total + more * bounds.per_additional_node;
         if sum > most * (1.0 + 1e-6) {
             return Err(format!("at {} ms all nodes may use {sum:.3} of {most:.3}", self.now / MS));
         }
         if self.limit.kind == LimitKind::Rate {
             let each = self.incarnations as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
-            let over = (bounds.at_once - self.limit.amount) * self.now as f64 / 1e6;
-            if self.excess > bounds.burst + each + over + more * bounds.each_more * self.now as f64 / 1e6 {
+            let over = (bounds.max_total - self.limit.amount) * self.now as f64 / 1e6;
+            if self.excess
+                > bounds.burst + each + over + more * bounds.per_additional_node * self.now as f64 / 1e6
+            {
                 return Err(format!("{:.1} beyond the limit in one window", self.excess));
             }
         } else {
--- a/crates/pintally-quota/tests/granter.rs
+++ b/crates/pintally-quota/tests/granter.rs
@@ -31,7 +31,7 @@
         let grant = granter.grant(now, "a", 2, &request(number, 0.0)).unwrap();
         returned_after = (grant.granted > 0.0).then_some(now - died);
     }
-    let bound = settings.bounds(&limit).returns_within;
+    let bound = settings.bounds(&limit).max_reallocation_delay;
     assert!(
         returned_after >= Some(settings.lease_duration) && returned_after <= Some(bound + 200 * MS),
         "{returned_after:?} of {bound}"
