--- a/crates/pintally-kserve-node/src/replica_thread/commands.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/commands.rs
@@ -125,7 +125,7 @@
             let stored = self.replica.store().get(&format!("{LIMIT_PREFIX}{}", limit.name));
             let amount = stored.and_then(|value| std::str::from_utf8(&value.bytes).ok());
             let amount = amount.and_then(|text| text.parse().ok());
-            granter.change(limit.id(), amount.unwrap_or(limit.limit));
+            granter.set_limit_amount(limit.id(), amount.unwrap_or(limit.limit));
         }
     }
 }
--- a/crates/pintally-kserve-node/src/replica_thread/mod.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/mod.rs
@@ -190,7 +190,7 @@
             // Guards against a vote, or a confirmation, that a loss of power would undo.
             if self.state_file.flush() {
                 self.release(output);
-            } else if let Output::Done(number, _) = output {
+            } else if let Output::ProposalApplied(number, _) = output {
                 let message = "this keeper's disk does not take it: ask whether it was made";
                 self.commands.answer(number, CommandAnswer::rejected(message));
             }
@@ -206,12 +206,14 @@
                     self.outputs.send(ReplicaOutput::Message { to, bytes });
                 }
             }
-            Output::Done(number, Ok(_)) => self.commands.answer(number, CommandAnswer::done("made")),
-            Output::Done(number, Err(version)) => {
+            Output::ProposalApplied(number, Ok(_)) => {
+                self.commands.answer(number, CommandAnswer::done("made"))
+            }
+            Output::ProposalApplied(number, Err(version)) => {
                 let message = format!("version {version} stands in its way");
                 self.commands.answer(number, CommandAnswer::rejected(message));
             }
-            Output::Refused(number, reason) => {
+            Output::ProposalRejected(number, reason) => {
                 self.commands.answer(number, CommandAnswer::rejected(reason.to_string()));
             }
             Output::Changed => self.apply_store(),
