--- a/crates/pintally-wire/src/labels.rs
+++ b/crates/pintally-wire/src/labels.rs
@@ -4,25 +4,22 @@
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, LoadReport, Micros};
 
-/// What turns the names of an instance's events into indices.
+/// Turns the labels of events into indices of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct LabelIndex {
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
-    fields: Vec<String>,
+    /// The labels of load reports that come as rows.
+    load_fields: Vec<String>,
 }
 
 impl LabelIndex {
     pub(crate) fn new<'a>(
         classes: impl Iterator<Item = &'a String>,
         tenants: impl Iterator<Item = &'a String>,
-        fields: Vec<String>,
+        load_fields: Vec<String>,
     ) -> LabelIndex {
-        let index = |names: &mut dyn Iterator<Item = &'a String>| {
-            names.enumerate().map(|(i, n)| (n.clone(), i)).collect()
-        };
-        let (mut classes, mut tenants) = (classes, tenants);
-        LabelIndex { classes: index(&mut classes), tenants: index(&mut tenants), fields }
+        LabelIndex { classes: by_name(classes), tenants: by_name(tenants), load_fields }
     }
 
     /// The index of a class.
@@ -38,13 +35,14 @@
     /// A load report as a row, in the order of the settings' fields.
     pub fn load(&self, row: &[Option<f64>]) -> LoadReport {
         let mut load = LoadReport::default();
-        for (name, value) in self.fields.iter().zip(row) {
-            put(&mut load, name, *value);
+        for (name, value) in self.load_fields.iter().zip(row) {
+            set_field(&mut load, name, *value);
         }
         load
     }
 
-    /// A load report as `name=value` pairs; `None` if any of it cannot be read or nothing is told.
+    /// A load report as `name=value` pairs; `None` if any of it cannot be read or nothing
+    /// is reported.
     pub fn load_of_pairs(&self, text: &str) -> Option<LoadReport> {
         let mut load = LoadReport::default();
         for pair in text.split(',') {
@@ -53,13 +51,19 @@
             if !value.is_finite() || value < 0.0 {
                 return None;
             }
-            put(&mut load, name.trim(), Some(value));
+            set_field(&mut load, name.trim(), Some(value));
         }
         (load != LoadReport::default()).then_some(load)
     }
 }
 
-fn put(load: &mut LoadReport, name: &str, value: Option<f64>) {
+/// The position of each name.
+fn by_name<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<String, usize> {
+    names.enumerate().map(|(index, name)| (name.clone(), index)).collect()
+}
+
+/// Sets the field of a load report that has this label; unknown labels are ignored.
+fn set_field(load: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "busy" | "util" => load.slots = value,
         "q" | "queue" => load.queue = value,
@@ -69,16 +73,16 @@
     }
 }
 
-/// What a list's word for an engine's state means; an unknown word takes it out of service.
-pub fn listing(word: &str) -> EndpointState {
-    match word {
+/// An engine's state by its label in a list; an unknown label takes the engine out of service.
+pub fn listing(label: &str) -> EndpointState {
+    match label {
         "SERVING" | "up" => EndpointState::Serving,
         "DRAINING" | "draining" => EndpointState::Draining,
         _ => EndpointState::Gone,
     }
 }
 
-/// An entry of a list of engines, whatever names its fields have on the way.
+/// An entry of an endpoint list, however its source spells the fields.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// The engine's id.
@@ -89,16 +93,16 @@
     pub kind: String,
     /// Its rack.
     pub rack: u64,
-    /// The word for its state.
+    /// The label of its state.
     pub state: String,
-    /// Its registered weight, if told.
+    /// Its registered weight, if it has one.
     pub weight: Option<f64>,
     /// Its last start, 0 or absent if long ago.
     pub started: Option<Micros>,
 }
 
 impl Entry {
-    /// The entry as the core takes it.
+    /// The entry as the decision core takes it.
     pub fn member(self) -> Endpoint {
         Endpoint {
             engine: EngineId(self.engine.into()),
