--- a/crates/pintally-bench-adapter/tests/wire.rs
+++ b/crates/pintally-bench-adapter/tests/wire.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_request_is_read_and_then_written() {
+fn request_is_read_then_written() {
     let output = run(&session(&[3]));
     assert!(output.status.success());
     let lines = lines(&output);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
+fn instances_are_independent() {
     let actions = |output: &Output, node: u64| -> Vec<Value> {
         lines(output).into_iter().filter(|l| l["node"] == node).collect()
     };
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn input_that_ends_between_batches_is_a_clean_end() {
+fn end_of_input_between_batches_is_success() {
     assert!(run("").status.success());
     let output = run(&batch(8.4, 1, ""));
     assert!(output.status.success());
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn broken_input_ends_with_one_plain_line() {
+fn malformed_input_ends_with_one_line_on_stderr() {
     let inside = "{\"t\":\"batch\",\"clock\":1.0,\"round\":1}\n";
     let cases = [
         (format!("{inside}{{\"t\":\"elapsed\"\n"), "line 2"),
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn settings_that_lack_a_key_are_answered_with_its_name() {
+fn missing_settings_key_is_reported_by_name() {
     for (group, key) in [
         ("", "profiles"),
         ("", "me"),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_number_outside_the_count_is_answered_with_a_plain_message() {
+fn node_number_out_of_range_is_reported() {
     for (me, balancers) in [(2, 2), (0, 0), (7, 3)] {
         let mut conf = conf();
         conf["me"] = json!(me);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_instance_that_was_stopped_forgets_everything() {
+fn stopped_instance_forgets_everything() {
     let stop = format!("{}\n{}", json!({"t": "teardown", "node": 3}), begin(3, &conf()));
     let input = [
         batch(10.0, 1, &begin(3, &conf())),
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A golden settings object with every key and word, and the labels of load reports and lists.
+//! A golden settings object with every key and value, and the labels of load reports and lists.
 
 use pintally::interface::{DiscoveryMode, EndpointState, Idempotency, IdempotencyScope, LoadReporting, Role};
 use pintally_wire::{listing, settings, NodeConfiguration};
@@ -6,8 +6,8 @@
 
 const SETTINGS: &str = include_str!("golden/settings.json");
 
-fn read(text: &str) -> NodeConfiguration {
-    settings(serde_json::from_str::<Value>(text).expect("JSON")).expect("a sound object")
+fn read(json: &str) -> NodeConfiguration {
+    settings(serde_json::from_str::<Value>(json).expect("JSON")).expect("valid settings")
 }
 
 #[test]
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn other_words() {
-    let text = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
-    let s = read(&text.replace("\"off\"", "\"nominal\"")).settings;
+fn other_values() {
+    let json = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
+    let s = read(&json.replace("\"off\"", "\"nominal\"")).settings;
     assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Push, LoadReporting::Inline)));
     assert!(s.weights);
     assert!(matches!(
@@ -81,11 +81,11 @@
         assert_eq!((load.slots, load.queue), (Some(0.5), Some(2.0)));
         assert_eq!((load.memory, load.backlog), (Some(0.25), Some(3.0)));
     }
-    for word in ["SERVING", "up"] {
-        assert!(matches!(listing(word), EndpointState::Serving), "{word}");
+    for label in ["SERVING", "up"] {
+        assert!(matches!(listing(label), EndpointState::Serving), "{label}");
     }
-    for word in ["DRAINING", "draining"] {
-        assert!(matches!(listing(word), EndpointState::Draining), "{word}");
+    for label in ["DRAINING", "draining"] {
+        assert!(matches!(listing(label), EndpointState::Draining), "{label}");
     }
     assert!(matches!(listing("removed"), EndpointState::Gone));
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,11 +5,11 @@
 /// A time or a span of time, in whole microseconds.
 pub type Micros = u64;
 
-/// The name of an engine, exactly as discovery gave it.
+/// The id of an engine, exactly as discovery gave it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
-/// The name of a request, exactly as the host gave it.
+/// The id of a request, exactly as the host gave it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
@@ -19,10 +19,10 @@
 /// What an engine can do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts; the read state waits in its memory.
+    /// Reads prompts (prefill); the read state waits in its memory.
     #[default]
     Reader,
-    /// Fetches a read state and streams the answer.
+    /// Fetches a read state and streams the answer (decode).
     Writer,
     /// Does either, or both in one attempt.
     Mixed,
@@ -35,11 +35,11 @@
     pub name: String,
     /// What engines of this kind do.
     pub role: Role,
-    /// Memory of one engine in tokens, 0 if not told.
+    /// Memory of one engine in tokens, 0 if unknown.
     pub memory_tokens: u64,
 }
 
-/// The part of the fleet that drops repeats of a keyed request.
+/// The part of the fleet that drops repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// Every engine.
@@ -50,14 +50,14 @@
     Rack,
 }
 
-/// What running a request twice would do.
+/// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated freely.
+    /// It may be repeated freely.
     Idempotent,
-    /// Repeats are dropped inside the group, for the window from the first send that may have run.
+    /// Repeats are dropped inside the scope, for the window from the first send that may have run.
     WithKey(IdempotencyScope, Micros),
-    /// Harm: it must not run twice.
+    /// It must not run twice.
     NotIdempotent,
 }
 
@@ -66,65 +66,65 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// What a repeat would do.
+    /// Whether its requests may run twice.
     pub effect: Idempotency,
     /// The first token is wanted within this time.
     pub latency_objective: Micros,
-    /// The aim grows by this much for each 1,000 prompt tokens.
+    /// The objective grows by this much for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Micros,
-    /// The wanted gap between tokens, 0 if not told.
+    /// The wanted interval between tokens, 0 if unknown.
     pub token_interval_objective: Micros,
-    /// What a request, or a unit of its work, is worth.
+    /// The weight of a request, or of a unit of its work, against other classes.
     pub priority_weight: f64,
-    /// The part of the worth that a late answer earns.
+    /// The part of the weight that a late answer still has.
     pub late_weight_fraction: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Requests a second within its share, over all nodes; 0 if not limited.
+    /// Requests a second within its quota, over all nodes; 0 if not limited.
     pub quota_per_s: f64,
 }
 
-/// How word of the fleet reaches a node.
+/// How the endpoint list reaches a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes are pushed to every node.
     Push,
-    /// Changes arrive only to a subscriber.
+    /// Changes reach subscribers only.
     Subscribe,
 }
 
 /// How load reports reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With outcomes and probe results.
+    /// With outcomes and the results of health checks.
     Inline,
-    /// With probe results only.
+    /// With the results of health checks only.
     OnHealthCheck,
     /// Not at all.
     Off,
 }
 
-/// All that a node is told when it starts.
+/// The settings with which a node starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's zone.
     pub zone: String,
-    /// The node's number among them, from 0.
+    /// The node's number among the nodes of the fleet, from 0.
     pub node: u32,
-    /// How many nodes serve this fleet.
+    /// How many nodes serve the fleet.
     pub nodes: u32,
-    /// The classes.
+    /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// The kinds of machine.
     pub kinds: Vec<EngineKind>,
-    /// How word of the fleet comes.
+    /// How the endpoint list comes.
     pub discovery: DiscoveryMode,
     /// How load reports come.
     pub reports: LoadReporting,
@@ -134,48 +134,48 @@
     pub writers_read_prompts: bool,
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Whether engines may be probed.
+    /// Whether engines may be health-checked.
     pub health_checks_allowed: bool,
-    /// Points that one probe for each request costs, 0 if not told.
+    /// Points that one health check for each request costs, 0 if unknown.
     pub health_check_price: f64,
-    /// Whether refused clients heed advice on when to come back.
+    /// Whether rejected clients honour Retry-After.
     pub clients_honour_retry_after: bool,
-    /// The longest advice that a client follows.
+    /// The longest Retry-After that a client follows.
     pub max_retry_after: Micros,
     /// The most attempts for one request.
     pub max_attempts: u32,
-    /// A cold engine has at least this share of its capacity.
+    /// An engine in slow start has at least this fraction of its capacity.
     pub slow_start_min_capacity: f64,
-    /// An engine is warm after this time at most.
+    /// Slow start ends after this time at most.
     pub slow_start_duration: Micros,
-    /// More than this many times its capacity tips a cold engine over.
+    /// More than this many times its capacity overloads an engine in slow start.
     pub overload_factor: f64,
-    /// The window over which that is counted.
+    /// The window over which its requests are counted.
     pub overload_window: Micros,
     /// A connection to an engine is up within this time, or counts as failed.
     pub connect_timeout: Micros,
-    /// What is held must be taken or let go within this time.
+    /// What an engine has reserved must be used or released within this time.
     pub release_deadline: Micros,
-    /// Where discovery must be asked: the longest time without asking.
+    /// Where discovery must be polled: the longest time between two polls.
     pub max_poll_interval: Micros,
-    /// Answers a second that one warm engine of each role gave this node in its life before (reads,
+    /// Answers a second that one warm engine of each role gave this node's last incarnation (reads,
     /// first tokens of fetched states, both), 0 if nothing is remembered.
     pub remembered_service_rates: [f64; 3],
 }
 
-/// What discovery says of an engine.
+/// The state of an engine by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes work.
+    /// It takes requests.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and takes no more.
     Draining,
-    /// It is gone.
+    /// It has left the fleet.
     #[default]
     Gone,
 }
 
-/// One entry of the list of engines.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The engine.
@@ -190,18 +190,18 @@
     pub state: EndpointState,
     /// Its registered weight.
     pub weight: f64,
-    /// When it last started, if lately.
+    /// When it last started, if recently.
     pub started: Option<Micros>,
 }
 
-/// How a list of engines is to be taken.
+/// How an endpoint list is to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Changed entries only.
     Delta,
-    /// All entries; whoever is missing is gone.
+    /// All entries; engines that are missing are gone.
     Full,
-    /// The list could not be had; the old one holds.
+    /// No list could be had; the old one stays in force.
     Failed,
 }
 
@@ -214,17 +214,17 @@
     Read,
     /// The engine sent an error back.
     Error,
-    /// Turned away: slots and queue are full.
+    /// Rejected: slots and queue are full.
     Overloaded,
-    /// Turned away: there was no state to fetch.
+    /// Rejected: there was no state to fetch.
     StateNotFound,
     /// No answer came in time.
     TimedOut,
-    /// No connection could be had.
+    /// No connection could be established.
     Unreachable,
     /// The connection broke.
     ConnectionBroken,
-    /// The attempt was called off.
+    /// The attempt was cancelled.
     Cancelled,
     /// The attempt was never sent.
     NeverSent,
@@ -233,11 +233,11 @@
 /// A load report; what an engine does not report is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of slots in use.
+    /// Fraction of slots in use.
     pub slots: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait at the engine.
     pub queue: Option<f64>,
-    /// Share of memory held.
+    /// Fraction of memory in use.
     pub memory: Option<f64>,
     /// Thousands of prompt tokens waiting to be read or fetched.
     pub backlog: Option<f64>,
@@ -246,7 +246,7 @@
 /// A request as the client sent it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its name.
+    /// Its id.
     pub id: RequestId,
     /// Index into [`Settings::classes`], if the class is known.
     pub class: Option<usize>,
@@ -254,17 +254,17 @@
     pub tenant: Option<usize>,
     /// The session.
     pub session: u64,
-    /// The beginning that it shares with other sessions.
+    /// The prefix that it shares with other sessions, if any.
     pub prefix: Option<u64>,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// How many of those are the shared beginning.
+    /// How many of those are the shared prefix.
     pub prefix_tokens: u64,
     /// The most tokens that the answer may have.
     pub max_tokens: u64,
     /// Time until the client gives up.
     pub client_timeout: Micros,
-    /// The client comes back after a broken or moved stream.
+    /// The client comes back after a broken or migrated stream.
     pub resumed: bool,
 }
 
@@ -279,37 +279,37 @@
     pub outcome: Outcome,
     /// The request has its final answer by this outcome or had it before.
     pub is_final: bool,
-    /// Prompt tokens found kept.
+    /// Prompt tokens that the engine had in its cache.
     pub cached_tokens: u64,
-    /// The engine's load.
+    /// The engine's load, if it reported one.
     pub load: Option<LoadReport>,
 }
 
-/// What a node learns.
+/// What happens to a node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Word of the fleet.
+    /// An endpoint list has come, or could not be had.
     EndpointList(ListUpdate, Vec<Endpoint>),
-    /// A client's request.
+    /// A client's request has arrived.
     RequestArrived(Request),
     /// The answer of an attempt has begun.
     FirstToken(RequestId, Attempt),
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has left.
+    /// The client has closed its request.
     ClientLeft(RequestId),
-    /// A probe's result: whether the engine answered, and its load.
+    /// The result of a health check: whether the engine answered, and its load.
     HealthChecked(EngineId, bool, Option<LoadReport>),
-    /// A timer has come due.
+    /// A timer has fired.
     TimerFired(Timer),
 }
 
-/// A timer's name.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Look at what is held back.
+    /// Dispatch pending requests.
     DispatchPending,
-    /// Look at engines and discovery.
+    /// Periodic maintenance of engines and discovery.
     Maintenance,
 }
 
@@ -318,20 +318,20 @@
 pub enum Action {
     /// Send the request to an engine, with a time-out.
     Send(RequestId, EngineId, Micros),
-    /// Turn the request away; trying again does no harm, after the given time if any.
+    /// Reject the request: the client may send it again, after the given time if any.
     Reject(RequestId, Option<Micros>),
-    /// Tell the client that the request failed.
+    /// Answer the client that the request failed: it may have run.
     Fail(RequestId),
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel(RequestId, Attempt),
-    /// Let go of what is held for the request.
+    /// Release what engines have reserved for the request.
     Release(RequestId),
-    /// Probe an engine.
+    /// Health-check an engine.
     HealthCheck(EngineId),
-    /// Wake the router after this time.
+    /// Fire the timer after this time.
     SetTimer(Timer, Micros),
     /// Subscribe to discovery.
     Subscribe,
-    /// Say something to the people on call.
+    /// Log a message for the engineers on call.
     Log(String),
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, events and a bookkeeper for the tests: it checks what a node can see of the rules.
+//! Settings, events and a recorder for the tests, which checks the invariants that a node can see.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -95,7 +95,7 @@
     }
 }
 
-/// A router together with what it has been told and has done.
+/// A router with the events that it was handed and the actions that it took.
 pub struct Node {
     pub router: Router,
     pub settings: Settings,
@@ -107,12 +107,12 @@
     /// Attempts by request: where, and the outcome once there is one.
     pub attempts: BTreeMap<RequestId, Vec<(EngineId, Micros, Option<Outcome>)>>,
     pub final_answers: BTreeMap<RequestId, Action>,
-    /// Served, broken or withdrawn: nothing more is owed.
+    /// Served, broken or withdrawn: no answer is due any more.
     over: BTreeSet<RequestId>,
     /// Requests with a state that waits, and since when.
     waiting_states: BTreeMap<RequestId, Micros>,
     started: BTreeSet<RequestId>,
-    /// Timers that are to come due.
+    /// Timers that are set.
     timers: Vec<(Micros, Timer)>,
 }
 
@@ -137,7 +137,7 @@
         node
     }
 
-    /// Hands over an event and returns what it brought about, checked against the rules.
+    /// Hands an event to the router and returns its actions, checked against the invariants.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = vec![];
         self.router.handle(self.now, event, &mut actions);
@@ -148,7 +148,7 @@
             let out = self.attempts[request].iter().any(|a| a.2.is_none());
             assert!(
                 out || self.now <= since + self.settings.release_deadline,
-                "state of {request:?} is left pinned"
+                "state of {request:?} is not released in time"
             );
         }
         self.actions.extend(actions.clone());
@@ -184,7 +184,7 @@
         name: &str,
         attempt: usize,
         outcome: Outcome,
-        kept: u64,
+        cached_tokens: u64,
     ) -> Vec<Action> {
         let request = id(name);
         let place = &mut self.attempts.get_mut(&request).unwrap()[attempt];
@@ -209,7 +209,7 @@
             attempt,
             outcome,
             is_final: last,
-            cached_tokens: kept,
+            cached_tokens,
             load: None,
         }))
     }
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Where the latest attempt of a request went.
+    /// The engine of the latest attempt of a request.
     pub fn engine_of(&self, name: &str) -> Option<&str> {
         self.attempts.get(&id(name)).and_then(|a| a.last()).map(|a| &*a.0 .0)
     }
@@ -251,7 +251,7 @@
         self.over.contains(request) || self.final_answers.contains_key(request)
     }
 
-    /// Requests that are owed a final answer.
+    /// Requests without a final answer.
     pub fn unanswered(&self) -> Vec<RequestId> {
         self.classes.keys().filter(|r| !self.is_over(r) && !self.started.contains(*r)).cloned().collect()
     }
@@ -328,7 +328,7 @@
                     Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
                     _ => !may_have_run,
                 };
-                assert!(allowed, "{request:?} may have run and is refused");
+                assert!(allowed, "{request:?} may have run and is rejected");
             }
             Action::Fail(request) => self.answer(request, act),
             Action::Release(request) => {
@@ -347,7 +347,7 @@
                 self.timers.push((self.now + after, *timer));
             }
             Action::Subscribe => assert_eq!(self.settings.discovery, DiscoveryMode::Subscribe),
-            Action::Log(text) => assert!(!text.is_empty()),
+            Action::Log(message) => assert!(!message.is_empty()),
         }
     }
 
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::{fleet, pair, report, serve};
 use pintally::interface::*;
 
-/// A node with a writer marked full, one request on its way and so no room for more.
+/// A node with a writer marked overloaded, one request in flight and so no capacity for more.
 fn without_capacity() -> Node {
     let mut node = Node::new(settings(), pair());
     node.request_arrived(request("first", 0, 1));
@@ -15,7 +15,7 @@
     node
 }
 
-/// Lets the request on its way begin and the mark pass, so that there is room.
+/// Lets the request in flight begin and the mark expire, so that there is capacity.
 fn free_capacity(node: &mut Node) {
     node.attempt_ended("way", Outcome::Read);
     node.first_token("way");
@@ -25,7 +25,7 @@
     }
 }
 
-/// The order in which held requests were sent.
+/// The order in which pending requests were sent.
 fn order_sent(node: &Node, names: &[&str]) -> Vec<String> {
     let sent = node.actions.iter().filter_map(|a| match a {
         Action::Send(id, _, _) if names.contains(&&*id.0) => Some(id.0.to_string()),
@@ -45,7 +45,7 @@
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Read);
     node.attempt_ended("a", Outcome::Overloaded);
-    // The writer is marked full: one request on its way is enough.
+    // The writer is marked overloaded: one request in flight is enough.
     node.request_arrived(request("b", 0, 2));
     node.request_arrived(request("c", 0, 3));
     assert!(node.engine_of("b").is_some() != node.engine_of("c").is_some());
@@ -59,10 +59,10 @@
     node.attempt_ended("a", Outcome::Overloaded);
     node.request_arrived(request("b", 0, 2));
     node.request_arrived(request("c", 0, 3));
-    let held = if node.engine_of("b").is_some() { "c" } else { "b" };
+    let delayed = if node.engine_of("b").is_some() { "c" } else { "b" };
     node.now += 1_100 * MS;
     node.dispatch_pending();
-    assert!(node.final_answers.contains_key(&id(held)), "long before its deadline");
+    assert!(node.final_answers.contains_key(&id(delayed)), "long before its deadline");
 }
 
 #[test]
@@ -83,7 +83,7 @@
     node.request_arrived(Request { tenant: Some(1), ..request("small", 0, 20) });
     node.now += MS;
     node.request_arrived(Request { tenant: Some(0), ..request("big9", 0, 30) });
-    // Room comes: the tenant within its share goes first although others came later.
+    // There is capacity again: the tenant within its quota goes first although others came later.
     node.attempt_ended("b", Outcome::Read);
     node.first_token("b");
     node.now += 310 * MS;
@@ -125,7 +125,7 @@
     node.attempt_ended("way", Outcome::Overloaded);
     node.request_arrived(request("next", 0, 3));
     node.now += 60 * MS;
-    // Its client asks again; its aim has all but passed by now, so without room it ends at once.
+    // Its client sends it again; its objective has all but passed by now, so without capacity it ends at once.
     node.request_arrived(request("again", 0, 10));
     assert!(matches!(node.final_answers[&id("again")], Action::Reject(..)));
     node.request_arrived(request("fresh", 0, 11));
@@ -167,8 +167,8 @@
         sign(&mut node);
         node.request_arrived(request("a", 0, 1));
         node.request_arrived(request("b", 0, 2));
-        let held = node.engine_of("a").is_none() || node.engine_of("b").is_none();
-        assert_eq!(held, number > 0, "sign {number}");
+        let delayed = node.engine_of("a").is_none() || node.engine_of("b").is_none();
+        assert_eq!(delayed, number > 0, "sign {number}");
     }
 }
 
@@ -220,7 +220,7 @@
 
 #[test]
 fn timeouts_lower_in_flight_limit_of_one_of_many_nodes() {
-    for (nodes, held) in [(2, false), (100, true)] {
+    for (nodes, delayed) in [(2, false), (100, true)] {
         let mut node = Node::new(Settings { nodes, ..settings() }, fleet());
         for i in 0..12 {
             let name = format!("out{i}");
@@ -235,6 +235,6 @@
             node.request_arrived(request(&format!("burst{i}"), 0, 100 + i));
         }
         let sent = (0..8).filter(|i| node.engine_of(&format!("burst{i}")).is_some()).count();
-        assert_eq!(sent < 4, held, "{sent} of 8 started by one of {nodes} nodes");
+        assert_eq!(sent < 4, delayed, "{sent} of 8 started by one of {nodes} nodes");
     }
 }
--- a/tests/policy/health_checks.rs
+++ b/tests/policy/health_checks.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::{fleet, pair, serve, session_of};
 use pintally::interface::*;
 
-/// One of many nodes, at a site where probes are allowed.
+/// One of many nodes, where health checks are allowed.
 fn one_of_many() -> Settings {
     Settings { nodes: 100, health_checks_allowed: true, ..settings() }
 }
@@ -15,26 +15,26 @@
 
 #[test]
 fn request_with_little_time_does_not_wait_for_health_check() {
-    let shape = Settings { nodes: 100, health_checks_allowed: true, ..settings() };
-    for patience in [20 * MS, 90 * MS, 2 * SECOND] {
-        let mut node = Node::new(shape.clone(), fleet());
-        node.request_arrived(Request { client_timeout: patience, ..request("a", 0, 1) });
-        let held = node.engine_of("a").is_none() && !node.final_answers.contains_key(&id("a"));
-        assert_eq!(held, patience > SECOND, "with {patience} us left");
+    let settings = Settings { nodes: 100, health_checks_allowed: true, ..settings() };
+    for client_timeout in [20 * MS, 90 * MS, 2 * SECOND] {
+        let mut node = Node::new(settings.clone(), fleet());
+        node.request_arrived(Request { client_timeout, ..request("a", 0, 1) });
+        let waiting = node.engine_of("a").is_none() && !node.final_answers.contains_key(&id("a"));
+        assert_eq!(waiting, client_timeout > SECOND, "with {client_timeout} us left");
     }
 }
 
 #[test]
 fn health_checks_are_paid_for_by_own_traffic() {
-    let shape = Settings { reports: LoadReporting::OnHealthCheck, ..one_of_many() };
+    let settings = Settings { reports: LoadReporting::OnHealthCheck, ..one_of_many() };
     let endpoints = (0..60).map(|i| endpoint(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
-    let mut node = Node::new(shape, endpoints);
+    let mut node = Node::new(settings, endpoints);
     let mut all = 0;
     for _ in 0..100 {
         node.now += 500 * MS;
         all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
     }
-    assert_eq!(all, 0, "without traffic there are no probes");
+    assert_eq!(all, 0, "without traffic there are no health checks");
     for i in 0..100 {
         let name = format!("a{i}");
         let arrival = node.request_arrived(request(&name, 0, i));
@@ -45,7 +45,7 @@
         node.now += 500 * MS;
         all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
     }
-    assert!((100..=600).contains(&all), "{all} probes for 100 requests");
+    assert!((100..=600).contains(&all), "{all} health checks for 100 requests");
 }
 
 #[test]
@@ -86,7 +86,7 @@
         node.request_arrived(request(&format!("a{i}"), 0, i));
     }
     let names = (0..200).map(|i| format!("a{i}"));
-    let held =
+    let waiting =
         names.filter(|n| node.engine_of(n).is_none() && !node.final_answers.contains_key(&id(n))).count();
-    assert!(held <= 4, "{held} of a burst wait for probes, each looked at again at every event");
+    assert!(waiting <= 4, "{waiting} of a burst wait for health checks, each looked at again at every event");
 }
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -22,18 +22,18 @@
     serve(&mut node, "a");
     let key = |name: &str, s| Request { prefix: Some(session), prefix_tokens: 1, ..request(name, 0, s) };
     node.request_arrived(key("b", 1_001));
-    assert_eq!(node.engine_of("b"), Some("r2"), "left alone");
+    assert_eq!(node.engine_of("b"), Some("r2"), "ejected");
     serve(&mut node, "b");
     node.now += 20 * SECOND;
-    let mut went = 0;
+    let mut returned = 0;
     for i in 0..40 {
         let name = format!("c{i}");
         node.request_arrived(key(&name, 2_000 + i));
-        went += usize::from(node.engine_of(&name) == Some("r1"));
+        returned += usize::from(node.engine_of(&name) == Some("r1"));
         serve(&mut node, &name);
         node.now += SECOND;
     }
-    assert!(went > 20, "the home gets its key back once it is warm, not {went} of 40");
+    assert!(returned > 20, "the preferred replica gets its key back once it is warm, not {returned} of 40");
 }
 
 #[test]
@@ -85,7 +85,7 @@
 }
 
 /// Guards against reads that many nodes move at the same time, each knowing of no better reader: what is
-/// moved is read twice, crowds out kept texts, and the jam outlives its cause.
+/// moved is read twice, crowds out cached prefixes, and the congestion outlives its cause.
 #[test]
 fn one_of_many_nodes_does_not_time_out_reads_early() {
     for (nodes, waits) in [(2, false), (100, true)] {
--- a/tests/policy/prefix_affinity.rs
+++ b/tests/policy/prefix_affinity.rs
@@ -21,14 +21,14 @@
 
 #[test]
 fn preferred_replicas_spread_over_readers() {
-    let homes: std::collections::BTreeSet<String> = (0..60)
+    let replicas: std::collections::BTreeSet<String> = (0..60)
         .map(|session| {
             let mut node = Node::new(settings(), fleet());
             node.request_arrived(request("a", 0, session));
             node.engine_of("a").unwrap().to_string()
         })
         .collect();
-    assert_eq!(homes.len(), 4);
+    assert_eq!(replicas.len(), 4);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
     let first = node.engine_of("a").unwrap().to_string();
-    // The home is turned away once, so that the text lies elsewhere than at home.
+    // The preferred replica rejects once, so that the prompt is cached elsewhere.
     node.attempt_ended("a", Outcome::Overloaded);
     let second = node.engine_of("a").unwrap().to_string();
     assert_ne!(first, second);
@@ -52,11 +52,11 @@
         |name: &str, session| Request { prefix: Some(99), prefix_tokens: 1_500, ..request(name, 0, session) };
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(shared("a", 1));
-    let home = node.engine_of("a").unwrap().to_string();
+    let preferred = node.engine_of("a").unwrap().to_string();
     serve(&mut node, "a");
     for (i, name) in ["b", "c", "d"].iter().enumerate() {
         node.request_arrived(shared(name, 10 + i as u64));
-        assert_eq!(node.engine_of(name), Some(home.as_str()));
+        assert_eq!(node.engine_of(name), Some(preferred.as_str()));
         serve(&mut node, name);
     }
 }
@@ -65,7 +65,7 @@
 fn affinity_table_decays() {
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
-    let home = node.engine_of("a").unwrap().to_string();
+    let preferred = node.engine_of("a").unwrap().to_string();
     node.attempt_ended("a", Outcome::Overloaded);
     let holder = node.engine_of("a").unwrap().to_string();
     serve(&mut node, "a");
@@ -75,14 +75,14 @@
     serve(&mut node, "b");
     node.now += 600 * SECOND;
     node.request_arrived(request("c", 0, 1));
-    assert_eq!(node.engine_of("c"), Some(home.as_str()));
+    assert_eq!(node.engine_of("c"), Some(preferred.as_str()));
 }
 
 #[test]
 fn restart_clears_affinity() {
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
-    let home = node.engine_of("a").unwrap().to_string();
+    let preferred = node.engine_of("a").unwrap().to_string();
     node.attempt_ended("a", Outcome::Overloaded);
     let holder = node.engine_of("a").unwrap().to_string();
     serve(&mut node, "a");
@@ -92,7 +92,7 @@
         fleet().into_iter().find(|m| *m.engine.0 == *holder).map(|m| Endpoint { started, ..m }).unwrap();
     node.update_endpoints(ListUpdate::Delta, vec![restarted]);
     node.request_arrived(request("b", 0, 1));
-    assert_eq!(node.engine_of("b"), Some(home.as_str()));
+    assert_eq!(node.engine_of("b"), Some(preferred.as_str()));
 }
 
 #[test]
@@ -113,14 +113,14 @@
     }
 }
 
-/// Guards against homes that differ from node to node by the few requests that each happened to see: a
-/// session's turns come to many nodes, and each would have its text read anew elsewhere.
+/// Guards against replicas that differ from node to node by the few requests that each happened to see: a
+/// session's turns come to many nodes, and each would have its prompt read again elsewhere.
 #[test]
 fn many_nodes_agree_on_preferred_replica() {
     let names = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
     let endpoints: Vec<Endpoint> = names.iter().map(|n| endpoint(n, "near", 1)).collect();
     let shared = |name: &str, own| Request { prefix: Some(7), prefix_tokens: 1_500, ..request(name, 0, own) };
-    let mut homes = BTreeSet::new();
+    let mut replicas = BTreeSet::new();
     for session in 0..8 {
         let mut blank = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
         let mut busy = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
@@ -136,9 +136,9 @@
         blank.request_arrived(shared("a", session));
         busy.request_arrived(shared("a", session));
         assert_eq!(blank.engine_of("a"), busy.engine_of("a"), "session {session}");
-        homes.insert(blank.engine_of("a").unwrap().to_string());
+        replicas.insert(blank.engine_of("a").unwrap().to_string());
     }
-    assert_eq!(homes.len(), 2, "a beginning has two homes: {homes:?}");
+    assert_eq!(replicas.len(), 2, "a prefix has two replicas: {replicas:?}");
 }
 
 #[test]
@@ -154,7 +154,7 @@
         node.request_arrived(request("b", 0, 1_000 + key));
         plain += usize::from(["r1", "r2"].contains(&node.engine_of("b").unwrap()));
     }
-    assert!(near > 190, "{near} of 200 homes lie where all writers are");
+    assert!(near > 190, "{near} of 200 replicas are where all writers are");
     assert!((10..=80).contains(&plain), "{plain} of 200 plain prompts");
 }
 
@@ -166,9 +166,9 @@
         endpoints.push(endpoint(&format!("w{i}"), "near", i));
     }
     let mut node = Node::new(Settings { nodes: 200, ..settings() }, endpoints);
-    let mut homes = [std::collections::BTreeSet::new(), Default::default()];
+    let mut replicas = [std::collections::BTreeSet::new(), Default::default()];
     for i in 0..120 {
-        // Every third request has the popular beginning, two in a hundred the rare one.
+        // Every third request has the hot prefix, two in a hundred the rare one.
         let prefix = if i % 3 == 0 {
             5
         } else if i % 50 == 1 {
@@ -179,11 +179,11 @@
         let name = format!("q{i}");
         node.request_arrived(Request { prefix: Some(prefix), prefix_tokens: 1_900, ..request(&name, 0, i) });
         if prefix < 7 {
-            homes[prefix as usize - 5].insert(node.engine_of(&name).unwrap().to_string());
+            replicas[prefix as usize - 5].insert(node.engine_of(&name).unwrap().to_string());
         }
         serve(&mut node, &name);
         node.now += 50 * MS;
     }
-    assert!((2..=4).contains(&homes[0].len()), "{homes:?}");
-    assert_eq!(homes[1].len(), 1, "{homes:?}");
+    assert!((2..=4).contains(&replicas[0].len()), "{replicas:?}");
+    assert_eq!(replicas[1].len(), 1, "{replicas:?}");
 }
--- a/tests/policy/request_flow.rs
+++ b/tests/policy/request_flow.rs
@@ -100,7 +100,7 @@
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Read);
     assert!(node.attempt_ended("a", Outcome::StateNotFound).contains(&Action::Release(id("a"))));
-    // It is read anew; whatever becomes of that, the end lets go once more.
+    // It is read again; whatever becomes of that, the end releases once more.
     node.now = node.deadline(&id("a")) + MS;
     assert!(node.attempt_ended("a", Outcome::TimedOut).contains(&Action::Release(id("a"))));
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -34,7 +34,7 @@
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 1, 1));
     let first = node.engine_of("a").unwrap().to_string();
-    // Its word may be all that got lost: the reader has most likely read the prompt.
+    // The answer may be all that got lost: the reader has most likely read the prompt.
     node.attempt_ended("a", Outcome::ConnectionBroken);
     assert!(node.final_answers.is_empty());
     assert_eq!(node.engine_of("a"), Some(first.as_str()));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::fixtures::{key_of, pair, serve};
 use pintally::interface::*;
 
-/// The sends that all nodes together make to a cold engine `target`, by time, where each node has a
+/// The sends that all nodes together make to an engine `target` in slow start, by time, where each node has a
 /// request every `gap`; with `known` each has served for a minute before the engine starts.
 fn sends_during_slow_start(
     nodes: u32,
@@ -21,10 +21,10 @@
         let mut node = Node::new(Settings { node: number, nodes, ..settings() }, endpoints);
         let begin = node.now + if known { 60 * SECOND } else { 0 };
         node.now += gap * Micros::from(number) / Micros::from(nodes);
-        let mut told = false;
+        let mut listed = false;
         for turn in 0.. {
-            if node.now >= begin && !told {
-                told = true;
+            if node.now >= begin && !listed {
+                listed = true;
                 let cold = Endpoint { started: Some(begin), ..endpoint(target, "near", 1) };
                 node.update_endpoints(ListUpdate::Delta, vec![cold]);
             }
@@ -38,10 +38,10 @@
                 prefix_tokens,
                 ..request(&name, 0, u64::from(number) << 32 | turn)
             });
-            sends.extend((told && node.engine_of(&name) == Some(target)).then_some(node.now));
+            sends.extend((listed && node.engine_of(&name) == Some(target)).then_some(node.now));
             if node.engine_of(&name).is_some_and(|at| at.starts_with('r')) {
                 node.attempt_ended(&name, Outcome::Read);
-                sends.extend((told && node.engine_of(&name) == Some(target)).then_some(node.now));
+                sends.extend((listed && node.engine_of(&name) == Some(target)).then_some(node.now));
             }
             node.first_token(&name);
             node.attempt_ended(&name, Outcome::Served);
@@ -69,7 +69,7 @@
         serve(&mut node, &name);
     }
     // 40 requests in 6.8 s: four windows of 2 s at the most.
-    assert!((1..=4).contains(&sends), "{sends} sends to a cold engine");
+    assert!((1..=4).contains(&sends), "{sends} sends to an engine in slow start");
     node.now += 20 * SECOND;
     let mut sends = 0;
     for session in 0..40 {
@@ -99,7 +99,7 @@
 
 #[test]
 fn single_broken_connection_does_not_start_slow_start() {
-    // On sockets a day of resets under sound engines had all fourteen count as cold from start to end.
+    // On sockets a scenario of resets under sound engines had all fourteen count as warming up throughout.
     for outcome in [Outcome::ConnectionBroken, Outcome::Unreachable] {
         let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
         for round in 0..20 {
@@ -125,22 +125,23 @@
     let cases = [(1, 200 * MS), (3, 400 * MS), (40, SECOND), (200, 4 * SECOND)];
     let targets = [("r2", true), ("w2", true), ("m2", true), ("r2", false), ("w2", false), ("m2", false)];
     for ((nodes, gap), (target, known)) in cases.iter().flat_map(|c| targets.map(|t| (*c, t))) {
-        let shape = settings();
+        let settings = settings();
         // Two engines share the requests; each could do a good deal more than it answers here.
         let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
-        let window = shape.overload_window;
-        let budget = shape.overload_factor * shape.slow_start_min_capacity * capacity * window as f64 / 1e6;
+        let window = settings.overload_window;
+        let budget =
+            settings.overload_factor * settings.slow_start_min_capacity * capacity * window as f64 / 1e6;
         let sends = sends_during_slow_start(nodes, gap, target, known, None);
         let within = |from: Micros| sends.iter().filter(|at| (from..from + window).contains(at)).count();
         let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
         assert!(most as f64 <= budget + 1.0, "{most} sends to {target}, {nodes} nodes, budget {budget:.1}");
-        assert!(!known || most > 0, "{nodes} nodes never warm {target}");
+        assert!(!known || most > 0, "{nodes} nodes never send to {target} in slow start");
     }
 }
 
 #[test]
 fn hot_prefix_does_not_overload_replica_in_slow_start() {
-    // A recorded rule broken: 26 of 46 nodes each sent one prompt of a hot beginning to its home within 1.5 s of
+    // A recorded violation: 26 of 46 nodes each sent one prompt of a hot prefix to its replica within 1.5 s of
     // its start. Reads are spread only where prompts begin differently.
     let endpoints: Vec<Endpoint> = ["r1", "r2", "w1", "w2"].map(|name| endpoint(name, "near", 1)).into();
     let key = key_of(&["r2"], &endpoints, |key| Request {
@@ -149,14 +150,16 @@
         ..request("x", 0, 1)
     });
     for (nodes, gap) in [(40, SECOND), (200, 4 * SECOND)] {
-        let shape = settings();
+        let settings = settings();
         let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
-        let budget =
-            shape.overload_factor * shape.slow_start_min_capacity * capacity * shape.overload_window as f64
-                / 1e6;
+        let budget = settings.overload_factor
+            * settings.slow_start_min_capacity
+            * capacity
+            * settings.overload_window as f64
+            / 1e6;
         let sends = sends_during_slow_start(nodes, gap, "r2", true, Some(key));
         let within = |from: Micros| {
-            sends.iter().filter(|at| (from..from + shape.overload_window).contains(at)).count()
+            sends.iter().filter(|at| (from..from + settings.overload_window).contains(at)).count()
         };
         let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
         assert!(most > 0 && most as f64 <= budget, "{most} sends, {nodes} nodes, budget {budget:.1}");
--- a/tests/policy/spill.rs
+++ b/tests/policy/spill.rs
@@ -7,7 +7,7 @@
 #[test]
 fn reads_over_cap_spill_along_the_ring() {
     let mut node = Node::new(settings(), fleet());
-    // One key, new text each time: a second whole prompt is over the home's cap.
+    // One key, an unseen prompt each time: a second whole prompt is over the replica's cap.
     let unread =
         |name: &str, session| Request { prefix: Some(5), prefix_tokens: 1, ..request(name, 0, session) };
     node.request_arrived(unread("a", 1));
@@ -15,7 +15,7 @@
     let (first, second) =
         (node.engine_of("a").unwrap().to_string(), node.engine_of("b").unwrap().to_string());
     assert_ne!(first, second);
-    // Without the home the next of the ring is the home: the spill followed the ring.
+    // Without the preferred replica the next of the ring is preferred: the spill followed the ring.
     let rest = fleet().into_iter().filter(|m| *m.engine.0 != *first).collect();
     let mut other = Node::new(settings(), rest);
     other.request_arrived(unread("a", 1));
@@ -26,12 +26,15 @@
 fn cached_tokens_do_not_count_against_cap() {
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
-    let home = node.engine_of("a").unwrap().to_string();
+    let preferred = node.engine_of("a").unwrap().to_string();
     serve(&mut node, "a");
     // Both are read but for a few tokens; together they stay under one whole prompt.
     node.request_arrived(request("b", 0, 1));
     node.request_arrived(request("c", 0, 1));
-    assert_eq!((node.engine_of("b"), node.engine_of("c")), (Some(home.as_str()), Some(home.as_str())));
+    assert_eq!(
+        (node.engine_of("b"), node.engine_of("c")),
+        (Some(preferred.as_str()), Some(preferred.as_str()))
+    );
 }
 
 #[test]
@@ -40,12 +43,12 @@
     let mut node = Node::new(settings(), endpoints);
     let turn = |name: &str, tokens| Request { prompt_tokens: tokens, ..request(name, 0, 1) };
     node.request_arrived(turn("a", 4_000));
-    let home = node.engine_of("a").unwrap().to_string();
+    let preferred = node.engine_of("a").unwrap().to_string();
     serve(&mut node, "a");
-    // The next turns add little: a line of three of them is shorter than the whole text elsewhere.
+    // The next turns add little: a queue of three of them is shorter than the whole prompt elsewhere.
     for (i, name) in ["b", "c", "d"].iter().enumerate() {
         node.request_arrived(turn(name, 4_400 + 400 * i as u64));
-        assert_eq!(node.engine_of(name), Some(home.as_str()));
+        assert_eq!(node.engine_of(name), Some(preferred.as_str()));
     }
 }
 
@@ -57,7 +60,7 @@
     let sized = |name: &str, session, tokens| Request { prompt_tokens: tokens, ..request(name, 0, session) };
     node.request_arrived(sized("a", one, 3_900));
     serve(&mut node, "a");
-    // The home's line is over its cap, but the other's, with the whole prompt to read, is longer.
+    // The preferred replica's queue is over its cap, but the other's, with the whole prompt to read, is longer.
     let key = |session, name: &str, tokens| Request { prefix: Some(session), ..sized(name, 5_000, tokens) };
     node.request_arrived(key(one, "long", 5_000));
     node.request_arrived(key(two, "other", 3_000));
@@ -66,8 +69,8 @@
     assert_eq!(node.engine_of("b"), Some("r1"));
 }
 
-/// Guards against a line of seconds that is forgotten after half a second: one of many nodes hears of a
-/// reader every ten seconds or so, and until then sends to its homes as if they were idle.
+/// Guards against a queue of seconds that is forgotten after half a second: one of many nodes gets a report
+/// of a reader every ten seconds or so, and until then sends to its replicas as if they were idle.
 #[test]
 fn reported_queue_drains_no_faster_than_fastest_read() {
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("r2", "near", 1), endpoint("w1", "near", 1)];
@@ -82,13 +85,13 @@
         node.handle(Event::HealthChecked(engine("r1"), true, Some(load)));
         node.now += waited;
         node.request_arrived(request("a", 0, session));
-        assert_eq!(node.engine_of("a"), Some(expected), "{waited} us after 100,000 tokens were told");
+        assert_eq!(node.engine_of("a"), Some(expected), "{waited} us after 100,000 tokens were reported");
     }
 }
 
 #[test]
 fn replica_behind_slow_link_with_few_writers_is_skipped() {
-    // Guards against a popular beginning whose states cannot leave its rack: reading it there goes on working.
+    // Guards against a hot prefix whose states cannot leave its rack: reading it there goes on working.
     let mut endpoints = vec![endpoint("w1", "near", 1), endpoint("r9", "near", 2)];
     endpoints.extend((1..=3).map(|i| endpoint(&format!("r{i}"), "near", 1)));
     endpoints.extend((2..=6).map(|i| endpoint(&format!("w{i}"), "near", 2)));
@@ -97,7 +100,7 @@
         |name: &str, key| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, key) };
     for (took, passed) in [(50 * MS, false), (1_500 * MS, true)] {
         let mut node = Node::new(Settings { reports: LoadReporting::Off, ..settings() }, endpoints.clone());
-        // A home of the rack with few writers, and what its states take over the link.
+        // A replica in the rack with few writers, and what its states take over the link.
         let key = key_of(&near, &endpoints, |key| shared("x", key));
         let (mut first, mut last) = (String::new(), String::new());
         for i in 0..60 {
@@ -114,7 +117,7 @@
         }
         assert!(near.contains(&first.as_str()));
         assert_eq!(!near.contains(&last.as_str()), passed, "{took} us: first {first}, last {last}");
-        // Nor may the reader that is left drown: on sockets two of five had 145,000 tokens in line while three
+        // Nor may the reader that is left drown: on sockets two of five had 145,000 tokens queued while three
         // stood idle. What finds it over its cap is read before the slow link after all.
         for i in 0..20 {
             let name = format!("p{i}");
--- a/tests/policy/writer_choice.rs
+++ b/tests/policy/writer_choice.rs
@@ -13,18 +13,18 @@
         endpoint("w3", "near", 1),
     ];
     let mut node = Node::new(settings(), endpoints);
-    let mut went = vec![];
+    let mut chosen = vec![];
     for i in 0..6 {
         let name = format!("s{i}");
         node.request_arrived(request(&name, 0, i));
         node.attempt_ended(&name, Outcome::Read);
-        went.push(node.engine_of(&name).unwrap().to_string());
+        chosen.push(node.engine_of(&name).unwrap().to_string());
         node.now += 5 * MS;
         node.first_token(&name);
     }
-    assert_eq!(went[0], "w3", "the reader's rack first");
-    assert!(went.contains(&"w2".to_string()), "the reader's zone when the rack's has more streams");
-    assert!(went.contains(&"w1".to_string()), "and then the rest");
+    assert_eq!(chosen[0], "w3", "the reader's rack first");
+    assert!(chosen.contains(&"w2".to_string()), "the reader's zone when the rack's has more streams");
+    assert!(chosen.contains(&"w1".to_string()), "and then the rest");
 }
 
 #[test]
@@ -42,7 +42,7 @@
         node.first_token(&name);
         far += usize::from(i >= 20 && went_far);
     }
-    assert!(far <= 2, "{far} of the last 20 went far");
+    assert!(far <= 2, "{far} of the last 20 left the rack");
 }
 
 #[test]
@@ -68,7 +68,7 @@
         endpoint("w2", "near", 2),
         endpoint("w3", "near", 2),
     ];
-    // The near writer told of much load: at first the far ones are better, later it wins again.
+    // The near writer has reported much load: at first the far ones are better, later it wins again.
     for (waited, near) in [(0, false), (20 * SECOND, true)] {
         let mut node = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
         for (name, memory) in [("w1", 0.85), ("w2", 0.1), ("w3", 0.1)] {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! The five rules, as far as a node can see them, over generated legal sequences of events. The
-//! bookkeeper in `common` asserts them at every action; there is no model of engines here.
+//! The invariants that a node can see, over generated legal sequences of events. The recorder in
+//! `common` asserts them at every action; there is no model of engines here.
 
 mod common;
 
@@ -11,8 +11,8 @@
 /// One step of a sequence; numbers are taken modulo what there is to choose from.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: usize, session: u64, prefix: u64, tokens: u64, patience: Micros },
-    End { which: usize, outcome: usize, kept: u64 },
+    Arrive { class: usize, session: u64, prefix: u64, tokens: u64, client_timeout: Micros },
+    End { which: usize, outcome: usize, cached: u64 },
     First { which: usize },
     Withdraw { which: usize },
     List { full: bool, engine: usize, listing: usize, restarted: bool },
@@ -23,10 +23,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0usize..4, 0u64..6, 0u64..4, 0u64..9_000, 50_000u64..6_000_000).prop_map(
-            |(class, session, prefix, tokens, patience)| Step::Arrive { class, session, prefix, tokens, patience }
+            |(class, session, prefix, tokens, client_timeout)| Step::Arrive { class, session, prefix, tokens, client_timeout }
         ),
         8 => (0usize..64, 0usize..12, 0u64..4_000)
-            .prop_map(|(which, outcome, kept)| Step::End { which, outcome, kept }),
+            .prop_map(|(which, outcome, cached)| Step::End { which, outcome, cached }),
         3 => (0usize..64).prop_map(|which| Step::First { which }),
         1 => (0usize..64).prop_map(|which| Step::Withdraw { which }),
         1 => (any::<bool>(), 0usize..8, 0usize..3, any::<bool>()).prop_map(
@@ -39,20 +39,20 @@
 
 fn varied() -> impl Strategy<Value = Settings> {
     (any::<(bool, bool, bool, bool)>(), 2u32..7, 0usize..3, 1u32..4, 0usize..3).prop_map(
-        |((may_cancel, may_probe, retry_advice, asked), max_attempts, group, nodes, reports)| {
+        |((cancellation, health_checks, retry_after, subscribe), max_attempts, group, nodes, reports)| {
             let group = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Rack][group];
             // Few nodes, or so many that each sees next to nothing.
             let nodes = if nodes == 3 { 150 } else { nodes };
             let mut settings = Settings {
-                cancellation_allowed: may_cancel,
-                health_checks_allowed: may_probe,
-                clients_honour_retry_after: retry_advice,
+                cancellation_allowed: cancellation,
+                health_checks_allowed: health_checks,
+                clients_honour_retry_after: retry_after,
                 max_attempts,
                 nodes,
                 ..settings()
             };
             settings.classes[2] = class("keyed", Idempotency::WithKey(group, SECOND));
-            settings.discovery = if asked { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
+            settings.discovery = if subscribe { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
             settings.reports =
                 [LoadReporting::Inline, LoadReporting::OnHealthCheck, LoadReporting::Off][reports];
             settings.tenants = vec![Tenant { name: "t".into(), quota_per_s: 2.0 }];
@@ -83,7 +83,7 @@
     node.attempts[request].last().is_some_and(|a| a.0 .0.starts_with('r'))
 }
 
-/// Ends the attempts whose time is up, as a host would, and fires the timer for held requests.
+/// Ends the attempts whose time is up, as a host would, and fires the timer for pending requests.
 fn pass(node: &mut Node, span: Micros) {
     let until = node.now + span;
     while node.now < until {
@@ -101,19 +101,19 @@
     let mut node = Node::new(settings, (0..5).map(entry).collect());
     for (number, step) in steps.iter().enumerate() {
         match step.clone() {
-            Step::Arrive { class, session, prefix, tokens, patience } => {
+            Step::Arrive { class, session, prefix, tokens, client_timeout } => {
                 node.request_arrived(Request {
                     class: (class < 3).then_some(class),
                     tenant: (session % 2 == 0).then_some(0),
                     prefix: (prefix > 0).then_some(prefix),
                     prefix_tokens: tokens / 2,
                     prompt_tokens: tokens,
-                    client_timeout: patience,
+                    client_timeout,
                     resumed: tokens % 5 == 0,
                     ..request(&format!("q{number:04}"), 0, session)
                 });
             }
-            Step::End { which, outcome, kept } => {
+            Step::End { which, outcome, cached } => {
                 let streaming = outcome >= 10;
                 let open = out(&node, streaming);
                 if open.is_empty() {
@@ -132,7 +132,7 @@
                     _ => Outcome::TimedOut,
                 };
                 let attempt = node.attempts[&request].len() - 1;
-                node.attempt_ended_with(&request.0, attempt, outcome, kept);
+                node.attempt_ended_with(&request.0, attempt, outcome, cached);
             }
             Step::First { which } => {
                 let open: Vec<_> = out(&node, false).into_iter().filter(|r| !reads(&node, r)).collect();
@@ -150,13 +150,14 @@
                 let listing = [EndpointState::Serving, EndpointState::Draining, EndpointState::Gone][listing];
                 let started = restarted.then_some(node.now);
                 let changed = Endpoint { state: listing, started, ..entry(engine) };
-                match full {
-                    true => node.update_endpoints(
+                if full {
+                    node.update_endpoints(
                         ListUpdate::Full,
                         (0..engine).map(entry).chain([changed]).collect(),
-                    ),
-                    false => node.update_endpoints(ListUpdate::Delta, vec![changed]),
-                };
+                    );
+                } else {
+                    node.update_endpoints(ListUpdate::Delta, vec![changed]);
+                }
             }
             Step::Fire { watch } => {
                 node.handle(Event::TimerFired(if watch {
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_any_legal_sequence() {
+fn invariants_hold_over_any_legal_sequence() {
     let steps = prop::collection::vec(step(), 1..160);
     runner()
         .run(&(varied(), steps), |(settings, steps)| {
