--- a/crates/pintally-cells/src/facade.rs
+++ b/crates/pintally-cells/src/facade.rs
@@ -6,11 +6,12 @@
     Endpoint, EndpointState, EngineId, Idempotency, LoadReport, Micros, Outcome, Role, Settings,
 };
 
+use crate::composition::{healthy_fraction, Composition};
 use crate::edge::{EdgeAdmission, EdgeDecision};
 use crate::engine_health::EngineHealth;
 use crate::file::CellsFile;
 use crate::health::{CellHealth, Level};
-use crate::loans::{counted, Has, Lendable, Loans};
+use crate::loans::{Loans, ServingEngine};
 use crate::move_rate::MoveRateController;
 use crate::overload::OverloadTracker;
 use crate::CellName;
@@ -185,7 +186,7 @@
         let own = self.members.get(engine).and_then(|(.., own)| own.as_ref());
         let cell = self.loans.borrower(engine).or(own);
         if let Some(ladder) = cell.and_then(|c| self.ladders.get_mut(c)) {
-            ladder.tried(matches!(outcome, Outcome::Served | Outcome::Read));
+            ladder.record_trial(matches!(outcome, Outcome::Served | Outcome::Read));
         }
     }
 
@@ -226,7 +227,7 @@
         let climb = climbs.then(|| now.saturating_add(1_000_000));
         let uneasy = self.engine_health.needs_tick(now) || self.overload.needs_tick(now);
         let look = uneasy.then(|| now.saturating_add(LOOK_EVERY));
-        [self.loans.next_end(), climb, look].into_iter().flatten().min()
+        [self.loans.next_return(), climb, look].into_iter().flatten().min()
     }
 
     /// Makes loans, takes steps, and says which engines each cell has.
@@ -239,11 +240,11 @@
         self.overload.tick(now);
         let known = |cell: &CellName| self.file.cells.iter().any(|c| c.name == *cell);
         // An engine that fails is as good as gone: another may stand in for it, and it for none.
-        let serving: Vec<Lendable> = self
+        let serving: Vec<ServingEngine> = self
             .members
             .values()
             .filter(|(m, ..)| m.state == EndpointState::Serving && !self.engine_health.is_failing(&m.engine))
-            .map(|(m, role, cell)| Lendable {
+            .map(|(m, role, cell)| ServingEngine {
                 engine: m.engine.clone(),
                 role: *role,
                 cell: cell.clone().filter(&known),
@@ -266,7 +267,7 @@
             self.borrowed.retain(|e, _| self.loans.borrower(e).is_some());
         }
         for cell in &self.file.cells {
-            let (mut has, mut weights) = (Has::default(), Vec::new());
+            let (mut has, mut weights) = (Composition::default(), Vec::new());
             let mut members = Vec::new();
             for (member, role, own) in self.members.values() {
                 let lent = self.loans.borrower(&member.engine) == Some(&cell.name);
@@ -285,7 +286,7 @@
                 members.push(member);
             }
             let Some(ladder) = self.ladders.get_mut(&cell.name) else { continue };
-            if ladder.update(now, has.share(cell), counted(cell, &weights)) {
+            if ladder.update(now, has.fraction(cell), healthy_fraction(cell, &weights)) {
                 let percent = (ladder.capacity() * 100.0).round();
                 let fails = if ladder.is_failing() { ", those that are there fail" } else { "" };
                 spread.notes.push(format!(
@@ -307,12 +308,12 @@
         let Some(ladder) = self.ladders.get_mut(&home) else {
             return CellAdmission::Rejected(Some(home), LOST_MS, "no cell");
         };
-        ladder.feel(now, self.overload.is_overloaded(now, &home));
-        let (level, serves, share) = (ladder.level(), ladder.serves(ask.class), ladder.share());
+        ladder.update_admission(now, self.overload.is_overloaded(now, &home));
+        let (level, serves, share) = (ladder.level(), ladder.admits(ask.class), ladder.usable_fraction());
         if level == Level::Unavailable {
             let harmless = ask.class.and_then(|c| self.safe.get(c)).copied().unwrap_or(false);
             let room = self.edge.used_slots() < self.places && self.edge.fits_body(&home, ask.bytes);
-            if !(harmless && room && ladder.trial(now)) {
+            if !(harmless && room && ladder.admit_trial(now)) {
                 return self.elsewhere(now, &home, ask);
             }
             self.edge.reserve(&home, ask.tenant, ask.bytes);
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -1,43 +1,45 @@
-//! How a cell that has lost engines goes down, step by step, and comes up again.
+//! The level of service of a cell that has lost engines, and its recovery.
 //!
-//! Down at once, up one step at a time and only after it has been calm: a cell whose engines come and
-//! go does not flap, and what it sheds does not wander.
+//! The level falls at once, and rises one step at a time, only after the cell has been calm: a cell whose engines
+//! come and go does not flap, and the classes that it sheds do not change all the time.
 
 use pintally::interface::Micros;
 
-/// Shares of what a cell is built for, under which it takes the next step down.
-const THIN: f64 = 0.75;
-const SHED: f64 = 0.4;
-/// A cell goes up a step when it has been above that step's share by this much,
-const MARGIN: f64 = 0.1;
-/// for this long.
-const CALM: Micros = 5_000_000;
-/// A cell whose engines count for less than this fails whatever it takes on: it counts as lost,
-const FAILING: f64 = 0.15;
-/// until they count for this much again.
-const RECOVERED: f64 = 0.5;
-/// While it fails, one harmless request goes in so often, to see whether it still does;
-const TRIAL_EVERY: Micros = 1_000_000;
-/// each good end halves the time to the next, down to this.
-const MIN_TRIAL: Micros = 60_000;
-/// A cell that sheds and is not late opens to this much more of what comes each second;
-const OPENS: f64 = 0.1;
-/// late, it closes again by half each second, down to what its engines are.
-const CLOSES: f64 = 0.5;
-/// Weight of a new arrival in the shares of classes.
-const BLEND: f64 = 0.02;
-
-/// Where a cell stands.
+/// Below this fraction of the needed engines a cell is constrained,
+const MIN_NORMAL_CAPACITY: f64 = 0.75;
+/// and below this one it sheds load.
+const MIN_CONSTRAINED_CAPACITY: f64 = 0.4;
+/// The level rises when the capacity has been above the threshold by this much,
+const HYSTERESIS: f64 = 0.1;
+/// for this long, in microseconds.
+const CALM_TIME_MICROS: Micros = 5_000_000;
+/// A cell whose engines' health scores add up to less than this fraction fails whatever it admits, and counts as
+/// unavailable,
+const MIN_WORKING_FRACTION: f64 = 0.15;
+/// until they add up to this fraction again.
+const MIN_RECOVERED_FRACTION: f64 = 0.5;
+/// Time between two trial requests to a failing cell, in microseconds;
+const TRIAL_INTERVAL_MICROS: Micros = 1_000_000;
+/// each success halves it, down to this.
+const MIN_TRIAL_INTERVAL_MICROS: Micros = 60_000;
+/// A cell that sheds load and is not overloaded admits this fraction more of the requests each second;
+const ADMISSION_INCREASE_PER_S: f64 = 0.1;
+/// overloaded, it admits this fraction of them each second, down to the capacity of its engines.
+const ADMISSION_DECREASE_PER_S: f64 = 0.5;
+/// Weight of a new arrival in the moving averages of the classes.
+const ARRIVAL_WEIGHT: f64 = 0.02;
+
+/// The level of service of a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// It serves everyone.
+    /// It serves all requests.
     #[default]
     Normal,
-    /// Tenants over their part are turned away sooner.
+    /// Tenants over their quota are rejected sooner.
     Constrained,
-    /// Only the most worthy classes are served, as many as there are engines for.
+    /// Only the classes of the highest priority are admitted, as many as there are engines for.
     Shedding,
-    /// It cannot serve: no engine reads, or none writes, or those that are there fail.
+    /// It cannot serve: it has no engine of a role, or its engines fail.
     Unavailable,
 }
 
@@ -51,160 +53,202 @@
             Level::Unavailable => "Lost",
         }
     }
+
+    /// The level of a cell with this fraction of the needed engines.
+    fn of_capacity(capacity: f64) -> Level {
+        match capacity {
+            capacity if capacity <= 0.0 => Level::Unavailable,
+            capacity if capacity < MIN_CONSTRAINED_CAPACITY => Level::Shedding,
+            capacity if capacity < MIN_NORMAL_CAPACITY => Level::Constrained,
+            _ => Level::Normal,
+        }
+    }
+
+    /// The next better level.
+    fn raised(self) -> Level {
+        match self {
+            Level::Unavailable => Level::Shedding,
+            Level::Shedding => Level::Constrained,
+            Level::Constrained | Level::Normal => Level::Normal,
+        }
+    }
 }
 
-/// One cell's way down and up.
+/// A class of requests.
+#[derive(Clone, Copy, Debug)]
+struct ClassArrivals {
+    /// Its share of the arrivals, a moving average.
+    share: f64,
+    priority_weight: f64,
+}
+
+/// The level of service of one cell.
 #[derive(Clone, Debug)]
 pub struct CellHealth {
     level: Level,
     capacity: f64,
-    /// Since when its capacity has been enough for one step up.
-    calm: Option<Micros>,
-    /// It is lost because its engines fail, not because they are gone.
+    /// Since when the capacity has been enough for the next better level.
+    calm_since: Option<Micros>,
+    /// Whether it is unavailable because its engines fail, not because they are gone.
     failing: bool,
-    /// When it may be tried again while it fails.
-    trial: Micros,
-    trial_every: Micros,
-    /// The share of what arrives that it serves while it sheds, and when that was last looked at.
-    open: f64,
-    felt: Micros,
-    /// Share of each class in what arrives, by its index, and what it is worth.
-    classes: Vec<(f64, f64)>,
+    /// When the next trial request may be admitted while it is failing.
+    next_trial: Micros,
+    trial_interval: Micros,
+    /// The fraction of arrivals that it admits while it sheds load, and when that was last updated.
+    admitted_fraction: f64,
+    admission_updated: Micros,
+    /// By the index of the class.
+    classes: Vec<ClassArrivals>,
 }
 
 impl CellHealth {
-    /// A ladder for classes worth so much each.
-    pub fn new(worths: impl Iterator<Item = f64>) -> CellHealth {
-        let classes: Vec<(f64, f64)> = worths.map(|w| (0.0, w)).collect();
-        let even = 1.0 / classes.len().max(1) as f64;
-        let classes = classes.into_iter().map(|(_, w)| (even, w)).collect();
+    /// A cell at the normal level, for classes with these priority weights.
+    pub fn new(priority_weights: impl Iterator<Item = f64>) -> CellHealth {
+        let mut classes: Vec<ClassArrivals> =
+            priority_weights.map(|priority_weight| ClassArrivals { share: 0.0, priority_weight }).collect();
+        let equal_share = 1.0 / classes.len().max(1) as f64;
+        classes.iter_mut().for_each(|class| class.share = equal_share);
         CellHealth {
             level: Level::Normal,
             capacity: 1.0,
-            calm: None,
+            calm_since: None,
             failing: false,
-            trial: 0,
-            trial_every: TRIAL_EVERY,
-            open: 1.0,
-            felt: 0,
+            next_trial: 0,
+            trial_interval: TRIAL_INTERVAL_MICROS,
+            admitted_fraction: 1.0,
+            admission_updated: 0,
             classes,
         }
     }
 
-    /// Where it stands.
+    /// The level of service.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// The share of its engines that it has.
+    /// The fraction of the needed engines that it has.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// The share of its places that it may use.
-    pub fn share(&self) -> f64 {
+    /// The fraction of its slots that it may use.
+    pub fn usable_fraction(&self) -> f64 {
         match self.level {
             Level::Normal => 1.0,
-            Level::Shedding => self.open,
-            _ => self.capacity,
+            Level::Shedding => self.admitted_fraction,
+            Level::Constrained | Level::Unavailable => self.capacity,
         }
     }
 
-    /// Takes in whether the cell is late. How many engines it has lost says what it could do when it
-    /// was full; how much of what comes it can do now shows only in whether it keeps up. Guards
-    /// against a cell with room to spare that turns away what it could serve.
-    pub fn feel(&mut self, now: Micros, late: bool) {
-        let passed = now.saturating_sub(self.felt) as f64 / 1e6;
-        self.felt = self.felt.max(now);
+    /// Adapts the admitted fraction to whether the cell is overloaded. The engines that it has lost say what it
+    /// could do when it was full; how much of the arrivals it can serve now shows only in whether it keeps up.
+    /// Guards against a cell with spare capacity that rejects what it could serve.
+    pub fn update_admission(&mut self, now: Micros, overloaded: bool) {
+        let elapsed_s = now.saturating_sub(self.admission_updated) as f64 / 1e6;
+        self.admission_updated = self.admission_updated.max(now);
         if self.level != Level::Shedding {
-            self.open = self.capacity;
-        } else if late {
-            self.open *= CLOSES.powf(passed);
+            self.admitted_fraction = self.capacity;
+        } else if overloaded {
+            self.admitted_fraction *= ADMISSION_DECREASE_PER_S.powf(elapsed_s);
         } else {
-            self.open += OPENS * passed;
+            self.admitted_fraction += ADMISSION_INCREASE_PER_S * elapsed_s;
         }
-        self.open = self.open.max(self.capacity).min(1.0);
+        self.admitted_fraction = self.admitted_fraction.max(self.capacity).min(1.0);
     }
 
-    /// Whether it is lost because its engines fail.
+    /// Whether it is unavailable because its engines fail.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
 
-    /// Whether a harmless request may go into a failing cell now, to see whether it still fails.
-    pub fn trial(&mut self, now: Micros) -> bool {
-        let due = self.failing && now >= self.trial;
+    /// Whether a failing cell admits an idempotent request now, as a trial.
+    pub fn admit_trial(&mut self, now: Micros) -> bool {
+        let due = self.failing && now >= self.next_trial;
         if due {
-            self.trial = now.saturating_add(self.trial_every);
+            self.next_trial = now.saturating_add(self.trial_interval);
         }
         due
     }
 
-    /// An attempt has ended in a cell that fails.
-    pub fn tried(&mut self, good: bool) {
+    /// Records the outcome of an attempt in a failing cell.
+    pub fn record_trial(&mut self, succeeded: bool) {
         if self.failing {
-            self.trial_every = if good { (self.trial_every / 2).max(MIN_TRIAL) } else { TRIAL_EVERY };
+            self.trial_interval = if succeeded {
+                (self.trial_interval / 2).max(MIN_TRIAL_INTERVAL_MICROS)
+            } else {
+                TRIAL_INTERVAL_MICROS
+            };
         }
     }
 
-    /// Takes in what share of its engines a cell has, the scarcer role's: by the list, and by how far
-    /// they can be counted on. Returns whether the level has changed.
-    pub fn update(&mut self, now: Micros, listed: f64, counted: f64) -> bool {
-        self.capacity = listed.min(counted).clamp(0.0, 1.0);
-        let bad = if self.failing { RECOVERED } else { FAILING };
-        self.failing = listed > 0.0 && counted < bad && (self.failing || counted < FAILING);
-        let failing = self.failing;
-        let fits = |capacity: f64| match capacity {
-            c if c <= 0.0 || failing => Level::Unavailable,
-            c if c < SHED => Level::Shedding,
-            c if c < THIN => Level::Constrained,
-            _ => Level::Normal,
-        };
-        let wanted = fits(self.capacity);
-        if wanted >= self.level {
-            let changed = wanted > self.level;
-            if changed {
-                self.open = self.capacity;
-            }
-            self.level = wanted;
-            self.calm = None;
-            return changed;
+    /// Updates the level by the fractions of the needed engines that are listed and that are healthy, and returns
+    /// whether the level has changed.
+    pub fn update(&mut self, now: Micros, listed: f64, healthy: f64) -> bool {
+        self.capacity = listed.min(healthy).clamp(0.0, 1.0);
+        let recovers = if self.failing { MIN_RECOVERED_FRACTION } else { MIN_WORKING_FRACTION };
+        self.failing = listed > 0.0 && healthy < recovers;
+        let target = self.level_of(self.capacity);
+        if target < self.level {
+            return self.try_raise(now, target);
         }
-        // A step up needs some more than its share; being able to serve at all needs no margin.
-        let careful = if self.level == Level::Unavailable { wanted } else { fits(self.capacity - MARGIN) };
-        if careful >= self.level {
-            self.calm = None;
+        let lowered = target > self.level;
+        if lowered {
+            self.admitted_fraction = self.capacity;
+        }
+        self.level = target;
+        self.calm_since = None;
+        lowered
+    }
+
+    fn level_of(&self, capacity: f64) -> Level {
+        if self.failing {
+            Level::Unavailable
+        } else {
+            Level::of_capacity(capacity)
+        }
+    }
+
+    /// Takes one step towards a better level, if it is time; whether it did.
+    fn try_raise(&mut self, now: Micros, target: Level) -> bool {
+        // Being able to serve at all needs neither a margin nor a calm time.
+        let was_unavailable = self.level == Level::Unavailable;
+        let safe_target = if was_unavailable { target } else { self.level_of(self.capacity - HYSTERESIS) };
+        if safe_target >= self.level {
+            self.calm_since = None;
             return false;
         }
-        let since = *self.calm.get_or_insert(now);
-        let wait = if self.level == Level::Unavailable { 0 } else { CALM };
-        if now < since.saturating_add(wait) {
+        let since = *self.calm_since.get_or_insert(now);
+        let calm_time = if was_unavailable { 0 } else { CALM_TIME_MICROS };
+        if now < since.saturating_add(calm_time) {
             return false;
         }
-        self.calm = Some(now);
-        self.level = match self.level {
-            Level::Unavailable => Level::Shedding,
-            Level::Shedding => Level::Constrained,
-            _ => Level::Normal,
-        };
+        self.calm_since = Some(now);
+        self.level = self.level.raised();
         true
     }
 
-    /// Takes in an arrival of a class, and says whether the cell serves that class now.
-    pub fn serves(&mut self, class: Option<usize>) -> bool {
-        for (index, (share, _)) in self.classes.iter_mut().enumerate() {
-            let came = if Some(index) == class { 1.0 } else { 0.0 };
-            *share += BLEND * (came - *share);
+    /// Counts an arrival of a class, and returns whether the cell admits that class now.
+    pub fn admits(&mut self, class: Option<usize>) -> bool {
+        for (index, arrivals) in self.classes.iter_mut().enumerate() {
+            let arrived = if Some(index) == class { 1.0 } else { 0.0 };
+            arrivals.share += ARRIVAL_WEIGHT * (arrived - arrivals.share);
         }
         match self.level {
             Level::Normal | Level::Constrained => true,
             Level::Unavailable => false,
-            // The most worthy first, until what they bring is what the engines left can do.
-            Level::Shedding => {
-                let Some(&(_, worth)) = class.and_then(|c| self.classes.get(c)) else { return false };
-                let above: f64 = self.classes.iter().filter(|(_, w)| *w > worth).map(|(s, _)| s).sum();
-                above < self.open.max(self.capacity)
-            }
+            Level::Shedding => class.is_some_and(|class| self.admits_while_shedding(class)),
         }
     }
+
+    /// Whether the classes of higher priority leave some of the admitted fraction to this one.
+    fn admits_while_shedding(&self, class: usize) -> bool {
+        let Some(own) = self.classes.get(class) else { return false };
+        let higher: f64 = self
+            .classes
+            .iter()
+            .filter(|other| other.priority_weight > own.priority_weight)
+            .map(|other| other.share)
+            .sum();
+        higher < self.admitted_fraction.max(self.capacity)
+    }
 }
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -7,6 +7,7 @@
 //! No input or output; time is handed in. `docs/cells.md` weighs the options.
 
 mod assign;
+mod composition;
 mod edge;
 mod engine_health;
 mod facade;
@@ -23,7 +24,7 @@
 pub use facade::{AdmissionRequest, CellAdmission, CellStatus, Cells, EngineAssignment};
 pub use file::{CellSpec, CellsFile, Home, MoveCommand, Needs, TenantHome};
 pub use health::{CellHealth, Level};
-pub use loans::{Lendable, Loans};
+pub use loans::{Loans, ServingEngine};
 pub use move_rate::MoveRateController;
 pub use moves::{Move, Step};
 pub use overload::OverloadTracker;
--- a/crates/pintally-cells/src/loans.rs
+++ b/crates/pintally-cells/src/loans.rs
@@ -1,280 +1,261 @@
-//! Loans: engines of the spare pool that stand in for what a cell has lost.
+//! Loans: spare engines that replace what a cell has lost.
 //!
-//! Who borrows what follows from the list of engines and the cells file; a loan once made stays until
-//! its cell has been whole for a while, so that engines that come and go move nothing.
+//! Which cell borrows which engine follows from the endpoint list and the cells file. A loan stays until its cell
+//! has been complete without it for a while, so that engines that come and go move nothing.
 
 use std::collections::BTreeMap;
 
 use pintally::interface::{EngineId, Micros, Role};
 
 use crate::assign::{draw, number};
-use crate::file::CellSpec;
+use crate::composition::{Composition, Shortage};
+use crate::file::{CellSpec, Needs};
 use crate::CellName;
 
-/// A cell must have been whole for so long before it gives an engine back.
-const WHOLE_FOR: Micros = 10_000_000;
+/// A cell must have been complete for this long before it returns its engines, in microseconds.
+const RETURN_DELAY_MICROS: Micros = 10_000_000;
 
-/// An engine that serves, by the list.
+/// A cell gives up a requested engine only to one that has borrowed at least this many fewer.
+const MIN_LOAN_DIFFERENCE: usize = 2;
+
+/// A serving engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lendable {
+pub struct ServingEngine {
     /// The engine.
     pub engine: EngineId,
-    /// What it does.
+    /// The engine's role.
     pub role: Role,
-    /// The cell that it belongs to; none if it is spare.
+    /// The cell that it belongs to; `None` if it is spare.
     pub cell: Option<CellName>,
 }
 
-/// Who has borrowed what.
-#[derive(Clone, Debug, Default)]
-pub struct Loans {
-    lent: BTreeMap<EngineId, CellName>,
-    /// Since when each borrower has been whole without what it has borrowed.
-    whole: BTreeMap<CellName, Micros>,
+/// A loan that could be made.
+#[derive(Clone, Debug)]
+struct NewLoan {
+    engine: EngineId,
+    borrower: CellName,
 }
 
-/// Engines of a cell by what they do.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Has {
-    pub(crate) readers: usize,
-    pub(crate) writers: usize,
-    pub(crate) mixed: usize,
+/// A cell that may borrow: what it is to have, and the rank among the cells; the lowest rank goes first.
+struct Candidate<'a, R> {
+    cell: &'a CellSpec,
+    target: Needs,
+    rank: R,
 }
 
-impl Has {
-    pub(crate) fn add(&mut self, role: Role) {
-        match role {
-            Role::Reader => self.readers += 1,
-            Role::Writer => self.writers += 1,
-            Role::Mixed => self.mixed += 1,
-        }
-    }
-
-    /// How many readers and writers are missing when mixed engines fill what lacks most.
-    pub(crate) fn missing(&self, cell: &CellSpec) -> (usize, usize) {
-        let mut readers = cell.needs.readers.saturating_sub(self.readers);
-        let mut writers = cell.needs.writers.saturating_sub(self.writers);
-        for _ in 0..self.mixed {
-            if readers >= writers {
-                readers = readers.saturating_sub(1);
-            } else {
-                writers -= 1;
-            }
-        }
-        (readers, writers)
-    }
-
-    /// The share of what the cell is built for that it has, the scarcer role's.
-    pub(crate) fn share(&self, cell: &CellSpec) -> f64 {
-        let (readers, writers) = self.missing(cell);
-        let of = |missing: usize, need: usize| 1.0 - missing as f64 / need.max(1) as f64;
-        of(readers, cell.needs.readers).min(of(writers, cell.needs.writers))
-    }
+/// The cells and the serving engines that loans are made for.
+#[derive(Clone, Copy)]
+struct Fleet<'a> {
+    cells: &'a [CellSpec],
+    serving: &'a [ServingEngine],
 }
 
-/// The share of what a cell is built for that its engines count for, the scarcer role's, when each
-/// counts for a part of itself and mixed engines fill what lacks most.
-pub(crate) fn counted(cell: &CellSpec, engines: &[(Role, f64)]) -> f64 {
-    let (mut readers, mut writers) = (cell.needs.readers as f64, cell.needs.writers as f64);
-    for (role, weight) in engines {
-        match role {
-            Role::Reader => readers -= weight,
-            Role::Writer => writers -= weight,
-            Role::Mixed => {}
-        }
-    }
-    for (_, weight) in engines.iter().filter(|(role, _)| *role == Role::Mixed) {
-        if readers >= writers {
-            readers -= weight;
-        } else {
-            writers -= weight;
-        }
-    }
-    let of = |missing: f64, need: usize| 1.0 - missing.max(0.0) / need.max(1) as f64;
-    of(readers, cell.needs.readers).min(of(writers, cell.needs.writers))
+/// The current loans.
+#[derive(Clone, Debug, Default)]
+pub struct Loans {
+    /// The borrower of each engine.
+    borrowers: BTreeMap<EngineId, CellName>,
+    /// Since when each borrower has been complete without its loans.
+    complete_since: BTreeMap<CellName, Micros>,
 }
 
 impl Loans {
     /// The cell that has borrowed an engine.
     pub fn borrower(&self, engine: &EngineId) -> Option<&CellName> {
-        self.lent.get(engine)
+        self.borrowers.get(engine)
     }
 
     /// How many engines are lent.
     pub fn len(&self) -> usize {
-        self.lent.len()
+        self.borrowers.len()
     }
 
-    /// Whether none is.
+    /// Whether no engine is lent.
     pub fn is_empty(&self) -> bool {
-        self.lent.is_empty()
+        self.borrowers.is_empty()
     }
 
     /// When a loan may end by time alone.
-    pub fn next_end(&self) -> Option<Micros> {
-        self.whole.values().min().map(|since| since.saturating_add(WHOLE_FOR))
+    pub fn next_return(&self) -> Option<Micros> {
+        let first = self.complete_since.values().min()?;
+        Some(first.saturating_add(RETURN_DELAY_MICROS))
     }
 
-    /// Makes and ends loans for the engines that serve now. `pairs` says how many readers and writers
-    /// more than it is built for a cell asks for. Returns whether anything has changed.
+    /// Makes and ends loans for the engines that serve now, and returns whether anything has changed.
+    /// `requested_pairs` says how many readers and writers beyond its needs a cell requests.
     ///
-    /// What cells have lost comes first: an engine that another has only asked for is taken back for
-    /// it at once. What is left goes to those that ask, the one that has borrowed least first.
+    /// Lost engines are replaced first: an engine that another cell has only requested is taken back for that at
+    /// once. What is left goes to the cells that request more, the one that has borrowed least first.
     pub fn update(
         &mut self,
         now: Micros,
         cells: &[CellSpec],
-        serving: &[Lendable],
-        pairs: impl Fn(&CellName) -> usize,
+        serving: &[ServingEngine],
+        requested_pairs: impl Fn(&CellName) -> usize,
     ) -> bool {
-        let before = self.lent.clone();
-        let spare = |e: &EngineId| serving.iter().any(|s| s.engine == *e && s.cell.is_none());
-        // An engine that is gone, or has been given to a cell for good, is lent no more.
-        self.lent.retain(|engine, cell| spare(engine) && cells.iter().any(|c| c.name == *cell));
-        let asked = |cell: &CellSpec| {
-            let (mut cell, more) = (cell.clone(), pairs(&cell.name));
-            cell.needs.readers += more;
-            cell.needs.writers += more;
-            cell
+        let before = self.borrowers.clone();
+        let fleet = Fleet { cells, serving };
+        let target = |cell: &CellSpec| {
+            let pairs = requested_pairs(&cell.name);
+            Needs { readers: cell.needs.readers + pairs, writers: cell.needs.writers + pairs }
         };
-        for cell in cells {
-            let whole = self.without(cell, serving).missing(&asked(cell)) == (0, 0);
-            let borrows = self.lent.values().any(|c| *c == cell.name);
-            if !whole || !borrows {
-                self.whole.remove(&cell.name);
-            } else {
-                let since = *self.whole.entry(cell.name.clone()).or_insert(now);
-                if now >= since.saturating_add(WHOLE_FOR) {
-                    self.lent.retain(|_, c| *c != cell.name);
-                    self.whole.remove(&cell.name);
-                }
-            }
+        self.end_invalid(fleet);
+        cells.iter().for_each(|cell| self.end_unneeded(now, cell, &target(cell), serving));
+        // The cell that has lost most is helped first, one engine at a time, so that none takes all.
+        while let Some(loan) = self.replacement(fleet) {
+            self.borrowers.insert(loan.engine, loan.borrower);
+        }
+        let requesting: Vec<(&CellSpec, Needs)> = cells
+            .iter()
+            .filter(|cell| requested_pairs(&cell.name) > 0)
+            .map(|cell| (cell, target(cell)))
+            .collect();
+        while let Some(loan) = self.requested(fleet, &requesting) {
+            self.borrowers.insert(loan.engine, loan.borrower);
         }
-        // Whoever has lost most is helped first, one engine at a time, so that none takes all.
-        loop {
-            let lost = cells.iter().map(|c| (c, c.clone(), self.with(c, serving).share(c)));
-            let next = self.next_loan(lost, serving, |c, missing| self.take_back(c, missing, cells, serving));
-            let Some((cell, engine)) = next else { break };
-            self.lent.insert(engine, cell);
+        self.borrowers != before
+    }
+
+    /// Ends the loans of engines that do not serve or belong to a cell now, and of cells that there are no more.
+    fn end_invalid(&mut self, fleet: Fleet) {
+        let is_spare =
+            |engine: &EngineId| fleet.serving.iter().any(|one| one.engine == *engine && one.cell.is_none());
+        self.borrowers.retain(|engine, borrower| {
+            is_spare(engine) && fleet.cells.iter().any(|cell| cell.name == *borrower)
+        });
+    }
+
+    /// Ends the loans of a cell that has had all it needs without them for long enough.
+    fn end_unneeded(&mut self, now: Micros, cell: &CellSpec, target: &Needs, serving: &[ServingEngine]) {
+        let complete = own_engines(cell, serving).shortage(target).is_none();
+        if !complete || self.borrowed(&cell.name) == 0 {
+            self.complete_since.remove(&cell.name);
+            return;
         }
-        // What nobody lacks goes to those that ask for more.
-        loop {
-            let asks = cells.iter().filter(|c| pairs(&c.name) > 0);
-            let asks = asks.map(|c| (c, asked(c), self.borrowed(&c.name)));
-            let next = self.next_loan(asks, serving, |c, missing| self.even_out(c, missing, cells, serving));
-            let Some((cell, engine)) = next else { break };
-            self.lent.insert(engine, cell);
+        let since = *self.complete_since.entry(cell.name.clone()).or_insert(now);
+        if now >= since.saturating_add(RETURN_DELAY_MICROS) {
+            self.borrowers.retain(|_, borrower| *borrower != cell.name);
+            self.complete_since.remove(&cell.name);
         }
-        self.lent != before
     }
 
-    /// Of cells with what each is to have and a rank: the least one that lacks something and can have
-    /// it, and the engine that helps, a spare one or else one that another gives.
-    fn next_loan<'c, R: PartialOrd>(
+    /// The next loan that replaces a lost engine.
+    fn replacement(&self, fleet: Fleet) -> Option<NewLoan> {
+        let candidates = fleet.cells.iter().map(|cell| Candidate {
+            cell,
+            target: cell.needs,
+            rank: self.all_engines(cell, fleet.serving).fraction(cell),
+        });
+        self.next_loan(candidates, fleet, |cell, shortage| self.reclaimable(cell, shortage, fleet))
+    }
+
+    /// The next loan that a cell only requests.
+    fn requested(&self, fleet: Fleet, requesting: &[(&CellSpec, Needs)]) -> Option<NewLoan> {
+        let candidates = requesting.iter().map(|(cell, target)| Candidate {
+            cell,
+            target: *target,
+            rank: self.borrowed(&cell.name),
+        });
+        self.next_loan(candidates, fleet, |cell, shortage| self.balancing(cell, shortage, fleet))
+    }
+
+    /// The loan for the candidate of the lowest rank that lacks an engine and can have one: a spare engine, or
+    /// else one that `other_source` finds.
+    fn next_loan<'a, R: PartialOrd>(
         &self,
-        cells: impl Iterator<Item = (&'c CellSpec, CellSpec, R)>,
-        serving: &[Lendable],
-        given: impl Fn(&CellSpec, (usize, usize)) -> Option<EngineId>,
-    ) -> Option<(CellName, EngineId)> {
-        let mut least: Option<(R, &CellSpec, EngineId)> = None;
-        for (cell, goal, rank) in cells {
-            let missing = self.with(cell, serving).missing(&goal);
-            if missing == (0, 0) || least.as_ref().is_some_and(|l| rank >= l.0) {
+        candidates: impl Iterator<Item = Candidate<'a, R>>,
+        fleet: Fleet,
+        other_source: impl Fn(&CellSpec, Shortage) -> Option<EngineId>,
+    ) -> Option<NewLoan> {
+        let mut lowest: Option<(R, NewLoan)> = None;
+        for Candidate { cell, target, rank } in candidates {
+            let shortage = self.all_engines(cell, fleet.serving).shortage(&target);
+            if shortage.is_none() || lowest.as_ref().is_some_and(|(lowest, _)| rank >= *lowest) {
                 continue;
             }
-            if let Some(engine) = self.pick(cell, missing, serving).or_else(|| given(cell, missing)) {
-                least = Some((rank, cell, engine));
+            let engine = self.spare(cell, shortage, fleet.serving).or_else(|| other_source(cell, shortage));
+            if let Some(engine) = engine {
+                lowest = Some((rank, NewLoan { engine, borrower: cell.name.clone() }));
             }
         }
-        least.map(|(_, cell, engine)| (cell.name.clone(), engine))
+        lowest.map(|(_, loan)| loan)
     }
 
     /// How many engines a cell has borrowed.
     fn borrowed(&self, cell: &CellName) -> usize {
-        self.lent.values().filter(|c| *c == cell).count()
-    }
-
-    /// A cell's own engines.
-    fn without(&self, cell: &CellSpec, serving: &[Lendable]) -> Has {
-        let mut has = Has::default();
-        serving.iter().filter(|s| s.cell.as_ref() == Some(&cell.name)).for_each(|s| has.add(s.role));
-        has
+        self.borrowers.values().filter(|borrower| *borrower == cell).count()
     }
 
     /// A cell's own engines and those that it has borrowed.
-    fn with(&self, cell: &CellSpec, serving: &[Lendable]) -> Has {
-        let mut has = self.without(cell, serving);
-        let lent = serving.iter().filter(|s| self.lent.get(&s.engine) == Some(&cell.name));
-        lent.for_each(|s| has.add(s.role));
-        has
+    fn all_engines(&self, cell: &CellSpec, serving: &[ServingEngine]) -> Composition {
+        let mut engines = own_engines(cell, serving);
+        serving
+            .iter()
+            .filter(|one| self.borrowers.get(&one.engine) == Some(&cell.name))
+            .for_each(|one| engines.add(one.role));
+        engines
     }
 
-    /// An engine lent to another cell that has all it is built for without it.
-    fn take_back(
-        &self,
-        cell: &CellSpec,
-        missing: (usize, usize),
-        cells: &[CellSpec],
-        serving: &[Lendable],
-    ) -> Option<EngineId> {
+    /// An engine lent to another cell that has all that it needs without it.
+    fn reclaimable(&self, cell: &CellSpec, shortage: Shortage, fleet: Fleet) -> Option<EngineId> {
         let mut found: Option<(usize, &EngineId)> = None;
-        for other in cells.iter().filter(|o| o.name != cell.name) {
-            let (mut without, borrowed) = (self.clone(), self.borrowed(&other.name));
-            for one in serving.iter().filter(|s| self.lent.get(&s.engine) == Some(&other.name)) {
-                if !fits(one.role, missing) {
-                    continue;
-                }
-                without.lent.remove(&one.engine);
-                let spared = without.with(other, serving).missing(other) == (0, 0);
-                without.lent.insert(one.engine.clone(), other.name.clone());
-                // The one that has borrowed most gives first.
-                if spared && found.is_none_or(|f| (borrowed, &one.engine) > f) {
+        for other in fleet.cells.iter().filter(|other| other.name != cell.name) {
+            let borrowed = self.borrowed(&other.name);
+            let lent = fleet
+                .serving
+                .iter()
+                .filter(|one| self.borrowers.get(&one.engine) == Some(&other.name))
+                .filter(|one| shortage.of_role(one.role) > 0)
+                .filter(|one| self.can_spare(other, &one.engine, fleet.serving));
+            // The cell that has borrowed most gives first.
+            for one in lent {
+                if found.is_none_or(|found| (borrowed, &one.engine) > found) {
                     found = Some((borrowed, &one.engine));
                 }
             }
         }
-        found.map(|f| f.1.clone())
+        found.map(|(_, engine)| engine.clone())
     }
 
-    /// An engine that another cell has asked for, where that has borrowed two more than this one.
-    fn even_out(
-        &self,
-        cell: &CellSpec,
-        missing: (usize, usize),
-        cells: &[CellSpec],
-        serving: &[Lendable],
-    ) -> Option<EngineId> {
-        let engine = self.take_back(cell, missing, cells, serving)?;
-        let from = self.lent.get(&engine)?;
-        (self.borrowed(from) >= self.borrowed(&cell.name) + 2).then_some(engine)
+    /// Whether a cell has all that it needs without an engine that it has borrowed.
+    fn can_spare(&self, cell: &CellSpec, engine: &EngineId, serving: &[ServingEngine]) -> bool {
+        let mut others = own_engines(cell, serving);
+        serving
+            .iter()
+            .filter(|one| self.borrowers.get(&one.engine) == Some(&cell.name) && one.engine != *engine)
+            .for_each(|one| others.add(one.role));
+        others.shortage(&cell.needs).is_none()
     }
 
-    /// The spare engine that a cell would borrow next: of the role that it lacks more, by hash.
-    fn pick(&self, cell: &CellSpec, missing: (usize, usize), serving: &[Lendable]) -> Option<EngineId> {
-        let wants = |role: Role| wanted(role, missing);
-        let free = serving.iter().filter(|s| s.cell.is_none() && !self.lent.contains_key(&s.engine));
-        free.filter(|s| wants(s.role) > 0)
+    /// An engine that another cell has requested, if that has borrowed notably more.
+    fn balancing(&self, cell: &CellSpec, shortage: Shortage, fleet: Fleet) -> Option<EngineId> {
+        let engine = self.reclaimable(cell, shortage, fleet)?;
+        let borrower = self.borrowers.get(&engine)?;
+        let differs = self.borrowed(borrower) >= self.borrowed(&cell.name) + MIN_LOAN_DIFFERENCE;
+        differs.then_some(engine)
+    }
+
+    /// The spare engine that a cell would borrow next: of the role that it lacks most, by hash.
+    fn spare(&self, cell: &CellSpec, shortage: Shortage, serving: &[ServingEngine]) -> Option<EngineId> {
+        let preference = |one: &ServingEngine| (shortage.of_role(one.role), one.role != Role::Mixed);
+        let hash = |one: &ServingEngine| draw(&cell.name.0, number(&one.engine.0));
+        serving
+            .iter()
+            .filter(|one| one.cell.is_none() && !self.borrowers.contains_key(&one.engine))
+            .filter(|one| shortage.of_role(one.role) > 0)
             .max_by(|a, b| {
-                let mixed = |s: &Lendable| s.role != Role::Mixed;
-                let drawn = |s: &Lendable| draw(&cell.name.0, number(&s.engine.0));
-                (wants(a.role), mixed(a))
-                    .cmp(&(wants(b.role), mixed(b)))
-                    .then_with(|| drawn(a).total_cmp(&drawn(b)))
+                preference(a)
+                    .cmp(&preference(b))
+                    .then_with(|| hash(a).total_cmp(&hash(b)))
                     .then_with(|| a.engine.cmp(&b.engine))
             })
-            .map(|s| s.engine.clone())
-    }
-}
-
-/// How many engines of a role would help whoever misses so many readers and writers.
-fn wanted(role: Role, missing: (usize, usize)) -> usize {
-    match role {
-        Role::Reader => missing.0,
-        Role::Writer => missing.1,
-        Role::Mixed => missing.0.max(missing.1),
+            .map(|one| one.engine.clone())
     }
 }
 
-fn fits(role: Role, missing: (usize, usize)) -> bool {
-    wanted(role, missing) > 0
+/// The engines that belong to a cell.
+fn own_engines(cell: &CellSpec, serving: &[ServingEngine]) -> Composition {
+    let mut engines = Composition::default();
+    serving.iter().filter(|one| one.cell.as_ref() == Some(&cell.name)).for_each(|one| engines.add(one.role));
+    engines
 }
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Assignment, moves, loans, ladder and edge over generated histories, and an exhaustive search of
+//! Assignment, moves, loans, health and edge over generated histories, and an exhaustive search of
 //! moves as three nodes see them.
 
 mod common;
@@ -338,28 +338,28 @@
 
 #[test]
 fn a_cell_goes_down_at_once_and_up_step_by_step() {
-    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
+    let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
-    assert!(ladder.update(0, 0.2, 0.2));
-    assert_eq!(ladder.level(), Level::Shedding);
+    assert!(health.update(0, 0.2, 0.2));
+    assert_eq!(health.level(), Level::Shedding);
     // Just over the step's share is not enough to go up.
     for s in 1..20 {
-        ladder.update(s * second, 0.42, 0.42);
+        health.update(s * second, 0.42, 0.42);
     }
-    assert_eq!(ladder.level(), Level::Shedding);
-    ladder.update(20 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Shedding);
-    ladder.update(26 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Constrained);
-    ladder.update(27 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Constrained);
-    ladder.update(32 * second, 1.0, 1.0);
-    assert_eq!(ladder.level(), Level::Normal);
-    ladder.update(33 * second, 0.0, 0.0);
-    assert_eq!(ladder.level(), Level::Unavailable);
+    assert_eq!(health.level(), Level::Shedding);
+    health.update(20 * second, 1.0, 1.0);
+    assert_eq!(health.level(), Level::Shedding);
+    health.update(26 * second, 1.0, 1.0);
+    assert_eq!(health.level(), Level::Constrained);
+    health.update(27 * second, 1.0, 1.0);
+    assert_eq!(health.level(), Level::Constrained);
+    health.update(32 * second, 1.0, 1.0);
+    assert_eq!(health.level(), Level::Normal);
+    health.update(33 * second, 0.0, 0.0);
+    assert_eq!(health.level(), Level::Unavailable);
     // Able to serve at all, it does so at once.
-    ladder.update(34 * second, 0.5, 0.5);
-    assert_eq!(ladder.level(), Level::Shedding);
+    health.update(34 * second, 0.5, 0.5);
+    assert_eq!(health.level(), Level::Shedding);
 }
 
 /// A node that starts knows the cells before their engines: that is no loss.
@@ -387,34 +387,34 @@
 /// What a cell can do shows in whether it keeps up: it opens while it does, and closes when it does not.
 #[test]
 fn what_sheds_opens_while_it_keeps_up() {
-    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
+    let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
-    ladder.update(0, 0.2, 0.2);
-    ladder.feel(0, false);
-    let served = |ladder: &mut CellHealth| (0..300).filter(|n| ladder.serves(Some(n % 3))).count();
-    assert_eq!(served(&mut ladder), 100);
-    (1..=6).for_each(|s| ladder.feel(s * second, false));
-    assert_eq!(served(&mut ladder), 300, "at 0.8 the least worthy third begins below it");
-    (7..=9).for_each(|s| ladder.feel(s * second, true));
-    assert_eq!(served(&mut ladder), 100);
-    assert!(ladder.share() >= 0.2);
+    health.update(0, 0.2, 0.2);
+    health.update_admission(0, false);
+    let served = |health: &mut CellHealth| (0..300).filter(|n| health.admits(Some(n % 3))).count();
+    assert_eq!(served(&mut health), 100);
+    (1..=6).for_each(|s| health.update_admission(s * second, false));
+    assert_eq!(served(&mut health), 300, "at 0.8 the least worthy third begins below it");
+    (7..=9).for_each(|s| health.update_admission(s * second, true));
+    assert_eq!(served(&mut health), 100);
+    assert!(health.usable_fraction() >= 0.2);
 }
 
 #[test]
 fn what_sheds_serves_the_most_worthy() {
-    let mut ladder = CellHealth::new([1.0, 2.0, 3.0].into_iter());
-    ladder.update(0, 0.3, 0.3);
+    let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
+    health.update(0, 0.3, 0.3);
     let mut served = [0; 3];
     for n in 0..3000 {
         let class = n % 3;
-        served[class] += usize::from(ladder.serves(Some(class)));
+        served[class] += usize::from(health.admits(Some(class)));
     }
     assert_eq!((served[0], served[2]), (0, 1000));
-    assert!(!ladder.serves(None));
+    assert!(!health.admits(None));
 }
 
-fn engine(id: &str, role: Role, cell: Option<&str>) -> Lendable {
-    Lendable { engine: EngineId(id.into()), role, cell: cell.map(CellName::from) }
+fn engine(id: &str, role: Role, cell: Option<&str>) -> ServingEngine {
+    ServingEngine { engine: EngineId(id.into()), role, cell: cell.map(CellName::from) }
 }
 
 proptest! {
@@ -440,7 +440,7 @@
         for (which, is_up, seconds) in history {
             up[which % all.len()] = is_up;
             now += seconds * 1_000_000;
-            let serving: Vec<Lendable> = all.iter().zip(&up).filter(|(_, up)| **up).map(|(e, _)| e.clone()).collect();
+            let serving: Vec<ServingEngine> = all.iter().zip(&up).filter(|(_, up)| **up).map(|(e, _)| e.clone()).collect();
             one.update(now, &specs, &serving, |_| 0);
             let mut other_order = serving.clone();
             other_order.reverse();
@@ -454,7 +454,7 @@
             prop_assert!(!one.update(now, &specs, &serving, |_| 0), "a second look at the same changed something");
             // Nobody goes without while there is a spare engine of the role that it lacks.
             for spec in &specs {
-                let mine = |s: &&Lendable| s.cell.as_ref() == Some(&spec.name) || one.borrower(&s.engine) == Some(&spec.name);
+                let mine = |s: &&ServingEngine| s.cell.as_ref() == Some(&spec.name) || one.borrower(&s.engine) == Some(&spec.name);
                 for (role, need) in [(Role::Reader, 2), (Role::Writer, 2)] {
                     let has = serving.iter().filter(mine).filter(|s| s.role == role || s.role == Role::Mixed).count();
                     let free = serving.iter().any(|s| s.cell.is_none() && s.role == role && one.borrower(&s.engine).is_none());
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -238,7 +238,7 @@
     let mut loans = Loans::default();
     let text = r#"(cells (version 1) (cell "a") (cell "b"))"#;
     let file = CellsFile::parse("cells", text, &core()).unwrap();
-    let engine = |name: &str, role, cell: Option<&str>| Lendable {
+    let engine = |name: &str, role, cell: Option<&str>| ServingEngine {
         engine: id(name),
         role,
         cell: cell.map(CellName::from),
