--- /dev/null
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -0,0 +1,225 @@
+//! Parsing and validation of a cells file.
+
+use pintally::interface::{Class, Idempotency, IdempotencyScope, Settings};
+use pintally_config::form::{Document, Form};
+use pintally_config::ConfigError;
+
+use super::{CellSpec, CellsFile, Home, Needs, TenantHome};
+use crate::moves::{Move, Step};
+use crate::CellName;
+
+/// The invariant that classes with an idempotency key could violate.
+const NO_DUPLICATE_EFFECTS: &str = "no effect happens twice";
+
+/// Most bytes in a cell's name.
+const MAX_NAME_BYTES: usize = 64;
+/// Most engines of a role that a cell may need.
+const MAX_ENGINES: u64 = 100_000;
+/// Most cells by hash of one tenant.
+const MAX_SHARDS: u64 = 10_000;
+/// The greatest weight of a cell.
+const MAX_WEIGHT: f64 = 1e6;
+/// Versions and times are numbers below this, which every form can hold exactly.
+const MAX_NUMBER: u64 = 1 << 52;
+/// Time until all sessions have moved, unless the file says it, in milliseconds.
+const DEFAULT_MOVE_TIME_MS: u64 = 30_000;
+/// The longest such time: a day.
+const MAX_MOVE_TIME_MS: u64 = 86_400_000;
+
+impl CellsFile {
+    /// Parses and validates a file. `file` names it in errors; `core` has the tenants and classes.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] names the file, the line and the fault.
+    pub fn parse(file: &str, text: &str, core: &Settings) -> Result<CellsFile, ConfigError> {
+        let document = Document::parse(file, text)?;
+        CellsFile::read(&document.only("cells")?, core)
+    }
+
+    /// Reads and validates the form `(cells ...)` of any document.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] names the file, the line and the fault.
+    pub fn read(root: &Form, core: &Settings) -> Result<CellsFile, ConfigError> {
+        let version = root.need("version")?;
+        let mut file = CellsFile { version: version.count(0, MAX_NUMBER)?, ..CellsFile::default() };
+        version.finish()?;
+        for form in root.all("cell")? {
+            file.read_cell(&form)?;
+        }
+        if file.cells.is_empty() {
+            return Err(root.error("`cells` lacks `(cell ...)`"));
+        }
+        for form in root.all("cell")? {
+            file.check_fallback(&form)?;
+        }
+        for form in root.all("tenant")? {
+            file.read_tenant(&form, core)?;
+        }
+        for form in root.all("move")? {
+            file.read_move(&form, core)?;
+        }
+        file.check_weights(root, core)?;
+        root.finish()?;
+        file.check_idempotency_scopes(root, core)?;
+        Ok(file)
+    }
+
+    fn read_cell(&mut self, form: &Form) -> Result<(), ConfigError> {
+        let name = form.text()?;
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(form.error("a cell's name must have 1 to 64 bytes"));
+        }
+        if self.has_cell(&name) {
+            return Err(form.error(format!("cell `{name}` is given twice")));
+        }
+        let needs = Needs {
+            readers: form.count_or("readers", 1, 0, MAX_ENGINES)? as usize,
+            writers: form.count_or("writers", 1, 0, MAX_ENGINES)? as usize,
+        };
+        if needs.readers == 0 || needs.writers == 0 {
+            let lacks = if needs.readers == 0 { "readers" } else { "writers" };
+            return Err(form.error(format!("cell `{name}` is built without {lacks}: it could serve nobody")));
+        }
+        let fallback = form.text_or("fallback", "")?;
+        self.cells.push(CellSpec {
+            name: name.as_str().into(),
+            weight: form.number_or("weight", 1.0, 0.0, MAX_WEIGHT)?,
+            needs,
+            fallback: (!fallback.is_empty()).then(|| fallback.as_str().into()),
+        });
+        form.finish()
+    }
+
+    fn has_cell(&self, name: &str) -> bool {
+        self.cells.iter().any(|cell| *cell.name.0 == *name)
+    }
+
+    /// Checks that the fallback of a cell is another cell of the file.
+    fn check_fallback(&self, form: &Form) -> Result<(), ConfigError> {
+        let cell = form.text()?;
+        let Some(fallback) = form.maybe("fallback")? else { return Ok(()) };
+        let name = fallback.text()?;
+        if name == cell || !self.has_cell(&name) {
+            return Err(fallback.error(format!("no other cell is named `{name}`")));
+        }
+        Ok(())
+    }
+
+    fn read_cell_names(&self, form: &Form) -> Result<Vec<CellName>, ConfigError> {
+        let mut names = Vec::new();
+        while let Some(name) = form.maybe_text()? {
+            let Some(cell) = self.cells.iter().find(|cell| *cell.name.0 == *name) else {
+                return Err(form.error(format!("no cell is named `{name}`")));
+            };
+            if names.contains(&cell.name) {
+                return Err(form.error(format!("cell `{name}` is named twice")));
+            }
+            names.push(cell.name.clone());
+        }
+        if names.is_empty() {
+            return Err(form.error("at least one cell must be named: a tenant in none cannot be served"));
+        }
+        form.finish()?;
+        Ok(names)
+    }
+
+    fn read_tenant(&mut self, form: &Form, core: &Settings) -> Result<(), ConfigError> {
+        let tenant = read_known_tenant(form, core)?;
+        if self.tenants.iter().any(|known| known.tenant == tenant) {
+            return Err(form.error(format!("tenant `{tenant}` is given twice")));
+        }
+        let pinned = form.maybe("cells")?.map(|cells| self.read_cell_names(&cells)).transpose()?;
+        let shards = form.count_or("shards", 0, 0, MAX_SHARDS)? as usize;
+        let home = match (pinned, shards) {
+            (Some(_), 1..) => return Err(form.error("a tenant has `cells` or `shards`, not both")),
+            (Some(cells), 0) => Home::Pinned(cells),
+            (None, 0) => {
+                return Err(form.error(format!("tenant `{tenant}` has neither `cells` nor `shards`")))
+            }
+            (None, shards) => Home::Shards(shards),
+        };
+        form.finish()?;
+        self.tenants.push(TenantHome { tenant, home });
+        Ok(())
+    }
+
+    fn read_move(&mut self, form: &Form, core: &Settings) -> Result<(), ConfigError> {
+        let tenant = read_known_tenant(form, core)?;
+        if self.moves.iter().any(|known| known.tenant == tenant) {
+            return Err(form.error(format!("tenant `{tenant}` has two moves at once")));
+        }
+        let to = self.read_cell_names(&form.need("to")?)?;
+        let over_ms = form.count_or("over-ms", DEFAULT_MOVE_TIME_MS, 1, MAX_MOVE_TIME_MS)?;
+        let step = read_step(form)?;
+        form.finish()?;
+        self.moves.push(Move { tenant, to, over_ms, step });
+        Ok(())
+    }
+
+    /// Checks that no tenant, and no request without one, would be without a cell.
+    fn check_weights(&self, root: &Form, core: &Settings) -> Result<(), ConfigError> {
+        if self.cells.iter().any(|cell| cell.weight > 0.0) {
+            return Ok(());
+        }
+        let has_home = |tenant: &str| self.tenants.iter().any(|known| known.tenant == tenant);
+        let who = match core.tenants.iter().find(|tenant| !has_home(&tenant.name)) {
+            Some(tenant) => format!("tenant `{}`", tenant.name),
+            None => "requests without a tenant".to_string(),
+        };
+        Err(root.error(format!("{who} would be in no cell: none has a weight over 0")))
+    }
+
+    /// Checks that idempotency keys have the scope of the whole fleet. Repeats of a request with a key are dropped
+    /// inside a group of engines. A zone that lies in several cells would let a repeat of one tenant reach engines
+    /// that its own cell never sees; while a tenant moves, the repeat of a request that ran in the old cell would
+    /// run in the new one.
+    fn check_idempotency_scopes(&self, root: &Form, core: &Settings) -> Result<(), ConfigError> {
+        if self.cells.len() < 2 {
+            return Ok(());
+        }
+        let Some(class) = core.classes.iter().find(|class| has_narrow_scope(class)) else { return Ok(()) };
+        Err(root.breaks(
+            NO_DUPLICATE_EFFECTS,
+            format!(
+                "the repeats of class `{}` are dropped inside a zone or rack, but its tenants may be in \
+                 several cells one after the other: only the group `all` spans cells",
+                class.name
+            ),
+        ))
+    }
+}
+
+fn has_narrow_scope(class: &Class) -> bool {
+    matches!(class.effect, Idempotency::WithKey(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
+}
+
+fn read_known_tenant(form: &Form, core: &Settings) -> Result<String, ConfigError> {
+    let tenant = form.text()?;
+    if core.tenants.iter().any(|known| known.name == tenant) {
+        Ok(tenant)
+    } else {
+        Err(form.error(format!("no tenant is named `{tenant}` in the settings")))
+    }
+}
+
+/// Reads the step of a move with its times; 0 stands for a time that is not given.
+fn read_step(form: &Form) -> Result<Step, ConfigError> {
+    let since = form.count_or("since-unix-ms", 0, 0, MAX_NUMBER)?;
+    let at = form.count_or("back-unix-ms", 0, 0, MAX_NUMBER)?;
+    let step = form.text_or("step", "prepare")?;
+    match (step.as_str(), since, at) {
+        ("prepare", 0, 0) => Ok(Step::Prepare),
+        ("both", 1.., 0) => Ok(Step::Both { since }),
+        ("done", 1.., 0) => Ok(Step::Done { since }),
+        ("back", 0, 1..) => Ok(Step::Back { since: at, at }),
+        ("back", _, 1..) if at >= since => Ok(Step::Back { since, at }),
+        ("prepare" | "both" | "done" | "back", ..) => Err(form.error(
+            "`prepare` has no times, `both` and `done` have `since-unix-ms`, `back` has `back-unix-ms` \
+             behind it as well",
+        )),
+        (other, ..) => Err(form.error(format!("`step` is `{other}`, not prepare, both, done or back"))),
+    }
+}
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -6,11 +6,13 @@
 //!
 //! No input or output; time is handed in. `docs/cells.md` weighs the options.
 
+mod admission;
 mod assign;
+mod assignment;
+mod cells;
 mod composition;
 mod edge;
 mod engine_health;
-mod facade;
 mod file;
 mod health;
 mod loans;
@@ -18,11 +20,13 @@
 mod moves;
 mod overload;
 
+pub use admission::{AdmissionRequest, CellAdmission, RejectionReason};
 pub use assign::{cells_of, draw};
+pub use assignment::EngineAssignment;
+pub use cells::{CellStatus, Cells};
 pub use edge::{EdgeAdmission, EdgeDecision, SlotUsage};
 pub use engine_health::EngineHealth;
-pub use facade::{AdmissionRequest, CellAdmission, CellStatus, Cells, EngineAssignment};
-pub use file::{CellSpec, CellsFile, Home, MoveCommand, Needs, TenantHome};
+pub use file::{CellSpec, CellsFile, Home, MoveCommand, MoveError, Needs, TenantHome, VersionError};
 pub use health::{CellHealth, Level};
 pub use loans::{Loans, ServingEngine};
 pub use move_rate::MoveRateController;
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -318,7 +318,7 @@
     assert_eq!(never.home("t"), ["a".into()]);
     // Not before its time, and not twice.
     let going = first.step("t", begin.clone(), 0).unwrap().step("t", MoveCommand::Go, 10).unwrap();
-    assert!(going.step("t", MoveCommand::Done, 500).unwrap_err().contains("49%"));
+    assert!(going.step("t", MoveCommand::Done, 500).unwrap_err().to_string().contains("49%"));
     assert!(going.step("t", begin, 500).is_err());
     assert!(going.step("t", MoveCommand::Go, 500).is_err());
     assert!(going.step("t", MoveCommand::Back, 500).unwrap().step("t", MoveCommand::Settle, 600).is_err());
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failing.rs
@@ -171,10 +171,10 @@
     assert_eq!((a.level, a.failing), (Level::Unavailable, true));
     assert_eq!(status(&cells, now, "b").level, Level::Normal);
     // One harmless request a second goes in, to see; what may not be run twice never does.
-    assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Into("b".into()));
-    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("a".into()));
-    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Into("b".into()));
-    assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Into("a".into()));
+    assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Admit("b".into()));
+    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("a".into()));
+    assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("b".into()));
+    assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Admit("a".into()));
     // The trials go well from here on: it comes back, step by step and for good.
     let (mut at, mut levels) = (now, vec![Level::Unavailable]);
     for _ in 0..90 {
@@ -301,8 +301,8 @@
         for session in 0..200 {
             let ask = AdmissionRequest { tenant: Some("t"), session, class: Some(1), bytes: 0 };
             let verdict = cells.admit(now, ask, unix_ms);
-            over += usize::from(verdict == CellAdmission::Into("b".into()));
-            if let CellAdmission::Into(cell) = verdict {
+            over += usize::from(verdict == CellAdmission::Admit("b".into()));
+            if let CellAdmission::Admit(cell) = verdict {
                 cells.release(&cell, Some("t"), 0);
             }
         }
--- a/crates/pintally-host/src/cellular.rs
+++ b/crates/pintally-host/src/cellular.rs
@@ -215,12 +215,12 @@
         };
         let ask = AdmissionRequest { tenant, session, class: arrival.class, bytes: arrival.bytes };
         match cells.admit(now, ask, arrival.unix_ms) {
-            CellAdmission::Into(cell) => Some(cell),
-            CellAdmission::InPlaceOf(cell, other) => {
+            CellAdmission::Admit(cell) => Some(cell),
+            CellAdmission::Displace { cell, displaced: other } => {
                 self.give_way(now, &other, out);
                 Some(cell)
             }
-            CellAdmission::Rejected(_, after_ms, _) => {
+            CellAdmission::Reject { retry_after_ms: after_ms, .. } => {
                 self.counters.rejected_by_cell += 1;
                 self.turn_away(arrival.ticket, RefusalReason::NoPlace, Some(after_ms * 1000), out);
                 None
