--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -1,10 +1,12 @@
 //! Cells: subsets of the fleet that serve some tenants or keys and nobody else.
 //!
-//! Every node comes to the same answer from the same files: which cell a request belongs to follows
-//! from the cells file, the tenant, the session and the time, and from nothing that one node alone
-//! has seen. What one node has seen decides only whom it turns away.
+//! Every node reaches the same decision from the same file: the cell of a request follows from the cells file, the
+//! tenant, the session and the time, and from nothing that one node alone has observed. Such observations decide
+//! only which requests are rejected, which engines are borrowed and how fast moves go.
 //!
-//! No input or output; time is handed in. `docs/cells.md` weighs the options.
+//! No input or output; the caller passes the time. `docs/cells.md` weighs the options.
+
+#![deny(missing_docs)]
 
 mod admission;
 mod assign;
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -1,5 +1,5 @@
-//! Assignment, moves, loans, health and edge over generated histories, and an exhaustive search of
-//! moves as three nodes see them.
+//! Assignment, moves, loans, levels and edge admission over generated histories, and an exhaustive search of moves
+//! as three nodes see them.
 
 mod common;
 
@@ -59,9 +59,9 @@
 
 // ---- assignment ----
 
-/// A cell more moves about its fair part of the keys, and all of those to itself.
+/// An additional cell takes about its fair part of the keys, and no key moves between the others.
 #[test]
-fn a_cell_more_or_less_moves_no_more_than_its_fair_part() {
+fn adding_a_cell_moves_only_its_fair_part() {
     const KEYS: u64 = 20_000;
     for many in [2, 4, 8, 16] {
         let (few, more) = (cells(many), cells(many + 1));
@@ -70,7 +70,7 @@
         for key in 0..KEYS {
             let (before, after) = (&cells_of(&few, key, 1)[0], &cells_of(&more, key, 1)[0]);
             if before != after {
-                assert_eq!(*after, fresh, "key {key} went between cells that were there before");
+                assert_eq!(*after, fresh, "key {key} moved between old cells");
                 moved += 1;
             }
         }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn parts_follow_weights() {
+fn assignment_follows_weights() {
     let cells = [cell("a", 1.0, 1, 1), cell("b", 3.0, 1, 1), cell("none", 0.0, 1, 1)];
     let mut won: BTreeMap<CellName, u64> = BTreeMap::new();
     (0..40_000).for_each(|key| *won.entry(cells_of(&cells, key, 1)[0].clone()).or_default() += 1);
@@ -92,7 +92,7 @@
 
 /// Of 8 cells two tenants with 2 each share both in one pair of 28.
 #[test]
-fn two_tenants_of_several_cells_seldom_share_all_of_them() {
+fn two_sharded_tenants_seldom_share_all_cells() {
     let cells = cells(8);
     let shards: Vec<BTreeSet<CellName>> =
         (0..400u64).map(|t| cells_of(&cells, t, 2).into_iter().collect()).collect();
@@ -113,7 +113,7 @@
   (move "t" (to "b") (over-ms 1000) (step both) (since-unix-ms 5000)))"#;
 
 #[test]
-fn a_file_says_who_belongs_where() {
+fn file_determines_cell_of_request() {
     let core = core(&["t", "u", "v"]);
     let file = CellsFile::parse("cells", FILE, &core).unwrap();
     assert_eq!(file.home("t"), ["a".into()]);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_file_comes_back_as_it_was_written() {
+fn rendered_file_parses_to_same_file() {
     let core = core(&["t", "u", "v"]);
     for step in [
         "(step prepare)",
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn each_bad_file_is_refused_with_its_reason() {
+fn invalid_files_are_rejected_with_reason() {
     let core = core(&["t", "u", "v"]);
     for (from, to, why) in [
         ("(version 3)", "", "lacks `(version"),
@@ -183,9 +183,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// While it goes forward a session that is over stays over; while it goes back it stays back.
+    /// A session that has moved stays while the move goes forward; one that has returned stays while it goes back.
     #[test]
-    fn sessions_go_over_once_and_return_once(session in any::<u64>(), back in 0u64..3000, times in prop::collection::vec(0u64..6000, 2..40)) {
+    fn sessions_move_once_and_return_once(session in any::<u64>(), back in 0u64..3000, times in prop::collection::vec(0u64..6000, 2..40)) {
         let mut times = times;
         times.sort_unstable();
         let forward = a_move(Step::Both { since: 500 });
@@ -195,7 +195,7 @@
         let backward = a_move(Step::Back { since: 500, at });
         let over: Vec<bool> = times.iter().filter(|t| **t >= at).map(|t| backward.is_over(session, *t)).collect();
         prop_assert!(over.iter().rev().is_sorted());
-        // At the moment of turning back nobody jumps.
+        // No session changes its cell at the moment in which the move is reversed.
         prop_assert_eq!(forward.is_over(session, at), backward.is_over(session, at));
         prop_assert!(!backward.is_over(session, at + 1001));
     }
@@ -204,7 +204,7 @@
 /// Exhaustive: three nodes see the versions of a move late, or never, in every combination, and
 /// restart; requests arrive at every node in every state.
 #[test]
-fn every_way_in_which_three_nodes_can_see_a_move() {
+fn three_nodes_agree_on_every_history_of_a_move() {
     let core = core(&["t"]);
     let base = "(cells (version NUMBER) (cell \"a\") (cell \"b\") (tenant \"t\" (cells \"a\")) MOVE)";
     let version = |v: usize, step: &str| {
@@ -224,14 +224,14 @@
             version(3, "(step both) (since-unix-ms 2000)"),
             version(4, "(step done) (since-unix-ms 2000)"),
         ],
-        // Back from halfway.
+        // Reversed halfway.
         vec![
             version(1, ""),
             version(2, "(step prepare)"),
             version(3, "(step both) (since-unix-ms 2000)"),
             version(4, "(step back) (since-unix-ms 2000) (back-unix-ms 2500)"),
         ],
-        // Back before anything went.
+        // Reversed before any session moved.
         vec![
             version(1, ""),
             version(2, "(step prepare)"),
@@ -241,7 +241,7 @@
     ];
     let mut states = 0;
     for history in &histories {
-        // Which version each node holds, at each time; a node never goes back, but may skip.
+        // The version at each node at each time; a node never goes back to an older one, but may skip versions.
         for held in 0..4usize.pow(3) {
             let at = [held % 4, held / 4 % 4, held / 16];
             for now in (0..5000).step_by(125) {
@@ -249,9 +249,9 @@
                     states += 1;
                     let belongs: Vec<Option<CellName>> =
                         at.iter().map(|v| history[*v].cell_for(Some("t"), session, now)).collect();
-                    // Every node has a cell for it, whichever version it holds.
+                    // Every node has a cell for the session, whichever version it has.
                     assert!(belongs.iter().all(Option::is_some));
-                    // Nodes that hold the same version agree, restarted or not.
+                    // Nodes with the same version agree, restarted or not.
                     for (i, j) in [(0, 1), (0, 2), (1, 2)] {
                         assert!(at[i] != at[j] || belongs[i] == belongs[j]);
                     }
@@ -264,7 +264,7 @@
                     }
                 }
             }
-            // Whatever a node holds, each later version may follow, and no earlier one is taken.
+            // Whichever version a node has, each later one is accepted, and no earlier one is.
             let mut node = Cells::new(history[at[0]].clone(), 10, 1 << 20, &core);
             for (v, next) in history.iter().enumerate() {
                 assert_eq!(node.replace_file(0, next.clone()).is_ok(), v >= node_version(&node, history));
@@ -278,9 +278,9 @@
     history.iter().position(|f| f.version >= node.file().version).unwrap_or(0)
 }
 
-/// The steps that an operator takes, each a version that a node which holds the one before takes.
+/// Each command of an operator makes a version that a node with the one before accepts.
 #[test]
-fn an_operators_turns_follow_each_other_and_no_others_do() {
+fn move_commands_are_accepted_in_order_only() {
     let core = core(&["t", "u", "v"]);
     let text = "(cells (version 1) (cell \"a\") (cell \"b\") (tenant \"t\" (cells \"a\")))";
     let first = CellsFile::parse("cells", text, &core).unwrap();
@@ -316,7 +316,7 @@
     assert_eq!((back.home("t"), back.moves.len()), (vec!["a".into()], 0));
     let never = walk(&[(begin.clone(), 0), (MoveCommand::Back, 5), (MoveCommand::Settle, 6)]);
     assert_eq!(never.home("t"), ["a".into()]);
-    // Not before its time, and not twice.
+    // Not before all sessions have moved, and not twice.
     let going = first.step("t", begin.clone(), 0).unwrap().step("t", MoveCommand::Go, 10).unwrap();
     assert!(going.step("t", MoveCommand::Done, 500).unwrap_err().to_string().contains("49%"));
     assert!(going.step("t", begin, 500).is_err());
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_move_that_changes_its_mind_is_refused() {
+fn contradicting_move_steps_are_rejected() {
     let both = a_move(Step::Both { since: 10 });
     assert!(!a_move(Step::Both { since: 11 }).may_follow(&both));
     assert!(!a_move(Step::Prepare).may_follow(&both));
@@ -334,15 +334,15 @@
     assert!(!a_move(Step::Back { since: 10, at: 5 }).may_follow(&both));
 }
 
-// ---- loss and loans ----
+// ---- levels, loans and edge admission ----
 
 #[test]
-fn a_cell_goes_down_at_once_and_up_step_by_step() {
+fn level_falls_at_once_and_rises_step_by_step() {
     let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     assert!(health.update(0, 0.2, 0.2));
     assert_eq!(health.level(), Level::Shedding);
-    // Just over the step's share is not enough to go up.
+    // A capacity just over the threshold does not raise the level.
     for s in 1..20 {
         health.update(s * second, 0.42, 0.42);
     }
@@ -357,14 +357,14 @@
     assert_eq!(health.level(), Level::Normal);
     health.update(33 * second, 0.0, 0.0);
     assert_eq!(health.level(), Level::Unavailable);
-    // Able to serve at all, it does so at once.
+    // A cell that is able to serve again does so at once.
     health.update(34 * second, 0.5, 0.5);
     assert_eq!(health.level(), Level::Shedding);
 }
 
-/// A node that starts knows the cells before their engines: that is no loss.
+/// A node that starts knows the cells before their engines: no engine is lost then.
 #[test]
-fn cells_without_a_list_are_not_lost() {
+fn cells_without_endpoint_list_are_not_unavailable() {
     let core = core(&["t", "u", "v"]);
     let mut node = Cells::new(CellsFile::parse("cells", FILE, &core).unwrap(), 10, 1 << 20, &core);
     node.set_engines(0, Vec::new());
@@ -379,14 +379,14 @@
     }
     node.set_engines(1, all.clone());
     assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
-    // From then on it is: a list that is empty says that all engines are gone.
+    // From then on an empty list means that all engines are gone.
     node.set_engines(2, Vec::new());
     assert!(node.status(9).iter().all(|s| s.level == Level::Unavailable));
 }
 
-/// What a cell can do shows in whether it keeps up: it opens while it does, and closes when it does not.
+/// The admitted fraction grows while the cell is not overloaded, and shrinks while it is.
 #[test]
-fn what_sheds_opens_while_it_keeps_up() {
+fn shedding_cell_admits_more_while_not_overloaded() {
     let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     health.update(0, 0.2, 0.2);
@@ -394,14 +394,14 @@
     let served = |health: &mut CellHealth| (0..300).filter(|n| health.admits(Some(n % 3))).count();
     assert_eq!(served(&mut health), 100);
     (1..=6).for_each(|s| health.update_admission(s * second, false));
-    assert_eq!(served(&mut health), 300, "at 0.8 the least worthy third begins below it");
+    assert_eq!(served(&mut health), 300, "at 0.8 the class of the lowest priority is admitted too");
     (7..=9).for_each(|s| health.update_admission(s * second, true));
     assert_eq!(served(&mut health), 100);
     assert!(health.usable_fraction() >= 0.2);
 }
 
 #[test]
-fn what_sheds_serves_the_most_worthy() {
+fn shedding_cell_admits_highest_priority_classes() {
     let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     health.update(0, 0.3, 0.3);
     let mut served = [0; 3];
@@ -420,10 +420,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever comes and goes: only spare engines are lent, each once, nobody borrows what it does
-    /// not lack, nothing is lent back and forth while nothing changes, and all nodes agree.
+    /// Whichever engines come and go: only spare engines are lent, each once; no cell borrows what it does not
+    /// lack; loans are stable while nothing changes; and all nodes agree.
     #[test]
-    fn loans_over_any_history(history in prop::collection::vec((0usize..12, any::<bool>(), 0u64..12), 1..60)) {
+    fn loans_keep_invariants_over_any_history(history in prop::collection::vec((0usize..12, any::<bool>(), 0u64..12), 1..60)) {
         let specs = [cell("a", 1.0, 2, 2), cell("b", 1.0, 2, 2)];
         let mut all = Vec::new();
         for c in ["a", "b"] {
@@ -451,8 +451,8 @@
                     prop_assert!(e.cell.is_none() && serving.contains(e));
                 }
             }
-            prop_assert!(!one.update(now, &specs, &serving, |_| 0), "a second look at the same changed something");
-            // Nobody goes without while there is a spare engine of the role that it lacks.
+            prop_assert!(!one.update(now, &specs, &serving, |_| 0), "a second update with the same engines changed something");
+            // No cell lacks an engine while there is a spare one of the role.
             for spec in &specs {
                 let mine = |s: &&ServingEngine| s.cell.as_ref() == Some(&spec.name) || one.borrower(&s.engine) == Some(&spec.name);
                 for (role, need) in [(Role::Reader, 2), (Role::Writer, 2)] {
@@ -464,10 +464,10 @@
         }
     }
 
-    /// Places: a cell within its part is never turned away; nobody is pushed below his part; what is
-    /// taken and given back adds up.
+    /// A cell within its quota is never rejected; no cell is displaced below its quota; reserved and released slots
+    /// add up.
     #[test]
-    fn parts_are_kept_whatever_the_others_do(steps in prop::collection::vec((0usize..3, 0usize..3, any::<bool>()), 1..400)) {
+    fn edge_quotas_are_guaranteed(steps in prop::collection::vec((0usize..3, 0usize..3, any::<bool>()), 1..400)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
         let tenants = [Some("x"), Some("y"), None];
         let mut edge = EdgeAdmission::default();
@@ -489,7 +489,7 @@
                 }
                 EdgeDecision::Displace(other) => {
                     let SlotUsage { quota: their, used } = edge.usage(&other);
-                    prop_assert!(used > their || other == names[c], "{} of {} gave way", used, their);
+                    prop_assert!(used > their || other == names[c], "displaced at {} of {}", used, their);
                     let heaviest = edge.heaviest_tenant(&other).unwrap();
                     edge.release(&other, heaviest.as_deref(), 0);
                     let index = names.iter().position(|n| *n == other).unwrap();
@@ -499,7 +499,7 @@
                     held.push((c, t));
                 }
                 EdgeDecision::Reject(after) => {
-                    prop_assert!(used >= part, "turned away with {} of {} used", used, part);
+                    prop_assert!(used >= part, "rejected with {} of {} used", used, part);
                     prop_assert!((1..=2000).contains(&after));
                 }
             }
@@ -509,9 +509,9 @@
     }
 }
 
-/// One tenant's flood inside a cell: another tenant of it still gets his even part.
+/// One tenant floods its cell: another tenant of the cell still gets its fair slots.
 #[test]
-fn a_flooding_tenant_leaves_the_others_their_parts() {
+fn flooding_tenant_leaves_fair_slots_to_others() {
     let name = CellName::from("a");
     let mut edge = EdgeAdmission::default();
     edge.divide(20, 0, [(&name, 1.0)].into_iter());
--- a/crates/pintally-cells/tests/common/mod.rs
+++ b/crates/pintally-cells/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of cells share.
+//! Helpers of the tests of cells.
 
 use pintally::interface::{Endpoint, EndpointState, EngineId};
 
--- a/crates/pintally-cells/tests/failing.rs
+++ b/crates/pintally-cells/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Cells whose engines are there and fail, cells that are late, moves that wait, room for bodies.
+//! Failing engines, overloaded cells, paused moves, and space for bodies.
 
 mod common;
 
@@ -26,7 +26,7 @@
 // ---- health ----
 
 #[test]
-fn an_engine_that_fails_everyone_counts_for_nothing_and_is_forgiven_in_time() {
+fn failing_engine_scores_zero_and_recovers_in_time() {
     let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..80 {
         health.record_attempt(n * 50_000, &engine, Some(n as usize % 3), Outcome::Error, None);
@@ -35,15 +35,15 @@
     assert_eq!(health.score(now, &engine), 0.0);
     assert!(health.is_failing(&engine) && health.needs_tick(now));
     assert_eq!(health.score(now, &id("other")), 1.0);
-    // Half of it fades in ten seconds; after two minutes nothing is held against it.
+    // Half of the failures decays in ten seconds; after two minutes none counts.
     assert!((0.1..0.3).contains(&health.score(now + 15 * SECOND, &engine)));
     health.tick(now + 120 * SECOND);
     assert!(!health.is_failing(&engine) && !health.needs_tick(now + 120 * SECOND));
 }
 
-/// Guards against a tenant whose requests no engine can serve: they must not cost the others a cell.
+/// Guards against a tenant whose requests no engine can serve: they must not take the cell from the others.
 #[test]
-fn one_tenants_poison_takes_no_more_than_its_vote() {
+fn one_tenants_failures_cost_no_more_than_its_vote() {
     let (mut health, engine) = (EngineHealth::default(), id("e"));
     for n in 0..400 {
         health.record_attempt(n * 10_000, &engine, Some(0), Outcome::Error, None);
@@ -57,10 +57,10 @@
     assert!(!health.is_failing(&engine));
 }
 
-/// Guards against a flood that passes for a bad release: what a full engine is late with is not its
-/// fault, and neither is what it turns away.
+/// Guards against a flood that passes for a bad release: timeouts and rejections of a full engine are not its
+/// fault.
 #[test]
-fn an_engine_that_is_full_is_not_failing() {
+fn engine_at_capacity_is_not_failing() {
     let mut health = EngineHealth::default();
     for n in 0..200 {
         let at = n * 10_000;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_engine_that_falls_back_again_and_again_is_forgiven_more_slowly() {
+fn relapsing_engine_recovers_more_slowly() {
     let (mut health, engine, mut now) = (EngineHealth::default(), id("e"), 0);
     let mut spans = Vec::new();
     for _ in 0..4 {
@@ -92,7 +92,7 @@
         spans.push(now - began);
     }
     assert!(spans.windows(2).all(|w| w[1] >= w[0] * 3 / 2), "{spans:?}");
-    // Twenty good ends in a row, and it begins anew.
+    // After twenty consecutive successes a failure is no relapse.
     (0..20).for_each(|_| health.record_attempt(now, &engine, None, Outcome::Served, None));
     now += 100 * SECOND;
     (0..30).for_each(|_| health.record_attempt(now, &engine, None, Outcome::ConnectionBroken, None));
@@ -164,18 +164,18 @@
 }
 
 #[test]
-fn a_cell_whose_engines_fail_counts_as_lost_is_tried_and_comes_back() {
+fn failing_cell_is_unavailable_and_recovers_by_trials() {
     let mut cells = cells(false);
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
     assert_eq!((a.level, a.failing), (Level::Unavailable, true));
     assert_eq!(status(&cells, now, "b").level, Level::Normal);
-    // One harmless request a second goes in, to see; what may not be run twice never does.
+    // One idempotent request a second is admitted as a trial; others never are.
     assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Admit("b".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("a".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("b".into()));
     assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Admit("a".into()));
-    // The trials go well from here on: it comes back, step by step and for good.
+    // The trials succeed from here on: the cell recovers step by step.
     let (mut at, mut levels) = (now, vec![Level::Unavailable]);
     for _ in 0..90 {
         at += SECOND;
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn spare_engines_stand_in_for_those_that_fail() {
+fn spare_engines_replace_failing_ones() {
     let mut cells = cells(true);
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
@@ -201,14 +201,14 @@
     let spread = cells.reassign(now + 1);
     let lent = &spread.cells[&CellName::from("a")];
     let fresh = lent.iter().find(|m| &*m.engine.0 == "sw").expect("the spare writer");
-    assert!(fresh.started.is_some(), "a borrowed engine starts as a cold one");
-    assert!(lent.iter().any(|m| &*m.engine.0 == "aw0"), "its own stay in its core, which tries them");
+    assert!(fresh.started.is_some(), "a borrowed engine counts as just started");
+    assert!(lent.iter().any(|m| &*m.engine.0 == "aw0"), "its own engines stay in its core, which tries them");
 }
 
-// ---- strain, and what is asked for ----
+// ---- overload and requested engines ----
 
 #[test]
-fn a_late_cell_asks_for_engines_and_gives_them_back() {
+fn overloaded_cell_borrows_engines_and_returns_them() {
     let mut cells = cells(true);
     let name = CellName::from("b");
     let mut now = 0;
@@ -219,11 +219,11 @@
     }
     let b = status(&cells, now, "b");
     assert_eq!((b.borrowed, b.overloaded, b.level), (2, true, Level::Normal));
-    // What another cell has lost comes first, at once.
+    // Lost engines of another cell are replaced first, at once.
     let now = release(&mut cells, now);
     assert_eq!(status(&cells, now, "a").borrowed, 1);
     assert_eq!(status(&cells, now, "b").borrowed, 1);
-    // Calm again, it gives back what it asked for.
+    // A calm cell returns what it requested.
     let mut at = now;
     while at < now + 60 * SECOND {
         at += 100_000;
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn two_cells_that_ask_share_what_is_spare() {
+fn two_requesting_cells_share_spare_engines() {
     let mut loans = Loans::default();
     let text = r#"(cells (version 1) (cell "a") (cell "b"))"#;
     let file = CellsFile::parse("cells", text, &core()).unwrap();
@@ -257,37 +257,37 @@
     assert_eq!((of(&loans, "a"), of(&loans, "b")), (4, 0));
     loans.update(1, &file.cells, &all, |_| 2);
     assert_eq!((of(&loans, "a"), of(&loans, "b")), (2, 2));
-    assert!(!loans.update(2, &file.cells, &all, |_| 2), "they change hands for nothing");
+    assert!(!loans.update(2, &file.cells, &all, |_| 2), "loans are stable");
 }
 
-// ---- the pace of a move ----
+// ---- the rate of a move ----
 
 fn a_move(step: Step) -> Move {
     Move { tenant: "t".into(), to: vec!["b".into()], over_ms: 10_000, step }
 }
 
 #[test]
-fn a_move_waits_while_its_new_cell_is_late_and_then_goes_on_at_its_pace() {
+fn move_pauses_while_target_is_overloaded() {
     let (mut rate, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
     assert_eq!(rate.share(&both, 1000, false), 0.0);
     assert!((rate.share(&both, 3000, false) - 0.2).abs() < 1e-9);
     assert!((rate.share(&both, 8000, true) - 0.2).abs() < 1e-9);
-    // What was held does not come all at once.
+    // The sessions of the pause do not move all at once.
     assert!((rate.share(&both, 9000, false) - 0.3).abs() < 1e-9);
     let done = a_move(Step::Done { since: 1000 });
     assert!((rate.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
     assert_eq!(rate.share(&done, 60_000, false), 1.0);
-    // A node that hears of it late goes at the pace from then on.
+    // A node that learns late of the step continues at the rate from then on.
     let mut late = MoveRateController::default();
     assert_eq!(late.share(&a_move(Step::Prepare), 5000, false), 0.0);
     assert!((late.share(&both, 6000, false) - 0.1).abs() < 1e-9);
     assert!((late.share(&both, 9000, false) - 0.4).abs() < 1e-9);
-    // A node that restarts begins at the file's share.
+    // A node that restarts starts at the file's share.
     assert!((MoveRateController::default().share(&both, 6000, true) - 0.5).abs() < 1e-9);
 }
 
 #[test]
-fn a_lost_home_is_left_whatever_the_new_cell_feels() {
+fn sessions_leave_unavailable_home_for_overloaded_target() {
     let core = core();
     let mut cells = cells(false);
     let moving = FILE.replace(
@@ -300,9 +300,9 @@
         let mut over = 0;
         for session in 0..200 {
             let ask = AdmissionRequest { tenant: Some("t"), session, class: Some(1), bytes: 0 };
-            let verdict = cells.admit(now, ask, unix_ms);
-            over += usize::from(verdict == CellAdmission::Admit("b".into()));
-            if let CellAdmission::Admit(cell) = verdict {
+            let decision = cells.admit(now, ask, unix_ms);
+            over += usize::from(decision == CellAdmission::Admit("b".into()));
+            if let CellAdmission::Admit(cell) = decision {
                 cells.release(&cell, Some("t"), 0);
             }
         }
@@ -310,9 +310,9 @@
     };
     assert_eq!(over(&mut cells, 0, 5000), 0);
     (0..40).for_each(|n| cells.record_response(n, &"b".into(), true));
-    assert_eq!(over(&mut cells, 50, 5900), 0, "the new cell is late: nobody goes");
+    assert_eq!(over(&mut cells, 50, 5900), 0, "the target is overloaded: no session moves");
     assert_eq!(cells.paused_moves(), ["t"]);
-    // Its own cell fails altogether: now it is better off over there.
+    // The home cell fails: the target is better.
     let now = release(&mut cells, 50);
     (0..40).for_each(|n| cells.record_response(now + n, &"b".into(), true));
     over(&mut cells, now + 50, 5950);
@@ -322,15 +322,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the cells feel and the clock does: sessions that are over stay over, and none goes
-    /// before the file lets it.
+    /// Whatever the overload and the clock do: sessions that have moved stay, and none moves before the file
+    /// lets it.
     #[test]
-    fn a_held_move_never_turns_back_and_never_runs_ahead(steps in prop::collection::vec((0u64..3000, any::<bool>(), any::<bool>()), 1..60)) {
+    fn paused_move_neither_returns_nor_runs_ahead(steps in prop::collection::vec((0u64..3000, any::<bool>(), any::<bool>()), 1..60)) {
         let (mut rate, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
-        for (passed, back, pressed) in steps {
+        for (passed, back, paused) in steps {
             unix = if back { unix.saturating_sub(passed / 8).max(1000) } else { unix + passed };
             let both = a_move(Step::Both { since: 1000 });
-            let share = rate.share(&both, unix, pressed);
+            let share = rate.share(&both, unix, paused);
             prop_assert!(share >= last);
             prop_assert!(share <= both.share(unix).max(last));
             last = share;
@@ -340,10 +340,10 @@
         prop_assert_eq!(rate.share(&back, unix + 10_001, true), 0.0);
     }
 
-    /// Room for bodies: half of a cell's part is there for it whatever the others have taken, all
-    /// together never hold more than there is, and what is taken and given back adds up.
+    /// Half of a cell's quota for bodies is available whatever the others have reserved; all cells together never
+    /// exceed the capacity; and reserved and released bytes add up.
     #[test]
-    fn half_of_each_cells_room_is_its_own(steps in prop::collection::vec((0usize..3, 1usize..400, any::<bool>()), 1..200)) {
+    fn half_of_each_body_quota_is_never_lent(steps in prop::collection::vec((0usize..3, 1usize..400, any::<bool>()), 1..200)) {
         let names: Vec<CellName> = ["a", "b", "c"].map(CellName::from).to_vec();
         let mut edge = EdgeAdmission::default();
         edge.divide(10_000, 3000, names.iter().map(|n| (n, 1.0)));
@@ -358,7 +358,7 @@
             }
             let kept = own.iter().sum::<usize>() + bytes <= 500;
             let has = edge.fits_body(&names[cell], bytes);
-            prop_assert!(has || !kept, "a cell within its half was turned away");
+            prop_assert!(has || !kept, "a cell within its half was rejected");
             if has {
                 edge.reserve(&names[cell], None, bytes);
                 own.push(bytes);
@@ -370,12 +370,12 @@
     }
 }
 
-/// Guards against a past that outlives its cause: an engine that is back after a cut, or has started
-/// anew, is not held to what happened before.
+/// Guards against failures that outlive their cause: an engine that can be reached again, or was restarted, is not
+/// judged by what happened before.
 #[test]
-fn what_is_mended_counts_again_at_once() {
+fn repaired_engine_recovers_at_once() {
     let mut health = EngineHealth::default();
-    for name in ["cut", "restarted", "mended"] {
+    for name in ["cut", "restarted", "repaired"] {
         for _ in 0..40 {
             health.record_attempt(0, &id(name), None, Outcome::Unreachable, None);
         }
@@ -385,11 +385,11 @@
     }
     health.record_health_check(1, &id("cut"));
     health.set_started(&id("restarted"), Some(2));
-    (0..9).for_each(|_| health.record_attempt(1, &id("mended"), None, Outcome::Served, None));
-    for name in ["cut", "restarted", "mended"] {
+    (0..9).for_each(|_| health.record_attempt(1, &id("repaired"), None, Outcome::Served, None));
+    for name in ["cut", "restarted", "repaired"] {
         assert!(health.score(1, &id(name)) > 0.75 && !health.is_failing(&id(name)), "{name}");
     }
-    // An answer to a probe says nothing of an engine that fails at its work.
+    // A successful health check says nothing of an engine that fails requests.
     (0..40).for_each(|_| health.record_attempt(2, &id("bad"), None, Outcome::Error, None));
     health.record_health_check(3, &id("bad"));
     assert_eq!(health.score(3, &id("bad")), 0.0);
--- a/crates/pintally-cells/tests/golden.rs
+++ b/crates/pintally-cells/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The cells file and its kept copy as text: a later build reads what an earlier one has written.
+//! The text of the cells file and of its cached copy: a later build reads what an earlier one has written.
 
 use pintally::interface::{DiscoveryMode, LoadReporting, Settings, Tenant};
 use pintally_cells::{CellSpec, CellsFile, Home, Move, Needs, Step, TenantHome};
