--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -1,15 +1,20 @@
 //! Cells: subsets of the fleet that serve some tenants or keys and nobody else.
 //!
-//! Every node comes to the same answer from the same files: which cell a request belongs to follows
-//! from the cells file, the tenant, the session and the time, and from nothing that one node alone
-//! has seen. What one node has seen decides only whom it turns away.
+//! Every node reaches the same decision from the same file: the cell of a request follows from the cells file, the
+//! tenant, the session and the time, and from nothing that one node alone has observed. Such observations decide
+//! only which requests are rejected, which engines are borrowed and how fast moves go.
 //!
-//! No input or output; time is handed in. `docs/cells.md` weighs the options.
+//! No input or output; the caller passes the time. `docs/cells.md` weighs the options.
 
+#![deny(missing_docs)]
+
+mod admission;
 mod assign;
+mod assignment;
+mod cells;
+mod composition;
 mod edge;
 mod engine_health;
-mod facade;
 mod file;
 mod health;
 mod loans;
@@ -17,13 +22,15 @@
 mod moves;
 mod overload;
 
+pub use admission::{AdmissionRequest, CellAdmission, RejectionReason};
 pub use assign::{cells_of, draw};
+pub use assignment::EngineAssignment;
+pub use cells::{CellStatus, Cells};
 pub use edge::{EdgeAdmission, EdgeDecision, SlotUsage};
 pub use engine_health::EngineHealth;
-pub use facade::{AdmissionRequest, CellAdmission, CellStatus, Cells, EngineAssignment};
-pub use file::{CellSpec, CellsFile, Home, MoveCommand, Needs, TenantHome};
+pub use file::{CellSpec, CellsFile, Home, MoveCommand, MoveError, Needs, TenantHome, VersionError};
 pub use health::{CellHealth, Level};
-pub use loans::{Lendable, Loans};
+pub use loans::{Loans, ServingEngine};
 pub use move_rate::MoveRateController;
 pub use moves::{Move, Step};
 pub use overload::OverloadTracker;
--- a/crates/pintally-host/src/cell_routing.rs
+++ b/crates/pintally-host/src/cell_routing.rs
@@ -83,7 +83,7 @@
         };
         match cells.replace_file(now, file) {
             Ok(assignment) => CellsUpdate::Replaced(assignment),
-            Err(reason) => CellsUpdate::Invalid(reason),
+            Err(reason) => CellsUpdate::Invalid(reason.to_string()),
         }
     }
 
--- a/crates/pintally-host/src/host/admission.rs
+++ b/crates/pintally-host/src/host/admission.rs
@@ -180,12 +180,12 @@
         match self.cells.admit(self.now, request, arrival.unix_ms) {
             // Without the file nobody knows which cell serves whom: nobody is served rather than everybody by all.
             None => Err(rejected(CELL_RETRY_AFTER)),
-            Some(CellAdmission::Into(cell)) => Ok(cell),
-            Some(CellAdmission::InPlaceOf(cell, preempted)) => {
+            Some(CellAdmission::Admit(cell)) => Ok(cell),
+            Some(CellAdmission::Displace { cell, displaced: preempted }) => {
                 self.preempt_queued_request(&preempted, out);
                 Ok(cell)
             }
-            Some(CellAdmission::Rejected(_, retry_after_ms, _)) => {
+            Some(CellAdmission::Reject { retry_after_ms, .. }) => {
                 self.counters.rejected_by_cell += 1;
                 Err(rejected(retry_after_ms * 1000))
             }
