--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -2,10 +2,14 @@
 
 mod admission;
 mod attempts;
+mod coordination;
 mod final_answers;
 mod fleet;
 mod recovery;
 mod releases;
+mod request_releases;
+mod reservation_deadlines;
+mod reservation_releases;
 mod status;
 
 use std::sync::Arc;
@@ -199,31 +203,11 @@
             Input::Cells(file) => self.on_cells_file(*file, out),
             Input::Recovery(input) => self.handle_recovery(input, out),
             Input::ReservationsInherited(orphaned) => self.on_reservations_inherited(orphaned, out),
-            Input::QuotaGranted(grants) => {
-                if let Some(quota) = &mut self.quota {
-                    quota.apply_grants(self.now, &grants);
-                }
-            }
-            Input::OutlierReport(from, report) => {
-                if let Some(outliers) = &mut self.outliers {
-                    outliers.receive_report(self.now, &from, &report);
-                }
-            }
-            Input::PeersChanged(nodes) => {
-                if let Some(outliers) = &mut self.outliers {
-                    outliers.set_peers(nodes);
-                }
-            }
-            Input::EngineCleared(engine) => {
-                if let Some(outliers) = &mut self.outliers {
-                    outliers.clear(self.now, &engine);
-                }
-            }
-            Input::FailoverPlan(bytes) => {
-                if let Some(zones) = &mut self.zones {
-                    zones.apply_plan(self.now, &bytes);
-                }
-            }
+            Input::QuotaGranted(grants) => self.on_quota_granted(&grants),
+            Input::OutlierReport(from, report) => self.on_outlier_report(&from, &report),
+            Input::PeersChanged(nodes) => self.on_peers_changed(nodes),
+            Input::EngineCleared(engine) => self.on_engine_cleared(&engine),
+            Input::FailoverPlan(bytes) => self.on_failover_plan(&bytes),
             Input::RequestArrived(arrival) => self.on_request_arrived(arrival, out),
             Input::DeliveryConfirmed(number, attempt) => self.on_delivery_confirmed(number, attempt),
             Input::FirstToken(number, attempt) => self.on_first_token(number, attempt, out),
@@ -316,16 +300,6 @@
         }
     }
 
-    fn request_quota(&mut self, out: &mut Vec<Command>) {
-        let Some(quota) = &mut self.quota else { return };
-        let requests = quota.lease_requests(self.now);
-        if !requests.is_empty() {
-            out.push(Command::RequestQuota(requests));
-        }
-        let next = self.now + quota.check_interval();
-        self.timers.set(next, TimerEvent::QuotaRequest);
-    }
-
     fn on_stop(&mut self) {
         if self.lifecycle == Lifecycle::Running {
             self.lifecycle = Lifecycle::Draining;
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -238,11 +238,8 @@
             self.withdraw_release(&id, 0, out);
         }
         self.record_engine_outcome(&cell, &ended.engine, outcome, out);
-        if outcome == Outcome::Served && !was_closed {
-            self.answer(&id, FinalAnswer::Served, out);
-        } else if ended.has_first_token && !was_closed {
-            // An answer that has begun cannot be retried: its client would get a second beginning.
-            self.answer(&id, FinalAnswer::StreamCut, out);
+        if !was_closed {
+            self.answer_after_attempt(&id, &ended, outcome, out);
         }
         let event = AttemptEnd {
             id: id.clone(),
@@ -256,6 +253,22 @@
         self.release_uncertain(&id, out);
     }
 
+    /// Gives the final answer of a request if the outcome of its attempt leaves no other.
+    fn answer_after_attempt(
+        &mut self,
+        id: &RequestId,
+        ended: &InFlightAttempt,
+        outcome: Outcome,
+        out: &mut Vec<Command>,
+    ) {
+        if outcome == Outcome::Served {
+            self.answer(id, FinalAnswer::Served, out);
+        } else if ended.has_first_token {
+            // An answer that has begun cannot be retried: its client would get a second beginning.
+            self.answer(id, FinalAnswer::StreamCut, out);
+        }
+    }
+
     /// Notifies the parts of the host of what an outcome shows of an engine.
     fn record_engine_outcome(
         &mut self,
--- a/crates/pintally-host/src/host/fleet.rs
+++ b/crates/pintally-host/src/host/fleet.rs
@@ -9,8 +9,6 @@
 use crate::cell_routing::{CellsUpdate, ListedEndpoint};
 use crate::command::Command;
 use crate::input::EngineEndpoint;
-use crate::outlier_detection::{EjectionChange, Evaluation, EVALUATION_INTERVAL};
-use crate::timers::TimerEvent;
 
 /// The cells whose cores are notified of an assignment of engines.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -61,31 +59,6 @@
         }
     }
 
-    /// Publishes this node's report, evaluates those of all nodes, and notifies the cores of engines that are
-    /// ejected or readmitted.
-    pub(super) fn evaluate_outliers(&mut self, out: &mut Vec<Command>) {
-        let Some(outliers) = &mut self.outliers else { return };
-        let Evaluation { report, changes } = outliers.evaluate(self.now);
-        out.extend(report.map(Command::PublishOutlierReport));
-        for EjectionChange { engine, is_ejected } in &changes {
-            let event = if *is_ejected { "ejected" } else { "readmitted" };
-            out.push(Command::Log(format!("engine {event}: engine={} reason=outlier_detection", engine.0)));
-        }
-        let listed = changes.iter().filter_map(|change| self.endpoints.endpoint(&change.engine));
-        let changed: Vec<EngineEndpoint> = listed.cloned().collect();
-        if !changed.is_empty() {
-            self.update_endpoints(ListUpdate::Delta, changed, out);
-        }
-        self.timers.set(self.now + EVALUATION_INTERVAL, TimerEvent::OutlierEvaluation);
-    }
-
-    pub(super) fn publish_zone_report(&mut self, out: &mut Vec<Command>) {
-        let Some(zones) = &mut self.zones else { return };
-        let report = zones.report(self.now, |engine| self.endpoints.is_serving(engine));
-        out.push(Command::PublishZoneReport(report.observations, report.serving_engines));
-        self.timers.set(self.now + zones.report_interval(), TimerEvent::ZoneReport);
-    }
-
     /// Updates the directory of engines and notifies the cores.
     pub(super) fn update_endpoints(
         &mut self,
