--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -114,7 +114,7 @@
     }
 
     /// Adds quotas of the whole fleet, if the settings define any.
-    pub fn with_limits(mut self, now: Micros) -> Host {
+    pub fn with_quotas(mut self, now: Micros) -> Host {
         if let Some(quotas) = &self.settings.quotas {
             let quota = QuotaAdmission::new(&self.settings, quotas);
             self.timers.set(now + quota.check_interval(), TimerEvent::QuotaRequest);
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -83,7 +83,7 @@
         }
         host = host
             .with_orphaned_reservations(std::mem::take(&mut before.left))
-            .with_limits(shared.clock.now())
+            .with_quotas(shared.clock.now())
             .with_outlier_detection(shared.clock.now())
             .with_regions(shared.clock.now());
         let ((ask, asked), (shares, shares_asked)) = (bounded(ASKED), bounded(ASKED));
