--- a/crates/pintally-host/src/host/status.rs
+++ b/crates/pintally-host/src/host/status.rs
@@ -110,7 +110,7 @@
     }
 
     /// The state of each quota on this node.
-    pub fn limits_status(&self, now: Micros) -> Option<Vec<LimitStatus>> {
+    pub fn quota_status(&self, now: Micros) -> Option<Vec<LimitStatus>> {
         self.quota.as_ref().map(|quota| quota.status(now))
     }
 
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -81,7 +81,7 @@
             limits_at = now;
             *shared.fleet.verdicts.lock().unwrap_or_else(|e| e.into_inner()) =
                 decider.host.outlier_status(now);
-            *shared.fleet.limits.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.limits_status(now);
+            *shared.fleet.limits.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.quota_status(now);
         }
         if let Some(answer) = decider.host.recovery_answer(now) {
             let stage = answer.stage;
