--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -133,7 +133,7 @@
     }
 
     /// Adds a core for each zone, if the settings define a failover policy that contains the node's zone.
-    pub fn with_regions(mut self, now: Micros) -> Host {
+    pub fn with_failover(mut self, now: Micros) -> Host {
         if let Some(zones) = ZoneRouting::new(&self.settings) {
             self.zones = Some(zones);
             self.timers.set(now + 1, TimerEvent::ZoneReport);
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -85,7 +85,7 @@
             .with_orphaned_reservations(std::mem::take(&mut before.left))
             .with_quotas(shared.clock.now())
             .with_outlier_detection(shared.clock.now())
-            .with_regions(shared.clock.now());
+            .with_failover(shared.clock.now());
         let ((ask, asked), (shares, shares_asked)) = (bounded(ASKED), bounded(ASKED));
         let ((testify, testimonies), (zones, zone_words)) = (bounded(ASKED), bounded(ASKED));
         let ends = Ends { errands, look: look.clone(), stopped: stopped_sender, ask, shares, testify, zones };
