--- a/crates/pintally-host/src/host/status.rs
+++ b/crates/pintally-host/src/host/status.rs
@@ -95,7 +95,7 @@
 
     /// Tenants that migrate between cells, the share of their sessions that this node has migrated, and whether
     /// it holds the others back.
-    pub fn moves_status(&self, unix_ms: u64) -> Vec<(String, f64, bool)> {
+    pub fn migration_status(&self, unix_ms: u64) -> Vec<(String, f64, bool)> {
         self.cells.migrations(unix_ms)
     }
 
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -70,7 +70,7 @@
         *shared.host_counters.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.counters();
         if decider.host.take_fleet_change() {
             *shared.cells.lock().unwrap_or_else(|e| e.into_inner()) = decider.host.cells_status();
-            let moves = decider.host.moves_status(shared.clock.unix_ms());
+            let moves = decider.host.migration_status(shared.clock.unix_ms());
             *shared.moves.lock().unwrap_or_else(|e| e.into_inner()) = moves;
             shared.serving.store(decider.host.serving(), Ordering::Relaxed);
         }
