--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -74,7 +74,7 @@
         address: SocketAddr,
         /// Use a new connection. Guards against a node that was partitioned: all its pooled connections are silent
         /// then, and calls on one after the other of them reach nobody.
-        anew: bool,
+        new_connection: bool,
     },
     /// Find out whether an attempt in flight has reached its engine: if its last byte has been written on a
     /// connection that was opened for it, open one more. If that comes up, report
--- a/crates/pintally-host/src/host/request_releases.rs
+++ b/crates/pintally-host/src/host/request_releases.rs
@@ -43,7 +43,7 @@
         let target = engine.and_then(|engine| self.endpoints.address(&engine).map(|a| (engine, a)));
         if let Some((engine, address)) = target {
             self.counters.release_calls += 1;
-            out.push(Command::Release { name: id.clone(), engine, address, anew: new_connection });
+            out.push(Command::Release { name: id.clone(), engine, address, new_connection });
         }
         match next_call_after {
             Some(after) => {
--- a/crates/pintally-host/src/host/reservation_releases.rs
+++ b/crates/pintally-host/src/host/reservation_releases.rs
@@ -46,7 +46,7 @@
     ) {
         self.counters.release_calls += 1;
         self.release_retries.begin(self.now, &name, &engine, certainty);
-        out.push(Command::Release { name, engine, address, anew: false });
+        out.push(Command::Release { name, engine, address, new_connection: false });
     }
 
     pub(super) fn retry_release(&mut self, name: RequestId, engine: EngineId, out: &mut Vec<Command>) {
@@ -55,8 +55,8 @@
         }
         if let Some(address) = self.endpoints.address(&engine) {
             self.counters.release_calls += 1;
-            let anew = self.release_retries.needs_new_connection(&name, &engine);
-            out.push(Command::Release { name, engine, address, anew });
+            let new_connection = self.release_retries.needs_new_connection(&name, &engine);
+            out.push(Command::Release { name, engine, address, new_connection });
         }
     }
 
--- a/crates/pintally-kserve-node/src/decide.rs
+++ b/crates/pintally-kserve-node/src/decide.rs
@@ -188,8 +188,8 @@
                         self.mail(ticket, Mail::Over);
                         self.boxes.remove(&ticket);
                     }
-                    Command::Release { name, engine, address, anew } => {
-                        let errand = Errand::Release(name, engine, address, anew);
+                    Command::Release { name, engine, address, new_connection } => {
+                        let errand = Errand::Release(name, engine, address, new_connection);
                         if let Err(Errand::Release(name, engine, ..)) = self.ends.errands.send(errand) {
                             unsent.push(Input::Released(name, engine, false));
                         }
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -179,7 +179,7 @@
     fn release(&self, id: &RequestId, attempt: Attempt, engine: EngineId, out: &mut Vec<Command>) {
         if let Some(known) = self.engines.get(&engine) {
             let name = RequestId(format!("{}.{attempt}", id.0).into());
-            out.push(Command::Release { name, engine, address: known.address, anew: false });
+            out.push(Command::Release { name, engine, address: known.address, new_connection: false });
         }
     }
 
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -28,7 +28,9 @@
                     self.bytes -= job.body.len();
                 }
             }
-            Command::Release { name, engine, address, anew } => self.release(name, engine, address, anew),
+            Command::Release { name, engine, address, new_connection } => {
+                self.release(name, engine, address, new_connection)
+            }
             Command::ProbeConnection(ticket, attempt, engine, address) => {
                 self.probe_connection(ticket, attempt, &engine, address)
             }
