--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -57,13 +57,13 @@
 /// The first rule that the attempt would break.
 pub fn may_send(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
     if request.closed {
-        return Err(Denial::RequestOver);
+        return Err(Denial::RequestClosed);
     }
     if request.attempt_in_flight {
-        return Err(Denial::AttemptOut);
+        return Err(Denial::AttemptInFlight);
     }
     if request.attempts >= request.max_attempts {
-        return Err(Denial::AttemptsSpent);
+        return Err(Denial::AttemptsExhausted);
     }
     may_start(now, request, engine)
 }
@@ -76,7 +76,7 @@
 /// The first rule that the attempt would break.
 pub fn may_start(now: Micros, request: &RequestFacts<'_>, engine: &EngineFacts<'_>) -> Result<(), Denial> {
     if request.closed {
-        return Err(Denial::RequestOver);
+        return Err(Denial::RequestClosed);
     }
     if engine.listing != EndpointState::Serving {
         return Err(Denial::EngineNotServing);
@@ -104,10 +104,10 @@
                 IdempotencyScope::Rack => first.rack == engine.rack,
             };
             if !in_scope {
-                return Err(Denial::OutsideGroup);
+                return Err(Denial::OutsideKeyScope);
             }
             if now >= first.sent.saturating_add(window) {
-                return Err(Denial::WindowOver);
+                return Err(Denial::KeyWindowExpired);
             }
             Ok(())
         }
--- a/crates/pintally-guards/src/lib.rs
+++ b/crates/pintally-guards/src/lib.rs
@@ -21,21 +21,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Denial {
     /// The request has its final answer or its client has left.
-    RequestOver,
+    RequestClosed,
     /// Another attempt of the request is in flight.
-    AttemptOut,
+    AttemptInFlight,
     /// The engine is draining or no longer listed.
     EngineNotServing,
     /// An earlier attempt may have run and the request is not idempotent.
     MayRunTwice,
     /// An earlier attempt may have run, and this engine is outside the scope of its idempotency key.
-    OutsideGroup,
+    OutsideKeyScope,
     /// An earlier attempt may have run, and the window of its idempotency key has expired.
-    WindowOver,
+    KeyWindowExpired,
     /// The deadline of the request has passed.
     NoTimeLeft,
     /// The limit of attempts is reached.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// A rejection promises that nothing ran, and an attempt may have run.
     RejectionAfterEffect,
     /// A request of the connection is in flight.
@@ -49,14 +49,14 @@
 impl Denial {
     /// All denials, in the order of their counts.
     pub const ALL: [Denial; 12] = [
-        Denial::RequestOver,
-        Denial::AttemptOut,
+        Denial::RequestClosed,
+        Denial::AttemptInFlight,
         Denial::EngineNotServing,
         Denial::MayRunTwice,
-        Denial::OutsideGroup,
-        Denial::WindowOver,
+        Denial::OutsideKeyScope,
+        Denial::KeyWindowExpired,
         Denial::NoTimeLeft,
-        Denial::AttemptsSpent,
+        Denial::AttemptsExhausted,
         Denial::RejectionAfterEffect,
         Denial::AnswerOwed,
         Denial::AnswerUnwritten,
@@ -66,14 +66,14 @@
     /// The name in logs and status documents.
     pub fn name(self) -> &'static str {
         match self {
-            Denial::RequestOver => "request_over",
-            Denial::AttemptOut => "attempt_out",
+            Denial::RequestClosed => "request_over",
+            Denial::AttemptInFlight => "attempt_out",
             Denial::EngineNotServing => "engine_not_serving",
             Denial::MayRunTwice => "may_run_twice",
-            Denial::OutsideGroup => "outside_group",
-            Denial::WindowOver => "window_over",
+            Denial::OutsideKeyScope => "outside_group",
+            Denial::KeyWindowExpired => "window_over",
             Denial::NoTimeLeft => "no_time_left",
-            Denial::AttemptsSpent => "attempts_spent",
+            Denial::AttemptsExhausted => "attempts_spent",
             Denial::RejectionAfterEffect => "refusal_after_effect",
             Denial::AnswerOwed => "answer_owed",
             Denial::AnswerUnwritten => "answer_unwritten",
--- a/crates/pintally-guards/tests/guards.rs
+++ b/crates/pintally-guards/tests/guards.rs
@@ -37,13 +37,13 @@
     let writer = engine(Role::Writer);
     assert_eq!(may_send(NOW, &good, &writer), Ok(()));
     let closed = RequestFacts { closed: true, ..good };
-    assert_eq!(may_send(NOW, &closed, &writer), Err(Denial::RequestOver));
-    assert_eq!(may_start(NOW, &closed, &writer), Err(Denial::RequestOver));
+    assert_eq!(may_send(NOW, &closed, &writer), Err(Denial::RequestClosed));
+    assert_eq!(may_start(NOW, &closed, &writer), Err(Denial::RequestClosed));
     let in_flight = RequestFacts { attempt_in_flight: true, ..good };
-    assert_eq!(may_send(NOW, &in_flight, &writer), Err(Denial::AttemptOut));
+    assert_eq!(may_send(NOW, &in_flight, &writer), Err(Denial::AttemptInFlight));
     assert_eq!(may_start(NOW, &in_flight, &writer), Ok(()), "the attempt in flight is the one that starts");
     let spent = RequestFacts { attempts: 6, ..good };
-    assert_eq!(may_send(NOW, &spent, &writer), Err(Denial::AttemptsSpent));
+    assert_eq!(may_send(NOW, &spent, &writer), Err(Denial::AttemptsExhausted));
     assert_eq!(may_send(DEADLINE - 1, &good, &writer), Ok(()));
     assert_eq!(may_send(DEADLINE, &good, &writer), Err(Denial::NoTimeLeft));
     for listing in [EndpointState::Draining, EndpointState::Gone] {
@@ -81,9 +81,9 @@
     ] {
         let first = ran(NOW, zone, rack);
         let keyed = request(Idempotency::WithKey(group, WINDOW), Some(&first));
-        let expected = if inside { Ok(()) } else { Err(Denial::OutsideGroup) };
+        let expected = if inside { Ok(()) } else { Err(Denial::OutsideKeyScope) };
         assert_eq!(may_send(NOW + WINDOW - 1, &keyed, &writer), expected);
-        let expected = if inside { Err(Denial::WindowOver) } else { expected };
+        let expected = if inside { Err(Denial::KeyWindowExpired) } else { expected };
         assert_eq!(may_send(NOW + WINDOW, &keyed, &writer), expected);
         assert_eq!(may_start(NOW + WINDOW, &keyed, &writer), expected);
     }
@@ -108,10 +108,13 @@
 #[test]
 fn denials_are_counted_by_kind() {
     let mut denials = Denials::default();
-    denials.add(Denial::WindowOver);
-    denials.add(Denial::WindowOver);
+    denials.add(Denial::KeyWindowExpired);
+    denials.add(Denial::KeyWindowExpired);
     denials.add(Denial::AnswerOwed);
-    assert_eq!((denials.of(Denial::WindowOver), denials.of(Denial::NoTimeLeft), denials.total()), (2, 0, 3));
+    assert_eq!(
+        (denials.of(Denial::KeyWindowExpired), denials.of(Denial::NoTimeLeft), denials.total()),
+        (2, 0, 3)
+    );
     let named: Vec<_> = denials.by_name().collect();
     assert_eq!(named, [("window_over", 2), ("answer_owed", 1)]);
 }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -188,8 +188,8 @@
     ///
     /// The rule that the attempt would break.
     pub fn may_start(&mut self, now: Micros, ticket: RequestNumber) -> Result<(), Denial> {
-        let record = self.requests.get(ticket).ok_or(Denial::RequestOver)?;
-        let in_flight = record.in_flight.as_ref().ok_or(Denial::RequestOver)?;
+        let record = self.requests.get(ticket).ok_or(Denial::RequestClosed)?;
+        let in_flight = record.in_flight.as_ref().ok_or(Denial::RequestClosed)?;
         let facts = record.facts(self.settings.core.max_attempts);
         let engine = self.endpoints.get(&in_flight.engine).ok_or(Denial::EngineNotServing);
         let permission = engine.and_then(|engine| may_start(now, &facts, &engine.facts()));
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -64,7 +64,7 @@
     }
 
     fn check_send(&self, number: RequestNumber, engine: &EngineId) -> Result<(), NotSent> {
-        let record = self.requests.get(number).ok_or(NotSent::Denied(Denial::RequestOver))?;
+        let record = self.requests.get(number).ok_or(NotSent::Denied(Denial::RequestClosed))?;
         let known = self.endpoints.get(engine).ok_or(NotSent::Denied(Denial::EngineNotServing))?;
         let facts = record.facts(self.settings.core.max_attempts);
         may_send(self.now, &facts, &known.facts()).map_err(NotSent::Denied)
--- a/crates/pintally-host/tests/guards.rs
+++ b/crates/pintally-host/tests/guards.rs
@@ -69,7 +69,7 @@
     assert!(is_sent(&arrives(&mut sent, 1, 1_000_000)));
     assert_eq!(sent.may_start(START + 1, 1), Ok(()));
     assert_eq!(sent.may_start(START + 1_000_000, 1), Err(Denial::NoTimeLeft));
-    assert_eq!(sent.may_start(START, 2), Err(Denial::RequestOver), "the request is unknown");
+    assert_eq!(sent.may_start(START, 2), Err(Denial::RequestClosed), "the request is unknown");
     let drained = vec![endpoint("r0", "r", EndpointState::Draining)];
     sent.handle(START + 2, Input::EndpointList(ListUpdate::Delta, drained), &mut Vec::new());
     assert_eq!(sent.may_start(START + 3, 1), Err(Denial::EngineNotServing));
@@ -78,7 +78,7 @@
     let mut left = host();
     arrives(&mut left, 1, 1_000_000);
     left.handle(START + 1, Input::ClientLeft(1), &mut Vec::new());
-    assert_eq!(left.may_start(START + 2, 1), Err(Denial::RequestOver));
+    assert_eq!(left.may_start(START + 2, 1), Err(Denial::RequestClosed));
 }
 
 #[test]
