--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -188,8 +188,8 @@
     /// failed. A connection probe has no answer then: nothing is known of the attempt.
     fn start_background_call(&mut self, command: Command) -> Option<Input> {
         let call = match command {
-            Command::Release { name, engine, address, anew } => {
-                BackgroundCall::Release { name, engine, address, new_connection: anew }
+            Command::Release { name, engine, address, new_connection } => {
+                BackgroundCall::Release { name, engine, address, new_connection }
             }
             Command::HealthCheck(engine, address, slots) => {
                 BackgroundCall::HealthCheck { engine, address, slots }
@@ -268,7 +268,7 @@
         *lock(&shared.host_counters) = host.counters();
         if host.take_fleet_change() {
             *lock(&shared.cells) = host.cells_status();
-            *lock(&shared.moves) = host.moves_status(shared.clock.unix_ms());
+            *lock(&shared.moves) = host.migration_status(shared.clock.unix_ms());
             shared.serving.store(host.serving(), Ordering::Relaxed);
         }
     }
@@ -278,7 +278,7 @@
         if enabled && now >= self.quota_at + QUOTA_STATUS_INTERVAL_US {
             self.quota_at = now;
             *lock(&shared.fleet.outlier_status) = host.outlier_status(now);
-            *lock(&shared.fleet.limit_status) = host.limits_status(now);
+            *lock(&shared.fleet.limit_status) = host.quota_status(now);
         }
     }
 
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -225,9 +225,9 @@
         host = host.with_recovery(recovery);
     }
     host.with_orphaned_reservations(std::mem::take(&mut restored.orphaned_reservations))
-        .with_limits(shared.clock.now())
+        .with_quotas(shared.clock.now())
         .with_outlier_detection(shared.clock.now())
-        .with_regions(shared.clock.now())
+        .with_failover(shared.clock.now())
 }
 
 /// The link to peers, where the settings have any.
--- a/crates/pintally-platform-node/src/background_calls.rs
+++ b/crates/pintally-platform-node/src/background_calls.rs
@@ -13,10 +13,16 @@
 use crate::node::Node;
 
 impl Node {
-    /// Sends a call that releases the reservations of a request; `anew` on a new connection only.
-    pub(crate) fn send_release(&mut self, id: RequestId, engine: EngineId, address: SocketAddr, anew: bool) {
+    /// Sends a call that releases the reservations of a request; `new_connection` on a new connection only.
+    pub(crate) fn send_release(
+        &mut self,
+        id: RequestId,
+        engine: EngineId,
+        address: SocketAddr,
+        new_connection: bool,
+    ) {
         let timeout_at = self.clock.now() + self.settings.limits.background_call_timeout;
-        let reuse = if anew { Reuse::NewOnly } else { Reuse::Allowed };
+        let reuse = if new_connection { Reuse::NewOnly } else { Reuse::Allowed };
         let request = OutgoingRequest::new(encode_release(&id.0), None);
         let work = Work::Release { id: id.clone(), engine: engine.clone(), timeout_at };
         match self.assign_connection(address, &engine, request, work, reuse) {
--- a/crates/pintally-platform-node/src/host_commands.rs
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -51,8 +51,8 @@
             Command::Cancel(number, _) => self.cancel_attempt(number),
             Command::Answer(number, answer) => self.send_final_answer(number, answer),
             Command::Over(number) => self.requests.remove(number),
-            Command::Release { name, engine, address, anew } => {
-                self.send_release(name, engine, address, anew)
+            Command::Release { name, engine, address, new_connection } => {
+                self.send_release(name, engine, address, new_connection)
             }
             Command::ProbeConnection(number, attempt, engine, address) => {
                 self.probe_connection(number, attempt, &engine, address)
--- a/crates/pintally-platform/src/configuration.rs
+++ b/crates/pintally-platform/src/configuration.rs
@@ -77,8 +77,8 @@
     #[error("`known`: {0}")]
     EndpointList(#[from] EndpointListError),
     /// The settings object is invalid.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] pintally_wire::SettingsError),
 }
 
 /// Resource limits of a node.
@@ -155,8 +155,7 @@
             seed: seed.ok_or(ConfigurationError::Seed)?,
             limits,
             last_known_list,
-            settings: pintally_wire::settings(field(&root, "settings")?.clone())
-                .map_err(ConfigurationError::Settings)?,
+            settings: pintally_wire::settings(field(&root, "settings")?.clone())?,
         })
     }
 
