--- a/crates/pintally-engine/src/outcome.rs
+++ b/crates/pintally-engine/src/outcome/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | what came back | outcome | may have run |
 //! | --- | --- | --- |
-//! | a whole answer | `Served`, or `Read` for a read | yes |
+//! | a complete answer | `Served`, or `Read` for a read | yes |
 //! | 409 of type `no_state` | `NoState` | no |
 //! | 429, or any error on which the engine vouches that nothing ran | `Full` | no |
 //! | any other status | `Error` | yes |
@@ -11,6 +11,9 @@
 //! | the time-out ran out | `TimedOut` | yes |
 //! | called off | `Cancelled` | yes |
 
+#[cfg(test)]
+mod tests;
+
 use std::io;
 
 use pintally::interface::Outcome;
@@ -24,17 +27,17 @@
     Sent,
 }
 
-/// The outcome of an answer that is an error.
-pub fn of_status(status: u16, no_state: bool, vouched: bool) -> Outcome {
+/// The outcome of an error response: its type is `no_state`, or the engine vouches that nothing ran.
+pub fn of_status(status: u16, no_state: bool, not_run: bool) -> Outcome {
     match status {
         409 if no_state => Outcome::StateNotFound,
         429 => Outcome::Overloaded,
-        _ if vouched => Outcome::Overloaded,
+        _ if not_run => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
 
-/// The outcome of an error of the transport.
+/// The outcome of a transport error.
 pub fn of_transport(phase: Phase, kind: io::ErrorKind) -> Outcome {
     match (phase, kind) {
         (Phase::Connecting, _) => Outcome::Unreachable,
@@ -42,25 +45,3 @@
         (Phase::Sent, _) => Outcome::ConnectionBroken,
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against an unsafe request being sent again on an answer that proves nothing.
-    #[test]
-    fn only_what_is_proven_counts_as_not_run() {
-        assert_eq!(of_status(409, true, false), Outcome::StateNotFound);
-        assert_eq!(of_status(409, false, false), Outcome::Error);
-        assert_eq!(of_status(503, false, false), Outcome::Error);
-        assert_eq!(of_status(503, false, true), Outcome::Overloaded);
-        assert_eq!(of_status(429, false, false), Outcome::Overloaded);
-        for kind in
-            [io::ErrorKind::ConnectionRefused, io::ErrorKind::ConnectionReset, io::ErrorKind::TimedOut]
-        {
-            assert_eq!(of_transport(Phase::Connecting, kind), Outcome::Unreachable);
-        }
-        assert_eq!(of_transport(Phase::Sent, io::ErrorKind::ConnectionReset), Outcome::ConnectionBroken);
-        assert_eq!(of_transport(Phase::Sent, io::ErrorKind::TimedOut), Outcome::TimedOut);
-    }
-}
--- /dev/null
+++ b/crates/pintally-engine/src/outcome/tests.rs
@@ -0,0 +1,18 @@
+//! Outcomes of statuses and of transport errors.
+
+use super::*;
+
+/// Guards against a retry of a request that is not idempotent on a response that proves nothing.
+#[test]
+fn only_proof_counts_as_not_run() {
+    assert_eq!(of_status(409, true, false), Outcome::StateNotFound);
+    assert_eq!(of_status(409, false, false), Outcome::Error);
+    assert_eq!(of_status(503, false, false), Outcome::Error);
+    assert_eq!(of_status(503, false, true), Outcome::Overloaded);
+    assert_eq!(of_status(429, false, false), Outcome::Overloaded);
+    for kind in [io::ErrorKind::ConnectionRefused, io::ErrorKind::ConnectionReset, io::ErrorKind::TimedOut] {
+        assert_eq!(of_transport(Phase::Connecting, kind), Outcome::Unreachable);
+    }
+    assert_eq!(of_transport(Phase::Sent, io::ErrorKind::ConnectionReset), Outcome::ConnectionBroken);
+    assert_eq!(of_transport(Phase::Sent, io::ErrorKind::TimedOut), Outcome::TimedOut);
+}
--- a/crates/pintally-engine/src/request.rs
+++ b/crates/pintally-engine/src/request.rs
@@ -8,7 +8,7 @@
 /// What an attempt does at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the prompt; the state waits.
+    /// Read the prompt; the state stays for a fetch.
     Read,
     /// Fetch the state and answer.
     Fetch,
@@ -19,7 +19,7 @@
 /// One attempt as it goes to an engine.
 #[derive(Clone, Debug)]
 pub struct Work<'a> {
-    /// What is to be done.
+    /// What the engine is to do.
     pub step: Step,
     /// The model's name.
     pub model: &'a str,
@@ -65,18 +65,18 @@
         ("endpoint-load-metrics-format", "json"),
         (extension::KEY, w.key),
     ];
-    headers.extend(w.tenant.map(|t| (extension::TENANT, t)));
+    headers.extend(w.tenant.map(|tenant| (extension::TENANT, tenant)));
     request("POST", "/v1/completions", &headers, body.to_string().as_bytes())
 }
 
-/// A request to let go of a read state, as bytes.
+/// A request to release a read state, as bytes.
 pub fn release(id: &str) -> Vec<u8> {
     let body = json!({ "request_id": id }).to_string();
     let headers = [("host", "engine"), ("content-type", "application/json")];
     request("POST", extension::RELEASE_PATH, &headers, body.as_bytes())
 }
 
-/// A probe, as bytes.
+/// A health check, as bytes.
 pub fn probe() -> Vec<u8> {
     request("GET", "/metrics", &[("host", "engine")], b"")
 }
--- a/crates/pintally-http/src/body.rs
+++ b/crates/pintally-http/src/framing.rs
@@ -1,9 +1,9 @@
-//! A message's body: by length, in chunks, or to the end of the connection.
+//! The framing of a message's body: by length, in chunks, or to the end of the connection.
 
 use crate::{Headers, HttpError};
 
 /// The longest line that gives a chunk's size, and the most trailer bytes.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// How the rest of a body is framed.
 pub(crate) enum Framing {
@@ -19,12 +19,12 @@
     Trailers(usize),
     /// All bytes until the connection ends.
     ToEnd,
-    /// The body is over.
+    /// The body is complete.
     Done,
 }
 
 impl Framing {
-    /// The framing that headers tell; `otherwise` is that of a message which says nothing.
+    /// The framing by the headers; `otherwise` is that of a message without one.
     pub(crate) fn of(headers: &Headers, otherwise: Framing) -> Result<Framing, HttpError> {
         let length = headers.length()?;
         let mut codings = headers.0.iter().filter(|(n, _)| n == "transfer-encoding").map(|(_, v)| v.trim());
@@ -50,20 +50,25 @@
     }
 
     /// Takes what it can from the buffer's start into `out`; returns how many bytes were used up.
-    /// `most` bounds what `out` may hold.
-    pub(crate) fn take(&mut self, buffer: &[u8], out: &mut Vec<u8>, most: usize) -> Result<usize, HttpError> {
+    /// `out` may hold `max_bytes`.
+    pub(crate) fn take(
+        &mut self,
+        buffer: &[u8],
+        out: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<usize, HttpError> {
         let mut used = 0;
         loop {
             let rest = &buffer[used..];
             match self {
                 Framing::Done => return Ok(used),
                 Framing::ToEnd => {
-                    push(out, rest, most)?;
+                    push(out, rest, max_bytes)?;
                     return Ok(buffer.len());
                 }
                 Framing::Length(left) | Framing::Chunk(left) => {
                     let part = (*left).min(rest.len() as u64) as usize;
-                    push(out, &rest[..part], most)?;
+                    push(out, &rest[..part], max_bytes)?;
                     used += part;
                     *left -= part as u64;
                     match self {
@@ -96,7 +101,7 @@
                     let Some(end) = line_end(rest)? else { return Ok(used) };
                     used += end + 2;
                     *seen += end + 2;
-                    if *seen > MAX_LINE {
+                    if *seen > MAX_LINE_BYTES {
                         return Err(HttpError::HeadTooLarge);
                     }
                     if end == 0 {
@@ -108,8 +113,8 @@
     }
 }
 
-fn push(out: &mut Vec<u8>, part: &[u8], most: usize) -> Result<(), HttpError> {
-    if out.len() + part.len() > most {
+fn push(out: &mut Vec<u8>, part: &[u8], max_bytes: usize) -> Result<(), HttpError> {
+    if out.len() + part.len() > max_bytes {
         return Err(HttpError::BodyTooLarge);
     }
     out.extend_from_slice(part);
@@ -118,9 +123,9 @@
 
 /// Where the first line ends, if it is all there.
 fn line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
-    match buffer.windows(2).take(MAX_LINE).position(|w| w == b"\r\n") {
+    match buffer.windows(2).take(MAX_LINE_BYTES).position(|w| w == b"\r\n") {
         Some(end) => Ok(Some(end)),
-        None if buffer.len() > MAX_LINE => Err(HttpError::Malformed("a line is too long")),
+        None if buffer.len() > MAX_LINE_BYTES => Err(HttpError::Malformed("a line is too long")),
         None => Ok(None),
     }
 }
--- a/crates/pintally-http/src/lib.rs
+++ b/crates/pintally-http/src/lib.rs
@@ -2,7 +2,9 @@
 //!
 //! Nothing here reads a socket or a clock, so the same code serves sockets and a simulated network.
 
-mod body;
+#![deny(missing_docs)]
+
+mod framing;
 mod request;
 mod response;
 mod sse;
@@ -55,7 +57,7 @@
     }
 }
 
-/// What is wrong with a message.
+/// Why a message is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// The bytes are not HTTP/1.1.
--- a/crates/pintally-http/src/request.rs
+++ b/crates/pintally-http/src/request.rs
@@ -1,9 +1,9 @@
-//! Requests as a server reads them: whole, within bounds.
+//! Requests as a server reads them: complete, within bounds.
 
-use crate::body::Framing;
+use crate::framing::Framing;
 use crate::{Headers, HttpError, MAX_HEADERS};
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Its method, as it came.
@@ -14,25 +14,31 @@
     pub headers: Headers,
     /// Its body, empty if it had none.
     pub body: Vec<u8>,
-    /// The connection stays open behind it.
+    /// The connection stays open after it.
     pub keep_alive: bool,
 }
 
 /// Turns bytes into requests.
 pub struct RequestReader {
-    head_most: usize,
-    body_most: usize,
+    max_head_bytes: usize,
+    max_body_bytes: usize,
     buffer: Vec<u8>,
     /// The request whose body is coming in.
-    open: Option<(Request, Framing)>,
-    /// The client waits for leave to send its body, and has not been told yet.
-    expects: bool,
+    incoming: Option<(Request, Framing)>,
+    /// The client waits for `100 Continue`, and nobody has asked about it yet.
+    expects_continue: bool,
 }
 
 impl RequestReader {
     /// A reader with bounds for head and body.
-    pub fn new(head_most: usize, body_most: usize) -> RequestReader {
-        RequestReader { head_most, body_most, buffer: Vec::new(), open: None, expects: false }
+    pub fn new(max_head_bytes: usize, max_body_bytes: usize) -> RequestReader {
+        RequestReader {
+            max_head_bytes,
+            max_body_bytes,
+            buffer: Vec::new(),
+            incoming: None,
+            expects_continue: false,
+        }
     }
 
     /// Takes in bytes.
@@ -42,12 +48,12 @@
 
     /// Whether part of a request is here.
     pub fn is_partial(&self) -> bool {
-        self.open.is_some() || !self.buffer.is_empty()
+        self.incoming.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes that are held: of the request that comes in, and behind it.
+    /// Bytes in memory: of the request that comes in, and behind it.
     pub fn held_bytes(&self) -> usize {
-        self.buffer.len() + self.open.as_ref().map_or(0, |(request, _)| request.body.len())
+        self.buffer.len() + self.incoming.as_ref().map_or(0, |(request, _)| request.body.len())
     }
 
     /// Bytes that have come and have not been looked at.
@@ -55,21 +61,25 @@
         self.buffer.len()
     }
 
-    /// Whether the client waits for `100 Continue`; told once for each request.
+    /// Whether the client waits for `100 Continue`; true once for each request.
     pub fn wants_continue(&mut self) -> bool {
-        std::mem::take(&mut self.expects)
+        std::mem::take(&mut self.expects_continue)
     }
 
-    /// The next whole request, if it is all here. After an error the connection is of no more use.
+    /// The next complete request, if it is here. After an error the connection is of no more use.
+    ///
+    /// # Errors
+    ///
+    /// A message that is not HTTP/1.1, is too large, or has an encoding that is not served.
     pub fn next_request(&mut self) -> Result<Option<Request>, HttpError> {
-        if self.open.is_none() && !self.read_head()? {
+        if self.incoming.is_none() && !self.read_head()? {
             return Ok(None);
         }
-        let Some((request, framing)) = &mut self.open else { return Ok(None) };
-        let used = framing.take(&self.buffer, &mut request.body, self.body_most)?;
+        let Some((request, framing)) = &mut self.incoming else { return Ok(None) };
+        let used = framing.take(&self.buffer, &mut request.body, self.max_body_bytes)?;
         self.buffer.drain(..used);
         match framing {
-            Framing::Done => Ok(self.open.take().map(|(request, _)| request)),
+            Framing::Done => Ok(self.incoming.take().map(|(request, _)| request)),
             _ => Ok(None),
         }
     }
@@ -78,8 +88,8 @@
         let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut space);
         let length = match parsed.parse(&self.buffer) {
-            Ok(httparse::Status::Complete(length)) if length <= self.head_most => length,
-            Ok(httparse::Status::Partial) if self.buffer.len() <= self.head_most => return Ok(false),
+            Ok(httparse::Status::Complete(length)) if length <= self.max_head_bytes => length,
+            Ok(httparse::Status::Partial) if self.buffer.len() <= self.max_head_bytes => return Ok(false),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
             Err(_) => return Err(HttpError::Malformed("not an HTTP/1.1 request")),
         };
@@ -96,12 +106,13 @@
             keep_alive,
         };
         let framing = Framing::of(&request.headers, Framing::Done)?;
-        if request.headers.length()?.is_some_and(|length| length > self.body_most as u64) {
+        if request.headers.length()?.is_some_and(|length| length > self.max_body_bytes as u64) {
             return Err(HttpError::BodyTooLarge);
         }
-        self.expects = request.headers.has("expect", "100-continue") && !matches!(framing, Framing::Done);
+        self.expects_continue =
+            request.headers.has("expect", "100-continue") && !matches!(framing, Framing::Done);
         self.buffer.drain(..length);
-        self.open = Some((request, framing));
+        self.incoming = Some((request, framing));
         Ok(true)
     }
 }
--- a/crates/pintally-http/src/response.rs
+++ b/crates/pintally-http/src/response.rs
@@ -1,10 +1,10 @@
 //! Responses as a client reads them: the head, then the body as it comes.
 
-use crate::body::Framing;
+use crate::framing::Framing;
 use crate::{Headers, HttpError, MAX_HEADERS};
 
-/// The most body bytes that one call hands out.
-const MAX_PART: usize = 1 << 20;
+/// The most body bytes that one call returns.
+const MAX_PART_BYTES: usize = 1 << 20;
 
 /// A part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,14 +13,14 @@
     Head(u16, Headers),
     /// Some of the body.
     Body(Vec<u8>),
-    /// The response is whole; `true` if the connection may be used again.
+    /// The response is complete; `true` if the connection may be used again.
     End(bool),
 }
 
 /// Turns bytes into the parts of one response.
 pub struct ResponseReader {
-    head_most: usize,
-    chunk_most: u64,
+    max_head_bytes: usize,
+    max_chunk_bytes: u64,
     buffer: Vec<u8>,
     framing: Option<Framing>,
     keep_alive: bool,
@@ -30,10 +30,10 @@
 
 impl ResponseReader {
     /// A reader with a bound for the head.
-    pub fn new(head_most: usize) -> ResponseReader {
+    pub fn new(max_head_bytes: usize) -> ResponseReader {
         ResponseReader {
-            head_most,
-            chunk_most: u64::MAX,
+            max_head_bytes,
+            max_chunk_bytes: u64::MAX,
             buffer: Vec::new(),
             framing: None,
             keep_alive: true,
@@ -44,7 +44,7 @@
 
     /// The same reader, to which a chunk announced as longer than this is an error.
     pub fn with_chunk_most(mut self, most: u64) -> ResponseReader {
-        self.chunk_most = most;
+        self.max_chunk_bytes = most;
         self
     }
 
@@ -63,17 +63,21 @@
         self.framing.is_some() || !self.buffer.is_empty()
     }
 
-    /// How many bytes have come that belong to no part handed out so far.
+    /// Bytes that have come and belong to no part returned so far.
     pub fn leftover(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes out what has come behind the response: the beginning of the next one.
+    /// Takes what has come behind the response: the start of the next one.
     pub fn rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buffer)
     }
 
-    /// The peer has closed: a body that runs to the end is whole, anything else is cut off.
+    /// The peer has closed: a body that runs to the end is complete, anything else is cut off.
+    ///
+    /// # Errors
+    ///
+    /// The response is cut off.
     pub fn closed(&mut self) -> Result<Part, HttpError> {
         match self.framing {
             Some(Framing::ToEnd) => {
@@ -85,16 +89,20 @@
     }
 
     /// The next part, if it is here.
+    ///
+    /// # Errors
+    ///
+    /// A message that is not HTTP/1.1, is too large, or has an encoding that is not served.
     pub fn next_part(&mut self) -> Result<Option<Part>, HttpError> {
         if self.ended {
             return Ok(None);
         }
         let Some(framing) = &mut self.framing else { return self.read_head() };
         let mut body = Vec::new();
-        let end = self.buffer.len().min(MAX_PART);
-        let used = framing.take(&self.buffer[..end], &mut body, MAX_PART)?;
+        let end = self.buffer.len().min(MAX_PART_BYTES);
+        let used = framing.take(&self.buffer[..end], &mut body, MAX_PART_BYTES)?;
         self.buffer.drain(..used);
-        if matches!(framing, Framing::Chunk(left) if *left > self.chunk_most) {
+        if matches!(framing, Framing::Chunk(left) if *left > self.max_chunk_bytes) {
             return Err(HttpError::BodyTooLarge);
         }
         if !body.is_empty() {
@@ -112,8 +120,8 @@
             let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut parsed = httparse::Response::new(&mut space);
             let length = match parsed.parse(&self.buffer) {
-                Ok(httparse::Status::Complete(length)) if length <= self.head_most => length,
-                Ok(httparse::Status::Partial) if self.buffer.len() <= self.head_most => return Ok(None),
+                Ok(httparse::Status::Complete(length)) if length <= self.max_head_bytes => length,
+                Ok(httparse::Status::Partial) if self.buffer.len() <= self.max_head_bytes => return Ok(None),
                 Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
                 Err(_) => return Err(HttpError::Malformed("not an HTTP/1.1 response")),
             };
--- a/crates/pintally-http/src/sse.rs
+++ b/crates/pintally-http/src/sse.rs
@@ -7,26 +7,31 @@
 pub struct SseReader {
     buffer: Vec<u8>,
     data: Vec<u8>,
-    any: bool,
-    most: usize,
+    /// The event has a data line.
+    has_data: bool,
+    max_event_bytes: usize,
 }
 
 impl SseReader {
     /// A reader that holds at most so many bytes of one event.
-    pub fn new(most: usize) -> SseReader {
-        SseReader { most, ..SseReader::default() }
+    pub fn new(max_event_bytes: usize) -> SseReader {
+        SseReader { max_event_bytes, ..SseReader::default() }
     }
 
-    /// Takes in bytes; an event over the bound is an error.
+    /// Takes in bytes.
+    ///
+    /// # Errors
+    ///
+    /// An event is longer than the bound.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
-        if self.buffer.len() + self.data.len() + bytes.len() > self.most {
+        if self.buffer.len() + self.data.len() + bytes.len() > self.max_event_bytes {
             return Err(HttpError::BodyTooLarge);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The data of the next event that is all here.
+    /// The data of the next complete event.
     pub fn next_event(&mut self) -> Option<Vec<u8>> {
         loop {
             let end = self.buffer.iter().position(|b| *b == b'\n')?;
@@ -36,13 +41,13 @@
                 line.pop();
             }
             if line.is_empty() {
-                if std::mem::take(&mut self.any) {
+                if std::mem::take(&mut self.has_data) {
                     return Some(std::mem::take(&mut self.data));
                 }
                 continue;
             }
             if let Some(value) = line.strip_prefix(b"data:") {
-                if std::mem::replace(&mut self.any, true) {
+                if std::mem::replace(&mut self.has_data, true) {
                     self.data.push(b'\n');
                 }
                 self.data.extend_from_slice(value.strip_prefix(b" ").unwrap_or(value));
--- a/crates/pintally-http/src/write.rs
+++ b/crates/pintally-http/src/write.rs
@@ -1,8 +1,8 @@
-//! Messages as bytes.
+//! Messages and their parts as bytes.
 
 use std::fmt::Write;
 
-/// What ends a body in chunks.
+/// The end of a body in chunks.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// A header line; control characters in a value become spaces, so that no value can add a line.
@@ -11,7 +11,7 @@
     let _ = write!(out, "{name}: {clean}\r\n");
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -33,26 +33,27 @@
 
 /// The head of a response whose body follows in chunks.
 pub fn response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\ntransfer-encoding: chunked\r\n", reason(status));
-    headers.iter().for_each(|(n, v)| header_line(&mut out, n, v));
+    let mut out = format!("HTTP/1.1 {status} {}\r\ntransfer-encoding: chunked\r\n", reason_phrase(status));
+    headers.iter().for_each(|(name, value)| header_line(&mut out, name, value));
     out.push_str("\r\n");
     out.into_bytes()
 }
 
-/// A whole response.
+/// A complete response.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\ncontent-length: {}\r\n", reason(status), body.len());
-    headers.iter().for_each(|(n, v)| header_line(&mut out, n, v));
+    let mut out =
+        format!("HTTP/1.1 {status} {}\r\ncontent-length: {}\r\n", reason_phrase(status), body.len());
+    headers.iter().for_each(|(name, value)| header_line(&mut out, name, value));
     out.push_str("\r\n");
     let mut out = out.into_bytes();
     out.extend_from_slice(body);
     out
 }
 
-/// A whole request.
+/// A complete request.
 pub fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\ncontent-length: {}\r\n", body.len());
-    headers.iter().for_each(|(n, v)| header_line(&mut out, n, v));
+    headers.iter().for_each(|(name, value)| header_line(&mut out, name, value));
     out.push_str("\r\n");
     let mut out = out.into_bytes();
     out.extend_from_slice(body);
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -154,7 +154,7 @@
 /// Serves one request.
 fn serve(shared: &Shared, stream: &mut TcpStream, waker: &Arc<Waker>, request: &Request) -> Connection {
     let route = kserve::route(&request.method, &request.target);
-    if let Route::Work(model, form) = &route {
+    if let Route::Infer(model, form) = &route {
         if *model == shared.settings.model {
             return infer(shared, stream, waker, *form, request);
         }
@@ -189,7 +189,7 @@
         }
         Route::Server => StatusResponse::ok(kserve::metadata(env!("CARGO_PKG_VERSION"))),
         Route::Model(model) if known(&model) => StatusResponse::ok(kserve::model_metadata(&model)),
-        Route::Model(model) | Route::ModelReady(model) | Route::Work(model, _) => {
+        Route::Model(model) | Route::ModelReady(model) | Route::Infer(model, _) => {
             StatusResponse::error(404, &format!("unknown model `{model}`"))
         }
         Route::WrongMethod => StatusResponse::error(405, "this endpoint has another method"),
--- a/crates/pintally-kserve/src/answer.rs
+++ b/crates/pintally-kserve/src/response.rs
@@ -1,36 +1,36 @@
-//! Answers as JSON texts.
+//! Response bodies as JSON.
 
 use serde_json::{json, Value};
 
-/// The body of an error; `retry` says that trying again does no harm.
-pub fn error(what: &str, retry: bool) -> String {
-    json!({ "error": what, "retry_is_harmless": retry }).to_string()
+/// The body of an error, and whether a retry is harmless.
+pub fn error(message: &str, retry_is_harmless: bool) -> String {
+    json!({ "error": message, "retry_is_harmless": retry_is_harmless }).to_string()
 }
 
-/// The whole answer of `generate`.
+/// The complete response of `generate`.
 pub fn generate_answer(model: &str, id: &str, text: &str) -> String {
     json!({ "model_name": model, "id": id, "text_output": text }).to_string()
 }
 
-/// The whole answer of `infer`.
+/// The complete response of `infer`.
 pub fn infer_answer(model: &str, id: &str, text: &str) -> String {
     let output = json!({ "name": "text_output", "datatype": "BYTES", "shape": [1], "data": [text] });
     json!({ "model_name": model, "id": id, "outputs": [output] }).to_string()
 }
 
-/// A part of a streamed answer.
+/// A part of a streamed response.
 pub fn stream_part(model: &str, id: &str, text: &str) -> String {
     json!({ "model_name": model, "id": id, "text_output": text }).to_string()
 }
 
-/// The end of a streamed answer: it is whole.
+/// The end of a streamed response that is complete.
 pub fn stream_end(model: &str, id: &str) -> String {
     json!({ "model_name": model, "id": id, "text_output": "", "finished": true }).to_string()
 }
 
-/// The end of a streamed answer that was cut off.
-pub fn stream_error(what: &str) -> String {
-    json!({ "error": what, "finished": false }).to_string()
+/// The end of a streamed response that was cut off.
+pub fn stream_error(message: &str) -> String {
+    json!({ "error": message, "finished": false }).to_string()
 }
 
 /// `GET /v2`.
--- a/crates/pintally-kserve/src/route.rs
+++ b/crates/pintally-kserve/src/route/mod.rs
@@ -1,4 +1,7 @@
-//! Which endpoint a method and a target name.
+//! The endpoint that a method and a target name.
+
+#[cfg(test)]
+mod tests;
 
 use percent_encoding::percent_decode_str;
 
@@ -13,33 +16,33 @@
     Ready,
     /// `GET /v2`
     Server,
-    /// `GET /pintally/counters`: this project's own, for people on call.
+    /// `GET /pintally/counters`: this project's own, for operators.
     Counters,
-    /// `GET /pintally/peers`: whom the node knows.
+    /// `GET /pintally/peers`: the members that the node knows.
     Peers,
-    /// `GET /pintally/recovery`: where it stands on its way to full service.
+    /// `GET /pintally/recovery`: the stage of recovery after a start.
     Recovery,
-    /// `GET /pintally/limits`: how the fleet's limits stand here.
+    /// `GET /pintally/limits`: this node's allocations of the fleet's limits.
     Limits,
-    /// `GET /pintally/regions`: zones, the plan, and who plans.
+    /// `GET /pintally/regions`: zones, the failover plan and its leader.
     Regions,
-    /// `GET /pintally/verdicts`: what the fleet believes of engines.
+    /// `GET /pintally/verdicts`: outlier detection: health and ejection of engines.
     Verdicts,
-    /// `GET /pintally/keepers`: who leads the keepers, if this node is one.
+    /// `GET /pintally/keepers`: the state of the replica, if this node runs one.
     Keepers,
     /// `GET /v2/models/{model}[/versions/{version}]`
     Model(String),
     /// `GET /v2/models/{model}[/versions/{version}]/ready`
     ModelReady(String),
     /// `POST .../infer`, `.../generate` and `.../generate_stream`
-    Work(String, Form),
+    Infer(String, Form),
     /// The endpoint is there, but not with this method.
     WrongMethod,
     /// No such endpoint.
     Unknown,
 }
 
-/// The endpoint of a request line.
+/// The endpoint of a request line. A version in the path names the same model.
 pub fn route(method: &str, target: &str) -> Route {
     let path = target.split(['?', '#']).next().unwrap_or("");
     let decoded: Option<Vec<String>> = path
@@ -66,15 +69,15 @@
         ["v2", "health", "ready"] => get(Route::Ready),
         ["v2", "models", model] => get(Route::Model(model.into())),
         ["v2", "models", model, "ready"] => get(Route::ModelReady(model.into())),
-        ["v2", "models", model, verb] => {
-            let form = match verb {
+        ["v2", "models", model, action] => {
+            let form = match action {
                 "infer" => Form::Infer,
                 "generate" => Form::Generate,
                 "generate_stream" => Form::Stream,
                 _ => return Route::Unknown,
             };
             if method == "POST" {
-                Route::Work(model.into(), form)
+                Route::Infer(model.into(), form)
             } else {
                 Route::WrongMethod
             }
@@ -82,21 +85,3 @@
         _ => Route::Unknown,
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn endpoints_with_and_without_version() {
-        assert_eq!(route("GET", "/v2/health/live"), Route::Live);
-        assert_eq!(route("GET", "/v2/models/m%20x/versions/1/ready"), Route::ModelReady("m x".into()));
-        assert_eq!(
-            route("POST", "/v2/models/m/versions/2/generate?x=1"),
-            Route::Work("m".into(), Form::Generate)
-        );
-        assert_eq!(route("GET", "/v2/models/m/infer"), Route::WrongMethod);
-        assert_eq!(route("POST", "/v2/models/m/delete"), Route::Unknown);
-        assert_eq!(route("GET", "/v2/models/%ff"), Route::Unknown);
-    }
-}
