--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -94,9 +94,9 @@
         let (replica, to_replica) = ReplicaChannels::new(&shared.settings).unzip();
         let link = open_link(&shared, &restored, seed, to_replica)?;
         let own = shared.clone();
-        node.spawn("decide", move || decision_thread::run(&own, host, &messages, outputs))?;
+        node.spawn("decision", move || decision_thread::run(&own, host, &messages, outputs))?;
         let own = shared.clone();
-        node.spawn("errands", move || background_calls::run(&own, &call_queue))?;
+        node.spawn("calls", move || background_calls::run(&own, &call_queue))?;
         // What was cached before the last end comes first, then the files as they are now.
         let cells = CellsWatcher::restore(&shared);
         let list = EndpointListWatcher::restore(&shared, restored.endpoint_list.as_deref());
@@ -105,10 +105,10 @@
             None => fleet::start_without_peers(&shared, &restored),
         }
         let own = shared.clone();
-        node.spawn("list", move || watcher::run(&own, list, cells, &reload_requests))?;
+        node.spawn("watcher", move || watcher::run(&own, list, cells, &reload_requests))?;
         node.reload_list = Some(reload_list);
         let own = shared.clone();
-        node.spawn("door", move || listener::run(&own, &listener, &listener_waker))?;
+        node.spawn("listener", move || listener::run(&own, &listener, &listener_waker))?;
         info!(node = shared.settings.name, %address, "node started");
         Ok(node)
     }
@@ -129,7 +129,7 @@
             let outputs = ReplicaOutputs { sender: replica.sender, waker };
             replica_outputs = Some(replica.receiver);
             let (shared, settings, inputs) = (self.shared.clone(), replica.settings, replica.inputs);
-            self.spawn("keeper", move || replica_thread::run(&shared, &settings, seed, &inputs, outputs))?;
+            self.spawn("replica", move || replica_thread::run(&shared, &settings, seed, &inputs, outputs))?;
         }
         let shared = self.shared.clone();
         self.spawn("fleet", move || fleet::run(&shared, link, &inputs, replica_outputs, reload_list))
