--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -279,7 +279,7 @@
         };
         match core.classes.iter().find(narrow) {
             None => Ok(()),
-            Some(class) => Err(root.breaks(
+            Some(class) => Err(root.rule_error(
                 TWICE,
                 format!(
                     "the repeats of class `{}` are dropped inside a zone or rack, but its tenants may be in \
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -16,7 +16,7 @@
         copies.finish()?;
         let effect = form.need("effect")?.text()?;
         if wanted && effect != "safe" {
-            return Err(copies.breaks(
+            return Err(copies.rule_error(
                 rule::NO_EFFECT_TWICE,
                 format!("a second copy of a request whose effect is {effect}"),
             ));
@@ -36,7 +36,7 @@
     settings: &ClassSettings,
 ) -> Result<(), ConfigError> {
     if class.latency_objective > settings.default_client_timeout {
-        return Err(form.breaks(
+        return Err(form.rule_error(
             rule::NO_REQUEST_LOST,
             format!(
                 "the aim of {} ms is past the {} ms that the client waits",
@@ -47,7 +47,7 @@
     }
     if let Idempotency::WithKey(_, window) = class.effect {
         if core.max_attempts > 1 && window < settings.default_client_timeout {
-            return Err(form.breaks(
+            return Err(form.rule_error(
                 rule::NO_EFFECT_TWICE,
                 format!(
                     "attempts may outlast the window: repeats are dropped for {} ms, the client waits {} ms",
@@ -63,14 +63,14 @@
 /// The settings of the router against each other.
 pub(crate) fn rules(form: &Form, core: &Settings) -> Result<(), ConfigError> {
     if core.overload_factor < 1.0 {
-        return Err(form.breaks(
+        return Err(form.rule_error(
             rule::COLD_ENGINES_PROTECTED,
             "`tip-multiple` under 1 leaves a cold engine no work at all",
         ));
     }
     if core.slow_start_duration > 0 && core.overload_window > core.slow_start_duration {
         return Err(
-            form.breaks(rule::COLD_ENGINES_PROTECTED, "`tip-window-ms` is longer than `warm-after-ms`")
+            form.rule_error(rule::COLD_ENGINES_PROTECTED, "`tip-window-ms` is longer than `warm-after-ms`")
         );
     }
     if core.clients_honour_retry_after && core.max_retry_after == 0 {
@@ -170,7 +170,7 @@
     what: String,
 ) -> Result<ConfigError, ConfigError> {
     let form = setting_form(root, outer, inner)?;
-    Ok(form.as_ref().unwrap_or(root).breaks(rule, what))
+    Ok(form.as_ref().unwrap_or(root).rule_error(rule, what))
 }
 
 /// An error at a setting of `(limits ...)`.
--- a/crates/pintally-config/src/failover.rs
+++ b/crates/pintally-config/src/failover.rs
@@ -157,7 +157,7 @@
     if RAMP_STEPS * regions.policy.ramp_step < s.core.slow_start_duration {
         let what =
             "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
-        return Err(form.breaks(rule::COLD_ENGINES_PROTECTED, what));
+        return Err(form.rule_error(rule::COLD_ENGINES_PROTECTED, what));
     }
     Ok(())
 }
--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// An error at the position of this form that names the rule it guards.
-    pub fn breaks(&self, rule: &'static str, what: impl Into<String>) -> ConfigError {
+    pub fn rule_error(&self, rule: &'static str, what: impl Into<String>) -> ConfigError {
         ConfigError { rule: Some(rule), ..self.error(what) }
     }
 
--- a/crates/pintally-config/src/recovery.rs
+++ b/crates/pintally-config/src/recovery.rs
@@ -108,8 +108,8 @@
     let Some(recovery) = &s.recovery else { return Ok(()) };
     let form = root.maybe("recovery")?;
     let breaks = |rule, what: String| match &form {
-        Some(form) => form.breaks(rule, what),
-        None => root.breaks(rule, what),
+        Some(form) => form.rule_error(rule, what),
+        None => root.rule_error(rule, what),
     };
     if recovery.max_slow_start < s.core.slow_start_duration {
         let what = "`careful-most-ms` is under `warm-after-ms`: all would be let in before engines are warm";
