--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -196,7 +196,7 @@
 
     fn names(&self, form: &Form) -> Result<Vec<CellName>, ConfigError> {
         let mut names = Vec::new();
-        while let Some(name) = form.maybe_text()? {
+        while let Some(name) = form.optional_text()? {
             let Some(cell) = self.cells.iter().find(|c| *c.name.0 == *name) else {
                 return Err(form.error(format!("no cell is named `{name}`")));
             };
--- a/crates/pintally-config/src/consensus.rs
+++ b/crates/pintally-config/src/consensus.rs
@@ -63,7 +63,7 @@
 fn read_form(form: &Form) -> Result<ConsensusSettings, ConfigError> {
     let mut names = Vec::new();
     if let Some(list) = form.maybe("names")? {
-        while let Some(name) = list.maybe_text()? {
+        while let Some(name) = list.optional_text()? {
             names.push(name);
         }
         list.finish()?;
--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -144,7 +144,7 @@
     }
 
     /// The next plain value as text, if there is one.
-    pub fn maybe_text(&self) -> Result<Option<String>, ConfigError> {
+    pub fn optional_text(&self) -> Result<Option<String>, ConfigError> {
         if self.values_taken.get() >= self.values.len() {
             return Ok(None);
         }
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -69,7 +69,7 @@
     };
     let mut engines = Vec::new();
     if let Some(inner) = form.maybe("engines")? {
-        while let Some(engine) = inner.maybe_text()? {
+        while let Some(engine) = inner.optional_text()? {
             engines.push(engine);
         }
         inner.finish()?;
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -227,7 +227,7 @@
             None => vec!["a".to_string()],
             Some(form) => {
                 let mut zones = Vec::new();
-                while let Some(zone) = form.maybe_text()? {
+                while let Some(zone) = form.optional_text()? {
                     zones.push(zone);
                 }
                 form.finish()?;
