--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -53,7 +53,7 @@
         }
     }
     if let Some(keepers) = &settings.consensus {
-        let figures = keepers.figures(&settings.name);
+        let figures = keepers.replica_settings(&settings.name);
         lines += &format!(
             "\n  {} keepers, {} of them may fail at once; without a leader for {:.1} s at the most while a \
              majority hears each other\n  a lead surely ends {:.2} s after its last answered word",
--- a/crates/pintally-config/src/consensus.rs
+++ b/crates/pintally-config/src/consensus.rs
@@ -43,7 +43,7 @@
 
 impl ConsensusSettings {
     /// The settings of the replica of this node.
-    pub fn figures(&self, name: &str) -> Settings {
+    pub fn replica_settings(&self, name: &str) -> Settings {
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         Settings {
             heartbeat_interval: self.heartbeat_interval,
@@ -76,7 +76,7 @@
         max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
     };
     form.finish()?;
-    settings.figures(ANY_NODE).check().map_err(|error| form.error(error.to_string()))?;
+    settings.replica_settings(ANY_NODE).check().map_err(|error| form.error(error.to_string()))?;
     Ok(settings)
 }
 
--- a/crates/pintally-kserve-node/src/replica_thread/mod.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/mod.rs
@@ -92,7 +92,7 @@
     outputs: ReplicaOutputs,
 ) {
     let (state_file, saved) = StateFile::open(shared.settings.recovery.as_ref());
-    let consensus = settings.figures(&shared.settings.name);
+    let consensus = settings.replica_settings(&shared.settings.name);
     let now = shared.clock.now();
     let mut thread = ReplicaThread {
         shared,
