--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -115,7 +115,7 @@
 
     /// Inner forms of these names as they stand, for a file of another kind that holds them too. They
     /// do not count as taken.
-    pub fn texts(&self, names: &[&str]) -> Vec<String> {
+    pub fn inner_source(&self, names: &[&str]) -> Vec<String> {
         self.inner
             .iter()
             .filter(|(name, _)| names.contains(name))
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -288,7 +288,7 @@
         let day = Day {
             processes,
             disks,
-            shared: root.texts(&["rules", "limits", "class", "tenant", "kind"]).join("\n  "),
+            shared: root.inner_source(&["rules", "limits", "class", "tenant", "kind"]).join("\n  "),
             name: root.text_or("name", "day")?,
             seed: root.count_or("seed", 1, 0, 1 << 53)?,
             length: Duration::from_secs_f64(root.number_or("seconds", 30.0, 0.1, 86_400.0)?),
