--- a/crates/pintally-http/src/framing.rs
+++ b/crates/pintally-http/src/framing.rs
@@ -4,6 +4,7 @@
 
 /// The longest line that gives a chunk's size, and the most trailer bytes.
 const MAX_LINE_BYTES: usize = 1024;
+const LINE_END: &[u8] = b"\r\n";
 
 /// How the rest of a body is framed.
 pub(crate) enum Framing {
@@ -59,60 +60,89 @@
     ) -> Result<usize, HttpError> {
         let mut used = 0;
         loop {
-            let rest = &buffer[used..];
-            match self {
-                Framing::Done => return Ok(used),
-                Framing::ToEnd => {
-                    push(out, rest, max_bytes)?;
-                    return Ok(buffer.len());
+            let step = self.step(&buffer[used..], out, max_bytes)?;
+            used += step.used;
+            if step.waits {
+                return Ok(used);
+            }
+        }
+    }
+
+    /// Takes one piece: a part of the body, or one line.
+    fn step(&mut self, buffer: &[u8], out: &mut Vec<u8>, max_bytes: usize) -> Result<Step, HttpError> {
+        match self {
+            Framing::Done => Ok(Step::WAIT),
+            Framing::ToEnd => {
+                push(out, buffer, max_bytes)?;
+                Ok(Step { used: buffer.len(), waits: true })
+            }
+            Framing::Length(left) | Framing::Chunk(left) => {
+                let part = (*left).min(buffer.len() as u64) as usize;
+                push(out, &buffer[..part], max_bytes)?;
+                *left -= part as u64;
+                let complete = *left == 0;
+                if complete {
+                    *self = if matches!(self, Framing::Chunk(_)) { Framing::ChunkEnd } else { Framing::Done };
                 }
-                Framing::Length(left) | Framing::Chunk(left) => {
-                    let part = (*left).min(rest.len() as u64) as usize;
-                    push(out, &rest[..part], max_bytes)?;
-                    used += part;
-                    *left -= part as u64;
-                    match self {
-                        Framing::Length(0) => *self = Framing::Done,
-                        Framing::Chunk(0) => *self = Framing::ChunkEnd,
-                        _ => return Ok(used),
-                    }
+                Ok(Step { used: part, waits: !complete })
+            }
+            Framing::ChunkSize => {
+                let Some(end) = line_end(buffer)? else { return Ok(Step::WAIT) };
+                let size = chunk_size(&buffer[..end])?;
+                *self = if size == 0 { Framing::Trailers(0) } else { Framing::Chunk(size) };
+                Ok(Step::line(end))
+            }
+            Framing::ChunkEnd => {
+                if buffer.len() < LINE_END.len() {
+                    return Ok(Step::WAIT);
                 }
-                Framing::ChunkSize => {
-                    let Some(end) = line_end(rest)? else { return Ok(used) };
-                    let line = std::str::from_utf8(&rest[..end]).unwrap_or("");
-                    let size = line.split(';').next().unwrap_or("").trim();
-                    let hex = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
-                    let size = u64::from_str_radix(size, 16).ok().filter(|_| hex);
-                    let size = size.ok_or(HttpError::Malformed("a chunk's size is no number"))?;
-                    used += end + 2;
-                    *self = if size == 0 { Framing::Trailers(0) } else { Framing::Chunk(size) };
+                if !buffer.starts_with(LINE_END) {
+                    return Err(HttpError::Malformed("no line end behind a chunk"));
                 }
-                Framing::ChunkEnd => {
-                    if rest.len() < 2 {
-                        return Ok(used);
-                    }
-                    if !rest.starts_with(b"\r\n") {
-                        return Err(HttpError::Malformed("no line end behind a chunk"));
-                    }
-                    used += 2;
-                    *self = Framing::ChunkSize;
+                *self = Framing::ChunkSize;
+                Ok(Step::line(0))
+            }
+            Framing::Trailers(seen) => {
+                let Some(end) = line_end(buffer)? else { return Ok(Step::WAIT) };
+                *seen += end + LINE_END.len();
+                if *seen > MAX_LINE_BYTES {
+                    return Err(HttpError::HeadTooLarge);
                 }
-                Framing::Trailers(seen) => {
-                    let Some(end) = line_end(rest)? else { return Ok(used) };
-                    used += end + 2;
-                    *seen += end + 2;
-                    if *seen > MAX_LINE_BYTES {
-                        return Err(HttpError::HeadTooLarge);
-                    }
-                    if end == 0 {
-                        *self = Framing::Done;
-                    }
+                if end == 0 {
+                    *self = Framing::Done;
                 }
+                Ok(Step::line(end))
             }
         }
     }
 }
 
+/// What one step over a buffer has done.
+struct Step {
+    /// Bytes that were used up.
+    used: usize,
+    /// Nothing goes on without more bytes.
+    waits: bool,
+}
+
+impl Step {
+    const WAIT: Step = Step { used: 0, waits: true };
+
+    /// A line of this length, and its end.
+    fn line(length: usize) -> Step {
+        Step { used: length + LINE_END.len(), waits: false }
+    }
+}
+
+/// The size in a chunk's first line, in front of extensions.
+fn chunk_size(line: &[u8]) -> Result<u64, HttpError> {
+    let line = std::str::from_utf8(line).unwrap_or("");
+    let size = line.split(';').next().unwrap_or("").trim();
+    let hex = !size.is_empty() && size.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let size = u64::from_str_radix(size, 16).ok().filter(|_| hex);
+    size.ok_or(HttpError::Malformed("a chunk's size is no number"))
+}
+
 fn push(out: &mut Vec<u8>, part: &[u8], max_bytes: usize) -> Result<(), HttpError> {
     if out.len() + part.len() > max_bytes {
         return Err(HttpError::BodyTooLarge);
@@ -123,7 +153,7 @@
 
 /// Where the first line ends, if it is all there.
 fn line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
-    match buffer.windows(2).take(MAX_LINE_BYTES).position(|w| w == b"\r\n") {
+    match buffer.windows(LINE_END.len()).take(MAX_LINE_BYTES).position(|bytes| bytes == LINE_END) {
         Some(end) => Ok(Some(end)),
         None if buffer.len() > MAX_LINE_BYTES => Err(HttpError::Malformed("a line is too long")),
         None => Ok(None),
--- a/crates/pintally-http/src/lib.rs
+++ b/crates/pintally-http/src/lib.rs
@@ -35,10 +35,10 @@
         Headers(parsed.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect())
     }
 
-    /// Whether a comma-separated header holds a word.
-    pub(crate) fn has(&self, name: &str, word: &str) -> bool {
+    /// Whether a comma-separated header holds a token.
+    pub(crate) fn has(&self, name: &str, token: &str) -> bool {
         let mut values = self.0.iter().filter(|(n, _)| n == name);
-        values.any(|(_, v)| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+        values.any(|(_, value)| value.split(',').any(|part| part.trim().eq_ignore_ascii_case(token)))
     }
 
     /// The body's length by these headers; two different lengths, or a length beside chunks, is an error.
