--- a/crates/pintally-engine/src/attempt_reader/mod.rs
+++ b/crates/pintally-engine/src/attempt_reader/mod.rs
@@ -24,7 +24,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Prompt tokens found in the cache.
-        kept: u64,
+        cached_tokens: u64,
         /// The engine's load.
         load: Option<LoadReport>,
         /// `kv_transfer_params` of a read.
@@ -166,7 +166,13 @@
 
     fn end(&mut self, outcome: Outcome, state: Option<Value>, reusable: bool, out: &mut Vec<Progress>) {
         if !std::mem::replace(&mut self.ended, true) {
-            out.push(Progress::Over { outcome, kept: self.cached_tokens, load: self.load, state, reusable });
+            out.push(Progress::Over {
+                outcome,
+                cached_tokens: self.cached_tokens,
+                load: self.load,
+                state,
+                reusable,
+            });
         }
     }
 }
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -253,7 +253,7 @@
                 Err(error) => {
                     self.progress.push(Progress::Over {
                         outcome: of_transport(Phase::Sent, error.kind()),
-                        kept: 0,
+                        cached_tokens: 0,
                         load: None,
                         state: None,
                         reusable: false,
@@ -277,9 +277,9 @@
                     }
                     session.push_text(&text);
                 }
-                Progress::Over { outcome, kept, load, state, reusable } => {
+                Progress::Over { outcome, cached_tokens, load, state, reusable } => {
                     let reusable = reusable && self.unsent.is_empty();
-                    end = Some(AttemptEnd { outcome, cached_tokens: kept, load, state, reusable });
+                    end = Some(AttemptEnd { outcome, cached_tokens, load, state, reusable });
                 }
             }
         }
