--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -113,8 +113,8 @@
         ConfigError { rule: Some(rule), ..self.error(what) }
     }
 
-    /// Inner forms of these names as they stand, for a file of another kind that holds them too. They
-    /// do not count as taken.
+    /// The source of inner forms of these names, for a file of another kind that holds them too. They do not
+    /// count as taken.
     pub fn inner_source(&self, names: &[&str]) -> Vec<String> {
         self.inner
             .iter()
@@ -144,6 +144,10 @@
     }
 
     /// The next plain value as text, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// It is a number.
     pub fn optional_text(&self) -> Result<Option<String>, ConfigError> {
         if self.values_taken.get() >= self.values.len() {
             return Ok(None);
@@ -195,6 +199,10 @@
     }
 
     /// All inner forms of a name, in order.
+    ///
+    /// # Errors
+    ///
+    /// One of them holds something that is not a form.
     pub fn all(&self, key: &str) -> Result<Vec<Form<'a>>, ConfigError> {
         let mut found = Vec::new();
         for (index, (name, datum)) in self.inner.iter().enumerate() {
@@ -230,26 +238,46 @@
     }
 
     /// The inner key's text, or a default.
+    ///
+    /// # Errors
+    ///
+    /// The key is there twice, or holds anything but one text.
     pub fn text_or(&self, key: &str, default: &str) -> Result<String, ConfigError> {
         self.inner_value(key, default.to_string(), Form::text)
     }
 
     /// The inner key's number, or a default.
+    ///
+    /// # Errors
+    ///
+    /// The key is there twice, or holds anything but one number of the range.
     pub fn number_or(&self, key: &str, default: f64, min: f64, max: f64) -> Result<f64, ConfigError> {
         self.inner_value(key, default, |f| f.number(min, max))
     }
 
     /// The inner key's whole number, or a default.
+    ///
+    /// # Errors
+    ///
+    /// The key is there twice, or holds anything but one whole number of the range.
     pub fn count_or(&self, key: &str, default: u64, min: u64, max: u64) -> Result<u64, ConfigError> {
         self.inner_value(key, default, |f| f.count(min, max))
     }
 
     /// The inner key's yes or no, or a default.
+    ///
+    /// # Errors
+    ///
+    /// The key is there twice, or holds anything but yes or no.
     pub fn yes_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
         self.inner_value(key, default, Form::yes)
     }
 
     /// The inner key's milliseconds as microseconds, or a default in milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// The key is there twice, or holds anything but one number of the range.
     pub fn millis_or(&self, key: &str, default: f64, min: f64, max: f64) -> Result<u64, ConfigError> {
         Ok((self.number_or(key, default, min, max)? * MICROS_PER_MILLI).round() as u64)
     }
--- a/crates/pintally-config/tests/bad_files.rs
+++ b/crates/pintally-config/tests/invalid_files.rs
@@ -1,5 +1,4 @@
-//! Files that must be refused at load, each with the line and the reason, and the rule where one is
-//! at stake.
+//! Files that are rejected, each with the line and the reason, and the rule where it breaks one.
 
 use pintally::interface::LoadReporting;
 use pintally_config::{EngineList, NodeSettings};
--- a/crates/pintally-http/tests/cuts.rs
+++ b/crates/pintally-http/tests/split_input.rs
@@ -1,4 +1,4 @@
-//! Messages cut at any byte mean the same as whole ones, and no bytes make a reader panic.
+//! Messages split at any byte are read like complete ones, and no bytes make a reader panic.
 
 use pintally_http::{
     chunk, request, response, response_head, sse_event, Part, RequestReader, ResponseReader, SseReader,
--- a/crates/pintally-kserve-node/src/fleet/outlier_reports.rs
+++ b/crates/pintally-kserve-node/src/fleet/outlier_reports.rs
@@ -1,5 +1,6 @@
 //! Outlier reports between nodes, and engines that operators have cleared.
 
+use pintally::interface::Micros;
 use pintally_host::Input;
 use pintally_membership::{Member, PeerName};
 use pintally_outlier_detection::{Node, OutlierReport};
@@ -36,7 +37,7 @@
     }
 
     /// Notifies the host and all peers of engines that operators have cleared here.
-    pub(super) fn publish_cleared_engines(&mut self, now: pintally::interface::Micros) {
+    pub(super) fn publish_cleared_engines(&mut self, now: Micros) {
         let cleared = std::mem::take(&mut *lock(&self.shared.fleet.cleared_engines));
         for engine in cleared {
             self.shared.send_input(Input::EngineCleared(engine.clone()));
