--- a/crates/pintally-engine/src/attempt_reader/mod.rs
+++ b/crates/pintally-engine/src/attempt_reader/mod.rs
@@ -7,7 +7,7 @@
 use pintally_http::{Part, ResponseReader, SseReader};
 use serde_json::Value;
 
-use crate::{extension, load_from_header, of_status, Step, LOAD_HEADER};
+use crate::{extension, load_from_header, outcome_of_status, Step, LOAD_HEADER};
 
 /// The longest head of a response, the longest event of a stream, and the longest body of a read or an error.
 const MAX_HEAD_BYTES: usize = 32 << 10;
@@ -154,7 +154,7 @@
         let json: Value = serde_json::from_slice(&self.body).unwrap_or(Value::Null);
         if self.status != 200 {
             let kind = json["error"]["type"].as_str().or(json["type"].as_str());
-            let outcome = of_status(self.status, kind == Some(extension::NO_STATE), self.not_run);
+            let outcome = outcome_of_status(self.status, kind == Some(extension::NO_STATE), self.not_run);
             return self.end(outcome, None, reusable, out);
         }
         self.read_usage(&json);
--- a/crates/pintally-engine/src/lib.rs
+++ b/crates/pintally-engine/src/lib.rs
@@ -13,5 +13,5 @@
 
 pub use attempt_reader::{AttemptReader, Progress};
 pub use load::{load_from_header, load_from_metrics, LOAD_HEADER};
-pub use outcome::{of_status, of_transport, Phase};
-pub use request::{probe, release, work, Step, Work};
+pub use outcome::{outcome_of_status, outcome_of_transport_error, Phase};
+pub use request::{health_check, release, work, Step, Work};
--- a/crates/pintally-engine/src/outcome/mod.rs
+++ b/crates/pintally-engine/src/outcome/mod.rs
@@ -28,7 +28,7 @@
 }
 
 /// The outcome of an error response: its type is `no_state`, or the engine vouches that nothing ran.
-pub fn of_status(status: u16, no_state: bool, not_run: bool) -> Outcome {
+pub fn outcome_of_status(status: u16, no_state: bool, not_run: bool) -> Outcome {
     match status {
         409 if no_state => Outcome::StateNotFound,
         429 => Outcome::Overloaded,
@@ -38,7 +38,7 @@
 }
 
 /// The outcome of a transport error.
-pub fn of_transport(phase: Phase, kind: io::ErrorKind) -> Outcome {
+pub fn outcome_of_transport_error(phase: Phase, kind: io::ErrorKind) -> Outcome {
     match (phase, kind) {
         (Phase::Connecting, _) => Outcome::Unreachable,
         (Phase::Sent, io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock) => Outcome::TimedOut,
--- a/crates/pintally-engine/src/outcome/tests.rs
+++ b/crates/pintally-engine/src/outcome/tests.rs
@@ -5,14 +5,17 @@
 /// Guards against a retry of a request that is not idempotent on a response that proves nothing.
 #[test]
 fn only_proof_counts_as_not_run() {
-    assert_eq!(of_status(409, true, false), Outcome::StateNotFound);
-    assert_eq!(of_status(409, false, false), Outcome::Error);
-    assert_eq!(of_status(503, false, false), Outcome::Error);
-    assert_eq!(of_status(503, false, true), Outcome::Overloaded);
-    assert_eq!(of_status(429, false, false), Outcome::Overloaded);
+    assert_eq!(outcome_of_status(409, true, false), Outcome::StateNotFound);
+    assert_eq!(outcome_of_status(409, false, false), Outcome::Error);
+    assert_eq!(outcome_of_status(503, false, false), Outcome::Error);
+    assert_eq!(outcome_of_status(503, false, true), Outcome::Overloaded);
+    assert_eq!(outcome_of_status(429, false, false), Outcome::Overloaded);
     for kind in [io::ErrorKind::ConnectionRefused, io::ErrorKind::ConnectionReset, io::ErrorKind::TimedOut] {
-        assert_eq!(of_transport(Phase::Connecting, kind), Outcome::Unreachable);
+        assert_eq!(outcome_of_transport_error(Phase::Connecting, kind), Outcome::Unreachable);
     }
-    assert_eq!(of_transport(Phase::Sent, io::ErrorKind::ConnectionReset), Outcome::ConnectionBroken);
-    assert_eq!(of_transport(Phase::Sent, io::ErrorKind::TimedOut), Outcome::TimedOut);
+    assert_eq!(
+        outcome_of_transport_error(Phase::Sent, io::ErrorKind::ConnectionReset),
+        Outcome::ConnectionBroken
+    );
+    assert_eq!(outcome_of_transport_error(Phase::Sent, io::ErrorKind::TimedOut), Outcome::TimedOut);
 }
--- a/crates/pintally-engine/src/request.rs
+++ b/crates/pintally-engine/src/request.rs
@@ -77,6 +77,6 @@
 }
 
 /// A health check, as bytes.
-pub fn probe() -> Vec<u8> {
+pub fn health_check() -> Vec<u8> {
     request("GET", "/metrics", &[("host", "engine")], b"")
 }
--- a/crates/pintally-engine/tests/golden.rs
+++ b/crates/pintally-engine/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use pintally::interface::Outcome;
 use pintally_engine::{
-    load_from_header, load_from_metrics, probe, release, work, AttemptReader, Progress, Step, Work,
+    health_check, load_from_header, load_from_metrics, release, work, AttemptReader, Progress, Step, Work,
 };
 use serde_json::json;
 
@@ -36,7 +36,7 @@
         attempt(Step::Fetch, None, Some(&state)),
         attempt(Step::Both, None, None),
         release("n0-7.2"),
-        probe(),
+        health_check(),
     ] {
         got.extend(bytes);
         got.extend(b"\n----\n");
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use pintally::interface::{LoadReport, Outcome};
-use pintally_engine::{of_transport, work, AttemptReader, Phase, Progress, Step, Work};
+use pintally_engine::{outcome_of_transport_error, work, AttemptReader, Phase, Progress, Step, Work};
 use pintally_host::{AttemptOrder, Input};
 use serde_json::Value;
 use tracing::debug;
@@ -105,7 +105,9 @@
     match shared.pool.take(order.address, Duration::from_micros(connect_timeout)) {
         // As many attempts as allowed are in flight there: to this node the engine is overloaded.
         Err(PoolError::LimitReached) => Some(AttemptEnd::of(Outcome::Overloaded)),
-        Err(PoolError::Connect(error)) => Some(AttemptEnd::of(of_transport(Phase::Connecting, error.kind()))),
+        Err(PoolError::Connect(error)) => {
+            Some(AttemptEnd::of(outcome_of_transport_error(Phase::Connecting, error.kind())))
+        }
         Ok(mut stream) => {
             let end = exchange(session, order, &mut stream, timeouts);
             let reusable = end.as_ref().is_some_and(|end| end.reusable);
@@ -252,7 +254,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
                     self.progress.push(Progress::Over {
-                        outcome: of_transport(Phase::Sent, error.kind()),
+                        outcome: outcome_of_transport_error(Phase::Sent, error.kind()),
                         cached_tokens: 0,
                         load: None,
                         state: None,
--- a/crates/pintally-kserve-node/src/background_calls/mod.rs
+++ b/crates/pintally-kserve-node/src/background_calls/mod.rs
@@ -17,7 +17,7 @@
 
 use crossbeam_channel::{bounded, Receiver, Sender, TryRecvError};
 use pintally::interface::{Attempt, EngineId, RequestId};
-use pintally_engine::{load_from_metrics, probe, release};
+use pintally_engine::{health_check, load_from_metrics, release};
 use pintally_host::{Input, RequestNumber};
 
 use crate::pool::Reuse;
@@ -63,7 +63,7 @@
     /// The request as it goes out.
     fn encode(&self) -> Vec<u8> {
         match self {
-            BackgroundCall::HealthCheck { .. } => probe(),
+            BackgroundCall::HealthCheck { .. } => health_check(),
             BackgroundCall::Release { name, .. } => release(&name.0),
             BackgroundCall::ConnectionProbe { .. } => Vec::new(),
         }
