--- a/crates/pintally-benchmarks/src/load.rs
+++ b/crates/pintally-benchmarks/src/load.rs
@@ -9,7 +9,7 @@
 
 use crossbeam_channel::bounded;
 use hdrhistogram::Histogram;
-use pintally_engine::{work, AttemptReader, Progress, Step, Work};
+use pintally_engine::{completion, AttemptReader, Completion, Progress, Step};
 use pintally_http::{request, Part, ResponseReader};
 use serde_json::{json, Value};
 
@@ -158,7 +158,8 @@
         state: Option<&Value>,
     ) -> Option<(Option<Instant>, Option<Value>)> {
         let (model, key, tenant, max_tokens) = ("default", id, None, 2);
-        let bytes = work(&Work { step, model, id, attempt, key, tenant, prompt, max_tokens, state });
+        let bytes =
+            completion(&Completion { step, model, id, attempt, key, tenant, prompt, max_tokens, state });
         let mut stream = self.take(address)?;
         stream.write_all(&bytes).ok()?;
         let (mut reader, mut buffer) = (AttemptReader::new(step, 0), [0u8; 8192]);
--- a/crates/pintally-engine/src/lib.rs
+++ b/crates/pintally-engine/src/lib.rs
@@ -14,4 +14,4 @@
 pub use attempt_reader::{AttemptReader, Progress};
 pub use load::{load_from_header, load_from_metrics, LOAD_HEADER};
 pub use outcome::{outcome_of_status, outcome_of_transport_error, Phase};
-pub use request::{health_check, release, work, Step, Work};
+pub use request::{completion, health_check, release, Completion, Step};
--- a/crates/pintally-engine/src/request.rs
+++ b/crates/pintally-engine/src/request.rs
@@ -18,7 +18,7 @@
 
 /// One attempt as it goes to an engine.
 #[derive(Clone, Debug)]
-pub struct Work<'a> {
+pub struct Completion<'a> {
     /// What the engine is to do.
     pub step: Step,
     /// The model's name.
@@ -40,32 +40,32 @@
 }
 
 /// An attempt as bytes.
-pub fn work(w: &Work) -> Vec<u8> {
-    let mut body = json!({ "model": w.model, "prompt": w.prompt });
-    match w.step {
+pub fn completion(completion: &Completion) -> Vec<u8> {
+    let mut body = json!({ "model": completion.model, "prompt": completion.prompt });
+    match completion.step {
         Step::Read => {
             body["max_tokens"] = json!(1);
             body["stream"] = json!(false);
             body["kv_transfer_params"] = json!({ "do_remote_decode": true, "do_remote_prefill": false });
         }
         Step::Fetch | Step::Both => {
-            body["max_tokens"] = json!(w.max_tokens);
+            body["max_tokens"] = json!(completion.max_tokens);
             body["stream"] = json!(true);
             body["stream_options"] = json!({ "include_usage": true });
-            if let (Step::Fetch, Some(state)) = (w.step, w.state) {
+            if let (Step::Fetch, Some(state)) = (completion.step, completion.state) {
                 body["kv_transfer_params"] = state.clone();
             }
         }
     }
-    let id = format!("{}.{}", w.id, w.attempt);
+    let id = format!("{}.{}", completion.id, completion.attempt);
     let mut headers = vec![
         ("host", "engine"),
         ("content-type", "application/json"),
         ("x-request-id", id.as_str()),
         ("endpoint-load-metrics-format", "json"),
-        (extension::KEY, w.key),
+        (extension::KEY, completion.key),
     ];
-    headers.extend(w.tenant.map(|tenant| (extension::TENANT, tenant)));
+    headers.extend(completion.tenant.map(|tenant| (extension::TENANT, tenant)));
     request("POST", "/v1/completions", &headers, body.to_string().as_bytes())
 }
 
--- a/crates/pintally-engine/tests/golden.rs
+++ b/crates/pintally-engine/tests/golden.rs
@@ -4,7 +4,8 @@
 
 use pintally::interface::Outcome;
 use pintally_engine::{
-    health_check, load_from_header, load_from_metrics, release, work, AttemptReader, Progress, Step, Work,
+    completion, health_check, load_from_header, load_from_metrics, release, AttemptReader, Completion,
+    Progress, Step,
 };
 use serde_json::json;
 
@@ -18,7 +19,7 @@
 fn requests() {
     let state = json!({"do_remote_prefill": true, "remote_block_ids": [1, 2]});
     let attempt = |step, tenant, state| {
-        work(&Work {
+        completion(&Completion {
             step,
             model: "m",
             id: "n0-7",
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use pintally::interface::{LoadReport, Outcome};
-use pintally_engine::{outcome_of_transport_error, work, AttemptReader, Phase, Progress, Step, Work};
+use pintally_engine::{
+    completion, outcome_of_transport_error, AttemptReader, Completion, Phase, Progress, Step,
+};
 use pintally_host::{AttemptOrder, Input};
 use serde_json::Value;
 use tracing::debug;
@@ -120,7 +122,7 @@
 /// The request as it goes to the engine.
 fn encode_request(session: &RequestSession, order: &AttemptOrder) -> Vec<u8> {
     let inference = &session.request.inference;
-    work(&Work {
+    completion(&Completion {
         step: order.step,
         model: &session.request.model,
         id: &order.request.0,
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -11,7 +11,7 @@
 use pintally::interface::{EndpointState, Outcome};
 use pintally_audit::Report;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
-use pintally_engine::{release, work, AttemptReader, Progress, Step, Work};
+use pintally_engine::{completion, release, AttemptReader, Completion, Progress, Step};
 use pintally_http::{chunk, response, response_head, sse_event, RequestReader, LAST_CHUNK};
 use pintally_kserve::{generate_answer, stream_end, stream_part, Form, InferenceRequest};
 use pintally_scenario::{run_steady, Day, Running};
@@ -119,8 +119,17 @@
         let key = ask.id.as_deref().unwrap_or(id);
         let (prompt, tenant) = (&ask.prompt, ask.tenant.as_deref());
         let max_tokens = ask.max_tokens.unwrap_or(8);
-        let bytes =
-            work(&Work { step, model: "default", id, attempt: n, key, tenant, prompt, max_tokens, state });
+        let bytes = completion(&Completion {
+            step,
+            model: "default",
+            id,
+            attempt: n,
+            key,
+            tenant,
+            prompt,
+            max_tokens,
+            state,
+        });
         stream.write_all(&bytes).ok()?;
         let (mut reader, mut out, mut buffer, mut text) =
             (AttemptReader::new(step, 0), Vec::new(), [0u8; 4096], String::new());
