--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -7,10 +7,10 @@
 mod link;
 mod operator_commands;
 mod outlier_reports;
-mod persistence;
 mod quota_exchange;
 mod recovery_exchange;
 mod reservations;
+mod served_rates;
 mod shared_state;
 mod startup;
 #[cfg(test)]
@@ -35,9 +35,9 @@
 use crate::replica_thread::{ReplicaInput, ReplicaOutput};
 use crate::shared::{OutgoingZoneReport, Shared};
 
-use self::persistence::ServedRates;
 use self::recovery_exchange::PeerNumbers;
 use self::reservations::ReplicatedReservations;
+use self::served_rates::ServedRates;
 use self::topics::{FactTopic, MessageTopic, RecordKey};
 
 pub(crate) use self::link::{open, FleetLink};
