--- a/crates/pintally-cells/src/file/parse.rs
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -110,7 +110,7 @@
 
     fn read_cell_names(&self, form: &Form) -> Result<Vec<CellName>, ConfigError> {
         let mut names = Vec::new();
-        while let Some(name) = form.maybe_text()? {
+        while let Some(name) = form.optional_text()? {
             let Some(cell) = self.cells.iter().find(|cell| *cell.name.0 == *name) else {
                 return Err(form.error(format!("no cell is named `{name}`")));
             };
@@ -181,7 +181,7 @@
             return Ok(());
         }
         let Some(class) = core.classes.iter().find(|class| has_narrow_scope(class)) else { return Ok(()) };
-        Err(root.breaks(
+        Err(root.rule_error(
             NO_DUPLICATE_EFFECTS,
             format!(
                 "the repeats of class `{}` are dropped inside a zone or rack, but its tenants may be in \
--- a/crates/pintally-engine/src/request.rs
+++ b/crates/pintally-engine/src/request.rs
@@ -8,7 +8,7 @@
 /// What an attempt does at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the prompt; the state waits.
+    /// Read the prompt; the state stays for a fetch.
     Read,
     /// Fetch the state and answer.
     Fetch,
@@ -18,8 +18,8 @@
 
 /// One attempt as it goes to an engine.
 #[derive(Clone, Debug)]
-pub struct Work<'a> {
-    /// What is to be done.
+pub struct Completion<'a> {
+    /// What the engine is to do.
     pub step: Step,
     /// The model's name.
     pub model: &'a str,
@@ -40,43 +40,43 @@
 }
 
 /// An attempt as bytes.
-pub fn work(w: &Work) -> Vec<u8> {
-    let mut body = json!({ "model": w.model, "prompt": w.prompt });
-    match w.step {
+pub fn completion(completion: &Completion) -> Vec<u8> {
+    let mut body = json!({ "model": completion.model, "prompt": completion.prompt });
+    match completion.step {
         Step::Read => {
             body["max_tokens"] = json!(1);
             body["stream"] = json!(false);
             body["kv_transfer_params"] = json!({ "do_remote_decode": true, "do_remote_prefill": false });
         }
         Step::Fetch | Step::Both => {
-            body["max_tokens"] = json!(w.max_tokens);
+            body["max_tokens"] = json!(completion.max_tokens);
             body["stream"] = json!(true);
             body["stream_options"] = json!({ "include_usage": true });
-            if let (Step::Fetch, Some(state)) = (w.step, w.state) {
+            if let (Step::Fetch, Some(state)) = (completion.step, completion.state) {
                 body["kv_transfer_params"] = state.clone();
             }
         }
     }
-    let id = format!("{}.{}", w.id, w.attempt);
+    let id = format!("{}.{}", completion.id, completion.attempt);
     let mut headers = vec![
         ("host", "engine"),
         ("content-type", "application/json"),
         ("x-request-id", id.as_str()),
         ("endpoint-load-metrics-format", "json"),
-        (extension::KEY, w.key),
+        (extension::KEY, completion.key),
     ];
-    headers.extend(w.tenant.map(|t| (extension::TENANT, t)));
+    headers.extend(completion.tenant.map(|tenant| (extension::TENANT, tenant)));
     request("POST", "/v1/completions", &headers, body.to_string().as_bytes())
 }
 
-/// A request to let go of a read state, as bytes.
+/// A request to release a read state, as bytes.
 pub fn release(id: &str) -> Vec<u8> {
     let body = json!({ "request_id": id }).to_string();
     let headers = [("host", "engine"), ("content-type", "application/json")];
     request("POST", extension::RELEASE_PATH, &headers, body.as_bytes())
 }
 
-/// A probe, as bytes.
-pub fn probe() -> Vec<u8> {
+/// A health check, as bytes.
+pub fn health_check() -> Vec<u8> {
     request("GET", "/metrics", &[("host", "engine")], b"")
 }
--- a/crates/pintally-http/src/lib.rs
+++ b/crates/pintally-http/src/lib.rs
@@ -2,7 +2,9 @@
 //!
 //! Nothing here reads a socket or a clock, so the same code serves sockets and a simulated network.
 
-mod body;
+#![deny(missing_docs)]
+
+mod framing;
 mod request;
 mod response;
 mod sse;
@@ -33,10 +35,10 @@
         Headers(parsed.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect())
     }
 
-    /// Whether a comma-separated header holds a word.
-    pub(crate) fn has(&self, name: &str, word: &str) -> bool {
+    /// Whether a comma-separated header holds a token.
+    pub(crate) fn has(&self, name: &str, token: &str) -> bool {
         let mut values = self.0.iter().filter(|(n, _)| n == name);
-        values.any(|(_, v)| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+        values.any(|(_, value)| value.split(',').any(|part| part.trim().eq_ignore_ascii_case(token)))
     }
 
     /// The body's length by these headers; two different lengths, or a length beside chunks, is an error.
@@ -55,7 +57,7 @@
     }
 }
 
-/// What is wrong with a message.
+/// Why a message is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// The bytes are not HTTP/1.1.
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use pintally::interface::{LoadReport, Outcome};
-use pintally_engine::{of_transport, work, AttemptReader, Phase, Progress, Step, Work};
+use pintally_engine::{
+    completion, outcome_of_transport_error, AttemptReader, Completion, Phase, Progress, Step,
+};
 use pintally_host::{AttemptOrder, Input};
 use serde_json::Value;
 use tracing::debug;
@@ -105,7 +107,9 @@
     match shared.pool.take(order.address, Duration::from_micros(connect_timeout)) {
         // As many attempts as allowed are in flight there: to this node the engine is overloaded.
         Err(PoolError::LimitReached) => Some(AttemptEnd::of(Outcome::Overloaded)),
-        Err(PoolError::Connect(error)) => Some(AttemptEnd::of(of_transport(Phase::Connecting, error.kind()))),
+        Err(PoolError::Connect(error)) => {
+            Some(AttemptEnd::of(outcome_of_transport_error(Phase::Connecting, error.kind())))
+        }
         Ok(mut stream) => {
             let end = exchange(session, order, &mut stream, timeouts);
             let reusable = end.as_ref().is_some_and(|end| end.reusable);
@@ -118,7 +122,7 @@
 /// The request as it goes to the engine.
 fn encode_request(session: &RequestSession, order: &AttemptOrder) -> Vec<u8> {
     let inference = &session.request.inference;
-    work(&Work {
+    completion(&Completion {
         step: order.step,
         model: &session.request.model,
         id: &order.request.0,
@@ -252,8 +256,8 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
                     self.progress.push(Progress::Over {
-                        outcome: of_transport(Phase::Sent, error.kind()),
-                        kept: 0,
+                        outcome: outcome_of_transport_error(Phase::Sent, error.kind()),
+                        cached_tokens: 0,
                         load: None,
                         state: None,
                         reusable: false,
@@ -277,9 +281,9 @@
                     }
                     session.push_text(&text);
                 }
-                Progress::Over { outcome, kept, load, state, reusable } => {
+                Progress::Over { outcome, cached_tokens, load, state, reusable } => {
                     let reusable = reusable && self.unsent.is_empty();
-                    end = Some(AttemptEnd { outcome, cached_tokens: kept, load, state, reusable });
+                    end = Some(AttemptEnd { outcome, cached_tokens, load, state, reusable });
                 }
             }
         }
