--- a/crates/pintally-wire/src/settings/form.rs
+++ b/crates/pintally-wire/src/settings/form.rs
@@ -1,38 +1,36 @@
 //! The settings object as the bench spells it. Its keys and values are spelled here and in the mapping
-//! of [`super::settings`], nowhere else. The `expecting` texts are part of error messages that the bench
-//! records, so they do not follow the types' names.
+//! of [`super::settings`], nowhere else. The types are named as the bench names their keys: serde puts
+//! the names into the error messages that the bench records.
 
 use serde::Deserialize;
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Conf")]
-pub(super) struct SettingsForm {
+pub(super) struct Conf {
     #[serde(default, rename = "accounts")]
-    pub(super) tenants: Vec<TenantForm>,
+    pub(super) tenants: Vec<Account>,
     #[serde(rename = "balancers")]
     pub(super) nodes: u32,
     pub(super) discovery: String,
     #[serde(rename = "family_info")]
-    pub(super) family: FamilyForm,
+    pub(super) family: FamilyInfo,
     #[serde(rename = "feedback")]
-    pub(super) load_reports: LoadReportForm,
+    pub(super) load_reports: Feedback,
     #[serde(rename = "machine_types")]
     pub(super) kinds: Vec<String>,
     #[serde(rename = "me")]
     pub(super) node: u32,
-    pub(super) permissions: PermissionForm,
+    pub(super) permissions: Permissions,
     #[serde(default)]
-    pub(super) prices: PriceForm,
+    pub(super) prices: Prices,
     #[serde(rename = "profiles")]
-    pub(super) classes: Vec<ClassForm>,
-    pub(super) rules: RuleForm,
+    pub(super) classes: Vec<Profile>,
+    pub(super) rules: Rules,
     pub(super) weight_kind: String,
     pub(super) zone: String,
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Account")]
-pub(super) struct TenantForm {
+pub(super) struct Account {
     pub(super) name: String,
     #[serde(default, rename = "quota_rps")]
     pub(super) quota_per_s: f64,
@@ -40,8 +38,7 @@
 
 /// What the settings say of the family of fleets, by kind of machine or by class.
 #[derive(Deserialize)]
-#[serde(expecting = "struct FamilyInfo")]
-pub(super) struct FamilyForm {
+pub(super) struct FamilyInfo {
     #[serde(default, rename = "aim_us_per_1000_prompt_tokens")]
     pub(super) latency_objective_us_per_1000_tokens: Vec<f64>,
     #[serde(rename = "duty_by_kind")]
@@ -58,16 +55,14 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Feedback")]
-pub(super) struct LoadReportForm {
+pub(super) struct Feedback {
     #[serde(default)]
     pub(super) fields: Vec<String>,
     pub(super) source: String,
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Permissions")]
-pub(super) struct PermissionForm {
+pub(super) struct Permissions {
     #[serde(rename = "attempts_cap")]
     pub(super) max_attempts: u32,
     #[serde(default = "default_connect_timeout_s", rename = "connect_timeout")]
@@ -87,16 +82,14 @@
 }
 
 #[derive(Default, Deserialize)]
-#[serde(expecting = "struct Prices")]
-pub(super) struct PriceForm {
+pub(super) struct Prices {
     /// Missing: health checks are taken to be free; own traffic bounds them all the same.
     #[serde(default, rename = "probe")]
     pub(super) health_check: f64,
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Profile")]
-pub(super) struct ClassForm {
+pub(super) struct Profile {
     pub(super) name: String,
     #[serde(default, rename = "deadline")]
     pub(super) deadline_s: f64,
@@ -115,8 +108,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Rules")]
-pub(super) struct RuleForm {
+pub(super) struct Rules {
     #[serde(default, rename = "ask_within")]
     pub(super) max_poll_interval_s: f64,
     #[serde(rename = "cold_from")]
--- a/crates/pintally-wire/src/settings/mod.rs
+++ b/crates/pintally-wire/src/settings/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 pub use self::error::SettingsError;
-use self::form::{ClassForm, SettingsForm};
+use self::form::{Conf, Profile};
 use crate::{count, micros, LabelIndex};
 
 /// The release deadline where the settings name none, which is what the platform's deployments are
@@ -46,7 +46,7 @@
 ///
 /// Says which key is missing or which value is not known.
 pub fn settings(object: Value) -> Result<NodeConfiguration, SettingsError> {
-    let form: SettingsForm = serde_json::from_value(object)?;
+    let form: Conf = serde_json::from_value(object)?;
     if form.node >= form.nodes {
         return Err(SettingsError::NodeOutOfRange { node: form.node, nodes: form.nodes });
     }
@@ -64,12 +64,12 @@
 }
 
 fn core_settings(
-    form: SettingsForm,
+    form: Conf,
     kinds: Vec<EngineKind>,
     classes: Vec<Class>,
     discovery: DiscoveryMode,
 ) -> Settings {
-    let SettingsForm { tenants, family, permissions, rules, .. } = form;
+    let Conf { tenants, family, permissions, rules, .. } = form;
     let tenants = tenants
         .into_iter()
         .map(|tenant| Tenant { name: tenant.name, quota_per_s: tenant.quota_per_s })
@@ -102,7 +102,7 @@
     }
 }
 
-fn transport_settings(form: &SettingsForm) -> TransportSettings {
+fn transport_settings(form: &Conf) -> TransportSettings {
     TransportSettings {
         deadlines: form.classes.iter().map(|class| micros(class.deadline_s)).collect(),
         connect_timeout: micros(form.permissions.connect_timeout_s),
@@ -112,7 +112,7 @@
     }
 }
 
-fn engine_kinds(form: &SettingsForm) -> Result<Vec<EngineKind>, SettingsError> {
+fn engine_kinds(form: &Conf) -> Result<Vec<EngineKind>, SettingsError> {
     let kinds = form.kinds.iter().enumerate();
     kinds
         .map(|(index, name)| {
@@ -132,7 +132,7 @@
     }
 }
 
-fn classes(form: &SettingsForm) -> Result<Vec<Class>, SettingsError> {
+fn classes(form: &Conf) -> Result<Vec<Class>, SettingsError> {
     let family = &form.family;
     let classes = form.classes.iter().enumerate();
     classes
@@ -152,7 +152,7 @@
         .collect()
 }
 
-fn idempotency(class: &ClassForm) -> Result<Idempotency, SettingsError> {
+fn idempotency(class: &Profile) -> Result<Idempotency, SettingsError> {
     match class.idempotency.as_str() {
         "repeatable" => Ok(Idempotency::Idempotent),
         "once" => Ok(Idempotency::NotIdempotent),
