--- a/crates/pintally-cells/tests/failures.rs
+++ b/crates/pintally-cells/tests/failures.rs
@@ -23,7 +23,7 @@
     LoadReport { queue: Some(9.0), slots: Some(1.0), ..LoadReport::default() }
 }
 
-// ---- health ----
+// ---- engine health ----
 
 #[test]
 fn failing_engine_scores_zero_and_recovers_in_time() {
