--- a/crates/pintally-cli/src/common.rs
+++ b/crates/pintally-cli/src/common.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use pintally_transport::order;
+use pintally_transport::send_command;
 use serde_json::{json, Value};
 
 use crate::told::{seconds, show, text};
@@ -186,7 +186,7 @@
 fn give(keepers: &[SocketAddr], what: &Value) -> Result<ExitCode, Failure> {
     let mut last = String::new();
     for keeper in keepers {
-        let told = order(*keeper, ORDER, what.to_string().as_bytes());
+        let told = send_command(*keeper, ORDER, what.to_string().as_bytes());
         let told: Value = match told.map(|bytes| serde_json::from_slice(&bytes)) {
             Ok(Ok(told)) => told,
             Ok(Err(e)) => json!({ "why": e.to_string() }),
--- a/crates/pintally-kserve-node/src/fleet.rs
+++ b/crates/pintally-kserve-node/src/fleet.rs
@@ -24,7 +24,7 @@
     self as recovery, Answer, BackupNode, ClassPriority, Recovery, RememberedState, ReservationPublisher,
 };
 use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
-use pintally_transport::{fetch, ReceiveEvent, StreamServer, Udp};
+use pintally_transport::{fetch_document, DatagramSocket, ReceiveEvent, StreamServer};
 use tracing::{debug, info, warn};
 
 use crate::keeper::{self, FromReplica, OperatorCommand, ToReplica};
@@ -278,7 +278,7 @@
 
 /// The fleet's side of a node.
 pub(crate) struct Fleet {
-    udp: Udp,
+    udp: DatagramSocket,
     peers: Membership,
     /// Hands out texts until it is dropped.
     _whole: StreamServer,
@@ -294,7 +294,7 @@
     seed: u64,
     keeper: Option<Sender<ToReplica>>,
 ) -> io::Result<Fleet> {
-    let udp = Udp::bind(settings.listen)?;
+    let udp = DatagramSocket::bind(settings.listen)?;
     let own = shared.clone();
     let orders = keeper.clone();
     let whole = StreamServer::serve(settings.listen, move |what, asked| {
@@ -479,7 +479,7 @@
                 self.fleet.peers.receive(self.shared.clock.now(), from, &bytes, &mut out);
                 self.carry_out(out);
             }
-            Ok(ReceiveEvent::Nothing) => {}
+            Ok(ReceiveEvent::TimedOut) => {}
             Err(e) => {
                 warn!(error = %e, "the link to peers cannot be read");
                 std::thread::sleep(TURN);
@@ -788,7 +788,7 @@
         let listen = self.shared.settings.membership.as_ref().map(|p| p.listen.ip());
         let own = listen.unwrap_or(Ipv4Addr::UNSPECIFIED.into());
         let spawned = spawn_small("fetch", move || {
-            match fetch(own, from, LIST_TEXT).map(String::from_utf8) {
+            match fetch_document(own, from, LIST_TEXT).map(String::from_utf8) {
                 Ok(Ok(text)) => {
                     *lock(&shared.fleet.offered) = Some(text);
                     let _ = look.try_send(());
--- a/crates/pintally-transport/src/lib.rs
+++ b/crates/pintally-transport/src/lib.rs
@@ -1,9 +1,11 @@
-//! Sockets between the nodes of a fleet, as small as can be: UDP for what fits into a datagram, TCP on
-//! the same port for whole texts. Everything is bounded: sizes, times, and how many texts are handed
-//! out at once.
+//! Sockets between the nodes of a fleet: UDP for messages that fit into a datagram, TCP on the same port for
+//! whole documents and for the operators' commands. Everything is bounded: sizes, times, and how many
+//! connections are served at once.
 
 mod stream;
 mod udp;
 
-pub use stream::{fetch, order, StreamServer, MAX_ORDER_BYTES, MAX_TEXT_BYTES};
-pub use udp::{ReceiveEvent, Udp, Waker};
+pub use stream::{
+    fetch_document, send_command, StreamError, StreamServer, MAX_COMMAND_BYTES, MAX_DOCUMENT_BYTES,
+};
+pub use udp::{DatagramSocket, ReceiveEvent, Waker};
--- a/crates/pintally-transport/src/stream.rs
+++ b/crates/pintally-transport/src/stream.rs
@@ -1,5 +1,9 @@
-//! Whole texts over TCP: one byte asks for a text, a length and a checksum come before it. An order of
-//! the operators goes the same way: its byte, the order's own length and checksum, and its text.
+//! Documents and commands over TCP.
+//!
+//! A request is one byte, the number of a document or of a command. A command is followed by its content. The
+//! response is the content of the document, or the result of the command. Each content comes behind its length
+//! and its checksum, both as 4 bytes in little-endian order; a server that has no response closes the
+//! connection.
 
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -10,138 +14,206 @@
 
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Bytes of the longest text.
-pub const MAX_TEXT_BYTES: usize = 16 << 20;
-/// Bytes of the longest order.
-pub const MAX_ORDER_BYTES: usize = 4096;
-/// From this number on a text of the asker follows.
-const ORDERS: u8 = 128;
-/// Whoever orders waits so long for what became of it.
-const ORDER_WITHIN: Duration = Duration::from_secs(5);
-/// Texts handed out at once.
-const AT_ONCE: usize = 4;
-/// A peer that takes longer for a step is let go.
-const STEP: Duration = Duration::from_millis(500);
-/// How often the listener looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// What there is for a number, and for an order's text.
-type Texts = dyn Fn(u8, &[u8]) -> Option<Vec<u8>>;
-
-/// Hands out whole texts until it is dropped.
+/// Largest document.
+pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
+/// Largest content of a command.
+pub const MAX_COMMAND_BYTES: usize = 4096;
+/// Numbers from this one on are commands.
+const FIRST_COMMAND: u8 = 128;
+/// The sender of a command waits this long for its result.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Connections that are served at once; further ones are closed.
+const MAX_CONNECTIONS: usize = 4;
+/// A peer that takes longer for one read or write is disconnected.
+const IO_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often the acceptor checks whether the server is shutting down.
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The threads keep their buffers on the heap.
+const THREAD_STACK_BYTES: usize = 256 << 10;
+
+/// Why a document was not received.
+#[derive(Debug, thiserror::Error)]
+pub enum StreamError {
+    /// The connection failed or timed out, or the peer closed it without a response.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The announced length exceeds the limit.
+    #[error("the text is longer than texts may be")]
+    TooLong,
+    /// The content is shorter than announced, or its checksum does not match.
+    #[error("the text came cut off or garbled")]
+    Corrupt,
+}
+
+/// Returns the response to a document's number, or to a command's number and content.
+type Handler = dyn Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync;
+
+/// Serves documents and commands until it is dropped.
 #[derive(Debug)]
 pub struct StreamServer {
-    ends: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl StreamServer {
-    /// Listens on an address and hands out what `text` has for a number, and for an order's text if the
-    /// number is one of orders; nothing closes the connection.
+    /// Listens on an address. `handler` returns the response to a number and to the content of a command,
+    /// which is empty for documents; without a response the connection is closed.
+    ///
+    /// # Errors
+    ///
+    /// Any error of binding the address or starting the thread.
     pub fn serve(
         address: SocketAddr,
-        text: impl Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static,
+        handler: impl Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static,
     ) -> io::Result<StreamServer> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
-        let ends = Arc::new(AtomicBool::new(false));
-        let (own, text, busy) = (ends.clone(), Arc::new(text), Arc::new(AtomicUsize::new(0)));
-        let run = move || {
-            while !own.load(Ordering::Acquire) {
-                let Ok((stream, _)) = listener.accept() else {
-                    thread::sleep(LOOK);
-                    continue;
-                };
-                if busy.fetch_add(1, Ordering::AcqRel) >= AT_ONCE {
-                    busy.fetch_sub(1, Ordering::AcqRel);
-                    continue;
-                }
-                let (text, done) = (text.clone(), busy.clone());
-                let handed =
-                    thread::Builder::new().name("text".into()).stack_size(256 << 10).spawn(move || {
-                        let _ = hand_out(stream, &*text);
-                        done.fetch_sub(1, Ordering::AcqRel);
-                    });
-                if handed.is_err() {
-                    busy.fetch_sub(1, Ordering::AcqRel);
-                }
-            }
+        let is_stopping = Arc::new(AtomicBool::new(false));
+        let acceptor = Acceptor {
+            listener,
+            handler: Arc::new(handler),
+            connections: Arc::default(),
+            is_stopping: is_stopping.clone(),
         };
-        let thread = thread::Builder::new().name("texts".into()).stack_size(256 << 10).spawn(run)?;
-        Ok(StreamServer { ends, thread: Some(thread) })
+        let thread = thread::Builder::new()
+            .name("texts".into())
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(move || acceptor.run())?;
+        Ok(StreamServer { is_stopping, thread: Some(thread) })
     }
 }
 
 impl Drop for StreamServer {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Release);
+        self.is_stopping.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn hand_out(mut stream: TcpStream, text: &Texts) -> io::Result<()> {
+/// Counts a connection until it is dropped.
+struct ConnectionPermit(Arc<AtomicUsize>);
+
+impl ConnectionPermit {
+    /// A permit, unless [`MAX_CONNECTIONS`] are in use.
+    fn acquire(connections: &Arc<AtomicUsize>) -> Option<ConnectionPermit> {
+        let in_use = connections.fetch_add(1, Ordering::AcqRel);
+        let permit = ConnectionPermit(connections.clone());
+        (in_use < MAX_CONNECTIONS).then_some(permit)
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::AcqRel);
+    }
+}
+
+/// Accepts connections and serves each on a thread of its own.
+struct Acceptor {
+    listener: TcpListener,
+    handler: Arc<Handler>,
+    connections: Arc<AtomicUsize>,
+    is_stopping: Arc<AtomicBool>,
+}
+
+impl Acceptor {
+    fn run(&self) {
+        while !self.is_stopping.load(Ordering::Acquire) {
+            match self.listener.accept() {
+                Ok((stream, _)) => self.serve(stream),
+                Err(_) => thread::sleep(ACCEPT_POLL_INTERVAL),
+            }
+        }
+    }
+
+    fn serve(&self, stream: TcpStream) {
+        let Some(permit) = ConnectionPermit::acquire(&self.connections) else { return };
+        let handler = self.handler.clone();
+        let run = move || {
+            let _permit = permit;
+            // A peer that fails is disconnected; it tries again by itself.
+            let _ = serve_connection(stream, &*handler);
+        };
+        // Without a thread the closure is dropped, and the connection and the permit with it.
+        let _ = thread::Builder::new().name("text".into()).stack_size(THREAD_STACK_BYTES).spawn(run);
+    }
+}
+
+fn serve_connection(mut stream: TcpStream, handler: &Handler) -> Result<(), StreamError> {
     stream.set_nonblocking(false)?;
-    stream.set_read_timeout(Some(STEP))?;
-    stream.set_write_timeout(Some(STEP))?;
-    let mut what = [0u8];
-    stream.read_exact(&mut what)?;
-    let asked = if what[0] >= ORDERS { take(&mut stream, MAX_ORDER_BYTES)? } else { Vec::new() };
-    match text(what[0], &asked).filter(|t| t.len() <= MAX_TEXT_BYTES) {
-        Some(text) => give(&mut stream, &text),
-        None => Ok(()),
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
+    let mut number = [0u8];
+    stream.read_exact(&mut number)?;
+    let [number] = number;
+    let command =
+        if number >= FIRST_COMMAND { read_content(&mut stream, MAX_COMMAND_BYTES)? } else { Vec::new() };
+    let response = handler(number, &command).filter(|response| response.len() <= MAX_DOCUMENT_BYTES);
+    if let Some(response) = response {
+        write_content(&mut stream, &response)?;
     }
+    Ok(())
 }
 
-fn give(stream: &mut TcpStream, text: &[u8]) -> io::Result<()> {
-    let mut head = (text.len() as u32).to_le_bytes().to_vec();
-    head.extend(crc32fast::hash(text).to_le_bytes());
-    stream.write_all(&head)?;
-    stream.write_all(text)
+fn write_content(stream: &mut TcpStream, content: &[u8]) -> io::Result<()> {
+    let mut header = (content.len() as u32).to_le_bytes().to_vec();
+    header.extend(crc32fast::hash(content).to_le_bytes());
+    stream.write_all(&header)?;
+    stream.write_all(content)
 }
 
-fn take(stream: &mut TcpStream, most: usize) -> io::Result<Vec<u8>> {
-    let mut head = [0u8; 8];
-    stream.read_exact(&mut head)?;
-    let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let (length, sum) = (word(0) as usize, word(4));
-    if length > most {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "the text is longer than texts may be"));
+fn read_content(stream: &mut TcpStream, max_bytes: usize) -> Result<Vec<u8>, StreamError> {
+    let mut header = [0u8; 8];
+    stream.read_exact(&mut header)?;
+    let [l0, l1, l2, l3, c0, c1, c2, c3] = header;
+    let length = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
+    let checksum = u32::from_le_bytes([c0, c1, c2, c3]);
+    if length > max_bytes {
+        return Err(StreamError::TooLong);
     }
-    // Grows with what comes, so that a length alone takes no memory.
-    let mut text = Vec::new();
-    stream.take(length as u64).read_to_end(&mut text)?;
-    if text.len() != length || crc32fast::hash(&text) != sum {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "the text came cut off or garbled"));
+    // Grows with what is received, so that a length alone takes no memory.
+    let mut content = Vec::new();
+    stream.take(length as u64).read_to_end(&mut content)?;
+    if content.len() != length || crc32fast::hash(&content) != checksum {
+        return Err(StreamError::Corrupt);
     }
-    Ok(text)
+    Ok(content)
 }
 
-fn reach(own: IpAddr, from: SocketAddr, answers_within: Duration) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(from), Type::STREAM, Some(Protocol::TCP))?;
-    if !own.is_unspecified() && own.is_ipv4() == from.is_ipv4() {
+fn connect(own: IpAddr, to: SocketAddr, response_timeout: Duration) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+    if !own.is_unspecified() && own.is_ipv4() == to.is_ipv4() {
         socket.bind(&SocketAddr::new(own, 0).into())?;
     }
-    socket.connect_timeout(&from.into(), STEP)?;
+    socket.connect_timeout(&to.into(), IO_TIMEOUT)?;
     let stream: TcpStream = socket.into();
-    stream.set_read_timeout(Some(answers_within))?;
-    stream.set_write_timeout(Some(STEP))?;
+    stream.set_read_timeout(Some(response_timeout))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Asks a peer for a text by its number, from the address at which one listens oneself: that is the one
-/// by which peers, and whatever stands between, know a node.
-pub fn fetch(own: IpAddr, from: SocketAddr, what: u8) -> io::Result<Vec<u8>> {
-    let mut stream = reach(own, from, STEP)?;
-    stream.write_all(&[what])?;
-    take(&mut stream, MAX_TEXT_BYTES)
+/// Fetches a document of a peer by its number. `own` is the address on which this node listens: peers, and
+/// whatever is between them, know a node by it.
+///
+/// # Errors
+///
+/// [`StreamError`] if the peer cannot be reached, has no such document, or sends a damaged one.
+pub fn fetch_document(own: IpAddr, from: SocketAddr, number: u8) -> Result<Vec<u8>, StreamError> {
+    let mut stream = connect(own, from, IO_TIMEOUT)?;
+    stream.write_all(&[number])?;
+    read_content(&mut stream, MAX_DOCUMENT_BYTES)
 }
 
-/// Gives a node an order by its number, from 128 on, and waits for what becomes of it.
-pub fn order(node: SocketAddr, what: u8, text: &[u8]) -> io::Result<Vec<u8>> {
-    let mut stream = reach(Ipv4Addr::UNSPECIFIED.into(), node, ORDER_WITHIN)?;
-    stream.write_all(&[what.max(ORDERS)])?;
-    give(&mut stream, text)?;
-    take(&mut stream, MAX_TEXT_BYTES)
+/// Sends an operator's command to a node by its number, from 128 on, and waits for its result.
+///
+/// # Errors
+///
+/// [`StreamError`] if the node cannot be reached, does not accept the command, or sends a damaged result.
+pub fn send_command(node: SocketAddr, number: u8, content: &[u8]) -> Result<Vec<u8>, StreamError> {
+    let mut stream = connect(Ipv4Addr::UNSPECIFIED.into(), node, COMMAND_TIMEOUT)?;
+    stream.write_all(&[number.max(FIRST_COMMAND)])?;
+    write_content(&mut stream, content)?;
+    read_content(&mut stream, MAX_DOCUMENT_BYTES)
 }
--- a/crates/pintally-transport/src/udp.rs
+++ b/crates/pintally-transport/src/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams, and a way to be woken while waiting for one.
+//! Datagrams, and waking a thread that waits for one.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -6,101 +6,117 @@
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-/// Bytes of the largest datagram that is taken in.
+/// Largest datagram that is received; a longer one is cut off.
 const MAX_DATAGRAM_BYTES: usize = 4096;
 
-/// What came.
+/// The result of waiting for a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReceiveEvent {
-    /// A datagram, from there.
+    /// A datagram, with the address of its sender.
     Datagram(SocketAddr, Vec<u8>),
-    /// Nothing until the time was up.
-    Nothing,
+    /// No datagram came in time.
+    TimedOut,
 }
 
 /// A socket for datagrams.
 #[derive(Debug)]
-pub struct Udp {
+pub struct DatagramSocket {
     socket: UdpSocket,
 }
 
-/// Wakes whoever waits at a socket.
+/// Wakes the thread that waits at a socket.
 #[derive(Debug)]
 pub struct Waker {
     socket: UdpSocket,
-    to: SocketAddr,
+    target: SocketAddr,
 }
 
 impl Waker {
-    /// Wakes it; where that fails it wakes by itself a little later.
+    /// Wakes the thread. If that fails it wakes up by itself a little later.
     pub fn wake(&self) {
-        let _ = self.socket.send_to(&[], self.to);
+        let _ = self.socket.send_to(&[], self.target);
     }
 }
 
-impl Udp {
-    /// Listens on an address.
-    pub fn bind(address: SocketAddr) -> io::Result<Udp> {
+impl DatagramSocket {
+    /// Binds an address.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the socket.
+    pub fn bind(address: SocketAddr) -> io::Result<DatagramSocket> {
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        Ok(Udp { socket })
+        Ok(DatagramSocket { socket })
     }
 
-    /// Where it listens.
+    /// The address that it is bound to.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the socket.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sends a datagram, or drops it where it cannot go: whoever it is for will be told again.
+    /// Sends a datagram, and returns whether it was sent. One that cannot be sent is dropped: the protocols
+    /// above repeat what matters.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
         self.socket.send_to(bytes, to).is_ok()
     }
 
-    /// What wakes whoever waits here: an empty datagram comes.
+    /// Creates a waker for the thread that waits here. It sends an empty datagram.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the sockets.
     pub fn waker(&self) -> io::Result<Waker> {
-        let mut to = self.address()?;
-        if to.ip().is_unspecified() {
-            to.set_ip(if to.is_ipv4() { Ipv4Addr::LOCALHOST.into() } else { Ipv6Addr::LOCALHOST.into() });
-        }
-        let own = if to.is_ipv4() {
-            (IpAddr::from(Ipv4Addr::LOCALHOST), 0)
+        let mut target = self.address()?;
+        let loopback = if target.is_ipv4() {
+            IpAddr::from(Ipv4Addr::LOCALHOST)
         } else {
-            (Ipv6Addr::LOCALHOST.into(), 0)
+            IpAddr::from(Ipv6Addr::LOCALHOST)
         };
-        let socket = UdpSocket::bind(own)?;
+        if target.ip().is_unspecified() {
+            target.set_ip(loopback);
+        }
+        let socket = UdpSocket::bind((loopback, 0))?;
         socket.set_nonblocking(true)?;
-        Ok(Waker { socket, to })
+        Ok(Waker { socket, target })
     }
 
-    /// The next datagram; waits for it until a time.
-    pub fn receive(&self, until: Instant) -> io::Result<ReceiveEvent> {
+    /// Receives the next datagram; waits for it until a deadline.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the socket, except those that concern an earlier datagram.
+    pub fn receive(&self, deadline: Instant) -> io::Result<ReceiveEvent> {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer) {
-                Ok((n, from)) => return Ok(ReceiveEvent::Datagram(from, buffer[..n].to_vec())),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                // A refusal of an earlier datagram comes back here: the peer's port is closed.
-                Err(e)
-                    if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionRefused) =>
-                {
-                    continue
-                }
-                Err(e) => return Err(e),
+                Ok((len, from)) => return Ok(ReceiveEvent::Datagram(from, buffer[..len].to_vec())),
+                Err(error) => match error.kind() {
+                    io::ErrorKind::WouldBlock => {}
+                    // The port of the peer that an earlier datagram was sent to is closed.
+                    io::ErrorKind::Interrupted | io::ErrorKind::ConnectionRefused => continue,
+                    _ => return Err(error),
+                },
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || !self.readable(left)? {
-                return Ok(ReceiveEvent::Nothing);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || !self.wait_readable(remaining)? {
+                return Ok(ReceiveEvent::TimedOut);
             }
         }
     }
 
-    fn readable(&self, left: Duration) -> io::Result<bool> {
-        let span = Timespec { tv_sec: left.as_secs() as i64, tv_nsec: left.subsec_nanos().into() };
+    /// Waits until there is a datagram, or a signal interrupts; returns whether to look for one.
+    fn wait_readable(&self, timeout: Duration) -> io::Result<bool> {
+        let timeout = Timespec { tv_sec: timeout.as_secs() as i64, tv_nsec: timeout.subsec_nanos().into() };
         let mut fds = [PollFd::new(&self.socket, PollFlags::IN)];
-        match poll(&mut fds, Some(&span)) {
-            Ok(n) => Ok(n > 0),
+        match poll(&mut fds, Some(&timeout)) {
+            Ok(ready) => Ok(ready > 0),
             Err(rustix::io::Errno::INTR) => Ok(true),
-            Err(e) => Err(e.into()),
+            Err(error) => Err(error.into()),
         }
     }
 }
