--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -14,6 +14,8 @@
 //! - SWIM's *incarnation* is a counter that a member raises to refute a suspicion of itself;
 //! - a [`ProcessIncarnation`] identifies one run of a node's process, and outranks the former.
 
+#![deny(missing_docs)]
+
 mod event;
 mod fact;
 mod gossip_queue;
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -5,6 +5,8 @@
 //! waits for a peer has a timeout after which the node continues with what it has, and peers answer in every
 //! stage, so that nodes never deadlock waiting for each other.
 
+#![deny(missing_docs)]
+
 mod capacity;
 mod gate;
 mod list_merge;
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -7,6 +7,8 @@
 //! cannot be read or written, or that returns corrupt data, never prevents a node from starting: [`Loaded`]
 //! lists what is missing. `docs/recovery.md` weighs the options and gives the bounds.
 
+#![deny(missing_docs)]
+
 mod commit;
 mod disk;
 mod load_report;
--- a/crates/pintally-transport/src/lib.rs
+++ b/crates/pintally-transport/src/lib.rs
@@ -2,6 +2,8 @@
 //! whole documents and for the operators' commands. Everything is bounded: sizes, times, and how many
 //! connections are served at once.
 
+#![deny(missing_docs)]
+
 mod stream;
 mod udp;
 
