--- a/crates/pintally-cli/src/fleet/operator.rs
+++ b/crates/pintally-cli/src/fleet/operator.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-use pintally_transport::order;
+use pintally_transport::send_command as send_to_replica;
 use serde_json::{json, Value};
 
 use crate::Failure;
@@ -29,7 +29,7 @@
 /// What one replica answers; a transport or parse error takes the place of its reason.
 fn answer(replica: SocketAddr, command: &Value) -> Value {
     let failed = |e: &dyn std::fmt::Display| json!({ "why": e.to_string() });
-    match order(replica, OPERATOR_COMMAND, command.to_string().as_bytes()) {
+    match send_to_replica(replica, OPERATOR_COMMAND, command.to_string().as_bytes()) {
         Ok(bytes) => serde_json::from_slice(&bytes).unwrap_or_else(|e| failed(&e)),
         Err(e) => failed(&e),
     }
--- a/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use crossbeam_channel::Sender;
 use pintally_membership::{GossipFact, PeerName};
-use pintally_transport::fetch;
+use pintally_transport::fetch_document;
 use tracing::debug;
 
 use super::topics::{FactTopic, StreamRequest};
@@ -108,7 +108,7 @@
 fn fetch_list(shared: &Shared, peer: SocketAddr, reload_list: &Sender<()>) {
     let listen = shared.settings.membership.as_ref().map(|membership| membership.listen.ip());
     let own: IpAddr = listen.unwrap_or(Ipv4Addr::UNSPECIFIED.into());
-    match fetch(own, peer, StreamRequest::EndpointList.number()).map(String::from_utf8) {
+    match fetch_document(own, peer, StreamRequest::EndpointList.number()).map(String::from_utf8) {
         Ok(Ok(text)) => {
             *lock(&shared.fleet.offered_list) = Some(text);
             let _ = reload_list.try_send(());
--- a/crates/pintally-kserve-node/src/fleet/link.rs
+++ b/crates/pintally-kserve-node/src/fleet/link.rs
@@ -8,7 +8,7 @@
 use pintally_config::{MembershipSettings, NodeSettings};
 use pintally_membership::{Membership, PeerName, Settings};
 use pintally_recovery::RememberedState;
-use pintally_transport::{StreamServer, Udp, Waker};
+use pintally_transport::{DatagramSocket, StreamServer, Waker};
 
 use super::operator_commands::execute_command;
 use super::startup::RestoredState;
@@ -19,7 +19,7 @@
 
 /// The node's end of the fleet: sockets and membership.
 pub(crate) struct FleetLink {
-    pub(super) udp: Udp,
+    pub(super) udp: DatagramSocket,
     pub(super) membership: Membership,
     /// Answers stream requests until it is dropped.
     _stream_server: StreamServer,
@@ -40,7 +40,7 @@
     seed: u64,
     replica: Option<Sender<ReplicaInput>>,
 ) -> io::Result<FleetLink> {
-    let udp = Udp::bind(settings.listen)?;
+    let udp = DatagramSocket::bind(settings.listen)?;
     let stream_server = serve_streams(shared, settings.listen, replica.clone())?;
     let membership_settings = membership_settings(&shared.settings, settings, restored);
     membership_settings
--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -179,7 +179,7 @@
                 self.link.membership.receive(self.shared.clock.now(), from, &bytes, &mut out);
                 self.carry_out(out);
             }
-            Ok(ReceiveEvent::Nothing) => {}
+            Ok(ReceiveEvent::TimedOut) => {}
             Err(error) => self.receive_failed(&error),
         }
     }
