--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -74,13 +74,13 @@
     }
     if let Some(regions) = &settings.failover {
         let s = &regions.policy;
-        let told = settings.membership.as_ref().map_or(0, |p| 2 * p.period);
+        let detection_time = settings.membership.as_ref().map_or(0, |p| 2 * p.period);
         lines += &format!(
             "\n  {} zones: work leaves a lost one within {:.1} s, and is back {:.0} s after the end of its trouble if \
              it was not tried before, {:.0} s at the most\n    without word of the keepers' leader for {:.1} s a node \
              serves what is near",
             s.zones.zones.len(),
-            s.max_failover_time(told) as f64 / 1e6,
+            s.max_failover_time(detection_time) as f64 / 1e6,
             s.max_recovery_time(0) as f64 / 1e6,
             s.max_recovery_time(20) as f64 / 1e6,
             s.plan_lifetime as f64 / 1e6
--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -202,7 +202,7 @@
     }
 }
 
-/// A day, with what it cannot play in virtual time told.
+/// A day, naming what it cannot play in virtual time.
 fn load(path: &str) -> Result<Day, Failure> {
     let day = Day::parse(path, &read(path)?).map_err(Failure::usage)?;
     let mut left: Vec<String> =
--- a/crates/pintally-cli/src/serve.rs
+++ b/crates/pintally-cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `pintally serve`: one node until it is told to stop.
+//! `pintally serve`: one node until a signal stops it.
 
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/crates/pintally-cli/src/sim.rs
+++ b/crates/pintally-cli/src/sim.rs
@@ -23,7 +23,7 @@
         /// How many.
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// Threads; as many as there are cores if not told.
+        /// Threads; as many as there are cores by default.
         #[arg(long)]
         threads: Option<usize>,
         /// Ends after so many that break a rule.
--- a/crates/pintally-cli/src/soak.rs
+++ b/crates/pintally-cli/src/soak.rs
@@ -40,7 +40,7 @@
     /// Keeps the nodes' logs of runs that broke an invariant in this folder, by seed.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// The program whose nodes are played; this one if not told.
+    /// The program whose nodes are played; this one by default.
     #[arg(long)]
     program: Option<PathBuf>,
     /// Tells each trouble that was played.
--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    pub fn told(&self, node: usize, path: &str) -> Value {
+    pub fn status_document(&self, node: usize, path: &str) -> Value {
         get(self.settings[node].listen, path)
             .and_then(|b| serde_json::from_slice(&b).ok())
             .unwrap_or(Value::Null)
@@ -107,14 +107,14 @@
 
     /// How one node sees another.
     fn sees(&self, node: usize, other: &str) -> String {
-        let told = self.told(node, "/pintally/peers");
-        let peers = told["peers"].as_array().cloned().unwrap_or_default();
+        let document = self.status_document(node, "/pintally/peers");
+        let peers = document["peers"].as_array().cloned().unwrap_or_default();
         let found = peers.iter().find(|p| p["name"] == other);
         found.and_then(|p| p["standing"].as_str()).unwrap_or("unknown").to_string()
     }
 
     fn serving(&self, node: usize) -> u64 {
-        self.told(node, "/pintally/counters")["serving_engines"].as_u64().unwrap_or(0)
+        self.status_document(node, "/pintally/counters")["serving_engines"].as_u64().unwrap_or(0)
     }
 }
 
@@ -169,9 +169,10 @@
     until("the death is known", 10, || (0..2).all(|n| fleet.sees(n, "n2") == "Dead"));
     fleet.start(2);
     until("it is back", 10, || (0..2).all(|n| fleet.sees(n, "n2") == "Alive"));
-    let told = fleet.told(0, "/pintally/peers");
-    let boot = told["peers"].as_array().unwrap().iter().find(|p| p["name"] == "n2").unwrap()["boot"].clone();
-    assert_eq!(boot, 2, "its disk has counted its lives: {told}");
+    let document = fleet.status_document(0, "/pintally/peers");
+    let boot =
+        document["peers"].as_array().unwrap().iter().find(|p| p["name"] == "n2").unwrap()["boot"].clone();
+    assert_eq!(boot, 2, "its disk has counted its lives: {document}");
     for command in ["peers", "recovery"] {
         let at = fleet.settings[0].listen.to_string();
         let out = Command::new(EXE).args([command, "status", &at]).output().unwrap();
@@ -179,7 +180,7 @@
         assert!(out.status.success(), "{command}: {text}");
         assert!(text.contains(if command == "peers" { "n2" } else { "stage" }), "{text}");
         let gone = Command::new(EXE).args([command, "status", "127.0.0.1:9", "--json"]).output().unwrap();
-        assert_eq!(gone.status.code(), Some(1), "a silent node is told by the exit code");
+        assert_eq!(gone.status.code(), Some(1), "a silent node shows in the exit code");
     }
 }
 
@@ -199,7 +200,7 @@
     (0..3).for_each(|n| fleet.kill(n));
     // The others return alone, and their files are still the old ones.
     fleet.start(1);
-    assert_eq!(fleet.serving(1), 3, "its disk has kept what it was told");
+    assert_eq!(fleet.serving(1), 3, "its disk has kept what it received");
     fs::remove_dir_all(fleet.folder.path().join("state-2")).unwrap();
     fleet.start(2);
     until("who lost its disk hears of it", 15, || fleet.serving(2) == 3);
@@ -217,7 +218,7 @@
     until("it is taken for dead", 15, || [0, 2].iter().all(|n| fleet.sees(*n, "n1") == "Dead"));
     fleet.running[1].as_ref().unwrap().pause(false);
     until("it is taken back", 15, || fleet.is_whole());
-    let counters = fleet.told(1, "/pintally/peers")["counters"].clone();
+    let counters = fleet.status_document(1, "/pintally/peers")["counters"].clone();
     assert!(counters["paused"].as_u64() >= Some(1), "{counters}");
 }
 
@@ -238,8 +239,9 @@
     let own = Arc::new(twin.clone());
     let second = Process::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
     let back = |at: SocketAddr| -> Value {
-        let told: Option<Value> = get(at, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
-        told.map_or(Value::Null, |t| t["stepped_back"].clone())
+        let document: Option<Value> =
+            get(at, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
+        document.map_or(Value::Null, |t| t["stepped_back"].clone())
     };
     until("one of the two steps back", 30, || {
         [back(twin.listen), back(fleet.settings[2].listen)].iter().filter(|b| **b == true).count() == 1
@@ -349,7 +351,8 @@
     }
     let (stand, reader) = states_of_a_killed_node(&mut fleet);
     until("its peers let go of them", 15, || reader.states() == 0);
-    let inherited = |n: usize| fleet.told(n, "/pintally/counters")["inherited"].as_u64().unwrap_or(0);
+    let inherited =
+        |n: usize| fleet.status_document(n, "/pintally/counters")["inherited"].as_u64().unwrap_or(0);
     until("both have taken over what it held", 10, || inherited(1) > 0 && inherited(2) > 0);
     stand.shut_down();
 }
@@ -389,7 +392,7 @@
         began.elapsed(),
         tries + 1
     );
-    let told = fleet.told(0, "/pintally/recovery");
-    assert!(told["lacks"].as_array().is_some_and(|l| !l.is_empty()), "it says what it lacks: {told}");
+    let document = fleet.status_document(0, "/pintally/recovery");
+    assert!(document["lacks"].as_array().is_some_and(|l| !l.is_empty()), "it says what it lacks: {document}");
     stand.shut_down();
 }
--- a/crates/pintally-cli/tests/fleet/golden.rs
+++ b/crates/pintally-cli/tests/fleet/golden.rs
@@ -51,10 +51,10 @@
 }
 
 fn is_leader(fleet: &Nodes, node: usize) -> bool {
-    let regions = fleet.told(node, "/pintally/regions");
-    let limits = fleet.told(node, "/pintally/limits");
+    let regions = fleet.status_document(node, "/pintally/regions");
+    let limits = fleet.status_document(node, "/pintally/limits");
     let holds = |list: &Value| list.as_array().is_some_and(|list| !list.is_empty());
-    fleet.told(node, "/pintally/keepers")["standing"] == "leads"
+    fleet.status_document(node, "/pintally/keepers")["standing"] == "leads"
         && holds(&regions["leads"]["zones"])
         && regions["plan"].is_object()
         && holds(&limits["limits"])
@@ -67,7 +67,7 @@
     fleet.start_all();
     until("one leads, plans and lends", 20, || (0..3).any(|node| is_leader(&fleet, node)));
     until("requests are served", 20, || {
-        (0..3).all(|node| fleet.told(node, "/pintally/recovery")["stage"] == "Serving")
+        (0..3).all(|node| fleet.status_document(node, "/pintally/recovery")["stage"] == "Serving")
     });
     let leader = (0..3).find(|node| is_leader(&fleet, *node)).expect("one leads");
     let mut got = String::new();
--- a/crates/pintally-cli/tests/fleet/limits.rs
+++ b/crates/pintally-cli/tests/fleet/limits.rs
@@ -16,13 +16,13 @@
     (limit "a" (tenant "a") (counts requests) (most 12)))"#;
 
 fn keepers(fleet: &Nodes) -> Vec<Value> {
-    (0..fleet.settings.len()).map(|n| fleet.told(n, "/pintally/keepers")).collect()
+    (0..fleet.settings.len()).map(|n| fleet.status_document(n, "/pintally/keepers")).collect()
 }
 
 /// Who leads, if exactly one does and all that answer know it.
 fn leader(fleet: &Nodes) -> Option<usize> {
-    let told = keepers(fleet);
-    let leading: Vec<usize> = (0..told.len()).filter(|n| told[*n]["standing"] == "leads").collect();
+    let document = keepers(fleet);
+    let leading: Vec<usize> = (0..document.len()).filter(|n| document[*n]["standing"] == "leads").collect();
     match leading.as_slice() {
         [one] => Some(*one),
         _ => None,
@@ -52,8 +52,8 @@
     // It comes back, asks, and follows.
     fleet.start(first);
     until("it follows", 15, || {
-        let told = fleet.told(first, "/pintally/keepers");
-        told["standing"] == "follows" && told["commit"].as_u64() > Some(0)
+        let document = fleet.status_document(first, "/pintally/keepers");
+        document["standing"] == "follows" && document["commit"].as_u64() > Some(0)
     });
     let at: Vec<String> = fleet.settings.iter().map(|s| s.listen.to_string()).collect();
     let out = Command::new(EXE).args(["keepers", "status"]).args(&at).output().unwrap();
@@ -63,8 +63,8 @@
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(out.status.success() && text.contains("hard a second"), "{text}");
     until("the change of the limit has outlived its leader", 10, || {
-        let told = fleet.told(leader(&fleet).unwrap_or(0), "/pintally/keepers");
-        told["values"] == 1
+        let document = fleet.status_document(leader(&fleet).unwrap_or(0), "/pintally/keepers");
+        document["values"] == 1
     });
     // One keeper fewer.
     until("one fewer", 20, || ordered(&["keepers", "change", "--to", "n0,n1"], &fleet).0);
@@ -83,10 +83,10 @@
     process(&fleet, true);
     let others: Vec<usize> = (0..3).filter(|n| *n != first).collect();
     until("another leads", 15, || {
-        others.iter().any(|n| fleet.told(*n, "/pintally/keepers")["standing"] == "leads")
+        others.iter().any(|n| fleet.status_document(*n, "/pintally/keepers")["standing"] == "leads")
     });
     process(&fleet, false);
-    until("it follows", 10, || fleet.told(first, "/pintally/keepers")["standing"] == "follows");
+    until("it follows", 10, || fleet.status_document(first, "/pintally/keepers")["standing"] == "follows");
     until("another leads all", 10, || leader(&fleet).is_some_and(|l| l != first));
 }
 
@@ -99,10 +99,13 @@
     (0..3).for_each(|n| fleet.kill(n));
     fleet.start(1);
     std::thread::sleep(Duration::from_millis(2_500));
-    let told = fleet.told(1, "/pintally/keepers");
-    assert_eq!(told["standing"], "doubts", "{told}");
-    assert!(told["why"].as_str().unwrap().contains("0 others"), "{told}");
-    assert!(fleet.told(1, "/pintally/limits")["limits"].is_array(), "limits stand on their floors");
+    let document = fleet.status_document(1, "/pintally/keepers");
+    assert_eq!(document["standing"], "doubts", "{document}");
+    assert!(document["why"].as_str().unwrap().contains("0 others"), "{document}");
+    assert!(
+        fleet.status_document(1, "/pintally/limits")["limits"].is_array(),
+        "limits stand on their floors"
+    );
     let (done, text) = ordered(&["limits", "set", "a", "5"], &fleet);
     assert!(!done && text.contains("no keeper leads"), "{text}");
     fleet.start(0);
--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -148,8 +148,8 @@
     fleet.start_all();
     let zone = |fleet: &Nodes, name: &str| -> Option<f64> {
         (0..3).find_map(|n| {
-            let told = fleet.told(n, "/pintally/regions");
-            let zones = told["leads"]["zones"].as_array()?.clone();
+            let document = fleet.status_document(n, "/pintally/regions");
+            let zones = document["leads"]["zones"].as_array()?.clone();
             zones.iter().find(|z| z["zone"] == name)?["open"].as_f64()
         })
     };
@@ -171,7 +171,9 @@
     let (done, text) = order("order", "nowhere");
     assert!(!done && text.contains("no zone"), "{text}");
     // The order outlives the leader.
-    let leads = |fleet: &Nodes| (0..3).find(|n| fleet.told(*n, "/pintally/keepers")["standing"] == "leads");
+    let leads = |fleet: &Nodes| {
+        (0..3).find(|n| fleet.status_document(*n, "/pintally/keepers")["standing"] == "leads")
+    };
     until("one leads", 10, || leads(&fleet).is_some());
     let leader = leads(&fleet).expect("one leads");
     fleet.kill(leader);
--- a/crates/pintally-cli/tests/fleet/verdicts.rs
+++ b/crates/pintally-cli/tests/fleet/verdicts.rs
@@ -17,8 +17,8 @@
 /// Which nodes of `fleet` hold an engine back.
 fn holders(fleet: &Nodes, engine: &str) -> BTreeSet<usize> {
     let holds = |n: &usize| {
-        let told = fleet.told(*n, "/pintally/verdicts");
-        let all = told["engines"].as_array().cloned().unwrap_or_default();
+        let document = fleet.status_document(*n, "/pintally/verdicts");
+        let all = document["engines"].as_array().cloned().unwrap_or_default();
         all.iter().any(|v| v["engine"] == engine && v["held_back"] == true)
     };
     (0..fleet.settings.len()).filter(holds).collect()
@@ -75,7 +75,7 @@
             });
         }
     };
-    until("requests are served", 20, || fleet.told(0, "/pintally/recovery")["stage"] == "Serving");
+    until("requests are served", 20, || fleet.status_document(0, "/pintally/recovery")["stage"] == "Serving");
     (0..5).for_each(|_| send(&fleet));
     engines[3].crash();
     // Each does at some time: soon after all hold it back one of them lets it in again, for its trial, and
--- a/crates/pintally-cli/tests/platform/closing.rs
+++ b/crates/pintally-cli/tests/platform/closing.rs
@@ -99,7 +99,7 @@
     all_are_whole(clients);
 }
 
-/// The same on connections that would have stayed open, when the node is told to stop.
+/// The same on connections that would have stayed open, at SIGTERM.
 #[test]
 fn a_node_that_stops_writes_the_last_part_of_each_answer() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
--- a/crates/pintally-cli/tests/platform/ends.rs
+++ b/crates/pintally-cli/tests/platform/ends.rs
@@ -8,7 +8,7 @@
 use crate::stand::*;
 use crate::{at, posts};
 
-/// A change counts as told so long after discovery had it.
+/// A change counts as notified this long after discovery had it.
 const TOLD_AFTER: Duration = Duration::from_secs(6);
 /// Sooner than a watch that has merely gone silent is opened anew.
 const SOON: Duration = Duration::from_secs(3);
@@ -69,7 +69,7 @@
     assert!(posts(&stand, "a").is_empty());
 }
 
-/// Requests that were read behind a stream when the node is told to stop are each refused, not dropped.
+/// Requests that were read behind a stream at SIGTERM are each refused, not dropped.
 #[test]
 fn requests_read_behind_a_stream_when_the_node_is_told_to_stop_are_refused() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
@@ -110,7 +110,7 @@
     assert!(posts(&stand, "c").is_empty() && posts(&stand, "d").is_empty());
 }
 
-/// Guards against a request that is read and dropped behind the end of a stream whose head has told that the connection
+/// Guards against a request that is read and dropped behind the end of a stream whose head said that the connection
 /// stays: its client cannot know that it has to send it again. It is refused, or the connection is closed unread, and
 /// then the system resets it as soon as anything comes.
 #[test]
@@ -223,7 +223,7 @@
     discovery.until_unanswered(2);
 }
 
-/// Guards against sends by a list that is out of date: a node that was down while an engine drained is told of it late,
+/// Guards against sends by a list that is out of date: a node that was down while an engine drained is notified late,
 /// and clients must not come before.
 #[test]
 fn a_node_that_starts_is_ready_when_it_has_heard_of_the_list() {
@@ -249,7 +249,7 @@
 // ---- discovery ----
 
 /// Guards against a watch that says nothing any more and a node that waits for it: what it missed counts as
-/// told six seconds after it fell silent.
+/// notified six seconds after it fell silent.
 #[test]
 fn a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() {
     let stand = Stand::new(&["r0", "w0", "w1"], 256);
@@ -302,7 +302,7 @@
 /// Guards against the end of the watch being taken for the end of a client: what is waited on goes by numbers,
 /// and those of the listener, signals and the watch are like those of a node's first connections.
 /// Guards against a drain that is heard too late because the watch is opened at growing distances: what discovery has
-/// at its return counts as told at once, and sends have to stop within the settings' grace of that.
+/// at its return counts as notified at once, and sends have to stop within the settings' grace of that.
 #[test]
 fn a_watch_that_was_refused_is_open_soon_after_discovery_is_back() {
     const GRACE_MS: u64 = 250;
@@ -379,7 +379,7 @@
     }
 }
 
-/// A drain that is told in the same iteration in which requests come: what the node sends behind it goes
+/// A drain that is notified in the same iteration in which requests come: what the node sends behind it goes
 /// elsewhere.
 #[test]
 fn a_drain_told_in_the_iteration_of_a_send_holds_for_the_next_one() {
@@ -488,9 +488,9 @@
     std::thread::sleep(waits);
     stand.seen.go_on_and_write();
     assert!(client.answer().2 && client.answer().2);
-    let told = stand.seen.remaining("w0", "b").expect("it was written");
-    println!("{told} ms told of 6000 after {:?}", came.elapsed());
-    assert!(told <= 6_000 - waits.as_millis() as u64, "{told} ms told");
+    let stated = stand.seen.remaining("w0", "b").expect("it was written");
+    println!("{stated} ms stated of 6000 after {:?}", came.elapsed());
+    assert!(stated <= 6_000 - waits.as_millis() as u64, "{stated} ms stated");
     // The time of the last one was over before its turn came.
     assert_eq!(client.answer().0, 503);
     assert!(posts(&stand, "c").is_empty());
--- a/crates/pintally-cli/tests/platform/engines_failing.rs
+++ b/crates/pintally-cli/tests/platform/engines_failing.rs
@@ -208,7 +208,7 @@
     assert!(now <= fetched + 1, "{} fetches came late", now - fetched);
 }
 
-/// Guards against an engine that is told more time than its client has left, by as long as its connection
+/// Guards against an engine that is stated more time than its client has left, by as long as its connection
 /// took to come up.
 #[test]
 fn an_attempt_tells_what_is_left_when_its_connection_has_come_up() {
@@ -234,10 +234,10 @@
     late.come_back();
     client.answer();
     let waited = since.elapsed().as_millis() as u64;
-    let told = *books.remaining("a").get(1).expect("the fetch came");
-    println!("answered after {waited} ms; the fetch told {told} ms of 6000");
+    let stated = *books.remaining("a").get(1).expect("the fetch came");
+    println!("answered after {waited} ms; the fetch stated {stated} ms of 6000");
     assert!(waited >= 500, "the connection was not late: {waited} ms");
-    assert!(told <= 6_000 - 500, "{told} ms are told of 6000, {waited} ms after the request");
+    assert!(stated <= 6_000 - 500, "{stated} ms are stated of 6000, {waited} ms after the request");
 }
 
 /// How long after a spoilt answer the next attempt's first byte comes, and whether the connection of the one
--- a/crates/pintally-cli/tests/platform/held.rs
+++ b/crates/pintally-cli/tests/platform/held.rs
@@ -59,8 +59,8 @@
     pub freed: AtomicU64,
     pub read: AtomicU64,
     pub fetched: AtomicU64,
-    /// What attempts told to be left, by id and in milliseconds.
-    told: Mutex<Vec<(String, u64)>>,
+    /// The remaining time that attempts stated, by id and in milliseconds.
+    stated: Mutex<Vec<(String, u64)>>,
 }
 
 impl Books {
@@ -68,14 +68,14 @@
         what(self.held.lock().unwrap().entry(id.into()).or_default())
     }
 
-    /// What the attempts for a request told to be left, in milliseconds.
+    /// The remaining time that the attempts for a request stated, in milliseconds.
     pub fn remaining(&self, id: &str) -> Vec<u64> {
-        let told = self.told.lock().unwrap();
-        told.iter().filter(|(own, _)| own == id).map(|(_, ms)| *ms).collect()
+        let stated = self.stated.lock().unwrap();
+        stated.iter().filter(|(own, _)| own == id).map(|(_, ms)| *ms).collect()
     }
 
-    fn tells(&self, id: &str, ms: Option<u64>) {
-        self.told.lock().unwrap().extend(ms.map(|ms| (id.to_string(), ms)));
+    fn state_remaining(&self, id: &str, ms: Option<u64>) {
+        self.stated.lock().unwrap().extend(ms.map(|ms| (id.to_string(), ms)));
     }
 
     /// An attempt has come whole.
@@ -262,8 +262,8 @@
                     return;
                 }
                 let id = request.headers.get("x-txn").unwrap_or("").to_string();
-                let told = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
-                self.books.tells(&id, told);
+                let stated = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
+                self.books.state_remaining(&id, stated);
                 self.books.begins(&id);
                 let stays = self.attempt(&mut stream, &id, &mut dice, life);
                 self.books.ends(&id);
@@ -391,7 +391,7 @@
         .collect();
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
     // Two cuts, each of most writers and one reader; in the second a reader is taken off the list of three
-    // nodes and the other two are told to end.
+    // nodes and the other two get SIGTERM.
     for (at, back) in [(700, 2_400), (3_200, 4_900)] {
         after(at);
         let keep = 4 + dice.random_range(0..6);
@@ -410,7 +410,7 @@
     }
     let asked: Vec<_> = clients.into_iter().map(|c| c.join().expect("a client ends")).collect();
     let (asked_for, answered) = asked.iter().fold((0, 0), |sum, c| (sum.0 + c.0, sum.1 + c.1));
-    // Nothing is open any more, at nodes that go on and at those that were told to end.
+    // Nothing is open any more, at nodes that go on and at those that got SIGTERM.
     nodes[3..].iter_mut().for_each(|stand| assert!(stand.ended().success()));
     for stand in &nodes[..3] {
         stand.until_believed("nothing is held", |b| b["held"] == 0);
@@ -429,7 +429,7 @@
 }
 
 /// Guards against states that stay held while attempts reach nobody, calls that are not heard or go into
-/// a cut, holders off the list, and nodes told to end. Without the host's own deadline for held states
+/// a cut, holders off the list, and nodes that get SIGTERM. Without the host's own deadline for held states
 /// it fails, and so it does where releases for engines off the list are dropped.
 #[test]
 fn nothing_is_left_pinned_by_five_nodes_while_engines_vanish() {
--- a/crates/pintally-cli/tests/platform/stand.rs
+++ b/crates/pintally-cli/tests/platform/stand.rs
@@ -1,4 +1,4 @@
-//! A small stand-in of the platform on loopback: engines that do as they are told, discovery that
+//! A small mock of the platform on loopback: scripted engines, discovery that
 //! can be changed, and the node itself as a process.
 
 use std::collections::HashMap;
@@ -96,7 +96,7 @@
     going: Mutex<u32>,
     go: Condvar,
     word: Condvar,
-    /// What attempts told their engines to be left, by engine, id and in milliseconds.
+    /// The remaining time that attempts stated to their engines, by engine, id and in milliseconds.
     remaining: Mutex<Vec<(String, String, u64)>>,
     /// Answers that were let go on and have been written since.
     written: Mutex<u32>,
@@ -120,7 +120,7 @@
         came.0.clone()
     }
 
-    /// What an attempt for a request told an engine to be left, in milliseconds.
+    /// The remaining time that an attempt for a request stated to an engine, in milliseconds.
     pub fn remaining(&self, engine: &str, id: &str) -> Option<u64> {
         let all = self.remaining.lock().unwrap();
         all.iter().find(|(to, of, _)| to == engine && of == id).map(|(_, _, ms)| *ms)
