--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -68,7 +68,7 @@
     Foreign,
 }
 
-/// Stands for one update or fact in a digest.
+/// Represents one update or fact in a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct DigestEntry {
     /// Hash of what the entry is about.
--- a/crates/pintally-recovery/src/reservations/backup.rs
+++ b/crates/pintally-recovery/src/reservations/backup.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A process of a node is alive. If it is another one than has published, the death of that one stands:
-    /// its reservations are released by the later process, if its disk has stored them, and one release more
+    /// A process of a node is alive. If it is another one than has published, that one stays dead: its
+    /// reservations are released by the later process, if its disk has stored them, and one release more
     /// does no harm.
     pub fn node_up(&mut self, name: &str, process: u64) {
         let publisher = self.publishers.get_mut(name);
--- a/crates/pintally-recovery/src/reservations/publisher.rs
+++ b/crates/pintally-recovery/src/reservations/publisher.rs
@@ -9,7 +9,7 @@
 
 /// Backup nodes of each node.
 pub(super) const BACKUP_NODES: usize = 2;
-/// A reservation that is held for less than this is not worth a message.
+/// A younger reservation is not worth a message.
 const MIN_AGE: Micros = 100_000;
 /// Largest content of one message, so that it fits into a packet.
 const MAX_MESSAGE_BYTES: usize = 1_000;
@@ -21,14 +21,14 @@
 /// When a reservation was made and published.
 #[derive(Clone, Copy, Debug)]
 struct Publication {
-    held_since: Micros,
+    reserved_at: Micros,
     published_at: Option<Micros>,
 }
 
 impl Publication {
     fn is_due(&self, now: Micros) -> bool {
         match self.published_at {
-            None => now >= self.held_since.saturating_add(MIN_AGE),
+            None => now >= self.reserved_at.saturating_add(MIN_AGE),
             Some(published_at) => now >= published_at.saturating_add(REPUBLISH_INTERVAL),
         }
     }
@@ -37,7 +37,7 @@
 /// Publishes a node's reservations to its backup nodes.
 #[derive(Debug, Default)]
 pub struct ReservationPublisher {
-    held: HashMap<Reservation, Publication>,
+    publications: HashMap<Reservation, Publication>,
     backup_nodes: Vec<String>,
 }
 
@@ -52,37 +52,37 @@
         ranked.into_iter().take(BACKUP_NODES).map(|(_, name)| name.to_string()).collect()
     }
 
-    /// The messages that are due, each for all backup nodes. `process` is the mark of this process, `held` all
-    /// of its reservations.
+    /// The messages that are due, each for all backup nodes. `process` is the mark of this process, `reservations`
+    /// all that it has.
     pub fn publish_due(
         &mut self,
         now: Micros,
         process: u64,
-        held: &[Reservation],
+        reservations: &[Reservation],
         backup_nodes: &[String],
     ) -> Vec<Vec<u8>> {
-        self.update_held(now, held);
+        self.update_reservations(now, reservations);
         self.update_backup_nodes(backup_nodes);
         if backup_nodes.is_empty() {
             return Vec::new();
         }
         // Those that have waited for longest come first, as not all may fit.
         let mut due: Vec<(&Reservation, &mut Publication)> =
-            self.held.iter_mut().filter(|(_, publication)| publication.is_due(now)).collect();
+            self.publications.iter_mut().filter(|(_, publication)| publication.is_due(now)).collect();
         due.sort_by_key(|(reservation, publication)| {
-            (publication.published_at, publication.held_since, *reservation)
+            (publication.published_at, publication.reserved_at, *reservation)
         });
         encode_messages(now, process, due)
     }
 
-    fn update_held(&mut self, now: Micros, held: &[Reservation]) {
-        let new = Publication { held_since: now, published_at: None };
-        let mut updated = HashMap::with_capacity(held.len());
-        for reservation in held {
-            let publication = self.held.remove(reservation).unwrap_or(new);
+    fn update_reservations(&mut self, now: Micros, reservations: &[Reservation]) {
+        let new = Publication { reserved_at: now, published_at: None };
+        let mut updated = HashMap::with_capacity(reservations.len());
+        for reservation in reservations {
+            let publication = self.publications.remove(reservation).unwrap_or(new);
             updated.insert(reservation.clone(), publication);
         }
-        self.held = updated;
+        self.publications = updated;
     }
 
     /// Other backup nodes have received nothing yet: everything is published again.
@@ -91,7 +91,7 @@
             return;
         }
         self.backup_nodes = backup_nodes.to_vec();
-        for publication in self.held.values_mut() {
+        for publication in self.publications.values_mut() {
             publication.published_at = None;
         }
     }
--- a/crates/pintally-recovery/src/reservations/tests.rs
+++ b/crates/pintally-recovery/src/reservations/tests.rs
@@ -8,7 +8,7 @@
 
 const MS: Micros = 1_000;
 
-fn held(n: usize) -> Vec<Reservation> {
+fn reservations(n: usize) -> Vec<Reservation> {
     (0..n).map(|i| (EngineId("r1".into()), RequestId(format!("n0-1-{i}.0").as_str().into()))).collect()
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn reservations_of_a_dead_node_are_released_after_the_delay() {
     let (mut publisher, mut backup) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
-    let all = held(200);
+    let all = reservations(200);
     publish_for(&mut publisher, &mut backup, 0, 2_000 * MS, &all, 3);
     assert_eq!(backup.stored, 200);
     backup.node_down(2_500 * MS, "n0");
@@ -52,21 +52,22 @@
 fn node_that_comes_back_keeps_its_reservations() {
     for by_message in [true, false] {
         let (mut publisher, mut backup) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
-        publish_for(&mut publisher, &mut backup, 0, 1_000 * MS, &held(3), 100);
+        publish_for(&mut publisher, &mut backup, 0, 1_000 * MS, &reservations(3), 100);
         backup.node_down(1_000 * MS, "n0");
-        match by_message {
-            true => publish_for(&mut publisher, &mut backup, 2_000 * MS, 2_600 * MS, &held(3), 100),
-            false => backup.node_up("n0", 7),
+        if by_message {
+            publish_for(&mut publisher, &mut backup, 2_000 * MS, 2_600 * MS, &reservations(3), 100);
+        } else {
+            backup.node_up("n0", 7);
         }
         assert!(backup.take_due(60_000 * MS).is_empty());
     }
     // Another process does not hold them, and a node that leaves holds nothing.
     let (mut publisher, mut backup) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
-    publish_for(&mut publisher, &mut backup, 0, 1_000 * MS, &held(3), 100);
+    publish_for(&mut publisher, &mut backup, 0, 1_000 * MS, &reservations(3), 100);
     backup.node_down(1_000 * MS, "n0");
     backup.node_up("n0", 8);
     assert_eq!(backup.take_due(4_000 * MS).len(), 1);
-    publish_for(&mut publisher, &mut backup, 5_000 * MS, 6_000 * MS, &held(3), 100);
+    publish_for(&mut publisher, &mut backup, 5_000 * MS, 6_000 * MS, &reservations(3), 100);
     backup.node_left("n0");
     backup.node_down(6_000 * MS, "n0");
     assert!(backup.take_due(60_000 * MS).is_empty() && backup.stored == 0);
@@ -77,9 +78,12 @@
 #[test]
 fn messages_and_stored_reservations_are_bounded() {
     let (mut publisher, mut backup) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
-    assert!(publisher.publish_due(0, 7, &held(10), &["g".into()]).is_empty(), "not held for long enough");
-    assert!(publisher.publish_due(50 * MS, 7, &held(10), &[]).is_empty(), "no backup nodes");
-    let many = held(5_000);
+    assert!(
+        publisher.publish_due(0, 7, &reservations(10), &["g".into()]).is_empty(),
+        "not held for long enough"
+    );
+    assert!(publisher.publish_due(50 * MS, 7, &reservations(10), &[]).is_empty(), "no backup nodes");
+    let many = reservations(5_000);
     publisher.publish_due(60 * MS, 7, &many, &["g".into()]);
     let messages = publisher.publish_due(200 * MS, 7, &many, &["g".into()]);
     assert_eq!(messages.len(), MAX_MESSAGES);
--- a/crates/pintally-recovery/tests/recovery_stages.rs
+++ b/crates/pintally-recovery/tests/recovery_stages.rs
@@ -189,65 +189,78 @@
     /// All successor states.
     fn successors(&self) -> Vec<World> {
         let mut all = Vec::new();
-        for n in 0..self.nodes.len() {
-            let mut world = self.clone();
-            match &self.nodes[n] {
-                None => world.start(n),
-                Some(node) if node.stage() == Stage::LoadingState => {
-                    let mut outputs = Vec::new();
-                    let node = world.nodes[n].as_mut().unwrap();
-                    node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut outputs);
-                    world.execute(n, outputs);
-                }
-                Some(_) if self.kills > 0 => {
-                    world.kills -= 1;
-                    world.nodes[n] = None;
-                    world.queries.retain(|q| q.0 != n && q.1 != n);
-                    world.answers.retain(|a| a.0 != n && a.1 != n);
-                }
-                Some(_) => continue,
-            }
-            all.push(world);
+        all.extend((0..self.nodes.len()).filter_map(|n| self.after_node_event(n)));
+        for query in 0..self.queries.len() {
+            all.push(self.after_query_delivered(query));
+            all.extend(self.after_query_lost(query));
         }
-        for (i, &(from, to)) in self.queries.iter().enumerate() {
-            let mut world = self.clone();
-            world.queries.remove(i);
-            if let Some(node) = &self.nodes[to] {
-                world.answers.push((to, from, node.answer(self.now, Some((1, 0)))));
+        all.extend((0..self.answers.len()).map(|answer| self.after_answer_delivered(answer)));
+        all.extend(self.after_next_deadline());
+        all
+    }
+
+    /// A node starts, loads its state or dies.
+    fn after_node_event(&self, n: usize) -> Option<World> {
+        let mut world = self.clone();
+        match &self.nodes[n] {
+            None => world.start(n),
+            Some(node) if node.stage() == Stage::LoadingState => {
+                let mut outputs = Vec::new();
+                let node = world.nodes[n].as_mut().unwrap();
+                node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut outputs);
+                world.execute(n, outputs);
             }
-            all.push(world);
-            if self.losses > 0 {
-                let mut world = self.clone();
-                world.queries.remove(i);
-                world.losses -= 1;
-                all.push(world);
+            Some(_) if self.kills > 0 => {
+                world.kills -= 1;
+                world.nodes[n] = None;
+                world.queries.retain(|q| q.0 != n && q.1 != n);
+                world.answers.retain(|a| a.0 != n && a.1 != n);
             }
+            Some(_) => return None,
         }
-        for i in 0..self.answers.len() {
-            let mut world = self.clone();
-            let (from, to, answer) = world.answers.remove(i);
-            let mut outputs = Vec::new();
-            if let Some(node) = &mut world.nodes[to] {
-                node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut outputs);
-            }
-            world.execute(to, outputs);
-            all.push(world);
+        Some(world)
+    }
+
+    fn after_query_delivered(&self, query: usize) -> World {
+        let mut world = self.clone();
+        let (from, to) = world.queries.remove(query);
+        if let Some(node) = &self.nodes[to] {
+            world.answers.push((to, from, node.answer(self.now, Some((1, 0)))));
         }
-        // Time advances to the first deadline.
-        let due = self.nodes.iter().flatten().filter_map(Recovery::next_wake).min();
-        if let Some(due) = due {
-            let mut world = self.clone();
-            world.now = due.max(self.now);
-            for n in 0..world.nodes.len() {
-                let mut outputs = Vec::new();
-                if let Some(node) = &mut world.nodes[n] {
-                    node.tick(world.now, &mut outputs);
-                }
-                world.execute(n, outputs);
+        world
+    }
+
+    fn after_query_lost(&self, query: usize) -> Option<World> {
+        let mut world = self.clone();
+        world.queries.remove(query);
+        world.losses = world.losses.checked_sub(1)?;
+        Some(world)
+    }
+
+    fn after_answer_delivered(&self, answer: usize) -> World {
+        let mut world = self.clone();
+        let (from, to, answer) = world.answers.remove(answer);
+        let mut outputs = Vec::new();
+        if let Some(node) = &mut world.nodes[to] {
+            node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut outputs);
+        }
+        world.execute(to, outputs);
+        world
+    }
+
+    /// Time advances to the first deadline.
+    fn after_next_deadline(&self) -> Option<World> {
+        let deadline = self.nodes.iter().flatten().filter_map(Recovery::next_wake).min()?;
+        let mut world = self.clone();
+        world.now = deadline.max(self.now);
+        for n in 0..world.nodes.len() {
+            let mut outputs = Vec::new();
+            if let Some(node) = &mut world.nodes[n] {
+                node.tick(world.now, &mut outputs);
             }
-            all.push(world);
+            world.execute(n, outputs);
         }
-        all
+        Some(world)
     }
 }
 
--- a/crates/pintally-storage/src/disk.rs
+++ b/crates/pintally-storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The files that a copy of the store lies on.
+//! The files that hold the copies of the store.
 
 use std::fs::File;
 use std::io;
@@ -7,7 +7,7 @@
 
 use redb::StorageBackend;
 
-/// A disk that a copy of the store lies on.
+/// A disk that holds a copy of the store.
 pub type Disk = Box<dyn StorageBackend>;
 
 /// A file that writes reach only with a sync: what was not synced is lost with the process, as with a power
--- a/crates/pintally-storage/src/lib.rs
+++ b/crates/pintally-storage/src/lib.rs
@@ -1,6 +1,6 @@
 //! The state that a node keeps over a power loss.
 //!
-//! Records lie in an embedded database (redb), in two copies in files of their own: a flipped bit costs one
+//! Records are stored in an embedded database (redb), in two copies in files of their own: a flipped bit costs one
 //! copy and not the state. Each record carries a checksum, and the start number and sequence number under
 //! which it was written. A thread of its own commits; whoever puts a record never waits for a disk, and a
 //! power loss costs at most what was put since the last commit began ([`Store::at_risk`]). A disk that
