--- a/crates/pintally-cells/src/edge.rs
+++ b/crates/pintally-cells/src/edge.rs
@@ -8,7 +8,7 @@
 
 use crate::CellName;
 
-/// A tenant is told to retry after this time for each multiple of its part that it uses, in milliseconds.
+/// Retry-After of a tenant, for each multiple of its part that it uses, in milliseconds.
 const RETRY_AFTER_STEP_MS: u64 = 250;
 /// Upper bound of that time.
 const MAX_RETRY_AFTER_MS: u64 = 2000;
--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -52,13 +52,13 @@
             );
         }
     }
-    if let Some(keepers) = &settings.consensus {
-        let figures = keepers.replica_settings(&settings.name);
+    if let Some(consensus) = &settings.consensus {
+        let figures = consensus.replica_settings(&settings.name);
         lines += &format!(
             "\n  {} keepers, {} of them may fail at once; without a leader for {:.1} s at the most while a \
              majority hears each other\n  a lead surely ends {:.2} s after its last answered word",
-            keepers.names.len(),
-            (keepers.names.len() - 1) / 2,
+            consensus.names.len(),
+            (consensus.names.len() - 1) / 2,
             figures.max_election_duration() as f64 / 1e6,
             figures.leader_lease() as f64 / 1e6
         );
--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -62,7 +62,7 @@
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
-    /// A whole fleet's peers, keepers and shares: what a node sends, how soon deaths are known, how far a
+    /// A whole fleet's membership, replicas and quotas: what a node sends, how soon deaths are known, how far a
     /// limit is used and never exceeded.
     Fleet {
         /// Nodes.
--- a/crates/pintally-cli/tests/platform/ends.rs
+++ b/crates/pintally-cli/tests/platform/ends.rs
@@ -16,7 +16,7 @@
 // ---- SIGTERM ----
 
 #[test]
-fn a_request_between_its_stages_when_the_node_is_told_to_stop_is_served() {
+fn a_request_between_prefill_and_decode_at_sigterm_is_served() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
     stand.seen.let_do("r0", &[Does::SaysThen(Vec::new(), read_answer())]);
     let mut client = Client::new(&stand);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_stream_under_way_when_the_node_is_told_to_stop_is_passed_on_to_its_end() {
+fn a_stream_in_flight_at_sigterm_is_forwarded_to_its_end() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
     let mut client = stream_under_way(&stand);
     stand.tell_to_stop("b");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_request_half_read_when_the_node_is_told_to_stop_is_refused_and_not_sent_on() {
+fn a_request_half_read_at_sigterm_is_rejected_and_not_forwarded() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
     let mut client = Client::new(&stand);
     let whole = asked("once", "a");
@@ -71,7 +71,7 @@
 
 /// Requests that were read behind a stream at SIGTERM are each refused, not dropped.
 #[test]
-fn requests_read_behind_a_stream_when_the_node_is_told_to_stop_are_refused() {
+fn requests_read_behind_a_stream_at_sigterm_are_rejected() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
     let rest = stream(&[TOKEN, DONE])[begun(&[TOKEN]).len()..].to_vec();
     stand.seen.let_do("w0", &[Does::SaysThen(begun(&[TOKEN]), rest)]);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_release_that_is_out_when_the_node_is_told_to_stop_is_made_until_it_is_heard() {
+fn a_release_in_flight_at_sigterm_is_retried_until_acknowledged() {
     let mut stand = Stand::new(&["r0", "w0"], 256);
     stand.seen.let_do("w0", &[Does::Hangs]);
     for engine in ["r0", "w0"] {
@@ -251,7 +251,7 @@
 /// Guards against a watch that says nothing any more and a node that waits for it: what it missed counts as
 /// notified six seconds after it fell silent.
 #[test]
-fn a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() {
+fn a_silent_watch_is_reopened_before_missed_changes_count_as_notified() {
     let stand = Stand::new(&["r0", "w0", "w1"], 256);
     stand.discovery.until_watched(1);
     let silent_since = Instant::now();
@@ -382,7 +382,7 @@
 /// A drain that is notified in the same iteration in which requests come: what the node sends behind it goes
 /// elsewhere.
 #[test]
-fn a_drain_told_in_the_iteration_of_a_send_holds_for_the_next_one() {
+fn a_drain_received_in_the_iteration_of_a_send_applies_to_the_next_one() {
     let stand = Stand::new(&["r0", "w0", "w1"], 256);
     stand.discovery.until_watched(1);
     let mut clients: Vec<Client> = (0..12).map(|_| Client::new(&stand)).collect();
--- a/crates/pintally-cli/tests/platform/held.rs
+++ b/crates/pintally-cli/tests/platform/held.rs
@@ -15,7 +15,7 @@
 
 use crate::stand::{stream as stream_of, *};
 
-/// What the settings of the stand-in leave for letting go, and what the platform allows beside it.
+/// What the settings of the stand-in leave for the release, and what the platform allows beside it.
 const WITHIN: Duration = Duration::from_millis(500 + 300);
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 16;
--- a/crates/pintally-config/src/outlier_detection.rs
+++ b/crates/pintally-config/src/outlier_detection.rs
@@ -31,7 +31,7 @@
         )?,
         ramp_step: form.millis_or("step-ms", millis(defaults.ramp_step), 1.0, 600_000.0)?,
         max_ejection_fraction: form.number_or("most", defaults.max_ejection_fraction, 0.0, 1.0)?,
-        self_doubt_fraction: form.number_or("own", defaults.self_doubt_fraction, 0.0, 1.0)?,
+        local_fault_fraction: form.number_or("own", defaults.local_fault_fraction, 0.0, 1.0)?,
     };
     form.finish()?;
     settings.check().map_err(|error| form.error(error.to_string()))?;
@@ -50,7 +50,7 @@
         millis(s.max_ejection_time),
         millis(s.ramp_step),
         s.max_ejection_fraction,
-        s.self_doubt_fraction
+        s.local_fault_fraction
     )
 }
 
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -1,5 +1,5 @@
 //! The forms of what holds for the whole fleet: what is read comes back as it was, and what does not go
-//! together is told with its place.
+//! together is reported with its position.
 
 use pintally_config::{verdicts_form, NodeSettings};
 
@@ -61,8 +61,8 @@
         ("(price \"north-1\"", "(price \"moon\"", "no zone of a region is named `moon`"),
     ] {
         assert!(text.contains(from), "{from}");
-        let told = error(&text.replacen(from, to, 1));
-        assert!(told.contains(what), "{from} -> {to}: {told}");
-        assert!(told.starts_with("x.sexp:"), "{told}");
+        let parsed = error(&text.replacen(from, to, 1));
+        assert!(parsed.contains(what), "{from} -> {to}: {parsed}");
+        assert!(parsed.starts_with("x.sexp:"), "{parsed}");
     }
 }
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -282,11 +282,11 @@
     let v = read("fleet.sexp").outlier_detection.expect("verdicts");
     assert_eq!((v.evidence_retention, v.consecutive_failures, v.min_reporters), (9_000_000, 4, 3));
     assert_eq!((v.base_ejection_time, v.max_ejection_time, v.ramp_step), (2_100_000, 31_000_000, 2_200_000));
-    assert_eq!((v.max_ejection_fraction, v.self_doubt_fraction), (0.25, 0.4));
+    assert_eq!((v.max_ejection_fraction, v.local_fault_fraction), (0.25, 0.4));
     let v = read("fleet_defaults.sexp").outlier_detection.expect("verdicts");
     assert_eq!((v.evidence_retention, v.consecutive_failures, v.min_reporters), (5_000_000, 2, 2));
     assert_eq!((v.base_ejection_time, v.max_ejection_time, v.ramp_step), (1_000_000, 16_000_000, 1_000_000));
-    assert_eq!((v.max_ejection_fraction, v.self_doubt_fraction), (0.5, 0.5));
+    assert_eq!((v.max_ejection_fraction, v.local_fault_fraction), (0.5, 0.5));
 }
 
 #[test]
@@ -341,7 +341,7 @@
     assert_eq!(list.render(), golden("engines_written.sexp"));
 }
 
-/// Each line of the golden file is what is told when one piece of a sound file is another.
+/// Each line of the golden file is the error when one piece of a valid file is replaced.
 #[test]
 fn error_messages() {
     let cases = [
--- a/crates/pintally-config/tests/invalid_files.rs
+++ b/crates/pintally-config/tests/invalid_files.rs
@@ -26,12 +26,12 @@
 fn writers_reading_prompts_require_a_writer() {
     let read = |text: &str| NodeSettings::parse("file", text);
     assert!(!read(GOOD).unwrap().core.writers_read_prompts);
-    let told = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
-    let core = read(&told).unwrap().core;
+    let parsed = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
+    let core = read(&parsed).unwrap().core;
     assert!(core.writers_read_prompts && core.reports == LoadReporting::Off && !core.health_checks_allowed);
     let example = std::fs::read_to_string("../../examples/node-silent.sexp").unwrap();
     assert_eq!(read(&example).unwrap().core.reports, LoadReporting::Off);
-    let error = read(&told.replace("(role writer)", "(role mixed)")).unwrap_err();
+    let error = read(&parsed.replace("(role writer)", "(role mixed)")).unwrap_err();
     assert!(error.what.contains("no `kind` is a writer"), "{error}");
 }
 
@@ -93,8 +93,8 @@
             assert_eq!(error.line, *line, "{to}: {error}");
         }
         assert_eq!(error.rule.is_some(), rule.is_some(), "{to}: {error}");
-        if let (Some(told), Some(rule)) = (error.rule, rule) {
-            assert!(told.contains(rule), "{to}: {error}");
+        if let (Some(parsed), Some(rule)) = (error.rule, rule) {
+            assert!(parsed.contains(rule), "{to}: {error}");
         }
         assert!(error.to_string().starts_with("bad:"), "{error}");
     }
--- a/crates/pintally-emulator/tests/engines.rs
+++ b/crates/pintally-emulator/tests/engines.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_is_told_is_late_as_told() {
+fn load_reports_are_as_late_as_configured() {
     let mut w = World::new(&[Spec { slots: 2, ..spec(EngineRole::Mixed) }], 1);
     w.until(1_000_000);
     (0..6).for_each(|n| w.submit(0, both(n, n + 1, 64, 400), None));
--- a/crates/pintally-kserve/tests/golden.rs
+++ b/crates/pintally-kserve/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the answers of the KServe endpoints, and of what clients are told is wrong.
+//! Golden files of the answers of the KServe endpoints, and of the error texts for clients.
 
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -310,7 +310,7 @@
                 if self.nodes[who].alive {
                     self.false_deaths += 1;
                 }
-                self.told_of_death(who, n);
+                self.death_notified(who, n);
             }
             MembershipEvent::MemberSuspected(name) => {
                 self.false_suspicions += u64::from(self.nodes[number(&name)].alive)
@@ -338,7 +338,7 @@
         }
     }
 
-    fn told_of_death(&mut self, who: usize, by: usize) {
+    fn death_notified(&mut self, who: usize, by: usize) {
         let living = self.nodes.iter().filter(|n| n.alive).count();
         let Some((died, by_whom)) = self.dead.get_mut(&who) else { return };
         by_whom.insert(by);
--- a/crates/pintally-outlier-detection/src/reports.rs
+++ b/crates/pintally-outlier-detection/src/reports.rs
@@ -69,7 +69,7 @@
 }
 
 fn mostly_failing(used: u32, failing: u32, settings: &Settings) -> bool {
-    used >= MIN_USED_ENGINES && f64::from(failing) >= settings.self_doubt_fraction * f64::from(used)
+    used >= MIN_USED_ENGINES && f64::from(failing) >= settings.local_fault_fraction * f64::from(used)
 }
 
 /// The engine whose reports are merged.
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -22,7 +22,7 @@
     /// Greatest fraction of the engines of one kind that a node ejects at once.
     pub max_ejection_fraction: f64,
     /// If this fraction of the engines that a node uses fail for it, the cause is taken to be the node.
-    pub self_doubt_fraction: f64,
+    pub local_fault_fraction: f64,
 }
 
 impl Default for Settings {
@@ -35,7 +35,7 @@
             max_ejection_time: 16_000_000,
             ramp_step: 1_000_000,
             max_ejection_fraction: 0.5,
-            self_doubt_fraction: 0.5,
+            local_fault_fraction: 0.5,
         }
     }
 }
@@ -61,7 +61,7 @@
             (0.0..=0.9).contains(&self.max_ejection_fraction),
             "nearly all engines of a kind could be held back",
         )?;
-        ensure((0.1..=1.0).contains(&self.self_doubt_fraction), "one failure would tell of the node itself")
+        ensure((0.1..=1.0).contains(&self.local_fault_fraction), "one failure would tell of the node itself")
     }
 
     /// Failed attempts of the whole fleet until an engine is ejected, besides those made while the reports are
--- a/crates/pintally-outlier-detection/tests/detection.rs
+++ b/crates/pintally-outlier-detection/tests/detection.rs
@@ -212,7 +212,7 @@
 fn max_ejection_fraction_bounds_ejections_of_a_kind() {
     let mut fleet = Fleet::new(6, 10, |_, n, e| (e < 7 && n > 0).then_some(Fault::ConnectionBroken));
     // No node may be taken for unreliable.
-    fleet.settings.self_doubt_fraction = 1.0;
+    fleet.settings.local_fault_fraction = 1.0;
     fleet.detectors = fleet.nodes.iter().map(|n| OutlierDetector::new(fleet.settings, n.clone())).collect();
     fleet.set_endpoints();
     let all = fleet.nodes.clone();
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -215,7 +215,7 @@
 
 /// Guards against new work for an engine that drains, in the middle of a burst.
 #[test]
-fn a_drain_told_during_a_burst_is_kept() {
+fn a_drain_announced_during_a_burst_is_honoured() {
     let mut rig = rig(2, 3);
     let burst: Vec<_> = (0..60)
         .map(|n| {
--- a/crates/pintally-soak/src/invariants.rs
+++ b/crates/pintally-soak/src/invariants.rs
@@ -142,7 +142,7 @@
             }
             RequestOutcome::Dropped { at } => {
                 let crossed = !ask.on_new_connection && attempt_started.is_empty();
-                let closing = self.incarnation(ask.node, ask.sent).and_then(|i| i.told_to_stop);
+                let closing = self.incarnation(ask.node, ask.sent).and_then(|i| i.stop_requested_at);
                 let stops =
                     closing.is_some_and(|notified| ask.sent + self.late >= notified + CONNECT_AFTER_STOP);
                 let unread = attempt_started.is_empty() && (stops || crossed);
@@ -185,7 +185,7 @@
     fn excused_by_end(&self, ask: &ClientRequest, by: At) -> bool {
         let Some(own) = self.incarnation(ask.node, ask.sent + self.late) else { return true };
         let Some(ended) = own.ended.filter(|ended| *ended <= by + self.late) else { return false };
-        match own.told_to_stop {
+        match own.stop_requested_at {
             None => ended + self.late >= ask.sent,
             // What came in the first moments after the signal may be left over at the kill.
             Some(notified) => ask.sent <= notified + STOPPED_FROM + self.late,
@@ -251,10 +251,10 @@
             }
             // A resent request's first sending is not known any more.
             let left = (ask.sent + ask.client_timeout).saturating_sub(attempt.attempt_started);
-            let told_too_much = attempt
+            let remaining_overstated = attempt
                 .remaining_stated
                 .is_some_and(|notified| notified > left + REMAINING_TIME_SLACK + self.late);
-            if told_too_much && !ask.resent {
+            if remaining_overstated && !ask.resent {
                 found.push(violation(
                     ViolationKind::RemainingTimeOverstated,
                     id.into(),
--- a/crates/pintally-soak/src/invariants/tests.rs
+++ b/crates/pintally-soak/src/invariants/tests.rs
@@ -42,7 +42,7 @@
 
 fn books(ask: ClientRequest, attempt_started: Vec<AttemptRecord>) -> RunRecord {
     let mut books = RunRecord::default();
-    books.incarnations.push(Incarnation { node: 0, started: ms(0), told_to_stop: None, ended: None });
+    books.incarnations.push(Incarnation { node: 0, started: ms(0), stop_requested_at: None, ended: None });
     books.requests.insert("a".into(), ask);
     books.attempt_started.insert("a".into(), attempt_started);
     books
@@ -70,7 +70,7 @@
         book.incarnations[0].ended = Some(ms(1_100));
         if !matches!(book.requests["a"].end, RequestOutcome::Answered { .. }) {
             assert!(kinds(&book).is_empty(), "it was killed with it");
-            book.incarnations[0].told_to_stop = Some(ms(100));
+            book.incarnations[0].stop_requested_at = Some(ms(100));
             // It came 0.9 s after the signal: an answer is owed, or the end of a connection that was closed unread.
             let dropped = matches!(book.requests["a"].end, RequestOutcome::Dropped { .. });
             assert_eq!(kinds(&book), if dropped { vec![] } else { vec![ViolationKind::Lost] });
--- a/crates/pintally-soak/src/node.rs
+++ b/crates/pintally-soak/src/node.rs
@@ -116,7 +116,7 @@
             books.incarnations.push(Incarnation {
                 node: self.number,
                 started,
-                told_to_stop: None,
+                stop_requested_at: None,
                 ended: None,
             });
         });
@@ -163,7 +163,7 @@
     /// Tells it to stop, gives it the time that the platform gives, and kills it if it has not ended.
     pub(crate) fn stop(&self, grace: Duration) {
         let now = self.record.now();
-        self.note(|own| own.told_to_stop = Some(now));
+        self.note(|own| own.stop_requested_at = Some(now));
         self.stopping.store(true, Ordering::SeqCst);
         self.signal("-TERM");
         let by = Instant::now() + grace;
--- a/crates/pintally-soak/src/record.rs
+++ b/crates/pintally-soak/src/record.rs
@@ -40,7 +40,7 @@
     pub(crate) on_new_connection: bool,
     /// It was sent once more, as its first connection had ended without an answer.
     pub(crate) resent: bool,
-    /// When the client closed its connection of its own accord.
+    /// When the client closed its connection by itself.
     pub(crate) left: Option<At>,
     pub(crate) end: RequestOutcome,
     /// The client read as fast as it could.
@@ -111,7 +111,7 @@
 pub(crate) struct Incarnation {
     pub(crate) node: usize,
     pub(crate) started: At,
-    pub(crate) told_to_stop: Option<At>,
+    pub(crate) stop_requested_at: Option<At>,
     /// When it ended, by itself or by SIGKILL.
     pub(crate) ended: Option<At>,
 }
