--- a/crates/pintally-audit/src/index.rs
+++ b/crates/pintally-audit/src/index.rs
@@ -137,7 +137,7 @@
             }
             What::Done { attempt, .. } => self.with(open.get(attempt.as_str()), |w| w.done = Some(at)),
             What::TurnedAway { attempt, .. } => {
-                self.with(open.get(attempt.as_str()), |w| w.turned_away = true)
+                self.with(open.get(attempt.as_str()), |w| w.turned_away = true);
             }
             What::Ran { attempt, .. } => self.with(open.get(attempt.as_str()), |w| w.ran = true),
             What::Late { us } => {
--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -127,7 +127,9 @@
 
 fn show(files: &Files) -> Result<ExitCode, Failure> {
     let (settings, file, _) = load(files)?;
-    let names = |cells: &[CellName]| cells.iter().map(|c| c.to_string()).collect::<Vec<_>>().join(", ");
+    let names = |cells: &[CellName]| {
+        cells.iter().map(std::string::ToString::to_string).collect::<Vec<_>>().join(", ")
+    };
     println!("version {}", file.version);
     let mut table = Table::new();
     table.set_header(["cell", "weight", "readers", "writers", "fallback", "tenants"]);
@@ -140,7 +142,7 @@
             cell.weight.to_string(),
             cell.needs.readers.to_string(),
             cell.needs.writers.to_string(),
-            cell.fallback.as_ref().map(|c| c.to_string()).unwrap_or_default(),
+            cell.fallback.as_ref().map(std::string::ToString::to_string).unwrap_or_default(),
             tenants.join(", "),
         ]);
     }
--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -153,7 +153,8 @@
             let mut day = load(&of.day)?;
             day.traffic.per_second *= rate;
             let own = |day: &Day, seed: u64| record(day, Which::Module, seed).map_err(MeasureError);
-            let (first, cores) = (day.seed, std::thread::available_parallelism().map_or(1, |n| n.get()));
+            let (first, cores) =
+                (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
             let found = moves(&day, &of.tenant, &of.to, first..first + seeds, of.groups, (cores, &own))
                 .map_err(Failure::failed)?;
             print_moves(&found);
@@ -167,7 +168,8 @@
                 let played = play(day, Which::Module, seed).map_err(MeasureError)?;
                 Ok((played.in_time, played.broken.is_empty()))
             };
-            let (first, cores) = (day.seed, std::thread::available_parallelism().map_or(1, |n| n.get()));
+            let (first, cores) =
+                (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
             let found = price(&day, cells, first..first + seeds, cores, &own).map_err(Failure::failed)?;
             print_prices(&found);
             Ok(if found.iter().all(|p| p.kept) { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/pintally-cli/src/sim.rs
+++ b/crates/pintally-cli/src/sim.rs
@@ -59,7 +59,7 @@
 pub(crate) fn execute(args: &Args) -> Result<ExitCode, Failure> {
     match &args.what {
         What::Run { from, seeds, threads, most } => {
-            let cores = || std::thread::available_parallelism().map_or(1, |n| n.get());
+            let cores = || std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
             let found = run(*from..from.saturating_add(*seeds), threads.unwrap_or_else(cores), None, *most);
             for (seed, broken) in &found.broken {
                 println!("seed {seed}: {broken}");
--- a/crates/pintally-cli/tests/platform/ends.rs
+++ b/crates/pintally-cli/tests/platform/ends.rs
@@ -154,9 +154,10 @@
             continue;
         }
         let (status, _, whole) = client.answer();
-        match whole {
-            true => assert_eq!(status, 503),
-            false => crossed += 1,
+        if whole {
+            assert_eq!(status, 503);
+        } else {
+            crossed += 1;
         }
         assert!(posts(&stand, &id).is_empty(), "{id}");
     }
--- a/crates/pintally-cli/tests/platform/engines_failing.rs
+++ b/crates/pintally-cli/tests/platform/engines_failing.rs
@@ -76,9 +76,10 @@
         let mut client = Client::new(&stand);
         client.ask("once", "a");
         let (status, body, complete) = client.answer();
-        match cut > first_event - 3 {
-            true => assert!(status == 200 && body.starts_with(TOKEN) && !complete, "cut at {cut}"),
-            false => assert_eq!(status, 502, "cut at {cut}"),
+        if cut > first_event - 3 {
+            assert!(status == 200 && body.starts_with(TOKEN) && !complete, "cut at {cut}");
+        } else {
+            assert_eq!(status, 502, "cut at {cut}");
         }
         assert_eq!(posts(&stand, "a"), ["r0", "w0"], "cut at {cut}");
     }
--- a/crates/pintally-cli/tests/platform/guard.rs
+++ b/crates/pintally-cli/tests/platform/guard.rs
@@ -20,7 +20,7 @@
 fn refused(pid: u32, listens: SocketAddr, reaches: &[SocketAddr]) -> Vec<String> {
     let mut found = Vec::new();
     let proc_ = format!("/proc/{pid}");
-    let threads = fs::read_dir(format!("{proc_}/task")).map_or(0, |d| d.count());
+    let threads = fs::read_dir(format!("{proc_}/task")).map_or(0, std::iter::Iterator::count);
     if threads != 1 {
         found.push(format!("{threads} threads"));
     }
--- a/crates/pintally-cli/tests/platform/held.rs
+++ b/crates/pintally-cli/tests/platform/held.rs
@@ -377,7 +377,7 @@
     let late = lateness(&over);
     let from = Instant::now();
     let after = |ms: u64| {
-        std::thread::sleep((from + Duration::from_millis(ms)).saturating_duration_since(Instant::now()))
+        std::thread::sleep((from + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
     };
     let until = from + Duration::from_millis(6_500);
     let clients: Vec<_> = nodes
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -175,7 +175,7 @@
     let s = read("fleet.sexp");
     let peers = s.membership.expect("peers");
     assert_eq!((peers.fleet.as_str(), peers.listen.to_string().as_str()), ("golden", "127.0.0.1:7000"));
-    let seeds: Vec<_> = peers.seeds.iter().map(|s| s.to_string()).collect();
+    let seeds: Vec<_> = peers.seeds.iter().map(std::string::ToString::to_string).collect();
     assert_eq!(seeds, ["127.0.0.1:7001", "127.0.0.1:7002"]);
     assert_eq!(peers.reach, [("n1".to_string(), "127.0.0.1:7101".parse().expect("an address"))]);
     assert_eq!((peers.period, peers.answer, peers.indirect), (400_000, 120_000, 2));
--- a/crates/pintally-emulator/src/fleet.rs
+++ b/crates/pintally-emulator/src/fleet.rs
@@ -173,7 +173,7 @@
 
     /// An engine dies; transfers from it and to it end with it.
     pub fn crash(&mut self, now: Micros, number: usize, out: &mut Vec<(usize, Notice)>) {
-        self.with(now, number, out, |engine, notices| engine.crash(notices));
+        self.with(now, number, out, super::engine::Engine::crash);
     }
 
     /// An engine runs from here on, cold or warm.
--- a/crates/pintally-emulator/tests/common/mod.rs
+++ b/crates/pintally-emulator/tests/common/mod.rs
@@ -94,7 +94,7 @@
     pub fn until(&mut self, end: Micros) {
         while let Some(at) = self.fleet.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.act(|fleet, now, out| fleet.tick(now, out));
+            self.act(pintally_emulator::Fleet::tick);
         }
         self.now = end;
     }
--- a/crates/pintally-engine/src/attempt_reader/mod.rs
+++ b/crates/pintally-engine/src/attempt_reader/mod.rs
@@ -103,7 +103,7 @@
                 self.load = headers.get(LOAD_HEADER).and_then(|value| load_from_header(value, self.slots));
             }
             Part::Body(bytes) if self.status == 200 && self.step != Step::Read => {
-                self.handle_events(&bytes, out)
+                self.handle_events(&bytes, out);
             }
             Part::Body(bytes) => {
                 if self.body.len() + bytes.len() > MAX_BODY_BYTES {
--- a/crates/pintally-failover/tests/failover.rs
+++ b/crates/pintally-failover/tests/failover.rs
@@ -271,7 +271,7 @@
                 2 => world.capacity[zone] = 30.0,
                 _ => {
                     (world.failure_rate[zone], world.nodes_alive[zone]) =
-                        (1.0, usize::from(world.nodes_alive.iter().filter(|n| **n > 0).count() <= 1) * 2)
+                        (1.0, usize::from(world.nodes_alive.iter().filter(|n| **n > 0).count() <= 1) * 2);
                 }
             }
             let span = world.rng.random_range(500..6_000);
--- a/crates/pintally-host/src/host/status.rs
+++ b/crates/pintally-host/src/host/status.rs
@@ -101,7 +101,7 @@
 
     /// Requests that were routed to another zone than this node's.
     pub fn routed_to_other_zone(&self) -> u64 {
-        self.zones.as_ref().map_or(0, |zones| zones.routed_to_other_zone())
+        self.zones.as_ref().map_or(0, super::super::zone_routing::ZoneRouting::routed_to_other_zone)
     }
 
     /// Health scores and ejections of engines.
--- a/crates/pintally-kserve-node/src/background_calls/mod.rs
+++ b/crates/pintally-kserve-node/src/background_calls/mod.rs
@@ -116,7 +116,7 @@
     /// Hands in a call; it comes back if too many wait.
     pub(crate) fn send(&self, call: BackgroundCall) -> Result<(), BackgroundCall> {
         let Some(sender) = &self.sender else { return Err(call) };
-        sender.try_send(call).map_err(|error| error.into_inner())?;
+        sender.try_send(call).map_err(crossbeam_channel::TrySendError::into_inner)?;
         self.waker.wake();
         Ok(())
     }
--- a/crates/pintally-kserve-node/src/failover_leader.rs
+++ b/crates/pintally-kserve-node/src/failover_leader.rs
@@ -124,7 +124,8 @@
         let map = &self.settings.policy.zones;
         let mut nodes = vec![0; map.zones.len()];
         let own = std::iter::once(shared.settings.core.zone.as_str());
-        let alive = membership.members().filter(|member| member.is_alive()).map(|member| member.zone());
+        let alive =
+            membership.members().filter(|member| member.is_alive()).map(pintally_membership::Member::zone);
         for zone in alive.chain(own).filter_map(|name| map.zone(name)) {
             nodes[zone] += 1;
         }
--- a/crates/pintally-kserve-node/src/replica_thread/mod.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/mod.rs
@@ -207,7 +207,7 @@
                 }
             }
             Output::ProposalApplied(number, Ok(_)) => {
-                self.commands.answer(number, CommandAnswer::done("made"))
+                self.commands.answer(number, CommandAnswer::done("made"));
             }
             Output::ProposalApplied(number, Err(version)) => {
                 let message = format!("version {version} stands in its way");
--- a/crates/pintally-kserve/src/route/mod.rs
+++ b/crates/pintally-kserve/src/route/mod.rs
@@ -48,7 +48,7 @@
     let decoded: Option<Vec<String>> = path
         .trim_matches('/')
         .split('/')
-        .map(|s| percent_decode_str(s).decode_utf8().ok().map(|s| s.into_owned()))
+        .map(|s| percent_decode_str(s).decode_utf8().ok().map(std::borrow::Cow::into_owned))
         .collect();
     let Some(decoded) = decoded else { return Route::Unknown };
     let mut parts: Vec<&str> = decoded.iter().map(String::as_str).collect();
--- a/crates/pintally-lab/src/compare.rs
+++ b/crates/pintally-lab/src/compare.rs
@@ -100,20 +100,20 @@
     let results: Mutex<Vec<Option<Result<Played, String>>>> = Mutex::new(vec![None; jobs.len()]);
     let next = AtomicUsize::new(0);
     thread::scope(|scope| {
-        for _ in 0..thread::available_parallelism().map_or(1, |n| n.get()) {
+        for _ in 0..thread::available_parallelism().map_or(1, std::num::NonZero::get) {
             scope.spawn(|| {
                 let mut at = next.fetch_add(1, Ordering::Relaxed);
                 while let Some((load, which, seed)) = jobs.get(at) {
                     let mut day = day.clone();
                     day.traffic.per_second *= load;
                     let played = play(&day, *which, *seed);
-                    results.lock().unwrap_or_else(|e| e.into_inner())[at] = Some(played);
+                    results.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = Some(played);
                     at = next.fetch_add(1, Ordering::Relaxed);
                 }
             });
         }
     });
-    let results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    let results = results.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut played = Vec::with_capacity(results.len());
     for result in results {
         played.push(result.ok_or("a run ended by a panic")??);
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -313,7 +313,7 @@
                 self.death_notified(who, n);
             }
             MembershipEvent::MemberSuspected(name) => {
-                self.false_suspicions += u64::from(self.nodes[number(&name)].alive)
+                self.false_suspicions += u64::from(self.nodes[number(&name)].alive);
             }
             MembershipEvent::DirectMessage(from, CONSENSUS_MESSAGES, bytes) => {
                 let (mut out, from) = (Vec::new(), ReplicaName(from.0.clone()));
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -270,9 +270,10 @@
     fn ask(&mut self, number: u64, tries: u32, draft: Rc<Draft>) {
         let zones = self.day.zones.len();
         let near: Vec<usize> = (0..self.nodes.len()).filter(|n| n % zones == draft.zone).collect();
-        let node = match near.is_empty() {
-            true => self.rng.random_range(0..self.nodes.len()),
-            false => near[self.rng.random_range(0..near.len())],
+        let node = if near.is_empty() {
+            self.rng.random_range(0..self.nodes.len())
+        } else {
+            near[self.rng.random_range(0..near.len())]
         };
         self.tickets[node] += 1;
         let (ticket, core) = (self.tickets[node], &self.day.settings.core);
@@ -381,7 +382,7 @@
                     self.at(self.now + HOP, Event::Begin(node, Box::new(order)));
                 }
                 Command::Cancel(ticket, attempt) => {
-                    self.call_off((node, ticket, attempt), Outcome::Cancelled)
+                    self.call_off((node, ticket, attempt), Outcome::Cancelled);
                 }
                 Command::Answer(ticket, answer) => self.answered(node, ticket, answer),
                 Command::Over(ticket) => {
@@ -671,7 +672,7 @@
                 self.turn(&tenant, MoveCommand::Begin { to, over_ms });
             }
             Act::Move(tenant, done) => {
-                self.turn(&tenant, if done { MoveCommand::Done } else { MoveCommand::Go })
+                self.turn(&tenant, if done { MoveCommand::Done } else { MoveCommand::Go });
             }
             Act::Rate(rate) => self.rate = rate,
             Act::Hot(share) => self.hot = share,
--- a/crates/pintally-mock-engine/src/clock.rs
+++ b/crates/pintally-mock-engine/src/clock.rs
@@ -217,7 +217,7 @@
             .next_wake()
             .map_or(LOOK, |at| Duration::from_micros(at.saturating_sub(clock.now())).min(LOOK));
         if !left.is_zero() {
-            drop(clock.changed.wait_timeout(inner, left).unwrap_or_else(|e| e.into_inner()));
+            drop(clock.changed.wait_timeout(inner, left).unwrap_or_else(std::sync::PoisonError::into_inner));
         }
     }
 }
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -81,7 +81,7 @@
     /// Waits for a change, a slice of time at the most.
     pub(crate) fn wait<'a>(&self, state: MutexGuard<'a, State>, most: Duration) -> MutexGuard<'a, State> {
         let most = most.min(SLICE).max(Duration::from_micros(50));
-        self.changed.wait_timeout(state, most).unwrap_or_else(|e| e.into_inner()).0
+        self.changed.wait_timeout(state, most).unwrap_or_else(std::sync::PoisonError::into_inner).0
     }
 
     /// Starts it; does nothing if it runs.
--- a/crates/pintally-mock-engine/src/fleet.rs
+++ b/crates/pintally-mock-engine/src/fleet.rs
@@ -124,7 +124,8 @@
             if left.is_zero() {
                 return None;
             }
-            lines = self.lines.1.wait_timeout(lines, left).unwrap_or_else(|e| e.into_inner()).0;
+            lines =
+                self.lines.1.wait_timeout(lines, left).unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
     }
 
@@ -179,7 +180,7 @@
         let engine = Engine::new(Arc::downgrade(self), spec, self.recorder.clone(), emulated)?;
         self.engines
             .write()
-            .unwrap_or_else(|e| e.into_inner())
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
             .insert(engine.spec.id.clone(), engine.clone());
         engine.start(cold);
         Ok(engine)
@@ -197,29 +198,29 @@
 
     /// An engine by its id.
     pub fn engine(&self, id: &str) -> Option<Arc<Engine>> {
-        self.engines.read().unwrap_or_else(|e| e.into_inner()).get(id).cloned()
+        self.engines.read().unwrap_or_else(std::sync::PoisonError::into_inner).get(id).cloned()
     }
 
     /// All engines, by id.
     pub fn engines(&self) -> Vec<Arc<Engine>> {
-        self.engines.read().unwrap_or_else(|e| e.into_inner()).values().cloned().collect()
+        self.engines.read().unwrap_or_else(std::sync::PoisonError::into_inner).values().cloned().collect()
     }
 
     /// Names the node that connects from an address.
     pub fn name_node(&self, address: IpAddr, name: &str, zone: &str) {
-        let mut nodes = self.nodes.write().unwrap_or_else(|e| e.into_inner());
+        let mut nodes = self.nodes.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         nodes.insert(address, (name.to_string(), zone.to_string()));
     }
 
     /// The name and zone of the node at an address.
     pub(crate) fn node(&self, address: IpAddr) -> (String, String) {
-        let nodes = self.nodes.read().unwrap_or_else(|e| e.into_inner());
+        let nodes = self.nodes.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         nodes.get(&address).cloned().unwrap_or_else(|| (address.to_string(), String::new()))
     }
 
     /// Cuts a zone off from the others, or joins it again.
     pub fn cut(&self, zone: &str, cut: bool) {
-        let mut zones = self.cut.write().unwrap_or_else(|e| e.into_inner());
+        let mut zones = self.cut.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         if cut {
             zones.insert(zone.to_string())
         } else {
@@ -234,13 +235,13 @@
 
     /// Whether two zones cannot hear each other.
     pub fn is_cut(&self, a: &str, b: &str) -> bool {
-        let zones = self.cut.read().unwrap_or_else(|e| e.into_inner());
+        let zones = self.cut.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         a != b && (zones.contains(a) || zones.contains(b))
     }
 
     /// Whether anything is cut off now.
     pub(crate) fn any_cut(&self) -> bool {
-        !self.cut.read().unwrap_or_else(|e| e.into_inner()).is_empty()
+        !self.cut.read().unwrap_or_else(std::sync::PoisonError::into_inner).is_empty()
     }
 
     /// Ends all engines and their threads.
@@ -251,7 +252,7 @@
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|e| e.into_inner())
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 #[cfg(test)]
--- a/crates/pintally-mock-engine/src/serve.rs
+++ b/crates/pintally-mock-engine/src/serve.rs
@@ -297,7 +297,7 @@
         match notice {
             Notice::Refused(_, Refusal::Full | Refusal::TooLong) => self.turn_away(work, 429, "full")?,
             Notice::Refused(_, Refusal::NoState | Refusal::Repeat) => {
-                self.turn_away(work, 409, extension::NO_STATE)?
+                self.turn_away(work, 409, extension::NO_STATE)?;
             }
             Notice::Refused(_, Refusal::Down) => return Err(Gone),
             // The engine died, or its state broke off on the way: then nothing was run of it.
--- a/crates/pintally-placement/src/greedy.rs
+++ b/crates/pintally-placement/src/greedy.rs
@@ -12,7 +12,7 @@
         (r / reads.max(1e-9)).max(w / writes.max(1e-9))
     };
     // First the engines: one at a time to the cell that lacks most, spare ones before others'.
-    let engines: usize = problem.groups.iter().map(|g| g.count()).sum();
+    let engines: usize = problem.groups.iter().map(super::problem::Group::count).sum();
     for _ in 0..engines * 2 {
         let Some(worst) = (0..cells).max_by(|a, b| load(&plan, *a).total_cmp(&load(&plan, *b))) else {
             break;
--- a/crates/pintally-platform-node/src/client_response.rs
+++ b/crates/pintally-platform-node/src/client_response.rs
@@ -130,7 +130,7 @@
         match state {
             ClientState::Active(number) if unwritten < RESUME_OUTPUT_BYTES => self.resume_stream(number),
             ClientState::Receiving if unwritten < RESUME_OUTPUT_BYTES && is_partial => {
-                self.queue_requests(key)
+                self.queue_requests(key);
             }
             // Closed unread: the client sends a request that crosses the close again, elsewhere.
             ClientState::Receiving
--- a/crates/pintally-platform-node/src/host_commands.rs
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -52,15 +52,15 @@
             Command::Answer(number, answer) => self.send_final_answer(number, answer),
             Command::Over(number) => self.requests.remove(number),
             Command::Release { name, engine, address, new_connection } => {
-                self.send_release(name, engine, address, new_connection)
+                self.send_release(name, engine, address, new_connection);
             }
             Command::ProbeConnection(number, attempt, engine, address) => {
-                self.probe_connection(number, attempt, &engine, address)
+                self.probe_connection(number, attempt, &engine, address);
             }
             Command::WithdrawReleases(id) => self.withdraw_releases(&id),
             // The platform has no health checks of engines, and its list arrives by the watch.
             Command::HealthCheck(engine, _, _) => {
-                self.host_queue.push(Input::HealthChecked(engine, false, None))
+                self.host_queue.push(Input::HealthChecked(engine, false, None));
             }
             Command::ReloadEndpointList => self.reopen_watch(),
             Command::Log(text) => self.log_host_message(&text),
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -287,7 +287,7 @@
                 self.load_moves += 1;
             }
             5 if self.defect == SeededDefect::WallClock => {
-                self.nodes[k].clock_set_back += 3_600_000 * MS / 1000
+                self.nodes[k].clock_set_back += 3_600_000 * MS / 1000;
             }
             _ => {}
         }
--- a/crates/pintally-scenario/src/cores.rs
+++ b/crates/pintally-scenario/src/cores.rs
@@ -27,9 +27,9 @@
 
     /// Waits for one.
     pub fn wait(&'static self) -> Turn {
-        let mut free = self.free.lock().unwrap_or_else(|e| e.into_inner());
+        let mut free = self.free.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         while *free == 0 {
-            free = self.freed.wait(free).unwrap_or_else(|e| e.into_inner());
+            free = self.freed.wait(free).unwrap_or_else(std::sync::PoisonError::into_inner);
         }
         *free -= 1;
         Turn(self)
@@ -38,7 +38,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        *self.0.free.lock().unwrap_or_else(|e| e.into_inner()) += 1;
+        *self.0.free.lock().unwrap_or_else(std::sync::PoisonError::into_inner) += 1;
         self.0.freed.notify_one();
     }
 }
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -308,7 +308,7 @@
             FaultKind::Hang => both(script, Act::Hang(target.clone(), true), Act::Hang(target, false)),
             FaultKind::Silent => both(script, Act::Silent(target.clone(), true), Act::Silent(target, false)),
             FaultKind::Slow => {
-                both(script, Act::Slow(target.clone(), fault.size.max(1.0)), Act::Slow(target, 1.0))
+                both(script, Act::Slow(target.clone(), fault.size.max(1.0)), Act::Slow(target, 1.0));
             }
             FaultKind::SlowConnect => {
                 let delay = Duration::from_secs_f64(fault.size / 1e3);
@@ -319,14 +319,14 @@
                 );
             }
             FaultKind::SlowLinks => {
-                both(script, Act::Links(target.clone(), fault.size.max(1.0)), Act::Links(target, 1.0))
+                both(script, Act::Links(target.clone(), fault.size.max(1.0)), Act::Links(target, 1.0));
             }
             FaultKind::BadRelease => {
                 let after = Some(Duration::from_secs_f64(fault.size / 1e3));
                 both(script, Act::FailAfter(target.clone(), after), Act::FailAfter(target, None));
             }
             FaultKind::StaleReports => {
-                both(script, Act::Stale(target.clone(), true), Act::Stale(target, false))
+                both(script, Act::Stale(target.clone(), true), Act::Stale(target, false));
             }
             FaultKind::LyingReports => both(script, Act::Lie(target.clone(), true), Act::Lie(target, false)),
             FaultKind::Drain => both(script, Act::Drain(target.clone()), Act::Undrain(target)),
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -264,7 +264,7 @@
         place.running = Some(running);
         let recorder = &self.fleet.recorder;
         recorder.note(What::NodeUp { node: format!("n{number}") });
-        let mut front = self.clients.front.lock().unwrap_or_else(|e| e.into_inner());
+        let mut front = self.clients.front.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if front.nodes.len() <= number {
             front.nodes.push((place.zone, address, true));
         }
@@ -438,7 +438,8 @@
                 let up = up && self.nodes[node].running.is_some();
                 let down = !up && self.nodes[node].running.is_none();
                 if up || down {
-                    let mut front = self.clients.front.lock().unwrap_or_else(|e| e.into_inner());
+                    let mut front =
+                        self.clients.front.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     front.nodes[node].2 = up;
                 }
             }
@@ -482,7 +483,7 @@
     }
 
     fn manners(&self, f: impl FnOnce(&mut Manners)) {
-        f(&mut self.clients.manners.lock().unwrap_or_else(|e| e.into_inner()));
+        f(&mut self.clients.manners.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
     }
 
     fn list(&mut self, target: &Target, listing: EndpointState) {
@@ -555,7 +556,7 @@
         let mut tries = 0;
         loop {
             let (heedless, leave) = {
-                let manners = self.manners.lock().unwrap_or_else(|e| e.into_inner());
+                let manners = self.manners.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 (manners.heedless || number & FLOOD != 0, manners.leave)
             };
             let Some((node, address)) = self.choose(draft.zone, &mut rng) else { return };
@@ -603,7 +604,7 @@
 
     /// A node that the front believes in, of the client's zone if there is one.
     fn choose(&self, zone: usize, rng: &mut ChaCha8Rng) -> Option<(String, SocketAddr)> {
-        let front = self.front.lock().unwrap_or_else(|e| e.into_inner());
+        let front = self.front.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let up = |n: &usize| front.nodes[*n].2;
         let mut all: Vec<usize> = (0..front.nodes.len()).filter(up).collect();
         if all.is_empty() {
--- a/crates/pintally-scenario/src/relay.rs
+++ b/crates/pintally-scenario/src/relay.rs
@@ -82,7 +82,7 @@
 
     /// Something is done to some links from now on, or not any more.
     pub(crate) fn set(&self, pairs: Pairs, link: Link, on: bool) {
-        let mut done = self.0.done.lock().unwrap_or_else(|e| e.into_inner());
+        let mut done = self.0.done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         match done.iter().position(|d| *d == (pairs, link)).filter(|_| !on) {
             Some(place) => drop(done.remove(place)),
             None if on => done.push((pairs, link)),
@@ -111,7 +111,7 @@
 
     /// How the link from one node to another is: all that is done to it, taken together.
     fn link(&self, from: usize, to: usize) -> Link {
-        let done = self.done.lock().unwrap_or_else(|e| e.into_inner());
+        let done = self.done.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let here = done.iter().filter(|(pairs, _)| pairs.hold(self.doors.len(), from, to));
         here.fold(Link::default(), |sum, (_, link)| Link {
             cut: sum.cut || link.cut,
@@ -142,9 +142,10 @@
         let ready: Vec<usize> = (0..fds.len()).filter(|n| !fds[*n].revents().is_empty()).collect();
         for at in ready {
             let to = at % relays.doors.len();
-            match at == to {
-                true => datagrams(relays, to, &mut buffer, &mut waiting, &mut rng),
-                false => connections(relays, to),
+            if at == to {
+                datagrams(relays, to, &mut buffer, &mut waiting, &mut rng);
+            } else {
+                connections(relays, to);
             }
         }
         waiting.retain(|(from, to), bytes| {
--- a/crates/pintally-scenario/src/traffic.rs
+++ b/crates/pintally-scenario/src/traffic.rs
@@ -89,12 +89,11 @@
         let turns = self.traffic.classes[class].turns;
         let mean = (turns.0 + turns.1) as f64 / 2.0;
         let goes_on = !hot && !ready.is_empty() && self.rng.random::<f64>() < 1.0 - 1.0 / mean;
-        let mut session = match goes_on {
-            true => {
-                let at = ready[self.rng.random_range(0..ready.len())];
-                self.open.swap_remove(at)
-            }
-            false => self.begin(class, hot),
+        let mut session = if goes_on {
+            let at = ready[self.rng.random_range(0..ready.len())];
+            self.open.swap_remove(at)
+        } else {
+            self.begin(class, hot)
         };
         let kind = self.traffic.classes[class].clone();
         let adds = self.rng.random_range(kind.adds.0..=kind.adds.1);
@@ -142,10 +141,7 @@
         };
         let (least, most) = self.traffic.shared_tokens;
         let tenants: Vec<f64> = self.traffic.tenants.iter().map(|t| t.1).collect();
-        let place = match tenants.is_empty() {
-            true => None,
-            false => Some(self.pick(&tenants)),
-        };
+        let place = if tenants.is_empty() { None } else { Some(self.pick(&tenants)) };
         let own = place.filter(|_| self.traffic.own_texts && !hot).map_or(0, |p| (p as u64 + 1) << 24);
         let prefix = prefix.map(|p| p | own);
         let prefix_tokens = prefix.map_or(0, |p| ChaCha8Rng::seed_from_u64(p).random_range(least..=most));
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -189,15 +189,14 @@
             return;
         }
         let id = ask.id.clone().unwrap_or_default();
-        let bytes = match streamed {
-            true => {
-                let mut bytes = response_head(200, &[("content-type", "text/event-stream")]);
-                bytes.extend(chunk(&sse_event(&stream_part("default", &id, &text))));
-                bytes.extend(chunk(&sse_event(&stream_end("default", &id))));
-                bytes.extend_from_slice(LAST_CHUNK);
-                bytes
-            }
-            false => response(200, &[], generate_answer("default", &id, &text).as_bytes()),
+        let bytes = if streamed {
+            let mut bytes = response_head(200, &[("content-type", "text/event-stream")]);
+            bytes.extend(chunk(&sse_event(&stream_part("default", &id, &text))));
+            bytes.extend(chunk(&sse_event(&stream_end("default", &id))));
+            bytes.extend_from_slice(LAST_CHUNK);
+            bytes
+        } else {
+            response(200, &[], generate_answer("default", &id, &text).as_bytes())
         };
         let _ = client.write_all(&bytes);
         if self.fault == Fault::AnswersTwice && every_fifth {
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -343,7 +343,7 @@
         let begin = Instant::now();
         match rig.client.attempt(&ask) {
             AttemptResult::Answered(Answer::Served, _) => {
-                assert!(Instant::now() < by, "the list was not taken in")
+                assert!(Instant::now() < by, "the list was not taken in");
             }
             ended => {
                 assert!(
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -60,10 +60,13 @@
             Some(silent) => (Some(0), silent || !reached),
             None if !reached => (None, true),
             None if self.engines[engine].dead > 0 => (None, false),
-            None if self.struck(FaultKind::LateConnections, engine) => match self.rng.random_bool(0.5) {
-                true => (Some(self.rng.random_range(1..1_000) * MS), false),
-                false => (None, true),
-            },
+            None if self.struck(FaultKind::LateConnections, engine) => {
+                if self.rng.random_bool(0.5) {
+                    (Some(self.rng.random_range(1..1_000) * MS), false)
+                } else {
+                    (None, true)
+                }
+            }
             None => (Some(2 * HOP), false),
         };
         self.flights.insert(
@@ -122,9 +125,10 @@
             Step::Read => drop(self.engines[engine].dropped.remove(&f.id)),
             _ => self.checks.came(place, flight, self.plan.window_ms * MS),
         }
-        match self.engines[engine].hung > 0 {
-            true => self.engines[engine].waiting.push((flight, false)),
-            false => self.work(flight),
+        if self.engines[engine].hung > 0 {
+            self.engines[engine].waiting.push((flight, false));
+        } else {
+            self.work(flight);
         }
     }
 
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -108,11 +108,11 @@
             Command::Answer(ticket, answer) => self.answer((node, life, ticket), answer),
             Command::Over(ticket) => self.checks.over((node, life, ticket)),
             Command::Release { name, engine, new_connection, .. } => {
-                self.release(node, name, &engine, new_connection)
+                self.release(node, name, &engine, new_connection);
             }
             Command::WithdrawReleases(id) => self.calls.retain(|_, c| c.came || c.node != node || c.id != id),
             Command::ProbeConnection(ticket, attempt, engine, _) => {
-                self.probe_connection((node, life, ticket), attempt, &engine)
+                self.probe_connection((node, life, ticket), attempt, &engine);
             }
             Command::HealthCheck(engine, ..) => {
                 let n = self.number(&engine);
--- a/crates/pintally-sim/src/plan.rs
+++ b/crates/pintally-sim/src/plan.rs
@@ -178,9 +178,12 @@
 
     /// Whether a day that was written by hand can be played; an error says what is wrong.
     pub fn check(&self) -> Result<(), String> {
-        let within = |what: &str, n: u64, least: u64, most: u64| match (least..=most).contains(&n) {
-            true => Ok(()),
-            false => Err(format!("`{what}` is {n}, from {least} to {most} can be played")),
+        let within = |what: &str, n: u64, least: u64, most: u64| {
+            if (least..=most).contains(&n) {
+                Ok(())
+            } else {
+                Err(format!("`{what}` is {n}, from {least} to {most} can be played"))
+            }
         };
         within("nodes", self.nodes as u64, 1, 1024)?;
         within("readers", self.readers as u64, 1, 1024)?;
--- a/crates/pintally-sim/src/search.rs
+++ b/crates/pintally-sim/src/search.rs
@@ -41,7 +41,7 @@
 pub fn run(seeds: Range<u64>, threads: usize, mutation: Option<Mutation>, most: usize) -> Found {
     let next = AtomicU64::new(seeds.start);
     let found = Mutex::new(Found::default());
-    let lock = || found.lock().unwrap_or_else(|e| e.into_inner());
+    let lock = || found.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
@@ -60,7 +60,7 @@
             });
         }
     });
-    let mut found = found.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut found = found.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     found.broken.sort_by_key(|b| b.0);
     found
 }
@@ -104,9 +104,10 @@
             let mut tried = plan.clone();
             let all = list(&mut tried);
             all.drain(at..(at + size).min(all.len()));
-            match breaks(&tried) {
-                true => *plan = tried,
-                false => at += size,
+            if breaks(&tried) {
+                *plan = tried;
+            } else {
+                at += size;
             }
         }
         size /= 2;
--- a/crates/pintally-sim/src/troubles.rs
+++ b/crates/pintally-sim/src/troubles.rs
@@ -19,12 +19,11 @@
             trouble.kind,
             if on { "begins" } else { "ends" }
         ));
-        match on {
-            true => self.active.push(trouble.clone()),
-            false => {
-                if let Some(at) = self.active.iter().position(|t| *t == trouble) {
-                    self.active.remove(at);
-                }
+        if on {
+            self.active.push(trouble.clone());
+        } else {
+            if let Some(at) = self.active.iter().position(|t| *t == trouble) {
+                self.active.remove(at);
             }
         }
         match (trouble.kind, on) {
@@ -40,9 +39,10 @@
                 self.engines[engine].hung -= 1;
                 if self.engines[engine].works() {
                     for (flight, begun) in std::mem::take(&mut self.engines[engine].waiting) {
-                        match begun {
-                            true => self.ready(flight),
-                            false => self.work(flight),
+                        if begun {
+                            self.ready(flight);
+                        } else {
+                            self.work(flight);
                         }
                     }
                 }
--- a/crates/pintally-soak/src/run.rs
+++ b/crates/pintally-soak/src/run.rs
@@ -334,7 +334,7 @@
                 engines.iter().for_each(|engine| engine.restart());
             }
             FaultAction::Reset { engine } => {
-                self.engines(&[engine]).iter().for_each(|e| e.reset_connections())
+                self.engines(&[engine]).iter().for_each(|e| e.reset_connections());
             }
             FaultAction::Crowd { node, connections, span } => {
                 let address = self.nodes[node % self.nodes.len()].address;
--- a/crates/pintally-storage/src/disk.rs
+++ b/crates/pintally-storage/src/disk.rs
@@ -98,7 +98,7 @@
     }
 
     pub(crate) fn pending(&self) -> MutexGuard<'_, PendingWrites> {
-        self.pending.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.pending.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
--- a/crates/pintally-storage/src/queue.rs
+++ b/crates/pintally-storage/src/queue.rs
@@ -63,7 +63,7 @@
 
 impl CommitQueue {
     fn lock(&self) -> MutexGuard<'_, QueueState> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Queues a change, in place of an earlier one of the same key.
@@ -109,8 +109,11 @@
                 return Batch { changes: std::mem::take(&mut state.changes), is_last: state.is_closing };
             }
             let timeout = if state.changes.is_empty() { IDLE_WAIT } else { not_before - now };
-            state =
-                self.changed.wait_timeout(state, timeout).unwrap_or_else(|poisoned| poisoned.into_inner()).0;
+            state = self
+                .changed
+                .wait_timeout(state, timeout)
+                .unwrap_or_else(std::sync::PoisonError::into_inner)
+                .0;
         }
     }
 
