--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -68,6 +68,14 @@
         fs::write(file(self.folder.path(), node), list.render()).unwrap();
     }
 
+    /// Whether a file of the node's store holds this text.
+    fn store_contains(&self, node: usize, text: &str) -> bool {
+        let folder = self.folder.path().join(format!("state-{node}"));
+        let files = fs::read_dir(folder).into_iter().flatten().flatten();
+        let mut contents = files.filter_map(|file| fs::read(file.path()).ok());
+        contents.any(|bytes| String::from_utf8_lossy(&bytes).contains(text))
+    }
+
     pub fn start(&mut self, node: usize) {
         let settings = Arc::new(self.settings[node].clone());
         // Each life has a mark of its own.
@@ -196,10 +204,14 @@
     fleet.list(2, &old);
     (0..3).for_each(|n| fleet.start(n));
     until("all know of the drain", 15, || (0..3).all(|n| fleet.serving(n) == 3));
+    // A commit waits for the disk, which takes longer than a pause of fixed length on a busy machine.
+    until("the list is in each store", 15, || (0..3).all(|n| fleet.store_contains(n, "(version 5)")));
     std::thread::sleep(Duration::from_millis(300));
     (0..3).for_each(|n| fleet.kill(n));
     // The others return alone, and their files are still the old ones.
     fleet.start(1);
+    // The page counts no engine until the decision thread has taken the first list, which a busy machine delays.
+    until("it takes a list", 15, || fleet.serving(1) > 0);
     assert_eq!(fleet.serving(1), 3, "its disk has kept what it received");
     fs::remove_dir_all(fleet.folder.path().join("state-2")).unwrap();
     fleet.start(2);
@@ -294,12 +306,6 @@
     until("it serves", 10, || served(1));
     // Prompts are read, and no writer says anything any more.
     writers.iter().for_each(|w| w.fault(|f| f.hang = true));
-    let folder = fleet.folder.path().join("state-0");
-    let on_disk = || {
-        let files = fs::read_dir(&folder).into_iter().flatten().flatten();
-        let mut texts = files.filter_map(|f| fs::read(f.path()).ok());
-        texts.any(|t| String::from_utf8_lossy(&t).contains("[\"r\","))
-    };
     let clients = |over: &Arc<AtomicBool>| -> Vec<_> {
         (100..106)
             .map(|n| {
@@ -323,7 +329,7 @@
         until("a state waits", 10, || reader.states() > 0);
         // From here on nothing new is asked, and what waits is kept within a few times of 50 ms.
         over.store(true, Ordering::SeqCst);
-        until("its name is on the disk", 10, on_disk);
+        until("its name is on the disk", 10, || fleet.store_contains(0, "[\"r\","));
         std::thread::sleep(Duration::from_millis(400));
     }
     fleet.kill(0);
