--- a/crates/pintally-cli/tests/platform/stand.rs
+++ b/crates/pintally-cli/tests/platform/stand.rs
@@ -720,6 +720,8 @@
                 Ok(0) => return (status, body, false),
                 Ok(n) => self.left = some[..n].to_vec(),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return (status, body, false),
+                // A read with a timeout is interrupted where the process was stopped and continued.
+                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(e) => panic!("no answer came: {e}"),
             }
         }
@@ -729,7 +731,10 @@
     pub fn until_begun(&mut self, mark: &[u8]) {
         let mut some = [0; 4096];
         while !self.left.windows(mark.len()).any(|w| w == mark) {
-            let n = self.stream.read(&mut some).expect("the answer begins");
+            let n = match self.stream.read(&mut some) {
+                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
+                other => other.expect("the answer begins"),
+            };
             assert!(n > 0, "the connection ended");
             self.left.extend_from_slice(&some[..n]);
         }
