--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -44,8 +44,8 @@
 }
 
 impl Level {
-    /// The name in log lines, older than the variants' names.
-    pub(crate) fn name(self) -> &'static str {
+    /// The name in log lines and in the counters document, older than the variants' names.
+    pub fn name(self) -> &'static str {
         match self {
             Level::Normal => "Well",
             Level::Constrained => "Thin",
--- a/crates/pintally-kserve-node/src/status.rs
+++ b/crates/pintally-kserve-node/src/status.rs
@@ -3,7 +3,6 @@
 use std::sync::atomic::Ordering;
 use std::sync::Mutex;
 
-use pintally_cells::Level;
 use pintally_kserve as kserve;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -89,7 +88,7 @@
     let cells = lock(&shared.cells);
     let document = cells.iter().map(|cell| {
         json!({
-            "cell": &*cell.cell.0, "level": cell_level_name(cell.level), "share": cell.capacity,
+            "cell": &*cell.cell.0, "level": cell.level.name(), "share": cell.capacity,
             "borrowed": cell.borrowed, "strained": cell.overloaded, "failing": cell.failing,
         })
     });
@@ -103,13 +102,3 @@
         .map(|(tenant, share, held_back)| json!({ "tenant": tenant, "share": share, "held": held_back }));
     document.collect()
 }
-
-/// A cell's level as the counters document spells it, whatever the variant is called.
-fn cell_level_name(level: Level) -> &'static str {
-    match level {
-        Level::Normal => "Well",
-        Level::Constrained => "Thin",
-        Level::Shedding => "Shed",
-        Level::Unavailable => "Lost",
-    }
-}
