--- a/crates/pintally-bench-adapter/src/incoming.rs
+++ b/crates/pintally-bench-adapter/src/incoming.rs
@@ -35,7 +35,7 @@
         node: u64,
         txn: String,
         #[serde(rename = "try")]
-        attempt: Attempt,
+        attempt: AttemptNumber,
     },
     Ended(Box<EndedLine>),
     Withdrawn {
@@ -129,7 +129,7 @@
     node: u64,
     txn: String,
     #[serde(rename = "try")]
-    attempt: Attempt,
+    attempt: AttemptNumber,
     state_code: u32,
     #[serde(default)]
     no_more: Option<bool>,
--- a/crates/pintally-bench-adapter/src/outgoing.rs
+++ b/crates/pintally-bench-adapter/src/outgoing.rs
@@ -39,7 +39,7 @@
         node: u64,
         txn: WireId,
         #[serde(rename = "try")]
-        attempt: Attempt,
+        attempt: AttemptNumber,
     },
     Release {
         node: u64,
--- a/crates/pintally-cells/src/cells.rs
+++ b/crates/pintally-cells/src/cells.rs
@@ -86,7 +86,11 @@
             slots,
             body_capacity: (body_capacity as f64 * DIVIDED_BODY_FRACTION) as usize,
             priority_weights: core.classes.iter().map(|class| class.priority_weight).collect(),
-            idempotent: core.classes.iter().map(|class| class.effect == Idempotency::Idempotent).collect(),
+            idempotent: core
+                .classes
+                .iter()
+                .map(|class| class.idempotency == Idempotency::Idempotent)
+                .collect(),
             engine_health: EngineHealth::default(),
             overload: OverloadTracker::default(),
             move_rate: MoveRateController::default(),
--- a/crates/pintally-cells/src/file/parse.rs
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -193,7 +193,7 @@
 }
 
 fn has_narrow_scope(class: &Class) -> bool {
-    matches!(class.effect, Idempotency::WithKey(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
+    matches!(class.idempotency, Idempotency::WithKey(IdempotencyScope::Zone | IdempotencyScope::Rack, _))
 }
 
 fn read_known_tenant(form: &Form, core: &Settings) -> Result<String, ConfigError> {
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -14,7 +14,7 @@
     let tenant = |n: &&str| Tenant { name: n.to_string(), quota_per_s: 0.0 };
     let class = |name: &str, worth: f64| Class {
         name: name.into(),
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         latency_objective: 1_000_000,
         latency_objective_per_1000_tokens: 0,
         token_interval_objective: 0,
@@ -23,18 +23,18 @@
     };
     Settings {
         zone: String::new(),
-        node: 0,
-        nodes: 1,
+        node_index: 0,
+        node_count: 1,
         classes: vec![class("low", 1.0), class("mid", 2.0), class("high", 3.0)],
         tenants: tenants.iter().map(tenant).collect(),
-        kinds: Vec::new(),
-        discovery: DiscoveryMode::Push,
-        reports: LoadReporting::Inline,
-        weights: true,
+        engine_kinds: Vec::new(),
+        discovery_mode: DiscoveryMode::Push,
+        load_reporting: LoadReporting::Inline,
+        use_registered_weights: true,
         writers_read_prompts: false,
         cancellation_allowed: true,
         health_checks_allowed: true,
-        health_check_price: 0.0,
+        health_check_cost: 0.0,
         clients_honour_retry_after: true,
         max_retry_after: 1_000_000,
         max_attempts: 6,
@@ -44,7 +44,7 @@
         overload_window: 1,
         connect_timeout: 0,
         release_deadline: 500_000,
-        max_poll_interval: 0,
+        max_discovery_poll_interval: 0,
         remembered_service_rates: [0.0; 3],
     }
 }
@@ -169,7 +169,7 @@
     let homeless = FILE.replace("(weight 1)", "(weight 0)");
     assert!(CellsFile::parse("cells", &homeless, &core).unwrap_err().what.contains("in no cell"));
     let mut keyed = core.clone();
-    keyed.classes[0].effect = Idempotency::WithKey(IdempotencyScope::Zone, 1_000_000);
+    keyed.classes[0].idempotency = Idempotency::WithKey(IdempotencyScope::Zone, 1_000_000);
     let error = CellsFile::parse("cells", FILE, &keyed).unwrap_err();
     assert!(error.rule.is_some_and(|r| r.contains("twice")), "{error}");
 }
--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -20,13 +20,13 @@
     let death_known = settings.membership.as_ref().map(|peers| {
         let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
         (figures.probe_interval, figures.suspicion_multiplier) = (peers.period, peers.suspicion);
-        figures.max_failure_detection_time(settings.core.nodes as usize)
+        figures.max_failure_detection_time(settings.core.node_count as usize)
     });
     if let Some(within) = death_known {
         lines += &format!(
             "\n  a dead peer is known to be dead within {:.1} s while no message is lost ({} nodes)",
             within as f64 / 1e6,
-            settings.core.nodes
+            settings.core.node_count
         );
     }
     if let Some(recovery) = &settings.recovery {
@@ -97,7 +97,7 @@
             limit.counts.name(),
             bounds.max_total,
             bounds.per_additional_node,
-            settings.core.nodes,
+            settings.core.node_count,
             bounds.floor,
             bounds.max_reallocation_delay as f64 / 1e6
         );
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -46,7 +46,7 @@
         let (mut kinds, mut tenants) = (BTreeMap::new(), BTreeMap::new());
         for form in root.all("capacity")? {
             let kind = form.text()?;
-            if !settings.core.kinds.iter().any(|k| k.name == kind) {
+            if !settings.core.engine_kinds.iter().any(|k| k.name == kind) {
                 return Err(form.error(format!("no kind is named `{kind}` in the settings")));
             }
             kinds.insert(kind, pair(&form)?);
@@ -60,7 +60,7 @@
             tenants.insert(tenant, pair(&form)?);
             form.finish()?;
         }
-        for kind in &settings.core.kinds {
+        for kind in &settings.core.engine_kinds {
             if !kinds.contains_key(&kind.name) {
                 return Err(root.error(format!("`demand` lacks `(capacity \"{}\" ...)`", kind.name)));
             }
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -45,7 +45,7 @@
             ),
         ));
     }
-    if let Idempotency::WithKey(_, window) = class.effect {
+    if let Idempotency::WithKey(_, window) = class.idempotency {
         if core.max_attempts > 1 && window < settings.default_client_timeout {
             return Err(form.rule_error(
                 rule::NO_EFFECT_TWICE,
@@ -81,9 +81,9 @@
 
 /// Whether the kinds can serve at all.
 pub(crate) fn kinds(root: &Form, core: &Settings) -> Result<(), ConfigError> {
-    let reads = core.kinds.iter().any(|k| k.role != Role::Writer);
-    let writes = core.kinds.iter().any(|k| k.role != Role::Reader);
-    let writer = core.kinds.iter().any(|k| k.role == Role::Writer);
+    let reads = core.engine_kinds.iter().any(|k| k.role != Role::Writer);
+    let writes = core.engine_kinds.iter().any(|k| k.role != Role::Reader);
+    let writer = core.engine_kinds.iter().any(|k| k.role == Role::Writer);
     match (reads, writes) {
         (true, true) if core.writers_read_prompts && !writer => {
             Err(root.error("`writers-read` is yes, but no `kind` is a writer"))
--- a/crates/pintally-config/src/class.rs
+++ b/crates/pintally-config/src/class.rs
@@ -35,7 +35,7 @@
 fn read_form(form: &Form) -> Result<(Class, ClassSettings), ConfigError> {
     let class = Class {
         name: form.text()?,
-        effect: idempotency(form)?,
+        idempotency: idempotency(form)?,
         latency_objective: form.millis_or("aim-ms", 1000.0, 1.0, 3_600_000.0)?,
         latency_objective_per_1000_tokens: form.millis_or("aim-per-1000-tokens-ms", 0.0, 0.0, 600_000.0)?,
         token_interval_objective: form.millis_or("token-aim-ms", 0.0, 0.0, 60_000.0)?,
--- a/crates/pintally-config/src/node.rs
+++ b/crates/pintally-config/src/node.rs
@@ -189,14 +189,14 @@
     let mut slots = Vec::new();
     for form in root.all("kind")? {
         let name = form.text()?;
-        if core.kinds.iter().any(|kind| kind.name == name) {
+        if core.engine_kinds.iter().any(|kind| kind.name == name) {
             return Err(form.error(format!("kind `{name}` is given twice")));
         }
         let role = role(&form)?;
         let memory_tokens = form.count_or("memory-tokens", 0, 0, 1 << 40)?;
         slots.push(form.count_or("slots", 0, 0, 1 << 20)?);
         form.finish()?;
-        core.kinds.push(EngineKind { name, role, memory_tokens });
+        core.engine_kinds.push(EngineKind { name, role, memory_tokens });
     }
     Ok(slots)
 }
--- a/crates/pintally-config/src/quota.rs
+++ b/crates/pintally-config/src/quota.rs
@@ -193,7 +193,7 @@
 /// Takes the number of nodes, and checks what the form needs of the other settings.
 pub(crate) fn check(root: &Form, settings: &mut NodeSettings) -> Result<(), ConfigError> {
     let Some(quotas) = &mut settings.quotas else { return Ok(()) };
-    quotas.allocation.nodes = settings.core.nodes.max(1);
+    quotas.allocation.nodes = settings.core.node_count.max(1);
     if settings.consensus.is_none() {
         return Err(root.error_at("shared-limits", "shared limits need `(keepers ...)`: their leader lends")?);
     }
--- a/crates/pintally-config/src/router.rs
+++ b/crates/pintally-config/src/router.rs
@@ -30,18 +30,18 @@
 fn defaults(zone: String, node: u32, nodes: u32) -> Settings {
     Settings {
         zone,
-        node,
-        nodes,
+        node_index: node,
+        node_count: nodes,
         classes: Vec::new(),
         tenants: Vec::new(),
-        kinds: Vec::new(),
-        discovery: DiscoveryMode::Push,
-        reports: LoadReporting::Inline,
-        weights: true,
+        engine_kinds: Vec::new(),
+        discovery_mode: DiscoveryMode::Push,
+        load_reporting: LoadReporting::Inline,
+        use_registered_weights: true,
         writers_read_prompts: false,
         cancellation_allowed: true,
         health_checks_allowed: true,
-        health_check_price: 0.0,
+        health_check_cost: 0.0,
         clients_honour_retry_after: true,
         max_retry_after: 2_000_000,
         max_attempts: 6,
@@ -51,7 +51,7 @@
         overload_window: 2_000_000,
         connect_timeout: 250_000,
         release_deadline: 500_000,
-        max_poll_interval: 0,
+        max_discovery_poll_interval: 0,
         remembered_service_rates: [0.0; 3],
     }
 }
@@ -63,12 +63,12 @@
 ///
 /// A value that is not valid, or values that contradict each other.
 pub fn shape(form: &Form, settings: &mut Settings) -> Result<(), ConfigError> {
-    settings.reports = load_reporting(form, settings.reports)?;
-    settings.weights = form.yes_or("weights", settings.weights)?;
+    settings.load_reporting = load_reporting(form, settings.load_reporting)?;
+    settings.use_registered_weights = form.yes_or("weights", settings.use_registered_weights)?;
     settings.writers_read_prompts = form.yes_or("writers-read", settings.writers_read_prompts)?;
     settings.cancellation_allowed = form.yes_or("cancel", settings.cancellation_allowed)?;
     settings.health_checks_allowed = form.yes_or("probes", settings.health_checks_allowed)?;
-    settings.health_check_price = form.number_or("probe-price", settings.health_check_price, 0.0, 100.0)?;
+    settings.health_check_cost = form.number_or("probe-price", settings.health_check_cost, 0.0, 100.0)?;
     settings.clients_honour_retry_after = form.yes_or("retry-after", settings.clients_honour_retry_after)?;
     settings.max_retry_after =
         form.millis_or("retry-after-most-ms", millis(settings.max_retry_after), 0.0, 600_000.0)?;
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -27,7 +27,7 @@
     assert_eq!(s.cells_file.as_deref(), Some("cells.sexp"));
     assert_eq!(s.cached_cells_file.as_deref(), Some("kept/cells.sexp"));
     assert_eq!((s.core.zone.as_str(), s.model.as_str()), ("a", "chat-large"));
-    assert_eq!((s.core.node, s.core.nodes), (2, 5));
+    assert_eq!((s.core.node_index, s.core.node_count), (2, 5));
     assert!(s.membership.is_none() && s.recovery.is_none() && s.consensus.is_none());
     assert!(s.quotas.is_none() && s.outlier_detection.is_none() && s.failover.is_none());
 }
@@ -58,14 +58,19 @@
 #[test]
 fn rules_form() {
     let core = read("node.sexp").core;
-    assert!(matches!(core.reports, LoadReporting::OnHealthCheck));
-    assert!(matches!(core.discovery, DiscoveryMode::Push));
+    assert!(matches!(core.load_reporting, LoadReporting::OnHealthCheck));
+    assert!(matches!(core.discovery_mode, DiscoveryMode::Push));
     assert_eq!(
-        (core.weights, core.writers_read_prompts, core.cancellation_allowed, core.health_checks_allowed),
+        (
+            core.use_registered_weights,
+            core.writers_read_prompts,
+            core.cancellation_allowed,
+            core.health_checks_allowed
+        ),
         (false, true, false, false)
     );
     assert_eq!(
-        (core.health_check_price, core.clients_honour_retry_after, core.max_retry_after),
+        (core.health_check_cost, core.clients_honour_retry_after, core.max_retry_after),
         (0.5, true, 1_500_000)
     );
     assert_eq!(
@@ -76,8 +81,8 @@
         (core.overload_factor, core.overload_window, core.release_deadline),
         (3.5, 1_700_000, 450_000)
     );
-    assert_eq!((core.connect_timeout, core.max_poll_interval), (204_000, 0));
-    assert!(matches!(read("fleet.sexp").core.reports, LoadReporting::Off));
+    assert_eq!((core.connect_timeout, core.max_discovery_poll_interval), (204_000, 0));
+    assert!(matches!(read("fleet.sexp").core.load_reporting, LoadReporting::Off));
     assert!(!read("fleet.sexp").core.clients_honour_retry_after);
 }
 
@@ -93,7 +98,7 @@
     );
     assert_eq!((hint.priority_weight, hint.late_weight_fraction), (2.5, 0.2));
     assert_eq!((s.classes[0].default_client_timeout, s.classes[0].max_tokens), (4_000_000, 128));
-    let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.effect).collect();
+    let effects: Vec<&Idempotency> = s.core.classes.iter().map(|c| &c.idempotency).collect();
     assert!(matches!(effects[0], Idempotency::Idempotent));
     assert!(matches!(effects[1], Idempotency::WithKey(IdempotencyScope::All, 9_001_000)));
     assert!(matches!(effects[2], Idempotency::WithKey(IdempotencyScope::Zone, 9_002_000)));
@@ -101,9 +106,9 @@
     assert!(matches!(effects[4], Idempotency::NotIdempotent));
     let tenants: Vec<_> = s.core.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
     assert_eq!(tenants, [("north", 12.5), ("south", 0.0)]);
-    let kinds: Vec<_> = s.core.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
+    let kinds: Vec<_> = s.core.engine_kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
     assert_eq!(kinds, [("prefill", 120_000), ("decode", 90_000), ("both", 0)]);
-    let roles: Vec<_> = s.core.kinds.iter().map(|k| k.role).collect();
+    let roles: Vec<_> = s.core.engine_kinds.iter().map(|k| k.role).collect();
     assert!(matches!(roles[..], [Role::Reader, Role::Writer, Role::Mixed]));
     assert_eq!(s.slots, [8, 48, 0]);
 }
@@ -141,14 +146,19 @@
         (30_000_000, 50_000, 10_000_000)
     );
     let core = &s.core;
-    assert_eq!((core.zone.as_str(), core.node, core.nodes), ("", 0, 1));
-    assert!(matches!(core.reports, LoadReporting::Inline));
+    assert_eq!((core.zone.as_str(), core.node_index, core.node_count), ("", 0, 1));
+    assert!(matches!(core.load_reporting, LoadReporting::Inline));
     assert_eq!(
-        (core.weights, core.writers_read_prompts, core.cancellation_allowed, core.health_checks_allowed),
+        (
+            core.use_registered_weights,
+            core.writers_read_prompts,
+            core.cancellation_allowed,
+            core.health_checks_allowed
+        ),
         (true, false, true, true)
     );
     assert_eq!(
-        (core.health_check_price, core.clients_honour_retry_after, core.max_retry_after),
+        (core.health_check_cost, core.clients_honour_retry_after, core.max_retry_after),
         (0.0, true, 2_000_000)
     );
     assert_eq!(
@@ -167,7 +177,7 @@
     );
     assert_eq!((class.priority_weight, class.late_weight_fraction), (1.0, 0.0));
     assert_eq!((s.classes[0].default_client_timeout, s.classes[0].max_tokens), (5_000_000, 256));
-    assert_eq!((core.kinds[0].memory_tokens, s.slots[0]), (0, 0));
+    assert_eq!((core.engine_kinds[0].memory_tokens, s.slots[0]), (0, 0));
 }
 
 #[test]
--- a/crates/pintally-config/tests/invalid_files.rs
+++ b/crates/pintally-config/tests/invalid_files.rs
@@ -16,7 +16,7 @@
 #[test]
 fn valid_file_has_defaults() {
     let settings = NodeSettings::parse("good", GOOD).unwrap();
-    assert_eq!((settings.core.classes.len(), settings.core.kinds.len()), (2, 2));
+    assert_eq!((settings.core.classes.len(), settings.core.engine_kinds.len()), (2, 2));
     assert_eq!((settings.core.max_attempts, settings.core.cancellation_allowed), (6, true));
     assert_eq!(settings.classes[0].max_tokens, 256);
 }
@@ -28,9 +28,11 @@
     assert!(!read(GOOD).unwrap().core.writers_read_prompts);
     let parsed = GOOD.replace("(attempts 6)", "(attempts 6) (writers-read yes) (reports off) (probes no)");
     let core = read(&parsed).unwrap().core;
-    assert!(core.writers_read_prompts && core.reports == LoadReporting::Off && !core.health_checks_allowed);
+    assert!(
+        core.writers_read_prompts && core.load_reporting == LoadReporting::Off && !core.health_checks_allowed
+    );
     let example = std::fs::read_to_string("../../examples/node-silent.sexp").unwrap();
-    assert_eq!(read(&example).unwrap().core.reports, LoadReporting::Off);
+    assert_eq!(read(&example).unwrap().core.load_reporting, LoadReporting::Off);
     let error = read(&parsed.replace("(role writer)", "(role mixed)")).unwrap_err();
     assert!(error.what.contains("no `kind` is a writer"), "{error}");
 }
--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, Micros, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, Micros, RequestId};
 use pintally_cells::CellName;
 use pintally_engine::Step;
 use serde_json::Value;
@@ -18,7 +18,7 @@
     /// Its name in this node, the same for all attempts.
     pub request: RequestId,
     /// The attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// The cell that routes the request.
     pub cell: CellName,
     /// The engine.
@@ -58,7 +58,7 @@
     /// Make an attempt.
     Attempt(AttemptOrder),
     /// Cancel an attempt; its end is still reported.
-    Cancel(RequestNumber, Attempt),
+    Cancel(RequestNumber, AttemptNumber),
     /// Give the final answer.
     Answer(RequestNumber, FinalAnswer),
     /// No more commands follow for this request: its answer is given and its last attempt has ended. Issued once
@@ -80,7 +80,7 @@
     /// connection that was opened for it, open one more. If that comes up, report
     /// [`Input::DeliveryConfirmed`](crate::Input::DeliveryConfirmed); silence and a refusal show nothing, and
     /// neither does a pooled connection.
-    ProbeConnection(RequestNumber, Attempt, EngineId, SocketAddr),
+    ProbeConnection(RequestNumber, AttemptNumber, EngineId, SocketAddr),
     /// Withdraw the release calls of a request that are not acknowledged: nothing of them is written from here on,
     /// and their results are not needed.
     WithdrawReleases(RequestId),
--- a/crates/pintally-host/src/endpoint_directory.rs
+++ b/crates/pintally-host/src/endpoint_directory.rs
@@ -70,7 +70,7 @@
         settings: &NodeSettings,
     ) -> Result<(), UnknownKind> {
         let endpoint = &listed.endpoint;
-        let kinds = &settings.core.kinds;
+        let kinds = &settings.core.engine_kinds;
         let Some(kind) = kinds.iter().position(|kind| kind.name == endpoint.kind) else {
             return Err(UnknownKind { engine: endpoint.engine.clone(), kind: endpoint.kind.to_string() });
         };
--- a/crates/pintally-host/src/host/admission.rs
+++ b/crates/pintally-host/src/host/admission.rs
@@ -275,7 +275,7 @@
             cell,
             tenant: arrival.tenant,
             // A request without a class must not run twice.
-            idempotency: class.map_or(Idempotency::NotIdempotent, |class| class.effect),
+            idempotency: class.map_or(Idempotency::NotIdempotent, |class| class.idempotency),
             may_have_run: None,
             body_bytes: arrival.bytes,
             latency_deadline: now.saturating_add(latency_objective),
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pintally::interface::{
-    Attempt, AttemptEnd, EngineId, Event, LoadReport, Micros, Outcome, RequestId, Role,
+    AttemptEnd, AttemptNumber, EngineId, Event, LoadReport, Micros, Outcome, RequestId, Role,
 };
 use pintally_cells::CellName;
 use pintally_engine::Step;
@@ -27,7 +27,7 @@
 
 /// What an attempt that has ended returned.
 pub(super) struct AttemptResult {
-    pub(super) attempt: Attempt,
+    pub(super) attempt: AttemptNumber,
     pub(super) outcome: Outcome,
     pub(super) cached_tokens: u64,
     pub(super) load: Option<LoadReport>,
@@ -91,7 +91,7 @@
         &mut self,
         cell: &CellName,
         id: RequestId,
-        attempt: Attempt,
+        attempt: AttemptNumber,
         reason: NotSent,
         out: &mut Vec<Command>,
     ) {
@@ -115,7 +115,7 @@
     fn start_attempt(
         &mut self,
         number: RequestNumber,
-        attempt: Attempt,
+        attempt: AttemptNumber,
         engine: EngineId,
         timeout: Micros,
         out: &mut Vec<Command>,
@@ -149,7 +149,7 @@
         self.requests.mark_changed(number);
     }
 
-    pub(super) fn cancel(&mut self, id: &RequestId, attempt: Attempt, out: &mut Vec<Command>) {
+    pub(super) fn cancel(&mut self, id: &RequestId, attempt: AttemptNumber, out: &mut Vec<Command>) {
         let Some(number) = self.requests.number(id) else { return };
         let in_flight = self.requests.get(number).and_then(|record| record.in_flight.as_ref());
         let is_cancellable =
@@ -159,7 +159,7 @@
         }
     }
 
-    pub(super) fn on_delivery_confirmed(&mut self, number: RequestNumber, attempt: Attempt) {
+    pub(super) fn on_delivery_confirmed(&mut self, number: RequestNumber, attempt: AttemptNumber) {
         let record = self.requests.get_mut(number).filter(|record| record.is_in_flight(attempt));
         if let Some(record) = record {
             record.record_delivery(self.now);
@@ -167,7 +167,12 @@
         }
     }
 
-    pub(super) fn on_first_token(&mut self, number: RequestNumber, attempt: Attempt, out: &mut Vec<Command>) {
+    pub(super) fn on_first_token(
+        &mut self,
+        number: RequestNumber,
+        attempt: AttemptNumber,
+        out: &mut Vec<Command>,
+    ) {
         let Some((engine, step)) = self.record_first_token(number, attempt) else {
             self.counters.unmatched_inputs += 1;
             return;
@@ -201,7 +206,11 @@
     }
 
     /// Notes the first token of an attempt, if it is expected; the attempt's engine and step.
-    fn record_first_token(&mut self, number: RequestNumber, attempt: Attempt) -> Option<(EngineId, Step)> {
+    fn record_first_token(
+        &mut self,
+        number: RequestNumber,
+        attempt: AttemptNumber,
+    ) -> Option<(EngineId, Step)> {
         let record = self.requests.open_mut(number)?;
         let in_flight = record.in_flight.as_mut()?;
         if in_flight.attempt != attempt || in_flight.has_first_token {
@@ -301,7 +310,7 @@
 /// Removes an attempt from its request, if it is in flight.
 fn take_attempt(
     record: &mut RequestRecord,
-    attempt: Attempt,
+    attempt: AttemptNumber,
 ) -> Option<(&mut RequestRecord, InFlightAttempt)> {
     let ended = record.in_flight.take_if(|in_flight| in_flight.attempt == attempt)?;
     Some((record, ended))
@@ -317,7 +326,7 @@
     }
 }
 
-fn not_sent_event(id: RequestId, attempt: Attempt, outcome: Outcome) -> Event {
+fn not_sent_event(id: RequestId, attempt: AttemptNumber, outcome: Outcome) -> Event {
     let end = AttemptEnd { id, attempt, outcome, is_final: false, cached_tokens: 0, load: None };
     Event::AttemptEnded(end)
 }
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, Endpoint, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId};
+use pintally::interface::{
+    AttemptNumber, Endpoint, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
+};
 use pintally_cells::{CellName, CellsFile};
 use serde_json::Value;
 
@@ -79,15 +81,15 @@
     /// A request has arrived.
     RequestArrived(IncomingRequest),
     /// A connection probe was answered while the attempt was in flight and written: it has reached its engine.
-    DeliveryConfirmed(RequestNumber, Attempt),
+    DeliveryConfirmed(RequestNumber, AttemptNumber),
     /// The answer of an attempt has begun.
-    FirstToken(RequestNumber, Attempt),
+    FirstToken(RequestNumber, AttemptNumber),
     /// An attempt has ended.
     AttemptEnded {
         /// The request.
         ticket: RequestNumber,
         /// The attempt.
-        attempt: Attempt,
+        attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
         /// Prompt tokens found in the engine's cache.
--- a/crates/pintally-host/src/request_record.rs
+++ b/crates/pintally-host/src/request_record.rs
@@ -1,6 +1,6 @@
 //! What the host records of a request until its answer is given and its last attempt has ended.
 
-use pintally::interface::{Attempt, EngineId, Idempotency, Micros, Outcome, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, Idempotency, Micros, Outcome, RequestId};
 use pintally_cells::CellName;
 use pintally_engine::Step;
 use pintally_guards::{MayHaveRun, RequestFacts};
@@ -16,7 +16,7 @@
 
 /// An attempt that has not ended.
 pub(crate) struct InFlightAttempt {
-    pub(crate) attempt: Attempt,
+    pub(crate) attempt: AttemptNumber,
     pub(crate) engine: EngineId,
     pub(crate) step: Step,
     /// When it was sent, and the zone and rack of its engine.
@@ -31,7 +31,12 @@
 
 impl InFlightAttempt {
     /// An attempt that is sent now.
-    pub(crate) fn new(attempt: Attempt, engine: EngineId, step: Step, sent: MayHaveRun) -> InFlightAttempt {
+    pub(crate) fn new(
+        attempt: AttemptNumber,
+        engine: EngineId,
+        step: Step,
+        sent: MayHaveRun,
+    ) -> InFlightAttempt {
         InFlightAttempt {
             attempt,
             engine,
@@ -66,7 +71,7 @@
     /// Expires if the core gives no answer by the deadline.
     pub(crate) overdue_timer: TimerKey,
     /// Attempts made so far.
-    pub(crate) attempts: Attempt,
+    pub(crate) attempts: AttemptNumber,
     pub(crate) in_flight: Option<InFlightAttempt>,
     pub(crate) reservations: RequestReservations,
     /// The final answer is given, or the client has left and none is due.
@@ -107,7 +112,7 @@
     }
 
     /// Whether this attempt is in flight.
-    pub(crate) fn is_in_flight(&self, attempt: Attempt) -> bool {
+    pub(crate) fn is_in_flight(&self, attempt: AttemptNumber) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| in_flight.attempt == attempt)
     }
 
--- a/crates/pintally-host/src/reservations.rs
+++ b/crates/pintally-host/src/reservations.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, Micros, Outcome, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, Micros, Outcome, RequestId};
 use pintally_engine::Step;
 use serde_json::Value;
 
@@ -16,7 +16,7 @@
 
 /// The name of a reservation at its engine, where each release frees one reservation. It contains the attempt
 /// that read it, so that a late or repeated release never frees a younger reservation of the same request.
-pub fn state_name(id: &RequestId, attempt: Attempt) -> RequestId {
+pub fn state_name(id: &RequestId, attempt: AttemptNumber) -> RequestId {
     RequestId(format!("{}.{attempt}", id.0).into())
 }
 
@@ -24,7 +24,7 @@
 pub(crate) struct Reservation {
     pub(crate) engine: EngineId,
     /// The attempt that read it.
-    pub(crate) attempt: Attempt,
+    pub(crate) attempt: AttemptNumber,
     /// What fetches it; none where a read that ended without an outcome may have created one.
     state: Option<Arc<Value>>,
 }
--- a/crates/pintally-host/tests/common/mod.rs
+++ b/crates/pintally-host/tests/common/mod.rs
@@ -131,7 +131,7 @@
     }
 
     /// Advances the time while the engine of an attempt of request 1 answers every connection probe.
-    pub fn advance_confirming_delivery(&mut self, attempt: Attempt, until: Micros) {
+    pub fn advance_confirming_delivery(&mut self, attempt: AttemptNumber, until: Micros) {
         while self.now < until {
             let before = self.probes();
             self.advance((self.now + MS).min(until));
--- a/crates/pintally-kserve-node/src/background_calls/mod.rs
+++ b/crates/pintally-kserve-node/src/background_calls/mod.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, Sender, TryRecvError};
-use pintally::interface::{Attempt, EngineId, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, RequestId};
 use pintally_engine::{health_check, load_from_metrics, release};
 use pintally_host::{Input, RequestNumber};
 
@@ -38,7 +38,7 @@
     /// Releases a reservation, on a connection opened for it if that is asked for.
     Release { name: RequestId, engine: EngineId, address: SocketAddr, new_connection: bool },
     /// Whether the engine's machine accepts a connection, for an attempt that is in flight.
-    ConnectionProbe { ticket: RequestNumber, attempt: Attempt, address: SocketAddr },
+    ConnectionProbe { ticket: RequestNumber, attempt: AttemptNumber, address: SocketAddr },
 }
 
 impl BackgroundCall {
--- a/crates/pintally-kserve-node/src/fleet/startup.rs
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -89,7 +89,7 @@
     /// nodes.
     fn service_rates(&self, settings: &NodeSettings) -> [f64; 3] {
         let per_engine = settings.recovery.as_ref().map_or(0.0, |r| r.requests_per_second_per_engine);
-        let mut rates = [per_engine / f64::from(settings.core.nodes.max(1)); 3];
+        let mut rates = [per_engine / f64::from(settings.core.node_count.max(1)); 3];
         let stored = self.numbers(RecordKey::ServiceRates).into_iter().map(f64::from_bits);
         for (rate, stored) in rates.iter_mut().zip(stored) {
             if stored.is_finite() && stored > 0.0 {
@@ -150,7 +150,7 @@
     let core = &settings.core;
     let classes = core.classes.iter().map(|class| ClassPriority {
         priority_weight: class.priority_weight,
-        at_most_once: class.effect == Idempotency::NotIdempotent,
+        at_most_once: class.idempotency == Idempotency::NotIdempotent,
     });
     let recovery_settings = recovery::Settings {
         expected_nodes: expected_nodes(settings),
@@ -172,7 +172,7 @@
 /// Nodes that send to the same engines. Where zones have cores of their own, a zone's engines are shared
 /// by the nodes there: as many in each zone, as far as a node can know.
 fn expected_nodes(settings: &NodeSettings) -> usize {
-    let nodes = settings.core.nodes.max(1) as usize;
+    let nodes = settings.core.node_count.max(1) as usize;
     match &settings.failover {
         Some(failover) => nodes.div_ceil(failover.policy.zones.zones.len()),
         None => nodes,
--- a/crates/pintally-kserve-node/src/request_session.rs
+++ b/crates/pintally-kserve-node/src/request_session.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, TryRecvError};
-use pintally::interface::{Attempt, Micros, Outcome, RequestId};
+use pintally::interface::{AttemptNumber, Micros, Outcome, RequestId};
 use pintally_host::{FinalAnswer, IncomingRequest, Input, RequestNumber};
 use pintally_http::{chunk, header_line, response, response_head, sse_event, LAST_CHUNK};
 use pintally_kserve::{self as kserve, Form, InferenceRequest};
@@ -69,7 +69,7 @@
     pub(crate) request: &'a ClientRequest,
     pub(crate) ticket: RequestNumber,
     /// The attempt in flight. Where the thread ends before it, the host still learns of its end.
-    pub(crate) attempt: Option<Attempt>,
+    pub(crate) attempt: Option<AttemptNumber>,
     /// The client has left, and the host is notified.
     pub(crate) client_left: bool,
     request_id: Option<RequestId>,
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::Sender;
-use pintally::interface::Attempt;
+use pintally::interface::AttemptNumber;
 use pintally_cells::CellStatus;
 use pintally_config::NodeSettings;
 use pintally_host::{AttemptOrder, Counters, FinalAnswer, IncomingRequest, Input};
@@ -36,7 +36,7 @@
     /// Make an attempt.
     Attempt(AttemptOrder),
     /// Cancel an attempt.
-    Cancel(Attempt),
+    Cancel(AttemptNumber),
     /// Give the final answer.
     Answer(FinalAnswer),
     /// Nothing more comes for this request.
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -9,7 +9,8 @@
 use std::sync::Arc;
 
 use pintally::interface::{
-    Attempt, EndpointState, EngineId, Idempotency, ListUpdate, LoadReport, Micros, Outcome, RequestId, Role,
+    AttemptNumber, EndpointState, EngineId, Idempotency, ListUpdate, LoadReport, Micros, Outcome, RequestId,
+    Role,
 };
 use pintally_config::NodeSettings;
 use pintally_engine::Step;
@@ -34,10 +35,10 @@
     streamed: bool,
     max_tokens: u64,
     by: Micros,
-    attempts: Attempt,
+    attempts: AttemptNumber,
     /// The attempt that is out, at which engine, what it does, and whether its answer has begun.
-    out: Option<(Attempt, EngineId, Step, bool)>,
-    state: Option<(Attempt, EngineId, Arc<Value>)>,
+    out: Option<(AttemptNumber, EngineId, Step, bool)>,
+    state: Option<(AttemptNumber, EngineId, Arc<Value>)>,
     over: bool,
 }
 
@@ -102,7 +103,7 @@
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
         let asked = Asked {
             id: RequestId(format!("{}-{}", self.settings.name, a.ticket).into()),
-            safe: safe.is_some_and(|c| c.effect == Idempotency::Idempotent),
+            safe: safe.is_some_and(|c| c.idempotency == Idempotency::Idempotent),
             streamed: a.streamed,
             max_tokens: a.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
             by: now + left,
@@ -176,7 +177,7 @@
         }
     }
 
-    fn release(&self, id: &RequestId, attempt: Attempt, engine: EngineId, out: &mut Vec<Command>) {
+    fn release(&self, id: &RequestId, attempt: AttemptNumber, engine: EngineId, out: &mut Vec<Command>) {
         if let Some(known) = self.engines.get(&engine) {
             let name = RequestId(format!("{}.{attempt}", id.0).into());
             out.push(Command::Release { name, engine, address: known.address, new_connection: false });
@@ -186,7 +187,7 @@
     fn ended(
         &mut self,
         now: Micros,
-        (ticket, attempt): (RequestNumber, Attempt),
+        (ticket, attempt): (RequestNumber, AttemptNumber),
         outcome: Outcome,
         state: Option<Arc<Value>>,
         out: &mut Vec<Command>,
@@ -232,7 +233,7 @@
                     self.engines.values_mut().for_each(|k| k.listing = EndpointState::Gone);
                 }
                 for one in list {
-                    let kinds = &self.settings.core.kinds;
+                    let kinds = &self.settings.core.engine_kinds;
                     let Some(kind) = kinds.iter().find(|k| k.name == one.endpoint.kind) else { continue };
                     let known = self.engines.entry(one.endpoint.engine.clone()).or_insert(Known {
                         address: one.address,
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use pintally::interface::{
-    Attempt, Endpoint, EndpointState, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
+    AttemptNumber, Endpoint, EndpointState, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
 };
 use pintally_audit::{Answer, EngineFigures, Listed as ListedAs, Record, Step as AuditStep, What};
 use pintally_cells::{CellsFile, MoveCommand};
@@ -50,7 +50,7 @@
     /// A release reaches its engine.
     Release(usize, RequestId, EngineId),
     /// An attempt's time is up: for its first token, or for all of it.
-    Late(usize, RequestNumber, Attempt, bool),
+    Late(usize, RequestNumber, AttemptNumber, bool),
     /// A client's patience is over.
     GiveUp(usize, RequestNumber),
     /// A fault begins or ends.
@@ -68,7 +68,7 @@
     name: String,
 }
 
-type Key = (usize, RequestNumber, Attempt);
+type Key = (usize, RequestNumber, AttemptNumber);
 
 /// A day in virtual time.
 pub struct World<'a> {
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pintally::interface::{Attempt, EngineId, LoadReport, Micros, Outcome};
+use pintally::interface::{AttemptNumber, EngineId, LoadReport, Micros, Outcome};
 use pintally_host::{AttemptOrder, Input, RequestNumber};
 use pintally_platform::encode_attempt_head;
 use serde_json::Value;
@@ -70,7 +70,7 @@
     }
 
     /// Notifies the host of an attempt that has no connection.
-    fn fail_unsent(&mut self, number: RequestNumber, attempt: Attempt, outcome: Outcome) {
+    fn fail_unsent(&mut self, number: RequestNumber, attempt: AttemptNumber, outcome: Outcome) {
         self.host_queue.push(Input::AttemptEnded {
             ticket: number,
             attempt,
@@ -83,7 +83,7 @@
 
     /// Whether an attempt is in flight and its last byte has been written on a connection opened for it. Guards
     /// against a reused one that has fallen silent while its engine's machine is up, or up again.
-    pub(crate) fn is_attempt_written(&self, number: RequestNumber, attempt: Attempt) -> bool {
+    pub(crate) fn is_attempt_written(&self, number: RequestNumber, attempt: AttemptNumber) -> bool {
         let in_flight = self.requests.attempt_of(number).filter(|(in_flight, _)| *in_flight == attempt);
         let connection = in_flight.and_then(|(_, key)| self.connections.get(key));
         matches!(connection, Some(Connection::Engine(engine)) if engine.is_written() && engine.idle_before.is_none())
--- a/crates/pintally-platform-node/src/background_calls.rs
+++ b/crates/pintally-platform-node/src/background_calls.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pintally::interface::{Attempt, EngineId, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, RequestId};
 use pintally_host::{Input, RequestNumber};
 use pintally_platform::encode_release;
 
@@ -57,7 +57,7 @@
     pub(crate) fn probe_connection(
         &mut self,
         number: RequestNumber,
-        attempt: Attempt,
+        attempt: AttemptNumber,
         engine: &EngineId,
         address: SocketAddr,
     ) {
@@ -80,7 +80,7 @@
         &mut self,
         key: ConnectionKey,
         number: RequestNumber,
-        attempt: Attempt,
+        attempt: AttemptNumber,
     ) {
         if let Some(connection) = self.engine_mut(key) {
             connection.work = None;
--- a/crates/pintally-platform-node/src/engine_connection.rs
+++ b/crates/pintally-platform-node/src/engine_connection.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use pintally::interface::{Attempt, EngineId, Micros, RequestId};
+use pintally::interface::{AttemptNumber, EngineId, Micros, RequestId};
 use pintally_engine::Step;
 use pintally_host::RequestNumber;
 use pintally_platform::{EngineResponseReader, Phase};
@@ -25,14 +25,14 @@
     /// Nothing is written: that it connects shows that the engine's machine is up.
     ConnectionProbe {
         number: RequestNumber,
-        attempt: Attempt,
+        attempt: AttemptNumber,
     },
 }
 
 /// An attempt on an engine connection.
 pub(crate) struct AttemptWork {
     pub(crate) number: RequestNumber,
-    pub(crate) attempt: Attempt,
+    pub(crate) attempt: AttemptNumber,
     pub(crate) step: Step,
     pub(crate) timeout_at: Micros,
     /// The first event has arrived.
--- a/crates/pintally-platform-node/src/requests.rs
+++ b/crates/pintally-platform-node/src/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use pintally::interface::Attempt;
+use pintally::interface::AttemptNumber;
 use pintally_host::RequestNumber;
 
 use crate::connection::ConnectionKey;
@@ -14,7 +14,7 @@
     pub(crate) head: String,
     pub(crate) body: Rc<[u8]>,
     /// The attempt in flight, and its connection.
-    pub(crate) attempt: Option<(Attempt, ConnectionKey)>,
+    pub(crate) attempt: Option<(AttemptNumber, ConnectionKey)>,
 }
 
 /// The requests in flight.
@@ -46,7 +46,7 @@
     }
 
     /// The attempt in flight of a request, and its connection.
-    pub(crate) fn attempt_of(&self, number: RequestNumber) -> Option<(Attempt, ConnectionKey)> {
+    pub(crate) fn attempt_of(&self, number: RequestNumber) -> Option<(AttemptNumber, ConnectionKey)> {
         self.get(number).and_then(|request| request.attempt)
     }
 
--- a/crates/pintally-platform/src/configuration.rs
+++ b/crates/pintally-platform/src/configuration.rs
@@ -191,7 +191,7 @@
             limits: self.host_limits(),
             core: self.settings.settings.clone(),
             classes: self.settings.transport.deadlines.iter().copied().map(class_settings).collect(),
-            slots: vec![0; self.settings.settings.kinds.len()],
+            slots: vec![0; self.settings.settings.engine_kinds.len()],
         }
     }
 
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -108,7 +108,7 @@
     let classes: Vec<_> = node.classes.iter().map(|c| (c.default_client_timeout, c.max_tokens)).collect();
     assert_eq!(classes, [(5_000_000, 256), (60_000_000, 256)]);
     assert_eq!(node.slots, [0, 0, 0]);
-    assert_eq!((node.core.node, node.core.nodes, node.core.zone.as_str()), (1, 3, "a"));
+    assert_eq!((node.core.node_index, node.core.node_count, node.core.zone.as_str()), (1, 3, "a"));
 }
 
 #[test]
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -78,7 +78,7 @@
         Ok(Some(form.text_or(key, "")?).filter(|t| !t.is_empty()))
     };
     let (of, zone, tenant) = (optional_text("of")?, optional_text("zone")?, optional_text("tenant")?);
-    if let Some(of) = of.as_ref().filter(|of| !settings.core.kinds.iter().any(|k| k.name == **of)) {
+    if let Some(of) = of.as_ref().filter(|of| !settings.core.engine_kinds.iter().any(|k| k.name == **of)) {
         return Err(form.error(format!("no `kind` is named `{of}`")));
     }
     if let Some(zone) = zone.as_ref().filter(|z| !zones.contains(z)) {
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -127,8 +127,8 @@
         s.listen,
         quoted(&s.model),
         quoted(&core.zone),
-        core.node,
-        core.nodes,
+        core.node_index,
+        core.node_count,
         quoted(&s.engines_file),
         s.engines_poll_interval as f64 / 1e3
     );
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -188,7 +188,7 @@
     };
     let core = &settings.core;
     let classes =
-        core.classes.iter().map(|c| ClassFigures { name: c.name.clone(), effect: effect(&c.effect) });
+        core.classes.iter().map(|c| ClassFigures { name: c.name.clone(), effect: effect(&c.idempotency) });
     let figures = Figures {
         drain_grace_us,
         release_within_us: core.release_deadline,
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -204,8 +204,8 @@
         }
         settings.name = format!("n{number}");
         settings.core.zone = self.zones[number % self.zones.len()].clone();
-        settings.core.node = number as u32;
-        settings.core.nodes = self.nodes as u32;
+        settings.core.node_index = number as u32;
+        settings.core.node_count = self.nodes as u32;
         settings
     }
 
@@ -329,7 +329,7 @@
     cells: Option<&CellsFile>,
 ) -> Result<EngineGroup, ConfigError> {
     let kind = form.text()?;
-    let Some(index) = settings.core.kinds.iter().position(|k| k.name == kind) else {
+    let Some(index) = settings.core.engine_kinds.iter().position(|k| k.name == kind) else {
         return Err(form.error(format!("no `kind` is named `{kind}`")));
     };
     let cell = Some(form.text_or("cell", "")?).filter(|c| !c.is_empty());
@@ -338,7 +338,7 @@
             return Err(form.error(format!("no cell is named `{name}`")));
         }
     }
-    let engine_kind = &settings.core.kinds[index];
+    let engine_kind = &settings.core.engine_kinds[index];
     let span = |us: u64| Duration::from_micros(us);
     let group = EngineGroup {
         cell,
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -189,7 +189,7 @@
     );
     let mut settings = NodeSettings::parse("sim", &text).expect("the settings of a plan are sound");
     // Settings of a node by hand want a window over the deadline; other platforms' may be shorter.
-    settings.core.classes[1].effect = Idempotency::WithKey(IdempotencyScope::All, plan.window_ms * MS);
+    settings.core.classes[1].idempotency = Idempotency::WithKey(IdempotencyScope::All, plan.window_ms * MS);
     Arc::new(settings)
 }
 
--- a/crates/pintally-wire/src/settings/mod.rs
+++ b/crates/pintally-wire/src/settings/mod.rs
@@ -76,18 +76,18 @@
         .collect();
     Settings {
         zone: form.zone,
-        node: form.node,
-        nodes: form.nodes,
+        node_index: form.node,
+        node_count: form.nodes,
         classes,
         tenants,
-        kinds,
-        discovery,
-        reports: load_reporting(&form.load_reports.source),
-        weights: form.weight_kind != "off",
+        engine_kinds: kinds,
+        discovery_mode: discovery,
+        load_reporting: load_reporting(&form.load_reports.source),
+        use_registered_weights: form.weight_kind != "off",
         writers_read_prompts: family.writers_read_prompts,
         cancellation_allowed: permissions.cancellation_allowed,
         health_checks_allowed: permissions.health_checks_allowed,
-        health_check_price: form.prices.health_check,
+        health_check_cost: form.prices.health_check,
         clients_honour_retry_after: permissions.clients_honour_retry_after,
         max_retry_after: micros(permissions.max_retry_after_s),
         max_attempts: permissions.max_attempts,
@@ -97,7 +97,7 @@
         overload_window: micros(rules.overload_window_s),
         connect_timeout: micros(permissions.connect_timeout_s),
         release_deadline: release_deadline(family.release_deadline_s),
-        max_poll_interval: micros(rules.max_poll_interval_s),
+        max_discovery_poll_interval: micros(rules.max_poll_interval_s),
         remembered_service_rates: [0.0; 3],
     }
 }
@@ -141,7 +141,7 @@
             let token_interval = family.token_interval_objective_s.get(index).copied();
             Ok(Class {
                 name: class.name.clone(),
-                effect: idempotency(class)?,
+                idempotency: idempotency(class)?,
                 latency_objective: micros(class.latency_objective_s),
                 latency_objective_per_1000_tokens: count(per_1000_tokens),
                 token_interval_objective: micros(token_interval.unwrap_or(0.0)),
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -13,29 +13,35 @@
 #[test]
 fn settings_object() {
     let s = read(SETTINGS).settings;
-    assert_eq!((s.node, s.nodes, s.zone.as_str()), (1, 3, "a"));
-    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Subscribe, LoadReporting::OnHealthCheck)));
+    assert_eq!((s.node_index, s.node_count, s.zone.as_str()), (1, 3, "a"));
+    assert!(matches!(
+        (s.discovery_mode, s.load_reporting),
+        (DiscoveryMode::Subscribe, LoadReporting::OnHealthCheck)
+    ));
     assert_eq!(
-        (s.weights, s.writers_read_prompts, s.cancellation_allowed, s.health_checks_allowed),
+        (s.use_registered_weights, s.writers_read_prompts, s.cancellation_allowed, s.health_checks_allowed),
         (false, true, true, true)
     );
     assert_eq!(
-        (s.health_check_price, s.clients_honour_retry_after, s.max_retry_after),
+        (s.health_check_cost, s.clients_honour_retry_after, s.max_retry_after),
         (0.25, true, 1_500_000)
     );
     assert_eq!((s.max_attempts, s.slow_start_min_capacity, s.slow_start_duration), (5, 0.3, 14_000_000));
     assert_eq!((s.overload_factor, s.overload_window), (2.5, 1_500_000));
-    assert_eq!((s.connect_timeout, s.release_deadline, s.max_poll_interval), (200_000, 400_000, 700_000));
+    assert_eq!(
+        (s.connect_timeout, s.release_deadline, s.max_discovery_poll_interval),
+        (200_000, 400_000, 700_000)
+    );
     assert_eq!(s.remembered_service_rates, [0.0; 3]);
     let tenants: Vec<_> = s.tenants.iter().map(|t| (t.name.as_str(), t.quota_per_s)).collect();
     assert_eq!(tenants, [("acme", 12.5)]);
-    let kinds: Vec<_> = s.kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
+    let kinds: Vec<_> = s.engine_kinds.iter().map(|k| (k.name.as_str(), k.memory_tokens)).collect();
     assert_eq!(kinds, [("m1", 200_000), ("m2", 100_000), ("m3", 0)]);
-    let roles: Vec<_> = s.kinds.iter().map(|k| k.role).collect();
+    let roles: Vec<_> = s.engine_kinds.iter().map(|k| k.role).collect();
     assert!(matches!(roles[..], [Role::Reader, Role::Writer, Role::Mixed]));
     let names: Vec<_> = s.classes.iter().map(|c| c.name.as_str()).collect();
     assert_eq!(names, ["chat", "once", "all", "zone", "cell"]);
-    let effects: Vec<&Idempotency> = s.classes.iter().map(|c| &c.effect).collect();
+    let effects: Vec<&Idempotency> = s.classes.iter().map(|c| &c.idempotency).collect();
     assert!(matches!(effects[0], Idempotency::Idempotent));
     assert!(matches!(effects[1], Idempotency::NotIdempotent));
     assert!(matches!(effects[2], Idempotency::WithKey(IdempotencyScope::All, 9_100_000)));
@@ -61,10 +67,10 @@
 fn other_values() {
     let json = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
     let s = read(&json.replace("\"off\"", "\"nominal\"")).settings;
-    assert!(matches!((s.discovery, s.reports), (DiscoveryMode::Push, LoadReporting::Inline)));
-    assert!(s.weights);
+    assert!(matches!((s.discovery_mode, s.load_reporting), (DiscoveryMode::Push, LoadReporting::Inline)));
+    assert!(s.use_registered_weights);
     assert!(matches!(
-        read(&SETTINGS.replace("\"on_probe\"", "\"none\"")).settings.reports,
+        read(&SETTINGS.replace("\"on_probe\"", "\"none\"")).settings.load_reporting,
         LoadReporting::Off
     ));
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,7 +14,7 @@
 pub struct RequestId(pub Arc<str>);
 
 /// The number of an attempt of one request, from 0.
-pub type Attempt = u32;
+pub type AttemptNumber = u32;
 
 /// What an engine can do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     /// Its name.
     pub name: String,
     /// Whether its requests may run twice.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The first token is wanted within this time.
     pub latency_objective: Micros,
     /// The objective grows by this much for each 1,000 prompt tokens.
@@ -115,21 +115,21 @@
     /// The node's zone.
     pub zone: String,
     /// The node's number among the nodes of the fleet, from 0.
-    pub node: u32,
+    pub node_index: u32,
     /// How many nodes serve the fleet.
-    pub nodes: u32,
+    pub node_count: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants, if any.
     pub tenants: Vec<Tenant>,
     /// The kinds of machine.
-    pub kinds: Vec<EngineKind>,
+    pub engine_kinds: Vec<EngineKind>,
     /// How the endpoint list comes.
-    pub discovery: DiscoveryMode,
+    pub discovery_mode: DiscoveryMode,
     /// How load reports come.
-    pub reports: LoadReporting,
+    pub load_reporting: LoadReporting,
     /// Whether registered weights compare engines.
-    pub weights: bool,
+    pub use_registered_weights: bool,
     /// Whether a writer reads a prompt itself when there is no state to fetch.
     pub writers_read_prompts: bool,
     /// Whether attempts may be cancelled.
@@ -137,7 +137,7 @@
     /// Whether engines may be health-checked.
     pub health_checks_allowed: bool,
     /// Points that one health check for each request costs, 0 if unknown.
-    pub health_check_price: f64,
+    pub health_check_cost: f64,
     /// Whether rejected clients honour Retry-After.
     pub clients_honour_retry_after: bool,
     /// The longest Retry-After that a client follows.
@@ -157,7 +157,7 @@
     /// What an engine has reserved must be used or released within this time.
     pub release_deadline: Micros,
     /// Where discovery must be polled: the longest time between two polls.
-    pub max_poll_interval: Micros,
+    pub max_discovery_poll_interval: Micros,
     /// Answers a second that one warm engine of each role gave this node's last incarnation (reads,
     /// first tokens of fetched states, both), 0 if nothing is remembered.
     pub remembered_service_rates: [f64; 3],
@@ -274,7 +274,7 @@
     /// The request.
     pub id: RequestId,
     /// The attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
     /// The request has its final answer by this outcome or had it before.
@@ -293,7 +293,7 @@
     /// A client's request has arrived.
     RequestArrived(Request),
     /// The answer of an attempt has begun.
-    FirstToken(RequestId, Attempt),
+    FirstToken(RequestId, AttemptNumber),
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
     /// The client has closed its request.
@@ -323,7 +323,7 @@
     /// Answer the client that the request failed: it may have run.
     Fail(RequestId),
     /// Cancel an attempt.
-    Cancel(RequestId, Attempt),
+    Cancel(RequestId, AttemptNumber),
     /// Release what engines have reserved for the request.
     Release(RequestId),
     /// Health-check an engine.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -73,7 +73,7 @@
         let class = request.class.and_then(|class| self.settings.classes.get(class));
         let objective = latency_objective(&request, class);
         // A request of an unknown class must not run twice.
-        let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.effect);
+        let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
         let over_quota = self.is_over_quota(now, request.tenant);
         // Guards against retry storms: a prompt that was rejected lately has its objective counted from
         // its first attempt, so that a retry that can only be late does not go before fresh requests.
@@ -103,7 +103,7 @@
     /// Of many nodes each may have less than one in flight: then there is time between its starts.
     pub(super) fn capacity(&self, now: Micros) -> usize {
         let occupancy = self.occupancy(now);
-        let nodes = f64::from(self.settings.nodes.max(1));
+        let nodes = f64::from(self.settings.node_count.max(1));
         let limit = match (occupancy.writers_with_capacity, occupancy.readers_with_capacity) {
             (0, _) => MAX_IN_FLIGHT_PER_OVERLOADED_WRITER / nodes * f64::from(occupancy.writers),
             (_, 0) => 0.0,
@@ -172,7 +172,7 @@
     pub(super) fn adjust_in_flight_limit(&mut self, now: Micros, on_target: bool) {
         let readers =
             self.engines.iter().filter(|engine| engine.is_serving() && engine.reads()).count() as f64;
-        let nodes = f64::from(self.settings.nodes.max(1));
+        let nodes = f64::from(self.settings.node_count.max(1));
         let max_samples = MAX_SAMPLES_AT_ONCE - (MAX_SAMPLES_AT_ONCE - 1.0) * self.visibility();
         let since_last = now.saturating_sub(self.measurements.limit_adjusted_at) as f64;
         let samples = (since_last / SAMPLE_INTERVAL_US).clamp(1.0, max_samples);
--- a/src/policy/attempt_progress.rs
+++ b/src/policy/attempt_progress.rs
@@ -6,7 +6,7 @@
 
 impl Router {
     /// Takes in that the answer of an attempt has begun.
-    pub(super) fn first_token(&mut self, now: Micros, id: &RequestId, number: Attempt) {
+    pub(super) fn first_token(&mut self, now: Micros, id: &RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let timing = RequestTiming::of(request);
         let Some(attempt) = request.in_flight.as_mut() else { return };
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -44,7 +44,7 @@
         self.measurements.maintenance_timer_set = true;
         self.measurements.service_rates_updated_at = now;
         actions.push(Action::SetTimer(Timer::Maintenance, MAINTENANCE_INTERVAL_US));
-        if self.settings.discovery == DiscoveryMode::Subscribe {
+        if self.settings.discovery_mode == DiscoveryMode::Subscribe {
             self.measurements.polled_at = now;
             actions.push(Action::Subscribe);
         }
@@ -52,7 +52,7 @@
 
     /// Takes in one entry and returns the engine's index; entries of unknown kinds are skipped.
     fn update_endpoint(&mut self, now: Micros, endpoint: &Endpoint) -> Option<usize> {
-        let role = self.settings.kinds.iter().find(|kind| kind.name == endpoint.kind)?.role;
+        let role = self.settings.engine_kinds.iter().find(|kind| kind.name == endpoint.kind)?.role;
         let index = match self.engine_indices.get(&endpoint.engine) {
             Some(&index) => index,
             None => self.insert_engine(Engine::new(now, endpoint, role)),
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -39,7 +39,9 @@
     /// Checks all engines that write, where own traffic pays for it: over many nodes the checks would
     /// outweigh it.
     pub(super) fn check_all_writers(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.settings.health_checks_allowed || self.settings.reports != LoadReporting::OnHealthCheck {
+        if !self.settings.health_checks_allowed
+            || self.settings.load_reporting != LoadReporting::OnHealthCheck
+        {
             return;
         }
         let is_writer = |index: &usize| {
@@ -101,7 +103,7 @@
     /// How many health checks the price allows for a request.
     fn checks_per_request(&self) -> f64 {
         let least_price = MAX_COST_PER_REQUEST / MAX_CHECKS_PER_REQUEST;
-        (MAX_COST_PER_REQUEST / self.settings.health_check_price.max(least_price)).min(MAX_CHECKS_PER_REQUEST)
+        (MAX_COST_PER_REQUEST / self.settings.health_check_cost.max(least_price)).min(MAX_CHECKS_PER_REQUEST)
     }
 
     /// Guards against a choice of writer by reports that are old or missing: while a prompt is read
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -27,10 +27,10 @@
 
     /// Asks discovery where it must be asked: at half the longest interval, or since it did not answer.
     fn poll_discovery(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if self.settings.discovery != DiscoveryMode::Subscribe {
+        if self.settings.discovery_mode != DiscoveryMode::Subscribe {
             return;
         }
-        let due = now > self.measurements.polled_at + self.settings.max_poll_interval / 2;
+        let due = now > self.measurements.polled_at + self.settings.max_discovery_poll_interval / 2;
         if due || !self.measurements.subscribed {
             self.measurements.polled_at = now;
             actions.push(Action::Subscribe);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -13,7 +13,7 @@
     pub(super) fn is_over_quota(&mut self, now: Micros, tenant: Option<usize>) -> bool {
         let Some(index) = tenant else { return false };
         let Some(tenant) = self.settings.tenants.get(index) else { return false };
-        let rate_per_s = tenant.quota_per_s / f64::from(self.settings.nodes);
+        let rate_per_s = tenant.quota_per_s / f64::from(self.settings.node_count);
         if rate_per_s <= 0.0 {
             return false;
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -49,7 +49,7 @@
         let turn_fraction =
             if own_budget < 1.0 { (own_budget * HERD_BUDGET_FRACTION).min(1.0) } else { own_budget.fract() };
         let engine_offset = fraction_of(&engine.id.0, 0);
-        let node_offset = f64::from(settings.node) / f64::from(settings.nodes.max(1));
+        let node_offset = f64::from(settings.node_index) / f64::from(settings.node_count.max(1));
         let elapsed_turns = now as f64 / window.max(1) as f64 * turn_fraction;
         let has_turn = (elapsed_turns + node_offset + engine_offset).fract() < turn_fraction;
         recent_sends < own_budget as usize + usize::from(has_turn)
@@ -64,7 +64,7 @@
             * settings.slow_start_min_capacity
             * settings.overload_factor
             * warm_engine_answers;
-        budget.max(1.0 / f64::from(settings.nodes.max(1)))
+        budget.max(1.0 / f64::from(settings.node_count.max(1)))
     }
 
     /// Whether a read that one of many nodes would send to an engine in slow start is among the part
@@ -72,7 +72,7 @@
     /// crowd onto the next.
     fn wins_slow_start_lottery(&self, request: &RequestState) -> bool {
         let settings = &self.settings;
-        let drawn = fraction_of(&request.request.id.0, settings.node.into())
+        let drawn = fraction_of(&request.request.id.0, settings.node_index.into())
             * self.replica_crowding(&request.request);
         drawn < LOTTERY_BUDGET_FRACTION * settings.slow_start_min_capacity * settings.overload_factor
     }
--- a/src/policy/visibility.rs
+++ b/src/policy/visibility.rs
@@ -13,7 +13,7 @@
 impl Router {
     /// How far a node sees the fleet's traffic in its own: 1 for few nodes, next to 0 for many.
     pub(super) fn visibility(&self) -> f64 {
-        (MAX_SELF_SUFFICIENT_NODES / f64::from(self.settings.nodes.max(1))).min(1.0)
+        (MAX_SELF_SUFFICIENT_NODES / f64::from(self.settings.node_count.max(1))).min(1.0)
     }
 
     /// One of several nodes, so that others fill the engines as much as it does.
@@ -28,7 +28,7 @@
 
     /// No engine reports its load.
     pub(super) fn without_load_reports(&self) -> bool {
-        self.settings.reports == LoadReporting::Off
+        self.settings.load_reporting == LoadReporting::Off
     }
 
     /// Listed engines that write.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -6,7 +6,7 @@
 /// The attempt of a request that is at an engine now.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
-    pub(crate) number: Attempt,
+    pub(crate) number: AttemptNumber,
     /// Index of the engine.
     pub(crate) engine: usize,
     pub(crate) sent_at: Micros,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,10 +9,10 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(name: &str, effect: Idempotency) -> Class {
+pub fn class(name: &str, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
-        effect,
+        idempotency,
         latency_objective: SECOND,
         latency_objective_per_1000_tokens: 40 * MS,
         token_interval_objective: 60 * MS,
@@ -29,22 +29,22 @@
 pub fn settings() -> Settings {
     Settings {
         zone: "near".into(),
-        node: 0,
-        nodes: 2,
+        node_index: 0,
+        node_count: 2,
         classes: vec![
             class("safe", Idempotency::Idempotent),
             class("unsafe", Idempotency::NotIdempotent),
             class("keyed", Idempotency::WithKey(IdempotencyScope::Rack, 2 * SECOND)),
         ],
         tenants: vec![],
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
-        discovery: DiscoveryMode::Push,
-        reports: LoadReporting::Inline,
-        weights: true,
+        engine_kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
+        discovery_mode: DiscoveryMode::Push,
+        load_reporting: LoadReporting::Inline,
+        use_registered_weights: true,
         writers_read_prompts: false,
         cancellation_allowed: true,
         health_checks_allowed: false,
-        health_check_price: 0.003,
+        health_check_cost: 0.003,
         clients_honour_retry_after: false,
         max_retry_after: SECOND,
         max_attempts: 6,
@@ -54,7 +54,7 @@
         overload_window: 2 * SECOND,
         connect_timeout: 0,
         release_deadline: 500 * MS,
-        max_poll_interval: 10 * SECOND,
+        max_discovery_poll_interval: 10 * SECOND,
         remembered_service_rates: [0.0; 3],
     }
 }
@@ -203,7 +203,7 @@
                 self.waiting_states.remove(&request);
             }
         }
-        let attempt = attempt as Attempt;
+        let attempt = attempt as AttemptNumber;
         self.handle(Event::AttemptEnded(AttemptEnd {
             id: request,
             attempt,
@@ -215,7 +215,7 @@
     }
 
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
-        let attempt = self.attempts[&id(name)].len() as Attempt - 1;
+        let attempt = self.attempts[&id(name)].len() as AttemptNumber - 1;
         self.waiting_states.remove(&id(name));
         self.started.insert(id(name));
         self.handle(Event::FirstToken(id(name), attempt))
@@ -270,7 +270,7 @@
 
     fn role(&self, engine: &EngineId) -> Role {
         let kind = &self.endpoints[engine].kind;
-        self.settings.kinds.iter().find(|k| k.name == *kind).unwrap().role
+        self.settings.engine_kinds.iter().find(|k| k.name == *kind).unwrap().role
     }
 
     fn cannot_have_run(&self, attempt: &(EngineId, Micros, Option<Outcome>)) -> bool {
@@ -288,7 +288,7 @@
     }
 
     fn effect(&self, request: &RequestId) -> Idempotency {
-        self.settings.classes.get(self.classes[request]).map_or(Idempotency::NotIdempotent, |c| c.effect)
+        self.settings.classes.get(self.classes[request]).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
     }
 
     fn check(&mut self, act: &Action) {
@@ -346,7 +346,7 @@
                 assert!(*after > 0);
                 self.timers.push((self.now + after, *timer));
             }
-            Action::Subscribe => assert_eq!(self.settings.discovery, DiscoveryMode::Subscribe),
+            Action::Subscribe => assert_eq!(self.settings.discovery_mode, DiscoveryMode::Subscribe),
             Action::Log(message) => assert!(!message.is_empty()),
         }
     }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -192,7 +192,7 @@
 
 #[test]
 fn late_first_tokens_lower_in_flight_limit_of_one_of_many_nodes() {
-    let mut node = Node::new(Settings { nodes: 100, ..settings() }, fleet());
+    let mut node = Node::new(Settings { node_count: 100, ..settings() }, fleet());
     let late = |node: &mut Node, name: &str, after: Micros| {
         node.request_arrived(request(name, 0, 7));
         let sent = node.engine_of(name).is_some();
@@ -221,7 +221,7 @@
 #[test]
 fn timeouts_lower_in_flight_limit_of_one_of_many_nodes() {
     for (nodes, delayed) in [(2, false), (100, true)] {
-        let mut node = Node::new(Settings { nodes, ..settings() }, fleet());
+        let mut node = Node::new(Settings { node_count: nodes, ..settings() }, fleet());
         for i in 0..12 {
             let name = format!("out{i}");
             node.request_arrived(request(&name, 0, i));
--- a/tests/policy/health_checks.rs
+++ b/tests/policy/health_checks.rs
@@ -6,7 +6,7 @@
 
 /// One of many nodes, where health checks are allowed.
 fn one_of_many() -> Settings {
-    Settings { nodes: 100, health_checks_allowed: true, ..settings() }
+    Settings { node_count: 100, health_checks_allowed: true, ..settings() }
 }
 
 fn health_checked(actions: &[Action]) -> Vec<&str> {
@@ -15,7 +15,7 @@
 
 #[test]
 fn request_with_little_time_does_not_wait_for_health_check() {
-    let settings = Settings { nodes: 100, health_checks_allowed: true, ..settings() };
+    let settings = Settings { node_count: 100, health_checks_allowed: true, ..settings() };
     for client_timeout in [20 * MS, 90 * MS, 2 * SECOND] {
         let mut node = Node::new(settings.clone(), fleet());
         node.request_arrived(Request { client_timeout, ..request("a", 0, 1) });
@@ -26,7 +26,7 @@
 
 #[test]
 fn health_checks_are_paid_for_by_own_traffic() {
-    let settings = Settings { reports: LoadReporting::OnHealthCheck, ..one_of_many() };
+    let settings = Settings { load_reporting: LoadReporting::OnHealthCheck, ..one_of_many() };
     let endpoints = (0..60).map(|i| endpoint(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
     let mut node = Node::new(settings, endpoints);
     let mut all = 0;
@@ -53,7 +53,7 @@
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("r2", "near", 1), endpoint("w1", "near", 1)];
     let session = session_of("r1", &endpoints);
     for (nodes, queue, expected) in [(100, 0.0, Some("r1")), (100, 20.0, Some("r2")), (2, 0.0, Some("r1"))] {
-        let mut node = Node::new(Settings { nodes, ..one_of_many() }, endpoints.clone());
+        let mut node = Node::new(Settings { node_count: nodes, ..one_of_many() }, endpoints.clone());
         node.request_arrived(request("usual", 0, 900));
         node.now += 60 * MS;
         node.dispatch_pending();
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -89,7 +89,7 @@
 #[test]
 fn one_of_many_nodes_does_not_time_out_reads_early() {
     for (nodes, waits) in [(2, false), (100, true)] {
-        let mut node = Node::new(Settings { nodes, ..settings() }, pair());
+        let mut node = Node::new(Settings { node_count: nodes, ..settings() }, pair());
         for n in 0..8 {
             let name = format!("usual{n}");
             node.request_arrived(request(&name, 0, 900 + n));
--- a/tests/policy/prefix_affinity.rs
+++ b/tests/policy/prefix_affinity.rs
@@ -102,7 +102,7 @@
     for (nodes, expected) in [(2, "r2"), (100, "r1")] {
         let shared =
             |name: &str, own| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, own) };
-        let mut node = Node::new(Settings { nodes, ..settings() }, endpoints.clone());
+        let mut node = Node::new(Settings { node_count: nodes, ..settings() }, endpoints.clone());
         node.request_arrived(shared("a", 50));
         node.attempt_ended("a", Outcome::Overloaded);
         assert_eq!(node.engine_of("a"), Some("r2"));
@@ -122,8 +122,8 @@
     let shared = |name: &str, own| Request { prefix: Some(7), prefix_tokens: 1_500, ..request(name, 0, own) };
     let mut replicas = BTreeSet::new();
     for session in 0..8 {
-        let mut blank = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
-        let mut busy = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
+        let mut blank = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
+        let mut busy = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
         for n in 0..9 {
             let name = format!("seen{n}");
             busy.request_arrived(if n < 4 { shared(&name, 100 + n) } else { request(&name, 0, 100 + n) });
@@ -165,7 +165,7 @@
         endpoints.push(endpoint(&format!("r{i}"), "near", i));
         endpoints.push(endpoint(&format!("w{i}"), "near", i));
     }
-    let mut node = Node::new(Settings { nodes: 200, ..settings() }, endpoints);
+    let mut node = Node::new(Settings { node_count: 200, ..settings() }, endpoints);
     let mut replicas = [std::collections::BTreeSet::new(), Default::default()];
     for i in 0..120 {
         // Every third request has the hot prefix, two in a hundred the rare one.
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -18,7 +18,7 @@
         let writers = if target == "m2" { ["m1", "m2"] } else { ["w1", "w2"] };
         let names = ["r1", "r2"].iter().chain(&writers);
         let endpoints = names.map(|name| endpoint(name, "near", 1)).collect();
-        let mut node = Node::new(Settings { node: number, nodes, ..settings() }, endpoints);
+        let mut node = Node::new(Settings { node_index: number, node_count: nodes, ..settings() }, endpoints);
         let begin = node.now + if known { 60 * SECOND } else { 0 };
         node.now += gap * Micros::from(number) / Micros::from(nodes);
         let mut listed = false;
--- a/tests/policy/spill.rs
+++ b/tests/policy/spill.rs
@@ -76,7 +76,7 @@
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("r2", "near", 1), endpoint("w1", "near", 1)];
     let session = session_of("r1", &endpoints);
     for (waited, expected) in [(5 * SECOND, "r2"), (8 * SECOND, "r1")] {
-        let mut node = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
+        let mut node = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
         // 2,000 tokens in 150 ms: 13,333 a second.
         node.request_arrived(request("usual", 0, 900));
         node.now += 100 * MS;
@@ -99,7 +99,8 @@
     let shared =
         |name: &str, key| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, key) };
     for (took, passed) in [(50 * MS, false), (1_500 * MS, true)] {
-        let mut node = Node::new(Settings { reports: LoadReporting::Off, ..settings() }, endpoints.clone());
+        let mut node =
+            Node::new(Settings { load_reporting: LoadReporting::Off, ..settings() }, endpoints.clone());
         // A replica in the rack with few writers, and what its states take over the link.
         let key = key_of(&near, &endpoints, |key| shared("x", key));
         let (mut first, mut last) = (String::new(), String::new());
--- a/tests/policy/writer_choice.rs
+++ b/tests/policy/writer_choice.rs
@@ -70,7 +70,7 @@
     ];
     // The near writer has reported much load: at first the far ones are better, later it wins again.
     for (waited, near) in [(0, false), (20 * SECOND, true)] {
-        let mut node = Node::new(Settings { nodes: 100, ..settings() }, endpoints.clone());
+        let mut node = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
         for (name, memory) in [("w1", 0.85), ("w2", 0.1), ("w3", 0.1)] {
             report(&mut node, name, memory);
         }
@@ -88,7 +88,8 @@
     endpoints.extend((1..=5).map(|i| endpoint(&format!("r{i}"), "near", 1)));
     endpoints.extend((2..=6).map(|i| endpoint(&format!("w{i}"), "near", 2)));
     for (reports, mostly) in [(LoadReporting::Off, false), (LoadReporting::Inline, true)] {
-        let mut node = Node::new(Settings { reports, nodes: 200, ..settings() }, endpoints.clone());
+        let mut node =
+            Node::new(Settings { load_reporting: reports, node_count: 200, ..settings() }, endpoints.clone());
         let (mut near, mut read) = (0, 0);
         for i in 0..400 {
             let name = format!("q{i}");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -48,12 +48,12 @@
                 health_checks_allowed: health_checks,
                 clients_honour_retry_after: retry_after,
                 max_attempts,
-                nodes,
+                node_count: nodes,
                 ..settings()
             };
             settings.classes[2] = class("keyed", Idempotency::WithKey(group, SECOND));
-            settings.discovery = if subscribe { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
-            settings.reports =
+            settings.discovery_mode = if subscribe { DiscoveryMode::Subscribe } else { DiscoveryMode::Push };
+            settings.load_reporting =
                 [LoadReporting::Inline, LoadReporting::OnHealthCheck, LoadReporting::Off][reports];
             settings.tenants = vec![Tenant { name: "t".into(), quota_per_s: 2.0 }];
             settings
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -74,7 +74,7 @@
 /// One node's part of the scenario: its sends to engines in slow start.
 fn play(number: u32, weight: f64, scenario: Scenario, seed: u64) -> Vec<(EngineId, Micros)> {
     let mut dice = ChaCha8Rng::seed_from_u64(seed << 16 | u64::from(number));
-    let settings = Settings { node: number, nodes: scenario.nodes, ..settings() };
+    let settings = Settings { node_index: number, node_count: scenario.nodes, ..settings() };
     let mut node = Node::new(settings.clone(), engines(0, WARM_ENGINES, None));
     let start = node.now + BEFORE;
     let rate = CAPACITY_PER_S * WARM_ENGINES as f64 * UTILISATION * weight;
