--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -1,5 +1,5 @@
-//! A router's estimates of engines and of its own admission, for operators and for checks against
-//! what engines measure of themselves.
+//! A router's estimates of engines and of its own admission, for operators and for comparison with
+//! what engines measure themselves.
 
 use crate::interface::*;
 use crate::state::{AttemptKind, Engine};
@@ -10,56 +10,57 @@
 pub struct EngineEstimate {
     /// The engine.
     pub engine: EngineId,
-    /// Its state by the endpoint list.
+    /// Its state according to the endpoint list.
     pub state: EndpointState,
-    /// Attempts in flight that have not begun to answer.
+    /// This node's attempts in flight without a completed read or first token.
     pub in_flight: usize,
-    /// Attempts in flight that write or are to write an answer.
+    /// This node's attempts in flight that write an answer or will write one.
     pub streams: u32,
-    /// The last report of its load: memory in use, and work that waits.
+    /// Its last load report: fraction of memory in use, and thousands of prompt tokens waiting.
     pub load: Option<(f64, f64)>,
-    /// How old that report is.
+    /// The age of that report.
     pub report_age: Option<Micros>,
-    /// It was last found to refuse connections.
+    /// It refused connections when it was last used.
     pub unreachable: bool,
-    /// For how long it remains ejected.
+    /// How long it remains ejected.
     pub ejected_for: Micros,
-    /// For how long it still counts as overloaded.
+    /// How long it still counts as overloaded.
     pub overloaded_for: Micros,
-    /// For how long it remains in slow start.
+    /// How long it remains in slow start.
     pub warming_up_for: Micros,
 }
 
-/// A router's estimate of how requests as a whole are doing.
+/// A router's estimate of its admission limits and latencies over all requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionEstimate {
-    /// How many requests may be in flight before their first token.
+    /// The limit of requests in flight that have no first token yet.
     pub in_flight_limit: f64,
-    /// The usual time from the first send to the first token.
+    /// The usual time from a request's first send to its first token.
     pub time_to_first_token: Micros,
-    /// Requests that have not ended.
+    /// Requests that have not been completed.
     pub requests: usize,
-    /// Those of them that wait to be dispatched.
+    /// Those of them that are waiting to be dispatched.
     pub waiting: usize,
-    /// The usual time to a first token when the state stays in its rack.
+    /// The usual wait for a first token when the state stays in its rack.
     pub time_to_first_token_same_rack: Micros,
-    /// The usual time to a first token when the state leaves its rack.
+    /// The usual wait for a first token when the state leaves its rack.
     pub time_to_first_token_other_rack: Micros,
-    /// The same for each rack that states leave, with the number of transfers observed.
+    /// For each rack: the usual wait for a first token when a state leaves it, and the number of transfers
+    /// observed.
     pub racks: Vec<(u64, Micros, u32)>,
 }
 
 impl Router {
-    /// How requests as a whole are doing.
+    /// The current estimate over all requests.
     pub fn admission_estimate(&self) -> AdmissionEstimate {
-        let measured = &self.measurements;
+        let measurements = &self.measurements;
         AdmissionEstimate {
-            in_flight_limit: measured.in_flight_limit,
-            time_to_first_token: measured.time_to_first_token as Micros,
+            in_flight_limit: measurements.in_flight_limit,
+            time_to_first_token: measurements.time_to_first_token as Micros,
             requests: self.requests.len(),
             waiting: self.requests.values().filter(|request| request.pending).count(),
-            time_to_first_token_same_rack: measured.same_rack_wait.value as Micros,
-            time_to_first_token_other_rack: measured.other_rack_wait.value as Micros,
+            time_to_first_token_same_rack: measurements.same_rack_wait.value as Micros,
+            time_to_first_token_other_rack: measurements.other_rack_wait.value as Micros,
             racks: self
                 .racks
                 .iter()
@@ -68,8 +69,9 @@
         }
     }
 
-    /// Answers a second that one warm engine of each role has given lately, to be remembered over a
-    /// restart; 0 where too little was seen.
+    /// Answers per second that one warm engine of each role has given lately, for
+    /// [`Settings::remembered_service_rates`] after a restart; 0 where none were observed or
+    /// remembered.
     pub fn service_rates(&self) -> [f64; 3] {
         AttemptKind::ALL.map(|kind| self.service_rate(kind))
     }
@@ -85,8 +87,8 @@
         let occupancy = |load: LoadReport| (load.memory.unwrap_or(0.0), load.backlog.unwrap_or(0.0));
         EngineEstimate {
             engine: self.id.clone(),
-            state: self.listing,
-            in_flight: self.pending.len(),
+            state: self.endpoint_state,
+            in_flight: self.waiting.len(),
             streams: self.streams,
             load: self.report.map(|report| occupancy(report.load)),
             report_age: self.report.map(|report| now.saturating_sub(report.at)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,30 +1,30 @@
-//! Types, events, actions and settings of the decision module, free of any wire.
+//! Settings, events, actions and the types that they share. None of them depends on a wire format.
 
 use std::sync::Arc;
 
-/// A time or a span of time, in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 pub type Micros = u64;
 
-/// The id of an engine, exactly as discovery gave it.
+/// The id of an engine, exactly as discovery states it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
-/// The id of a request, exactly as the host gave it.
+/// The id of a request, exactly as the host passes it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
-/// The number of an attempt of one request, from 0.
+/// The number of an attempt among those of one request, from 0.
 pub type AttemptNumber = u32;
 
 /// What an engine can do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts (prefill); the read state waits in its memory.
+    /// Reads prompts (prefill) and keeps the read state in its memory until a writer fetches it.
     #[default]
     Reader,
     /// Fetches a read state and streams the answer (decode).
     Writer,
-    /// Does either, or both in one attempt.
+    /// Can do either, or both in one attempt.
     Mixed,
 }
 
@@ -33,13 +33,13 @@
 pub struct EngineKind {
     /// The kind's name in discovery.
     pub name: String,
-    /// What engines of this kind do.
+    /// What engines of this kind can do.
     pub role: Role,
     /// Memory of one engine in tokens, 0 if unknown.
     pub memory_tokens: u64,
 }
 
-/// The part of the fleet that drops repeats of a request with an idempotency key.
+/// The engines among which repeats of a request with an idempotency key are detected and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// Every engine.
@@ -53,9 +53,10 @@
 /// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated freely.
+    /// It may be repeated any number of times.
     Idempotent,
-    /// Repeats are dropped inside the scope, for the window from the first send that may have run.
+    /// Engines in the scope drop repeats within the window, which starts with the first send that may have
+    /// run the request.
     WithKey(IdempotencyScope, Micros),
     /// It must not run twice.
     NotIdempotent,
@@ -68,15 +69,15 @@
     pub name: String,
     /// Whether its requests may run twice.
     pub idempotency: Idempotency,
-    /// The first token is wanted within this time.
+    /// Target time to the first token, without the part for the length of the prompt.
     pub latency_objective: Micros,
-    /// The objective grows by this much for each 1,000 prompt tokens.
+    /// Added to the latency objective for each 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Micros,
-    /// The wanted interval between tokens, 0 if unknown.
+    /// Target interval between tokens, 0 if unknown.
     pub token_interval_objective: Micros,
-    /// The weight of a request, or of a unit of its work, against other classes.
+    /// The weight of a request, or of a unit of its work, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the weight that a late answer still has.
+    /// The fraction of the weight that a late answer still has.
     pub late_weight_fraction: f64,
 }
 
@@ -85,7 +86,7 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Requests a second within its quota, over all nodes; 0 if not limited.
+    /// Its quota in requests per second over all nodes; 0 if unlimited.
     pub quota_per_s: f64,
 }
 
@@ -94,14 +95,14 @@
 pub enum DiscoveryMode {
     /// Changes are pushed to every node.
     Push,
-    /// Changes reach subscribers only.
+    /// Changes are sent only to nodes that have subscribed.
     Subscribe,
 }
 
 /// How load reports reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With outcomes and the results of health checks.
+    /// With the outcomes of attempts and the results of health checks.
     Inline,
     /// With the results of health checks only.
     OnHealthCheck,
@@ -114,9 +115,9 @@
 pub struct Settings {
     /// The node's zone.
     pub zone: String,
-    /// The node's number among the nodes of the fleet, from 0.
+    /// The index of this node among the nodes of the fleet, from 0.
     pub node_index: u32,
-    /// How many nodes serve the fleet.
+    /// The number of nodes that route requests to the fleet.
     pub node_count: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
@@ -124,51 +125,51 @@
     pub tenants: Vec<Tenant>,
     /// The kinds of machine.
     pub engine_kinds: Vec<EngineKind>,
-    /// How the endpoint list comes.
+    /// How the endpoint list reaches this node.
     pub discovery_mode: DiscoveryMode,
-    /// How load reports come.
+    /// How load reports reach this node.
     pub load_reporting: LoadReporting,
-    /// Whether registered weights compare engines.
+    /// Whether the registered weights are meant for comparing engines. The router itself does not read this.
     pub use_registered_weights: bool,
-    /// Whether a writer reads a prompt itself when there is no state to fetch.
+    /// Whether a writer that finds no state to fetch reads the prompt itself.
     pub writers_read_prompts: bool,
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
     /// Whether engines may be health-checked.
     pub health_checks_allowed: bool,
-    /// Points that one health check for each request costs, 0 if unknown.
+    /// Cost of one health check per request, in points; 0 if unknown.
     pub health_check_cost: f64,
     /// Whether rejected clients honour Retry-After.
     pub clients_honour_retry_after: bool,
-    /// The longest Retry-After that a client follows.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// An engine in slow start has at least this fraction of its capacity.
+    /// The least fraction of its capacity that an engine has during slow start.
     pub slow_start_min_capacity: f64,
-    /// Slow start ends after this time at most.
+    /// The longest time that slow start takes.
     pub slow_start_duration: Micros,
-    /// More than this many times its capacity overloads an engine in slow start.
+    /// An engine in slow start is overloaded by more than this multiple of its capacity.
     pub overload_factor: f64,
-    /// The window over which its requests are counted.
+    /// The window over which the requests to an engine in slow start are counted.
     pub overload_window: Micros,
-    /// A connection to an engine is up within this time, or counts as failed.
+    /// A connection to an engine that is not established within this time counts as failed.
     pub connect_timeout: Micros,
-    /// What an engine has reserved must be used or released within this time.
+    /// What an engine has reserved for a request must be used or released within this time.
     pub release_deadline: Micros,
-    /// Where discovery must be polled: the longest time between two polls.
+    /// The longest time between two polls of discovery, where it has to be polled.
     pub max_discovery_poll_interval: Micros,
-    /// Answers a second that one warm engine of each role gave this node's last incarnation (reads,
-    /// first tokens of fetched states, both), 0 if nothing is remembered.
+    /// Answers per second that this node's previous incarnation got from one warm engine of each role
+    /// (completed reads of readers, first tokens of writers, either of mixed engines); 0 if unknown.
     pub remembered_service_rates: [f64; 3],
 }
 
-/// The state of an engine by the endpoint list.
+/// The state of an engine according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// It takes requests.
     Serving,
-    /// It finishes the requests that it has and takes no more.
+    /// It finishes the requests that it has and takes no new ones.
     Draining,
     /// It has left the fleet.
     #[default]
@@ -190,7 +191,7 @@
     pub state: EndpointState,
     /// Its registered weight.
     pub weight: f64,
-    /// When it last started, if recently.
+    /// When it last started, if that was recent.
     pub started: Option<Micros>,
 }
 
@@ -199,26 +200,26 @@
 pub enum ListUpdate {
     /// Changed entries only.
     Delta,
-    /// All entries; engines that are missing are gone.
+    /// All entries; engines that are missing have left the fleet.
     Full,
-    /// No list could be had; the old one stays in force.
+    /// No list could be obtained; the previous one stays in force.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer was served.
+    /// The answer was served completely.
     Served,
-    /// The prompt is read and its state waits at the reader.
+    /// The prompt was read and its state is ready to be fetched from the reader.
     Read,
-    /// The engine sent an error back.
+    /// The engine answered with an error.
     Error,
-    /// Rejected: slots and queue are full.
+    /// Rejected because slots and queue are full.
     Overloaded,
-    /// Rejected: there was no state to fetch.
+    /// Rejected because there was no state to fetch.
     StateNotFound,
-    /// No answer came in time.
+    /// The engine did not answer in time.
     TimedOut,
     /// No connection could be established.
     Unreachable,
@@ -230,12 +231,12 @@
     NeverSent,
 }
 
-/// A load report; what an engine does not report is absent.
+/// A load report; a value that the engine does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Fraction of slots in use.
     pub slots: Option<f64>,
-    /// Requests that wait at the engine.
+    /// Requests queued at the engine.
     pub queue: Option<f64>,
     /// Fraction of memory in use.
     pub memory: Option<f64>,
@@ -258,13 +259,13 @@
     pub prefix: Option<u64>,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// How many of those are the shared prefix.
+    /// The number of prompt tokens that belong to the shared prefix.
     pub prefix_tokens: u64,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u64,
-    /// Time until the client gives up.
+    /// The time after which the client gives up.
     pub client_timeout: Micros,
-    /// The client comes back after a broken or migrated stream.
+    /// The client continues a stream that broke or was migrated.
     pub resumed: bool,
 }
 
@@ -277,7 +278,7 @@
     pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer by this outcome or had it before.
+    /// The request has its final answer, by this outcome or an earlier one.
     pub is_final: bool,
     /// Prompt tokens that the engine had in its cache.
     pub cached_tokens: u64,
@@ -285,14 +286,14 @@
     pub load: Option<LoadReport>,
 }
 
-/// What happens to a node.
+/// An event that a host passes to its router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list has come, or could not be had.
+    /// An endpoint list has been received, or could not be obtained.
     EndpointList(ListUpdate, Vec<Endpoint>),
     /// A client's request has arrived.
     RequestArrived(Request),
-    /// The answer of an attempt has begun.
+    /// The first token of an attempt's answer has arrived.
     FirstToken(RequestId, AttemptNumber),
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
@@ -313,14 +314,14 @@
     Maintenance,
 }
 
-/// What a node does.
+/// An action that a host carries out for its router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an engine, with a time-out.
+    /// Send the request to an engine, with this timeout.
     Send(RequestId, EngineId, Micros),
-    /// Reject the request: the client may send it again, after the given time if any.
+    /// Reject the request: the client may send it again, after the given time if there is one.
     Reject(RequestId, Option<Micros>),
-    /// Answer the client that the request failed: it may have run.
+    /// Answer the client that the request failed and may have run.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel(RequestId, AttemptNumber),
@@ -332,6 +333,6 @@
     SetTimer(Timer, Micros),
     /// Subscribe to discovery.
     Subscribe,
-    /// Log a message for the engineers on call.
+    /// Log a message for operators.
     Log(String),
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,52 +7,52 @@
 use crate::interface::*;
 use crate::state::{AttemptKind, InFlightAttempt, PromptKey, RequestState};
 
-/// First tokens are to come within this part of the tightest objective; what the rest of the queue would
-/// add is spent waiting at the node, where the order can still be chosen.
+/// The target for first tokens, as a fraction of the latency objective. The rest of the objective is left
+/// for waiting at the node, where the dispatch order can still change, and not in an engine's queue.
 pub(super) const TARGET_FRACTION: f64 = 0.5;
-/// The objective that counts where no class is known.
+/// The tightest objective where no classes are configured.
 const DEFAULT_OBJECTIVE_US: Micros = 1_000_000;
-/// The in-flight limit grows by this many requests a round while first tokens come on target.
+/// The in-flight limit grows by this many requests per round of first tokens on target.
 const LIMIT_INCREASE: f64 = 2.0;
-/// And is multiplied by this factor when one comes late.
+/// The in-flight limit is multiplied by this factor after a late first token.
 const LIMIT_DECREASE_FACTOR: f64 = 0.94;
-/// This part of the requests has its first token within the time that counts as usual.
+/// The quantile of times to first token that counts as the usual time.
 const TIME_TO_FIRST_TOKEN_QUANTILE: f64 = 0.75;
-/// No more requests in flight than this for each reader, over all nodes.
+/// Upper bound of the in-flight limit, in requests per reader over all nodes.
 const MAX_IN_FLIGHT_PER_READER: f64 = 15.0;
-/// And no fewer than this for each reader, over all nodes.
+/// Lower bound of the in-flight limit, in requests per reader over all nodes.
 const MIN_IN_FLIGHT_PER_READER: f64 = 4.0;
-/// The limit's maximum is no less than this, however few the readers of each node are.
+/// The upper bound is at least this for each node, however few readers there are per node.
 const MIN_MAX_IN_FLIGHT: f64 = 4.0;
-/// While no engine that writes has capacity, no more in flight than this for each of them.
+/// The limit while no engine that writes has capacity, in requests per such engine over all nodes.
 const MAX_IN_FLIGHT_PER_OVERLOADED_WRITER: f64 = 2.5;
-/// First tokens further apart than this count as several.
+/// A first token that comes later than this after the last one counts as several samples.
 const SAMPLE_INTERVAL_US: f64 = 100_000.0;
-/// But as no more than this many.
+/// The maximum number of samples as which one first token counts.
 const MAX_SAMPLES_AT_ONCE: f64 = 5.0;
 
-/// What the serving engines can take now, and what is in flight at them.
+/// The engines that have capacity now, and the attempts that wait at engines.
 #[derive(Clone, Copy, Debug, Default)]
 struct Occupancy {
-    /// Attempts in flight no longer than the target.
+    /// Attempts that have waited no longer than the target.
     recent: usize,
-    /// Attempts in flight longer than that.
+    /// Attempts that have waited longer than the target.
     late: usize,
     /// Engines that write and are not ejected.
     writers: u32,
     /// Those of them that are not overloaded.
     writers_with_capacity: usize,
-    /// Engines that read and are not marked overloaded.
+    /// Engines that read and are not overloaded.
     readers_with_capacity: usize,
     /// Those of them that are not ejected.
     readers: u32,
 }
 
-/// When a request was started and when its first token was wanted.
+/// When a request was started and when its first token is due.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestTiming {
     pub(super) started_at: Micros,
-    /// The first token comes on target within this time from the start, in microseconds.
+    /// The target for the time from the start to the first token, in microseconds.
     pub(super) target: f64,
     pub(super) attempts: u32,
 }
@@ -68,15 +68,15 @@
 }
 
 impl Router {
-    /// Takes in a client's request.
+    /// Adds a request that a client has sent to the pending ones.
     pub(super) fn request_arrived(&mut self, now: Micros, request: Request) {
         let class = request.class.and_then(|class| self.settings.classes.get(class));
         let objective = latency_objective(&request, class);
         // A request of an unknown class must not run twice.
         let idempotency = class.map_or(Idempotency::NotIdempotent, |class| class.idempotency);
         let over_quota = self.is_over_quota(now, request.tenant);
-        // Guards against retry storms: a prompt that was rejected lately has its objective counted from
-        // its first attempt, so that a retry that can only be late does not go before fresh requests.
+        // Guards against retry storms: the objective of a prompt that was rejected lately counts from its
+        // first arrival, so that a retry that can only be late is not dispatched before fresh requests.
         let rejected = self.rejected_prompts.get(&PromptKey::of(&request));
         let first_arrived_at = rejected.map_or(now, |first_arrived_at| *first_arrived_at);
         self.measurements.arrivals += 1.0;
@@ -88,7 +88,7 @@
         if let Entry::Vacant(entry) = self.requests.entry(id.clone()) {
             let state = RequestState::new(now, request, idempotency, first_arrived_at, objective, over_quota);
             entry.insert(state);
-            self.pending.push(id);
+            self.pending_requests.push(id);
         }
     }
 
@@ -98,18 +98,19 @@
         objectives.min().unwrap_or(DEFAULT_OBJECTIVE_US) as f64
     }
 
-    /// Requests that may still be started before earlier ones get their first tokens. Guards against
-    /// reads that finish while no writer has capacity: they wait before the read, not after.
-    /// Of many nodes each may have less than one in flight: then there is time between its starts.
-    pub(super) fn capacity(&self, now: Micros) -> usize {
+    /// How many requests may be started now, before earlier ones get their first tokens. While no writer
+    /// has capacity, requests wait before their read, not after it, when they would hold a read state.
+    /// Each of many nodes may have a limit below one request: a fraction of a request is allowed by a
+    /// minimum time between starts.
+    pub(super) fn dispatch_capacity(&self, now: Micros) -> usize {
         let occupancy = self.occupancy(now);
         let nodes = f64::from(self.settings.node_count.max(1));
         let limit = match (occupancy.writers_with_capacity, occupancy.readers_with_capacity) {
             (0, _) => MAX_IN_FLIGHT_PER_OVERLOADED_WRITER / nodes * f64::from(occupancy.writers),
             (_, 0) => 0.0,
             _ => {
-                let least = MIN_IN_FLIGHT_PER_READER / nodes * f64::from(occupancy.readers);
-                self.measurements.in_flight_limit.max(least)
+                let min_limit = MIN_IN_FLIGHT_PER_READER / nodes * f64::from(occupancy.readers);
+                self.measurements.in_flight_limit.max(min_limit)
             }
         };
         let limit = limit.max(MAX_IN_FLIGHT_PER_OVERLOADED_WRITER / nodes);
@@ -117,7 +118,8 @@
         let start_interval = self.measurements.time_to_first_token.max(target) / limit.fract();
         let since_last_start = now.saturating_sub(self.measurements.last_start_at) as f64;
         let one_more = since_last_start >= start_interval;
-        // What is over the target at a slow engine takes no capacity from others, where a node has little.
+        // On a node with little visibility late attempts hardly count: those at one slow engine would take
+        // the little capacity that the node has for the other engines.
         let counted_late = (occupancy.late as f64 * self.visibility()) as usize;
         (limit as usize + usize::from(one_more)).saturating_sub(occupancy.recent + counted_late)
     }
@@ -127,25 +129,26 @@
         let recent_from = now.saturating_sub(target_us);
         let mut occupancy = Occupancy::default();
         for (index, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.is_serving()) {
-            let reads = engine.reads() && now >= engine.overloaded_until;
+            let reads = engine.can_read() && now >= engine.overloaded_until;
             occupancy.readers_with_capacity += usize::from(reads);
-            // What waits at an engine that has failed takes no capacity from the others.
+            // Attempts that wait at a failed engine take no capacity from the others.
             if self.is_ejected(now, index) {
                 continue;
             }
-            let recent = engine.pending.range((recent_from, 0)..).count();
+            let recent = engine.waiting.range((recent_from, 0)..).count();
             occupancy.recent += recent;
-            occupancy.late += engine.pending.len() - recent;
+            occupancy.late += engine.waiting.len() - recent;
             occupancy.readers += u32::from(reads);
-            occupancy.writers += u32::from(engine.writes());
-            let has_capacity = engine.writes() && !self.is_overloaded(now, index);
+            occupancy.writers += u32::from(engine.can_write());
+            let has_capacity = engine.can_write() && !self.is_overloaded(now, index);
             occupancy.writers_with_capacity += usize::from(has_capacity);
         }
         occupancy
     }
 
-    /// Takes in the time from a request's first send to its first token. Guards against queues that
-    /// build up at engines, whatever fills them. What a failed attempt has cost shows nothing of the queues.
+    /// Records the time from a request's first send to its first token and adjusts the in-flight limit by
+    /// it, so that queues at engines stay short, whatever fills them. A request with a failed attempt is
+    /// ignored: the time that a failure costs says nothing about queues.
     pub(super) fn record_time_to_first_token(
         &mut self,
         now: Micros,
@@ -167,11 +170,11 @@
         self.adjust_in_flight_limit(now, elapsed < request.target);
     }
 
-    /// Raises the limit after a first token on target and lowers it after a late one. A node that has
-    /// few of them takes longer steps.
+    /// Raises the limit after a first token on target and lowers it after a late one. A node that sees
+    /// few first tokens changes the limit more by each of them.
     pub(super) fn adjust_in_flight_limit(&mut self, now: Micros, on_target: bool) {
         let readers =
-            self.engines.iter().filter(|engine| engine.is_serving() && engine.reads()).count() as f64;
+            self.engines.iter().filter(|engine| engine.is_serving() && engine.can_read()).count() as f64;
         let nodes = f64::from(self.settings.node_count.max(1));
         let max_samples = MAX_SAMPLES_AT_ONCE - (MAX_SAMPLES_AT_ONCE - 1.0) * self.visibility();
         let since_last = now.saturating_sub(self.measurements.limit_adjusted_at) as f64;
@@ -183,14 +186,14 @@
         } else {
             limit * LIMIT_DECREASE_FACTOR.powf(samples)
         };
-        let least = MIN_IN_FLIGHT_PER_READER * readers / nodes;
-        let most = MAX_IN_FLIGHT_PER_READER * readers / nodes;
-        self.measurements.in_flight_limit = adjusted.max(least).min(most.max(MIN_MAX_IN_FLIGHT));
+        let min_limit = MIN_IN_FLIGHT_PER_READER * readers / nodes;
+        let max_limit = MAX_IN_FLIGHT_PER_READER * readers / nodes;
+        self.measurements.in_flight_limit = adjusted.max(min_limit).min(max_limit.max(MIN_MAX_IN_FLIGHT));
     }
 }
 
-/// How long a request's first token may take. A client that comes back after a broken stream has had its
-/// first token; one of an unknown class has half its own time-out.
+/// The time within which a request's first token is due. A resumed request has had its first token, so
+/// only the client's timeout applies; a request of an unknown class gets half its client's timeout.
 fn latency_objective(request: &Request, class: Option<&Class>) -> Micros {
     if request.resumed {
         return request.client_timeout;
--- a/src/policy/attempt_end.rs
+++ b/src/policy/attempt_end.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what its outcome shows of the engine, and what becomes of the request.
+//! The end of an attempt: what its outcome says about the engine, and the next step of the request.
 
 use super::outlier_ejection::MAX_EJECTION_TIME_US;
 use super::overload::{CROWDED_OCCUPANCY, OVERLOAD_AFTER_REJECTION_US};
@@ -26,10 +26,10 @@
 }
 
 impl Router {
-    /// Takes in how an attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(mut request) = self.requests.remove(&end.id) else {
-            // An attempt of a request that is long over may still leave a state behind.
+            // An attempt of a request that is already completed may still leave a read state.
             if end.outcome == Outcome::Read {
                 actions.push(Action::Release(end.id));
             }
@@ -46,7 +46,7 @@
             Outcome::Served => self.record_success(now, attempt.engine),
             Outcome::Overloaded => self.attempt_rejected(now, &mut request, attempt.engine),
             Outcome::StateNotFound => {
-                // A state that cannot be fetched may still wait at a reader that is cut off.
+                // A state that cannot be fetched may still be held by a reader that is cut off.
                 request.state_reader = None;
                 actions.push(Action::Release(end.id.clone()));
             }
@@ -64,10 +64,10 @@
         self.continue_after(now, request, &attempt, end.is_final, actions);
     }
 
-    /// Takes an attempt off its engine's books, with the load that the engine reported.
+    /// Removes an attempt from the counts of its engine and stores the load that the engine reported.
     fn remove_from_engine(&mut self, now: Micros, attempt: &InFlightAttempt, load: Option<LoadReport>) {
         let engine = &mut self.engines[attempt.engine];
-        engine.remove_pending(attempt);
+        engine.remove_waiting(attempt);
         if attempt.kind != AttemptKind::Read {
             engine.streams = engine.streams.saturating_sub(1);
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The prompt is read and its state waits at the reader.
+    /// Handles a completed read: the state can be fetched from the reader.
     fn read_completed(
         &mut self,
         now: Micros,
@@ -96,10 +96,10 @@
         request.tried.clear();
     }
 
-    /// The engine has no capacity, for any request or for this one's tenant.
+    /// Handles a rejection: the engine has no capacity, for any request or for this one's tenant.
     fn attempt_rejected(&mut self, now: Micros, request: &mut RequestState, index: usize) {
         let engine = &mut self.engines[index];
-        // Guards against engines that are full for one tenant only: they have reported capacity.
+        // An engine that has reported capacity rejects only this tenant and stays available to others.
         let has_capacity = engine
             .reported_occupancy(now, REPORT_LIFETIME_US)
             .is_some_and(|occupancy| occupancy < CROWDED_OCCUPANCY);
@@ -112,7 +112,8 @@
         request.tried.push(index);
     }
 
-    /// The engine could not be reached, did not answer in time or answered with an error.
+    /// Handles a failure: the engine could not be reached, did not answer in time, broke the connection or
+    /// answered with an error.
     fn attempt_failed(
         &mut self,
         now: Micros,
@@ -128,45 +129,50 @@
         let engine = &self.engines[index];
         let is_first_failure = engine.consecutive_failures == 0;
         let is_warm = now >= engine.warming_up_until;
-        // Guards against reading anew elsewhere what is cached by now where its answer got lost.
-        let read_again_here = attempt.kind == AttemptKind::Read
+        // When only the answer of a read was lost, the reader has the prompt in its cache by now: another
+        // reader would have to read all of it again.
+        let retry_read_here = attempt.kind == AttemptKind::Read
             && outcome != Outcome::Unreachable
             && is_first_failure
             && is_warm;
-        // A single error may be the request's own, a single break the connection's: the next counts.
-        let excused = is_first_failure && matches!(outcome, Outcome::Error | Outcome::ConnectionBroken);
-        // A time-out at the client's deadline shows a long queue as often as a fault of the engine.
+        // A single error may be due to the request and a single break to the connection: only the next
+        // failure in a row ejects the engine.
+        let may_be_transient =
+            is_first_failure && matches!(outcome, Outcome::Error | Outcome::ConnectionBroken);
+        // A timeout at the client's deadline is as often due to a long queue as to a fault of the engine.
         let client_deadline_passed = outcome == Outcome::TimedOut && now >= request.deadline;
-        if read_again_here || excused {
+        if retry_read_here || may_be_transient {
             self.engines[index].consecutive_failures = 1;
         } else if !client_deadline_passed {
             self.record_failure(now, index, actions);
         }
-        // Guards against sound engines that count as warming up: one that restarts refuses connections
-        // time and again.
-        let refuses_again = outcome == Outcome::Unreachable && self.engines[index].consecutive_failures > 1;
-        self.engines[index].unreachable |= refuses_again;
-        self.discard_doubtful_state(request, outcome, actions);
-        if !read_again_here {
+        // A single refused connection must not put a healthy engine into slow start: an engine that
+        // restarts refuses connections repeatedly.
+        let refused_repeatedly =
+            outcome == Outcome::Unreachable && self.engines[index].consecutive_failures > 1;
+        self.engines[index].unreachable |= refused_repeatedly;
+        self.discard_possibly_fetched_state(request, outcome, actions);
+        if !retry_read_here {
             request.tried.push(index);
         }
     }
 
-    /// A time-out counts as a late first token, a long transfer and a long duration.
+    /// Records a timeout as a late first token, a long transfer and a long duration.
     fn record_timeout(&mut self, now: Micros, request: &RequestState, attempt: &InFlightAttempt) {
         let duration_us = now.saturating_sub(attempt.sent_at) as f64;
-        // Of many nodes each may see next to no first tokens: what never had one counts as late.
-        if self.is_one_of_many() {
+        // Each of many nodes may see hardly any first tokens: an attempt without one counts as late.
+        if self.has_low_visibility() {
             self.adjust_in_flight_limit(now, false);
         }
         self.record_duration(now, attempt.engine, attempt.kind, 0.0, duration_us);
         self.record_transfer(now, request.state_reader, attempt.engine, duration_us);
     }
 
-    /// Guards against writers that read a whole prompt between the steps of their answers: after a lost
-    /// answer the state may be fetched and gone, and no engine rejects the next attempt for it. The reader
-    /// still has the prompt in its cache, so reading it there again costs next to nothing.
-    fn discard_doubtful_state(
+    /// Releases a state that may have been fetched already, because the answer to the fetch was lost. Where
+    /// writers read prompts, the next writer would not reject the attempt for the missing state but read
+    /// the whole prompt between the decode steps of its other answers. The reader still has the prompt in
+    /// its cache, so reading it there again costs next to nothing.
+    fn discard_possibly_fetched_state(
         &self,
         request: &mut RequestState,
         outcome: Outcome,
@@ -178,7 +184,7 @@
         }
     }
 
-    /// The next step of a request whose attempt has ended, or the release of what it has left behind.
+    /// Takes the next step of a request whose attempt has ended, or releases what it has left at engines.
     fn continue_after(
         &mut self,
         now: Micros,
--- a/src/policy/attempt_progress.rs
+++ b/src/policy/attempt_progress.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 
 impl Router {
-    /// Takes in that the answer of an attempt has begun.
+    /// Handles the first token of an attempt.
     pub(super) fn first_token(&mut self, now: Micros, id: &RequestId, number: AttemptNumber) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let timing = RequestTiming::of(request);
@@ -16,7 +16,7 @@
         attempt.started = true;
         let attempt = *attempt;
         let reader = request.state_reader.take();
-        self.engines[attempt.engine].remove_pending(&attempt);
+        self.engines[attempt.engine].remove_waiting(&attempt);
         self.record_time_to_first_token(now, &timing, &attempt);
         let duration_us = now.saturating_sub(attempt.sent_at) as f64;
         self.record_transfer(now, reader, attempt.engine, duration_us);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,35 +1,36 @@
-//! Dispatch: pending requests in their order, the next step of each, and the send.
+//! Dispatch: the order of pending requests, the next step of each request, and the send.
 
 use std::cmp::Reverse;
 
 use super::Router;
 use crate::interface::*;
-use crate::state::{AttemptKind, InFlightAttempt, PendingAttempt, RequestState};
+use crate::state::{AttemptKind, InFlightAttempt, RequestState, WaitingAttempt};
 
-/// How often pending requests are looked at.
+/// The interval at which pending requests are reconsidered.
 const DISPATCH_INTERVAL_US: Micros = 50_000;
-/// A pending request is given up no later than this before its objective: no objective must fall
+/// A pending request is given up at least this long before its objective, so that no objective passes
 /// between two dispatches.
 const MIN_DISPATCH_MARGIN_US: Micros = 2 * DISPATCH_INTERVAL_US;
-/// A returning stream goes before fresh requests once this part of its time is over.
+/// A resumed request is dispatched before fresh ones once it has waited for its client's timeout divided
+/// by this.
 const RESUMED_DUE_DIVISOR: Micros = 3;
 
-/// The order in which pending requests of equal standing are dispatched.
+/// The priority among pending requests that are alike within or over quota; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
-    /// A returning stream that has waited long enough.
+enum DispatchPriority {
+    /// A resumed request that has waited long enough.
     ResumedDue,
     Fresh,
-    /// A returning stream. It has had its first token, and its pace leaves it some time: it lets fresh
-    /// requests go first, but not for long, as half its work is done.
+    /// A resumed request. It has had its first token and the pace of its stream leaves some time, so fresh
+    /// requests go first, but not for long, because half of its work is done.
     Resumed,
 }
 
-/// The key by which pending requests are sorted; the least is dispatched first.
+/// The sort key of pending requests; the least is dispatched first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DispatchOrder {
     over_quota: bool,
-    turn: Turn,
+    priority: DispatchPriority,
     newest_first: Reverse<Micros>,
     id: RequestId,
 }
@@ -37,16 +38,16 @@
 impl DispatchOrder {
     fn of(now: Micros, request: &RequestState) -> DispatchOrder {
         let due_at = request.arrived_at + (request.deadline - request.arrived_at) / RESUMED_DUE_DIVISOR;
-        let turn = if !request.request.resumed {
-            Turn::Fresh
+        let priority = if !request.request.resumed {
+            DispatchPriority::Fresh
         } else if now >= due_at {
-            Turn::ResumedDue
+            DispatchPriority::ResumedDue
         } else {
-            Turn::Resumed
+            DispatchPriority::Resumed
         };
         DispatchOrder {
             over_quota: request.over_quota,
-            turn,
+            priority,
             newest_first: Reverse(request.first_arrived_at),
             id: request.request.id.clone(),
         }
@@ -54,21 +55,21 @@
 }
 
 impl Router {
-    /// Starts pending requests as there is capacity, and gives up those that cannot be in time any more.
+    /// Starts pending requests while there is capacity, and gives up those that can no longer be in time.
     pub(super) fn dispatch_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if self.pending.is_empty() {
+        if self.pending_requests.is_empty() {
             return;
         }
         let requests = &self.requests;
-        self.pending.retain(|id| requests.get(id).is_some_and(|request| request.pending));
-        self.pending.sort_by_key(|id| DispatchOrder::of(now, &requests[id]));
-        let mut capacity = self.capacity(now);
-        // A pending request is given up when its first token would come late as things go: serving it
-        // makes the next one late.
+        self.pending_requests.retain(|id| requests.get(id).is_some_and(|request| request.pending));
+        self.pending_requests.sort_by_key(|id| DispatchOrder::of(now, &requests[id]));
+        let mut capacity = self.dispatch_capacity(now);
+        // A pending request is given up when its first token is expected to be late: serving it would make
+        // the next one late too.
         let usual_wait = (self.measurements.time_to_first_token as Micros).max(MIN_DISPATCH_MARGIN_US);
-        for id in std::mem::take(&mut self.pending) {
+        for id in std::mem::take(&mut self.pending_requests) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
-            let late = now.saturating_add(usual_wait) >= request.objective_at;
+            let late = now.saturating_add(usual_wait) >= request.first_token_due_at;
             let expired = now >= request.deadline;
             let worth_starting = !late || now == request.arrived_at;
             if capacity > 0 && !expired && worth_starting {
@@ -80,10 +81,10 @@
             } else if late || expired {
                 self.give_up(&id, actions);
             } else {
-                self.pending.push(id);
+                self.pending_requests.push(id);
             }
         }
-        if !self.pending.is_empty() && !self.measurements.dispatch_timer_set {
+        if !self.pending_requests.is_empty() && !self.measurements.dispatch_timer_set {
             self.measurements.dispatch_timer_set = true;
             actions.push(Action::SetTimer(Timer::DispatchPending, DISPATCH_INTERVAL_US));
         }
@@ -97,13 +98,14 @@
             if reading { self.choose_reader(now, &request) } else { self.choose_writer(now, &request) };
         let may_wait = reading
             && request.first_execution.is_none()
-            && now + MIN_DISPATCH_MARGIN_US < request.objective_at;
+            && now + MIN_DISPATCH_MARGIN_US < request.first_token_due_at;
         let attempts_left = request.attempts + 2 <= self.settings.max_attempts;
         self.requests.insert(id.clone(), request);
         let Some(index) = choice else {
-            // Nothing may be sent to just now: wait while it pays and there is time for another look.
+            // No engine may be sent to now: the request waits if there is time for another dispatch and
+            // attempts are left.
             if may_wait && attempts_left {
-                self.wait(id);
+                self.requeue(id);
             } else {
                 self.give_up(id, actions);
             }
@@ -115,11 +117,11 @@
         self.send(now, id, index, actions);
     }
 
-    /// Puts a request back among those that wait to be dispatched.
-    fn wait(&mut self, id: &RequestId) {
+    /// Puts a request back among the pending ones.
+    fn requeue(&mut self, id: &RequestId) {
         if let Some(request) = self.requests.get_mut(id).filter(|request| !request.pending) {
             request.pending = true;
-            self.pending.push(id.clone());
+            self.pending_requests.push(id.clone());
         }
     }
 
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Prompt tokens that an engine is expected to read for a request: none where it fetches the state.
+    /// Prompt tokens that an engine is expected to read for a request: none if it fetches a state.
     fn tokens_to_read(&self, now: Micros, request: &RequestState, index: usize) -> f64 {
         if request.state_reader.is_some() {
             return 0.0;
@@ -171,14 +173,14 @@
         (request.request.prompt_tokens as f64 - cached).max(0.0)
     }
 
-    /// Adds an attempt to what is in flight at its engine.
+    /// Adds an attempt to the counts of its engine.
     fn record_send(&mut self, request: &RequestState, attempt: &InFlightAttempt) {
         let now = attempt.sent_at;
         let window = self.settings.overload_window;
         let rack = self.engines[attempt.engine].rack;
         let crosses_racks = request.state_reader.is_some_and(|reader| self.engines[reader].rack != rack);
         let engine = &mut self.engines[attempt.engine];
-        engine.pending.insert((now, attempt.serial), PendingAttempt { crosses_racks });
+        engine.waiting.insert((now, attempt.serial), WaitingAttempt { crosses_racks });
         engine.unread_tokens += attempt.unread_tokens;
         engine.recent_sends.push_back(now);
         while engine.recent_sends.front().is_some_and(|at| at + window < now) {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: engines that come, change and go.
+//! The endpoint list: engines that join, change and leave.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::state::{update_racks_and_weights, Engine};
 
 impl Router {
-    /// Takes in an endpoint list, or that none could be had.
+    /// Applies an endpoint list, or notes that none could be obtained.
     pub(super) fn update_endpoints(
         &mut self,
         now: Micros,
@@ -33,13 +33,13 @@
         if update == ListUpdate::Full {
             let unlisted = |(index, _): &(usize, &mut Engine)| !listed.contains(index);
             for (_, engine) in self.engines.iter_mut().enumerate().filter(unlisted) {
-                engine.listing = EndpointState::Gone;
+                engine.endpoint_state = EndpointState::Gone;
             }
         }
         update_racks_and_weights(&mut self.racks, &mut self.engines);
     }
 
-    /// The first list starts the periodic maintenance and subscribes where discovery asks for it.
+    /// Starts the periodic maintenance, at the first list, and subscribes to discovery where it is needed.
     fn start_maintenance(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.measurements.maintenance_timer_set = true;
         self.measurements.service_rates_updated_at = now;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes in one entry and returns the engine's index; entries of unknown kinds are skipped.
+    /// Applies one entry and returns the engine's index; an entry of an unknown kind is skipped.
     fn update_endpoint(&mut self, now: Micros, endpoint: &Endpoint) -> Option<usize> {
         let role = self.settings.engine_kinds.iter().find(|kind| kind.name == endpoint.kind)?.role;
         let index = match self.engine_indices.get(&endpoint.engine) {
@@ -58,11 +58,11 @@
             None => self.insert_engine(Engine::new(now, endpoint, role)),
         };
         let engine = &mut self.engines[index];
-        engine.listing = endpoint.state;
+        engine.endpoint_state = endpoint.state;
         engine.registered_weight = if endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
         if let Some(started) = endpoint.started.filter(|_| engine.started_at != endpoint.started) {
-            // Guards against overloading an engine in slow start, and against table entries for
-            // prefixes that a restart has wiped.
+            // Guards against overloading an engine that has restarted, and against affinity entries for
+            // prefixes that the restart has removed from its cache.
             let warm_at = started.saturating_add(self.settings.slow_start_duration);
             engine.started_at = endpoint.started;
             engine.warming_up_until = engine.warming_up_until.max(warm_at);
@@ -73,12 +73,13 @@
         Some(index)
     }
 
-    /// Gives a new engine an index. Guards against unbounded growth where ever new engines come: the
-    /// index of an engine that is gone, and to which no request refers any more, is used again.
+    /// Assigns an index to a new engine. The index of an engine that has left, and to which no request
+    /// refers any more, is reused, so that memory does not grow without bound as engines are replaced.
     fn insert_engine(&mut self, engine: Engine) -> usize {
         let used: BTreeSet<usize> = self.requests.values().flat_map(|request| request.engines()).collect();
-        let is_free =
-            |index: &usize| self.engines[*index].listing == EndpointState::Gone && !used.contains(index);
+        let is_free = |index: &usize| {
+            self.engines[*index].endpoint_state == EndpointState::Gone && !used.contains(index)
+        };
         let index = (0..self.engines.len()).find(is_free).unwrap_or(self.engines.len());
         self.engine_indices.insert(engine.id.clone(), index);
         match self.engines.get_mut(index) {
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: when engines are asked for their load, within what traffic pays for.
+//! Health checks: when engines are asked for their load, within a budget earned by requests.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -7,17 +7,17 @@
 use crate::interface::*;
 use crate::state::{Engine, ReceivedReport};
 
-/// What the health checks for one request may cost, in points.
+/// The maximum cost of the health checks for one request, in points.
 const MAX_COST_PER_REQUEST: f64 = 0.01;
-/// The most health checks for one request, however cheap.
+/// The maximum number of health checks for one request, however little they cost.
 const MAX_CHECKS_PER_REQUEST: f64 = 3.0;
-/// A prompt waits this long for the load of the engines that could read it.
+/// The longest time that a prompt waits for the load of the engines that could read it.
 const MAX_WAIT_BEFORE_READ_US: Micros = 30_000;
-/// No more prompts than this wait for it at once.
-const MAX_PROMPTS_WAITING: usize = 4;
+/// From this many pending requests on, in a burst, no prompt waits for health checks.
+const MIN_PENDING_IN_BURST: usize = 4;
 
 impl Router {
-    /// Takes in the result of a health check.
+    /// Handles the result of a health check.
     pub(super) fn health_checked(
         &mut self,
         now: Micros,
@@ -31,13 +31,13 @@
             engine.report = Some(ReceivedReport { at: now, load });
         }
         if !answered {
-            // A check that is rejected or waits too long shows an overloaded engine, if nothing worse.
+            // An engine that rejects a health check or does not answer in time is overloaded, if not worse.
             engine.overloaded_until = now + MAINTENANCE_INTERVAL_US;
         }
     }
 
-    /// Checks all engines that write, where own traffic pays for it: over many nodes the checks would
-    /// outweigh it.
+    /// Health-checks all engines that write if the budget allows it. The budget is earned by this node's own
+    /// requests, because the checks of many nodes would otherwise outnumber their requests.
     pub(super) fn check_all_writers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.health_checks_allowed
             || self.settings.load_reporting != LoadReporting::OnHealthCheck
@@ -46,7 +46,7 @@
         }
         let is_writer = |index: &usize| {
             let engine = &self.engines[*index];
-            engine.is_serving() && engine.writes()
+            engine.is_serving() && engine.can_write()
         };
         let writers: Vec<usize> = (0..self.engines.len()).filter(is_writer).collect();
         let cost = writers.len() as f64;
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Guards against engines that other nodes fill, which one of many nodes cannot see: before a read
-    /// the engine and the next ones are checked, and the prompt waits a moment for the results.
-    /// Whether it waits now.
+    /// Whether a request waits for health checks before its read. One of many nodes cannot see the load
+    /// that the others put on engines, so it checks the chosen reader and the next ones on the ring, and
+    /// the prompt waits briefly for the results.
     pub(super) fn waits_for_health_checks(
         &mut self,
         now: Micros,
@@ -67,13 +67,18 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        let sees_little =
-            self.is_one_of_many() && self.settings.health_checks_allowed && !self.without_load_reports();
+        let checks_readers =
+            self.has_low_visibility() && self.settings.health_checks_allowed && !self.without_load_reports();
         let is_fresh = request.attempts == 0 && !request.request.resumed;
         let has_waited = request.checked_at.is_some_and(|at| now >= at + MAX_WAIT_BEFORE_READ_US);
-        // In a burst a node sees enough, and nothing is gained by looking again and again for each.
-        let in_burst = self.pending.len() >= MAX_PROMPTS_WAITING;
-        if !sees_little || !is_fresh || has_waited || in_burst || !is_report_stale(now, &self.engines[index])
+        // In a burst a node's own requests show it enough, and reconsidering each of them at every event
+        // would gain nothing.
+        let in_burst = self.pending_requests.len() >= MIN_PENDING_IN_BURST;
+        if !checks_readers
+            || !is_fresh
+            || has_waited
+            || in_burst
+            || !is_report_stale(now, &self.engines[index])
         {
             return false;
         }
@@ -84,13 +89,13 @@
         if let Some(request) = self.requests.get_mut(id) {
             request.checked_at = request.checked_at.or(Some(now));
             request.pending = true;
-            self.pending.push(id.clone());
+            self.pending_requests.push(id.clone());
         }
         true
     }
 
-    /// The chosen reader and the next ones of the ring whose load is not known, as many as the price
-    /// allows.
+    /// The engines whose load is not known, from the chosen reader on along the ring, as many as the cost
+    /// limit allows.
     fn readers_to_check(&self, now: Micros, request: &Request, chosen: usize) -> Vec<usize> {
         let mut ring = self.ring(request);
         let start = ring.iter().position(|&index| index == chosen).unwrap_or(0);
@@ -100,26 +105,26 @@
         ring
     }
 
-    /// How many health checks the price allows for a request.
+    /// The number of health checks for a request that the cost limit allows.
     fn checks_per_request(&self) -> f64 {
-        let least_price = MAX_COST_PER_REQUEST / MAX_CHECKS_PER_REQUEST;
-        (MAX_COST_PER_REQUEST / self.settings.health_check_cost.max(least_price)).min(MAX_CHECKS_PER_REQUEST)
+        let min_cost = MAX_COST_PER_REQUEST / MAX_CHECKS_PER_REQUEST;
+        (MAX_COST_PER_REQUEST / self.settings.health_check_cost.max(min_cost)).min(MAX_CHECKS_PER_REQUEST)
     }
 
-    /// Guards against a choice of writer by reports that are old or missing: while a prompt is read
-    /// a few likely writers are checked, near ones first, as far as the price allows.
+    /// Health-checks a few likely writers while a prompt is being read, near ones first, as far as the budget
+    /// allows, so that the writer is not chosen by old or missing reports.
     pub(super) fn check_likely_writers(&mut self, now: Micros, reader: usize, actions: &mut Vec<Action>) {
         if !self.settings.health_checks_allowed || self.without_load_reports() {
             return;
         }
         let per_request = self.checks_per_request();
-        let max_budget = self.writers().max(per_request);
+        let max_budget = self.writer_count().max(per_request);
         self.measurements.health_check_budget =
             (self.measurements.health_check_budget + per_request).min(max_budget);
         let seed = self.random.draw();
         let likely = self.likely_writers(now, reader, seed);
         let max_checks = (per_request as usize).min(self.measurements.health_check_budget as usize);
-        // The last one is taken from outside the rack, so that there is a choice.
+        // If all of them would be in the reader's rack, one outside replaces the last, for a choice.
         let outside = likely.iter().position(|writer| writer.other_rack).filter(|&at| at >= max_checks);
         let checked: Vec<usize> = outside
             .into_iter()
@@ -131,8 +136,8 @@
         self.send_health_checks(now, checked, actions);
     }
 
-    /// The writers that were not checked lately, near ones first, those as near as each other in an order
-    /// drawn from the seed.
+    /// The writers that were not checked lately, near ones first; those at the same distance are in a random
+    /// order given by the seed.
     fn likely_writers(&self, now: Micros, reader: usize, seed: u64) -> Vec<LikelyWriter> {
         let reader = &self.engines[reader];
         let mut likely: Vec<LikelyWriter> = self
@@ -145,7 +150,7 @@
             .map(|(index, engine)| LikelyWriter {
                 other_rack: engine.rack != reader.rack,
                 other_zone: engine.zone != reader.zone,
-                drawn: xxh3_64_with_seed(engine.id.0.as_bytes(), seed),
+                shuffle_key: xxh3_64_with_seed(engine.id.0.as_bytes(), seed),
                 index,
             })
             .collect();
@@ -162,12 +167,12 @@
     }
 }
 
-/// A writer that may be chosen after a read. The order of the fields is the order of preference.
+/// A writer that may be chosen after a read. The order of the fields is the order of comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LikelyWriter {
     other_rack: bool,
     other_zone: bool,
-    drawn: u64,
+    shuffle_key: u64,
     index: usize,
 }
 
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -1,31 +1,32 @@
-//! Periodic maintenance: rates, discovery, health checks, and what is forgotten.
+//! Periodic maintenance: rates, discovery, health checks, and the removal of old data.
 
 use super::prefix_affinity::AFFINITY_HALF_LIFE_US;
 use super::service_rates::COUNT_DECAY;
 use super::Router;
 use crate::interface::*;
 
-/// How often engines and discovery are looked after.
+/// The interval of the periodic maintenance.
 pub(super) const MAINTENANCE_INTERVAL_US: Micros = 500_000;
-/// A prefix that arrived less often than this lately is forgotten.
+/// A prefix whose decayed count of arrivals is no greater than this is removed.
 const MIN_PREFIX_ARRIVALS: f64 = 0.1;
 /// A rejected prompt is recognised for this long.
 const REJECTION_LIFETIME_US: Micros = AFFINITY_HALF_LIFE_US;
-/// Table entries are purged after this time: by then they have decayed to a sixteenth.
+/// Entries of the affinity table are purged after this time: by then they have decayed to a sixteenth.
 const AFFINITY_LIFETIME_US: Micros = 4 * AFFINITY_HALF_LIFE_US;
 
 impl Router {
-    /// What is done each time the maintenance timer fires.
+    /// Does the work that is due each time the maintenance timer fires, and sets the timer again.
     pub(super) fn maintain(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(Timer::Maintenance, MAINTENANCE_INTERVAL_US));
         self.update_service_rates(now);
         self.poll_discovery(now, actions);
         self.check_all_writers(now, actions);
-        self.forget_old_arrivals(now);
+        self.decay_arrivals(now);
         self.prefix_affinity.purge_before(now.saturating_sub(AFFINITY_LIFETIME_US));
     }
 
-    /// Asks discovery where it must be asked: at half the longest interval, or since it did not answer.
+    /// Subscribes to discovery again, where that is needed: after half the longest interval between polls, or
+    /// if discovery did not answer.
     fn poll_discovery(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.settings.discovery_mode != DiscoveryMode::Subscribe {
             return;
@@ -37,7 +38,7 @@
         }
     }
 
-    fn forget_old_arrivals(&mut self, now: Micros) {
+    fn decay_arrivals(&mut self, now: Micros) {
         self.measurements.arrivals *= COUNT_DECAY;
         self.measurements.shared_prefix_arrivals *= COUNT_DECAY;
         self.prefix_arrivals.values_mut().for_each(|arrivals| *arrivals *= COUNT_DECAY);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,12 @@
 //! The decisions of pintally. Types, events, actions and settings are in [`crate::interface`].
 //!
-//! A prompt goes to the reader that is expected to hold most of it in its cache, an unseen one to
-//! its preferred replica on a hash ring, and along the ring past readers over a bounded-load cap.
-//! After the read the least-loaded writer fetches the state, near ones first. Every other rule is a
-//! departure from this path where it breaks down: `docs/design.md`.
+//! A prompt is read by the reader that is expected to have most of it in its cache. One that no reader
+//! has goes to its preferred replica, the first reader on a hash ring, or to the next one on the ring
+//! that is not over a bounded-load cap. After the read the least-loaded writer fetches the state, with
+//! near writers preferred. All other rules cover cases that this path does not serve well:
+//! `docs/design.md`.
 //!
-//! Each file holds one concern with its constants:
+//! Each file covers one concern, with its constants:
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -14,12 +15,12 @@
 //! | `dispatch.rs` | pending requests and the next step of each |
 //! | `reader_choice.rs`, `prefix_affinity.rs`, `hash_ring.rs`, `spill.rs` | the choice of a reader |
 //! | `writer_choice.rs`, `rack_links.rs`, `overload.rs` | the choice of a writer |
-//! | `slow_start.rs`, `service_rates.rs` | engines that have just started |
+//! | `slow_start.rs`, `service_rates.rs` | engines that have started recently |
 //! | `outlier_ejection.rs`, `slowdown.rs`, `timeouts.rs` | engines that fail or are slow |
 //! | `attempt_progress.rs`, `attempt_end.rs` | first tokens and outcomes |
 //! | `retries.rs`, `releases.rs` | what may be sent again; the end of a request |
 //! | `health_checks.rs`, `maintenance.rs` | health checks and periodic work |
-//! | `visibility.rs` | how much of the fleet's traffic this node sees |
+//! | `visibility.rs` | what this node can see of the fleet's traffic and load |
 
 mod admission;
 mod attempt_end;
@@ -50,30 +51,31 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// Decides for one node. Hand it every event with the time at which it came.
+/// Makes the routing decisions of one node. It has to be passed every event, with the time at which the
+/// event occurred.
 pub struct Router {
     settings: Settings,
     random: Random,
     pub(crate) engines: Vec<Engine>,
     engine_indices: HashMap<EngineId, usize>,
-    /// Measurements by [`AttemptKind`].
+    /// Measurements, indexed by [`AttemptKind`].
     pools: [Pool; 3],
     pub(crate) racks: BTreeMap<u64, Rack>,
     prefix_affinity: PrefixAffinityTable,
     pub(crate) requests: HashMap<RequestId, RequestState>,
-    /// Requests that may wait to be dispatched; those that do have their `pending` set.
-    pending: Vec<RequestId>,
-    /// Prompts rejected lately and when they first arrived.
+    /// Requests that may be waiting to be dispatched; those that are have `pending` set.
+    pending_requests: Vec<RequestId>,
+    /// Prompts rejected lately, with the time of their first arrival.
     rejected_prompts: HashMap<PromptKey, Micros>,
-    /// How often each shared prefix arrived lately.
+    /// Arrivals of each shared prefix lately, decayed.
     prefix_arrivals: HashMap<u64, f64>,
-    /// By the index of the tenant.
+    /// Indexed by tenant.
     quota_buckets: Vec<TokenBucket>,
     pub(crate) measurements: NodeMeasurements,
 }
 
 impl Router {
-    /// A router that knows its settings and nothing of the fleet.
+    /// Creates a router without any endpoints; the seed is that of its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Router {
         let full_bucket = TokenBucket { tokens: 1.0, refilled_at: 0 };
         Router {
@@ -87,14 +89,14 @@
             prefix_arrivals: HashMap::new(),
             prefix_affinity: PrefixAffinityTable::default(),
             requests: HashMap::new(),
-            pending: Vec::new(),
+            pending_requests: Vec::new(),
             rejected_prompts: HashMap::new(),
-            // A fresh node may meet a burst: the limit starts open and measurements lower it.
+            // A node may start during a burst: the limit starts unbounded and measurements lower it.
             measurements: NodeMeasurements { in_flight_limit: f64::INFINITY, ..NodeMeasurements::default() },
         }
     }
 
-    /// Takes in one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(update, endpoints) => self.update_endpoints(now, update, endpoints, actions),
--- a/src/policy/prefix_affinity.rs
+++ b/src/policy/prefix_affinity.rs
@@ -4,13 +4,14 @@
 use crate::interface::*;
 use crate::state::{prefix_keys, CachedPrefix, PrefixKey};
 
-/// Table entries decay by half in this time: about the time in which sessions come again.
+/// Entries of the affinity table decay by half in this time, which is about the time between the requests
+/// of a session.
 pub(super) const AFFINITY_HALF_LIFE_US: Micros = 30_000_000;
 
 impl Router {
-    /// Prompt tokens of the request that the engine is expected to have in its cache: by this node's own
-    /// table, and at its preferred replica also the shared prefix, which of many nodes another has
-    /// probably sent there. Guards against following one's own few sends away from the replica that all
+    /// Prompt tokens of a request that an engine is expected to have in its cache, by this node's own
+    /// table. At the preferred replica the shared prefix counts too, since one of many other nodes has
+    /// probably sent it there: a node's own few sends must not lead it away from the replica that all
     /// others use.
     pub(super) fn expected_cached_tokens(
         &self,
@@ -19,18 +20,18 @@
         index: usize,
         preferred: Option<usize>,
     ) -> f64 {
-        let mut most = 0.0f64;
+        let mut cached_tokens = 0.0f64;
         if preferred == Some(index) {
             let shared_tokens = request.prefix.map_or(0.0, |_| request.prefix_tokens as f64);
-            most = (1.0 - self.visibility()) * shared_tokens;
+            cached_tokens = (1.0 - self.visibility()) * shared_tokens;
         }
         for (key, prefix_tokens) in prefix_keys(request) {
-            most = self.decayed_tokens(now, key, prefix_tokens, index).fold(most, f64::max);
+            cached_tokens = self.decayed_tokens(now, key, prefix_tokens, index).fold(cached_tokens, f64::max);
         }
-        most
+        cached_tokens
     }
 
-    /// What the table says of a prefix at an engine, the less the older the entry is.
+    /// The tokens of a prefix that an engine has according to the table, decayed by the age of the entry.
     fn decayed_tokens(
         &self,
         now: Micros,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,15 +1,15 @@
-//! Tenants' quotas: requests over quota are dispatched behind all others.
+//! Tenants' quotas: requests over quota are dispatched after all others.
 
 use super::Router;
 use crate::interface::*;
 
-/// A tenant that was idle may send at once what its quota allows in this time.
+/// A tenant that was idle may send at once as many requests as its quota allows in this time.
 const BURST_S: f64 = 2.0;
-/// A bucket's level goes no lower than this, so that a tenant far over its quota recovers.
+/// The lowest level of a bucket: it is bounded so that a tenant far over its quota recovers soon.
 const MIN_LEVEL: f64 = -1.0;
 
 impl Router {
-    /// Whether a tenant has used up this node's part of its quota. Counts one request.
+    /// Counts one request of a tenant and returns whether the tenant is over this node's part of its quota.
     pub(super) fn is_over_quota(&mut self, now: Micros, tenant: Option<usize>) -> bool {
         let Some(index) = tenant else { return false };
         let Some(tenant) = self.settings.tenants.get(index) else { return false };
--- a/src/policy/reader_choice.rs
+++ b/src/policy/reader_choice.rs
@@ -5,14 +5,14 @@
 use crate::interface::*;
 use crate::state::RequestState;
 
-/// Expected cached tokens below this count as no match (the paper's smallest block).
+/// Fewer expected cached tokens than this count as no match. It is the smallest cache block of the paper.
 const MIN_MATCH_TOKENS: f64 = 16.0;
-/// Where a prefix has several replicas, another one is preferred only if it has this many times as much
-/// in its cache.
+/// Where a prefix has several replicas, a session leaves its own for another only if that one has this many
+/// times as many tokens in its cache.
 const REPLICA_SWITCH_FACTOR: f64 = 1.25;
 
 impl Router {
-    /// The engine to read a request's prompt, if any may be sent to.
+    /// Chooses the engine that reads a request's prompt, if the request may be sent to any.
     pub(super) fn choose_reader(&self, now: Micros, request: &RequestState) -> Option<usize> {
         let mut ring = self.ring(&request.request);
         let preferred = ring.first().copied();
@@ -22,27 +22,28 @@
         let usable = self.usable_readers(now, request, &ring, preferred);
         let wait = |&index: &usize| self.expected_wait(now, &request.request, index, preferred);
         let first_wait = usable.first().map_or(0, wait);
-        // Guards against spills that only read the same prefix again: the other queue must be shorter.
+        // A spill must shorten the wait: otherwise it only reads the same prefix again at another engine.
         let shares = self.even_shares(now);
         let fits = |index: &usize| {
             let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
             !self.is_over_cap(now, &request.request, *index, uncached, shares) && wait(index) <= first_wait
         };
-        // Where every reader is over its cap the shortest queue serves; where all are ejected, the one
-        // that has failed least: backing off all of them would be the harm.
+        // If every reader is over its cap, the one with the shortest wait is chosen; if all are ejected, the
+        // one whose ejection ends first, since using none of them would do more harm.
         let shortest_wait = |index: &usize| (self.is_overloaded(now, *index), wait(index));
-        let least_bad = |index: &usize| (request.tried.contains(index), self.engines[*index].ejected_until);
+        let earliest_ejection_end =
+            |index: &usize| (request.tried.contains(index), self.engines[*index].ejected_until);
         let under_cap = usable.iter().copied().find(fits);
         under_cap
             .or_else(|| usable.iter().copied().min_by_key(shortest_wait))
-            .or_else(|| ring.iter().copied().min_by_key(least_bad))
+            .or_else(|| ring.iter().copied().min_by_key(earliest_ejection_end))
     }
 
     /// The position on the ring of the reader that is expected to have most of the prompt in its cache;
     /// the first where none has a match.
     fn best_match(&self, now: Micros, request: &RequestState, ring: &[usize]) -> usize {
         let preferred = ring.first().copied();
-        // Of several replicas of a prefix each session has its own, though another be the fresher one.
+        // Where a prefix has several replicas each session keeps its own, also if another was used later.
         let several_replicas = self.prefix_demand(&request.request) > 1.0;
         let switch_factor = if several_replicas { REPLICA_SWITCH_FACTOR } else { 1.0 };
         let tokens_at = |&index: &usize| self.expected_cached_tokens(now, &request.request, index, preferred);
@@ -57,8 +58,8 @@
         best
     }
 
-    /// The readers of the ring that are neither ejected nor tried and that take the request's tenant,
-    /// for a shared prefix without those behind a slow link.
+    /// The readers of the ring that are not ejected, were not tried and do not reject the request's tenant;
+    /// for a shared prefix also without those behind a slow link, if others have capacity.
     fn usable_readers(
         &self,
         now: Micros,
@@ -75,27 +76,27 @@
         if request.request.prefix.is_none() {
             return usable;
         }
-        // Guards against replicas behind a slow link with too few writers before it: what is read there
-        // stays. Nor may the readers that are left drown in reads: a link is slow for seconds, a queue
-        // that long for longer.
+        // Guards against replicas behind a slow link in a rack with too few writers: their states cannot
+        // leave the rack in time. The other readers must not be overloaded with reads either: a link is
+        // slow for seconds, the queue would last longer.
         let shares = self.even_shares(now);
         let has_capacity = |index: &usize| {
             let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
             !self.is_over_cap(now, &request.request, *index, uncached, shares)
                 && !self.is_overloaded(now, *index)
         };
-        let has_outlet = |index: &usize| self.has_outlet(now, *index);
-        if usable.iter().any(|index| has_outlet(index) && has_capacity(index)) {
-            usable.retain(has_outlet);
+        let has_reachable_writers = |index: &usize| self.has_reachable_writers(now, *index);
+        if usable.iter().any(|index| has_reachable_writers(index) && has_capacity(index)) {
+            usable.retain(has_reachable_writers);
         }
         usable
     }
 
-    /// Whether what is read at an engine can be written: its rack's link is not known to be slow, or the
-    /// rack's own writers can take its states.
-    fn has_outlet(&self, now: Micros, index: usize) -> bool {
+    /// Whether states that are read at an engine can reach a writer: the link of its rack is not known to be
+    /// slow, or the rack's own writers have enough capacity.
+    fn has_reachable_writers(&self, now: Micros, index: usize) -> bool {
         let rack = self.engines[index].rack;
-        let slow = self.known_link(now, rack).is_some() && self.is_slow_link(now, rack);
+        let slow = self.rack_with_known_link(now, rack).is_some() && self.is_slow_link(now, rack);
         !slow || self.expected_rack_load(rack) < LOAD_BOUND_FACTOR
     }
 
@@ -104,7 +105,8 @@
         request.prompt_tokens as f64 - self.expected_cached_tokens(now, request, index, preferred)
     }
 
-    /// How long a read would take at an engine, in tokens of an engine of usual speed.
+    /// The expected time until a read at an engine is complete, as the number of tokens that an engine of
+    /// usual speed reads in that time.
     fn expected_wait(&self, now: Micros, request: &Request, index: usize, preferred: Option<usize>) -> u64 {
         let tokens = self.read_queue(now, index) + self.uncached_tokens(now, request, index, preferred);
         (tokens * self.slowdown(now, index)) as u64
--- a/src/policy/releases.rs
+++ b/src/policy/releases.rs
@@ -4,12 +4,12 @@
 use crate::interface::*;
 use crate::state::{PromptKey, RequestState};
 
-/// The shortest Retry-After is this part of the longest that clients follow, and the jitter on top of it
-/// is up to as much again.
+/// The shortest Retry-After is the longest that clients honour divided by this; the jitter added to it is
+/// less than the same amount.
 const RETRY_AFTER_DIVISOR: Micros = 4;
 
 impl Router {
-    /// Ends a request that cannot be served: rejected where a repeat does no harm, else failed.
+    /// Ends a request that cannot be served: it is rejected if the client may repeat it, else it fails.
     pub(super) fn give_up(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         self.rejected_prompts.insert(PromptKey::of(&request.request), request.first_arrived_at);
@@ -21,7 +21,8 @@
         self.close(id, Some(answer), actions);
     }
 
-    /// Ends a request; an attempt still in flight is cancelled and watched until its outcome.
+    /// Ends a request. An attempt in flight is cancelled where possible, and the request is kept until the
+    /// outcome of that attempt.
     pub(super) fn close(&mut self, id: &RequestId, answer: Option<Action>, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| !request.closed) else { return };
         actions.extend(answer);
@@ -39,7 +40,7 @@
         self.requests.remove(id);
     }
 
-    /// When a rejected client should come back, jittered so that not all come at once.
+    /// The time after which a rejected client should retry, with jitter so that not all retry at once.
     fn retry_after(&mut self) -> Option<Micros> {
         let longest = self.settings.max_retry_after;
         let drawn = self.random.draw();
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether the client may send a request again wherever it has run so far.
+/// Whether the client may send a request again, given that it may have run at an engine already.
 fn is_safe_to_repeat(request: &RequestState) -> bool {
     match request.idempotency {
         Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
--- a/src/policy/service_rates.rs
+++ b/src/policy/service_rates.rs
@@ -1,18 +1,18 @@
-//! How many answers a second a warm engine of each role gives this node.
+//! Service rates: how many answers per second this node gets from a warm engine of each role.
 
 use super::Router;
 use crate::interface::*;
 use crate::state::AttemptKind;
 
-/// Counts of what has happened lately decay by this factor at each maintenance, which is by half in
-/// twelve seconds.
+/// Counts of recent events decay by this factor at each maintenance, which halves them in twelve seconds.
 pub(super) const COUNT_DECAY: f64 = 0.97;
-/// Rates are underestimated until engines have been observed for about this many seconds each.
+/// Added to the observed time: rates are underestimated until engines have been observed for about this
+/// many seconds.
 const RATE_WARM_UP_S: f64 = 5.0;
 
 impl Router {
-    /// Answers a second of one warm engine: as remembered from the incarnation before, until this one has
-    /// seen more.
+    /// Answers per second of one warm engine. The rate remembered from the previous incarnation applies until
+    /// this one has observed a higher one.
     pub(crate) fn service_rate(&self, kind: AttemptKind) -> f64 {
         let pool = self.pool(kind);
         let remembered = self.settings.remembered_service_rates[kind.index()];
--- a/src/policy/slowdown.rs
+++ b/src/policy/slowdown.rs
@@ -1,31 +1,31 @@
-//! How long attempts usually take, and how much slower than its pool an engine is.
+//! The usual duration of attempts, and how much slower than its pool an engine is.
 
 use super::outlier_ejection::MAX_EJECTION_TIME_US;
 use super::Router;
 use crate::interface::*;
 use crate::state::{AttemptKind, Pool};
 
-/// Weight of a new sample in every moving mean: about the last ten samples count.
+/// The weight of a new sample in every moving mean, so that about the last ten samples count.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.1;
 /// An engine's slowdown follows its samples this many times faster than the pool's mean.
 const SLOWDOWN_WEIGHT_FACTOR: f64 = 3.0;
-/// One sample counts as no faster and no slower than this, against the pool's usual time.
+/// The bounds of one sample, as a multiple of the pool's usual time.
 const MIN_SAMPLE_RATIO: f64 = 0.1;
 const MAX_SAMPLE_RATIO: f64 = 10.0;
-/// The fastest read seen decays by this factor with each sample.
+/// The fastest observed read rate decays by this factor with each sample.
 const FASTEST_READ_DECAY: f64 = 0.999;
 
 impl Router {
-    /// How many times slower than its pool an engine is. An old finding decays, by half in half the
-    /// longest ejection, so that the engine is tried again.
+    /// How many times slower than its pool an engine is. The measured slowdown decays, by half in half of the
+    /// longest ejection time, so that the engine is tried again.
     pub(super) fn slowdown(&self, now: Micros, index: usize) -> f64 {
         let engine = &self.engines[index];
         let age = now.saturating_sub(engine.slowdown_at) as f64 / MAX_EJECTION_TIME_US as f64;
         1.0 + (engine.slowdown - 1.0).max(0.0) * 0.5f64.powf(age * 2.0)
     }
 
-    /// Takes in how long an attempt took, against what its pool usually takes for as much work. The
-    /// usual time moves with a pool that is slow as a whole.
+    /// Records how long an attempt took, relative to the usual time of its pool for as much work. The usual
+    /// time follows the pool, so that no engine counts as slow only because the whole pool is.
     pub(super) fn record_duration(
         &mut self,
         now: Micros,
@@ -42,7 +42,7 @@
 }
 
 impl Pool {
-    /// Takes in one duration and returns how many times longer than usual it was.
+    /// Records one duration and returns it as a multiple of the usual time.
     fn record_duration(&mut self, tokens: f64, duration_us: f64) -> f64 {
         self.tokens_per_attempt = match self.samples {
             0 => tokens,
@@ -62,7 +62,7 @@
         ratio
     }
 
-    /// The work of an attempt: one unit for itself and one for as many tokens as are usual.
+    /// The work of an attempt: one unit for the attempt itself and one per usual number of tokens.
     pub(super) fn units_of_work(&self, tokens: f64) -> f64 {
         1.0 + tokens / self.tokens_per_attempt.max(1.0)
     }
--- a/src/policy/spill.rs
+++ b/src/policy/spill.rs
@@ -1,4 +1,4 @@
-//! Spilling: when a reader has so much to read that a prompt goes to the next one on the ring.
+//! Spilling: when a reader has so much to read that a prompt goes to the next reader on the ring.
 
 use super::overload::BUSY_OCCUPANCY;
 use super::prefix_affinity::AFFINITY_HALF_LIFE_US;
@@ -6,25 +6,26 @@
 use crate::interface::*;
 use crate::state::AttemptKind;
 
-/// The cap's factor: a reader may have this multiple of its even share of the reads in flight.
+/// The factor of the bounded-load cap: a reader may have this multiple of its even share of the reads in
+/// flight.
 pub(super) const LOAD_BOUND_FACTOR: f64 = 1.25;
-/// A busy mixed engine takes a prompt only if it has to read no more than this part of it.
+/// A busy mixed engine gets a prompt only if it has to read no more than this fraction of it.
 const MAX_UNCACHED_FRACTION_AT_BUSY_MIXED: f64 = 0.25;
-/// A load report counts for this long.
+/// A load report shows the occupancy of an engine for this long.
 pub(super) const REPORT_LIFETIME_US: Micros = 3_000_000;
 
-/// The even share of an engine in the work in flight.
+/// An engine's even share of the work in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EvenShares {
     /// The mean read queue of the readers that are not ejected, in tokens.
     read_queue: f64,
-    /// The mean of own streams at engines that write, with one to come.
+    /// The mean number of this node's streams per engine that writes, including the next one.
     streams: f64,
 }
 
 impl Router {
-    /// The bounded-load cap. A slow engine has a smaller share; a mixed one is also bounded in
-    /// its streams, so that reads do not pile onto engines that write.
+    /// Whether an engine would be over the bounded-load cap with a prompt. A slow engine has a smaller share;
+    /// a mixed engine is also bounded in its streams, so that engines that write do not get too many reads.
     pub(super) fn is_over_cap(
         &self,
         now: Micros,
@@ -40,8 +41,9 @@
         over_read_cap || self.is_mixed_over_write_cap(now, request, index, uncached_tokens, shares)
     }
 
-    /// Whether a mixed engine writes too much to take the prompt. Reading slows every answer of a mixed
-    /// engine: one that is busy, or does not report, takes only prompts that it mostly has in its cache.
+    /// Whether a mixed engine writes too much to be sent a prompt. Reading slows every answer of a mixed
+    /// engine, so one that is busy or whose load is not reported gets only prompts that it mostly has in its
+    /// cache.
     fn is_mixed_over_write_cap(
         &self,
         now: Micros,
@@ -63,8 +65,9 @@
             || self.is_overloaded(now, index)
     }
 
-    /// Tokens that wait to be read at an engine: this node's, or what it has reported of all nodes', less
-    /// what it can have read since. Guards against keys and engines that are hot by what others send.
+    /// Tokens queued to be read at an engine: those of this node or, if that is more, those that the engine
+    /// has reported for all nodes, less what it can have read since. The report covers load that other nodes
+    /// put on keys and engines.
     pub(super) fn read_queue(&self, now: Micros, index: usize) -> f64 {
         let engine = &self.engines[index];
         let Some(report) = engine.report.filter(|report| now < report.at + AFFINITY_HALF_LIFE_US) else {
@@ -78,18 +81,18 @@
         engine.unread_tokens.max((reported - read_since) * (1.0 - self.visibility()))
     }
 
-    /// The even shares of the work in flight, over all serving engines.
+    /// Computes the even shares over all serving engines.
     pub(super) fn even_shares(&self, now: Micros) -> EvenShares {
         let mut queues = 0.0;
         let mut readers = 0.0f64;
         let mut streams = 1.0;
         let mut writers = 0.0f64;
         for (index, engine) in self.engines.iter().enumerate().filter(|(_, engine)| engine.is_serving()) {
-            if engine.reads() && !self.is_ejected(now, index) {
+            if engine.can_read() && !self.is_ejected(now, index) {
                 queues += self.read_queue(now, index);
                 readers += 1.0;
             }
-            if engine.writes() {
+            if engine.can_write() {
                 streams += f64::from(engine.streams);
                 writers += 1.0;
             }
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,20 +1,21 @@
-//! How long an attempt may take before the request is sent to another engine.
+//! Timeouts: how long an attempt may take before the request is sent to another engine.
 
 use super::admission::TARGET_FRACTION;
 use super::Router;
 use crate::interface::*;
 use crate::state::{AttemptKind, RequestState};
 
-/// An attempt may take this many times its usual time before it is given up for another engine.
+/// An attempt may take this many times its usual time before the request is sent to another engine.
 const TIMEOUT_FACTOR: f64 = 4.0;
-/// The usual time counts as known from this many samples on.
+/// The number of samples from which on the usual time counts as known.
 const MIN_TIMEOUT_SAMPLES: u32 = 5;
 
 impl Router {
-    /// The time-out of the next attempt. It guards against engines that fall silent. What might have
-    /// run and must not run twice has the whole time: giving it up early would gain nothing. A node that
-    /// sees little of the fleet knows of no better reader, and a read that it moves is done twice and
-    /// crowds out what others have in the cache.
+    /// The timeout of the next attempt, which guards against engines that stop answering. An attempt that may
+    /// run a request that must not run twice gets all of the remaining time, because after an early timeout
+    /// it could not be repeated. So does a read by a node that sees next to nothing of the fleet: the node
+    /// knows of no better reader, and a read that it moves is done twice and evicts cached prefixes of other
+    /// requests.
     pub(super) fn attempt_timeout(
         &self,
         now: Micros,
@@ -24,18 +25,18 @@
     ) -> Micros {
         let remaining = request.deadline.saturating_sub(now);
         let repeatable = kind == AttemptKind::Read || request.idempotency == Idempotency::Idempotent;
-        if !repeatable || (kind == AttemptKind::Read && self.is_blind()) {
+        if !repeatable || (kind == AttemptKind::Read && self.has_negligible_visibility()) {
             return remaining;
         }
-        match self.patience(kind, unread_tokens) {
-            Some(patience) if request.attempts + 2 < self.settings.max_attempts => patience.min(remaining),
+        match self.early_timeout(kind, unread_tokens) {
+            Some(timeout) if request.attempts + 2 < self.settings.max_attempts => timeout.min(remaining),
             Some(_) => remaining,
-            None => (request.objective_at.saturating_sub(now) / 2).clamp(remaining / 4, remaining),
+            None => (request.first_token_due_at.saturating_sub(now) / 2).clamp(remaining / 4, remaining),
         }
     }
 
-    /// Time after which an attempt is better made elsewhere, once enough durations are known.
-    fn patience(&self, kind: AttemptKind, tokens: f64) -> Option<Micros> {
+    /// The time after which another engine is a better choice, once enough durations are known.
+    fn early_timeout(&self, kind: AttemptKind, tokens: f64) -> Option<Micros> {
         let pool = self.pool(kind);
         if pool.samples < MIN_TIMEOUT_SAMPLES {
             return None;
--- a/src/policy/visibility.rs
+++ b/src/policy/visibility.rs
@@ -1,38 +1,38 @@
-//! How much of the fleet's traffic and load this node can see.
+//! Visibility: how much of the fleet's traffic and load this node can see.
 
 use super::Router;
 use crate::interface::*;
 
-/// Of no more nodes than this each sees enough of the traffic to go by its own table alone.
+/// Up to this many nodes, each sees enough of the traffic to rely on its own affinity table alone.
 const MAX_SELF_SUFFICIENT_NODES: f64 = 2.5;
-/// A node that sees less than this part of the traffic seldom knows how the engines are doing.
-const BLIND_BELOW: f64 = 0.1;
-/// A node that sees less than this part of the traffic counts as one of many.
-const ONE_OF_MANY_BELOW: f64 = 0.5;
+/// A node with less visibility than this seldom knows the load and health of engines.
+const NEGLIGIBLE_VISIBILITY: f64 = 0.1;
+/// A node with less visibility than this is one of many: most of the engines' load is by other nodes.
+const LOW_VISIBILITY: f64 = 0.5;
 
 impl Router {
-    /// How far a node sees the fleet's traffic in its own: 1 for few nodes, next to 0 for many.
+    /// How well a node's own traffic represents that of the fleet: 1 with few nodes, next to 0 with many.
     pub(super) fn visibility(&self) -> f64 {
         (MAX_SELF_SUFFICIENT_NODES / f64::from(self.settings.node_count.max(1))).min(1.0)
     }
 
-    /// One of several nodes, so that others fill the engines as much as it does.
-    pub(super) fn is_one_of_many(&self) -> bool {
-        self.visibility() < ONE_OF_MANY_BELOW
+    /// Whether this is one of so many nodes that most of the engines' load is by other nodes.
+    pub(super) fn has_low_visibility(&self) -> bool {
+        self.visibility() < LOW_VISIBILITY
     }
 
-    /// One of so many nodes that it seldom knows how the engine to which it sends is doing.
-    pub(super) fn is_blind(&self) -> bool {
-        self.visibility() < BLIND_BELOW
+    /// Whether this is one of so many nodes that it seldom knows the load and health of an engine.
+    pub(super) fn has_negligible_visibility(&self) -> bool {
+        self.visibility() < NEGLIGIBLE_VISIBILITY
     }
 
-    /// No engine reports its load.
+    /// Whether no engine reports its load.
     pub(super) fn without_load_reports(&self) -> bool {
         self.settings.load_reporting == LoadReporting::Off
     }
 
-    /// Listed engines that write.
-    pub(super) fn writers(&self) -> f64 {
+    /// The number of serving engines that write.
+    pub(super) fn writer_count(&self) -> f64 {
         self.racks.values().map(|rack| rack.writers).sum()
     }
 }
--- a/src/policy/writer_choice.rs
+++ b/src/policy/writer_choice.rs
@@ -6,42 +6,43 @@
 use crate::interface::*;
 use crate::state::RequestState;
 
-/// An overloaded engine's report weighs at least as much as this many own streams.
+/// Full occupancy in a report counts as at least this many of this node's streams.
 const MIN_STREAMS_PER_REPORT: f64 = 8.0;
-/// Writers that have up to this part more than the least load count as least loaded: near ones win.
+/// Writers whose load is up to this fraction above the least count as least loaded; the nearest of them are
+/// preferred.
 const NEAR_WRITER_BONUS: f64 = 0.25;
-/// Near writers may have this many own streams more.
+/// Added to that bonus, in streams of this node.
 const NEAR_WRITER_BONUS_STREAMS: f64 = 1.0;
-/// And this many where no engine reports its load: own streams show little of it.
+/// Added instead where no engine reports its load, of which this node's streams show little.
 const NEAR_WRITER_BONUS_STREAMS_WITHOUT_REPORTS: f64 = 5.0;
 
-/// How far a writer is from being a sound choice; the least of all is chosen among.
+/// How unsuitable a writer is. Only writers of the lowest rank are considered; earlier fields weigh more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WriterRank {
     ejected: bool,
     without_capacity: bool,
     behind_slow_link: bool,
-    /// Pure writers first: reading slows every answer of a mixed engine.
+    /// Mixed engines come last, because reading slows all their answers.
     mixed: bool,
 }
 
-/// How far a writer is from the reader.
+/// The distance of a writer from the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Distance {
     other_rack: bool,
     other_zone: bool,
 }
 
-/// What load reports say of writers, made comparable with own streams.
+/// Summary of the writers' load reports, which makes them comparable with this node's streams.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoads {
     /// The mean occupancy, if any is known.
     mean: Option<f64>,
-    /// Own streams that count as much as full occupancy.
+    /// The number of this node's streams that corresponds to full occupancy.
     streams_per_occupancy: f64,
 }
 
-/// A writer and its load in this node's streams.
+/// A writer and its load, in streams of this node.
 #[derive(Clone, Copy, Debug)]
 struct LoadedWriter {
     index: usize,
@@ -49,7 +50,8 @@
 }
 
 impl Router {
-    /// The engine to fetch a request's state and write its answer, if any may be sent to.
+    /// Chooses the engine that fetches a request's state and writes its answer, if the request may be sent to
+    /// any.
     pub(super) fn choose_writer(&mut self, now: Micros, request: &RequestState) -> Option<usize> {
         let reader = request.state_reader?;
         let rack = self.engines[reader].rack;
@@ -72,7 +74,7 @@
             .map(|index| LoadedWriter { index, load: self.writer_load(now, index, reported) })
             .collect();
         let mut least_loaded = self.least_loaded(now, rack, &writers);
-        self.relieve_rack(rack, &mut least_loaded);
+        self.shift_load_to_other_racks(rack, &mut least_loaded);
         let nearest = least_loaded.iter().map(|&index| self.distance(reader, index)).min()?;
         least_loaded.retain(|&index| self.distance(reader, index) == nearest);
         let pick = self.random.draw() as usize % least_loaded.len();
@@ -82,7 +84,7 @@
     /// The engines that write and to which the request may be sent.
     fn writers_for(&self, now: Micros, request: &RequestState) -> Vec<usize> {
         (0..self.engines.len())
-            .filter(|&index| self.engines[index].writes())
+            .filter(|&index| self.engines[index].can_write())
             .filter(|&index| self.may_send(now, request, index) && !request.tried.contains(&index))
             .collect()
     }
@@ -96,14 +98,15 @@
                 reports += 1.0;
             }
         }
-        // Of many nodes each has next to no streams: reports have a least weight against them.
+        // Each of many nodes has next to no streams, so reports have a minimum weight relative to them.
         let streams_per_occupancy =
             if occupancy > 0.0 { (own_streams / occupancy).max(MIN_STREAMS_PER_REPORT) } else { 0.0 };
         ReportedLoads { mean: (reports > 0.0).then(|| occupancy / reports), streams_per_occupancy }
     }
 
-    /// A writer's load in this node's streams: its own, and as much again as reports say. An old
-    /// report says less and less, and where none is known the mean of the others stands for it.
+    /// A writer's load in streams of this node: the node's own and those that correspond to the load report.
+    /// The older a report is, the more it is replaced by the mean of all reports, which also stands in for
+    /// a missing one; without any report the node's own streams count twice.
     fn writer_load(&self, now: Micros, index: usize, reported: ReportedLoads) -> f64 {
         let engine = &self.engines[index];
         let own = f64::from(engine.streams);
@@ -117,8 +120,8 @@
         (own + others.unwrap_or(own)) / engine.relative_weight * self.slowdown(now, index)
     }
 
-    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load
-    /// a near writer may have.
+    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load a near
+    /// writer may have.
     fn least_loaded(&self, now: Micros, rack: u64, writers: &[LoadedWriter]) -> Vec<usize> {
         let least = writers.iter().map(|writer| writer.load).fold(f64::INFINITY, f64::min);
         let bonus_streams = if self.without_load_reports() {
@@ -130,11 +133,12 @@
         writers.iter().filter(|writer| writer.load <= least + bonus).map(|writer| writer.index).collect()
     }
 
-    /// Without reports near writers would take all that is read in their rack: by lot a part of it goes
-    /// to racks that get less than their even part, so far as the list shows.
-    fn relieve_rack(&mut self, rack: u64, writers: &mut Vec<usize>) {
-        let some_here = writers.iter().any(|&index| self.engines[index].rack == rack);
-        if !some_here || !self.without_load_reports() {
+    /// Removes the writers of loaded racks from the choice, at random and only where no engine reports its
+    /// load. Near writers would otherwise get everything that is read in their rack: a part of it goes to
+    /// racks that get less than their even share according to the endpoint list.
+    fn shift_load_to_other_racks(&mut self, rack: u64, writers: &mut Vec<usize>) {
+        let any_in_rack = writers.iter().any(|&index| self.engines[index].rack == rack);
+        if !any_in_rack || !self.without_load_reports() {
             return;
         }
         let drawn = self.random.draw_fraction();
--- a/src/state/affinity.rs
+++ b/src/state/affinity.rs
@@ -1,15 +1,15 @@
-//! The prefix affinity table: which engines were seen to hold which prefixes.
+//! The prefix affinity table: which engines are known to have which prefixes in their cache.
 
 use std::collections::HashMap;
 
 use crate::interface::*;
 
-/// The most engines that are recorded for one prefix.
+/// The maximum number of engines that are recorded for one prefix.
 const MAX_ENGINES_PER_PREFIX: usize = 16;
-/// The table is only purged of old prefixes once it has more entries than this.
+/// Old prefixes are purged only once the table has more prefixes than this.
 const MAX_PREFIXES_BEFORE_PURGE: usize = 20_000;
 
-/// What a prompt may have in common with earlier prompts.
+/// The key of a prefix that a prompt may have in common with earlier prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PrefixKey {
     /// The prompt of a session, which its next request extends.
@@ -18,7 +18,7 @@
     Shared(u64),
 }
 
-/// Recognises a prompt that comes again: retries have the same session and length.
+/// Identifies a prompt that a client sends again: retries have the same session and length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PromptKey {
     session: u64,
@@ -31,30 +31,30 @@
     }
 }
 
-/// An engine that was seen to hold a prefix.
+/// An engine that had a prefix in its cache.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CachedPrefix {
     /// Index of the engine.
     pub(crate) engine: usize,
-    /// How many tokens of the prefix it held.
+    /// How many tokens of the prefix it had.
     pub(crate) tokens: u64,
-    /// When it was seen to hold them.
+    /// When it was last known to have them.
     pub(crate) seen_at: Micros,
 }
 
-/// The prefixes of which a prompt is made up, each with its length in tokens.
+/// The keys of a prompt's prefixes (the whole prompt and the shared prefix), each with its length in tokens.
 pub(crate) fn prefix_keys(request: &Request) -> impl Iterator<Item = (PrefixKey, u64)> {
     let session = (PrefixKey::Session(request.session), request.prompt_tokens);
     let shared = request.prefix.map(|prefix| (PrefixKey::Shared(prefix), request.prefix_tokens));
     std::iter::once(session).chain(shared)
 }
 
-/// Which engines were seen to hold which prefixes.
+/// The engines that had each prefix in their cache.
 #[derive(Default)]
 pub(crate) struct PrefixAffinityTable(HashMap<PrefixKey, Vec<CachedPrefix>>);
 
 impl PrefixAffinityTable {
-    /// Records that an engine holds a prefix.
+    /// Records that an engine has a prefix in its cache.
     pub(crate) fn record(&mut self, key: PrefixKey, cached: CachedPrefix) {
         let entries = self.0.entry(key).or_default();
         entries.retain(|entry| entry.engine != cached.engine);
@@ -64,12 +64,12 @@
         }
     }
 
-    /// The engines that were seen to hold a prefix.
+    /// The engines that had a prefix in their cache.
     pub(crate) fn holders(&self, key: PrefixKey) -> impl Iterator<Item = &CachedPrefix> {
         self.0.get(&key).into_iter().flatten()
     }
 
-    /// Removes prefixes that were last seen before that time, once the table is large.
+    /// Removes prefixes without an entry after the given time, once the table is large.
     pub(crate) fn purge_before(&mut self, time: Micros) {
         if self.0.len() > MAX_PREFIXES_BEFORE_PURGE {
             self.0.retain(|_, entries| entries.iter().any(|entry| time < entry.seen_at));
--- a/src/state/measurements.rs
+++ b/src/state/measurements.rs
@@ -1,8 +1,8 @@
-//! What a node has measured of its own traffic and of the engines of each role.
+//! What a node has measured about its own traffic and the engines of each role.
 
 use crate::interface::*;
 
-/// What an attempt asks of its engine.
+/// What an engine does for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
     /// Read the prompt.
@@ -18,7 +18,7 @@
     pub(crate) const ALL: [AttemptKind; 3] =
         [AttemptKind::Read, AttemptKind::Write, AttemptKind::ReadAndWrite];
 
-    /// The kind by which engines of a role are measured as a pool.
+    /// The kind under which the engines of a role are measured as a pool.
     pub(crate) fn of_role(role: Role) -> AttemptKind {
         match role {
             Role::Reader => AttemptKind::Read,
@@ -27,30 +27,30 @@
         }
     }
 
-    /// The kind's position in arrays that have one entry for each kind.
+    /// The kind's index in arrays with one entry per kind.
     pub(crate) fn index(self) -> usize {
         self as usize
     }
 }
 
-/// What was measured of the engines of one role, or of attempts of one kind.
+/// Measurements of the engines of one role, or of attempts of one kind.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Pool {
-    /// Usual time of one unit of work, in microseconds.
+    /// Moving mean of the time for one unit of work, in microseconds.
     pub(crate) unit_time: f64,
-    /// Mean absolute deviation of that time.
+    /// Mean absolute deviation of that time, in microseconds.
     pub(crate) unit_time_deviation: f64,
-    /// Usual tokens of an attempt.
+    /// Moving mean of the tokens that an attempt reads.
     pub(crate) tokens_per_attempt: f64,
-    /// How many attempts were measured.
+    /// The number of attempts measured.
     pub(crate) samples: u32,
-    /// Tokens a microsecond of the fastest read seen: no queue drains faster.
+    /// Tokens per microsecond of the fastest read so far, decayed: no queue drains faster.
     pub(crate) fastest_tokens_per_us: f64,
-    /// What the pool's warm engines have answered this node lately.
+    /// Answers that this node got from the pool's warm engines, decayed.
     pub(crate) answers: f64,
-    /// Over how many seconds those answers were counted.
+    /// The time over which those answers were counted, in seconds, decayed alike.
     pub(crate) observed_s: f64,
-    /// How many warm engines the pool has.
+    /// The number of warm engines in the pool at the last maintenance, counted as at least 1.
     pub(crate) warm_engines: f64,
 }
 
@@ -62,48 +62,48 @@
 }
 
 impl MovingMean {
-    /// Moves the mean towards a sample by the given weight.
+    /// Adds a sample with the given weight.
     pub(crate) fn observe(&mut self, now: Micros, sample: f64, weight: f64) {
         self.value += weight * (sample - self.value);
         self.updated_at = now;
     }
 }
 
-/// What a tenant may still send within its quota.
+/// A token bucket that enforces a tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
-    /// Requests that may still be sent.
+    /// Requests that may be sent now within the quota.
     pub(crate) tokens: f64,
     /// When the bucket was last refilled.
     pub(crate) refilled_at: Micros,
 }
 
-/// What a node has measured of itself.
+/// What a node has measured about itself, and the state of its timers.
 #[derive(Default)]
 pub(crate) struct NodeMeasurements {
-    /// The serial number of the last attempt that was sent.
+    /// The serial number of the last attempt sent.
     pub(crate) last_serial: u64,
-    /// The timer for pending requests is set.
+    /// Whether the timer for pending requests is set.
     pub(crate) dispatch_timer_set: bool,
-    /// The timer for periodic maintenance is set.
+    /// Whether the timer for periodic maintenance is set.
     pub(crate) maintenance_timer_set: bool,
-    /// Discovery has answered the subscription.
+    /// Whether discovery has answered the subscription.
     pub(crate) subscribed: bool,
-    /// When discovery was last asked.
+    /// When discovery was last polled.
     pub(crate) polled_at: Micros,
     /// When the service rates were last updated.
     pub(crate) service_rates_updated_at: Micros,
-    /// When the last request was started.
+    /// When a request was last sent for the first time.
     pub(crate) last_start_at: Micros,
     /// When the in-flight limit was last adjusted.
     pub(crate) limit_adjusted_at: Micros,
-    /// Requests that arrived lately.
+    /// Requests that arrived lately, decayed.
     pub(crate) arrivals: f64,
-    /// Those of them that have a shared prefix.
+    /// Those of them that have a shared prefix, decayed.
     pub(crate) shared_prefix_arrivals: f64,
-    /// How many requests may be started and still without their first token.
+    /// The limit of requests in flight that have no first token yet.
     pub(crate) in_flight_limit: f64,
-    /// Health checks that own traffic has paid for.
+    /// Health checks that may be sent, earned by this node's own requests.
     pub(crate) health_check_budget: f64,
     /// Usual wait for a first token when the state stays in its rack, in microseconds.
     pub(crate) same_rack_wait: MovingMean,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the decision module remembers: plain data and its bookkeeping. It takes no decisions.
+//! The state of a router: plain data and its bookkeeping. All decisions are in `policy`.
 
 mod affinity;
 mod engine;
@@ -8,7 +8,7 @@
 mod request;
 
 pub(crate) use affinity::{prefix_keys, CachedPrefix, PrefixAffinityTable, PrefixKey, PromptKey};
-pub(crate) use engine::{Engine, PendingAttempt, ReceivedReport, TenantRejection};
+pub(crate) use engine::{Engine, ReceivedReport, TenantRejection, WaitingAttempt};
 pub(crate) use measurements::{AttemptKind, MovingMean, NodeMeasurements, Pool, TokenBucket};
 pub(crate) use rack::{update_racks_and_weights, Rack};
 pub(crate) use random::Random;
--- a/src/state/rack.rs
+++ b/src/state/rack.rs
@@ -5,14 +5,14 @@
 use super::{AttemptKind, Engine, MovingMean};
 use crate::interface::*;
 
-/// A rack: its engines that only read, those that write, and the link that leaves it.
+/// A rack: its serving engines that only read, those that write, and its link to other racks.
 #[derive(Default)]
 pub(crate) struct Rack {
     pub(crate) readers: f64,
     pub(crate) writers: f64,
-    /// Usual wait for a first token when a state leaves the rack over its link, in microseconds.
+    /// Moving mean of the wait for a first token when a state leaves the rack over its link, in microseconds.
     pub(crate) outbound_wait: MovingMean,
-    /// How many transfers in a row that mean is made of.
+    /// The number of transfers in that mean since it was last reset.
     pub(crate) transfers: u32,
 }
 
@@ -23,7 +23,7 @@
     engines: f64,
 }
 
-/// Counts the listed engines of each rack anew, and relates each engine's weight to its role's mean.
+/// Recounts the serving engines of each rack, and divides each engine's weight by the mean of its role.
 pub(crate) fn update_racks_and_weights(racks: &mut BTreeMap<u64, Rack>, engines: &mut [Engine]) {
     for rack in racks.values_mut() {
         rack.readers = 0.0;
@@ -34,9 +34,9 @@
         let rack = racks.entry(engine.rack).or_default();
         rack.readers += f64::from(engine.role == Role::Reader);
         rack.writers += f64::from(engine.role != Role::Reader);
-        let of_role = &mut weights[AttemptKind::of_role(engine.role).index()];
-        of_role.sum += engine.registered_weight;
-        of_role.engines += 1.0;
+        let role_weights = &mut weights[AttemptKind::of_role(engine.role).index()];
+        role_weights.sum += engine.registered_weight;
+        role_weights.engines += 1.0;
     }
     for engine in engines {
         let RoleWeights { sum, engines } = weights[AttemptKind::of_role(engine.role).index()];
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,6 +1,6 @@
-//! The seeded source of random numbers, so that a run can be repeated exactly.
+//! A seeded random number generator: the same seed and events give the same actions.
 
-/// A seeded sequence of numbers (splitmix64).
+/// A splitmix64 generator with its state.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,9 +1,9 @@
-//! What a node knows of one request that it has not finished with.
+//! What a node knows about one request that it has not completed.
 
 use super::AttemptKind;
 use crate::interface::*;
 
-/// The attempt of a request that is at an engine now.
+/// The attempt of a request that is currently at an engine.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
     pub(crate) number: AttemptNumber,
@@ -12,9 +12,9 @@
     pub(crate) sent_at: Micros,
     pub(crate) serial: u64,
     pub(crate) kind: AttemptKind,
-    /// Prompt tokens that the engine is expected to read.
+    /// Prompt tokens that the engine is expected to read, i.e. that are not in its cache.
     pub(crate) unread_tokens: f64,
-    /// Its first token has come.
+    /// Whether its first token has arrived.
     pub(crate) started: bool,
 }
 
@@ -26,41 +26,42 @@
     pub(crate) sent_at: Micros,
 }
 
-/// A request from its arrival until nothing of it is at any engine any more.
+/// A request, from its arrival until it is answered or abandoned and has no attempt in flight.
 pub(crate) struct RequestState {
     pub(crate) request: Request,
     pub(crate) idempotency: Idempotency,
     pub(crate) arrived_at: Micros,
-    /// When the client sent it first, as far as this node knows.
+    /// When its prompt first arrived: earlier than `arrived_at` if the client sends a rejected prompt again.
     pub(crate) first_arrived_at: Micros,
     /// When its first attempt was sent.
     pub(crate) started_at: Micros,
-    /// Its first token is wanted by then.
-    pub(crate) objective_at: Micros,
+    /// When its first token is due by its latency objective.
+    pub(crate) first_token_due_at: Micros,
     /// Its class's latency objective for a prompt of its length.
     pub(crate) objective: Micros,
     pub(crate) deadline: Micros,
     pub(crate) over_quota: bool,
-    /// Attempts that were sent so far.
+    /// Attempts sent so far.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<InFlightAttempt>,
-    /// Index of the reader at which the read state waits.
+    /// Index of the reader that holds its read state.
     pub(crate) state_reader: Option<usize>,
-    /// A state was read at some time: it may outlast what the outcomes show, so every end releases.
+    /// Whether any attempt has read its prompt. The state may still be reserved whatever later outcomes show,
+    /// so every end of the request releases it.
     pub(crate) was_read: bool,
     pub(crate) first_execution: Option<FirstExecution>,
-    /// Indices of the engines that it must not be sent to again, unless there is no other.
+    /// Indices of the engines that it is not sent to again while there is another.
     pub(crate) tried: Vec<usize>,
-    /// It waits to be dispatched.
+    /// Whether it is waiting to be dispatched.
     pub(crate) pending: bool,
-    /// When engines were health-checked for it before its read.
+    /// When engines were health-checked before its read.
     pub(crate) checked_at: Option<Micros>,
-    /// It has its final answer.
+    /// Whether it has its final answer or its client has left.
     pub(crate) closed: bool,
 }
 
 impl RequestState {
-    /// A request that waits for its first attempt.
+    /// Creates a pending request without attempts.
     pub(crate) fn new(
         now: Micros,
         request: Request,
@@ -74,7 +75,7 @@
             idempotency,
             arrived_at: now,
             started_at: now,
-            objective_at: first_arrived_at.saturating_add(objective).min(deadline),
+            first_token_due_at: first_arrived_at.saturating_add(objective).min(deadline),
             objective,
             first_arrived_at,
             deadline,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The indices of the engines that it refers to.
+    /// The indices of all engines that it refers to.
     pub(crate) fn engines(&self) -> impl Iterator<Item = usize> + '_ {
         let executed = self.first_execution.map(|execution| execution.engine);
         let in_flight = self.in_flight.map(|attempt| attempt.engine);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Settings, events and a recorder for the tests, which checks the invariants that a node can see.
+//! Settings, events and a recording node for the tests. The node checks at every action the invariants that
+//! are visible to a node.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +26,7 @@
     EngineKind { name: name.into(), role, memory_tokens: 100_000 }
 }
 
-/// Classes 0 safe, 1 unsafe, 2 keyed by rack; kinds `r`, `w` and `m`.
+/// Classes: 0 safe, 1 unsafe, 2 with an idempotency key per rack. Kinds: `r`, `w` and `m`.
 pub fn settings() -> Settings {
     Settings {
         zone: "near".into(),
@@ -67,7 +68,7 @@
     EngineId(name.into())
 }
 
-/// An entry: the kind is the first letter of the name.
+/// A serving endpoint whose kind is the first letter of its name.
 pub fn endpoint(name: &str, zone: &str, rack: u64) -> Endpoint {
     Endpoint {
         engine: engine(name),
@@ -95,7 +96,7 @@
     }
 }
 
-/// A router with the events that it was handed and the actions that it took.
+/// A router with a record of its events and actions.
 pub struct Node {
     pub router: Router,
     pub settings: Settings,
@@ -104,15 +105,15 @@
     classes: BTreeMap<RequestId, usize>,
     deadlines: BTreeMap<RequestId, Micros>,
     endpoints: BTreeMap<EngineId, Endpoint>,
-    /// Attempts by request: where, and the outcome once there is one.
+    /// Attempts by request: engine, send time, and outcome once there is one.
     pub attempts: BTreeMap<RequestId, Vec<(EngineId, Micros, Option<Outcome>)>>,
     pub final_answers: BTreeMap<RequestId, Action>,
-    /// Served, broken or withdrawn: no answer is due any more.
-    over: BTreeSet<RequestId>,
-    /// Requests with a state that waits, and since when.
+    /// Requests that were served, broke or were abandoned: no further answer is due.
+    finished: BTreeSet<RequestId>,
+    /// Requests with a read state that is not fetched or released, and since when.
     waiting_states: BTreeMap<RequestId, Micros>,
-    started: BTreeSet<RequestId>,
-    /// Timers that are set.
+    with_first_token: BTreeSet<RequestId>,
+    /// Timers that are set, with the time when they fire.
     timers: Vec<(Micros, Timer)>,
 }
 
@@ -128,26 +129,26 @@
             endpoints: BTreeMap::new(),
             attempts: BTreeMap::new(),
             final_answers: BTreeMap::new(),
-            over: BTreeSet::new(),
+            finished: BTreeSet::new(),
             waiting_states: BTreeMap::new(),
-            started: BTreeSet::new(),
+            with_first_token: BTreeSet::new(),
             timers: vec![],
         };
         node.update_endpoints(ListUpdate::Full, endpoints);
         node
     }
 
-    /// Hands an event to the router and returns its actions, checked against the invariants.
+    /// Passes an event to the router, checks the invariants and returns the actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = vec![];
         self.router.handle(self.now, event, &mut actions);
-        for act in &actions {
-            self.check(act);
+        for action in &actions {
+            self.check(action);
         }
         for (request, since) in &self.waiting_states {
-            let out = self.attempts[request].iter().any(|a| a.2.is_none());
+            let in_flight = self.attempts[request].iter().any(|a| a.2.is_none());
             assert!(
-                out || self.now <= since + self.settings.release_deadline,
+                in_flight || self.now <= since + self.settings.release_deadline,
                 "state of {request:?} is not released in time"
             );
         }
@@ -155,16 +156,16 @@
         actions
     }
 
-    pub fn update_endpoints(&mut self, form: ListUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
-        if form == ListUpdate::Full {
-            for member in self.endpoints.values_mut() {
-                member.state = EndpointState::Gone;
+    pub fn update_endpoints(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        if update == ListUpdate::Full {
+            for known in self.endpoints.values_mut() {
+                known.state = EndpointState::Gone;
             }
         }
-        for member in &endpoints {
-            self.endpoints.insert(member.engine.clone(), member.clone());
+        for endpoint in &endpoints {
+            self.endpoints.insert(endpoint.engine.clone(), endpoint.clone());
         }
-        self.handle(Event::EndpointList(form, endpoints))
+        self.handle(Event::EndpointList(update, endpoints))
     }
 
     pub fn request_arrived(&mut self, request: Request) -> Vec<Action> {
@@ -187,18 +188,18 @@
         cached_tokens: u64,
     ) -> Vec<Action> {
         let request = id(name);
-        let place = &mut self.attempts.get_mut(&request).unwrap()[attempt];
-        assert!(place.2.is_none(), "an attempt ends once");
-        place.2 = Some(outcome);
+        let record = &mut self.attempts.get_mut(&request).unwrap()[attempt];
+        assert!(record.2.is_none(), "an attempt ends only once");
+        record.2 = Some(outcome);
         if outcome == Outcome::Read {
             self.waiting_states.insert(request.clone(), self.now);
         } else if let Some(since) = self.waiting_states.get_mut(&request) {
             *since = self.now;
         }
-        let broke = self.started.contains(&request);
-        let last = outcome == Outcome::Served || broke || self.is_over(&request);
-        if last {
-            self.over.insert(request.clone());
+        let broke = self.with_first_token.contains(&request);
+        let is_final = outcome == Outcome::Served || broke || self.is_finished(&request);
+        if is_final {
+            self.finished.insert(request.clone());
             if outcome == Outcome::Served || broke {
                 self.waiting_states.remove(&request);
             }
@@ -208,7 +209,7 @@
             id: request,
             attempt,
             outcome,
-            is_final: last,
+            is_final,
             cached_tokens,
             load: None,
         }))
@@ -217,12 +218,12 @@
     pub fn first_token(&mut self, name: &str) -> Vec<Action> {
         let attempt = self.attempts[&id(name)].len() as AttemptNumber - 1;
         self.waiting_states.remove(&id(name));
-        self.started.insert(id(name));
+        self.with_first_token.insert(id(name));
         self.handle(Event::FirstToken(id(name), attempt))
     }
 
     pub fn client_left(&mut self, name: &str) -> Vec<Action> {
-        self.over.insert(id(name));
+        self.finished.insert(id(name));
         if let Some(since) = self.waiting_states.get_mut(&id(name)) {
             *since = self.now;
         }
@@ -233,7 +234,7 @@
         self.handle(Event::TimerFired(Timer::DispatchPending))
     }
 
-    /// Fires the timers that have come due.
+    /// Fires the timers that are due.
     pub fn fire_due_timers(&mut self) {
         let due: Vec<_> = self.timers.iter().filter(|t| t.0 <= self.now).cloned().collect();
         self.timers.retain(|t| t.0 > self.now);
@@ -247,13 +248,17 @@
         self.attempts.get(&id(name)).and_then(|a| a.last()).map(|a| &*a.0 .0)
     }
 
-    pub fn is_over(&self, request: &RequestId) -> bool {
-        self.over.contains(request) || self.final_answers.contains_key(request)
+    pub fn is_finished(&self, request: &RequestId) -> bool {
+        self.finished.contains(request) || self.final_answers.contains_key(request)
     }
 
     /// Requests without a final answer.
     pub fn unanswered(&self) -> Vec<RequestId> {
-        self.classes.keys().filter(|r| !self.is_over(r) && !self.started.contains(*r)).cloned().collect()
+        self.classes
+            .keys()
+            .filter(|r| !self.is_finished(r) && !self.with_first_token.contains(*r))
+            .cloned()
+            .collect()
     }
 
     pub fn has_attempt_in_flight(&self, request: &RequestId) -> bool {
@@ -261,7 +266,7 @@
     }
 
     pub fn has_first_token(&self, request: &RequestId) -> bool {
-        self.started.contains(request)
+        self.with_first_token.contains(request)
     }
 
     pub fn deadline(&self, request: &RequestId) -> Micros {
@@ -274,7 +279,7 @@
     }
 
     fn cannot_have_run(&self, attempt: &(EngineId, Micros, Option<Outcome>)) -> bool {
-        let never_ran = matches!(
+        let did_not_run = matches!(
             attempt.2,
             Some(
                 Outcome::Read
@@ -284,59 +289,62 @@
                     | Outcome::NeverSent
             )
         );
-        never_ran || self.role(&attempt.0) == Role::Reader
+        did_not_run || self.role(&attempt.0) == Role::Reader
     }
 
-    fn effect(&self, request: &RequestId) -> Idempotency {
+    fn idempotency(&self, request: &RequestId) -> Idempotency {
         self.settings.classes.get(self.classes[request]).map_or(Idempotency::NotIdempotent, |c| c.idempotency)
     }
 
-    fn check(&mut self, act: &Action) {
-        match act {
+    fn check(&mut self, action: &Action) {
+        match action {
             Action::Send(request, engine, timeout) => {
-                assert!(!self.is_over(request), "{request:?} is over and is sent");
+                assert!(!self.is_finished(request), "{request:?} is sent after its end");
                 assert!(*timeout > 0 && self.now < self.deadlines[request]);
-                let member = self.endpoints[engine].clone();
-                assert_eq!(member.state, EndpointState::Serving, "{engine:?} drains and is sent to");
-                let effect = self.effect(request);
+                let target = self.endpoints[engine].clone();
+                assert_eq!(target.state, EndpointState::Serving, "{engine:?} is not serving and is sent to");
+                let idempotency = self.idempotency(request);
                 let attempts = self.attempts.entry(request.clone()).or_default().clone();
                 assert!(attempts.len() < self.settings.max_attempts as usize);
-                assert!(attempts.iter().all(|a| a.2.is_some()), "two attempts of {request:?} are out");
+                assert!(attempts.iter().all(|a| a.2.is_some()), "{request:?} has two attempts in flight");
                 if let Some(first) = attempts.iter().find(|a| !self.cannot_have_run(a)) {
-                    match effect {
+                    match idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NotIdempotent => panic!("{request:?} may have run and is sent again"),
-                        Idempotency::WithKey(group, window) => {
-                            let from = &self.endpoints[&first.0];
-                            assert!(self.now <= first.1 + window, "outside the window");
-                            assert!(match group {
+                        Idempotency::WithKey(scope, window) => {
+                            let first_engine = &self.endpoints[&first.0];
+                            assert!(self.now <= first.1 + window, "{request:?} is sent after the window");
+                            assert!(match scope {
                                 IdempotencyScope::All => true,
-                                IdempotencyScope::Zone => from.zone == member.zone,
-                                IdempotencyScope::Rack => from.rack == member.rack,
+                                IdempotencyScope::Zone => first_engine.zone == target.zone,
+                                IdempotencyScope::Rack => first_engine.rack == target.rack,
                             });
                         }
                     }
                 }
-                let place = self.attempts.get_mut(request).unwrap();
-                place.push((engine.clone(), self.now, None));
+                let records = self.attempts.get_mut(request).unwrap();
+                records.push((engine.clone(), self.now, None));
             }
             Action::Reject(request, _) => {
-                self.answer(request, act);
+                self.answer(request, action);
                 let attempts = self.attempts.get(request).cloned().unwrap_or_default();
                 let may_have_run = attempts.iter().any(|a| !self.cannot_have_run(a));
-                let allowed = match self.effect(request) {
+                let allowed = match self.idempotency(request) {
                     Idempotency::Idempotent | Idempotency::WithKey(IdempotencyScope::All, _) => true,
                     _ => !may_have_run,
                 };
                 assert!(allowed, "{request:?} may have run and is rejected");
             }
-            Action::Fail(request) => self.answer(request, act),
+            Action::Fail(request) => self.answer(request, action),
             Action::Release(request) => {
                 self.waiting_states.remove(request);
             }
             Action::Cancel(request, attempt) => {
                 assert!(self.settings.cancellation_allowed);
-                assert!((*attempt as usize) < self.attempts[request].len(), "never made");
+                assert!(
+                    (*attempt as usize) < self.attempts[request].len(),
+                    "attempt {attempt} of {request:?} was never made"
+                );
             }
             Action::HealthCheck(engine) => {
                 assert!(self.settings.health_checks_allowed);
@@ -351,9 +359,9 @@
         }
     }
 
-    fn answer(&mut self, request: &RequestId, act: &Action) {
-        assert!(!self.is_over(request), "{request:?} has two final answers");
+    fn answer(&mut self, request: &RequestId, action: &Action) {
+        assert!(!self.is_finished(request), "{request:?} has two final answers");
         assert!(self.now <= self.deadlines[request] + 16 * MS, "{request:?} is answered late");
-        self.final_answers.insert(request.clone(), act.clone());
+        self.final_answers.insert(request.clone(), action.clone());
     }
 }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -4,8 +4,8 @@
 use crate::fixtures::{fleet, pair, report, serve};
 use pintally::interface::*;
 
-/// A node with a writer marked overloaded, one request in flight and so no capacity for more.
-fn without_capacity() -> Node {
+/// A node without capacity: its writer is overloaded and one request is in flight.
+fn node_without_capacity() -> Node {
     let mut node = Node::new(settings(), pair());
     node.request_arrived(request("first", 0, 1));
     node.attempt_ended("first", Outcome::Read);
@@ -15,7 +15,7 @@
     node
 }
 
-/// Lets the request in flight begin and the mark expire, so that there is capacity.
+/// Gives the request in flight its first token and lets the overload expire, so that there is capacity.
 fn free_capacity(node: &mut Node) {
     node.attempt_ended("way", Outcome::Read);
     node.first_token("way");
@@ -45,7 +45,7 @@
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Read);
     node.attempt_ended("a", Outcome::Overloaded);
-    // The writer is marked overloaded: one request in flight is enough.
+    // With its only writer overloaded, the node allows one request in flight.
     node.request_arrived(request("b", 0, 2));
     node.request_arrived(request("c", 0, 3));
     assert!(node.engine_of("b").is_some() != node.engine_of("c").is_some());
@@ -83,7 +83,7 @@
     node.request_arrived(Request { tenant: Some(1), ..request("small", 0, 20) });
     node.now += MS;
     node.request_arrived(Request { tenant: Some(0), ..request("big9", 0, 30) });
-    // There is capacity again: the tenant within its quota goes first although others came later.
+    // When there is capacity again, the tenant within its quota goes first although "big9" arrived later.
     node.attempt_ended("b", Outcome::Read);
     node.first_token("b");
     node.now += 310 * MS;
@@ -93,7 +93,7 @@
 
 #[test]
 fn newest_pending_request_goes_first() {
-    let mut node = without_capacity();
+    let mut node = node_without_capacity();
     for (i, name) in ["old", "mid", "new"].iter().enumerate() {
         node.now += MS;
         node.request_arrived(request(name, 0, 10 + i as u64));
@@ -104,10 +104,10 @@
 
 #[test]
 fn resumed_stream_waits_for_fresh_requests_for_a_limited_time() {
-    for (waited, expected) in [(0, ["fresh", "back"]), (2 * SECOND, ["back", "fresh"])] {
-        let mut node = without_capacity();
+    for (wait, expected) in [(0, ["fresh", "back"]), (2 * SECOND, ["back", "fresh"])] {
+        let mut node = node_without_capacity();
         node.request_arrived(Request { resumed: true, ..request("back", 0, 10) });
-        node.now += waited;
+        node.now += wait;
         node.request_arrived(request("fresh", 0, 11));
         free_capacity(&mut node);
         assert_eq!(order_sent(&node, &["back", "fresh"]), expected);
@@ -116,7 +116,7 @@
 
 #[test]
 fn retry_of_rejected_prompt_goes_behind_fresh_requests() {
-    let mut node = without_capacity();
+    let mut node = node_without_capacity();
     node.request_arrived(request("try", 0, 10));
     node.now += 1_000 * MS;
     node.dispatch_pending();
@@ -125,7 +125,8 @@
     node.attempt_ended("way", Outcome::Overloaded);
     node.request_arrived(request("next", 0, 3));
     node.now += 60 * MS;
-    // Its client sends it again; its objective has all but passed by now, so without capacity it ends at once.
+    // The client sends it again. Its objective has almost passed by now, so without capacity it is rejected at
+    // once.
     node.request_arrived(request("again", 0, 10));
     assert!(matches!(node.final_answers[&id("again")], Action::Reject(..)));
     node.request_arrived(request("fresh", 0, 11));
@@ -191,9 +192,9 @@
 }
 
 #[test]
-fn late_first_tokens_lower_in_flight_limit_of_one_of_many_nodes() {
+fn late_first_tokens_lower_limit_of_one_of_many_nodes() {
     let mut node = Node::new(Settings { node_count: 100, ..settings() }, fleet());
-    let late = |node: &mut Node, name: &str, after: Micros| {
+    let serve_after = |node: &mut Node, name: &str, after: Micros| {
         node.request_arrived(request(name, 0, 7));
         let sent = node.engine_of(name).is_some();
         node.now += after;
@@ -205,21 +206,21 @@
         sent
     };
     for i in 0..20 {
-        late(&mut node, &format!("late{i}"), 3 * SECOND);
+        serve_after(&mut node, &format!("late{i}"), 3 * SECOND);
     }
-    let sent = (0..6).filter(|i| late(&mut node, &format!("b{i}"), 10 * MS)).count();
-    assert!(sent <= 1, "{sent} starts at once after late ones");
-    // On target again, it starts more.
+    let sent = (0..6).filter(|i| serve_after(&mut node, &format!("b{i}"), 10 * MS)).count();
+    assert!(sent <= 1, "{sent} requests started after late first tokens");
+    // With first tokens on target again, the node starts more requests.
     for i in 0..20 {
-        late(&mut node, &format!("good{i}"), 90 * MS);
+        serve_after(&mut node, &format!("good{i}"), 90 * MS);
         node.now += 20 * SECOND;
     }
-    let sent = (0..6).filter(|i| late(&mut node, &format!("c{i}"), 10 * MS)).count();
-    assert!(sent >= 5, "{sent} starts once it is well again");
+    let sent = (0..6).filter(|i| serve_after(&mut node, &format!("c{i}"), 10 * MS)).count();
+    assert!(sent >= 5, "{sent} requests started after first tokens on target");
 }
 
 #[test]
-fn timeouts_lower_in_flight_limit_of_one_of_many_nodes() {
+fn timeouts_lower_limit_of_one_of_many_nodes() {
     for (nodes, delayed) in [(2, false), (100, true)] {
         let mut node = Node::new(Settings { node_count: nodes, ..settings() }, fleet());
         for i in 0..12 {
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -20,11 +20,11 @@
         assert_eq!(node.engine_of(&name), Some("r2"));
         serve(&mut node, &name);
     }
-    // A full list without an engine means that it is gone.
+    // An engine that is missing from a full list has left the fleet.
     node.update_endpoints(ListUpdate::Full, vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
     node.request_arrived(request("b", 0, 9));
     assert_eq!(node.engine_of("b"), Some("r1"));
-    // A list that could not be had changes nothing.
+    // A list that could not be obtained changes nothing.
     node.handle(Event::EndpointList(ListUpdate::Failed, vec![]));
     node.request_arrived(request("c", 0, 10));
     assert_eq!(node.engine_of("c"), Some("r1"));
--- a/tests/policy/fixtures.rs
+++ b/tests/policy/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fleets and steps that several tests use.
+//! Fleets and helpers that several tests use.
 
 use crate::common::*;
 use pintally::interface::*;
@@ -25,19 +25,19 @@
     node.attempt_ended(name, Outcome::Served);
 }
 
-/// A session whose unseen prompt is_sent_there to this engine of the fleet.
+/// A session whose first prompt is sent to this engine of the fleet.
 pub fn session_of(reader: &str, endpoints: &[Endpoint]) -> u64 {
     key_of(&[reader], endpoints, |session| request("x", 0, session))
 }
 
-/// The first key whose request is_sent_there to one of these readers.
+/// The first key whose request is sent to one of these readers.
 pub fn key_of(readers: &[&str], endpoints: &[Endpoint], request_of: impl Fn(u64) -> Request) -> u64 {
-    let is_sent_there = |key: &u64| {
+    let is_sent_to_reader = |key: &u64| {
         let mut node = Node::new(settings(), endpoints.to_vec());
         node.request_arrived(request_of(*key));
         node.engine_of("x").is_some_and(|at| readers.contains(&at))
     };
-    (0..1_000).find(is_sent_there).expect("each reader is preferred for some key")
+    (0..1_000).find(is_sent_to_reader).expect("each reader is preferred for some key")
 }
 
 pub fn report(node: &mut Node, name: &str, memory: f64) {
--- a/tests/policy/health_checks.rs
+++ b/tests/policy/health_checks.rs
@@ -4,12 +4,12 @@
 use crate::fixtures::{fleet, pair, serve, session_of};
 use pintally::interface::*;
 
-/// One of many nodes, where health checks are allowed.
+/// Settings of one of many nodes with health checks allowed.
 fn one_of_many() -> Settings {
     Settings { node_count: 100, health_checks_allowed: true, ..settings() }
 }
 
-fn health_checked(actions: &[Action]) -> Vec<&str> {
+fn health_checked_engines(actions: &[Action]) -> Vec<&str> {
     actions.iter().filter_map(|a| if let Action::HealthCheck(e) = a { Some(&*e.0) } else { None }).collect()
 }
 
@@ -25,27 +25,27 @@
 }
 
 #[test]
-fn health_checks_are_paid_for_by_own_traffic() {
+fn health_checks_are_limited_by_own_requests() {
     let settings = Settings { load_reporting: LoadReporting::OnHealthCheck, ..one_of_many() };
     let endpoints = (0..60).map(|i| endpoint(&format!("w{i}"), "near", i % 9)).chain(fleet()).collect();
     let mut node = Node::new(settings, endpoints);
-    let mut all = 0;
+    let mut checks = 0;
     for _ in 0..100 {
         node.now += 500 * MS;
-        all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
+        checks += health_checked_engines(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
     }
-    assert_eq!(all, 0, "without traffic there are no health checks");
+    assert_eq!(checks, 0, "without requests there are no health checks");
     for i in 0..100 {
         let name = format!("a{i}");
         let arrival = node.request_arrived(request(&name, 0, i));
-        all += health_checked(&arrival).len();
+        checks += health_checked_engines(&arrival).len();
         node.now += 60 * MS;
-        all += health_checked(&node.dispatch_pending()).len();
+        checks += health_checked_engines(&node.dispatch_pending()).len();
         node.attempt_ended(&name, Outcome::Read);
         node.now += 500 * MS;
-        all += health_checked(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
+        checks += health_checked_engines(&node.handle(Event::TimerFired(Timer::Maintenance))).len();
     }
-    assert!((100..=600).contains(&all), "{all} health checks for 100 requests");
+    assert!((100..=600).contains(&checks), "{checks} health checks for 100 requests");
 }
 
 #[test]
@@ -60,12 +60,12 @@
         serve(&mut node, "usual");
         node.now += 5 * SECOND;
         let actions = node.request_arrived(request("a", 0, session));
-        assert_eq!(health_checked(&actions).contains(&"r1"), nodes > 10);
-        for (name, waits) in [("r1", queue), ("r2", 0.0)] {
-            let load = LoadReport { queue: Some(waits), slots: Some(0.5), ..LoadReport::default() };
+        assert_eq!(health_checked_engines(&actions).contains(&"r1"), nodes > 10);
+        for (name, queued) in [("r1", queue), ("r2", 0.0)] {
+            let load = LoadReport { queue: Some(queued), slots: Some(0.5), ..LoadReport::default() };
             node.handle(Event::HealthChecked(engine(name), true, Some(load)));
         }
-        assert_eq!(node.engine_of("a"), expected, "{nodes} nodes, {queue} wait");
+        assert_eq!(node.engine_of("a"), expected, "{nodes} nodes, {queue} requests queued");
     }
 }
 
@@ -88,5 +88,8 @@
     let names = (0..200).map(|i| format!("a{i}"));
     let waiting =
         names.filter(|n| node.engine_of(n).is_none() && !node.final_answers.contains_key(&id(n))).count();
-    assert!(waiting <= 4, "{waiting} of a burst wait for health checks, each looked at again at every event");
+    assert!(
+        waiting <= 4,
+        "{waiting} requests of a burst wait for health checks and are reconsidered at every event"
+    );
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the router, file by file as in `src/policy/`.
+//! Tests of the router's decisions, by concern as in `src/policy/`.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Engines that fail or are slow, and time-outs.
+//! Engines that fail or are slow, and timeouts.
 
 use crate::common::*;
 use crate::fixtures::{fleet, pair, serve};
@@ -20,20 +20,20 @@
     node.attempt_ended("a", Outcome::Unreachable);
     assert_eq!(node.engine_of("a"), Some("r2"));
     serve(&mut node, "a");
-    let key = |name: &str, s| Request { prefix: Some(session), prefix_tokens: 1, ..request(name, 0, s) };
-    node.request_arrived(key("b", 1_001));
+    let with_key = |name: &str, s| Request { prefix: Some(session), prefix_tokens: 1, ..request(name, 0, s) };
+    node.request_arrived(with_key("b", 1_001));
     assert_eq!(node.engine_of("b"), Some("r2"), "ejected");
     serve(&mut node, "b");
     node.now += 20 * SECOND;
     let mut returned = 0;
     for i in 0..40 {
         let name = format!("c{i}");
-        node.request_arrived(key(&name, 2_000 + i));
+        node.request_arrived(with_key(&name, 2_000 + i));
         returned += usize::from(node.engine_of(&name) == Some("r1"));
         serve(&mut node, &name);
         node.now += SECOND;
     }
-    assert!(returned > 20, "the preferred replica gets its key back once it is warm, not {returned} of 40");
+    assert!(returned > 20, "{returned} of 40 requests went to the preferred replica after its recovery");
 }
 
 #[test]
@@ -41,18 +41,18 @@
     let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::TimedOut);
-    assert_eq!(node.attempts[&id("a")].len(), 2, "backing off the only reader would be the harm");
+    assert_eq!(node.attempts[&id("a")].len(), 2, "the only reader is tried again although it is ejected");
 }
 
 #[test]
 fn timeouts_grow_when_all_engines_are_slow() {
     let mut node = Node::new(settings(), fleet());
-    let mut given_up = 0;
+    let mut early_timeouts = 0;
     for i in 0..30 {
         let name = format!("a{i}");
         let actions = node.request_arrived(request(&name, 0, i));
         if let Some(Action::Send(_, _, timeout)) = actions.iter().find(|a| matches!(a, Action::Send(..))) {
-            given_up += usize::from(*timeout < 5 * SECOND);
+            early_timeouts += usize::from(*timeout < 5 * SECOND);
             node.now += *timeout;
             node.attempt_ended(&name, Outcome::TimedOut);
             if node.has_attempt_in_flight(&id(&name)) {
@@ -62,12 +62,13 @@
         }
         node.now += 20 * SECOND;
     }
-    assert!((3..=10).contains(&given_up), "{given_up} requests not left the whole time");
+    assert!((3..=10).contains(&early_timeouts), "{early_timeouts} requests with less than the whole time");
 }
 
 #[test]
 fn engine_that_returns_only_errors_is_ejected() {
-    // A recorded day had three engines that failed 88% of what they got at once and so drew a sixth of all sends.
+    // Guards against engines that attract requests by failing them at once: in a recorded run three engines
+    // failed 88% of their requests and so got a sixth of all sends.
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1), endpoint("w2", "near", 2)];
     let mut node = Node::new(settings(), endpoints);
     for (name, at) in [("a", "w1"), ("b", "w1"), ("c", "w2")] {
@@ -84,11 +85,11 @@
     }
 }
 
-/// Guards against reads that many nodes move at the same time, each knowing of no better reader: what is
-/// moved is read twice, crowds out cached prefixes, and the congestion outlives its cause.
+/// Guards against reads that many nodes move to other readers at the same time, without knowing a better one: a
+/// moved prompt is read twice and evicts cached prefixes, and the congestion outlasts its cause.
 #[test]
 fn one_of_many_nodes_does_not_time_out_reads_early() {
-    for (nodes, waits) in [(2, false), (100, true)] {
+    for (nodes, has_whole_time) in [(2, false), (100, true)] {
         let mut node = Node::new(Settings { node_count: nodes, ..settings() }, pair());
         for n in 0..8 {
             let name = format!("usual{n}");
@@ -99,8 +100,10 @@
             node.now += SECOND;
         }
         let actions = node.request_arrived(request("a", 0, 1));
-        let span =
-            actions.iter().find_map(|a| if let Action::Send(_, _, span) = a { Some(*span) } else { None });
-        assert_eq!(span == Some(5 * SECOND), waits, "{nodes} nodes: {span:?}");
+        let timeout =
+            actions
+                .iter()
+                .find_map(|a| if let Action::Send(_, _, timeout) = a { Some(*timeout) } else { None });
+        assert_eq!(timeout == Some(5 * SECOND), has_whole_time, "{nodes} nodes: {timeout:?}");
     }
 }
--- a/tests/policy/prefix_affinity.rs
+++ b/tests/policy/prefix_affinity.rs
@@ -36,7 +36,7 @@
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
     let first = node.engine_of("a").unwrap().to_string();
-    // The preferred replica rejects once, so that the prompt is cached elsewhere.
+    // The preferred replica rejects the prompt, so that it is cached at another reader.
     node.attempt_ended("a", Outcome::Overloaded);
     let second = node.engine_of("a").unwrap().to_string();
     assert_ne!(first, second);
@@ -96,12 +96,15 @@
 }
 
 #[test]
-fn one_of_many_nodes_prefers_the_common_replica_over_its_own_sends() {
+fn one_of_many_nodes_prefers_common_replica() {
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("r2", "near", 1), endpoint("w1", "near", 1)];
     let key = session_of("r1", &endpoints);
     for (nodes, expected) in [(2, "r2"), (100, "r1")] {
-        let shared =
-            |name: &str, own| Request { prefix: Some(key), prefix_tokens: 1_500, ..request(name, 0, own) };
+        let shared = |name: &str, session| Request {
+            prefix: Some(key),
+            prefix_tokens: 1_500,
+            ..request(name, 0, session)
+        };
         let mut node = Node::new(Settings { node_count: nodes, ..settings() }, endpoints.clone());
         node.request_arrived(shared("a", 50));
         node.attempt_ended("a", Outcome::Overloaded);
@@ -113,49 +116,57 @@
     }
 }
 
-/// Guards against replicas that differ from node to node by the few requests that each happened to see: a
-/// session's turns come to many nodes, and each would have its prompt read again elsewhere.
+/// Guards against replicas that differ from node to node because each has seen only a few requests: the turns of
+/// a session come to many nodes, and each would have the prompt read again at another reader.
 #[test]
 fn many_nodes_agree_on_preferred_replica() {
     let names = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
     let endpoints: Vec<Endpoint> = names.iter().map(|n| endpoint(n, "near", 1)).collect();
-    let shared = |name: &str, own| Request { prefix: Some(7), prefix_tokens: 1_500, ..request(name, 0, own) };
+    let shared =
+        |name: &str, session| Request { prefix: Some(7), prefix_tokens: 1_500, ..request(name, 0, session) };
     let mut replicas = BTreeSet::new();
     for session in 0..8 {
-        let mut blank = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
-        let mut busy = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
+        let mut new_node = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
+        let mut busy_node = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
         for n in 0..9 {
             let name = format!("seen{n}");
-            busy.request_arrived(if n < 4 { shared(&name, 100 + n) } else { request(&name, 0, 100 + n) });
-            busy.now += 60 * MS;
-            busy.dispatch_pending();
-            serve(&mut busy, &name);
-            busy.now += SECOND;
+            busy_node.request_arrived(if n < 4 {
+                shared(&name, 100 + n)
+            } else {
+                request(&name, 0, 100 + n)
+            });
+            busy_node.now += 60 * MS;
+            busy_node.dispatch_pending();
+            serve(&mut busy_node, &name);
+            busy_node.now += SECOND;
         }
-        busy.now += 10 * SECOND;
-        blank.request_arrived(shared("a", session));
-        busy.request_arrived(shared("a", session));
-        assert_eq!(blank.engine_of("a"), busy.engine_of("a"), "session {session}");
-        replicas.insert(blank.engine_of("a").unwrap().to_string());
+        busy_node.now += 10 * SECOND;
+        new_node.request_arrived(shared("a", session));
+        busy_node.request_arrived(shared("a", session));
+        assert_eq!(new_node.engine_of("a"), busy_node.engine_of("a"), "session {session}");
+        replicas.insert(new_node.engine_of("a").unwrap().to_string());
     }
     assert_eq!(replicas.len(), 2, "a prefix has two replicas: {replicas:?}");
 }
 
 #[test]
 fn replicas_of_shared_prefixes_are_near_writers() {
-    // Guards against states that all cross the one link of a rack without writers.
+    // Guards against states that all have to cross the one link of a rack without writers.
     let mut endpoints: Vec<Endpoint> = (1..=4).map(|i| endpoint(&format!("r{i}"), "near", i / 3)).collect();
     endpoints.extend((1..=4).map(|i| endpoint(&format!("w{i}"), "near", 0)));
-    let (mut near, mut plain) = (0, 0);
+    let (mut shared, mut unshared) = (0, 0);
     for key in 0..200 {
         let mut node = Node::new(settings(), endpoints.clone());
         node.request_arrived(Request { prefix: Some(key), prefix_tokens: 1_500, ..request("a", 0, key) });
-        near += usize::from(["r1", "r2"].contains(&node.engine_of("a").unwrap()));
+        shared += usize::from(["r1", "r2"].contains(&node.engine_of("a").unwrap()));
         node.request_arrived(request("b", 0, 1_000 + key));
-        plain += usize::from(["r1", "r2"].contains(&node.engine_of("b").unwrap()));
+        unshared += usize::from(["r1", "r2"].contains(&node.engine_of("b").unwrap()));
     }
-    assert!(near > 190, "{near} of 200 replicas are where all writers are");
-    assert!((10..=80).contains(&plain), "{plain} of 200 plain prompts");
+    assert!(shared > 190, "{shared} of 200 replicas of shared prefixes are in the rack with all writers");
+    assert!(
+        (10..=80).contains(&unshared),
+        "{unshared} of 200 prompts without a shared prefix are read there"
+    );
 }
 
 #[test]
--- a/tests/policy/request_flow.rs
+++ b/tests/policy/request_flow.rs
@@ -1,4 +1,4 @@
-//! The ordinary path of a request, its one final answer and the release of its state.
+//! The usual path of a request, its single final answer and the release of its state.
 
 use crate::common::*;
 use crate::fixtures::{fleet, pair};
@@ -29,10 +29,10 @@
 #[test]
 fn without_engines_every_request_is_rejected_in_time() {
     let mut node = Node::new(settings(), vec![]);
-    let odd = Request { class: None, ..request("odd", 0, 3) };
+    let without_class = Request { class: None, ..request("odd", 0, 3) };
     node.request_arrived(request("a", 0, 1));
     node.request_arrived(request("b", 1, 2));
-    node.request_arrived(odd);
+    node.request_arrived(without_class);
     node.now += 3 * SECOND;
     node.dispatch_pending();
     assert_eq!(node.final_answers.len(), 3);
@@ -70,19 +70,19 @@
 
 #[test]
 fn rejection_has_retry_after_only_where_allowed() {
-    for advice in [false, true] {
-        let mut node = Node::new(Settings { clients_honour_retry_after: advice, ..settings() }, vec![]);
+    for honoured in [false, true] {
+        let mut node = Node::new(Settings { clients_honour_retry_after: honoured, ..settings() }, vec![]);
         node.request_arrived(request("a", 0, 1));
         node.now += 2 * SECOND;
         node.dispatch_pending();
-        let Action::Reject(_, pause) = &node.final_answers[&id("a")] else { panic!("not refused") };
-        assert_eq!(pause.is_some(), advice);
-        assert!(pause.is_none_or(|p| p > 0 && p <= node.settings.max_retry_after));
+        let Action::Reject(_, retry_after) = &node.final_answers[&id("a")] else { panic!("not rejected") };
+        assert_eq!(retry_after.is_some(), honoured);
+        assert!(retry_after.is_none_or(|p| p > 0 && p <= node.settings.max_retry_after));
     }
 }
 
 #[test]
-fn state_is_released_when_request_is_rejected_or_withdrawn() {
+fn state_is_released_when_request_is_rejected_or_abandoned() {
     let mut node = Node::new(settings(), pair());
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Read);
@@ -95,12 +95,12 @@
 }
 
 #[test]
-fn state_that_cannot_be_fetched_is_released_at_once_and_at_the_end() {
+fn unfetchable_state_is_released_at_once_and_at_end() {
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Read);
     assert!(node.attempt_ended("a", Outcome::StateNotFound).contains(&Action::Release(id("a"))));
-    // It is read again; whatever becomes of that, the end releases once more.
+    // The prompt is read again. Whatever the outcome, the end of the request releases once more.
     node.now = node.deadline(&id("a")) + MS;
     assert!(node.attempt_ended("a", Outcome::TimedOut).contains(&Action::Release(id("a"))));
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! What may be sent again: no request has its effect twice.
+//! Retries: which requests may be sent again without a second effect.
 
 use crate::common::*;
 use crate::fixtures::fleet;
@@ -34,7 +34,7 @@
     let mut node = Node::new(settings(), fleet());
     node.request_arrived(request("a", 1, 1));
     let first = node.engine_of("a").unwrap().to_string();
-    // The answer may be all that got lost: the reader has most likely read the prompt.
+    // Perhaps only the answer was lost: the reader has most likely read the prompt.
     node.attempt_ended("a", Outcome::ConnectionBroken);
     assert!(node.final_answers.is_empty());
     assert_eq!(node.engine_of("a"), Some(first.as_str()));
@@ -62,29 +62,29 @@
         let first = node.engine_of(&name).unwrap().to_string();
         node.attempt_ended(&name, Outcome::ConnectionBroken);
         match first.as_str() {
-            "m3" => assert_eq!(node.engine_of(&name), Some("m3"), "the only one of its group"),
+            "m3" => assert_eq!(node.engine_of(&name), Some("m3"), "the only engine in its scope"),
             _ => assert_ne!(node.engine_of(&name), Some("m3")),
         }
         if node.has_attempt_in_flight(&id(&name)) {
             node.now += 3 * SECOND;
             node.attempt_ended(&name, Outcome::Unreachable);
-            assert_eq!(node.final_answers[&id(&name)], Action::Fail(id(&name)), "the window is over");
+            assert_eq!(node.final_answers[&id(&name)], Action::Fail(id(&name)), "the window has passed");
         }
     }
 }
 
-/// Guards against a repeat that is sent inside the window and comes to its engine behind it, as its connection
-/// took its time.
+/// Guards against a repeat that is sent within the window but arrives at its engine after it, because the
+/// connection took long.
 #[test]
 fn retry_with_key_leaves_time_to_connect_inside_window() {
-    for (connect_within, repeated) in [(0, true), (250 * MS, false)] {
+    for (connect_timeout, repeated) in [(0, true), (250 * MS, false)] {
         let endpoints = vec![endpoint("m1", "near", 1), endpoint("m2", "near", 1)];
-        let mut node = Node::new(Settings { connect_timeout: connect_within, ..settings() }, endpoints);
+        let mut node = Node::new(Settings { connect_timeout, ..settings() }, endpoints);
         node.request_arrived(request("k", 2, 1));
         // The window is 2 s, counted from the first send.
         node.now += 1_800 * MS;
         node.attempt_ended("k", Outcome::ConnectionBroken);
-        assert_eq!(node.has_attempt_in_flight(&id("k")), repeated, "{connect_within} us to connect");
+        assert_eq!(node.has_attempt_in_flight(&id("k")), repeated, "{connect_timeout} us to connect");
     }
 }
 
@@ -103,16 +103,16 @@
 
 #[test]
 fn lost_answer_is_read_again_where_writers_read_prompts() {
-    // The state may be fetched and gone; a writer would read the whole prompt between its answers.
+    // The state may have been fetched already, and another writer would then read the whole prompt between the
+    // steps of its other answers.
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1), endpoint("w2", "near", 1)];
-    for (writers_read, outcome, next) in [
+    for (writers_read_prompts, outcome, next) in [
         (true, Outcome::TimedOut, "r1"),
         (true, Outcome::ConnectionBroken, "r1"),
         (true, Outcome::Unreachable, "w"),
         (false, Outcome::TimedOut, "w"),
     ] {
-        let mut node =
-            Node::new(Settings { writers_read_prompts: writers_read, ..settings() }, endpoints.clone());
+        let mut node = Node::new(Settings { writers_read_prompts, ..settings() }, endpoints.clone());
         node.request_arrived(request("a", 0, 1));
         node.attempt_ended("a", Outcome::Read);
         let actions = node.attempt_ended("a", outcome);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,34 +1,34 @@
-//! The budget of engines that have just started.
+//! The budget of engines that have started recently.
 
 use crate::common::*;
 use crate::fixtures::{key_of, pair, serve};
 use pintally::interface::*;
 
-/// The sends that all nodes together make to an engine `target` in slow start, by time, where each node has a
-/// request every `gap`; with `known` each has served for a minute before the engine starts.
+/// The times of the sends that all nodes together make to an engine `target` in slow start, if each node gets a
+/// request every `interval`. With `warm_nodes` each node has served for a minute before the engine starts.
 fn sends_during_slow_start(
     nodes: u32,
-    gap: Micros,
+    interval: Micros,
     target: &str,
-    known: bool,
+    warm_nodes: bool,
     prefix: Option<u64>,
 ) -> Vec<Micros> {
     let mut sends = vec![];
-    for number in 0..nodes {
+    for node_index in 0..nodes {
         let writers = if target == "m2" { ["m1", "m2"] } else { ["w1", "w2"] };
         let names = ["r1", "r2"].iter().chain(&writers);
         let endpoints = names.map(|name| endpoint(name, "near", 1)).collect();
-        let mut node = Node::new(Settings { node_index: number, node_count: nodes, ..settings() }, endpoints);
-        let begin = node.now + if known { 60 * SECOND } else { 0 };
-        node.now += gap * Micros::from(number) / Micros::from(nodes);
+        let mut node = Node::new(Settings { node_index, node_count: nodes, ..settings() }, endpoints);
+        let engine_start = node.now + if warm_nodes { 60 * SECOND } else { 0 };
+        node.now += interval * Micros::from(node_index) / Micros::from(nodes);
         let mut listed = false;
         for turn in 0.. {
-            if node.now >= begin && !listed {
+            if node.now >= engine_start && !listed {
                 listed = true;
-                let cold = Endpoint { started: Some(begin), ..endpoint(target, "near", 1) };
-                node.update_endpoints(ListUpdate::Delta, vec![cold]);
+                let starting = Endpoint { started: Some(engine_start), ..endpoint(target, "near", 1) };
+                node.update_endpoints(ListUpdate::Delta, vec![starting]);
             }
-            if node.now >= begin + 9 * SECOND {
+            if node.now >= engine_start + 9 * SECOND {
                 break;
             }
             let name = format!("a{turn}");
@@ -36,7 +36,7 @@
             node.request_arrived(Request {
                 prefix,
                 prefix_tokens,
-                ..request(&name, 0, u64::from(number) << 32 | turn)
+                ..request(&name, 0, u64::from(node_index) << 32 | turn)
             });
             sends.extend((listed && node.engine_of(&name) == Some(target)).then_some(node.now));
             if node.engine_of(&name).is_some_and(|at| at.starts_with('r')) {
@@ -45,7 +45,7 @@
             }
             node.first_token(&name);
             node.attempt_ended(&name, Outcome::Served);
-            let next = node.now + gap;
+            let next = node.now + interval;
             while node.now < next {
                 node.now = next.min(node.now + 100 * MS);
                 node.fire_due_timers();
@@ -59,8 +59,8 @@
 fn engine_gets_few_requests_during_slow_start() {
     let started = |node: &Node| Some(node.now);
     let mut node = Node::new(settings(), pair());
-    let cold = Endpoint { started: started(&node), ..endpoint("r2", "near", 1) };
-    node.update_endpoints(ListUpdate::Delta, vec![cold]);
+    let starting = Endpoint { started: started(&node), ..endpoint("r2", "near", 1) };
+    node.update_endpoints(ListUpdate::Delta, vec![starting]);
     let mut sends = 0;
     for session in 0..40 {
         let name = format!("c{session}");
@@ -68,7 +68,7 @@
         sends += usize::from(node.engine_of(&name) == Some("r2"));
         serve(&mut node, &name);
     }
-    // 40 requests in 6.8 s: four windows of 2 s at the most.
+    // 40 requests take 6.8 s, which are at most four windows of 2 s.
     assert!((1..=4).contains(&sends), "{sends} sends to an engine in slow start");
     node.now += 20 * SECOND;
     let mut sends = 0;
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn engine_that_returns_unannounced_enters_slow_start() {
+fn engine_that_refused_connections_enters_slow_start() {
     let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
-    // One that restarts refuses connections meanwhile, time and again.
+    // An engine that restarts refuses connections repeatedly meanwhile.
     node.request_arrived(request("a", 0, 1));
     node.attempt_ended("a", Outcome::Unreachable);
     node.attempt_ended("a", Outcome::Unreachable);
@@ -99,7 +99,8 @@
 
 #[test]
 fn single_broken_connection_does_not_start_slow_start() {
-    // On sockets a scenario of resets under sound engines had all fourteen count as warming up throughout.
+    // Guards against healthy engines in slow start: in a run over sockets with connection resets all fourteen
+    // engines counted as warming up all the time.
     for outcome in [Outcome::ConnectionBroken, Outcome::Unreachable] {
         let mut node = Node::new(settings(), vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1)]);
         for round in 0..20 {
@@ -111,7 +112,7 @@
             assert_eq!(node.engine_of(&next), Some("r1"), "{outcome:?}, round {round}");
             node.attempt_ended(&next, Outcome::Read);
             assert_eq!(node.engine_of(&next), Some("w1"), "{outcome:?}, round {round}");
-            // The writer's first break is no strike either: the next state goes there at once.
+            // Nor does the first failure of the writer count: the next state goes there at once.
             node.attempt_ended(&next, outcome);
             node.client_left(&next);
             node.now += SECOND;
@@ -121,47 +122,49 @@
 
 #[test]
 fn slow_start_budget_holds_over_all_nodes() {
-    // Nodes, time between the requests of one, whether they know the usual rates.
+    // Nodes and the time between the requests of one; targets and whether the nodes know the usual rates.
     let cases = [(1, 200 * MS), (3, 400 * MS), (40, SECOND), (200, 4 * SECOND)];
     let targets = [("r2", true), ("w2", true), ("m2", true), ("r2", false), ("w2", false), ("m2", false)];
-    for ((nodes, gap), (target, known)) in cases.iter().flat_map(|c| targets.map(|t| (*c, t))) {
+    for ((nodes, interval), (target, warm_nodes)) in cases.iter().flat_map(|c| targets.map(|t| (*c, t))) {
         let settings = settings();
-        // Two engines share the requests; each could do a good deal more than it answers here.
-        let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
+        // Two engines share the requests and are used to 0.6 of their capacity.
+        let capacity = f64::from(nodes) * 1e6 / interval as f64 / 2.0 / 0.6;
         let window = settings.overload_window;
         let budget =
             settings.overload_factor * settings.slow_start_min_capacity * capacity * window as f64 / 1e6;
-        let sends = sends_during_slow_start(nodes, gap, target, known, None);
-        let within = |from: Micros| sends.iter().filter(|at| (from..from + window).contains(at)).count();
-        let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
+        let sends = sends_during_slow_start(nodes, interval, target, warm_nodes, None);
+        let sends_in_window =
+            |from: Micros| sends.iter().filter(|at| (from..from + window).contains(at)).count();
+        let most = sends.iter().map(|&at| sends_in_window(at)).max().unwrap_or(0);
         assert!(most as f64 <= budget + 1.0, "{most} sends to {target}, {nodes} nodes, budget {budget:.1}");
-        assert!(!known || most > 0, "{nodes} nodes never send to {target} in slow start");
+        assert!(!warm_nodes || most > 0, "{nodes} nodes never send to {target} in slow start");
     }
 }
 
 #[test]
 fn hot_prefix_does_not_overload_replica_in_slow_start() {
-    // A recorded violation: 26 of 46 nodes each sent one prompt of a hot prefix to its replica within 1.5 s of
-    // its start. Reads are spread only where prompts begin differently.
+    // Guards against a violation that was recorded: 26 of 46 nodes each sent one prompt with a hot prefix to the
+    // prefix's replica within 1.5 s of its start. Reads spread over the readers only if prompts have different
+    // prefixes.
     let endpoints: Vec<Endpoint> = ["r1", "r2", "w1", "w2"].map(|name| endpoint(name, "near", 1)).into();
     let key = key_of(&["r2"], &endpoints, |key| Request {
         prefix: Some(key),
         prefix_tokens: 1_500,
         ..request("x", 0, 1)
     });
-    for (nodes, gap) in [(40, SECOND), (200, 4 * SECOND)] {
+    for (nodes, interval) in [(40, SECOND), (200, 4 * SECOND)] {
         let settings = settings();
-        let capacity = f64::from(nodes) * 1e6 / gap as f64 / 2.0 / 0.6;
+        let capacity = f64::from(nodes) * 1e6 / interval as f64 / 2.0 / 0.6;
         let budget = settings.overload_factor
             * settings.slow_start_min_capacity
             * capacity
             * settings.overload_window as f64
             / 1e6;
-        let sends = sends_during_slow_start(nodes, gap, "r2", true, Some(key));
-        let within = |from: Micros| {
+        let sends = sends_during_slow_start(nodes, interval, "r2", true, Some(key));
+        let sends_in_window = |from: Micros| {
             sends.iter().filter(|at| (from..from + settings.overload_window).contains(at)).count()
         };
-        let most = sends.iter().map(|&at| within(at)).max().unwrap_or(0);
+        let most = sends.iter().map(|&at| sends_in_window(at)).max().unwrap_or(0);
         assert!(most > 0 && most as f64 <= budget, "{most} sends, {nodes} nodes, budget {budget:.1}");
     }
 }
--- a/tests/policy/writer_choice.rs
+++ b/tests/policy/writer_choice.rs
@@ -5,7 +5,7 @@
 use pintally::interface::*;
 
 #[test]
-fn least_loaded_writer_wins_and_near_ones_break_ties() {
+fn least_loaded_writer_is_chosen_and_nearest_among_equals() {
     let endpoints = vec![
         endpoint("r1", "near", 1),
         endpoint("w1", "far", 3),
@@ -23,15 +23,18 @@
         node.first_token(&name);
     }
     assert_eq!(chosen[0], "w3", "the reader's rack first");
-    assert!(chosen.contains(&"w2".to_string()), "the reader's zone when the rack's has more streams");
-    assert!(chosen.contains(&"w1".to_string()), "and then the rest");
+    assert!(
+        chosen.contains(&"w2".to_string()),
+        "the reader's zone when the writer in the rack has more streams"
+    );
+    assert!(chosen.contains(&"w1".to_string()), "then other zones");
 }
 
 #[test]
 fn slow_link_keeps_states_in_rack() {
     let endpoints = vec![endpoint("r1", "near", 1), endpoint("w1", "near", 1), endpoint("w2", "far", 2)];
     let mut node = Node::new(settings(), endpoints);
-    let mut far = 0;
+    let mut far_of_last_20 = 0;
     for i in 0..40 {
         let name = format!("s{i}");
         node.request_arrived(request(&name, 0, i));
@@ -40,9 +43,9 @@
         let went_far = node.engine_of(&name) == Some("w2");
         node.now += if went_far { 900 * MS } else { 10 * MS };
         node.first_token(&name);
-        far += usize::from(i >= 20 && went_far);
+        far_of_last_20 += usize::from(i >= 20 && went_far);
     }
-    assert!(far <= 2, "{far} of the last 20 left the rack");
+    assert!(far_of_last_20 <= 2, "{far_of_last_20} of the last 20 left the rack");
 }
 
 #[test]
@@ -68,22 +71,23 @@
         endpoint("w2", "near", 2),
         endpoint("w3", "near", 2),
     ];
-    // The near writer has reported much load: at first the far ones are better, later it wins again.
-    for (waited, near) in [(0, false), (20 * SECOND, true)] {
+    // The near writer has reported a high load: a far one is chosen at first, and the near one again later.
+    for (wait, near) in [(0, false), (20 * SECOND, true)] {
         let mut node = Node::new(Settings { node_count: 100, ..settings() }, endpoints.clone());
         for (name, memory) in [("w1", 0.85), ("w2", 0.1), ("w3", 0.1)] {
             report(&mut node, name, memory);
         }
-        node.now += waited;
+        node.now += wait;
         node.request_arrived(request("a", 0, 1));
         node.attempt_ended("a", Outcome::Read);
-        assert_eq!(node.engine_of("a") == Some("w1"), near, "after {waited} us");
+        assert_eq!(node.engine_of("a") == Some("w1"), near, "after {wait} us");
     }
 }
 
 #[test]
-fn without_reports_near_writers_take_their_even_part() {
-    // Five readers with one writer, one reader with five: all ties, so near would always win.
+fn without_reports_near_writers_take_their_even_share() {
+    // One rack has five readers and one writer, the other one reader and five writers. All writers are equally
+    // loaded as far as the node can see, so the near one would always be chosen.
     let mut endpoints = vec![endpoint("w1", "near", 1), endpoint("r6", "near", 2)];
     endpoints.extend((1..=5).map(|i| endpoint(&format!("r{i}"), "near", 1)));
     endpoints.extend((2..=6).map(|i| endpoint(&format!("w{i}"), "near", 2)));
@@ -113,10 +117,11 @@
 
 #[test]
 fn weights_are_relative_to_role_mean() {
-    // Guards against weights of 22 that make 22 streams count as one: near writers won whatever they had.
-    for unit in [1.0, 22.0] {
-        let at = |name: &str, rack| Endpoint { weight: unit, ..endpoint(name, "near", rack) };
-        let endpoints = vec![at("r1", 1), at("w1", 1), at("w2", 2), at("w3", 2)];
+    // Guards against absolute weights: with weights of 22, 22 streams counted as one and near writers were
+    // chosen whatever their load.
+    for weight in [1.0, 22.0] {
+        let weighted = |name: &str, rack| Endpoint { weight, ..endpoint(name, "near", rack) };
+        let endpoints = vec![weighted("r1", 1), weighted("w1", 1), weighted("w2", 2), weighted("w3", 2)];
         let mut node = Node::new(settings(), endpoints);
         let mut near = 0;
         for i in 0..9 {
@@ -127,7 +132,7 @@
             near += usize::from(node.engine_of(&name) == Some("w1"));
             node.first_token(&name);
         }
-        assert!((3..=6).contains(&near), "unit {unit}: {near} of 9 streams at the near writer");
+        assert!((3..=6).contains(&near), "weight {weight}: {near} of 9 streams at the near writer");
     }
 }
 
@@ -153,7 +158,7 @@
         node.attempt_ended(name, Outcome::Served);
         at
     };
-    assert_eq!(next("b", 0, SECOND).as_deref(), Some("w2"), "its tenant passes it by");
-    assert_eq!(next("c", 1, MS).as_deref(), Some("w1"), "the other does not");
-    assert_eq!(next("d", 0, 20 * SECOND).as_deref(), Some("w1"), "it is tried again");
+    assert_eq!(next("b", 0, SECOND).as_deref(), Some("w2"), "the rejected tenant avoids it");
+    assert_eq!(next("c", 1, MS).as_deref(), Some("w1"), "the other tenant does not");
+    assert_eq!(next("d", 0, 20 * SECOND).as_deref(), Some("w1"), "the rejected tenant tries it again");
 }
