--- a/crates/pintally-config/src/quota.rs
+++ b/crates/pintally-config/src/quota.rs
@@ -85,20 +85,20 @@
             f,
             "(shared-limits (lease-ms {}) (every-ms {})",
             millis(s.lease_duration),
-            millis(s.request_interval)
+            millis(s.lease_request_interval)
         )?;
         write!(
             f,
             " (reserve {:?}) (over {:?}) (burst-ms {})",
             s.reserved_fraction,
             s.soft_excess_fraction,
-            millis(s.burst)
+            millis(s.burst_window)
         )?;
         write!(
             f,
             " (hold-ms {}) (fade-ms {}) (drift {:?})",
-            millis(s.max_hold),
-            millis(s.soft_decay),
+            millis(s.max_request_duration),
+            millis(s.soft_decay_duration),
             s.max_clock_drift
         )?;
         for limit in &self.limits {
@@ -139,12 +139,12 @@
     let defaults = Settings::default();
     let allocation = Settings {
         lease_duration: form.millis_or("lease-ms", 4_000.0, 1.0, 3_600_000.0)?,
-        request_interval: form.millis_or("every-ms", 400.0, 1.0, 600_000.0)?,
+        lease_request_interval: form.millis_or("every-ms", 400.0, 1.0, 600_000.0)?,
         reserved_fraction: form.number_or("reserve", defaults.reserved_fraction, 0.0, 1.0)?,
         soft_excess_fraction: form.number_or("over", defaults.soft_excess_fraction, 0.0, 1.0)?,
-        burst: form.millis_or("burst-ms", 1_000.0, 1.0, 3_600_000.0)?,
-        max_hold: form.millis_or("hold-ms", 30_000.0, 0.0, 86_400_000.0)?,
-        soft_decay: form.millis_or("fade-ms", 4_000.0, 0.0, 3_600_000.0)?,
+        burst_window: form.millis_or("burst-ms", 1_000.0, 1.0, 3_600_000.0)?,
+        max_request_duration: form.millis_or("hold-ms", 30_000.0, 0.0, 86_400_000.0)?,
+        soft_decay_duration: form.millis_or("fade-ms", 4_000.0, 0.0, 3_600_000.0)?,
         max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
         ..defaults
     };
@@ -193,7 +193,7 @@
 /// Takes the number of nodes, and checks what the form needs of the other settings.
 pub(crate) fn check(root: &Form, settings: &mut NodeSettings) -> Result<(), ConfigError> {
     let Some(quotas) = &mut settings.quotas else { return Ok(()) };
-    quotas.allocation.nodes = settings.core.node_count.max(1);
+    quotas.allocation.node_count = settings.core.node_count.max(1);
     if settings.consensus.is_none() {
         return Err(root.error_at("shared-limits", "shared limits need `(keepers ...)`: their leader lends")?);
     }
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -31,7 +31,7 @@
     assert_eq!(first.quotas, second.quotas);
     assert_eq!(first.outlier_detection, second.outlier_detection);
     assert_eq!(first.failover, second.failover);
-    assert_eq!(second.quotas.unwrap().allocation.nodes, 6, "floors are for as many nodes as there are");
+    assert_eq!(second.quotas.unwrap().allocation.node_count, 6, "floors are for as many nodes as there are");
 }
 
 #[test]
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -256,9 +256,18 @@
     assert_eq!(keepers.max_clock_drift, 0.02);
     let shared = s.quotas.expect("shared limits");
     let f = &shared.allocation;
-    assert_eq!((f.nodes, f.lease_duration, f.request_interval, f.burst), (3, 3_000_000, 300_000, 900_000));
     assert_eq!(
-        (f.max_hold, f.soft_decay, f.reserved_fraction, f.soft_excess_fraction, f.max_clock_drift),
+        (f.node_count, f.lease_duration, f.lease_request_interval, f.burst_window),
+        (3, 3_000_000, 300_000, 900_000)
+    );
+    assert_eq!(
+        (
+            f.max_request_duration,
+            f.soft_decay_duration,
+            f.reserved_fraction,
+            f.soft_excess_fraction,
+            f.max_clock_drift
+        ),
         (20_000_000, 2_500_000, 0.2, 0.15, 0.02)
     );
     let names: Vec<_> = shared.limits.iter().map(|l| (l.name.as_str(), l.limit)).collect();
@@ -279,9 +288,15 @@
     assert_eq!(keepers.max_clock_drift, 0.01);
     let shared = s.quotas.expect("shared limits");
     let f = &shared.allocation;
-    assert_eq!((f.lease_duration, f.request_interval, f.burst), (4_000_000, 400_000, 1_000_000));
+    assert_eq!((f.lease_duration, f.lease_request_interval, f.burst_window), (4_000_000, 400_000, 1_000_000));
     assert_eq!(
-        (f.max_hold, f.soft_decay, f.reserved_fraction, f.soft_excess_fraction, f.max_clock_drift),
+        (
+            f.max_request_duration,
+            f.soft_decay_duration,
+            f.reserved_fraction,
+            f.soft_excess_fraction,
+            f.max_clock_drift
+        ),
         (30_000_000, 4_000_000, 0.2, 0.25, 0.01)
     );
     assert!(shared.limits.is_empty());
--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -22,14 +22,14 @@
 mod store;
 mod vote_recovery;
 
-pub use log::{Entry, LogCommand, Position};
+pub use log::{LogCommand, LogEntry, LogPosition};
 pub use message::Message;
 pub use output::{Output, ProposalError};
 pub use pintally_validation::InvalidConfiguration;
 pub use replica::Replica;
 pub use settings::{Settings, MAX_REPLICAS};
 pub use status::{ReplicaState, Status};
-pub use store::{KeyValueStore, Value, Write, MAX_KEYS, MAX_KEY_BYTES, MAX_VALUE_BYTES};
+pub use store::{KeyValueStore, VersionedValue, Write, MAX_KEYS, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/pintally-consensus/src/log.rs
+++ b/crates/pintally-consensus/src/log.rs
@@ -15,7 +15,7 @@
 /// A position in the log. Of two logs the one that ends at the greater position contains every entry
 /// that can have been committed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Position {
+pub struct LogPosition {
     /// The term in which the entry was created.
     pub term: u64,
     /// The index of the entry; the first one is 1.
@@ -35,14 +35,14 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The term in which the entry was created.
     pub term: u64,
     /// What the entry does once it is committed.
     pub command: LogCommand,
 }
 
-impl Entry {
+impl LogEntry {
     /// An upper bound for the encoded size.
     fn max_encoded_bytes(&self) -> usize {
         let command_bytes = match &self.command {
@@ -60,25 +60,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Log {
     /// The last entry that the snapshot covers.
-    pub(crate) last_included: Position,
+    pub(crate) last_included: LogPosition,
     /// The replicas as of that entry.
     pub(crate) snapshot_replicas: Vec<ReplicaName>,
     /// The encoded store as of that entry.
     pub(crate) snapshot: Vec<u8>,
     /// The entries after it.
-    pub(crate) entries: Vec<Entry>,
+    pub(crate) entries: Vec<LogEntry>,
 }
 
 impl Log {
     /// The position of the last entry.
-    pub(crate) fn last(&self) -> Position {
+    pub(crate) fn last(&self) -> LogPosition {
         let index = self.last_included.index + self.entries.len() as u64;
         let term = self.entries.last().map_or(self.last_included.term, |entry| entry.term);
-        Position { term, index }
+        LogPosition { term, index }
     }
 
     /// The entry at an index, unless the snapshot covers it or the log ends before it.
-    pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
+    pub(crate) fn get(&self, index: u64) -> Option<&LogEntry> {
         let offset = index.checked_sub(self.last_included.index + 1)?;
         self.entries.get(offset as usize)
     }
@@ -113,7 +113,7 @@
     }
 
     /// The entries from an index on that fit into a number of bytes, but at least one if there is any.
-    pub(crate) fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
+    pub(crate) fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<LogEntry> {
         let skipped = index.saturating_sub(self.last_included.index + 1) as usize;
         let mut remaining_bytes = max_bytes;
         let mut selected = Vec::new();
@@ -130,7 +130,7 @@
 
     /// Appends the entries that follow `prev_index`. An entry that conflicts with a received one is
     /// removed together with all that follow it. Returns whether the log changed.
-    pub(crate) fn merge(&mut self, prev_index: u64, entries: Vec<Entry>) -> bool {
+    pub(crate) fn merge(&mut self, prev_index: u64, entries: Vec<LogEntry>) -> bool {
         let mut changed = false;
         for (index, entry) in (prev_index + 1..).zip(entries) {
             if index <= self.last_included.index {
@@ -160,7 +160,7 @@
         let Some(term) = self.term_of(index) else { return };
         self.snapshot_replicas = self.replicas_at(index).to_vec();
         self.entries.drain(..(index - self.last_included.index) as usize);
-        self.last_included = Position { term, index };
+        self.last_included = LogPosition { term, index };
         self.snapshot = snapshot;
     }
 }
--- a/crates/pintally-consensus/src/message.rs
+++ b/crates/pintally-consensus/src/message.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::log::{Entry, Position};
+use crate::log::{LogEntry, LogPosition};
 use crate::{Micros, ReplicaName};
 
 /// Bytes of log entries, or of a chunk of a snapshot, in one message: together with the other fields a
@@ -20,7 +20,7 @@
         /// The term in which the candidate wants to lead.
         term: u64,
         /// The end of the candidate's log.
-        last_log: Position,
+        last_log: LogPosition,
         /// Whether this is a pre-vote, which commits nobody to anything.
         pre_vote: bool,
     },
@@ -38,9 +38,9 @@
         /// The leader's term.
         term: u64,
         /// The entry that immediately precedes `entries`.
-        prev_log: Position,
+        prev_log: LogPosition,
         /// The entries to append.
-        entries: Vec<Entry>,
+        entries: Vec<LogEntry>,
         /// The leader's commit index.
         leader_commit: u64,
         /// The leader's clock at sending, returned in the response.
@@ -63,7 +63,7 @@
         /// The leader's term.
         term: u64,
         /// The last entry that the snapshot covers.
-        last_included: Position,
+        last_included: LogPosition,
         /// The replicas as of that entry.
         replicas: Vec<ReplicaName>,
         /// The offset of the chunk, in bytes.
@@ -80,7 +80,7 @@
         /// The current term of the follower.
         term: u64,
         /// The last entry that the snapshot covers.
-        last_included: Position,
+        last_included: LogPosition,
         /// Bytes received so far.
         received_bytes: u32,
         /// `sent_at` of the request.
@@ -93,7 +93,7 @@
         /// The latest term that the sender knows.
         term: u64,
         /// The end of the sender's log.
-        last_log: Position,
+        last_log: LogPosition,
         /// Whether the sender has never had any state.
         empty: bool,
         /// The replicas, as far as the sender knows.
--- a/crates/pintally-consensus/src/output.rs
+++ b/crates/pintally-consensus/src/output.rs
@@ -21,7 +21,7 @@
     /// [`ProposalError::LeadershipLost`] for the case in which a later leader may still commit it.
     ProposalRejected(u64, ProposalError),
     /// The contents of the store or the set of replicas changed.
-    Changed,
+    StateChanged,
 }
 
 /// Why a proposal was rejected.
--- a/crates/pintally-consensus/src/persistence/tests.rs
+++ b/crates/pintally-consensus/src/persistence/tests.rs
@@ -1,7 +1,7 @@
 //! The persisted state as bytes: a later build reads what an earlier one has stored.
 
 use super::*;
-use crate::log::{Entry, LogCommand, Position};
+use crate::log::{LogCommand, LogEntry, LogPosition};
 use crate::{KeyValueStore, Replica, Settings, Write};
 
 const GOLDEN: &str = include_str!("../../tests/golden/stored.txt");
@@ -33,14 +33,14 @@
 fn persistent_state() -> PersistentState {
     let replicas = |names: &[&str]| names.iter().map(|n| ReplicaName::from(*n)).collect::<Vec<_>>();
     let write = Write { key: "limit/c".into(), value: vec![9], expect: Some(0) };
-    let entry = |term, command| Entry { term, command };
+    let entry = |term, command| LogEntry { term, command };
     let entries = vec![
         entry(300, LogCommand::Noop),
         entry(300, LogCommand::ChangeReplicas(replicas(&["n1", "n2", "n3"]))),
         entry(301, LogCommand::Write(write)),
     ];
     let log = Log {
-        last_included: Position { term: 299, index: 70_000 },
+        last_included: LogPosition { term: 299, index: 70_000 },
         snapshot_replicas: replicas(&["n1", "n2"]),
         snapshot: store().encode(),
         entries,
--- a/crates/pintally-consensus/src/replica.rs
+++ b/crates/pintally-consensus/src/replica.rs
@@ -16,7 +16,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::log::{Entry, Position};
+use crate::log::{LogEntry, LogPosition};
 use crate::message::Message;
 use crate::output::Output;
 use crate::persistence::PersistentState;
@@ -50,7 +50,7 @@
     /// Whether the disk showed no sign of loss or corruption at the start.
     disk_intact: bool,
     /// The longest log that others reported after a start: a candidate with a shorter one gets no vote.
-    min_log_position: Position,
+    min_log_position: LogPosition,
     leader: Option<ReplicaName>,
     /// No vote is granted before this time: there is a leader, or there was one before the start.
     sticky_until: Micros,
@@ -84,7 +84,7 @@
             role: Role::Follower,
             vote_recovery: Some(VoteRecovery::new(now, disk_intact)),
             disk_intact,
-            min_log_position: Position::default(),
+            min_log_position: LogPosition::default(),
             leader: None,
             sticky_until: now + settings.leader_stickiness(),
             election_due: now,
@@ -106,12 +106,12 @@
     }
 
     /// The index of the last entry that was applied to the store.
-    pub fn applied(&self) -> u64 {
+    pub fn last_applied(&self) -> u64 {
         self.last_applied
     }
 
     /// A committed entry, if the log still contains it.
-    pub fn committed_entry(&self, index: u64) -> Option<&Entry> {
+    pub fn committed_entry(&self, index: u64) -> Option<&LogEntry> {
         if index > self.commit_index {
             return None;
         }
@@ -134,7 +134,7 @@
     }
 
     /// The position of the last entry of the log.
-    pub fn last_position(&self) -> Position {
+    pub fn last_log_position(&self) -> LogPosition {
         self.persistent.log.last()
     }
 
--- a/crates/pintally-consensus/src/replica/election.rs
+++ b/crates/pintally-consensus/src/replica/election.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::message::Message;
 use crate::vote_recovery::majority;
 use crate::{Micros, ReplicaName};
@@ -25,7 +25,7 @@
         // Guards against a minimum that nobody reaches any more: it may have been an entry that was never
         // committed and that its holder has lost since. There is no leader, so all are asked again; what
         // was committed is still stored by enough of them.
-        if self.last_position() < self.min_log_position {
+        if self.last_log_position() < self.min_log_position {
             return self.restart_recovery(now);
         }
         // A replica outside the group, or one without any state, is no candidate.
@@ -45,7 +45,7 @@
 
     fn request_votes(&mut self, phase: ElectionPhase) {
         let term = phase.candidate_term(self.persistent.current_term);
-        let (last_log, pre_vote) = (self.last_position(), phase.is_pre_vote());
+        let (last_log, pre_vote) = (self.last_log_position(), phase.is_pre_vote());
         for peer in self.peers() {
             self.outbox.send(peer, Message::RequestVote { term, last_log, pre_vote });
         }
@@ -70,7 +70,7 @@
         now: Micros,
         candidate: &ReplicaName,
         term: u64,
-        last_log: Position,
+        last_log: LogPosition,
         phase: ElectionPhase,
     ) {
         // Leader stickiness. Guards against a replica that was disconnected and, once it is back, deposes
@@ -78,7 +78,7 @@
         if now < self.sticky_until || self.leadership(now).is_some() {
             return;
         }
-        let is_up_to_date = last_log >= self.last_position().max(self.min_log_position);
+        let is_up_to_date = last_log >= self.last_log_position().max(self.min_log_position);
         match phase {
             ElectionPhase::PreVote => self.answer_pre_vote(candidate, term, is_up_to_date),
             ElectionPhase::Vote => self.answer_vote(now, candidate, term, is_up_to_date),
--- a/crates/pintally-consensus/src/replica/leadership.rs
+++ b/crates/pintally-consensus/src/replica/leadership.rs
@@ -1,6 +1,6 @@
 //! The lease of a leader, its heartbeats, and how leadership begins and ends.
 
-use crate::log::{Entry, LogCommand};
+use crate::log::{LogCommand, LogEntry};
 use crate::output::{Output, ProposalError};
 use crate::vote_recovery::majority;
 use crate::Micros;
@@ -69,7 +69,7 @@
 
     /// The very first entry of a log records the replicas, so that no snapshot is needed for them.
     fn first_command_of_term(&self) -> LogCommand {
-        if self.last_position().index == 0 {
+        if self.last_log_position().index == 0 {
             LogCommand::ChangeReplicas(self.replicas().to_vec())
         } else {
             LogCommand::Noop
@@ -79,7 +79,7 @@
     /// Appends an entry of this term to the leader's own log.
     pub(super) fn append_own(&mut self, command: LogCommand) {
         let term = self.persistent.current_term;
-        self.persistent.log.entries.push(Entry { term, command });
+        self.persistent.log.entries.push(LogEntry { term, command });
         self.outbox.request_save();
     }
 
--- a/crates/pintally-consensus/src/replica/outbox.rs
+++ b/crates/pintally-consensus/src/replica/outbox.rs
@@ -42,7 +42,7 @@
         out.extend(self.messages.drain(..).map(|(to, message)| Output::Send(to, message)));
         out.append(&mut self.proposal_results);
         if std::mem::take(&mut self.store_changed) {
-            out.push(Output::Changed);
+            out.push(Output::StateChanged);
         }
     }
 }
--- a/crates/pintally-consensus/src/replica/proposals.rs
+++ b/crates/pintally-consensus/src/replica/proposals.rs
@@ -49,7 +49,7 @@
         }
         self.append_own(command);
         let term = self.persistent.current_term;
-        self.pending_proposals.insert(self.last_position().index, PendingProposal { term, number });
+        self.pending_proposals.insert(self.last_log_position().index, PendingProposal { term, number });
         self.track_progress();
         self.replicate_to_all(now);
         self.advance_commit_index(now);
--- a/crates/pintally-consensus/src/replica/recovery.rs
+++ b/crates/pintally-consensus/src/replica/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::message::Message;
 use crate::vote_recovery::{RecoveryOutcome, StoredState, VoteRecovery};
 use crate::{Micros, ReplicaName};
@@ -12,7 +12,7 @@
 impl Replica {
     /// What this replica has stored.
     pub(super) fn stored_state(&self) -> StoredState {
-        let last_log = self.last_position();
+        let last_log = self.last_log_position();
         StoredState {
             term: self.persistent.current_term,
             last_log,
@@ -74,7 +74,7 @@
         self.outbox.request_save();
     }
 
-    fn adopt_recovered(&mut self, term: u64, min_log_position: Position) {
+    fn adopt_recovered(&mut self, term: u64, min_log_position: LogPosition) {
         if term > self.persistent.current_term {
             self.persistent.voted_for = None;
         }
@@ -87,8 +87,8 @@
 
     /// Lifts the minimum log position once the log has reached it.
     pub(super) fn clear_reached_minimum(&mut self) {
-        if self.last_position() >= self.min_log_position {
-            self.min_log_position = Position::default();
+        if self.last_log_position() >= self.min_log_position {
+            self.min_log_position = LogPosition::default();
         }
     }
 }
--- a/crates/pintally-consensus/src/replica/replication.rs
+++ b/crates/pintally-consensus/src/replica/replication.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::log::{Entry, Position};
+use crate::log::{LogEntry, LogPosition};
 use crate::message::{Message, MAX_PAYLOAD_BYTES};
 use crate::vote_recovery::majority;
 use crate::{Micros, ReplicaName};
@@ -24,8 +24,8 @@
 
 /// A leader's request to append entries.
 pub(super) struct AppendRequest {
-    pub(super) prev_log: Position,
-    pub(super) entries: Vec<Entry>,
+    pub(super) prev_log: LogPosition,
+    pub(super) entries: Vec<LogEntry>,
     pub(super) leader_commit: u64,
     pub(super) sent_at: Micros,
 }
@@ -74,7 +74,7 @@
 
     fn append_entries(&mut self, now: Micros, leader: &ReplicaName, request: AppendRequest) {
         let AppendRequest { prev_log, entries, leader_commit, sent_at } = request;
-        let last_index = self.last_position().index;
+        let last_index = self.last_log_position().index;
         let log = &mut self.persistent.log;
         let is_in_snapshot = prev_log.index <= log.last_included.index;
         if !is_in_snapshot && log.term_of(prev_log.index) != Some(prev_log.term) {
@@ -117,7 +117,7 @@
         tracked.extend(self.joining.clone());
         tracked.remove(&self.settings.name);
         self.progress.retain(|name, _| tracked.contains(name));
-        let next_index = self.last_position().index;
+        let next_index = self.last_log_position().index;
         for name in tracked {
             self.progress.entry(name).or_insert(FollowerProgress {
                 next_index,
@@ -143,7 +143,7 @@
         let message = match log.term_of(prev_index) {
             Some(prev_term) => Message::AppendEntries {
                 term: self.persistent.current_term,
-                prev_log: Position { term: prev_term, index: prev_index },
+                prev_log: LogPosition { term: prev_term, index: prev_index },
                 entries: log.entries_from(progress.next_index, MAX_PAYLOAD_BYTES),
                 leader_commit: self.commit_index,
                 sent_at: now,
@@ -187,7 +187,7 @@
         if !self.accept_response(now, from, term, sent_at) {
             return;
         }
-        let last_index = self.last_position().index;
+        let last_index = self.last_log_position().index;
         let Some(progress) = self.progress.get_mut(from) else { return };
         if success {
             progress.match_index = progress.match_index.max(match_index.min(last_index));
@@ -233,7 +233,7 @@
 
     fn match_index_of(&self, name: &ReplicaName) -> u64 {
         if *name == self.settings.name {
-            return self.last_position().index;
+            return self.last_log_position().index;
         }
         self.progress.get(name).map_or(0, |progress| progress.match_index)
     }
--- a/crates/pintally-consensus/src/replica/snapshot_transfer.rs
+++ b/crates/pintally-consensus/src/replica/snapshot_transfer.rs
@@ -1,6 +1,6 @@
 //! Snapshot transfer to replicas that lack entries which the leader has compacted.
 
-use crate::log::{Log, Position};
+use crate::log::{Log, LogPosition};
 use crate::message::{Message, MAX_PAYLOAD_BYTES};
 use crate::store::KeyValueStore;
 use crate::{Micros, ReplicaName};
@@ -13,13 +13,13 @@
 /// A snapshot of which some chunks have been received.
 #[derive(Clone, Debug)]
 pub(super) struct IncomingSnapshot {
-    last_included: Position,
+    last_included: LogPosition,
     bytes: Vec<u8>,
 }
 
 /// A received chunk of a snapshot.
 pub(super) struct SnapshotChunk {
-    pub(super) last_included: Position,
+    pub(super) last_included: LogPosition,
     pub(super) replicas: Vec<ReplicaName>,
     pub(super) offset: u32,
     pub(super) total_bytes: u32,
@@ -29,7 +29,7 @@
 
 /// A follower's answer to a chunk that does not complete the snapshot.
 pub(super) struct SnapshotResponse {
-    pub(super) last_included: Position,
+    pub(super) last_included: LogPosition,
     pub(super) received_bytes: u32,
     pub(super) sent_at: Micros,
 }
@@ -105,7 +105,7 @@
 
     /// Adds a chunk that continues the snapshot; a chunk of another snapshot starts anew. Returns all
     /// bytes received so far.
-    fn collect_chunk(&mut self, last_included: Position, offset: u32, data: Vec<u8>) -> &[u8] {
+    fn collect_chunk(&mut self, last_included: LogPosition, offset: u32, data: Vec<u8>) -> &[u8] {
         if self.incoming_snapshot.as_ref().is_none_or(|incoming| incoming.last_included != last_included) {
             self.incoming_snapshot = None;
         }
@@ -121,7 +121,7 @@
     /// Replaces the store and the log by a snapshot. Returns whether it could be decoded.
     fn install_snapshot(
         &mut self,
-        last_included: Position,
+        last_included: LogPosition,
         snapshot_replicas: Vec<ReplicaName>,
         snapshot: Vec<u8>,
     ) -> bool {
--- a/crates/pintally-consensus/src/replica/status.rs
+++ b/crates/pintally-consensus/src/replica/status.rs
@@ -21,7 +21,7 @@
             replicas: self.replicas().iter().map(ToString::to_string).collect(),
             joining: self.joining.as_ref().map(ToString::to_string),
             commit_index: self.commit_index,
-            last_log_index: self.last_position().index,
+            last_log_index: self.last_log_position().index,
             leadership_ms: self.lease_end().map(|end| end.saturating_sub(now) / 1000),
             value_count: self.store.iter().count(),
         }
--- a/crates/pintally-consensus/src/store.rs
+++ b/crates/pintally-consensus/src/store.rs
@@ -13,7 +13,7 @@
 
 /// A value and its version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Value {
+pub struct VersionedValue {
     /// The number of writes to the key. A deletion counts and does not reset it.
     pub version: u64,
     /// The value; empty if it was deleted.
@@ -42,17 +42,17 @@
 /// Versioned values by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyValueStore {
-    values: BTreeMap<String, Value>,
+    values: BTreeMap<String, VersionedValue>,
 }
 
 impl KeyValueStore {
     /// The value of a key; one that was deleted is returned with its version and no bytes.
-    pub fn get(&self, key: &str) -> Option<&Value> {
+    pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.values.get(key)
     }
 
     /// All values that were not deleted, ordered by key.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Value)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &VersionedValue)> {
         self.values
             .iter()
             .filter(|(_, value)| !value.bytes.is_empty())
@@ -72,7 +72,7 @@
         if is_full || conflicts || !write.is_within_bounds() {
             return Err(current);
         }
-        let value = Value { version: current + 1, bytes: write.value.clone() };
+        let value = VersionedValue { version: current + 1, bytes: write.value.clone() };
         self.values.insert(write.key.clone(), value);
         Ok(current + 1)
     }
--- a/crates/pintally-consensus/src/vote_recovery.rs
+++ b/crates/pintally-consensus/src/vote_recovery.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::log::Position;
+use crate::log::LogPosition;
 use crate::{Micros, ReplicaName};
 
 /// What a replica has stored, as reported in a recovery response.
@@ -15,7 +15,7 @@
     /// The latest term that it knows.
     pub(crate) term: u64,
     /// The end of its log.
-    pub(crate) last_log: Position,
+    pub(crate) last_log: LogPosition,
     /// Whether it has never had any state.
     pub(crate) empty: bool,
     /// The replicas, as far as it knows.
@@ -45,7 +45,7 @@
         /// The latest term that anybody knows.
         term: u64,
         /// The position that the log of a candidate must have reached to get a vote.
-        min_log_position: Position,
+        min_log_position: LogPosition,
     },
 }
 
--- a/crates/pintally-consensus/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally_consensus::{Entry, Message, Micros, Output, Replica, ReplicaName, Settings, Write};
+use pintally_consensus::{LogEntry, Message, Micros, Output, Replica, ReplicaName, Settings, Write};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -58,7 +58,7 @@
     queue: BTreeMap<(Micros, u64), Event>,
     serial: u64,
     /// By index: the entry that was committed first.
-    pub committed: BTreeMap<u64, Entry>,
+    pub committed: BTreeMap<u64, LogEntry>,
     /// The leader of each term.
     leaders: BTreeMap<u64, usize>,
     pub proposals: u64,
@@ -175,7 +175,7 @@
                     }
                 }
                 Output::ProposalApplied(..) => self.completed += 1,
-                Output::ProposalRejected(..) | Output::Changed => {}
+                Output::ProposalRejected(..) | Output::StateChanged => {}
             }
         }
         self.check(k);
@@ -318,7 +318,7 @@
             let by = *self.leaders.entry(replica.term()).or_insert(k);
             assert_eq!(by, k, "seed {seed}: two leaders in term {}", replica.term());
         }
-        for index in replica.applied().saturating_sub(8)..=replica.applied() {
+        for index in replica.last_applied().saturating_sub(8)..=replica.last_applied() {
             let Some(entry) = replica.committed_entry(index) else { continue };
             let first = self.committed.entry(index).or_insert_with(|| entry.clone());
             assert_eq!(first, entry, "seed {seed}: replicas disagree on entry {index}");
--- a/crates/pintally-consensus/tests/golden.rs
+++ b/crates/pintally-consensus/tests/golden.rs
@@ -2,7 +2,9 @@
 
 use std::fmt::Debug;
 
-use pintally_consensus::{Entry, LogCommand, Message, Position, ProposalError, ReplicaName, Value, Write};
+use pintally_consensus::{
+    LogCommand, LogEntry, LogPosition, Message, ProposalError, ReplicaName, VersionedValue, Write,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -28,7 +30,7 @@
     assert_eq!(postcard::from_bytes::<T>(&golden(name)).unwrap(), value, "value of {name}");
 }
 
-const LAST: Position = Position { term: 300, index: 70_000 };
+const LAST: LogPosition = LogPosition { term: 300, index: 70_000 };
 
 fn replicas() -> Vec<ReplicaName> {
     ["n1", "n2", "n3"].map(ReplicaName::from).to_vec()
@@ -38,7 +40,7 @@
     Write { key: "limit/tenant-a".into(), value: vec![0, 1, 254, 255], expect }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<LogEntry> {
     let contents = [
         LogCommand::Noop,
         LogCommand::ChangeReplicas(replicas()),
@@ -46,14 +48,14 @@
         LogCommand::Write(write(Some(129))),
         LogCommand::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
     ];
-    contents.into_iter().zip(299..).map(|(command, term)| Entry { term, command }).collect()
+    contents.into_iter().zip(299..).map(|(command, term)| LogEntry { term, command }).collect()
 }
 
 #[test]
 fn log_entry_bytes_are_stable() {
     let names = ["entry_nothing", "entry_members", "entry_write", "entry_write_expecting", "entry_delete"];
     names.into_iter().zip(entries()).for_each(|(name, entry)| assert_stable(name, entry));
-    assert_stable("value", Value { version: 130, bytes: vec![7, 0, 255] });
+    assert_stable("value", VersionedValue { version: 130, bytes: vec![7, 0, 255] });
 }
 
 #[test]
--- a/crates/pintally-consensus/tests/snapshot_transfer.rs
+++ b/crates/pintally-consensus/tests/snapshot_transfer.rs
@@ -17,7 +17,7 @@
     let leader_index = leader(&cluster).expect("a leader");
     let follower = cluster.nodes[lagging].replica.as_ref().unwrap();
     let leader = cluster.nodes[leader_index].replica.as_ref().unwrap();
-    assert!(leader.applied() > 30, "{}", leader.applied());
-    assert!(follower.applied() + 5 >= leader.applied());
+    assert!(leader.last_applied() > 30, "{}", leader.last_applied());
+    assert!(follower.last_applied() + 5 >= leader.last_applied());
     assert_eq!(follower.store().iter().count(), leader.store().iter().count());
 }
--- a/crates/pintally-consensus/tests/state_space_search.rs
+++ b/crates/pintally-consensus/tests/state_space_search.rs
@@ -6,7 +6,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use pintally_consensus::{
-    Entry, Message, Micros, Output, Replica, ReplicaName, ReplicaState, Settings, Write,
+    LogEntry, Message, Micros, Output, Replica, ReplicaName, ReplicaState, Settings, Write,
 };
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -28,7 +28,7 @@
     replicas: [Replica; 3],
     disks: [Vec<Vec<u8>>; 3],
     inbox: Vec<(usize, usize, Message)>,
-    committed: BTreeMap<u64, Entry>,
+    committed: BTreeMap<u64, LogEntry>,
     leaders: BTreeMap<u64, usize>,
     budget: Budget,
 }
@@ -81,7 +81,7 @@
             let by = *self.leaders.entry(replica.term()).or_insert(k);
             assert_eq!(by, k, "two leaders in term {}", replica.term());
         }
-        for index in 1..=replica.applied() {
+        for index in 1..=replica.last_applied() {
             let Some(entry) = replica.committed_entry(index) else { continue };
             let first = self.committed.entry(index).or_insert_with(|| entry.clone());
             assert_eq!(first, entry, "replicas disagree on entry {index}");
--- a/crates/pintally-consensus/tests/vote_recovery.rs
+++ b/crates/pintally-consensus/tests/vote_recovery.rs
@@ -59,5 +59,5 @@
     let settings = Settings::new("a", &["a", "b", "c"]);
     let replica = Replica::new(settings, Some(&[1, 2, 3, 255, 255]), true, 1, 0);
     assert!(replica.is_recovering_votes());
-    assert_eq!(replica.last_position().index, 0);
+    assert_eq!(replica.last_log_position().index, 0);
 }
--- a/crates/pintally-host/src/quota_admission.rs
+++ b/crates/pintally-host/src/quota_admission.rs
@@ -70,7 +70,7 @@
     /// Admission by these quotas, with no lease yet.
     pub(crate) fn new(settings: &NodeSettings, quotas: &QuotaSettings) -> QuotaAdmission {
         let limits = quotas.limits.iter().map(|limit| (limit.id(), limit.name.clone(), limit.limit()));
-        let request_interval = quotas.allocation.request_interval;
+        let request_interval = quotas.allocation.lease_request_interval;
         QuotaAdmission {
             holder: QuotaHolder::new(quotas.allocation, limits),
             check_interval: (request_interval / CHECKS_PER_REQUEST_INTERVAL).max(MIN_CHECK_INTERVAL),
--- a/crates/pintally-kserve-node/src/replica_thread/mod.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/mod.rs
@@ -216,7 +216,7 @@
             Output::ProposalRejected(number, reason) => {
                 self.commands.answer(number, CommandAnswer::rejected(reason.to_string()));
             }
-            Output::Changed => self.apply_store(),
+            Output::StateChanged => self.apply_store(),
         }
     }
 }
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -160,7 +160,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(spec.seed);
         let names: Vec<String> = (0..spec.nodes).map(|n| format!("n{n}")).collect();
         let seeds: Vec<SocketAddr> = (0..3.min(spec.nodes)).map(address).collect();
-        let figures = shares::Settings { nodes: spec.nodes as u32, ..shares::Settings::default() };
+        let figures = shares::Settings { node_count: spec.nodes as u32, ..shares::Settings::default() };
         let limit = Limit { kind: LimitKind::Rate, enforcement: Enforcement::Hard, amount: spec.limit };
         let weights: Vec<f64> = (0..spec.nodes).map(|n| 1.0 + 19.0 * n as f64 / spec.nodes as f64).collect();
         let sum: f64 = weights.iter().sum();
--- a/crates/pintally-quota/src/bounds.rs
+++ b/crates/pintally-quota/src/bounds.rs
@@ -12,7 +12,7 @@
     pub per_additional_node: f64,
     /// By how much a rate is exceeded in any window at most, besides the largest single cost for each
     /// node that has used it and for each lease that expired in the window.
-    pub burst: f64,
+    pub max_burst: f64,
     /// What a disconnected node may use.
     pub floor: f64,
     /// The time after which an allocation that was lost with its holder can be granted again, provided
@@ -24,16 +24,16 @@
     /// The guarantees for a limit under these settings.
     pub fn bounds(&self, limit: &Limit) -> Bounds {
         let floor = self.floor(limit);
-        let floors = floor * f64::from(self.nodes.max(1));
+        let floors = floor * f64::from(self.node_count.max(1));
         let max_total = match limit.enforcement {
             Enforcement::Hard => limit.amount,
             Enforcement::Soft => limit.amount + floors,
         };
-        let burst = match limit.kind {
-            LimitKind::Rate => max_total * self.burst as f64 / MICROS_PER_SECOND,
+        let max_burst = match limit.kind {
+            LimitKind::Rate => max_total * self.burst_window as f64 / MICROS_PER_SECOND,
             LimitKind::Concurrency => 0.0,
         };
-        let max_reallocation_delay = self.debited_for(limit);
-        Bounds { max_total, per_additional_node: floor, burst, floor, max_reallocation_delay }
+        let max_reallocation_delay = self.debit_duration(limit);
+        Bounds { max_total, per_additional_node: floor, max_burst, floor, max_reallocation_delay }
     }
 }
--- a/crates/pintally-quota/src/granter.rs
+++ b/crates/pintally-quota/src/granter.rs
@@ -101,7 +101,7 @@
             return None;
         }
         let key = HolderKey { name: name.to_string(), incarnation };
-        let debit_duration = self.settings.debited_for(&pool.limit);
+        let debit_duration = self.settings.debit_duration(&pool.limit);
         // Until all leases of the previous leader have certainly expired, what nobody has claimed may
         // still be held. Afterwards what the granter does not know of is held by nobody.
         let knows_all_leases = now >= self.started_at + debit_duration;
--- a/crates/pintally-quota/src/holder.rs
+++ b/crates/pintally-quota/src/holder.rs
@@ -64,7 +64,7 @@
             return Admission::Admit;
         }
         held.record_rejection(cost);
-        let min_wait = 2 * settings.request_interval;
+        let min_wait = 2 * settings.lease_request_interval;
         let wait = held.wait_for_tokens(now, &settings).unwrap_or(min_wait);
         Admission::Reject(wait.clamp(MIN_RETRY_AFTER_US, settings.lease_duration.max(min_wait)))
     }
--- a/crates/pintally-quota/src/holder/allocation.rs
+++ b/crates/pintally-quota/src/holder/allocation.rs
@@ -85,7 +85,7 @@
         match self.limit.enforcement {
             Enforcement::Hard => 0.0,
             Enforcement::Soft => {
-                let decayed = (now - self.lease_end) as f64 / settings.soft_decay.max(1) as f64;
+                let decayed = (now - self.lease_end) as f64 / settings.soft_decay_duration.max(1) as f64;
                 leased * (1.0 - decayed).max(0.0)
             }
         }
@@ -111,7 +111,7 @@
         self.settled_at = self.settled_at.max(now);
         let is_lost = match self.limit.enforcement {
             Enforcement::Hard => now >= self.lease_end,
-            Enforcement::Soft => now >= self.lease_end + settings.soft_decay,
+            Enforcement::Soft => now >= self.lease_end + settings.soft_decay_duration,
         };
         if is_lost {
             self.leased_amount = 0.0;
@@ -129,7 +129,7 @@
                 continue;
             }
             let rate = self.total((from + to) / 2, settings);
-            let capacity = (rate * settings.burst as f64 / MICROS_PER_SECOND).max(0.0);
+            let capacity = (rate * settings.burst_window as f64 / MICROS_PER_SECOND).max(0.0);
             let refilled = self.level + rate * (to - from) as f64 / MICROS_PER_SECOND;
             // What was saved under a greater allocation does not outlast it.
             self.level = refilled.min(capacity);
@@ -144,7 +144,7 @@
             // A debt is paid first: otherwise the next holder would start where this one is ahead.
             LimitKind::Rate if self.level < 0.0 => {}
             LimitKind::Rate => {
-                let capacity = (floor + f64::from(target)) * settings.burst as f64 / MICROS_PER_SECOND;
+                let capacity = (floor + f64::from(target)) * settings.burst_window as f64 / MICROS_PER_SECOND;
                 self.leased_amount = target;
                 self.reduce_to = None;
                 self.level = self.level.min(capacity);
@@ -230,9 +230,9 @@
 
     pub(super) fn is_request_due(&self, now: Micros, settings: &Settings) -> bool {
         let interval = if self.is_urgent {
-            settings.request_interval / URGENT_REQUEST_FACTOR
+            settings.lease_request_interval / URGENT_REQUEST_FACTOR
         } else {
-            settings.request_interval
+            settings.lease_request_interval
         };
         self.last_request.is_none_or(|request| now >= request.sent_at + interval)
     }
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// The number of nodes in the fleet. Each has a floor, whether it is up or not.
-    pub nodes: u32,
+    pub node_count: u32,
     /// The part of a hard limit that the floors take, so that a disconnected node can continue at a low
     /// rate.
     pub reserved_fraction: f64,
@@ -60,14 +60,14 @@
     /// An allocation that is not requested again expires after this time.
     pub lease_duration: Micros,
     /// The time between two requests for an allocation in use.
-    pub request_interval: Micros,
+    pub lease_request_interval: Micros,
     /// What is not used of a rate may be used within this time.
-    pub burst: Micros,
+    pub burst_window: Micros,
     /// What a concurrency limit counts ends within this time: the allocation of a lost holder is not
     /// granted again any sooner.
-    pub max_hold: Micros,
+    pub max_request_duration: Micros,
     /// The time over which the soft allocation of a disconnected node decays.
-    pub soft_decay: Micros,
+    pub soft_decay_duration: Micros,
     /// The greatest difference between a second of one clock and a second of another, as a fraction.
     pub max_clock_drift: f64,
 }
@@ -75,14 +75,14 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            nodes: 1,
+            node_count: 1,
             reserved_fraction: 0.2,
             soft_excess_fraction: 0.25,
             lease_duration: 4_000_000,
-            request_interval: 400_000,
-            burst: 1_000_000,
-            max_hold: 30_000_000,
-            soft_decay: 4_000_000,
+            lease_request_interval: 400_000,
+            burst_window: 1_000_000,
+            max_request_duration: 30_000_000,
+            soft_decay_duration: 4_000_000,
             max_clock_drift: 0.01,
         }
     }
@@ -95,7 +95,7 @@
     ///
     /// [`InvalidConfiguration`] with the first rule that is violated.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        ensure(self.nodes != 0, "a fleet has one node at least")?;
+        ensure(self.node_count != 0, "a fleet has one node at least")?;
         ensure(
             (0.0..MAX_RESERVED_FRACTION).contains(&self.reserved_fraction),
             "floors take nearly all of a hard limit",
@@ -104,12 +104,12 @@
             (0.0..=1.0).contains(&self.soft_excess_fraction),
             "a soft limit is exceeded by more than itself",
         )?;
-        ensure(self.request_interval != 0, "a share is asked for all the time")?;
+        ensure(self.lease_request_interval != 0, "a share is asked for all the time")?;
         ensure(
-            self.lease_duration >= MIN_REQUESTS_PER_LEASE * self.request_interval,
+            self.lease_duration >= MIN_REQUESTS_PER_LEASE * self.lease_request_interval,
             "a lease ends before it was asked for four times",
         )?;
-        ensure(self.burst >= MIN_BURST_US, "what is not used at once is lost")?;
+        ensure(self.burst_window >= MIN_BURST_US, "what is not used at once is lost")?;
         ensure(
             (0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift),
             "clocks that drift apart by over a fifth are none",
@@ -122,7 +122,7 @@
             Enforcement::Hard => self.reserved_fraction,
             Enforcement::Soft => self.soft_excess_fraction,
         };
-        let per_node = limit.amount * fraction / f64::from(self.nodes.max(1));
+        let per_node = limit.amount * fraction / f64::from(self.node_count.max(1));
         match limit.kind {
             LimitKind::Rate => per_node,
             // Half a stream is of no use: what does not make a whole one for each node is left to grant.
@@ -133,7 +133,7 @@
     /// The part of a limit that can be granted.
     pub fn grantable(&self, limit: &Limit) -> f64 {
         match limit.enforcement {
-            Enforcement::Hard => limit.amount - self.floor(limit) * f64::from(self.nodes.max(1)),
+            Enforcement::Hard => limit.amount - self.floor(limit) * f64::from(self.node_count.max(1)),
             Enforcement::Soft => limit.amount,
         }
     }
@@ -141,11 +141,11 @@
     /// For how long the granter debits an allocation after it was last requested. The holder counts its
     /// lease from the sending of the request, by a clock that may be slow, and what it has admitted under
     /// a concurrency limit ends later, within its own time.
-    pub fn debited_for(&self, limit: &Limit) -> Micros {
+    pub fn debit_duration(&self, limit: &Limit) -> Micros {
         let use_after_lease = match (limit.kind, limit.enforcement) {
-            (LimitKind::Concurrency, _) => self.max_hold,
+            (LimitKind::Concurrency, _) => self.max_request_duration,
             (LimitKind::Rate, Enforcement::Hard) => 0,
-            (LimitKind::Rate, Enforcement::Soft) => self.soft_decay,
+            (LimitKind::Rate, Enforcement::Soft) => self.soft_decay_duration,
         };
         self.with_drift(self.lease_duration) + self.with_drift(use_after_lease)
     }
--- a/crates/pintally-quota/tests/common/mod.rs
+++ b/crates/pintally-quota/tests/common/mod.rs
@@ -73,7 +73,8 @@
 
 impl Fleet {
     pub fn new(n: usize, seed: u64, limit: Limit) -> Fleet {
-        let settings = Settings { nodes: n as u32, max_hold: 1_000_000, ..Settings::default() };
+        let settings =
+            Settings { node_count: n as u32, max_request_duration: 1_000_000, ..Settings::default() };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut fleet = Fleet {
             now: 1,
@@ -302,7 +303,7 @@
         let sum = self.sum();
         self.peak = self.peak.max(sum);
         let bounds = self.settings.bounds(&self.limit);
-        let more = self.nodes.len().saturating_sub(self.settings.nodes as usize) as f64;
+        let more = self.nodes.len().saturating_sub(self.settings.node_count as usize) as f64;
         let most = bounds.max_total + more * bounds.per_additional_node;
         if sum > most * (1.0 + 1e-6) {
             return Err(format!("at {} ms all nodes may use {sum:.3} of {most:.3}", self.now / MS));
@@ -311,7 +312,7 @@
             let each = self.incarnations as f64 + self.ended_leases as f64 + self.nodes.len() as f64;
             let over = (bounds.max_total - self.limit.amount) * self.now as f64 / 1e6;
             if self.excess
-                > bounds.burst + each + over + more * bounds.per_additional_node * self.now as f64 / 1e6
+                > bounds.max_burst + each + over + more * bounds.per_additional_node * self.now as f64 / 1e6
             {
                 return Err(format!("{:.1} beyond the limit in one window", self.excess));
             }
--- a/crates/pintally-quota/tests/granter.rs
+++ b/crates/pintally-quota/tests/granter.rs
@@ -11,10 +11,10 @@
 /// lease has certainly expired.
 #[test]
 fn allocation_of_dead_node_is_granted_again_after_its_lease() {
-    let settings = Settings { nodes: 2, ..Settings::default() };
+    let settings = Settings { node_count: 2, ..Settings::default() };
     let limit = rate(100.0, Enforcement::Hard);
     let mut granter = LeaseGranter::new(settings, [(ONE, limit)], 0);
-    let mut now = settings.debited_for(&limit) + 1;
+    let mut now = settings.debit_duration(&limit) + 1;
     let request = |number, holds| LeaseRequest { limit: ONE, number, held: holds, wanted: 100.0 };
     let first = granter.grant(now, "a", 1, &request(1, 0.0)).unwrap();
     assert!(f64::from(first.granted) <= 80.0 && first.granted > 79.0, "{first:?}");
@@ -41,7 +41,7 @@
 /// Guards against a delayed or duplicated request, and a grant for a request that another has followed.
 #[test]
 fn delayed_and_duplicated_messages_change_nothing() {
-    let settings = Settings { nodes: 1, ..Settings::default() };
+    let settings = Settings { node_count: 1, ..Settings::default() };
     let limit = rate(100.0, Enforcement::Hard);
     let mut granter = LeaseGranter::new(settings, [(ONE, limit)], 0);
     let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
@@ -72,11 +72,11 @@
 /// A lapse of leadership within a term forgets nothing; a new term waits for the leases to expire.
 #[test]
 fn lapse_of_leadership_grants_nothing_twice() {
-    let settings = Settings { nodes: 2, ..Settings::default() };
+    let settings = Settings { node_count: 2, ..Settings::default() };
     let limit = rate(100.0, Enforcement::Hard);
     let mut granter = LeaderGranter::new(settings, vec![(ONE, limit)]);
     assert!(granter.set_leadership(0, Some(3)));
-    let mut now = settings.debited_for(&limit) + 1;
+    let mut now = settings.debit_duration(&limit) + 1;
     let request = |number| [LeaseRequest { limit: ONE, number, held: 0.0, wanted: 100.0 }];
     assert!(granter.grant(now, "a", 1, &request(1))[0].granted > 79.0);
     now += 100 * MS;
--- a/crates/pintally-quota/tests/holder.rs
+++ b/crates/pintally-quota/tests/holder.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn rejection_carries_a_useful_retry_time() {
-    let settings = Settings { nodes: 1, ..Settings::default() };
+    let settings = Settings { node_count: 1, ..Settings::default() };
     let limit = Limit { amount: 10.0, ..rate(10.0, Enforcement::Hard) };
     let mut holder = QuotaHolder::new(settings, [(ONE, "one".into(), limit)]);
     assert!(matches!(holder.admit(1_000, ONE, 1.0), Admission::Reject(_)), "a new holder has no tokens");
@@ -21,7 +21,7 @@
 /// The cost of a decision with 10,000 limits of which 16 are in use; printed, and bounded loosely.
 #[test]
 fn decision_cost_does_not_depend_on_number_of_limits() {
-    let settings = Settings { nodes: 40, ..Settings::default() };
+    let settings = Settings { node_count: 40, ..Settings::default() };
     let limits = (0..10_000u32).map(|n| (LimitId(n), format!("limit-{n}"), rate(1_000.0, Enforcement::Hard)));
     let mut holder = QuotaHolder::new(settings, limits);
     let mut now = 1_000 * MS;
--- a/crates/pintally-quota/tests/settings.rs
+++ b/crates/pintally-quota/tests/settings.rs
@@ -7,5 +7,5 @@
     assert!(Settings::default().check().is_ok());
     assert!(Settings { lease_duration: 1_000, ..Settings::default() }.check().is_err());
     assert!(Settings { reserved_fraction: 0.95, ..Settings::default() }.check().is_err());
-    assert!(Settings { nodes: 0, ..Settings::default() }.check().is_err());
+    assert!(Settings { node_count: 0, ..Settings::default() }.check().is_err());
 }
