--- a/crates/pintally-host/src/host/recovery.rs
+++ b/crates/pintally-host/src/host/recovery.rs
@@ -62,7 +62,7 @@
         for output in outputs {
             match output {
                 Output::QueryPeer(peer) => out.push(Command::QueryPeer(peer)),
-                Output::Stage(stage) => out.push(Command::RecoveryStage(stage)),
+                Output::StageEntered(stage) => out.push(Command::RecoveryStage(stage)),
                 Output::TreatEnginesAsCold => self.treat_engines_as_cold(out),
             }
         }
--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -112,7 +112,7 @@
 ) {
     let loaded = pintally_recovery::Input::StateLoaded(link.remembered.clone());
     shared.send_input(Input::Recovery(loaded));
-    let rates = ServedRates::new(shared.clock.now(), link.remembered.carried);
+    let rates = ServedRates::new(shared.clock.now(), link.remembered.fleet_rate);
     let mut thread = FleetThread {
         shared,
         link,
--- a/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
+++ b/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
@@ -83,7 +83,7 @@
         let queried = if sharing.is_empty() { alive } else { sharing };
         let queried: Vec<PeerName> = queried.into_iter().map(|member| member.name().clone()).collect();
         let numbers = queried.iter().map(|name| self.peer_numbers.number(name)).collect();
-        self.shared.send_input(Input::Recovery(recovery::Input::Peers(nodes, numbers)));
+        self.shared.send_input(Input::Recovery(recovery::Input::PeersChanged(nodes, numbers)));
     }
 
     /// Whether a peer sends to the same engines: where zones have cores of their own, only a peer of this
--- a/crates/pintally-kserve-node/src/fleet/reservations.rs
+++ b/crates/pintally-kserve-node/src/fleet/reservations.rs
@@ -46,7 +46,7 @@
     pub(super) fn replicate_reservations(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(reservations) = self.reservations.as_mut().filter(|r| now >= r.next_publish) else { return };
         reservations.next_publish = now + PUBLISH_INTERVAL_US;
-        for (peer, inherited) in reservations.backup.take_due(now) {
+        for (peer, inherited) in reservations.backup.take_due_reservations(now) {
             info!(%peer, reservations = inherited.len(), "releasing reservations of dead peer");
             self.shared.send_input(Input::ReservationsInherited(inherited));
         }
--- a/crates/pintally-kserve-node/src/fleet/startup.rs
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -9,7 +9,7 @@
 use pintally_host::{Input, OrphanedReservation};
 use pintally_membership::ProcessIncarnation;
 use pintally_recovery::{self as recovery, ClassPriority, Recovery, RememberedState};
-use pintally_storage::{Loaded, StorageFault, Store, StoreSettings};
+use pintally_storage::{LoadedRecords, StorageFault, Store, StoreSettings};
 use tracing::warn;
 
 use super::topics::RecordKey;
@@ -40,7 +40,7 @@
 pub(crate) fn restore_state(settings: &NodeSettings, seed: u64) -> RestoredState {
     let (store, loaded) = match &settings.recovery {
         Some(recovery) => open_store(recovery),
-        None => (None, Loaded::default()),
+        None => (None, LoadedRecords::default()),
     };
     for issue in &loaded.issues {
         warn!(%issue, "stored records are missing or corrupt");
@@ -54,12 +54,12 @@
     if let Some(store) = &store {
         store.put(RecordKey::Boot.as_str(), boot.to_le_bytes().to_vec());
     }
-    let carried = records.number(RecordKey::FleetRate).map_or(0.0, f64::from_bits);
+    let fleet_rate = records.number(RecordKey::FleetRate).map_or(0.0, f64::from_bits);
     RestoredState {
         endpoint_list: records.text(RecordKey::EndpointList),
         service_rates: records.service_rates(settings),
         orphaned_reservations: records.orphaned_reservations(),
-        remembered: RememberedState { carried, issues },
+        remembered: RememberedState { fleet_rate, issues },
         incarnation: ProcessIncarnation { boot, mark: seed },
         peer_addresses: records.peer_addresses(),
         store,
@@ -67,7 +67,7 @@
 }
 
 /// The records of a store, by key and decoded.
-struct StoredRecords<'a>(&'a Loaded);
+struct StoredRecords<'a>(&'a LoadedRecords);
 
 impl StoredRecords<'_> {
     fn text(&self, key: RecordKey) -> Option<String> {
@@ -112,10 +112,10 @@
     }
 }
 
-fn open_store(settings: &RecoverySettings) -> (Option<Store>, Loaded) {
-    let Some(folder) = &settings.store else { return (None, Loaded::default()) };
+fn open_store(settings: &RecoverySettings) -> (Option<Store>, LoadedRecords) {
+    let Some(folder) = &settings.store else { return (None, LoadedRecords::default()) };
     let (store, loaded) = Store::open(&StoreSettings {
-        folder: PathBuf::from(folder),
+        directory: PathBuf::from(folder),
         commit_interval: Duration::from_micros(settings.commit_interval),
         load_timeout: Duration::from_micros(settings.read_within),
         storage_fault: injected_fault(settings),
@@ -154,7 +154,7 @@
     });
     let recovery_settings = recovery::Settings {
         expected_nodes: expected_nodes(settings),
-        peers: settings.membership.is_some(),
+        has_peers: settings.membership.is_some(),
         peers_queried: own.peers_queried,
         answer_timeout: own.answer_within,
         query_rounds: own.rounds,
--- a/crates/pintally-kserve-node/src/replica_thread/state_file.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/state_file.rs
@@ -46,7 +46,7 @@
             return (file, SavedState { bytes: None, clean: false });
         };
         let (store, loaded) = Store::open(&StoreSettings {
-            folder: PathBuf::from(folder).join(FOLDER),
+            directory: PathBuf::from(folder).join(FOLDER),
             commit_interval: COMMIT_INTERVAL,
             load_timeout: OPEN_TIMEOUT,
             storage_fault: injected_fault(settings),
--- a/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use pintally_config::EngineList;
 use pintally_host::{Input, ListChange, ListFollower};
-use pintally_recovery::{merge, ListMerge};
+use pintally_recovery::{merge_endpoint_lists, ListMerge};
 use tracing::{info, warn};
 
 use super::files::{read, replace_atomically};
@@ -76,7 +76,7 @@
     fn merged(&self, name: &str, text: &[u8]) -> Option<Vec<u8>> {
         let claimed = EngineList::parse(name, &String::from_utf8_lossy(text)).ok()?;
         let current = EngineList::parse(name, &self.follower.kept()?).ok()?;
-        match merge(Some(&current), &claimed) {
+        match merge_endpoint_lists(Some(&current), &claimed) {
             ListMerge::Merged(list) => Some(list.render().into_bytes()),
             ListMerge::Unchanged if current.version == claimed.version => Some(current.render().into_bytes()),
             ListMerge::Unchanged | ListMerge::Replaced(_) => None,
--- a/crates/pintally-recovery/src/capacity/tests.rs
+++ b/crates/pintally-recovery/src/capacity/tests.rs
@@ -3,7 +3,7 @@
 fn settings() -> Settings {
     Settings {
         expected_nodes: 1,
-        peers: false,
+        has_peers: false,
         peers_queried: 1,
         answer_timeout: 1,
         query_rounds: 1,
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use capacity::{admission_share, Capacity, EngineCounts, FleetSize};
 pub use gate::{Admission, AdmissionGate, AdmissionPlan};
-pub use list_merge::{merge, ListMerge};
+pub use list_merge::{merge_endpoint_lists, ListMerge};
 pub use pintally_validation::InvalidConfiguration;
 pub use recovery::{Answer, Input, Output, Recovery, RememberedState};
 pub use reservations::{BackupNode, Reservation, ReservationPublisher};
--- a/crates/pintally-recovery/src/list_merge.rs
+++ b/crates/pintally-recovery/src/list_merge.rs
@@ -21,7 +21,7 @@
 /// Two lists of one version contradict each other, as after a file that was restored and written again. Then
 /// each engine takes the later state of the two: a drain that any node knew of is never undone, since work
 /// sent to a draining engine breaks a rule and work withheld from a serving one does not.
-pub fn merge(current: Option<&EngineList>, other: &EngineList) -> ListMerge {
+pub fn merge_endpoint_lists(current: Option<&EngineList>, other: &EngineList) -> ListMerge {
     let Some(current) = current else { return ListMerge::Replaced(other.clone()) };
     if other.version > current.version {
         return ListMerge::Replaced(other.clone());
--- a/crates/pintally-recovery/src/list_merge/tests.rs
+++ b/crates/pintally-recovery/src/list_merge/tests.rs
@@ -23,9 +23,9 @@
 fn newer_list_replaces_older_list() {
     let old = list(4, &[("a", EndpointState::Serving)]);
     let new = list(5, &[("a", EndpointState::Draining)]);
-    assert_eq!(merge(Some(&old), &new), ListMerge::Replaced(new.clone()));
-    assert_eq!(merge(Some(&new), &old), ListMerge::Unchanged);
-    assert_eq!(merge(None, &old), ListMerge::Replaced(old));
+    assert_eq!(merge_endpoint_lists(Some(&old), &new), ListMerge::Replaced(new.clone()));
+    assert_eq!(merge_endpoint_lists(Some(&new), &old), ListMerge::Unchanged);
+    assert_eq!(merge_endpoint_lists(None, &old), ListMerge::Replaced(old));
 }
 
 /// Guards against a drain that is undone by another list of the same version.
@@ -35,10 +35,12 @@
     let one = list(7, &[("a", Draining), ("b", Serving), ("c", Serving)]);
     let two = list(7, &[("a", Serving), ("b", Gone), ("d", Serving)]);
     for (current, other) in [(&one, &two), (&two, &one)] {
-        let ListMerge::Merged(list) = merge(Some(current), other) else { panic!("they differ") };
+        let ListMerge::Merged(list) = merge_endpoint_lists(Some(current), other) else {
+            panic!("they differ")
+        };
         let states: Vec<(&str, EndpointState)> =
             list.engines.iter().map(|e| (e.id.0.as_ref(), e.state)).collect();
         assert_eq!(states, [("a", Draining), ("b", Gone), ("c", Draining), ("d", Draining)]);
-        assert_eq!(merge(Some(&list), other), ListMerge::Unchanged, "a merge is idempotent");
+        assert_eq!(merge_endpoint_lists(Some(&list), other), ListMerge::Unchanged, "a merge is idempotent");
     }
 }
--- a/crates/pintally-recovery/src/recovery.rs
+++ b/crates/pintally-recovery/src/recovery.rs
@@ -28,16 +28,18 @@
     /// The version of its endpoint list, and a hash of the content.
     pub list: Option<(u64, u32)>,
     /// Requests per second that the whole fleet carried, as it remembers; 0 if it does not.
-    pub carried: f64,
+    #[serde(rename = "carried")]
+    pub fleet_rate: f64,
     /// Some engines that have answered it or others, by their hash, and how long ago; empty in full service.
-    pub heard: Vec<u64>,
+    #[serde(rename = "heard")]
+    pub engine_reports: Vec<u64>,
 }
 
 /// The stored state that matters to recovery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RememberedState {
     /// Requests per second that the whole fleet carried; 0 if that is not known.
-    pub carried: f64,
+    pub fleet_rate: f64,
     /// What could not be loaded, in words.
     pub issues: Vec<String>,
 }
@@ -48,7 +50,7 @@
     /// The stored state was loaded, or loading was given up.
     StateLoaded(RememberedState),
     /// The number of live nodes, this one included, and the peers that can be queried, by number.
-    Peers(usize, Vec<u64>),
+    PeersChanged(usize, Vec<u64>),
     /// A peer has answered a query.
     PeerAnswered(u64, Answer),
     /// The listed engines that take work; whether the list came from its source since the start.
@@ -65,7 +67,7 @@
     /// Query this peer.
     QueryPeer(u64),
     /// A stage has begun.
-    Stage(Stage),
+    StageEntered(Stage),
     /// The whole fleet has lost power: engines count as cold, and their caches as empty, from now on.
     TreatEnginesAsCold,
 }
@@ -168,11 +170,11 @@
 
     /// The answer to a peer's query.
     pub fn answer(&self, now: Micros, list: Option<(u64, u32)>) -> Answer {
-        let heard = match self.stage {
+        let engine_reports = match self.stage {
             Stage::Serving => Vec::new(),
             _ => self.capacity.report(now),
         };
-        Answer { stage: self.stage, list, carried: self.carried(), heard }
+        Answer { stage: self.stage, list, fleet_rate: self.fleet_rate(), engine_reports }
     }
 
     /// Decides whether a request of a class is admitted.
@@ -184,9 +186,9 @@
     pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::StateLoaded(remembered) => self.handle_state(now, remembered, outputs),
-            Input::Peers(alive, candidates) => self.handle_peers(alive, candidates, outputs),
+            Input::PeersChanged(alive, candidates) => self.handle_peers(alive, candidates, outputs),
             Input::PeerAnswered(peer, answer) => {
-                self.capacity.apply_report(now, &answer.heard);
+                self.capacity.apply_report(now, &answer.engine_reports);
                 self.queries.record(peer, answer);
                 self.evaluate_answers(now, outputs);
             }
@@ -239,7 +241,7 @@
 
     fn advance_slow_start(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         self.deadline = now + PLAN_INTERVAL;
-        if now >= self.next_query && self.settings.peers {
+        if now >= self.next_query && self.settings.has_peers {
             self.next_query = now + QUERY_INTERVAL;
             // One peer at a time, each in turn: a recovering fleet is not flooded with queries.
             let candidates = &self.queries.candidates;
@@ -255,11 +257,11 @@
     fn enter(&mut self, now: Micros, stage: Stage, outputs: &mut Vec<Output>) {
         self.stage = stage;
         self.stage_since = now;
-        outputs.push(Output::Stage(stage));
+        outputs.push(Output::StageEntered(stage));
     }
 
     fn begin_querying_peers(&mut self, now: Micros, outputs: &mut Vec<Output>) {
-        if !self.settings.peers {
+        if !self.settings.has_peers {
             // No peer can tell whether others stayed in service: as if all had lost power.
             return self.begin_slow_start(now, outputs);
         }
@@ -301,10 +303,12 @@
 
     /// Requests per second that the fleet carried: the median of what this node and its peers remember, as
     /// none of them may be trusted alone. 0 if nobody remembers.
-    fn carried(&self) -> f64 {
-        let answers = self.queries.answers.values().map(|answer| answer.carried);
-        let mut rates: Vec<f64> =
-            answers.chain([self.remembered.carried]).filter(|rate| *rate > 0.0 && rate.is_finite()).collect();
+    fn fleet_rate(&self) -> f64 {
+        let answers = self.queries.answers.values().map(|answer| answer.fleet_rate);
+        let mut rates: Vec<f64> = answers
+            .chain([self.remembered.fleet_rate])
+            .filter(|rate| *rate > 0.0 && rate.is_finite())
+            .collect();
         rates.sort_by(f64::total_cmp);
         let median = rates.len().saturating_sub(1) / 2;
         rates.get(median).copied().unwrap_or(0.0)
@@ -331,9 +335,9 @@
     /// share.
     fn admission_rate(&self, now: Micros) -> f64 {
         let settings = &self.settings;
-        let fleet_rate = match self.carried() {
+        let fleet_rate = match self.fleet_rate() {
             0.0 => settings.requests_per_second_per_engine * self.capacity.counts().listed as f64,
-            carried => carried,
+            rate => rate,
         };
         let min_fraction = settings.slow_start_min_capacity * UNREACHABLE_FRACTION;
         let warm = self.capacity.warm_fraction(now, settings).clamp(min_fraction, 1.0);
--- a/crates/pintally-recovery/src/reservations/backup.rs
+++ b/crates/pintally-recovery/src/reservations/backup.rs
@@ -104,7 +104,7 @@
     }
 
     /// Takes the reservations that are to be released now, by the name of the dead node that held them.
-    pub fn take_due(&mut self, now: Micros) -> Vec<(String, Vec<Reservation>)> {
+    pub fn take_due_reservations(&mut self, now: Micros) -> Vec<(String, Vec<Reservation>)> {
         let is_due = |publisher: &Publisher| publisher.is_due(now, self.release_delay);
         let names: Vec<String> = self
             .publishers
--- a/crates/pintally-recovery/src/reservations/tests.rs
+++ b/crates/pintally-recovery/src/reservations/tests.rs
@@ -41,10 +41,10 @@
     assert_eq!(backup.stored, 200);
     backup.node_down(2_500 * MS, "n0");
     backup.node_down(4_000 * MS, "n0");
-    assert!(backup.take_due(5_400 * MS).is_empty(), "too early");
-    let due = backup.take_due(5_500 * MS);
+    assert!(backup.take_due_reservations(5_400 * MS).is_empty(), "too early");
+    let due = backup.take_due_reservations(5_500 * MS);
     assert_eq!((due.len(), &*due[0].0, due[0].1.len()), (1, "n0", 200));
-    assert!(backup.take_due(9_000 * MS).is_empty() && backup.stored == 0);
+    assert!(backup.take_due_reservations(9_000 * MS).is_empty() && backup.stored == 0);
 }
 
 /// Guards against reservations taken from a node that was only partitioned or paused.
@@ -59,18 +59,18 @@
         } else {
             backup.node_up("n0", 7);
         }
-        assert!(backup.take_due(60_000 * MS).is_empty());
+        assert!(backup.take_due_reservations(60_000 * MS).is_empty());
     }
     // Another process does not hold them, and a node that leaves holds nothing.
     let (mut publisher, mut backup) = (ReservationPublisher::default(), BackupNode::new(3_000 * MS));
     publish_for(&mut publisher, &mut backup, 0, 1_000 * MS, &reservations(3), 100);
     backup.node_down(1_000 * MS, "n0");
     backup.node_up("n0", 8);
-    assert_eq!(backup.take_due(4_000 * MS).len(), 1);
+    assert_eq!(backup.take_due_reservations(4_000 * MS).len(), 1);
     publish_for(&mut publisher, &mut backup, 5_000 * MS, 6_000 * MS, &reservations(3), 100);
     backup.node_left("n0");
     backup.node_down(6_000 * MS, "n0");
-    assert!(backup.take_due(60_000 * MS).is_empty() && backup.stored == 0);
+    assert!(backup.take_due_reservations(60_000 * MS).is_empty() && backup.stored == 0);
 }
 
 /// Guards against unbounded messages and tables: short reservations cost nothing, and what is no longer
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -18,7 +18,7 @@
     /// Nodes of the fleet.
     pub expected_nodes: usize,
     /// Whether the node has peers that it can query.
-    pub peers: bool,
+    pub has_peers: bool,
     /// Peers that are queried at once.
     pub peers_queried: usize,
     /// Time for an answer.
@@ -71,7 +71,7 @@
 
     /// The longest time that peers are queried: no peer answers.
     pub fn max_query_time(&self) -> Micros {
-        if !self.peers {
+        if !self.has_peers {
             return 0;
         }
         self.answer_timeout * Micros::from(self.query_rounds)
--- a/crates/pintally-recovery/tests/golden.rs
+++ b/crates/pintally-recovery/tests/golden.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn answer_bytes_are_stable() {
-    let answer = |stage, list, carried, heard| Answer { stage, list, carried, heard };
+    let answer = |stage, list, fleet_rate, engine_reports| Answer { stage, list, fleet_rate, engine_reports };
     let answers = [
         ("answer_reading", answer(Stage::LoadingState, None, 0.0, Vec::new())),
         ("answer_asking", answer(Stage::QueryingPeers, Some((300, u32::MAX)), 0.1, vec![u64::MAX, 0])),
@@ -48,5 +48,5 @@
     let mut backup = BackupNode::new(1_000_000);
     backup.receive_reservations(200_000, "n1", &golden("held_states"));
     backup.node_down(200_000, "n1");
-    assert_eq!(backup.take_due(1_200_000), [("n1".to_string(), held.to_vec())]);
+    assert_eq!(backup.take_due_reservations(1_200_000), [("n1".to_string(), held.to_vec())]);
 }
--- a/crates/pintally-recovery/tests/recovery_stages.rs
+++ b/crates/pintally-recovery/tests/recovery_stages.rs
@@ -12,7 +12,7 @@
 fn settings(expected: usize) -> Settings {
     Settings {
         expected_nodes: expected,
-        peers: expected > 1,
+        has_peers: expected > 1,
         peers_queried: 2,
         answer_timeout: 200_000,
         query_rounds: 2,
@@ -34,16 +34,19 @@
 }
 
 fn serving() -> Answer {
-    Answer { stage: Stage::Serving, list: Some((4, 0)), carried: 80.0, heard: Vec::new() }
+    Answer { stage: Stage::Serving, list: Some((4, 0)), fleet_rate: 80.0, engine_reports: Vec::new() }
 }
 
 #[test]
 fn node_that_restarts_in_a_serving_fleet_serves_at_once() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
-    node.handle(1000, Input::Peers(3, vec![1, 2]), &mut outputs);
+    node.handle(1000, Input::PeersChanged(3, vec![1, 2]), &mut outputs);
     node.handle(2000, Input::StateLoaded(RememberedState::default()), &mut outputs);
-    assert_eq!(outputs, [Output::Stage(Stage::QueryingPeers), Output::QueryPeer(1), Output::QueryPeer(2)]);
+    assert_eq!(
+        outputs,
+        [Output::StageEntered(Stage::QueryingPeers), Output::QueryPeer(1), Output::QueryPeer(2)]
+    );
     node.handle(3000, Input::PeerAnswered(2, serving()), &mut outputs);
     assert_eq!(node.stage(), Stage::Serving);
     assert_eq!(node.admit(3001, Some(1)), Admission::Admit);
@@ -75,11 +78,11 @@
 /// Guards against a fleet that admits the rate from before the power loss while its engines are cold.
 #[test]
 fn cold_fleet_admits_what_its_engines_can_serve() {
-    let remembered = || RememberedState { carried: 100.0, issues: Vec::new() };
+    let remembered = || RememberedState { fleet_rate: 100.0, issues: Vec::new() };
     let mut nodes: Vec<Recovery> = (0..4).map(|_| Recovery::new(settings(4), 0, SECOND)).collect();
     let mut outputs = Vec::new();
     for node in &mut nodes {
-        node.handle(0, Input::Peers(4, vec![1, 2, 3]), &mut outputs);
+        node.handle(0, Input::PeersChanged(4, vec![1, 2, 3]), &mut outputs);
         node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
         node.handle(0, Input::StateLoaded(remembered()), &mut outputs);
         while node.stage() < Stage::SlowStart {
@@ -118,7 +121,11 @@
 fn at_most_once_requests_wait_for_a_list_from_its_source() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
-    node.handle(0, Input::StateLoaded(RememberedState { carried: 1000.0, issues: Vec::new() }), &mut outputs);
+    node.handle(
+        0,
+        Input::StateLoaded(RememberedState { fleet_rate: 1000.0, issues: Vec::new() }),
+        &mut outputs,
+    );
     node.handle(0, Input::EndpointsListed(engines(4), false), &mut outputs);
     assert_eq!(node.stage(), Stage::SlowStart);
     assert_eq!(node.admit(1, Some(0)), Admission::Admit);
@@ -132,11 +139,19 @@
 fn one_wrong_remembered_rate_does_not_open_the_gate() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
-    node.handle(0, Input::Peers(3, vec![1, 2]), &mut outputs);
+    node.handle(0, Input::PeersChanged(3, vec![1, 2]), &mut outputs);
     node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
-    node.handle(0, Input::StateLoaded(RememberedState { carried: 1e12, issues: Vec::new() }), &mut outputs);
-    let answer =
-        |carried| Answer { stage: Stage::SlowStart, list: Some((1, 0)), carried, heard: vec![u64::MAX] };
+    node.handle(
+        0,
+        Input::StateLoaded(RememberedState { fleet_rate: 1e12, issues: Vec::new() }),
+        &mut outputs,
+    );
+    let answer = |fleet_rate| Answer {
+        stage: Stage::SlowStart,
+        list: Some((1, 0)),
+        fleet_rate,
+        engine_reports: vec![u64::MAX],
+    };
     node.handle(1, Input::PeerAnswered(1, answer(60.0)), &mut outputs);
     node.handle(2, Input::PeerAnswered(2, answer(f64::INFINITY)), &mut outputs);
     assert_eq!(node.stage(), Stage::SlowStart);
@@ -170,7 +185,7 @@
         let others: Vec<u64> = (0..self.nodes.len()).filter(|o| *o != n).map(|o| o as u64).collect();
         let mut node = Recovery::new(settings(self.nodes.len()), self.now, 300_000);
         let mut outputs = Vec::new();
-        node.handle(self.now, Input::Peers(1, others), &mut outputs);
+        node.handle(self.now, Input::PeersChanged(1, others), &mut outputs);
         node.handle(self.now, Input::EndpointsListed(engines(4), true), &mut outputs);
         self.nodes[n] = Some(node);
         self.execute(n, outputs);
--- a/crates/pintally-storage/src/load_report.rs
+++ b/crates/pintally-storage/src/load_report.rs
@@ -53,14 +53,14 @@
 
 /// What was loaded at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
+pub struct LoadedRecords {
     /// The newest valid record of each key.
     pub records: BTreeMap<String, Record>,
     /// What could not be loaded.
     pub issues: Vec<LoadIssue>,
 }
 
-impl Loaded {
+impl LoadedRecords {
     /// Adds a record if it is newer than the one that is known under its key. A record that cannot be from
     /// the past (a start number or sequence far beyond all others) is not special: its checksum is valid,
     /// and start numbers are judged by what peers remember.
--- a/crates/pintally-storage/src/open.rs
+++ b/crates/pintally-storage/src/open.rs
@@ -9,7 +9,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 
 use crate::disk::{BufferedFile, Disk};
-use crate::load_report::{LoadIssue, Loaded};
+use crate::load_report::{LoadIssue, LoadedRecords};
 use crate::record::Record;
 use crate::storage_faults::FaultyFile;
 use crate::store::StoreSettings;
@@ -46,9 +46,9 @@
 }
 
 /// Opens all copies, and loads the newest record of each key. A copy that cannot be used is `None`.
-pub(crate) fn open_copies(settings: &StoreSettings) -> (Vec<Option<Database>>, Loaded) {
-    let mut loaded = Loaded::default();
-    if let Err(error) = fs::create_dir_all(&settings.folder) {
+pub(crate) fn open_copies(settings: &StoreSettings) -> (Vec<Option<Database>>, LoadedRecords) {
+    let mut loaded = LoadedRecords::default();
+    if let Err(error) = fs::create_dir_all(&settings.directory) {
         loaded.issues.push(LoadIssue::Unwritable(error.to_string()));
     }
     let copies: Vec<Option<Database>> =
@@ -60,8 +60,8 @@
 }
 
 /// Opens one copy and loads its records. One that cannot be read is set aside and replaced.
-fn open_copy(settings: &StoreSettings, copy: usize, loaded: &mut Loaded) -> Option<Database> {
-    let path = copy_path(&settings.folder, copy);
+fn open_copy(settings: &StoreSettings, copy: usize, loaded: &mut LoadedRecords) -> Option<Database> {
+    let path = copy_path(&settings.directory, copy);
     let error = match load_copy(settings, &path, copy, loaded) {
         Ok(database) => return Some(database),
         Err(error) => error,
@@ -95,7 +95,7 @@
     settings: &StoreSettings,
     path: &Path,
     copy: usize,
-    loaded: &mut Loaded,
+    loaded: &mut LoadedRecords,
 ) -> Result<Database, CopyError> {
     let disk = open_disk(settings, path, copy)?;
     // The database reports damage by errors; should it panic on bytes that nobody foresaw, the copy is as
--- a/crates/pintally-storage/src/queue.rs
+++ b/crates/pintally-storage/src/queue.rs
@@ -15,7 +15,7 @@
 
 /// Counters and the last error of the commits.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct CommitHealth {
     /// Commits that reached at least one copy.
     pub commits: u64,
     /// Commits of one copy that failed.
@@ -51,7 +51,7 @@
     /// Since when the oldest change waits, or is being written.
     uncommitted_since: Option<Instant>,
     is_closing: bool,
-    health: Health,
+    health: CommitHealth,
 }
 
 /// The queue of changes.
@@ -85,7 +85,7 @@
         self.lock().uncommitted_since
     }
 
-    pub(crate) fn health(&self) -> Health {
+    pub(crate) fn health(&self) -> CommitHealth {
         self.lock().health.clone()
     }
 
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -40,19 +40,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
     /// The checksum does not match.
-    Checksum,
+    ChecksumMismatch,
     /// The bytes are too short, or the checksum matches and there is no record behind it.
-    Form,
+    Malformed,
     /// The record was stored under another key than its own.
-    Place,
+    WrongKey,
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RecordError::Checksum => "the checksum does not hold",
-            RecordError::Form => "it cannot be read",
-            RecordError::Place => "it stands under another key",
+            RecordError::ChecksumMismatch => "the checksum does not hold",
+            RecordError::Malformed => "it cannot be read",
+            RecordError::WrongKey => "it stands under another key",
         })
     }
 }
@@ -74,13 +74,13 @@
     ///
     /// [`RecordError`] if the bytes are damaged or belong to another key.
     pub fn decode(key: &str, bytes: &[u8]) -> Result<Record, RecordError> {
-        let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(RecordError::Form)?;
+        let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(RecordError::Malformed)?;
         if crc32fast::hash(body).to_le_bytes() != checksum {
-            return Err(RecordError::Checksum);
+            return Err(RecordError::ChecksumMismatch);
         }
-        let record: Record = postcard::from_bytes(body).map_err(|_| RecordError::Form)?;
+        let record: Record = postcard::from_bytes(body).map_err(|_| RecordError::Malformed)?;
         if record.key != key {
-            return Err(RecordError::Place);
+            return Err(RecordError::WrongKey);
         }
         Ok(record)
     }
--- a/crates/pintally-storage/src/store.rs
+++ b/crates/pintally-storage/src/store.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use crate::commit::Committer;
-use crate::load_report::{LoadIssue, Loaded};
+use crate::load_report::{LoadIssue, LoadedRecords};
 use crate::open::open_copies;
-use crate::queue::{CommitQueue, Health};
+use crate::queue::{CommitHealth, CommitQueue};
 use crate::storage_faults::StorageFault;
 
 /// How often a caller that waits for the commit thread looks again.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// The directory of the files; created if it does not exist.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Time between two commits.
     pub commit_interval: Duration,
     /// The disk is waited for this long at the start; then the node continues without its state.
@@ -40,7 +40,7 @@
     /// Opens the store and loads its records. This never fails: without a disk the store accepts all
     /// records and keeps none, and the load report says so. It returns within `settings.load_timeout`, whatever
     /// the disk does.
-    pub fn open(settings: &StoreSettings) -> (Store, Loaded) {
+    pub fn open(settings: &StoreSettings) -> (Store, LoadedRecords) {
         let queue = Arc::new(CommitQueue::default());
         let (loaded_sender, loaded_receiver) = crossbeam_channel::bounded(1);
         let thread_queue = queue.clone();
@@ -54,9 +54,10 @@
             committer.run();
         };
         let thread = thread::Builder::new().name("store".into()).spawn(run).ok();
-        let loaded = loaded_receiver
-            .recv_timeout(settings.load_timeout)
-            .unwrap_or_else(|_| Loaded { issues: vec![LoadIssue::TimedOut], ..Loaded::default() });
+        let loaded = loaded_receiver.recv_timeout(settings.load_timeout).unwrap_or_else(|_| LoadedRecords {
+            issues: vec![LoadIssue::TimedOut],
+            ..LoadedRecords::default()
+        });
         (Store { queue, thread }, loaded)
     }
 
@@ -67,12 +68,12 @@
     }
 
     /// Age of the oldest change that is not committed yet: what a power loss now would cost.
-    pub fn at_risk(&self) -> Duration {
+    pub fn uncommitted_age(&self) -> Duration {
         self.queue.uncommitted_since().map_or(Duration::ZERO, |since| since.elapsed())
     }
 
     /// Counters and the last error of the commits.
-    pub fn health(&self) -> Health {
+    pub fn health(&self) -> CommitHealth {
         self.queue.health()
     }
 
--- a/crates/pintally-storage/tests/golden.rs
+++ b/crates/pintally-storage/tests/golden.rs
@@ -25,7 +25,7 @@
 
 fn settings(folder: &Path) -> StoreSettings {
     StoreSettings {
-        folder: folder.to_path_buf(),
+        directory: folder.to_path_buf(),
         commit_interval: Duration::from_millis(1),
         load_timeout: Duration::from_secs(5),
         storage_fault: None,
@@ -70,10 +70,10 @@
     let garbage = [&crc32fast::hash(&[255; 3]).to_le_bytes()[..], &[255; 3]].concat();
     assert_bytes("record_garbage", &garbage);
     let cases = [
-        ("list", golden("record_flipped_bit"), RecordError::Checksum, "the checksum does not hold"),
-        ("list", golden("record_garbage"), RecordError::Form, "it cannot be read"),
-        ("list", intact[..3].to_vec(), RecordError::Form, "it cannot be read"),
-        ("carried", intact, RecordError::Place, "it stands under another key"),
+        ("list", golden("record_flipped_bit"), RecordError::ChecksumMismatch, "the checksum does not hold"),
+        ("list", golden("record_garbage"), RecordError::Malformed, "it cannot be read"),
+        ("list", intact[..3].to_vec(), RecordError::Malformed, "it cannot be read"),
+        ("carried", intact, RecordError::WrongKey, "it stands under another key"),
     ];
     for (key, bytes, reason, text) in cases {
         assert_eq!(Record::decode(key, &bytes), Err(reason));
@@ -99,7 +99,7 @@
     create_copies(folder.path(), "list", &golden("record_flipped_bit"));
     let (_store, loaded) = Store::open(&settings(folder.path()));
     let rejected =
-        |copy| LoadIssue::RecordRejected { copy, key: "list".into(), reason: RecordError::Checksum };
+        |copy| LoadIssue::RecordRejected { copy, key: "list".into(), reason: RecordError::ChecksumMismatch };
     assert_eq!(loaded.issues, [rejected(0), rejected(1)]);
     assert_eq!(loaded.issues[1].to_string(), "record `list` of copy 1: the checksum does not hold");
     assert!(loaded.is_empty());
--- a/crates/pintally-storage/tests/storage_faults.rs
+++ b/crates/pintally-storage/tests/storage_faults.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pintally_storage::{LoadIssue, Loaded, Record, RecordError, StorageFault, Store, StoreSettings};
+use pintally_storage::{LoadIssue, LoadedRecords, Record, RecordError, StorageFault, Store, StoreSettings};
 use proptest::prelude::*;
 
 fn settings(folder: &Path, storage_fault: Option<StorageFault>) -> StoreSettings {
     StoreSettings {
-        folder: folder.to_path_buf(),
+        directory: folder.to_path_buf(),
         commit_interval: Duration::from_millis(1),
         load_timeout: Duration::from_secs(5),
         storage_fault: storage_fault.map(|fault| (fault, 7)),
@@ -18,7 +18,7 @@
 
 /// Writes and commits so many rounds, then loses power. Returns what was loaded at the start, and whether
 /// all commits succeeded.
-fn run_until_power_loss(settings: &StoreSettings, rounds: u64) -> (Loaded, bool) {
+fn run_until_power_loss(settings: &StoreSettings, rounds: u64) -> (LoadedRecords, bool) {
     let (store, loaded) = Store::open(settings);
     let mut all_committed = true;
     for round in 0..rounds {
@@ -30,7 +30,7 @@
     (loaded, all_committed)
 }
 
-fn count(loaded: &Loaded) -> Option<u64> {
+fn count(loaded: &LoadedRecords) -> Option<u64> {
     loaded.get("count").map(|r| u64::from_le_bytes(r.payload[..8].try_into().unwrap()))
 }
 
@@ -49,7 +49,7 @@
     assert_eq!(third.with_prefix("engine/").count(), 5);
 }
 
-/// Guards against a guarantee that is too wide: what was put and not committed is lost, and `at_risk`
+/// Guards against a guarantee that is too wide: what was put and not committed is lost, and `uncommitted_age`
 /// reports how much time that is.
 #[test]
 fn uncommitted_records_are_lost_and_reported_at_risk() {
@@ -60,7 +60,7 @@
     assert!(store.flush(Duration::from_secs(5)), "the first commit does not wait");
     store.put("second", vec![2]);
     assert!(!store.flush(Duration::from_millis(20)));
-    assert!(store.at_risk() >= Duration::from_millis(20));
+    assert!(store.uncommitted_age() >= Duration::from_millis(20));
     std::mem::forget(store);
     let (_, loaded) = Store::open(&settings(folder.path(), None));
     assert!(loaded.get("first").is_some() && loaded.get("second").is_none());
@@ -159,6 +159,6 @@
     fn record_under_another_key_is_rejected(payload in proptest::collection::vec(any::<u8>(), 0..50), boot: u64) {
         let record = Record { key: "a".into(), boot, sequence: 1, unix_ms: 0, payload };
         prop_assert_eq!(Record::decode("a", &record.encode()), Ok(record.clone()));
-        prop_assert_eq!(Record::decode("b", &record.encode()), Err(RecordError::Place));
+        prop_assert_eq!(Record::decode("b", &record.encode()), Err(RecordError::WrongKey));
     }
 }
