--- a/crates/pintally-recovery/src/gate.rs
+++ b/crates/pintally-recovery/src/gate.rs
@@ -1,14 +1,14 @@
-//! The admission gate while the fleet is cold: a token bucket that admits high-priority classes first, and
-//! spreads the retries of rejected clients over time so that they do not return in one wave.
+//! The admission gate while the fleet is cold: a token bucket that admits high-priority classes first and
+//! spreads the retries of rejected clients over time, so that they do not all arrive at once.
 
 use pintally::interface::Micros;
 
 use crate::settings::ClassPriority;
 
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Size of the bucket, in seconds of its rate; never less than one request.
+/// The bucket holds the tokens of this many seconds, and at least one token.
 const BURST_SECONDS: f64 = 0.25;
-/// The fraction of the bucket that the class with the lowest priority leaves to the others.
+/// The fraction of the bucket that the lowest-priority class leaves to the other classes.
 const MAX_RESERVED_FRACTION: f64 = 0.5;
 /// The shortest Retry-After.
 const MIN_RETRY_AFTER: Micros = 100_000;
@@ -16,9 +16,9 @@
 /// What the gate admits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionPlan {
-    /// Requests per second; none means that all requests are admitted.
+    /// Requests per second; `None` admits all requests.
     pub max_rate: Option<f64>,
-    /// Whether requests that must never run twice are admitted.
+    /// Whether requests that must not run twice are admitted.
     pub admits_at_most_once: bool,
 }
 
@@ -27,7 +27,7 @@
 pub enum Admission {
     /// The request is admitted.
     Admit,
-    /// The request is rejected, with the Retry-After where clients heed one.
+    /// The request is rejected, with a Retry-After if clients honor it.
     Reject(Option<Micros>),
 }
 
@@ -39,15 +39,15 @@
     pub(crate) rejected_without_retry_after: u64,
 }
 
-/// What the gate knows of a class.
+/// The limits of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassLimit {
-    /// The fraction of the bucket that the class leaves to those with a higher priority.
+    /// The fraction of the bucket that the class leaves to classes with a higher priority.
     reserved_fraction: f64,
     at_most_once: bool,
 }
 
-/// A request without a configured class has the lowest priority and must never run twice.
+/// A request without a configured class has the lowest priority and must not run twice.
 const UNKNOWN_CLASS: ClassLimit = ClassLimit { reserved_fraction: MAX_RESERVED_FRACTION, at_most_once: true };
 
 /// The admission gate.
@@ -55,12 +55,12 @@
 pub struct AdmissionGate {
     plan: AdmissionPlan,
     classes: Vec<ClassLimit>,
-    /// The longest Retry-After; 0 where clients heed none.
+    /// The longest Retry-After; 0 if clients ignore it.
     max_retry_after: Micros,
     /// Tokens in the bucket.
     tokens: f64,
     refilled_at: Micros,
-    /// The time at which the client that was rejected last is to return.
+    /// The time at which the most recently rejected client is to retry.
     last_retry_at: Micros,
     pub(crate) counters: AdmissionCounters,
 }
@@ -84,7 +84,8 @@
         self.plan
     }
 
-    /// Changes the plan. The bucket stays as full as it was, in proportion; the first one is full.
+    /// Changes the plan. The bucket keeps its relative fill level; it starts full if there was no rate
+    /// before.
     pub fn set_plan(&mut self, now: Micros, plan: AdmissionPlan) {
         self.refill(now);
         let rate_before = self.plan.max_rate.unwrap_or(0.0);
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Decides on a request of a class. A class that is not configured has the lowest priority and counts as
-    /// one that must never run twice.
+    /// Decides on a request of a class. A class that is not configured has the lowest priority, and its
+    /// requests must not run twice.
     pub fn admit(&mut self, now: Micros, class: Option<usize>) -> Admission {
         let Some(rate) = self.plan.max_rate else {
             self.counters.admitted += 1;
@@ -120,32 +121,33 @@
         Admission::Reject(self.next_retry_after(now, rate))
     }
 
-    /// The Retry-After of a rejected client: one client after the other, at the rate of admission.
+    /// The Retry-After of a rejected client. Rejected clients retry one after the other, at the admission
+    /// rate.
     fn next_retry_after(&mut self, now: Micros, rate: f64) -> Option<Micros> {
         if self.max_retry_after == 0 {
             self.counters.rejected_without_retry_after += 1;
             return None;
         }
         self.counters.rejected_with_retry_after += 1;
-        let gap = if rate > 0.0 { (MICROS_PER_SECOND / rate) as Micros } else { MIN_RETRY_AFTER };
+        let interval = if rate > 0.0 { (MICROS_PER_SECOND / rate) as Micros } else { MIN_RETRY_AFTER };
         let earliest = now + MIN_RETRY_AFTER.min(self.max_retry_after);
         let latest = now + self.max_retry_after;
-        let next = self.last_retry_at.max(earliest).saturating_add(gap.min(self.max_retry_after));
-        // Beyond the longest time the sequence starts again half way: later clients share the time with
-        // earlier ones rather than pile up at its end.
+        let next = self.last_retry_at.max(earliest).saturating_add(interval.min(self.max_retry_after));
+        // Past the longest Retry-After the schedule continues from half of it, so that later clients are
+        // spread among earlier ones instead of all retrying at the end.
         self.last_retry_at = if next > latest { now + self.max_retry_after / 2 } else { next };
         Some(self.last_retry_at - now)
     }
 }
 
 fn class_limits(classes: &[ClassPriority]) -> Vec<ClassLimit> {
-    let higher_classes = |class: &ClassPriority| {
+    let count_higher_classes = |class: &ClassPriority| {
         classes.iter().filter(|other| other.priority_weight > class.priority_weight).count() as f64
     };
-    let most_higher_classes = classes.iter().map(higher_classes).fold(0.0, f64::max);
+    let max_higher_classes = classes.iter().map(count_higher_classes).fold(0.0, f64::max);
     let reserved_fraction = |class: &ClassPriority| {
-        if most_higher_classes > 0.0 {
-            MAX_RESERVED_FRACTION * higher_classes(class) / most_higher_classes
+        if max_higher_classes > 0.0 {
+            MAX_RESERVED_FRACTION * count_higher_classes(class) / max_higher_classes
         } else {
             0.0
         }
--- a/crates/pintally-recovery/src/gate/tests.rs
+++ b/crates/pintally-recovery/src/gate/tests.rs
@@ -6,10 +6,16 @@
     ClassPriority { priority_weight: 3.0, at_most_once: true },
 ];
 
-fn count_admitted(gate: &mut AdmissionGate, from: Micros, seconds: u64, class: usize, per_s: u64) -> u64 {
+fn count_admitted(
+    gate: &mut AdmissionGate,
+    from: Micros,
+    seconds: u64,
+    class: usize,
+    per_second: u64,
+) -> u64 {
     let mut admitted = 0;
-    for n in 0..seconds * per_s {
-        let now = from + n * 1_000_000 / per_s;
+    for n in 0..seconds * per_second {
+        let now = from + n * 1_000_000 / per_second;
         admitted += u64::from(gate.admit(now, Some(class)) == Admission::Admit);
     }
     admitted
@@ -33,13 +39,14 @@
         high += u64::from(n % 20 == 0 && gate.admit(now, Some(2)) == Admission::Admit);
         low += u64::from(gate.admit(now, Some(1)) == Admission::Admit);
     }
-    // 50 requests of high priority per second are offered, 40 are admitted; the others take almost nothing.
+    // 50 high-priority requests per second are offered and 40 requests are admitted, almost none of them
+    // others.
     assert!(high > 350, "{high} of high priority of 500 offered, {low} others");
     assert!(low < 60, "{low}");
 }
 
 #[test]
-fn at_most_once_requests_wait_for_a_current_list() {
+fn plan_withholds_at_most_once_requests() {
     let mut gate = AdmissionGate::new(&CLASSES, 2_000_000);
     gate.set_plan(0, AdmissionPlan { max_rate: Some(1000.0), admits_at_most_once: false });
     assert!(matches!(gate.admit(1, Some(2)), Admission::Reject(Some(_))));
@@ -49,8 +56,8 @@
     assert_eq!(gate.admit(3, Some(2)), Admission::Admit);
 }
 
-/// Guards against a retry wave: 2,000 clients that are rejected within a second return over all of the
-/// longest Retry-After, and no tenth of a second gets more than a tenth of them.
+/// Guards against a burst of retries: the retries of 2,000 clients that are rejected within a second are
+/// spread over the longest Retry-After, and no tenth of a second gets a tenth of them.
 #[test]
 fn retries_of_rejected_clients_are_spread() {
     let mut gate = AdmissionGate::new(&CLASSES, 4_000_000);
@@ -63,13 +70,13 @@
             retries[((now + after) / 100_000) as usize] += 1;
         }
     }
-    let all: u32 = retries.iter().sum();
-    let most = *retries.iter().max().unwrap();
-    assert!(all > 1500 && most < all / 10, "{most} of {all} in a tenth of a second: {retries:?}");
+    let total: u32 = retries.iter().sum();
+    let max = *retries.iter().max().unwrap();
+    assert!(total > 1500 && max < total / 10, "{max} of {total} in a tenth of a second: {retries:?}");
 }
 
 #[test]
-fn gate_without_a_rate_admits_everything() {
+fn gate_without_rate_admits_all_requests() {
     let mut gate = AdmissionGate::new(&CLASSES, 0);
     assert_eq!(gate.admit(0, Some(0)), Admission::Reject(None));
     gate.set_plan(1, AdmissionPlan { max_rate: None, admits_at_most_once: true });
--- a/crates/pintally-recovery/src/lib.rs
+++ b/crates/pintally-recovery/src/lib.rs
@@ -1,9 +1,9 @@
-//! Recovery after a start: which stored state a node trusts, which peers it queries, and in which order
-//! service returns.
+//! Recovery of a node after a start: which stored state it trusts, which peers it queries, and how it returns
+//! to full service.
 //!
-//! State machines without input or output; `docs/recovery.md` has the reasons and the bounds. Each step that
-//! waits for a peer has a timeout after which the node continues with what it has, and peers answer in every
-//! stage, so that nodes never deadlock waiting for each other.
+//! The state machines do no input or output; `docs/recovery.md` has the reasons and the bounds. Each step
+//! that waits for a peer has a timeout, after which the node continues with the answers it has, and peers
+//! answer in every stage, so that nodes never deadlock waiting for each other.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-recovery/src/list_merge.rs
+++ b/crates/pintally-recovery/src/list_merge.rs
@@ -8,19 +8,19 @@
 /// The result of a merge.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListMerge {
-    /// The current list stays: the other one is older, or the same.
+    /// The current list stays: the other one is older or the same.
     Unchanged,
     /// The other list is newer and replaces the current one.
     Replaced(EngineList),
-    /// Both lists have one version and different contents: no drain of either is undone.
+    /// The lists have the same version and different contents. The merged list undoes no drain of either.
     Merged(EngineList),
 }
 
 /// Merges a list from any source into the current one. A newer list replaces an older one.
 ///
-/// Two lists of one version contradict each other, as after a file that was restored and written again. Then
-/// each engine takes the later state of the two: a drain that any node knew of is never undone, since work
-/// sent to a draining engine breaks a rule and work withheld from a serving one does not.
+/// Two lists of the same version can differ, for example after the file was restored and written again. Each
+/// engine then gets the later of its two states, so that a drain that any node knew of is never undone:
+/// requests must not go to a draining engine, while a serving engine may be left without requests.
 pub fn merge_endpoint_lists(current: Option<&EngineList>, other: &EngineList) -> ListMerge {
     let Some(current) = current else { return ListMerge::Replaced(other.clone()) };
     if other.version > current.version {
@@ -36,8 +36,8 @@
     ListMerge::Merged(merged)
 }
 
-/// The engines of both lists, by name. An engine that only one of them names may be new or gone: it is
-/// draining until a newer list says which.
+/// Merges the engines of both lists by id. An engine in only one of the lists may have been added or removed:
+/// it is draining until a newer list shows which.
 fn merge_engines(current: &EngineList, other: &EngineList) -> Vec<EngineEntry> {
     let mut engines: BTreeMap<_, EngineEntry> =
         current.engines.iter().map(|entry| (entry.id.clone(), entry.clone())).collect();
@@ -65,16 +65,16 @@
     engines.into_values().collect()
 }
 
-fn later_state(one: EndpointState, other: EndpointState) -> EndpointState {
-    let order = |state: EndpointState| match state {
+fn later_state(first: EndpointState, second: EndpointState) -> EndpointState {
+    let rank = |state: EndpointState| match state {
         EndpointState::Serving => 0,
         EndpointState::Draining => 1,
         EndpointState::Gone => 2,
     };
-    if order(other) > order(one) {
-        other
+    if rank(second) > rank(first) {
+        second
     } else {
-        one
+        first
     }
 }
 
--- a/crates/pintally-recovery/src/list_merge/tests.rs
+++ b/crates/pintally-recovery/src/list_merge/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn list(version: u64, engines: &[(&str, EndpointState)]) -> EngineList {
-    EngineList { version, engines: engines.iter().map(|(id, l)| entry(id, *l)).collect() }
+    EngineList { version, engines: engines.iter().map(|(id, state)| entry(id, *state)).collect() }
 }
 
 #[test]
@@ -28,15 +28,15 @@
     assert_eq!(merge_endpoint_lists(None, &old), ListMerge::Replaced(old));
 }
 
-/// Guards against a drain that is undone by another list of the same version.
+/// Guards against a drain that is undone by a different list of the same version.
 #[test]
-fn drain_is_never_undone_by_a_conflicting_list() {
+fn conflicting_list_never_undoes_a_drain() {
     use EndpointState::{Draining, Gone, Serving};
-    let one = list(7, &[("a", Draining), ("b", Serving), ("c", Serving)]);
-    let two = list(7, &[("a", Serving), ("b", Gone), ("d", Serving)]);
-    for (current, other) in [(&one, &two), (&two, &one)] {
+    let first = list(7, &[("a", Draining), ("b", Serving), ("c", Serving)]);
+    let second = list(7, &[("a", Serving), ("b", Gone), ("d", Serving)]);
+    for (current, other) in [(&first, &second), (&second, &first)] {
         let ListMerge::Merged(list) = merge_endpoint_lists(Some(current), other) else {
-            panic!("they differ")
+            panic!("the lists differ")
         };
         let states: Vec<(&str, EndpointState)> =
             list.engines.iter().map(|e| (e.id.0.as_ref(), e.state)).collect();
--- a/crates/pintally-recovery/src/recovery.rs
+++ b/crates/pintally-recovery/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The state machine from a start to full service.
+//! The state machine of a node's recovery, from its start to full service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,49 +11,51 @@
 use crate::stage::Stage;
 use crate::status::Status;
 
-/// How often the admission rate is computed anew during slow start.
+/// How often the admission rate is recomputed during slow start.
 const PLAN_INTERVAL: Micros = 250_000;
-/// How often a peer is queried again during slow start whether the fleet is in service.
+/// During slow start one peer is queried at this interval, to learn whether the fleet is in service.
 const QUERY_INTERVAL: Micros = 1_000_000;
-/// While no engine can be reached this fraction of what they can do cold is admitted all the same, since no
-/// engine answers that is not sent anything.
-const UNREACHABLE_FRACTION: f64 = 0.25;
+/// While no engine is reachable, this fraction of the capacity of cold engines is still admitted: an engine
+/// that is sent nothing never answers, and would stay unreachable.
+const UNREACHABLE_CAPACITY_FRACTION: f64 = 0.25;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// A peer's answer to a query. It answers in every stage. Its JSON spelling is fixed.
+/// A peer's answer to a query. Peers answer in every stage. The field names in JSON are fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// The peer's stage.
     pub stage: Stage,
     /// The version of its endpoint list, and a hash of the content.
     pub list: Option<(u64, u32)>,
-    /// Requests per second that the whole fleet carried, as it remembers; 0 if it does not.
+    /// Requests per second that the whole fleet served, as the peer remembers; 0 if it does not.
     #[serde(rename = "carried")]
     pub fleet_rate: f64,
-    /// Some engines that have answered it or others, by their hash, and how long ago; empty in full service.
+    /// Some engines that have answered the peer or other nodes, each encoded with its hash and the time since
+    /// its first answer; empty in full service.
     #[serde(rename = "heard")]
     pub engine_reports: Vec<u64>,
 }
 
-/// The stored state that matters to recovery.
+/// The stored state that the recovery uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RememberedState {
-    /// Requests per second that the whole fleet carried; 0 if that is not known.
+    /// Requests per second that the whole fleet served; 0 if that is not known.
     pub fleet_rate: f64,
-    /// What could not be loaded, in words.
+    /// Descriptions of what could not be loaded.
     pub issues: Vec<String>,
 }
 
 /// An event for the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The stored state was loaded, or loading was given up.
+    /// The stored state was loaded, or loading it was abandoned.
     StateLoaded(RememberedState),
     /// The number of live nodes, this one included, and the peers that can be queried, by number.
     PeersChanged(usize, Vec<u64>),
     /// A peer has answered a query.
     PeerAnswered(u64, Answer),
-    /// The listed engines that take work; whether the list came from its source since the start.
+    /// The listed engines that accept requests, and whether the list was confirmed since the start, by its
+    /// source or by a peer in full service.
     EndpointsListed(Vec<EngineId>, bool),
     /// An engine has answered.
     EngineAnswered(EngineId),
@@ -68,7 +70,7 @@
     QueryPeer(u64),
     /// A stage has begun.
     StageEntered(Stage),
-    /// The whole fleet has lost power: engines count as cold, and their caches as empty, from now on.
+    /// The whole fleet has lost power: from now on engines count as cold and their caches as empty.
     TreatEnginesAsCold,
 }
 
@@ -86,15 +88,15 @@
 }
 
 impl PeerQueries {
-    /// Starts queries of peers that were not queried yet.
-    fn query_new(&mut self, limit: usize, outputs: &mut Vec<Output>) {
+    /// Queries up to `limit` peers that were not queried yet.
+    fn query_new_peers(&mut self, limit: usize, outputs: &mut Vec<Output>) {
         let new = self.candidates.iter().filter(|peer| !self.queried.contains(peer));
         self.pending = new.take(limit).copied().collect();
         self.queried.extend(&self.pending);
         outputs.extend(self.pending.iter().map(|peer| Output::QueryPeer(*peer)));
     }
 
-    fn record(&mut self, peer: u64, answer: Answer) {
+    fn record_answer(&mut self, peer: u64, answer: Answer) {
         self.pending.remove(&peer);
         self.answers.insert(peer, answer);
     }
@@ -103,7 +105,8 @@
         self.answers.values().any(|answer| answer.stage == Stage::Serving)
     }
 
-    /// Whether all queried peers have answered, and as many as are queried at once.
+    /// Whether all queried peers have answered, and at least `limit` of them, or all candidates if there are
+    /// fewer.
     fn is_complete(&self, limit: usize) -> bool {
         self.pending.is_empty() && self.answers.len() >= limit.min(self.candidates.len())
     }
@@ -118,18 +121,18 @@
     remembered: RememberedState,
     fleet: FleetSize,
     queries: PeerQueries,
-    /// When the stage has work to do or times out.
+    /// When the current stage has work to do or times out.
     deadline: Micros,
     capacity: Capacity,
-    /// The endpoint list came from its source since the start.
-    is_list_current: bool,
+    /// The endpoint list was confirmed since the start.
+    is_list_confirmed: bool,
     fleet_lost_power: Option<bool>,
     gate: AdmissionGate,
     next_query: Micros,
 }
 
 impl Recovery {
-    /// Creates the recovery of a node that has just started. Its stored state is waited for until
+    /// Creates the recovery of a node that has just started. It waits for the stored state for at most
     /// `load_timeout`.
     pub fn new(settings: Settings, now: Micros, load_timeout: Micros) -> Recovery {
         Recovery {
@@ -140,7 +143,7 @@
             queries: PeerQueries::default(),
             deadline: now + load_timeout,
             capacity: Capacity::default(),
-            is_list_current: false,
+            is_list_confirmed: false,
             fleet_lost_power: None,
             gate: AdmissionGate::new(&settings.classes, settings.max_retry_after),
             next_query: now,
@@ -189,21 +192,21 @@
             Input::PeersChanged(alive, candidates) => self.handle_peers(alive, candidates, outputs),
             Input::PeerAnswered(peer, answer) => {
                 self.capacity.apply_report(now, &answer.engine_reports);
-                self.queries.record(peer, answer);
+                self.queries.record_answer(peer, answer);
                 self.evaluate_answers(now, outputs);
             }
-            Input::EndpointsListed(engines, is_from_source) => {
+            Input::EndpointsListed(engines, is_confirmed) => {
                 self.capacity.set_listed(engines.iter());
-                self.is_list_current |= is_from_source;
+                self.is_list_confirmed |= is_confirmed;
             }
             Input::EngineAnswered(engine) => self.capacity.engine_answered(now, &engine),
-            Input::EngineUnreachable(engine) => self.capacity.engine_lost(now, &engine),
+            Input::EngineUnreachable(engine) => self.capacity.engine_unreachable(now, &engine),
         }
         self.update_plan(now);
     }
 
     fn handle_state(&mut self, now: Micros, remembered: RememberedState, outputs: &mut Vec<Output>) {
-        // State that comes after its timeout is still better than none.
+        // State that is loaded after the timeout is still used, since it is better than none.
         self.remembered = remembered;
         if self.stage == Stage::LoadingState {
             self.begin_querying_peers(now, outputs);
@@ -213,20 +216,20 @@
     fn handle_peers(&mut self, alive: usize, candidates: Vec<u64>, outputs: &mut Vec<Output>) {
         self.fleet.alive = alive.max(1);
         self.queries.candidates = candidates;
-        // Peers that are discovered late in a round are queried in it, and the round grows no longer.
+        // If no peer was known so far, the new ones are queried in the current round, which is not extended.
         if self.stage == Stage::QueryingPeers && self.queries.queried.is_empty() {
-            self.queries.query_new(self.settings.peers_queried, outputs);
+            self.queries.query_new_peers(self.settings.peers_queried, outputs);
         }
     }
 
-    /// Does the work that is due.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         if now < self.deadline {
             return;
         }
         match self.stage {
             Stage::LoadingState => {
-                self.remembered.issues.push("the disk did not tell in time".into());
+                self.remembered.issues.push("the disk did not respond in time".into());
                 self.begin_querying_peers(now, outputs);
             }
             Stage::QueryingPeers if self.queries.round < self.settings.query_rounds => {
@@ -243,10 +246,10 @@
         self.deadline = now + PLAN_INTERVAL;
         if now >= self.next_query && self.settings.has_peers {
             self.next_query = now + QUERY_INTERVAL;
-            // One peer at a time, each in turn: a recovering fleet is not flooded with queries.
+            // One peer per interval, in rotation, so that a recovering fleet is not flooded with queries.
             let candidates = &self.queries.candidates;
-            let turn = (now / QUERY_INTERVAL) as usize % candidates.len().max(1);
-            outputs.extend(candidates.get(turn).map(|peer| Output::QueryPeer(*peer)));
+            let index = (now / QUERY_INTERVAL) as usize % candidates.len().max(1);
+            outputs.extend(candidates.get(index).map(|peer| Output::QueryPeer(*peer)));
         }
         let is_warm = self.capacity.warm_fraction(now, &self.settings) >= 1.0;
         if is_warm || now >= self.stage_since + self.settings.max_slow_start {
@@ -262,21 +265,23 @@
 
     fn begin_querying_peers(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         if !self.settings.has_peers {
-            // No peer can tell whether others stayed in service: as if all had lost power.
+            // Without peers the node cannot learn whether the fleet stayed in service, so it assumes that the
+            // whole fleet has lost power.
             return self.begin_slow_start(now, outputs);
         }
         self.enter(now, Stage::QueryingPeers, outputs);
         self.start_query_round(now, outputs);
     }
 
-    /// Queries peers that were not queried yet, or waits for one to be discovered.
+    /// Queries peers that were not queried yet. Without any, the round waits for one to be discovered.
     fn start_query_round(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         self.queries.round += 1;
         self.deadline = now + self.settings.answer_timeout;
-        self.queries.query_new(self.settings.peers_queried, outputs);
+        self.queries.query_new_peers(self.settings.peers_queried, outputs);
     }
 
-    /// A peer in full service shows that the fleet is not cold: it never lost power, or has recovered.
+    /// Evaluates the answers so far. A peer in full service shows that the fleet is not cold: it never lost
+    /// power, or it has recovered.
     fn evaluate_answers(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         let is_any_serving = self.queries.is_any_peer_serving();
         match self.stage {
@@ -301,8 +306,8 @@
         self.update_plan(now);
     }
 
-    /// Requests per second that the fleet carried: the median of what this node and its peers remember, as
-    /// none of them may be trusted alone. 0 if nobody remembers.
+    /// Requests per second that the fleet served: the median of the rates that this node and its peers
+    /// remember, since no single one can be trusted. 0 if none is remembered.
     fn fleet_rate(&self) -> f64 {
         let answers = self.queries.answers.values().map(|answer| answer.fleet_rate);
         let mut rates: Vec<f64> = answers
@@ -310,8 +315,8 @@
             .filter(|rate| *rate > 0.0 && rate.is_finite())
             .collect();
         rates.sort_by(f64::total_cmp);
-        let median = rates.len().saturating_sub(1) / 2;
-        rates.get(median).copied().unwrap_or(0.0)
+        let median_index = rates.len().saturating_sub(1) / 2;
+        rates.get(median_index).copied().unwrap_or(0.0)
     }
 
     fn update_plan(&mut self, now: Micros) {
@@ -321,7 +326,7 @@
             }
             Stage::SlowStart => AdmissionPlan {
                 max_rate: Some(self.admission_rate(now)),
-                admits_at_most_once: self.is_list_current,
+                admits_at_most_once: self.is_list_confirmed,
             },
             Stage::Serving => AdmissionPlan { max_rate: None, admits_at_most_once: true },
         };
@@ -330,21 +335,21 @@
         }
     }
 
-    /// Requests per second that this node admits: what the fleet carried, times the fraction that its engines
-    /// can do while they warm up, times the fraction that they can do with empty caches, times this node's
-    /// share.
+    /// Requests per second that this node admits: the rate that the fleet served, times the fraction that its
+    /// engines can serve while they warm up, times the fraction that they can serve while their caches fill,
+    /// times this node's share.
     fn admission_rate(&self, now: Micros) -> f64 {
         let settings = &self.settings;
         let fleet_rate = match self.fleet_rate() {
             0.0 => settings.requests_per_second_per_engine * self.capacity.counts().listed as f64,
             rate => rate,
         };
-        let min_fraction = settings.slow_start_min_capacity * UNREACHABLE_FRACTION;
-        let warm = self.capacity.warm_fraction(now, settings).clamp(min_fraction, 1.0);
-        let age = now.saturating_sub(self.stage_since) as f64 / settings.max_slow_start.max(1) as f64;
-        let uncached = settings.uncached_capacity_fraction;
-        let cached = uncached + (1.0 - uncached) * age.min(1.0);
-        fleet_rate * warm * cached * admission_share(self.fleet)
+        let min_fraction = settings.slow_start_min_capacity * UNREACHABLE_CAPACITY_FRACTION;
+        let warm_fraction = self.capacity.warm_fraction(now, settings).clamp(min_fraction, 1.0);
+        let cache_fill = now.saturating_sub(self.stage_since) as f64 / settings.max_slow_start.max(1) as f64;
+        let uncached_fraction = settings.uncached_capacity_fraction;
+        let cache_fraction = uncached_fraction + (1.0 - uncached_fraction) * cache_fill.min(1.0);
+        fleet_rate * warm_fraction * cache_fraction * admission_share(self.fleet)
     }
 
     /// The status document.
--- a/crates/pintally-recovery/src/reservations.rs
+++ b/crates/pintally-recovery/src/reservations.rs
@@ -1,11 +1,12 @@
-//! Reservations at engines, published to a few backup nodes while their node runs, so that they are released
-//! when it is dead and does not come back.
+//! Replication of reservations at engines: a node publishes its reservations to a few backup nodes, which
+//! release them if the node dies and does not come back.
 //!
-//! A reservation has a name of its own, so a needless release harms nothing, and nothing has to be withdrawn:
-//! a node publishes what it holds again at intervals, and a backup node forgets what was not published for
-//! longer than that. Messages may be lost, duplicated and late. A backup node waits for a while after a death:
-//! a node that was only partitioned or paused comes back and keeps its reservations; one that restarts
-//! releases them itself, and the backup node's release is one too many.
+//! Each reservation has a unique name, so releasing it twice does no harm, and nothing has to be withdrawn: a
+//! node publishes the reservations that it holds again at intervals, and a backup node drops those that were
+//! not published for several intervals. Messages may be lost, duplicated or delayed. A backup node waits
+//! after a node's death before it releases: a node that was only partitioned or paused comes back and keeps
+//! its reservations; a node that restarts releases them itself, and the backup node's release is then
+//! redundant.
 
 mod backup;
 mod publisher;
@@ -21,17 +22,17 @@
 
 /// A reservation is published again after this time.
 const REPUBLISH_INTERVAL: Micros = 500_000;
-/// A reservation that was not published for this long is no longer held, or its node is dead: four
+/// A reservation that was not published for this long is no longer held, or its node is dead. It is four
 /// intervals, since messages may be lost.
 const EXPIRY: Micros = 4 * REPUBLISH_INTERVAL;
 
-/// The message to backup nodes. Its JSON spelling is fixed.
+/// The message to backup nodes. Its field names in JSON are fixed.
 #[derive(Serialize, Deserialize)]
 struct ReservationMessage {
-    /// The mark of the process that holds the reservations.
+    /// Identifies the process that holds the reservations among all processes of its node.
     #[serde(rename = "life")]
     process: u64,
-    /// Some of its reservations: engine and name.
+    /// Some of its reservations, each with its engine and its name there.
     #[serde(rename = "held")]
     reservations: Vec<(String, String)>,
 }
--- a/crates/pintally-recovery/src/reservations/backup.rs
+++ b/crates/pintally-recovery/src/reservations/backup.rs
@@ -1,4 +1,4 @@
-//! Stores the published reservations of other nodes, and releases them when a node stays dead.
+//! The published reservations of other nodes, which are released if a node stays dead.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     process: u64,
     /// Reservations, with the time of their last publication.
     reservations: BTreeMap<Reservation, Micros>,
-    /// When the node was declared dead.
+    /// When the node was declared dead; `None` while it counts as alive.
     dead_since: Option<Micros>,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A backup node: it stores the reservations that other nodes publish.
+/// A backup node. It stores the reservations that other nodes publish.
 #[derive(Debug)]
 pub struct BackupNode {
     publishers: BTreeMap<String, Publisher>,
@@ -38,18 +38,18 @@
 }
 
 impl BackupNode {
-    /// Creates a backup node that releases a node's reservations so long after its death.
+    /// Creates a backup node that releases a node's reservations `release_delay` after its death.
     pub fn new(release_delay: Micros) -> BackupNode {
         BackupNode { publishers: BTreeMap::new(), release_delay, stored: 0 }
     }
 
-    /// Handles a message of a node. One that cannot be read is ignored.
+    /// Handles a message with reservations of a node. A malformed message is ignored.
     pub fn receive_reservations(&mut self, now: Micros, from: &str, message: &[u8]) {
         let Ok(message) = serde_json::from_slice::<ReservationMessage>(message) else { return };
         self.remove_expired(now, from);
         let publisher = self.publishers.entry(from.to_string()).or_default();
         if publisher.process != message.process {
-            // A later process releases the reservations of the one before.
+            // The node has restarted: its new process releases the reservations of the previous one.
             self.stored -= publisher.reservations.len();
             *publisher = Publisher { process: message.process, ..Publisher::default() };
         }
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Removes what a live node has not published for long: it is no longer held.
+    /// Removes the reservations that a live node has not published within [`EXPIRY`]: it no longer holds
+    /// them.
     fn remove_expired(&mut self, now: Micros, from: &str) {
         let Some(publisher) = self.publishers.get_mut(from) else { return };
         let before = publisher.reservations.len();
@@ -75,16 +76,16 @@
         self.stored -= before - publisher.reservations.len();
     }
 
-    /// A node was declared dead.
+    /// Records that a node was declared dead.
     pub fn node_down(&mut self, now: Micros, name: &str) {
         if let Some(publisher) = self.publishers.get_mut(name) {
             publisher.dead_since.get_or_insert(now);
         }
     }
 
-    /// A process of a node is alive. If it is another one than has published, that one stays dead: its
-    /// reservations are released by the later process, if its disk has stored them, and one release more
-    /// does no harm.
+    /// Records that a process of a node is alive. If another process has published the reservations, that one
+    /// stays dead. The new process also releases its reservations if they were stored on disk; the second
+    /// release does no harm.
     pub fn node_up(&mut self, name: &str, process: u64) {
         let publisher = self.publishers.get_mut(name);
         if let Some(publisher) = publisher.filter(|publisher| publisher.process == process) {
@@ -92,18 +93,18 @@
         }
     }
 
-    /// A node has shut down gracefully: it holds nothing.
+    /// Records that a node has shut down gracefully: it holds no reservations.
     pub fn node_left(&mut self, name: &str) {
-        self.remove(name);
+        self.remove_publisher(name);
     }
 
-    fn remove(&mut self, name: &str) -> Option<Publisher> {
+    fn remove_publisher(&mut self, name: &str) -> Option<Publisher> {
         let publisher = self.publishers.remove(name)?;
         self.stored -= publisher.reservations.len();
         Some(publisher)
     }
 
-    /// Takes the reservations that are to be released now, by the name of the dead node that held them.
+    /// Removes and returns the reservations that are to be released now, each with the name of its dead node.
     pub fn take_due_reservations(&mut self, now: Micros) -> Vec<(String, Vec<Reservation>)> {
         let is_due = |publisher: &Publisher| publisher.is_due(now, self.release_delay);
         let names: Vec<String> = self
@@ -115,10 +116,11 @@
         names.into_iter().filter_map(|name| self.take_reservations(now, name)).collect()
     }
 
-    /// Takes what a node held when it died. What had expired by then was released by the node itself; its
-    /// death is detected some time after it happened.
+    /// Removes and returns the reservations that a node held when it died. A reservation that had expired by
+    /// then was released by the node itself. The release delay is added to the expiry, since a death is
+    /// detected some time after it happens.
     fn take_reservations(&mut self, now: Micros, name: String) -> Option<(String, Vec<Reservation>)> {
-        let publisher = self.remove(&name)?;
+        let publisher = self.remove_publisher(&name)?;
         let dead_since = publisher.dead_since.unwrap_or(now);
         let max_age = EXPIRY + self.release_delay;
         let reservations: Vec<Reservation> = publisher
--- a/crates/pintally-recovery/src/reservations/publisher.rs
+++ b/crates/pintally-recovery/src/reservations/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes a node's reservations to its backup nodes.
+//! Publication of a node's reservations to its backup nodes.
 
 use std::collections::HashMap;
 
@@ -7,18 +7,18 @@
 
 use super::{Reservation, ReservationMessage, REPUBLISH_INTERVAL};
 
-/// Backup nodes of each node.
+/// Number of backup nodes of each node.
 pub(super) const BACKUP_NODES: usize = 2;
-/// A younger reservation is not worth a message.
+/// A reservation younger than this is not worth a message and is not published yet.
 const MIN_AGE: Micros = 100_000;
-/// Largest content of one message, so that it fits into a packet.
+/// Largest content of one message, so that the message fits into one packet.
 const MAX_MESSAGE_BYTES: usize = 1_000;
-/// Messages that are sent at once.
-pub(super) const MAX_MESSAGES: usize = 8;
-/// Bytes of a reservation in a message beside its engine and name.
+/// Limit of the messages that are sent at once.
+pub(super) const MAX_MESSAGES_AT_ONCE: usize = 8;
+/// Bytes that a reservation takes in a message in addition to its engine and name.
 const RESERVATION_OVERHEAD_BYTES: usize = 8;
 
-/// When a reservation was made and published.
+/// When a reservation was made and when it was last published.
 #[derive(Clone, Copy, Debug)]
 struct Publication {
     reserved_at: Micros,
@@ -42,8 +42,8 @@
 }
 
 impl ReservationPublisher {
-    /// Chooses the backup nodes of a node among the live peers, by hash: always the same ones for one node, and
-    /// different ones for different nodes.
+    /// Chooses the backup nodes of a node among the live peers by rendezvous hashing: they change only if the
+    /// live peers do, and different nodes have different ones.
     pub fn backup_nodes<'a>(own: &str, alive: impl Iterator<Item = &'a str>) -> Vec<String> {
         let seed = xxh3_64_with_seed(own.as_bytes(), 0);
         let mut ranked: Vec<(u64, &str)> =
@@ -52,8 +52,8 @@
         ranked.into_iter().take(BACKUP_NODES).map(|(_, name)| name.to_string()).collect()
     }
 
-    /// The messages that are due, each for all backup nodes. `process` is the mark of this process, `reservations`
-    /// all that it has.
+    /// Returns the messages that are due, each for all backup nodes. `process` identifies this process, and
+    /// `reservations` are all that it holds.
     pub fn publish_due(
         &mut self,
         now: Micros,
@@ -66,7 +66,7 @@
         if backup_nodes.is_empty() {
             return Vec::new();
         }
-        // Those that have waited for longest come first, as not all may fit.
+        // Reservations that have waited longest come first, since not all may fit.
         let mut due: Vec<(&Reservation, &mut Publication)> =
             self.publications.iter_mut().filter(|(_, publication)| publication.is_due(now)).collect();
         due.sort_by_key(|(reservation, publication)| {
@@ -85,7 +85,7 @@
         self.publications = updated;
     }
 
-    /// Other backup nodes have received nothing yet: everything is published again.
+    /// If the backup nodes have changed, publishes all reservations again: new ones have not received them.
     fn update_backup_nodes(&mut self, backup_nodes: &[String]) {
         if self.backup_nodes == backup_nodes {
             return;
@@ -97,7 +97,8 @@
     }
 }
 
-/// Encodes as many reservations as fit into the messages of one turn, and marks them as published.
+/// Encodes as many reservations as fit into the messages that may be sent at once, and marks them as
+/// published.
 fn encode_messages(now: Micros, process: u64, due: Vec<(&Reservation, &mut Publication)>) -> Vec<Vec<u8>> {
     let mut messages = Vec::new();
     let mut message = ReservationMessage { process, reservations: Vec::new() };
@@ -108,7 +109,7 @@
             messages.extend(serde_json::to_vec(&message).ok());
             message.reservations.clear();
             message_bytes = 0;
-            if messages.len() == MAX_MESSAGES {
+            if messages.len() == MAX_MESSAGES_AT_ONCE {
                 break;
             }
         }
--- a/crates/pintally-recovery/src/settings.rs
+++ b/crates/pintally-recovery/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of recovery, and their validation.
+//! The settings of a node's recovery, and their validation.
 
 use pintally::interface::Micros;
 use pintally_validation::{ensure, InvalidConfiguration};
@@ -8,34 +8,34 @@
 pub struct ClassPriority {
     /// Classes with a higher weight are admitted first.
     pub priority_weight: f64,
-    /// Its requests must never run twice.
+    /// Its requests must not run twice.
     pub at_most_once: bool,
 }
 
 /// Settings of a node's recovery. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Nodes of the fleet.
+    /// Number of nodes of the fleet.
     pub expected_nodes: usize,
     /// Whether the node has peers that it can query.
     pub has_peers: bool,
-    /// Peers that are queried at once.
+    /// Number of peers queried in each round.
     pub peers_queried: usize,
-    /// Time for an answer.
+    /// How long a round waits for answers.
     pub answer_timeout: Micros,
-    /// Rounds of queries, each to other peers.
+    /// Number of query rounds; each queries peers that were not queried before.
     pub query_rounds: u32,
     /// Slow start ends after this time at the latest.
     pub max_slow_start: Micros,
-    /// The fraction of its work that a cold engine can do.
+    /// The fraction of a warm engine's requests that a cold engine can serve.
     pub slow_start_min_capacity: f64,
-    /// A cold engine is warm after this time.
+    /// The time in which a cold engine becomes warm.
     pub slow_start_duration: Micros,
-    /// Requests per second that a warm engine carries, for a fleet that does not remember its rate.
+    /// Requests per second that a warm engine serves; used if no node remembers the fleet's rate.
     pub requests_per_second_per_engine: f64,
-    /// The fraction of its usual requests that an engine carries while its prefix cache is empty.
+    /// The fraction of its usual requests that an engine serves while its prefix cache is empty.
     pub uncached_capacity_fraction: f64,
-    /// The longest Retry-After that clients heed; 0 where they heed none.
+    /// The longest Retry-After sent to clients; 0 if clients ignore it.
     pub max_retry_after: Micros,
     /// The classes, in the order of the configuration.
     pub classes: Vec<ClassPriority>,
@@ -46,30 +46,34 @@
     ///
     /// # Errors
     ///
-    /// [`InvalidConfiguration`] with the first rule that is broken.
+    /// [`InvalidConfiguration`] with the first rule that is violated.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        ensure(self.expected_nodes != 0, "a fleet has one node at least")?;
+        ensure(self.expected_nodes != 0, "the number of nodes must be at least 1")?;
         ensure(
             (0.001..=1.0).contains(&self.slow_start_min_capacity),
-            "a cold engine does some part of its work",
+            "`cold-from` must be from 0.001 to 1: a cold engine does part of its work",
         )?;
         ensure(
             (0.01..=1.0).contains(&self.uncached_capacity_fraction),
-            "an engine without texts does some part of its work",
+            "`textless` must be from 0.01 to 1: an engine with an empty cache does part of its work",
         )?;
         ensure(
             (0.001..=1e6).contains(&self.requests_per_second_per_engine),
-            "an engine carries some requests a second",
+            "`per-engine-per-s` must be from 0.001 to 1000000: an engine serves some requests per second",
         )?;
-        ensure(self.peers_queried != 0 && self.query_rounds != 0, "somebody must be asked, at least once")?;
-        ensure(self.answer_timeout != 0, "an answer takes some time")?;
+        ensure(
+            self.peers_queried != 0 && self.query_rounds != 0,
+            "`ask` and `rounds` must be at least 1: at least one peer is queried",
+        )?;
+        ensure(self.answer_timeout != 0, "`answer-within-ms` must not be 0: an answer takes some time")?;
         ensure(
             self.max_slow_start >= self.slow_start_duration,
-            "the careful stage must not end before an engine that started with it is warm",
+            "`careful-most-ms` must not be less than `warm-after-ms`: slow start must not end before an \
+             engine that started with it is warm",
         )
     }
 
-    /// The longest time that peers are queried: no peer answers.
+    /// The longest time that a node queries peers, reached if no peer answers.
     pub fn max_query_time(&self) -> Micros {
         if !self.has_peers {
             return 0;
--- a/crates/pintally-recovery/src/status.rs
+++ b/crates/pintally-recovery/src/status.rs
@@ -1,4 +1,4 @@
-//! The status document of a node's recovery. Its JSON spelling is fixed.
+//! The status document of a node's recovery. Its field names in JSON are fixed.
 
 use serde::Serialize;
 
@@ -17,7 +17,7 @@
     /// What could not be loaded from the disk.
     #[serde(rename = "lacks")]
     pub issues: Vec<String>,
-    /// Whether the node assumes that the whole fleet has lost power; none while it does not know yet.
+    /// Whether the node assumes that the whole fleet has lost power; `None` while it does not know yet.
     pub fleet_lost_power: Option<bool>,
     /// Nodes that are alive, this one included.
     #[serde(rename = "here")]
@@ -27,7 +27,7 @@
     pub expected_nodes: usize,
     /// Engines that have answered since the start, and listed ones.
     pub engines: EngineCounts,
-    /// Requests per second that are admitted; none while all are.
+    /// Requests per second that are admitted; `None` while all are.
     #[serde(rename = "rate")]
     pub max_rate: Option<f64>,
     /// Requests that were admitted.
--- a/crates/pintally-recovery/tests/golden.rs
+++ b/crates/pintally-recovery/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The messages between nodes are stable: nodes of different builds read each other's.
+//! The bytes of messages between nodes are stable, so that nodes of different builds can read them.
 
 use pintally::interface::{EngineId, RequestId};
 use pintally_recovery::{Answer, BackupNode, ReservationPublisher, Stage};
@@ -37,16 +37,16 @@
 /// node's death.
 #[test]
 fn reservation_message_bytes_are_stable() {
-    let held = [("engine-a", "request-1"), ("engine-b", "quote\"d")]
+    let reservations = [("engine-a", "request-1"), ("engine-b", "quote\"d")]
         .map(|(engine, name)| (EngineId(engine.into()), RequestId(name.into())));
     let backup_nodes = ["n2".to_string()];
     let mut publisher = ReservationPublisher::default();
-    assert!(publisher.publish_due(0, 1 << 40, &held, &backup_nodes).is_empty());
-    let messages = publisher.publish_due(200_000, 1 << 40, &held, &backup_nodes);
+    assert!(publisher.publish_due(0, 1 << 40, &reservations, &backup_nodes).is_empty());
+    let messages = publisher.publish_due(200_000, 1 << 40, &reservations, &backup_nodes);
     assert_eq!(messages.len(), 1);
     assert_bytes("held_states", &messages[0]);
     let mut backup = BackupNode::new(1_000_000);
     backup.receive_reservations(200_000, "n1", &golden("held_states"));
     backup.node_down(200_000, "n1");
-    assert_eq!(backup.take_due_reservations(1_200_000), [("n1".to_string(), held.to_vec())]);
+    assert_eq!(backup.take_due_reservations(1_200_000), [("n1".to_string(), reservations.to_vec())]);
 }
--- a/crates/pintally-recovery/tests/recovery_stages.rs
+++ b/crates/pintally-recovery/tests/recovery_stages.rs
@@ -1,4 +1,4 @@
-//! The stages: what ends each, and that nodes never deadlock, by exhaustive search.
+//! The stages of recovery: what ends each stage, and an exhaustive search for deadlocks between nodes.
 
 use std::collections::HashSet;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn node_that_restarts_in_a_serving_fleet_serves_at_once() {
+fn restart_in_serving_fleet_serves_at_once() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(1000, Input::PeersChanged(3, vec![1, 2]), &mut outputs);
@@ -50,24 +50,27 @@
     node.handle(3000, Input::PeerAnswered(2, serving()), &mut outputs);
     assert_eq!(node.stage(), Stage::Serving);
     assert_eq!(node.admit(3001, Some(1)), Admission::Admit);
-    assert!(!outputs.contains(&Output::TreatEnginesAsCold), "engines are as warm as the peers know them");
+    assert!(
+        !outputs.contains(&Output::TreatEnginesAsCold),
+        "a serving peer shows that the engines are not cold"
+    );
 }
 
 #[test]
-fn node_admits_within_the_bound_when_nobody_answers() {
+fn admits_within_bound_without_answers() {
     let load_timeout = SECOND;
     let mut node = Recovery::new(settings(5), 0, load_timeout);
     let bound = node.max_time_to_first_admission(load_timeout);
     let (mut outputs, mut now) = (Vec::new(), 0);
     node.handle(0, Input::EndpointsListed(engines(10), true), &mut outputs);
     while node.stage() < Stage::SlowStart {
-        now = node.next_wake().expect("it waits for something");
+        now = node.next_wake().expect("the node waits for something");
         node.tick(now, &mut outputs);
     }
     assert!(now <= bound, "{now} of {bound}");
     assert_eq!(node.admit(now, Some(1)), Admission::Admit);
     assert!(outputs.contains(&Output::TreatEnginesAsCold));
-    // All requests are admitted at the latest when slow start must end.
+    // All requests are admitted at the latest when slow start reaches its limit.
     while let Some(wake) = node.next_wake() {
         now = wake;
         node.tick(now, &mut outputs);
@@ -75,9 +78,9 @@
     assert!(now <= bound + settings(5).max_slow_start + SECOND);
 }
 
-/// Guards against a fleet that admits the rate from before the power loss while its engines are cold.
+/// Guards against a fleet that admits the rate from before a power loss while its engines are cold.
 #[test]
-fn cold_fleet_admits_what_its_engines_can_serve() {
+fn cold_fleet_admits_what_engines_can_serve() {
     let remembered = || RememberedState { fleet_rate: 100.0, issues: Vec::new() };
     let mut nodes: Vec<Recovery> = (0..4).map(|_| Recovery::new(settings(4), 0, SECOND)).collect();
     let mut outputs = Vec::new();
@@ -97,7 +100,8 @@
             );
         }
     }
-    // Cold, with empty caches, all four nodes together: 100 x 0.3 x 0.5 a second, growing to 100 x 1 x 0.7.
+    // All four nodes together admit 100 x 0.3 x 0.5 requests per second with cold engines and empty caches,
+    // growing to 100 x 1 x 0.7.
     let mut per_second = Vec::new();
     for second in 1..9u64 {
         let mut admitted = 0;
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn at_most_once_requests_wait_for_a_list_from_its_source() {
+fn at_most_once_requests_wait_for_confirmed_list() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(1), 0, SECOND);
     node.handle(
@@ -134,9 +138,9 @@
     assert_eq!(node.admit(200_000, Some(1)), Admission::Admit);
 }
 
-/// Guards against one disk or one peer that remembers a wrong rate and opens the gate.
+/// Guards against one disk or one peer that remembers a wrong rate, with which the gate would admit too much.
 #[test]
-fn one_wrong_remembered_rate_does_not_open_the_gate() {
+fn one_wrong_remembered_rate_is_outvoted() {
     let mut outputs = Vec::new();
     let mut node = Recovery::new(settings(3), 0, SECOND);
     node.handle(0, Input::PeersChanged(3, vec![1, 2]), &mut outputs);
@@ -161,18 +165,22 @@
 
 /// The state of a small fleet: its nodes, and the messages in transit.
 #[derive(Clone)]
-struct World {
+struct FleetState {
     now: Micros,
     nodes: Vec<Option<Recovery>>,
-    /// Queries and answers in transit, with their sender and receiver.
+    /// Queries in transit, with their sender and receiver.
     queries: Vec<(usize, usize)>,
+    /// Answers in transit, with their sender and receiver.
     answers: Vec<(usize, usize, Answer)>,
+    /// Messages that may still be lost.
     losses: u32,
+    /// Nodes that may still die.
     kills: u32,
 }
 
-impl World {
-    fn key(&self) -> String {
+impl FleetState {
+    /// Identifies equal states of the search.
+    fn fingerprint(&self) -> String {
         let stage = |n: &Option<Recovery>| {
             n.as_ref().map(|n| (n.stage(), n.next_wake().map(|w| w.saturating_sub(self.now))))
         };
@@ -188,10 +196,10 @@
         node.handle(self.now, Input::PeersChanged(1, others), &mut outputs);
         node.handle(self.now, Input::EndpointsListed(engines(4), true), &mut outputs);
         self.nodes[n] = Some(node);
-        self.execute(n, outputs);
+        self.send_queries(n, outputs);
     }
 
-    fn execute(&mut self, n: usize, outputs: Vec<Output>) {
+    fn send_queries(&mut self, n: usize, outputs: Vec<Output>) {
         for output in outputs {
             if let Output::QueryPeer(peer) = output {
                 if !self.queries.contains(&(n, peer as usize)) {
@@ -202,7 +210,7 @@
     }
 
     /// All successor states.
-    fn successors(&self) -> Vec<World> {
+    fn successors(&self) -> Vec<FleetState> {
         let mut all = Vec::new();
         all.extend((0..self.nodes.len()).filter_map(|n| self.after_node_event(n)));
         for query in 0..self.queries.len() {
@@ -215,77 +223,78 @@
     }
 
     /// A node starts, loads its state or dies.
-    fn after_node_event(&self, n: usize) -> Option<World> {
-        let mut world = self.clone();
+    fn after_node_event(&self, n: usize) -> Option<FleetState> {
+        let mut state = self.clone();
         match &self.nodes[n] {
-            None => world.start(n),
+            None => state.start(n),
             Some(node) if node.stage() == Stage::LoadingState => {
                 let mut outputs = Vec::new();
-                let node = world.nodes[n].as_mut().unwrap();
+                let node = state.nodes[n].as_mut().unwrap();
                 node.handle(self.now, Input::StateLoaded(RememberedState::default()), &mut outputs);
-                world.execute(n, outputs);
+                state.send_queries(n, outputs);
             }
             Some(_) if self.kills > 0 => {
-                world.kills -= 1;
-                world.nodes[n] = None;
-                world.queries.retain(|q| q.0 != n && q.1 != n);
-                world.answers.retain(|a| a.0 != n && a.1 != n);
+                state.kills -= 1;
+                state.nodes[n] = None;
+                state.queries.retain(|q| q.0 != n && q.1 != n);
+                state.answers.retain(|a| a.0 != n && a.1 != n);
             }
             Some(_) => return None,
         }
-        Some(world)
+        Some(state)
     }
 
-    fn after_query_delivered(&self, query: usize) -> World {
-        let mut world = self.clone();
-        let (from, to) = world.queries.remove(query);
+    fn after_query_delivered(&self, query: usize) -> FleetState {
+        let mut state = self.clone();
+        let (from, to) = state.queries.remove(query);
         if let Some(node) = &self.nodes[to] {
-            world.answers.push((to, from, node.answer(self.now, Some((1, 0)))));
+            state.answers.push((to, from, node.answer(self.now, Some((1, 0)))));
         }
-        world
+        state
     }
 
-    fn after_query_lost(&self, query: usize) -> Option<World> {
-        let mut world = self.clone();
-        world.queries.remove(query);
-        world.losses = world.losses.checked_sub(1)?;
-        Some(world)
+    fn after_query_lost(&self, query: usize) -> Option<FleetState> {
+        let mut state = self.clone();
+        state.queries.remove(query);
+        state.losses = state.losses.checked_sub(1)?;
+        Some(state)
     }
 
-    fn after_answer_delivered(&self, answer: usize) -> World {
-        let mut world = self.clone();
-        let (from, to, answer) = world.answers.remove(answer);
+    fn after_answer_delivered(&self, answer: usize) -> FleetState {
+        let mut state = self.clone();
+        let (from, to, answer) = state.answers.remove(answer);
         let mut outputs = Vec::new();
-        if let Some(node) = &mut world.nodes[to] {
+        if let Some(node) = &mut state.nodes[to] {
             node.handle(self.now, Input::PeerAnswered(from as u64, answer), &mut outputs);
         }
-        world.execute(to, outputs);
-        world
+        state.send_queries(to, outputs);
+        state
     }
 
-    /// Time advances to the first deadline.
-    fn after_next_deadline(&self) -> Option<World> {
+    /// Time advances to the earliest deadline.
+    fn after_next_deadline(&self) -> Option<FleetState> {
         let deadline = self.nodes.iter().flatten().filter_map(Recovery::next_wake).min()?;
-        let mut world = self.clone();
-        world.now = deadline.max(self.now);
-        for n in 0..world.nodes.len() {
+        let mut state = self.clone();
+        state.now = deadline.max(self.now);
+        for n in 0..state.nodes.len() {
             let mut outputs = Vec::new();
-            if let Some(node) = &mut world.nodes[n] {
-                node.tick(world.now, &mut outputs);
+            if let Some(node) = &mut state.nodes[n] {
+                node.tick(state.now, &mut outputs);
             }
-            world.execute(n, outputs);
+            state.send_queries(n, outputs);
         }
-        Some(world)
+        Some(state)
     }
 }
 
-/// Searches all orders in which two or three nodes start, query, answer, lose messages and die once. In each
-/// state a node that has started either serves or has a deadline, and has left the query stage within its
-/// bound, whatever the others do.
+/// Searches all orders of events up to a fixed depth in which two or three nodes start, query, answer, lose
+/// messages and die (with two nodes one dies at most once, with three none dies). In each state a node that
+/// has started either serves or has a deadline, and it leaves the query stage within its bound, whatever the
+/// other nodes do.
 #[test]
 fn nodes_never_deadlock_waiting_for_each_other() {
     for (nodes, losses, kills, depth) in [(2, 2, 1, 16), (3, 1, 0, 9)] {
-        let world = World {
+        let state = FleetState {
             now: 0,
             nodes: vec![None; nodes],
             queries: Vec::new(),
@@ -294,23 +303,23 @@
             kills,
         };
         let mut seen = HashSet::new();
-        let mut front = vec![world];
+        let mut frontier = vec![state];
         for _ in 0..depth {
             let mut next = Vec::new();
-            for world in front {
-                for node in world.nodes.iter().flatten() {
+            for state in frontier {
+                for node in state.nodes.iter().flatten() {
                     assert!(node.stage() == Stage::Serving || node.next_wake().is_some(), "stuck");
                     if node.stage() < Stage::SlowStart {
-                        let status = node.status(world.now);
+                        let status = node.status(state.now);
                         let bound = node.max_time_to_first_admission(300_000) / 1000;
                         assert!(status.for_ms <= bound, "{status:?} waits for longer than {bound} ms");
                     }
                 }
-                if seen.insert(world.key()) {
-                    next.extend(world.successors());
+                if seen.insert(state.fingerprint()) {
+                    next.extend(state.successors());
                 }
             }
-            front = next;
+            frontier = next;
         }
         println!("{nodes} nodes, {losses} losses, {kills} kills, depth {depth}: {} states", seen.len());
         assert!(seen.len() > 1000);
--- a/crates/pintally-storage/src/commit.rs
+++ b/crates/pintally-storage/src/commit.rs
@@ -10,7 +10,7 @@
 use crate::queue::{BatchResult, Changes, CommitQueue};
 use crate::record::{Record, RecordVersion};
 
-/// Why a copy did not take a commit. The texts are those of the database.
+/// Why a commit to a copy failed. The messages are those of the database.
 #[derive(Debug, thiserror::Error)]
 enum CommitError {
     #[error(transparent)]
@@ -22,7 +22,7 @@
     #[error(transparent)]
     Commit(#[from] redb::CommitError),
     /// The database panicked.
-    #[error("the store gave up")]
+    #[error("the database panicked during a commit")]
     Panic,
 }
 
@@ -31,14 +31,14 @@
     queue: Arc<CommitQueue>,
     interval: Duration,
     copies: Vec<Option<Database>>,
-    /// The start number under which this process writes.
+    /// The boot number of this process, under which it writes.
     boot: u64,
     /// The sequence number that was used last.
     sequence: u64,
 }
 
 impl Committer {
-    /// A committer that continues above the highest start number and sequence number found.
+    /// Creates a committer whose boot number and sequence numbers are above the highest ones found.
     pub(crate) fn new(
         queue: Arc<CommitQueue>,
         interval: Duration,
@@ -80,9 +80,9 @@
     fn commit_to_copies(&self, started: Instant, records: &[Record]) -> BatchResult {
         let mut result = BatchResult { started, is_committed: false, failed_copies: 0, last_error: None };
         for database in self.copies.iter().flatten() {
-            // A panic of the database on data that nobody foresaw fails the commit and not the thread.
-            let outcome = catch_unwind(AssertUnwindSafe(|| commit(database, records)));
-            match outcome.unwrap_or(Err(CommitError::Panic)) {
+            // A panic of the database on unexpected data fails the commit and does not end the thread.
+            let commit_result = catch_unwind(AssertUnwindSafe(|| commit(database, records)));
+            match commit_result.unwrap_or(Err(CommitError::Panic)) {
                 Ok(()) => result.is_committed = !records.is_empty(),
                 Err(error) => {
                     result.failed_copies += 1;
--- a/crates/pintally-storage/src/disk.rs
+++ b/crates/pintally-storage/src/disk.rs
@@ -10,18 +10,18 @@
 /// A disk that holds a copy of the store.
 pub type Disk = Box<dyn StorageBackend>;
 
-/// A file that writes reach only with a sync: what was not synced is lost with the process, as with a power
-/// loss. That is also what an honest disk promises, and no more.
+/// A file whose writes are buffered until a sync. Writes that were not synced are lost with the process, as
+/// in a power loss; a correct disk does not guarantee more than that either.
 #[derive(Debug)]
 pub struct BufferedFile {
     file: File,
     pending: Mutex<PendingWrites>,
 }
 
-/// Writes that were not synced yet.
+/// Writes that were not synced yet, and a length that was not set yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
-    /// In the order in which they are carried out.
+    /// In the order in which they reach the file.
     pub(crate) writes: Vec<PendingWrite>,
     len: Option<u64>,
 }
@@ -34,17 +34,17 @@
 }
 
 impl PendingWrites {
-    /// Overlays bytes that were read from the file with those that are pending.
+    /// Overwrites bytes that were read from the file with the pending ones.
     fn overlay(&self, offset: u64, out: &mut [u8]) {
         for write in &self.writes {
-            let from = write.offset.max(offset);
-            let to = (write.offset + write.bytes.len() as u64).min(offset + out.len() as u64);
-            if from >= to {
+            let start = write.offset.max(offset);
+            let end = (write.offset + write.bytes.len() as u64).min(offset + out.len() as u64);
+            if start >= end {
                 continue;
             }
-            let target = (from - offset) as usize;
-            let source = (from - write.offset) as usize;
-            let len = (to - from) as usize;
+            let target = (start - offset) as usize;
+            let source = (start - write.offset) as usize;
+            let len = (end - start) as usize;
             out[target..target + len].copy_from_slice(&write.bytes[source..source + len]);
         }
     }
@@ -58,7 +58,7 @@
         self.writes.push(PendingWrite { offset, bytes: data.to_vec() });
     }
 
-    /// Writes everything to the file and syncs it. What fails is no longer pending.
+    /// Writes all pending writes to the file and syncs it. Writes that fail are no longer pending.
     pub(crate) fn sync_to(&mut self, file: &File) -> io::Result<()> {
         if let Some(len) = self.len.take() {
             file.set_len(len)?;
@@ -70,18 +70,18 @@
     }
 }
 
-/// Reads from a file, and zeroes beyond its end.
+/// Reads from a file; bytes beyond its end are zero.
 fn read_file(file: &File, offset: u64, out: &mut [u8]) -> io::Result<()> {
-    let mut done = 0;
-    while done < out.len() {
-        match file.read_at(&mut out[done..], offset + done as u64) {
+    let mut bytes_read = 0;
+    while bytes_read < out.len() {
+        match file.read_at(&mut out[bytes_read..], offset + bytes_read as u64) {
             Ok(0) => {
-                out[done..].fill(0);
+                out[bytes_read..].fill(0);
                 return Ok(());
             }
-            Ok(n) => done += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Ok(n) => bytes_read += n,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
--- a/crates/pintally-storage/src/load_report.rs
+++ b/crates/pintally-storage/src/loaded_records.rs
@@ -5,21 +5,21 @@
 
 use crate::record::{Record, RecordError, RecordVersion};
 
-/// Something that could not be loaded.
+/// A problem that was found while the store was loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadIssue {
     /// A copy cannot be opened or read at all.
     CopyUnreadable {
         /// Number of the copy.
         copy: usize,
-        /// Cause, in words.
+        /// Description of the cause.
         reason: String,
     },
     /// A copy was damaged; it was set aside and an empty one created.
     CopyReplaced {
         /// Number of the copy.
         copy: usize,
-        /// Cause, in words.
+        /// Description of the cause.
         reason: String,
     },
     /// A record is damaged.
@@ -31,9 +31,9 @@
         /// Cause.
         reason: RecordError,
     },
-    /// Nothing can be written: the node's state is lost with its process.
+    /// Nothing can be stored: the node's state is lost when its process ends.
     Unwritable(String),
-    /// The disk did not answer in time; the node continues without it.
+    /// The disk did not respond in time; the node continues without the stored records.
     TimedOut,
 }
 
@@ -45,8 +45,8 @@
             LoadIssue::RecordRejected { copy, key, reason } => {
                 write!(f, "record `{key}` of copy {copy}: {reason}")
             }
-            LoadIssue::Unwritable(reason) => write!(f, "nothing can be kept: {reason}"),
-            LoadIssue::TimedOut => f.write_str("the disk did not tell in time"),
+            LoadIssue::Unwritable(reason) => write!(f, "nothing can be stored: {reason}"),
+            LoadIssue::TimedOut => f.write_str("the disk did not respond in time"),
         }
     }
 }
@@ -61,9 +61,9 @@
 }
 
 impl LoadedRecords {
-    /// Adds a record if it is newer than the one that is known under its key. A record that cannot be from
-    /// the past (a start number or sequence far beyond all others) is not special: its checksum is valid,
-    /// and start numbers are judged by what peers remember.
+    /// Adds a record if it is newer than the known one under its key. A record that cannot come from an
+    /// earlier process (its boot number or sequence number is far above all others) gets no special
+    /// treatment: its checksum is valid, and boot numbers are checked against what peers remember.
     pub(crate) fn insert_if_newer(&mut self, record: Record) {
         let known = self.records.get(&record.key);
         if known.is_none_or(|known| record.version() > known.version()) {
@@ -76,7 +76,7 @@
         self.records.get(key).filter(|record| !record.payload.is_empty())
     }
 
-    /// Records whose keys have a prefix, without deleted ones.
+    /// The records whose keys have a prefix, without deleted ones.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Record> {
         self.records
             .range(prefix.to_string()..)
@@ -85,7 +85,7 @@
             .filter(|record| !record.payload.is_empty())
     }
 
-    /// The highest start number and the highest sequence number of all records.
+    /// The highest boot number and the highest sequence number of all records.
     pub fn latest(&self) -> RecordVersion {
         let boot = self.records.values().map(|record| record.boot).max().unwrap_or(0);
         let sequence = self.records.values().map(|record| record.sequence).max().unwrap_or(0);
--- a/crates/pintally-storage/src/open.rs
+++ b/crates/pintally-storage/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening the copies: each is checked and read; a damaged one is set aside and replaced.
+//! Opens the copies of the store: each is checked and read; a damaged one is set aside and replaced.
 
 use std::ffi::OsString;
 use std::fs::{self, File};
@@ -9,7 +9,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 
 use crate::disk::{BufferedFile, Disk};
-use crate::load_report::{LoadIssue, LoadedRecords};
+use crate::loaded_records::{LoadIssue, LoadedRecords};
 use crate::record::Record;
 use crate::storage_faults::FaultyFile;
 use crate::store::StoreSettings;
@@ -21,7 +21,7 @@
 /// Page cache of each copy.
 const PAGE_CACHE_BYTES: usize = 1 << 20;
 
-/// Why a copy cannot be opened or read. The texts are those of the system and of the database.
+/// Why a copy cannot be opened or read. The messages are those of the operating system and of the database.
 #[derive(Debug, thiserror::Error)]
 enum CopyError {
     #[error(transparent)]
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Storage(#[from] redb::StorageError),
     /// The database panicked.
-    #[error("the store gave up on its bytes")]
+    #[error("the database panicked while it was read")]
     Panic,
 }
 
@@ -45,7 +45,7 @@
     bytes: Vec<u8>,
 }
 
-/// Opens all copies, and loads the newest record of each key. A copy that cannot be used is `None`.
+/// Opens all copies and loads the newest record of each key. A copy that cannot be used is `None`.
 pub(crate) fn open_copies(settings: &StoreSettings) -> (Vec<Option<Database>>, LoadedRecords) {
     let mut loaded = LoadedRecords::default();
     if let Err(error) = fs::create_dir_all(&settings.directory) {
@@ -59,19 +59,20 @@
     (copies, loaded)
 }
 
-/// Opens one copy and loads its records. One that cannot be read is set aside and replaced.
+/// Opens one copy and loads its records. A copy that cannot be read is set aside and replaced by an empty
+/// one.
 fn open_copy(settings: &StoreSettings, copy: usize, loaded: &mut LoadedRecords) -> Option<Database> {
     let path = copy_path(&settings.directory, copy);
-    let error = match load_copy(settings, &path, copy, loaded) {
+    let load_error = match load_copy(settings, &path, copy, loaded) {
         Ok(database) => return Some(database),
         Err(error) => error,
     };
     if let Err(rename_error) = fs::rename(&path, set_aside_path(&path)) {
-        let reason = format!("{error}; it cannot be set aside: {rename_error}");
+        let reason = format!("{load_error}; it cannot be set aside: {rename_error}");
         loaded.issues.push(LoadIssue::CopyUnreadable { copy, reason });
         return None;
     }
-    loaded.issues.push(LoadIssue::CopyReplaced { copy, reason: error.to_string() });
+    loaded.issues.push(LoadIssue::CopyReplaced { copy, reason: load_error.to_string() });
     match load_copy(settings, &path, copy, loaded) {
         Ok(database) => Some(database),
         Err(error) => {
@@ -81,8 +82,8 @@
     }
 }
 
-fn copy_path(folder: &Path, copy: usize) -> PathBuf {
-    folder.join(format!("state-{copy}.redb"))
+fn copy_path(directory: &Path, copy: usize) -> PathBuf {
+    directory.join(format!("state-{copy}.redb"))
 }
 
 fn set_aside_path(path: &Path) -> OsString {
@@ -98,10 +99,10 @@
     loaded: &mut LoadedRecords,
 ) -> Result<Database, CopyError> {
     let disk = open_disk(settings, path, copy)?;
-    // The database reports damage by errors; should it panic on bytes that nobody foresaw, the copy is as
-    // lost as with an error.
-    let read = catch_unwind(AssertUnwindSafe(|| read_database(disk)));
-    let (database, entries) = read.unwrap_or(Err(CopyError::Panic))?;
+    // The database reports damage by errors. If it panics on unexpected bytes, the copy is lost in the same
+    // way as after an error.
+    let read_result = catch_unwind(AssertUnwindSafe(|| read_database(disk)));
+    let (database, entries) = read_result.unwrap_or(Err(CopyError::Panic))?;
     for StoredEntry { key, bytes } in entries {
         match Record::decode(&key, &bytes) {
             Ok(record) => loaded.insert_if_newer(record),
@@ -138,7 +139,7 @@
     Ok((database, entries))
 }
 
-/// A disk of any kind, as the database's builder takes it.
+/// A boxed disk, as a type that the database's builder accepts.
 #[derive(Debug)]
 struct BoxedDisk(Disk);
 
--- a/crates/pintally-storage/src/queue.rs
+++ b/crates/pintally-storage/src/queue.rs
@@ -1,4 +1,4 @@
-//! The changes that wait for the next commit, shared between the store and its commit thread.
+//! The queue of changes between the store and its commit thread.
 
 use std::collections::BTreeMap;
 use std::sync::{Condvar, Mutex, MutexGuard};
@@ -8,17 +8,17 @@
 
 use crate::record::{MAX_KEY_BYTES, MAX_PAYLOAD_BYTES};
 
-/// Keys that wait for a commit; changes of further keys are dropped and counted.
+/// Limit of the keys that wait for a commit; changes of further keys are dropped and counted.
 const MAX_QUEUED_KEYS: usize = 65_536;
-/// The commit thread looks again this often while nothing is queued.
-const IDLE_WAIT: Duration = Duration::from_secs(1);
+/// How often the commit thread checks the queue while nothing is queued.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counters and the last error of the commits.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommitHealth {
     /// Commits that reached at least one copy.
     pub commits: u64,
-    /// Commits of one copy that failed.
+    /// Failed commits, counted per copy.
     pub failed: u64,
     /// Changes that were dropped: the queue was full, or the key or payload too long.
     pub dropped: u64,
@@ -36,10 +36,10 @@
     pub(crate) is_last: bool,
 }
 
-/// What became of a batch.
+/// The result of committing a batch.
 pub(crate) struct BatchResult {
     pub(crate) started: Instant,
-    /// The batch holds changes, and at least one copy has them.
+    /// The batch has changes, and at least one copy has committed them.
     pub(crate) is_committed: bool,
     pub(crate) failed_copies: u64,
     pub(crate) last_error: Option<String>,
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct QueueState {
     changes: Changes,
-    /// Since when the oldest change waits, or is being written.
+    /// Since when the oldest change has been waiting or being written.
     uncommitted_since: Option<Instant>,
     is_closing: bool,
     health: CommitHealth,
@@ -93,7 +93,7 @@
         self.changed.notify_one();
     }
 
-    /// The next batch is the last.
+    /// Closes the queue: the next batch is the last.
     pub(crate) fn close(&self) {
         self.lock().is_closing = true;
         self.wake_committer();
@@ -108,7 +108,7 @@
             if state.is_closing || is_due {
                 return Batch { changes: std::mem::take(&mut state.changes), is_last: state.is_closing };
             }
-            let timeout = if state.changes.is_empty() { IDLE_WAIT } else { not_before - now };
+            let timeout = if state.changes.is_empty() { IDLE_POLL_INTERVAL } else { not_before - now };
             state = self
                 .changed
                 .wait_timeout(state, timeout)
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Records the result of a batch. Changes that came meanwhile count as waiting since it started.
+    /// Records the result of a batch. Changes that were queued meanwhile count as waiting since the batch
+    /// started.
     pub(crate) fn finish_batch(&self, result: BatchResult) {
         let mut state = self.lock();
         state.health.commits += u64::from(result.is_committed);
--- a/crates/pintally-storage/src/record.rs
+++ b/crates/pintally-storage/src/record.rs
@@ -1,4 +1,4 @@
-//! One stored record: checksummed, and ordered by start number and sequence number.
+//! A stored record. It has a checksum, and is ordered by boot number and sequence number.
 
 use std::fmt;
 
@@ -8,31 +8,31 @@
 pub const MAX_KEY_BYTES: usize = 128;
 /// Largest payload of a record.
 pub const MAX_PAYLOAD_BYTES: usize = 16 << 20;
-/// The CRC-32 before the encoded record.
+/// Size of the CRC-32 checksum before the encoded record.
 const CHECKSUM_BYTES: usize = 4;
 
-/// A stored record. Postcard writes the fields in this order, without names.
+/// A stored record. Postcard encodes the fields in this order, without their names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What the record is about.
+    /// The key under which the record is stored.
     pub key: String,
-    /// The start number of the process that wrote it.
+    /// The boot number of the process that wrote the record.
     pub boot: u64,
-    /// Counts all records that the node has written, over all of its processes.
+    /// Sequence number of the record among all records that the node has written, in all of its processes.
     pub sequence: u64,
-    /// Wall-clock time of the write in Unix milliseconds: for people, and for ages that nothing else can
-    /// tell. Wall clocks may go back, so nothing is ordered by it.
+    /// Wall-clock time of the write in Unix milliseconds, for operators and for ages that no other field
+    /// gives. Wall clocks may go back, so nothing is ordered by this time.
     pub unix_ms: u64,
-    /// The content; empty where the record was deleted.
+    /// The content; empty if the record was deleted.
     pub payload: Vec<u8>,
 }
 
-/// The version of a record: a later process wins, then a later write.
+/// The version of a record. A record of a later process is newer; within one process, a later write is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordVersion {
-    /// The start number of the process that wrote it.
+    /// The boot number of the process that wrote the record.
     pub boot: u64,
-    /// Its sequence number.
+    /// The sequence number of the record.
     pub sequence: u64,
 }
 
@@ -41,18 +41,18 @@
 pub enum RecordError {
     /// The checksum does not match.
     ChecksumMismatch,
-    /// The bytes are too short, or the checksum matches and there is no record behind it.
+    /// The bytes are too short for a checksum, or the checksum matches but the bytes after it are no record.
     Malformed,
-    /// The record was stored under another key than its own.
+    /// The record was stored under a key other than its own.
     WrongKey,
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RecordError::ChecksumMismatch => "the checksum does not hold",
-            RecordError::Malformed => "it cannot be read",
-            RecordError::WrongKey => "it stands under another key",
+            RecordError::ChecksumMismatch => "checksum mismatch",
+            RecordError::Malformed => "bytes are not a valid record",
+            RecordError::WrongKey => "stored under a key other than its own",
         })
     }
 }
@@ -60,7 +60,7 @@
 impl std::error::Error for RecordError {}
 
 impl Record {
-    /// The record as bytes, a checksum first; empty if it cannot be encoded.
+    /// Encodes the record, with its checksum first; empty if it cannot be encoded.
     pub fn encode(&self) -> Vec<u8> {
         let Ok(body) = postcard::to_stdvec(self) else { return Vec::new() };
         let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
@@ -85,7 +85,7 @@
         Ok(record)
     }
 
-    /// Orders two records under one key.
+    /// The version, which orders the records of a key.
     pub fn version(&self) -> RecordVersion {
         RecordVersion { boot: self.boot, sequence: self.sequence }
     }
--- a/crates/pintally-storage/src/storage_faults.rs
+++ b/crates/pintally-storage/src/storage_faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: disks that misbehave, for tests and scenarios.
+//! Storage fault injection for tests and scenarios.
 
 use std::fs::{self, File};
 use std::io;
@@ -13,16 +13,17 @@
 
 use crate::disk::{BufferedFile, PendingWrite, PendingWrites};
 
-/// How a disk misbehaves.
+/// A fault of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageFault {
-    /// A sync is acknowledged and not carried out; only one in several is.
+    /// Syncs are acknowledged, but only one in several is carried out.
     LostSyncs,
-    /// Half of the last write of a sync reaches the disk; the other half comes with the next sync.
+    /// Only the first half of a sync's last write reaches the disk; the other half is written by the next
+    /// sync.
     TornWrite,
     /// One bit of the file is flipped at each start.
     FlippedBit,
-    /// At each start the file is as it was early in the node's first process.
+    /// At each start the file is restored to an image from early in the node's first process.
     OlderImage,
     /// The disk is full.
     Full,
@@ -34,14 +35,14 @@
     ReadErrors,
 }
 
-/// With [`StorageFault::LostSyncs`] one in so many syncs is carried out.
+/// With [`StorageFault::LostSyncs`] one in this many syncs is carried out.
 const SYNCS_PER_EFFECTIVE_SYNC: u64 = 8;
-/// With [`StorageFault::ReadErrors`] one in so many reads fails.
+/// With [`StorageFault::ReadErrors`] one in this many reads fails.
 const READS_PER_FAILURE: u64 = 3;
-/// With [`StorageFault::OlderImage`] the image that comes back is taken after so many syncs.
+/// With [`StorageFault::OlderImage`] the image is taken after this many syncs.
 const SYNCS_BEFORE_IMAGE: u64 = 12;
 
-/// A file on a disk that misbehaves.
+/// A file on a disk with a [`StorageFault`].
 #[derive(Debug)]
 pub struct FaultyFile {
     buffer: BufferedFile,
@@ -53,7 +54,7 @@
 }
 
 impl FaultyFile {
-    /// Opens a file on such a disk. A fault that changes what the file holds is applied first.
+    /// Opens a file on a disk with a fault. A fault that changes the content of the file is applied first.
     ///
     /// # Errors
     ///
@@ -86,7 +87,7 @@
         }
     }
 
-    fn takes_image_after(&self, syncs: u64) -> bool {
+    fn is_image_due(&self, syncs: u64) -> bool {
         self.storage_fault == StorageFault::OlderImage
             && syncs == SYNCS_BEFORE_IMAGE
             && !self.image_path.exists()
@@ -103,21 +104,21 @@
     let mut bytes = match fs::read(path) {
         Ok(bytes) if !bytes.is_empty() => bytes,
         Ok(_) => return Ok(()),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(()),
-        Err(e) => return Err(e),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
+        Err(error) => return Err(error),
     };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let place = (rng.next_u64() % bytes.len() as u64) as usize;
-    bytes[place] ^= 1 << (rng.next_u32() % 8);
+    let index = (rng.next_u64() % bytes.len() as u64) as usize;
+    bytes[index] ^= 1 << (rng.next_u32() % 8);
     fs::write(path, bytes)
 }
 
-/// Cuts the last write in half; returns the second half.
+/// Cuts the last write in half, and returns the second half.
 fn tear_last_write(pending: &mut PendingWrites) -> Option<PendingWrite> {
     let last = pending.writes.last_mut().filter(|write| write.bytes.len() > 1)?;
-    let half = last.bytes.len() / 2;
-    let bytes = last.bytes.split_off(half);
-    Some(PendingWrite { offset: last.offset + half as u64, bytes })
+    let cut = last.bytes.len() / 2;
+    let bytes = last.bytes.split_off(cut);
+    Some(PendingWrite { offset: last.offset + cut as u64, bytes })
 }
 
 impl StorageBackend for FaultyFile {
@@ -129,7 +130,7 @@
         let reads = self.reads.fetch_add(1, Ordering::Relaxed);
         let is_failing_read = reads % READS_PER_FAILURE == READS_PER_FAILURE - 1;
         if self.storage_fault == StorageFault::ReadErrors && is_failing_read {
-            return Err(io::Error::other("the disk cannot read this"));
+            return Err(io::Error::other("injected read error"));
         }
         self.buffer.read(offset, out)
     }
@@ -154,7 +155,7 @@
         };
         pending.sync_to(self.buffer.file())?;
         pending.writes.extend(torn_off);
-        if self.takes_image_after(syncs) {
+        if self.is_image_due(syncs) {
             fs::copy(&self.path, &self.image_path)?;
         }
         Ok(())
--- a/crates/pintally-storage/src/store.rs
+++ b/crates/pintally-storage/src/store.rs
@@ -1,4 +1,5 @@
-//! The store: opened once at the start, written to without waiting, committed by a thread of its own.
+//! The store: opened once at the start, written without waiting for the disk, and committed by a separate
+//! thread.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -6,27 +7,27 @@
 use std::time::{Duration, Instant};
 
 use crate::commit::Committer;
-use crate::load_report::{LoadIssue, LoadedRecords};
+use crate::loaded_records::{LoadIssue, LoadedRecords};
 use crate::open::open_copies;
 use crate::queue::{CommitHealth, CommitQueue};
 use crate::storage_faults::StorageFault;
 
-/// How often a caller that waits for the commit thread looks again.
+/// How often a caller that waits for the commit thread checks its progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The last commit is waited for this long when the store is dropped: a disk that is slow by seconds does
-/// not delay the end of the process.
+/// A store that is dropped waits this long for its last commit, so that a disk that is slow by seconds does
+/// not delay the end of the process further.
 const MAX_CLOSE_WAIT: Duration = Duration::from_secs(2);
 
-/// Where and how often a node stores its state.
+/// Settings of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// The directory of the files; created if it does not exist.
     pub directory: PathBuf,
     /// Time between two commits.
     pub commit_interval: Duration,
-    /// The disk is waited for this long at the start; then the node continues without its state.
+    /// How long the start waits for the disk; after that the node continues without its stored state.
     pub load_timeout: Duration,
-    /// A fault of the disk with a seed for it, for scenarios and tests.
+    /// An injected fault of the disk, with the seed of its randomness; for scenarios and tests.
     pub storage_fault: Option<(StorageFault, u64)>,
 }
 
@@ -37,9 +38,9 @@
 }
 
 impl Store {
-    /// Opens the store and loads its records. This never fails: without a disk the store accepts all
-    /// records and keeps none, and the load report says so. It returns within `settings.load_timeout`, whatever
-    /// the disk does.
+    /// Opens the store and loads its records. This never fails: without a usable disk the store accepts all
+    /// records and stores none, which [`LoadedRecords::issues`] reports. It returns within
+    /// `settings.load_timeout`, whatever the disk does.
     pub fn open(settings: &StoreSettings) -> (Store, LoadedRecords) {
         let queue = Arc::new(CommitQueue::default());
         let (loaded_sender, loaded_receiver) = crossbeam_channel::bounded(1);
@@ -49,7 +50,7 @@
             let (copies, loaded) = open_copies(&thread_settings);
             let committer =
                 Committer::new(thread_queue, thread_settings.commit_interval, copies, loaded.latest());
-            // The receiver is gone if loading took too long.
+            // The receiver has been dropped if loading took longer than the timeout.
             let _ = loaded_sender.send(loaded);
             committer.run();
         };
@@ -61,13 +62,13 @@
         (Store { queue, thread }, loaded)
     }
 
-    /// Stores a payload under a key, in place of an earlier one; an empty payload deletes the record. Does
-    /// not wait for the disk: a power loss before the next commit ends loses the change.
+    /// Stores a payload under a key and replaces an earlier one; an empty payload deletes the record. It does
+    /// not wait for the disk: a power loss before the next commit is complete loses the change.
     pub fn put(&self, key: &str, payload: Vec<u8>) {
         self.queue.push(key, payload);
     }
 
-    /// Age of the oldest change that is not committed yet: what a power loss now would cost.
+    /// Age of the oldest change that is not committed yet. A power loss loses the changes of this period.
     pub fn uncommitted_age(&self) -> Duration {
         self.queue.uncommitted_since().map_or(Duration::ZERO, |since| since.elapsed())
     }
@@ -77,9 +78,9 @@
         self.queue.health()
     }
 
-    /// Commits all queued changes and waits for that at most so long. Returns whether all are committed.
-    pub fn flush(&self, within: Duration) -> bool {
-        let deadline = Instant::now() + within;
+    /// Commits all queued changes and waits at most `timeout` for that. Returns whether all are committed.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while self.queue.uncommitted_since().is_some() {
             if Instant::now() > deadline {
                 return false;
--- a/crates/pintally-storage/tests/golden.rs
+++ b/crates/pintally-storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The stored bytes are stable: a later build reads the records of an earlier one.
+//! The stored bytes are stable, so that a later build reads the records of an earlier one.
 
 use std::path::Path;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     [("record", record("list", &[0, 1, 127, 128, 255])), ("record_deleted", record("engine/a", &[]))]
 }
 
-/// Creates both copies of a store as an earlier build has left them, with these bytes under a key.
+/// Creates both copies of a store as an earlier build wrote them, with the given bytes under a key.
 fn create_copies(folder: &Path, key: &str, bytes: &[u8]) {
     for name in COPIES {
         let database = Database::create(folder.join(name)).unwrap();
@@ -59,21 +59,21 @@
     }
 }
 
-/// Each error has a text of its own, which operators read.
+/// Each error has a message of its own, which operators read.
 #[test]
-fn damaged_record_is_rejected_with_its_reason() {
+fn damaged_record_is_rejected_with_reason() {
     let intact = golden("record");
     let mut flipped = intact.clone();
     flipped[9] ^= 1;
     assert_bytes("record_flipped_bit", &flipped);
-    // Three bytes under their own CRC-32, which are no record.
+    // Three bytes with a matching CRC-32 that are no record.
     let garbage = [&crc32fast::hash(&[255; 3]).to_le_bytes()[..], &[255; 3]].concat();
     assert_bytes("record_garbage", &garbage);
     let cases = [
-        ("list", golden("record_flipped_bit"), RecordError::ChecksumMismatch, "the checksum does not hold"),
-        ("list", golden("record_garbage"), RecordError::Malformed, "it cannot be read"),
-        ("list", intact[..3].to_vec(), RecordError::Malformed, "it cannot be read"),
-        ("carried", intact, RecordError::WrongKey, "it stands under another key"),
+        ("list", golden("record_flipped_bit"), RecordError::ChecksumMismatch, "checksum mismatch"),
+        ("list", golden("record_garbage"), RecordError::Malformed, "bytes are not a valid record"),
+        ("list", intact[..3].to_vec(), RecordError::Malformed, "bytes are not a valid record"),
+        ("carried", intact, RecordError::WrongKey, "stored under a key other than its own"),
     ];
     for (key, bytes, reason, text) in cases {
         assert_eq!(Record::decode(key, &bytes), Err(reason));
@@ -101,13 +101,13 @@
     let rejected =
         |copy| LoadIssue::RecordRejected { copy, key: "list".into(), reason: RecordError::ChecksumMismatch };
     assert_eq!(loaded.issues, [rejected(0), rejected(1)]);
-    assert_eq!(loaded.issues[1].to_string(), "record `list` of copy 1: the checksum does not hold");
+    assert_eq!(loaded.issues[1].to_string(), "record `list` of copy 1: checksum mismatch");
     assert!(loaded.is_empty());
 }
 
-/// File names, the table and keys are those that an earlier build reads.
+/// The file names, the table and the keys are those that an earlier build reads.
 #[test]
-fn store_writes_records_where_an_earlier_build_reads_them() {
+fn store_layout_is_stable() {
     let folder = tempfile::tempdir().unwrap();
     let (store, _) = Store::open(&settings(folder.path()));
     store.put("list", vec![1, 2, 3]);
--- a/crates/pintally-storage/tests/storage_faults.rs
+++ b/crates/pintally-storage/tests/storage_faults.rs
@@ -1,5 +1,5 @@
-//! Power losses on sound disks and with each storage fault. A power loss is simulated by a store that is
-//! never dropped: what was not synced never reached the file.
+//! Power losses, without and with each storage fault. A power loss is simulated by a store that is never
+//! dropped, so that writes that were not synced never reach the file.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     }
 }
 
-/// Writes and commits so many rounds, then loses power. Returns what was loaded at the start, and whether
+/// Writes and commits a number of rounds, then loses power. Returns what was loaded at the start, and whether
 /// all commits succeeded.
 fn run_until_power_loss(settings: &StoreSettings, rounds: u64) -> (LoadedRecords, bool) {
     let (store, loaded) = Store::open(settings);
@@ -45,14 +45,14 @@
     assert_eq!(count(&second), Some(5));
     assert_eq!(second.latest().boot, 1);
     let (third, _) = run_until_power_loss(&settings, 0);
-    assert_eq!(third.latest().boot, 2, "starts are counted");
+    assert_eq!(third.latest().boot, 2, "each start has its own boot number");
     assert_eq!(third.with_prefix("engine/").count(), 5);
 }
 
-/// Guards against a guarantee that is too wide: what was put and not committed is lost, and `uncommitted_age`
-/// reports how much time that is.
+/// Guards against a store that promises too much: changes that were put and not committed are lost, and
+/// `uncommitted_age` reports the period of these changes.
 #[test]
-fn uncommitted_records_are_lost_and_reported_at_risk() {
+fn uncommitted_records_are_lost_and_their_age_reported() {
     let folder = tempfile::tempdir().unwrap();
     let slow = StoreSettings { commit_interval: Duration::from_secs(3600), ..settings(folder.path(), None) };
     let (store, _) = Store::open(&slow);
@@ -96,26 +96,26 @@
     }
 }
 
-/// Guards against one flipped bit that destroys all state: the other copy is intact.
+/// Guards against one flipped bit that loses all state: the other copy is intact.
 #[test]
 fn flipped_bit_in_one_copy_loses_no_record() {
-    for place in [0usize, 100, 4096, 5000, 9000, 20_000] {
+    for index in [0usize, 100, 4096, 5000, 9000, 20_000] {
         let folder = tempfile::tempdir().unwrap();
         let settings = settings(folder.path(), None);
         run_until_power_loss(&settings, 6);
         let file = folder.path().join("state-0.redb");
         let mut bytes = std::fs::read(&file).unwrap();
-        let place = place.min(bytes.len() - 1);
-        bytes[place] ^= 0x10;
+        let index = index.min(bytes.len() - 1);
+        bytes[index] ^= 0x10;
         std::fs::write(&file, bytes).unwrap();
         let (loaded, all_committed) = run_until_power_loss(&settings, 1);
-        assert_eq!(count(&loaded), Some(6), "bit {place}: {:?}", loaded.issues);
-        assert!(all_committed, "bit {place}: commits still succeed");
+        assert_eq!(count(&loaded), Some(6), "byte {index}: {:?}", loaded.issues);
+        assert!(all_committed, "byte {index}: commits still succeed");
     }
 }
 
 #[test]
-fn older_image_restores_earlier_start_and_sequence_numbers() {
+fn older_image_restores_earlier_versions() {
     let folder = tempfile::tempdir().unwrap();
     let faulty = settings(folder.path(), Some(StorageFault::OlderImage));
     run_until_power_loss(&faulty, 10);
@@ -130,28 +130,32 @@
     let folder = tempfile::tempdir().unwrap();
     let faulty = settings(folder.path(), Some(StorageFault::Slow(Duration::from_secs(3))));
     let slow = StoreSettings { load_timeout: Duration::from_millis(100), ..faulty };
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let (store, loaded) = Store::open(&slow);
     (0..1000).for_each(|n| store.put(&format!("k{n}"), vec![1; 100]));
-    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(1500), "{:?}", started.elapsed());
     assert_eq!(loaded.issues, [LoadIssue::TimedOut]);
     std::mem::forget(store);
 }
 
 #[test]
-fn directory_that_cannot_be_created_is_reported() {
+fn uncreatable_directory_is_reported() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file");
     std::fs::write(&file, "x").unwrap();
     let (store, loaded) = Store::open(&settings(&file.join("below"), None));
-    assert!(loaded.issues.iter().any(|l| matches!(l, LoadIssue::Unwritable(_))), "{:?}", loaded.issues);
+    assert!(
+        loaded.issues.iter().any(|issue| matches!(issue, LoadIssue::Unwritable(_))),
+        "{:?}",
+        loaded.issues
+    );
     store.put("key", vec![1]);
-    assert!(store.flush(Duration::from_secs(5)), "all records are accepted and none is kept");
+    assert!(store.flush(Duration::from_secs(5)), "all records are accepted and none is stored");
 }
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_no_record(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(Record::decode("key", &bytes).is_err());
     }
 
--- a/crates/pintally-transport/src/lib.rs
+++ b/crates/pintally-transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sockets between the nodes of a fleet: UDP for messages that fit into a datagram, TCP on the same port for
-//! whole documents and for the operators' commands. Everything is bounded: sizes, times, and how many
-//! connections are served at once.
+//! whole documents and for operators' commands. Sizes, times and the number of connections served at once are
+//! bounded.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-transport/src/stream.rs
+++ b/crates/pintally-transport/src/stream.rs
@@ -1,9 +1,9 @@
 //! Documents and commands over TCP.
 //!
-//! A request is one byte, the number of a document or of a command. A command is followed by its content. The
-//! response is the content of the document, or the result of the command. Each content comes behind its length
-//! and its checksum, both as 4 bytes in little-endian order; a server that has no response closes the
-//! connection.
+//! A request is one byte, the number of a document or of a command. The number of a command is followed by
+//! the content of the command. The response is the content of the document or the result of the command. Each
+//! content is preceded by its length and its CRC-32 checksum, both as 4 bytes in little-endian order. A
+//! server that has no response closes the connection.
 
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -18,30 +18,30 @@
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
 /// Largest content of a command.
 pub const MAX_COMMAND_BYTES: usize = 4096;
-/// Numbers from this one on are commands.
-const FIRST_COMMAND: u8 = 128;
-/// The sender of a command waits this long for its result.
+/// Numbers from this one on are those of commands; lower ones are those of documents.
+const FIRST_COMMAND_NUMBER: u8 = 128;
+/// How long the sender of a command waits for its result.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections that are served at once; further ones are closed.
+/// Limit of the connections that are served at once; further ones are closed.
 const MAX_CONNECTIONS: usize = 4;
 /// A peer that takes longer for one read or write is disconnected.
 const IO_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the acceptor checks whether the server is shutting down.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The threads keep their buffers on the heap.
+/// A small stack is enough, since the threads keep their buffers on the heap.
 const THREAD_STACK_BYTES: usize = 256 << 10;
 
-/// Why a document was not received.
+/// Why a document, a command or a result was not received.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
     /// The connection failed or timed out, or the peer closed it without a response.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The announced length exceeds the limit.
-    #[error("the text is longer than texts may be")]
+    #[error("the announced length exceeds the limit")]
     TooLong,
     /// The content is shorter than announced, or its checksum does not match.
-    #[error("the text came cut off or garbled")]
+    #[error("the received content is truncated or corrupt")]
     Corrupt,
 }
 
@@ -56,8 +56,9 @@
 }
 
 impl StreamServer {
-    /// Listens on an address. `handler` returns the response to a number and to the content of a command,
-    /// which is empty for documents; without a response the connection is closed.
+    /// Listens on an address. `handler` is called with the number of a document or command and the content of
+    /// the command, which is empty for documents. It returns the response; without one the connection is
+    /// closed.
     ///
     /// # Errors
     ///
@@ -76,7 +77,7 @@
             is_stopping: is_stopping.clone(),
         };
         let thread = thread::Builder::new()
-            .name("texts".into())
+            .name("documents".into())
             .stack_size(THREAD_STACK_BYTES)
             .spawn(move || acceptor.run())?;
         Ok(StreamServer { is_stopping, thread: Some(thread) })
@@ -96,7 +97,7 @@
 struct ConnectionPermit(Arc<AtomicUsize>);
 
 impl ConnectionPermit {
-    /// A permit, unless [`MAX_CONNECTIONS`] are in use.
+    /// Returns a permit, unless [`MAX_CONNECTIONS`] are in use.
     fn acquire(connections: &Arc<AtomicUsize>) -> Option<ConnectionPermit> {
         let in_use = connections.fetch_add(1, Ordering::AcqRel);
         let permit = ConnectionPermit(connections.clone());
@@ -110,7 +111,7 @@
     }
 }
 
-/// Accepts connections and serves each on a thread of its own.
+/// Accepts connections and serves each on its own thread.
 struct Acceptor {
     listener: TcpListener,
     handler: Arc<Handler>,
@@ -133,11 +134,11 @@
         let handler = self.handler.clone();
         let run = move || {
             let _permit = permit;
-            // A peer that fails is disconnected; it tries again by itself.
+            // After an error the peer is disconnected; it retries by itself.
             let _ = serve_connection(stream, &*handler);
         };
-        // Without a thread the closure is dropped, and the connection and the permit with it.
-        let _ = thread::Builder::new().name("text".into()).stack_size(THREAD_STACK_BYTES).spawn(run);
+        // If no thread can be started, the closure is dropped together with the connection and the permit.
+        let _ = thread::Builder::new().name("document".into()).stack_size(THREAD_STACK_BYTES).spawn(run);
     }
 }
 
@@ -148,8 +149,11 @@
     let mut number = [0u8];
     stream.read_exact(&mut number)?;
     let [number] = number;
-    let command =
-        if number >= FIRST_COMMAND { read_content(&mut stream, MAX_COMMAND_BYTES)? } else { Vec::new() };
+    let command = if number >= FIRST_COMMAND_NUMBER {
+        read_content(&mut stream, MAX_COMMAND_BYTES)?
+    } else {
+        Vec::new()
+    };
     let response = handler(number, &command).filter(|response| response.len() <= MAX_DOCUMENT_BYTES);
     if let Some(response) = response {
         write_content(&mut stream, &response)?;
@@ -173,7 +177,7 @@
     if length > max_bytes {
         return Err(StreamError::TooLong);
     }
-    // Grows with what is received, so that a length alone takes no memory.
+    // The buffer grows with the received bytes, so that an announced length alone allocates no memory.
     let mut content = Vec::new();
     stream.take(length as u64).read_to_end(&mut content)?;
     if content.len() != length || crc32fast::hash(&content) != checksum {
@@ -194,8 +198,8 @@
     Ok(stream)
 }
 
-/// Fetches a document of a peer by its number. `own` is the address on which this node listens: peers, and
-/// whatever is between them, know a node by it.
+/// Fetches a document of a peer by its number. The connection is made from `own`, the address on which this
+/// node listens, because peers and the network between them identify a node by that address.
 ///
 /// # Errors
 ///
@@ -206,14 +210,14 @@
     read_content(&mut stream, MAX_DOCUMENT_BYTES)
 }
 
-/// Sends an operator's command to a node by its number, from 128 on, and waits for its result.
+/// Sends an operator's command to a node and waits for the result. The number of a command is at least 128.
 ///
 /// # Errors
 ///
 /// [`StreamError`] if the node cannot be reached, does not accept the command, or sends a damaged result.
 pub fn send_command(node: SocketAddr, number: u8, content: &[u8]) -> Result<Vec<u8>, StreamError> {
     let mut stream = connect(Ipv4Addr::UNSPECIFIED.into(), node, COMMAND_TIMEOUT)?;
-    stream.write_all(&[number.max(FIRST_COMMAND)])?;
+    stream.write_all(&[number.max(FIRST_COMMAND_NUMBER)])?;
     write_content(&mut stream, content)?;
     read_content(&mut stream, MAX_DOCUMENT_BYTES)
 }
--- a/crates/pintally-transport/src/udp.rs
+++ b/crates/pintally-transport/src/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams, and waking a thread that waits for one.
+//! UDP datagrams, and a waker for a thread that waits for one.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -6,7 +6,7 @@
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-/// Largest datagram that is received; a longer one is cut off.
+/// Largest datagram that is received; a longer one is truncated.
 const MAX_DATAGRAM_BYTES: usize = 4096;
 
 /// The result of waiting for a datagram.
@@ -14,7 +14,7 @@
 pub enum ReceiveEvent {
     /// A datagram, with the address of its sender.
     Datagram(SocketAddr, Vec<u8>),
-    /// No datagram came in time.
+    /// No datagram was received before the deadline.
     TimedOut,
 }
 
@@ -24,7 +24,7 @@
     socket: UdpSocket,
 }
 
-/// Wakes the thread that waits at a socket.
+/// Wakes the thread that waits for a datagram at a socket.
 #[derive(Debug)]
 pub struct Waker {
     socket: UdpSocket,
@@ -32,7 +32,7 @@
 }
 
 impl Waker {
-    /// Wakes the thread. If that fails it wakes up by itself a little later.
+    /// Wakes the thread. If that fails, the thread wakes up at its deadline.
     pub fn wake(&self) {
         let _ = self.socket.send_to(&[], self.target);
     }
@@ -50,7 +50,7 @@
         Ok(DatagramSocket { socket })
     }
 
-    /// The address that it is bound to.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
     ///
@@ -59,13 +59,13 @@
         self.socket.local_addr()
     }
 
-    /// Sends a datagram, and returns whether it was sent. One that cannot be sent is dropped: the protocols
-    /// above repeat what matters.
+    /// Sends a datagram and returns whether it was sent. A datagram that cannot be sent is dropped: the
+    /// protocols that use the socket repeat what matters.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> bool {
         self.socket.send_to(bytes, to).is_ok()
     }
 
-    /// Creates a waker for the thread that waits here. It sends an empty datagram.
+    /// Creates a waker for the thread that waits in [`DatagramSocket::receive`]. It sends an empty datagram.
     ///
     /// # Errors
     ///
@@ -85,11 +85,11 @@
         Ok(Waker { socket, target })
     }
 
-    /// Receives the next datagram; waits for it until a deadline.
+    /// Receives the next datagram, and waits for it until a deadline.
     ///
     /// # Errors
     ///
-    /// Any error of the socket, except those that concern an earlier datagram.
+    /// Any error of the socket, except those caused by a datagram that was sent earlier.
     pub fn receive(&self, deadline: Instant) -> io::Result<ReceiveEvent> {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
         loop {
@@ -97,7 +97,7 @@
                 Ok((len, from)) => return Ok(ReceiveEvent::Datagram(from, buffer[..len].to_vec())),
                 Err(error) => match error.kind() {
                     io::ErrorKind::WouldBlock => {}
-                    // The port of the peer that an earlier datagram was sent to is closed.
+                    // The port to which an earlier datagram was sent is closed.
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionRefused => continue,
                     _ => return Err(error),
                 },
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Waits until there is a datagram, or a signal interrupts; returns whether to look for one.
+    /// Waits for a datagram. Returns false after `timeout`, and true if there may be a datagram: the socket
+    /// is readable, or a signal interrupted the wait.
     fn wait_readable(&self, timeout: Duration) -> io::Result<bool> {
         let timeout = Timespec { tv_sec: timeout.as_secs() as i64, tv_nsec: timeout.subsec_nanos().into() };
         let mut fds = [PollFd::new(&self.socket, PollFlags::IN)];
--- a/crates/pintally-transport/tests/loopback.rs
+++ b/crates/pintally-transport/tests/loopback.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn datagram_is_received_and_waiting_times_out() {
+fn datagram_is_received_and_receive_times_out() {
     let (sender, receiver) =
         (DatagramSocket::bind(any_port()).unwrap(), DatagramSocket::bind(any_port()).unwrap());
     assert!(sender.send(receiver.address().unwrap(), b"word"));
@@ -29,7 +29,7 @@
     let started = Instant::now();
     assert_eq!(receiver.receive(started + Duration::from_millis(30)).unwrap(), ReceiveEvent::TimedOut);
     assert!(started.elapsed() >= Duration::from_millis(30));
-    // The error of a datagram to a closed port is not an error of this socket.
+    // A datagram to a closed port does not make a later receive fail.
     let closed = DatagramSocket::bind(any_port()).unwrap().address().unwrap();
     sender.send(closed, b"x");
     std::thread::sleep(Duration::from_millis(20));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn document_is_fetched_completely_or_not_at_all() {
+fn document_is_fetched_or_refused() {
     let address = free_address();
     let document = vec![7u8; 300_000];
     let served = document.clone();
@@ -47,9 +47,10 @@
     assert!(fetch_document(address.ip(), address, 2).is_err(), "no document has this number");
 }
 
-/// Guards against a peer that responds with an invalid length, with half of a document, or not at all.
+/// Guards against waiting without bound for a peer that responds with an invalid length, with half of a
+/// document, or not at all.
 #[test]
-fn faulty_peer_costs_a_bounded_time() {
+fn fetch_from_faulty_peer_fails_in_bounded_time() {
     for (response, case) in [
         (vec![255u8; 8], "a length over the limit"),
         (vec![100, 0, 0, 0, 1, 2, 3, 4, 5], "half a document"),
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn command_is_answered_and_waker_wakes_the_receiver() {
+fn command_is_answered_and_waker_ends_receive() {
     let address = free_address();
     let _server = StreamServer::serve(address, |number, content: &[u8]| {
         (number == 128).then(|| content.iter().rev().copied().collect())
