--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct AttemptOrder {
     /// The request.
-    pub ticket: RequestNumber,
+    pub number: RequestNumber,
     /// Its name in this node, the same for all attempts.
     pub request: RequestId,
     /// The attempt.
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -187,8 +187,8 @@
     /// # Errors
     ///
     /// The rule that the attempt would break.
-    pub fn may_start(&mut self, now: Micros, ticket: RequestNumber) -> Result<(), Denial> {
-        let record = self.requests.get(ticket).ok_or(Denial::RequestClosed)?;
+    pub fn may_start(&mut self, now: Micros, number: RequestNumber) -> Result<(), Denial> {
+        let record = self.requests.get(number).ok_or(Denial::RequestClosed)?;
         let in_flight = record.in_flight.as_ref().ok_or(Denial::RequestClosed)?;
         let facts = record.facts(self.settings.core.max_attempts);
         let engine = self.endpoints.get(&in_flight.engine).ok_or(Denial::EngineNotServing);
@@ -211,9 +211,9 @@
             Input::RequestArrived(arrival) => self.on_request_arrived(arrival, out),
             Input::DeliveryConfirmed(number, attempt) => self.on_delivery_confirmed(number, attempt),
             Input::FirstToken(number, attempt) => self.on_first_token(number, attempt, out),
-            Input::AttemptEnded { ticket, attempt, outcome, cached_tokens, load, state } => {
+            Input::AttemptEnded { number, attempt, outcome, cached_tokens, load, state } => {
                 let result = attempts::AttemptResult { attempt, outcome, cached_tokens, load, state };
-                self.on_attempt_ended(ticket, result, out);
+                self.on_attempt_ended(number, result, out);
             }
             Input::ClientLeft(number) => self.on_client_left(number, out),
             Input::HealthChecked(engine, answered, load) => {
--- a/crates/pintally-host/src/host/admission.rs
+++ b/crates/pintally-host/src/host/admission.rs
@@ -60,7 +60,7 @@
             Ok(admitted) => self.start_request(&arrival, admitted, out),
             Err(NotAdmitted::DuplicateNumber) => self.counters.unmatched_inputs += 1,
             Err(NotAdmitted::Rejected(rejection)) => {
-                self.reject_before_dispatch(arrival.ticket, rejection, out);
+                self.reject_before_dispatch(arrival.number, rejection, out);
             }
         }
     }
@@ -72,12 +72,12 @@
     ) -> Result<AdmittedRequest, NotAdmitted> {
         let budget = self.request_budget(arrival);
         self.check_node_limits(&budget)?;
-        if self.requests.contains(arrival.ticket) {
+        if self.requests.contains(arrival.number) {
             return Err(NotAdmitted::DuplicateNumber);
         }
         self.check_recovery(arrival)?;
         let quota_charge = self.check_quota(arrival, budget.max_tokens)?;
-        let session = arrival.session.unwrap_or(arrival.ticket | OWN_SESSION_BIT);
+        let session = arrival.session.unwrap_or(arrival.number | OWN_SESSION_BIT);
         let cell = self.route(arrival, session, out)?;
         let id = self.name_request(arrival)?;
         Ok(AdmittedRequest { id, cell, session, budget, quota_charge })
@@ -134,7 +134,7 @@
         quota.admit(self.now, arrival, max_tokens).map_err(|after| {
             self.counters.rejected_over_quota += 1;
             // Spread a little, so that requests rejected together are not repeated together.
-            let spread = arrival.ticket.wrapping_mul(SPREAD_MULTIPLIER) % (after / 4 + 1);
+            let spread = arrival.number.wrapping_mul(SPREAD_MULTIPLIER) % (after / 4 + 1);
             let retry_after = self.advertised_retry_after(after + spread);
             Rejection { reason: RejectionReason::OverQuota, retry_after }
         })
@@ -223,7 +223,7 @@
     /// The name of a request: its client's, or one of the host's own. Guards against two requests of one name:
     /// the first would never be ended.
     fn name_request(&mut self, arrival: &IncomingRequest) -> Result<RequestId, Rejection> {
-        let own_name = || RequestId(format!("{}-{}", self.request_id_prefix, arrival.ticket).into());
+        let own_name = || RequestId(format!("{}-{}", self.request_id_prefix, arrival.number).into());
         let id = arrival.name.clone().unwrap_or_else(own_name);
         if self.requests.contains_id(&id) {
             self.counters.unmatched_inputs += 1;
@@ -252,7 +252,7 @@
         };
         let cell = admitted.cell.clone();
         let record = self.new_record(arrival, admitted);
-        self.requests.insert(arrival.ticket, record);
+        self.requests.insert(arrival.number, record);
         self.handle_event(&cell, Event::RequestArrived(request), out);
     }
 
@@ -283,7 +283,7 @@
             streamed: arrival.streamed,
             max_tokens: budget.max_tokens,
             deadline,
-            overdue_timer: self.timers.set(overdue_at, TimerEvent::AnswerOverdue(arrival.ticket)),
+            overdue_timer: self.timers.set(overdue_at, TimerEvent::AnswerOverdue(arrival.number)),
             attempts: 0,
             in_flight: None,
             reservations: RequestReservations::new(now),
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -132,7 +132,7 @@
         record.in_flight = Some(InFlightAttempt::new(attempt, engine.clone(), step, sent));
         let time_left = record.deadline.saturating_sub(self.now);
         out.push(Command::Attempt(AttemptOrder {
-            ticket: number,
+            number,
             request: record.id.clone(),
             attempt,
             cell: record.cell.clone(),
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
     /// Its number.
-    pub ticket: RequestNumber,
+    pub number: RequestNumber,
     /// The name by which engines know it, if its client gave one; otherwise the host names it.
     pub name: Option<RequestId>,
     /// Index of its class, if it names one.
@@ -87,7 +87,7 @@
     /// An attempt has ended.
     AttemptEnded {
         /// The request.
-        ticket: RequestNumber,
+        number: RequestNumber,
         /// The attempt.
         attempt: AttemptNumber,
         /// How it ended.
--- a/crates/pintally-host/tests/common/mod.rs
+++ b/crates/pintally-host/tests/common/mod.rs
@@ -74,11 +74,11 @@
         self.host.handle(self.now, input, &mut self.out);
     }
 
-    pub fn arrive(&mut self, ticket: u64, name: &str) {
+    pub fn arrive(&mut self, number: u64, name: &str) {
         let name = Some(RequestId(name.into()));
         let (class, patience) = (Some(0), Some(8_000 * MS));
         let arrival = IncomingRequest {
-            ticket,
+            number,
             name,
             class,
             client_timeout: patience,
@@ -92,8 +92,8 @@
     pub fn end(&mut self, order: &AttemptOrder, outcome: Outcome) {
         self.now += 10 * MS;
         let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
-        let (ticket, attempt) = (order.ticket, order.attempt);
-        self.handle(Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: 0, load: None, state });
+        let (number, attempt) = (order.number, order.attempt);
+        self.handle(Input::AttemptEnded { number, attempt, outcome, cached_tokens: 0, load: None, state });
     }
 
     /// The attempt that was commanded last.
--- a/crates/pintally-host/tests/guards.rs
+++ b/crates/pintally-host/tests/guards.rs
@@ -44,9 +44,9 @@
     host
 }
 
-fn arrives(host: &mut Host, ticket: RequestNumber, patience: Micros) -> Vec<Command> {
+fn arrives(host: &mut Host, number: RequestNumber, patience: Micros) -> Vec<Command> {
     let arrival = IncomingRequest {
-        ticket,
+        number,
         class: Some(0),
         client_timeout: Some(patience),
         streamed: true,
--- a/crates/pintally-host/tests/invariants.rs
+++ b/crates/pintally-host/tests/invariants.rs
@@ -122,12 +122,12 @@
         for command in commands {
             match command {
                 Command::Attempt(order) => self.attempt(order),
-                Command::Answer(ticket, answer) => self.answer(ticket, answer),
-                Command::Cancel(ticket, attempt) => {
-                    let (order, _, started) = &self.in_flight[&ticket];
+                Command::Answer(number, answer) => self.answer(number, answer),
+                Command::Cancel(number, attempt) => {
+                    let (order, _, started) = &self.in_flight[&number];
                     assert_eq!(order.attempt, attempt);
-                    assert!(!started || self.clients[&ticket].answer.is_some());
-                    self.cancelled.insert(ticket);
+                    assert!(!started || self.clients[&number].answer.is_some());
+                    self.cancelled.insert(number);
                 }
                 Command::Release { name, engine, .. } => {
                     // Every third release is lost.
@@ -141,16 +141,16 @@
                 Command::Stopped => {
                     assert!(!std::mem::replace(&mut self.stopped, true), "stopped twice");
                 }
-                Command::Over(ticket) => {
-                    assert!(self.over.insert(ticket), "over twice");
-                    assert!(!self.in_flight.contains_key(&ticket), "complete with an attempt in flight");
+                Command::Over(number) => {
+                    assert!(self.over.insert(number), "over twice");
+                    assert!(!self.in_flight.contains_key(&number), "complete with an attempt in flight");
                 }
-                Command::ProbeConnection(ticket, attempt, engine, _) => {
-                    let out = self.in_flight.get(&ticket).is_some_and(|o| o.0.attempt == attempt);
+                Command::ProbeConnection(number, attempt, engine, _) => {
+                    let out = self.in_flight.get(&number).is_some_and(|o| o.0.attempt == attempt);
                     assert!(out, "a connection probe for an attempt that is not in flight");
                     // Every third probe of some engines is not answered.
-                    if !engine.0.ends_with('1') || ticket % 3 != 0 {
-                        self.handle(Input::DeliveryConfirmed(ticket, attempt));
+                    if !engine.0.ends_with('1') || number % 3 != 0 {
+                        self.handle(Input::DeliveryConfirmed(number, attempt));
                     }
                 }
                 Command::QueryPeer(_)
@@ -167,7 +167,7 @@
     }
 
     fn attempt(&mut self, order: AttemptOrder) {
-        let client = self.clients.get_mut(&order.ticket).expect("an attempt for nobody");
+        let client = self.clients.get_mut(&order.number).expect("an attempt for nobody");
         let cell = client.cell.get_or_insert_with(|| order.cell.clone());
         assert_eq!(*cell, order.cell, "a request changed its cell");
         assert!(
@@ -175,8 +175,8 @@
             "an engine of another cell"
         );
         assert!(client.answer.is_none() && !client.gone, "an attempt after the end");
-        assert!(!self.over.contains(&order.ticket), "an attempt after the request was complete");
-        assert!(!self.in_flight.contains_key(&order.ticket), "two attempts at once");
+        assert!(!self.over.contains(&order.number), "an attempt after the request was complete");
+        assert!(!self.in_flight.contains_key(&order.number), "two attempts at once");
         assert_eq!(self.listing[&*order.engine.0], EndpointState::Serving, "an attempt at a drained engine");
         assert!(order.timeout > 0 && self.now + order.timeout <= client.due);
         if let Some(zone) = &client.ran {
@@ -186,11 +186,11 @@
             assert!(order.state.is_some(), "a fetch without what fetches it");
         }
         let by = self.now + order.timeout;
-        self.in_flight.insert(order.ticket, (order, by, false));
+        self.in_flight.insert(order.number, (order, by, false));
     }
 
-    fn answer(&mut self, ticket: RequestNumber, answer: FinalAnswer) {
-        let client = self.clients.get_mut(&ticket).expect("an answer for nobody");
+    fn answer(&mut self, number: RequestNumber, answer: FinalAnswer) {
+        let client = self.clients.get_mut(&number).expect("an answer for nobody");
         assert!(client.answer.replace(answer).is_none(), "two final answers");
         assert!(!client.gone, "an answer to a client that has left");
         assert!(self.now <= client.due || (client.streamed && client.started), "an answer too late");
@@ -199,9 +199,9 @@
         }
     }
 
-    fn end(&mut self, ticket: RequestNumber, outcome: Outcome, creates_reservation: bool) {
-        let Some((order, _, _)) = self.in_flight.remove(&ticket) else { return };
-        self.cancelled.remove(&ticket);
+    fn end(&mut self, number: RequestNumber, outcome: Outcome, creates_reservation: bool) {
+        let Some((order, _, _)) = self.in_flight.remove(&number) else { return };
+        self.cancelled.remove(&number);
         let name = (format!("{}.{}", order.request.0, order.attempt), order.engine.clone());
         let mut state = None;
         let read = order.step == Step::Read;
@@ -221,13 +221,13 @@
                 | Outcome::Unreachable
                 | Outcome::NeverSent
         );
-        let client = self.clients.get_mut(&ticket).unwrap();
+        let client = self.clients.get_mut(&number).unwrap();
         if !read && !sure && client.ran.is_none() {
             let zone = ENGINES.iter().find(|e| e.0 == &*order.engine.0).unwrap().2;
             client.ran = Some(zone.to_string());
         }
         let attempt = order.attempt;
-        self.handle(Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: 0, load: None, state });
+        self.handle(Input::AttemptEnded { number, attempt, outcome, cached_tokens: 0, load: None, state });
     }
 
     fn fetched(&mut self, order: &AttemptOrder) {
@@ -237,15 +237,15 @@
         }
     }
 
-    fn first_token(&mut self, ticket: RequestNumber) {
-        let Some((order, _, started)) = self.in_flight.get_mut(&ticket) else { return };
+    fn first_token(&mut self, number: RequestNumber) {
+        let Some((order, _, started)) = self.in_flight.get_mut(&number) else { return };
         if order.step == Step::Read || std::mem::replace(started, true) {
             return;
         }
         let order = order.clone();
         self.fetched(&order);
-        self.clients.get_mut(&ticket).unwrap().started = true;
-        self.handle(Input::FirstToken(ticket, order.attempt));
+        self.clients.get_mut(&number).unwrap().started = true;
+        self.handle(Input::FirstToken(number, order.attempt));
     }
 
     /// Advances the time; attempts time out and timers expire on the way.
@@ -272,8 +272,8 @@
                 })
                 .map(|(t, _)| *t)
                 .collect();
-            for ticket in late {
-                self.end(ticket, Outcome::TimedOut, ticket % 2 == 0);
+            for number in late {
+                self.end(number, Outcome::TimedOut, number % 2 == 0);
             }
             self.end_cancelled();
         }
@@ -281,8 +281,8 @@
     }
 
     fn end_cancelled(&mut self) {
-        for ticket in std::mem::take(&mut self.cancelled) {
-            self.end(ticket, Outcome::Cancelled, ticket % 2 == 0);
+        for number in std::mem::take(&mut self.cancelled) {
+            self.end(number, Outcome::Cancelled, number % 2 == 0);
         }
     }
 
@@ -290,7 +290,7 @@
         let (kind, which, amount) = *step;
         match kind % 12 {
             0..=2 => {
-                let ticket = self.clients.len() as u64 + 1;
+                let number = self.clients.len() as u64 + 1;
                 let class = usize::from(which) % 3;
                 let own = (amount % 4 == 0).then_some(Micros::from(amount) * 40 + 21_000);
                 let usual = [2_000_000, 1_500_000, 1_500_000][class];
@@ -306,9 +306,9 @@
                     started: false,
                     ran: None,
                 };
-                self.clients.insert(ticket, client);
+                self.clients.insert(number, client);
                 self.handle(Input::RequestArrived(IncomingRequest {
-                    ticket,
+                    number,
                     class: Some(class),
                     session: Some(u64::from(which) % 5),
                     prompt_tokens: u64::from(amount),
@@ -318,8 +318,8 @@
                 }));
             }
             3..=6 => {
-                let Some(ticket) = pick_of(&self.in_flight, which) else { return };
-                let (order, _, started) = &self.in_flight[&ticket];
+                let Some(number) = pick_of(&self.in_flight, which) else { return };
+                let (order, _, started) = &self.in_flight[&number];
                 let outcome = match (order.step, started, amount % 10) {
                     (Step::Read, _, 0..=5) => Outcome::Read,
                     (_, true, 0..=6) => Outcome::Served,
@@ -331,11 +331,11 @@
                     (_, _, 8) => Outcome::ConnectionBroken,
                     _ => Outcome::Error,
                 };
-                self.end(ticket, outcome, amount % 3 == 0);
+                self.end(number, outcome, amount % 3 == 0);
             }
             7 => {
-                if let Some(ticket) = pick_of(&self.in_flight, which) {
-                    self.first_token(ticket);
+                if let Some(number) = pick_of(&self.in_flight, which) {
+                    self.first_token(number);
                 }
             }
             8 => {
@@ -345,11 +345,11 @@
                     .filter(|(_, c)| c.answer.is_none() && !c.gone)
                     .map(|c| *c.0)
                     .collect();
-                if let Some(ticket) = open.get(usize::from(which) % open.len().max(1)).copied() {
-                    self.clients.get_mut(&ticket).unwrap().gone = true;
-                    self.handle(Input::ClientLeft(ticket));
-                    if self.in_flight.get(&ticket).is_some_and(|o| o.2) {
-                        self.end(ticket, Outcome::Cancelled, false);
+                if let Some(number) = open.get(usize::from(which) % open.len().max(1)).copied() {
+                    self.clients.get_mut(&number).unwrap().gone = true;
+                    self.handle(Input::ClientLeft(number));
+                    if self.in_flight.get(&number).is_some_and(|o| o.2) {
+                        self.end(number, Outcome::Cancelled, false);
                     }
                 }
             }
@@ -369,12 +369,12 @@
             }
             // Inputs that match nothing: for requests that are complete or never existed, repeated.
             10 => {
-                let ticket = RequestNumber::from(which);
-                if !self.in_flight.contains_key(&ticket) {
-                    self.handle(Input::FirstToken(ticket, 0));
+                let number = RequestNumber::from(which);
+                if !self.in_flight.contains_key(&number) {
+                    self.handle(Input::FirstToken(number, 0));
                     let (outcome, state) = (Outcome::Served, None);
                     self.handle(Input::AttemptEnded {
-                        ticket,
+                        number,
                         attempt: 9,
                         outcome,
                         cached_tokens: 0,
@@ -396,8 +396,8 @@
             started.into_iter().for_each(|t| self.end(t, Outcome::Served, false));
             self.advance(500_000);
         }
-        for (ticket, client) in &self.clients {
-            assert!(client.gone || client.answer.is_some(), "request {ticket} has no final answer");
+        for (number, client) in &self.clients {
+            assert!(client.gone || client.answer.is_some(), "request {number} has no final answer");
         }
         assert_eq!(self.over.len(), self.clients.len(), "not all requests were reported complete");
         assert_eq!(self.host.open_requests(), 0, "requests remain in the ledger");
--- a/crates/pintally-host/tests/request_release.rs
+++ b/crates/pintally-host/tests/request_release.rs
@@ -55,19 +55,19 @@
         // The client repeats the name before any engine has acknowledged a call.
         node.arrive(2, "x");
         let again = node.last_attempt();
-        assert_eq!((again.ticket, again.step), (2, Step::Read));
+        assert_eq!((again.number, again.step), (2, Step::Read));
         node.end(&again, Outcome::Read);
         // From the end of that read on no call for the first request is made.
         assert!(node.out.iter().any(|c| matches!(c, Command::WithdrawReleases(id) if &*id.0 == "x")));
         let (fetch, from) = (node.last_attempt(), node.now);
-        assert_eq!((fetch.ticket, fetch.step), (2, Step::Fetch));
+        assert_eq!((fetch.number, fetch.step), (2, Step::Fetch));
         node.out.clear();
         node.advance(from + RELEASE_DEADLINE / 2);
         assert_eq!(node.releases(), [], "after {first:?}");
         // A late acknowledgement of the first request's calls does not affect the second one's reservation.
         node.release_result("w0", true);
         node.end(&fetch, Outcome::Overloaded);
-        assert_eq!((node.last_attempt().ticket, node.last_attempt().step), (2, Step::Fetch));
+        assert_eq!((node.last_attempt().number, node.last_attempt().step), (2, Step::Fetch));
         // The reservation of the second request is released like any other.
         node.handle(Input::ClientLeft(2));
         let over = node.now;
--- a/crates/pintally-host/tests/requests.rs
+++ b/crates/pintally-host/tests/requests.rs
@@ -14,7 +14,7 @@
     node.arrive(2, "x");
     assert!(node.out.iter().any(|c| matches!(c, Command::Answer(2, FinalAnswer::Rejected(_)))));
     node.end(&read, Outcome::Read);
-    assert_eq!((node.last_attempt().ticket, &*node.last_attempt().engine.0), (1, "w0"));
+    assert_eq!((node.last_attempt().number, &*node.last_attempt().engine.0), (1, "w0"));
     assert!(node.host.knows(&RequestId("x".into())));
 }
 
--- a/crates/pintally-host/tests/reservation_release.rs
+++ b/crates/pintally-host/tests/reservation_release.rs
@@ -148,8 +148,8 @@
     node.end(&node.last_attempt(), Outcome::Read);
     both.remove(0);
     node.handle(Input::EndpointList(ListUpdate::Full, both));
-    for ticket in [1, 2] {
-        node.handle(Input::ClientLeft(ticket));
+    for number in [1, 2] {
+        node.handle(Input::ClientLeft(number));
     }
     let released = |c: &Command| match c {
         Command::Release { name, engine, .. } => Some((name.0.to_string(), engine.0.to_string())),
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -86,7 +86,7 @@
     );
     session.attempt = None;
     session.shared.send_input(Input::AttemptEnded {
-        ticket: order.ticket,
+        number: order.number,
         attempt: order.attempt,
         outcome: end.outcome,
         cached_tokens: end.cached_tokens,
@@ -277,7 +277,7 @@
                 Progress::Text(_) if self.order.step == Step::Read => {}
                 Progress::Text(text) => {
                     if !std::mem::replace(&mut self.streaming, true) {
-                        session.shared.send_input(Input::FirstToken(self.order.ticket, self.order.attempt));
+                        session.shared.send_input(Input::FirstToken(self.order.number, self.order.attempt));
                     }
                     session.push_text(&text);
                 }
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -248,7 +248,7 @@
     };
     let estimated_tokens = (inference.prompt.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN);
     Ok(IncomingRequest {
-        ticket: shared.next_ticket.fetch_add(1, Ordering::Relaxed),
+        number: shared.next_ticket.fetch_add(1, Ordering::Relaxed),
         name: None,
         class,
         tenant,
--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -89,7 +89,7 @@
             match message {
                 DecisionMessage::Host(input) => self.handle(input),
                 DecisionMessage::RequestArrived(request, mailbox) => {
-                    self.mailboxes.insert(request.ticket, mailbox);
+                    self.mailboxes.insert(request.number, mailbox);
                     self.handle(Input::RequestArrived(request));
                 }
                 DecisionMessage::Kill => return ControlFlow::Break(()),
@@ -170,12 +170,12 @@
 
     /// Hands an attempt to its request's thread. Where that is gone nothing was sent.
     fn start_attempt(&mut self, order: AttemptOrder) -> Option<Input> {
-        let (ticket, attempt) = (order.ticket, order.attempt);
+        let (ticket, attempt) = (order.number, order.attempt);
         if self.send_to_request(ticket, RequestMessage::Attempt(order)) {
             return None;
         }
         Some(Input::AttemptEnded {
-            ticket,
+            number: ticket,
             attempt,
             outcome: Outcome::NeverSent,
             cached_tokens: 0,
--- a/crates/pintally-kserve-node/src/request_session.rs
+++ b/crates/pintally-kserve-node/src/request_session.rs
@@ -91,7 +91,7 @@
     incoming: IncomingRequest,
 ) -> Connection {
     let (sender, messages) = bounded(MAX_OPEN_MESSAGES);
-    let ticket = incoming.ticket;
+    let ticket = incoming.number;
     let mailbox = RequestMailbox { sender, waker: waker.clone() };
     if !submit(shared, incoming, mailbox) {
         shared.counters.turned_away.fetch_add(1, Ordering::Relaxed);
@@ -297,7 +297,7 @@
         }
         if let Some(attempt) = self.attempt.take() {
             self.shared.send_input(Input::AttemptEnded {
-                ticket: self.ticket,
+                number: self.ticket,
                 attempt,
                 outcome: Outcome::ConnectionBroken,
                 cached_tokens: 0,
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -102,7 +102,7 @@
         let left = a.client_timeout.map_or(usual, |own| own.min(usual)).saturating_sub(margin);
         let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
         let asked = Asked {
-            id: RequestId(format!("{}-{}", self.settings.name, a.ticket).into()),
+            id: RequestId(format!("{}-{}", self.settings.name, a.number).into()),
             safe: safe.is_some_and(|c| c.idempotency == Idempotency::Idempotent),
             streamed: a.streamed,
             max_tokens: a.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
@@ -112,9 +112,9 @@
             state: None,
             over: false,
         };
-        self.due.insert((asked.by, a.ticket));
-        self.open.insert(a.ticket, asked);
-        self.go_on(now, a.ticket, out);
+        self.due.insert((asked.by, a.number));
+        self.open.insert(a.number, asked);
+        self.go_on(now, a.number, out);
     }
 
     /// The next attempt of a request, or its end.
@@ -142,7 +142,7 @@
         asked.out = Some((attempt, engine.clone(), step, false));
         let left = asked.by - now;
         out.push(Command::Attempt(AttemptOrder {
-            ticket,
+            number: ticket,
             request: asked.id.clone(),
             attempt,
             cell: Default::default(),
@@ -259,7 +259,7 @@
                     self.due.remove(&(by, ticket));
                 }
             }
-            Input::AttemptEnded { ticket, attempt, outcome, load, state, .. } => {
+            Input::AttemptEnded { number: ticket, attempt, outcome, load, state, .. } => {
                 let engine = self.open.get(&ticket).and_then(|a| a.out.as_ref()).map(|o| o.1.clone());
                 if let (Some(load), Some(known)) = (load, engine.and_then(|e| self.engines.get_mut(&e))) {
                     known.load = load;
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -279,7 +279,7 @@
         let (ticket, core) = (self.tickets[node], &self.day.settings.core);
         let patience = draft.patience.as_micros() as Micros;
         let arrival = IncomingRequest {
-            ticket,
+            number: ticket,
             name: None,
             class: core.classes.iter().position(|c| c.name == draft.class),
             tenant: core.tenants.iter().position(|t| Some(&t.name) == draft.tenant.as_ref()),
@@ -365,7 +365,7 @@
                 Command::Attempt(order) => {
                     let Some(&engine) = self.index.get(&order.engine) else { continue };
                     let request =
-                        self.tries.get(&(node, order.ticket)).map_or(String::new(), |t| t.id.clone());
+                        self.tries.get(&(node, order.number)).map_or(String::new(), |t| t.id.clone());
                     let flight = Flight {
                         engine,
                         work: None,
@@ -374,10 +374,10 @@
                         request,
                         name: format!("{}.{}", order.request.0, order.attempt),
                     };
-                    self.flights.insert((node, order.ticket, order.attempt), flight);
-                    self.at(self.now + order.timeout, Event::Late(node, order.ticket, order.attempt, false));
+                    self.flights.insert((node, order.number, order.attempt), flight);
+                    self.at(self.now + order.timeout, Event::Late(node, order.number, order.attempt, false));
                     if let Some(whole) = order.complete_by {
-                        self.at(self.now + whole, Event::Late(node, order.ticket, order.attempt, true));
+                        self.at(self.now + whole, Event::Late(node, order.number, order.attempt, true));
                     }
                     self.at(self.now + HOP, Event::Begin(node, Box::new(order)));
                 }
@@ -475,9 +475,9 @@
     // ---- attempts ----
 
     fn begin(&mut self, node: usize, order: AttemptOrder) {
-        let key = (node, order.ticket, order.attempt);
+        let key = (node, order.number, order.attempt);
         let Some(flight) = self.flights.get_mut(&key) else { return };
-        let Some(one) = self.tries.get(&(node, order.ticket)) else { return };
+        let Some(one) = self.tries.get(&(node, order.number)) else { return };
         let engine = flight.engine;
         let state = order.state.as_ref().and_then(|s| Some((s["engine"].as_u64()?, s["work"].as_u64()?)));
         let id = self.next_work;
@@ -528,7 +528,8 @@
         let load = reported.then(|| self.load(flight.engine));
         let state = state.map(|work| Arc::new(json!({ "engine": flight.engine, "work": work })));
         let (node, ticket, attempt) = key;
-        let input = Input::AttemptEnded { ticket, attempt, outcome, cached_tokens: kept, load, state };
+        let input =
+            Input::AttemptEnded { number: ticket, attempt, outcome, cached_tokens: kept, load, state };
         self.at(self.now + hop, Event::Tell(node, Box::new(input)));
     }
 
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -67,14 +67,14 @@
         fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Command>) {
             let input = match input {
                 Input::AttemptEnded {
-                    ticket,
+                    number,
                     attempt,
                     outcome: Outcome::ConnectionBroken | Outcome::TimedOut,
                     ..
                 } => {
                     let (kept, load, state) = (0, None, None);
                     Input::AttemptEnded {
-                        ticket,
+                        number,
                         attempt,
                         outcome: Outcome::NeverSent,
                         cached_tokens: kept,
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -37,15 +37,15 @@
     pub(crate) fn start_attempt(&mut self, order: AttemptOrder) {
         let now = self.clock.now();
         // Guards against two attempts at once: one that is in flight ends before the next one starts.
-        self.cancel_attempt(order.ticket);
-        let Some(request) = self.requests.get(order.ticket) else {
-            return self.fail_unsent(order.ticket, order.attempt, Outcome::NeverSent);
+        self.cancel_attempt(order.number);
+        let Some(request) = self.requests.get(order.number) else {
+            return self.fail_unsent(order.number, order.attempt, Outcome::NeverSent);
         };
         let timeout_ms = order.timeout / 1000;
         let head = encode_attempt_head(&request.head, timeout_ms, request.body.len());
         let outgoing = OutgoingRequest::new(head, Some(request.body.clone()));
         let work = Work::Attempt(AttemptWork {
-            number: order.ticket,
+            number: order.number,
             attempt: order.attempt,
             step: order.step,
             timeout_at: now.saturating_add(order.timeout),
@@ -53,15 +53,15 @@
         });
         match self.assign_connection(order.address, &order.engine, outgoing, work, Reuse::Allowed) {
             Ok(key) => self.attempt_assigned(&order, key),
-            Err(outcome) => self.fail_unsent(order.ticket, order.attempt, outcome),
+            Err(outcome) => self.fail_unsent(order.number, order.attempt, outcome),
         }
     }
 
     fn attempt_assigned(&mut self, order: &AttemptOrder, key: ConnectionKey) {
-        if let Some(request) = self.requests.get_mut(order.ticket) {
+        if let Some(request) = self.requests.get_mut(order.number) {
             request.attempt = Some((order.attempt, key));
         }
-        tracing::debug!(request = order.ticket, attempt = order.attempt, engine = %order.engine.0,
+        tracing::debug!(request = order.number, attempt = order.attempt, engine = %order.engine.0,
             step = ?order.step, timeout_ms = order.timeout / 1000, "attempt started");
         let counters = self.engines.counters_of(&order.engine);
         counters.sent += 1;
@@ -72,7 +72,7 @@
     /// Notifies the host of an attempt that has no connection.
     fn fail_unsent(&mut self, number: RequestNumber, attempt: AttemptNumber, outcome: Outcome) {
         self.host_queue.push(Input::AttemptEnded {
-            ticket: number,
+            number,
             attempt,
             outcome,
             cached_tokens: 0,
@@ -131,7 +131,7 @@
         self.log_attempt_end(key, work, &result);
         let WorkResult { outcome, cached_tokens, load, .. } = result;
         let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
-        let ended = Input::AttemptEnded { ticket: number, attempt, outcome, cached_tokens, load, state };
+        let ended = Input::AttemptEnded { number, attempt, outcome, cached_tokens, load, state };
         match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
                 let notify_at = self.clock.now().saturating_add(CLOSE_LEAD);
--- a/crates/pintally-platform/src/client_request.rs
+++ b/crates/pintally-platform/src/client_request.rs
@@ -116,7 +116,7 @@
         return Err(RequestError::bad_request("the body is no JSON"));
     }
     let arrival = IncomingRequest {
-        ticket: number,
+        number,
         name: Some(id),
         class: Some(class),
         tenant,
--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -153,7 +153,7 @@
         panic!("no request for work")
     };
     let a = &inference.arrival;
-    assert_eq!(a.ticket, 7);
+    assert_eq!(a.number, 7);
     assert_eq!(a.name.as_ref().map(|n| n.0.as_ref()), Some("9b1f03aa5c7e2d41"));
     assert_eq!((a.class, a.tenant), (Some(0), Some(0)));
     assert_eq!((a.session, a.prefix), (Some(0x7f3a_9c21_e0b4_d655), Some(0x5c0f_6e1a_2b3d_4c59)));
--- a/crates/pintally-sim/src/clients.rs
+++ b/crates/pintally-sim/src/clients.rs
@@ -41,7 +41,7 @@
             self.soon(leaves * MS, Event::Leave(place));
         }
         let arrival = IncomingRequest {
-            ticket,
+            number: ticket,
             name: Some(id),
             class: Some(ask.class),
             session: Some(ask.session),
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -36,7 +36,7 @@
     }
 
     pub(crate) fn attempt(&mut self, node: usize, order: AttemptOrder) {
-        let place = (node, self.nodes[node].life, order.ticket);
+        let place = (node, self.nodes[node].life, order.number);
         let engine = self.number(&order.engine);
         let open = self.flights.values().any(|f| f.place == place && !f.closed);
         self.checks.sent(place, open);
@@ -272,7 +272,7 @@
         let state = (notified == Outcome::Read)
             .then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
         let ended = Input::AttemptEnded {
-            ticket: place.2,
+            number: place.2,
             attempt,
             outcome: notified,
             cached_tokens: 0,
