--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -63,7 +63,7 @@
     Answer(RequestNumber, FinalAnswer),
     /// No more commands follow for this request: its answer is given and its last attempt has ended. Issued once
     /// for each request that arrived.
-    Over(RequestNumber),
+    RequestComplete(RequestNumber),
     /// Release a reservation, named as the host's [`ReleaseScope`](crate::ReleaseScope) says.
     Release {
         /// What is released.
--- a/crates/pintally-host/src/endpoint_list.rs
+++ b/crates/pintally-host/src/endpoint_list.rs
@@ -12,13 +12,13 @@
 #[derive(Debug)]
 pub enum ListChange {
     /// Nothing.
-    Same,
+    Unchanged,
     /// These entries are new or changed; entries that are missing in the new version are among them as gone.
     Changes(ListUpdate, Vec<EngineEndpoint>),
     /// It is invalid, and the version in force remains. The error is reported once while it stays the same.
-    Bad(Option<ConfigError>),
+    Invalid(Option<ConfigError>),
     /// It is older than the version in force, which remains. Each older version is reported once.
-    Older(Option<u64>),
+    Stale(Option<u64>),
 }
 
 /// The version of the list in force.
@@ -27,7 +27,7 @@
     version: Option<u64>,
     entries: BTreeMap<EngineId, EngineEntry>,
     reported_error: Option<ConfigError>,
-    reported_older: Option<u64>,
+    reported_stale: Option<u64>,
 }
 
 impl ListFollower {
@@ -40,16 +40,16 @@
         self.reported_error = None;
         // Guards against a list that goes back in time, as after a restore: a drain must not be undone.
         if self.version.is_some_and(|version| list.version < version) {
-            return self.report_older(list.version);
+            return self.report_stale(list.version);
         }
-        self.reported_older = None;
+        self.reported_stale = None;
         let is_first = self.version.replace(list.version).is_none();
         let changes = self.replace_entries(list.engines, is_first, clock);
         if is_first {
             return ListChange::Changes(ListUpdate::Full, changes);
         }
         if changes.is_empty() {
-            return ListChange::Same;
+            return ListChange::Unchanged;
         }
         ListChange::Changes(ListUpdate::Delta, changes)
     }
@@ -57,13 +57,13 @@
     fn report_error(&mut self, error: ConfigError) -> ListChange {
         let is_new = self.reported_error.as_ref() != Some(&error);
         self.reported_error = Some(error.clone());
-        ListChange::Bad(is_new.then_some(error))
+        ListChange::Invalid(is_new.then_some(error))
     }
 
-    fn report_older(&mut self, version: u64) -> ListChange {
-        let is_new = self.reported_older != Some(version);
-        self.reported_older = Some(version);
-        ListChange::Older(is_new.then_some(version))
+    fn report_stale(&mut self, version: u64) -> ListChange {
+        let is_new = self.reported_stale != Some(version);
+        self.reported_stale = Some(version);
+        ListChange::Stale(is_new.then_some(version))
     }
 
     /// Replaces the entries and returns those that have changed; all of the first version.
@@ -92,7 +92,7 @@
     }
 
     /// The version in force as the content of a list file, to be cached over a restart.
-    pub fn kept(&self) -> Option<String> {
+    pub fn render(&self) -> Option<String> {
         let engines = self.entries.values().cloned().collect();
         Some(EngineList { version: self.version?, engines }.render())
     }
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -108,7 +108,7 @@
     }
 
     /// Sets what one release frees.
-    pub fn with_scope(mut self, scope: ReleaseScope) -> Host {
+    pub fn with_release_scope(mut self, scope: ReleaseScope) -> Host {
         self.release_scope = scope;
         self
     }
@@ -333,7 +333,7 @@
         if let Some(quota) = &mut self.quota {
             quota.release(self.now, &record.concurrency_limits);
         }
-        out.push(Command::Over(number));
+        out.push(Command::RequestComplete(number));
         self.release_remaining(record, out);
     }
 
--- a/crates/pintally-host/src/host/final_answers.rs
+++ b/crates/pintally-host/src/host/final_answers.rs
@@ -72,7 +72,7 @@
         self.counters.rejected_before_dispatch += 1;
         self.counters.rejected += 1;
         out.push(Command::Answer(number, FinalAnswer::Rejected(rejection.retry_after)));
-        out.push(Command::Over(number));
+        out.push(Command::RequestComplete(number));
     }
 
     /// The time advertised in Retry-After, if clients honour it.
--- a/crates/pintally-host/src/host/reservation_releases.rs
+++ b/crates/pintally-host/src/host/reservation_releases.rs
@@ -8,7 +8,7 @@
 use super::Host;
 use crate::command::Command;
 use crate::release_retries::{Certainty, ReleaseProgress, Wakeup};
-use crate::reservations::{state_name, Reservation};
+use crate::reservations::{reservation_name, Reservation};
 use crate::timers::TimerEvent;
 
 impl Host {
@@ -32,7 +32,7 @@
         let Some(address) = self.endpoints.address(&reservation.engine) else { return };
         self.counters.releases += 1;
         let certainty = reservation.certainty();
-        let name = state_name(id, reservation.attempt);
+        let name = reservation_name(id, reservation.attempt);
         self.begin_reservation_release(name, reservation.engine, address, certainty, out);
     }
 
--- a/crates/pintally-host/src/host/status.rs
+++ b/crates/pintally-host/src/host/status.rs
@@ -13,12 +13,12 @@
 use crate::counters::Counters;
 use crate::input::ReleaseScope;
 use crate::rejections::Rejections;
-use crate::reservations::state_name;
+use crate::reservations::reservation_name;
 use crate::OrphanedReservation;
 
 impl Host {
     /// Whether a request of this name has its answer or its last attempt outstanding.
-    pub fn knows(&self, name: &RequestId) -> bool {
+    pub fn is_request_open(&self, name: &RequestId) -> bool {
         self.requests.contains_id(name)
     }
 
@@ -79,12 +79,12 @@
     }
 
     /// The number of engines that take work, by the list.
-    pub fn serving(&self) -> usize {
+    pub fn serving_engines(&self) -> usize {
         self.endpoints.serving().count()
     }
 
     /// The number of timers that are set and of releases that are not acknowledged, for audits of resources.
-    pub fn open(&self) -> (usize, usize) {
+    pub fn pending_timers_and_releases(&self) -> (usize, usize) {
         (self.timers.len(), self.release_retries.len() + self.release_scheduler.len())
     }
 
@@ -136,7 +136,7 @@
             let reads = record.in_flight.iter().filter(|in_flight| in_flight.step == Step::Read);
             let expected = reads.map(|read| (&read.engine, read.attempt));
             let all = existing.chain(expected);
-            all.map(|(engine, attempt)| (engine.clone(), state_name(&record.id, attempt)))
+            all.map(|(engine, attempt)| (engine.clone(), reservation_name(&record.id, attempt)))
         });
         let unacknowledged = self.release_retries.iter().map(|(engine, name)| (engine.clone(), name.clone()));
         of_requests.chain(unacknowledged).chain(self.orphaned.iter().cloned()).take(most).collect()
--- a/crates/pintally-host/src/lib.rs
+++ b/crates/pintally-host/src/lib.rs
@@ -44,4 +44,4 @@
 pub use input::{EngineEndpoint, IncomingRequest, Input, ReleaseScope, RequestNumber};
 pub use orphaned_reservations::OrphanedReservation;
 pub use rejections::{RejectionReason, Rejections};
-pub use reservations::state_name;
+pub use reservations::reservation_name;
--- a/crates/pintally-host/src/reservations.rs
+++ b/crates/pintally-host/src/reservations.rs
@@ -16,7 +16,7 @@
 
 /// The name of a reservation at its engine, where each release frees one reservation. It contains the attempt
 /// that read it, so that a late or repeated release never frees a younger reservation of the same request.
-pub fn state_name(id: &RequestId, attempt: AttemptNumber) -> RequestId {
+pub fn reservation_name(id: &RequestId, attempt: AttemptNumber) -> RequestId {
     RequestId(format!("{}.{attempt}", id.0).into())
 }
 
--- a/crates/pintally-host/tests/common/mod.rs
+++ b/crates/pintally-host/tests/common/mod.rs
@@ -55,7 +55,7 @@
 
     pub fn in_scope(engines: &[&str], scope: ReleaseScope) -> TestNode {
         let settings = NodeSettings::parse("test", SETTINGS).expect("the settings are valid");
-        let host = Host::new(Arc::new(settings), 7).with_scope(scope);
+        let host = Host::new(Arc::new(settings), 7).with_release_scope(scope);
         let mut node = TestNode { host, now: 1_000_000, out: Vec::new() };
         node.handle(Input::EndpointList(ListUpdate::Full, endpoints(engines)));
         node
--- a/crates/pintally-host/tests/endpoint_list.rs
+++ b/crates/pintally-host/tests/endpoint_list.rs
@@ -42,8 +42,9 @@
 fn invalid_list_changes_nothing_and_is_reported_once() {
     let mut follower = ListFollower::default();
     apply(&mut follower, &list(1, &[("a", "serving")]));
-    let is_reported =
-        |f: &mut ListFollower, text: &str| matches!(f.apply("list", text, |ms| ms), ListChange::Bad(Some(_)));
+    let is_reported = |f: &mut ListFollower, text: &str| {
+        matches!(f.apply("list", text, |ms| ms), ListChange::Invalid(Some(_)))
+    };
     assert!(is_reported(&mut follower, "(engines"));
     assert!(!is_reported(&mut follower, "(engines"));
     assert!(is_reported(&mut follower, "(other)"));
@@ -58,10 +59,10 @@
     let mut follower = ListFollower::default();
     apply(&mut follower, &list(5, &[("a", "draining")]));
     let old = list(4, &[("a", "serving")]);
-    assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Older(Some(4))));
-    assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Older(None)));
+    assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Stale(Some(4))));
+    assert!(matches!(follower.apply("list", &old, |ms| ms), ListChange::Stale(None)));
     // The cached list has the same version after a restart.
-    let cached = follower.kept().unwrap();
+    let cached = follower.render().unwrap();
     let mut restarted = ListFollower::default();
     assert_eq!(apply(&mut restarted, &cached).unwrap().1, vec![("a".to_string(), EndpointState::Draining)]);
     assert!(apply(&mut restarted, &old).is_none());
--- a/crates/pintally-host/tests/invariants.rs
+++ b/crates/pintally-host/tests/invariants.rs
@@ -141,7 +141,7 @@
                 Command::Stopped => {
                     assert!(!std::mem::replace(&mut self.stopped, true), "stopped twice");
                 }
-                Command::Over(number) => {
+                Command::RequestComplete(number) => {
                     assert!(self.over.insert(number), "over twice");
                     assert!(!self.in_flight.contains_key(&number), "complete with an attempt in flight");
                 }
@@ -405,7 +405,7 @@
         let listing = &self.listing;
         self.reservations.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
         assert!(self.reservations.is_empty(), "reservations remain: {:?}", self.reservations);
-        assert_eq!(self.host.open().1, 0, "releases remain pending");
+        assert_eq!(self.host.pending_timers_and_releases().1, 0, "releases remain pending");
         let c = self.host.counters();
         assert_eq!(c.accepted, c.served + c.rejected + c.failed + c.streams_cut + c.clients_left, "{c:?}");
         assert_eq!(c.accepted, self.clients.len() as u64);
--- a/crates/pintally-host/tests/request_release.rs
+++ b/crates/pintally-host/tests/request_release.rs
@@ -51,7 +51,7 @@
         node.handle(Input::ClientLeft(1));
         node.end(&node.last_attempt(), if first == Outcome::Read { Outcome::Cancelled } else { first });
         assert!(!node.releases().is_empty(), "the first reservation is released");
-        assert!(!node.host.knows(&RequestId("x".into())));
+        assert!(!node.host.is_request_open(&RequestId("x".into())));
         // The client repeats the name before any engine has acknowledged a call.
         node.arrive(2, "x");
         let again = node.last_attempt();
@@ -74,7 +74,7 @@
         node.end(&node.last_attempt(), Outcome::Cancelled);
         assert!(node.first_release_by(over + RELEASE_DEADLINE).is_some());
         node.release_result("r0", true);
-        assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+        assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
     }
 }
 
@@ -92,7 +92,7 @@
     node.handle(Input::FirstToken(1, second.attempt));
     node.end(&second, Outcome::Served);
     assert!(node.out.iter().any(|c| matches!(c, Command::Answer(1, FinalAnswer::Served))));
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
 /// Guards against a call for older reservations that frees the one that was just created.
@@ -138,7 +138,7 @@
     node.handle(Input::ClientLeft(1));
     node.end(&next, Outcome::Unreachable);
     assert_eq!(node.releases(), []);
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
 /// Guards against a release that is dropped because its engine has left the list.
@@ -149,9 +149,9 @@
     node.handle(Input::ClientLeft(1));
     node.end(&fetch, Outcome::Cancelled);
     assert_eq!(node.releases().last(), Some(&("x".to_string(), 4000)));
-    assert_eq!(node.host.open().1, 1);
+    assert_eq!(node.host.pending_timers_and_releases().1, 1);
     node.release_result("w0", true);
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
 /// Guards against reservations that are never released when no engine is reachable for longer than all calls take:
@@ -169,12 +169,12 @@
     assert_eq!(node.host.counters().releases_lost, 1);
     let warning = "release not acknowledged by any engine: request_id=x";
     assert!(node.out.iter().any(|command| matches!(command, Command::Log(text) if text == warning)));
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 1));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 1));
     // Another request is read: r0 is reachable again, and acknowledges the release within the deadline.
     node.arrive(2, "y");
     node.end(&node.last_attempt(), Outcome::Read);
     let by = node.now + RELEASE_DEADLINE;
-    while node.host.open().1 > 0 {
+    while node.host.pending_timers_and_releases().1 > 0 {
         assert!(node.now < by, "{:?}", node.releases());
         node.out.clear();
         node.advance(node.now + MS);
@@ -207,7 +207,7 @@
     node.out.clear();
     node.advance(first + 4 * RELEASE_DEADLINE);
     assert_eq!(node.releases(), []);
-    assert_eq!(node.host.open().1, 0);
+    assert_eq!(node.host.pending_timers_and_releases().1, 0);
     assert_eq!(node.host.open_requests(), 0);
 }
 
@@ -229,5 +229,5 @@
     node.handle(Input::FirstToken(1, write.attempt));
     node.end(&write, Outcome::Served);
     assert_eq!(node.releases(), []);
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
--- a/crates/pintally-host/tests/requests.rs
+++ b/crates/pintally-host/tests/requests.rs
@@ -15,7 +15,7 @@
     assert!(node.out.iter().any(|c| matches!(c, Command::Answer(2, FinalAnswer::Rejected(_)))));
     node.end(&read, Outcome::Read);
     assert_eq!((node.last_attempt().number, &*node.last_attempt().engine.0), (1, "w0"));
-    assert!(node.host.knows(&RequestId("x".into())));
+    assert!(node.host.is_request_open(&RequestId("x".into())));
 }
 
 /// Guards against taking a writer's report of a read for a reservation at the writer.
--- a/crates/pintally-host/tests/reservation_release.rs
+++ b/crates/pintally-host/tests/reservation_release.rs
@@ -60,7 +60,7 @@
         node.handle(Input::Released(RequestId("x.0".into()), EngineId("r0".into()), false));
         node.advance(node.now + 60 * RELEASE_DEADLINE);
     }
-    assert_eq!((calls, node.host.open().1), (9, 1));
+    assert_eq!((calls, node.host.pending_timers_and_releases().1), (9, 1));
     node.out.clear();
     node.arrive(2, "y");
     node.end(&node.last_attempt(), Outcome::Read);
@@ -86,7 +86,7 @@
         node.advance(node.now + RELEASE_DEADLINE / 4);
     }
     assert_eq!(calls, 4, "{:?}", node.releases());
-    assert_eq!((node.host.open_requests(), node.host.open().1), (0, 0));
+    assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
 /// The reservations that one incarnation leaves are released by the next one as soon as their engine is endpoints,
@@ -129,7 +129,7 @@
     }
     node.handle(Input::EndpointListConfirmed);
     assert_eq!(node.host.reservations_at_exit(16), []);
-    assert_eq!((node.host.open().1, node.host.counters().orphaned_releases), (0, 2));
+    assert_eq!((node.host.pending_timers_and_releases().1, node.host.counters().orphaned_releases), (0, 2));
 }
 
 /// Two names at one address, as while one engine takes over another's address, are two engines: the reservations of
--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -134,7 +134,7 @@
             Command::Answer(ticket, answer) => {
                 self.send_to_request(ticket, RequestMessage::Answer(answer));
             }
-            Command::Over(ticket) => {
+            Command::RequestComplete(ticket) => {
                 self.send_to_request(ticket, RequestMessage::Finished);
                 self.mailboxes.remove(&ticket);
             }
@@ -269,7 +269,7 @@
         if host.take_fleet_change() {
             *lock(&shared.cells) = host.cells_status();
             *lock(&shared.moves) = host.migration_status(shared.clock.unix_ms());
-            shared.serving.store(host.serving(), Ordering::Relaxed);
+            shared.serving.store(host.serving_engines(), Ordering::Relaxed);
         }
     }
 
--- a/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
@@ -29,7 +29,7 @@
         if let Some(text) = stored {
             watcher.apply(shared, STORED_LIST, text.as_bytes());
         }
-        if let (Some(version), Some(text)) = (watcher.follower.version(), watcher.follower.kept()) {
+        if let (Some(version), Some(text)) = (watcher.follower.version(), watcher.follower.render()) {
             shared.fleet.set_endpoint_list(version, &text);
         }
         watcher
@@ -75,7 +75,7 @@
     /// node knew is never undone by another text of the same version.
     fn merged(&self, name: &str, text: &[u8]) -> Option<Vec<u8>> {
         let claimed = EngineList::parse(name, &String::from_utf8_lossy(text)).ok()?;
-        let current = EngineList::parse(name, &self.follower.kept()?).ok()?;
+        let current = EngineList::parse(name, &self.follower.render()?).ok()?;
         match merge_endpoint_lists(Some(&current), &claimed) {
             ListMerge::Merged(list) => Some(list.render().into_bytes()),
             ListMerge::Unchanged if current.version == claimed.version => Some(current.render().into_bytes()),
@@ -85,7 +85,7 @@
 
     /// Hands the list in force to peers, and caches it.
     fn publish_and_cache(&self, shared: &Shared) {
-        let Some(text) = self.follower.kept() else { return };
+        let Some(text) = self.follower.render() else { return };
         if let Some(version) = self.follower.version() {
             shared.fleet.set_endpoint_list(version, &text);
         }
@@ -99,7 +99,7 @@
     fn apply(&mut self, shared: &Shared, name: &str, text: &[u8]) -> bool {
         let text = String::from_utf8_lossy(text);
         let change = self.follower.apply(name, &text, |ms| shared.clock.at_unix_ms(ms));
-        if matches!(change, ListChange::Bad(_) | ListChange::Older(_)) {
+        if matches!(change, ListChange::Invalid(_) | ListChange::Stale(_)) {
             shared.counters.lists_refused.fetch_add(1, Ordering::Relaxed);
         }
         match change {
@@ -113,13 +113,13 @@
                 shared.send_input(Input::EndpointList(update, changes));
                 return true;
             }
-            ListChange::Bad(Some(error)) => {
+            ListChange::Invalid(Some(error)) => {
                 warn!(%error, "endpoint list rejected: previous version stays in force");
             }
-            ListChange::Older(Some(version)) => {
+            ListChange::Stale(Some(version)) => {
                 warn!(file = name, version, "endpoint list rejected: older than the one in force");
             }
-            ListChange::Same | ListChange::Bad(None) | ListChange::Older(None) => {}
+            ListChange::Unchanged | ListChange::Invalid(None) | ListChange::Stale(None) => {}
         }
         false
     }
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -171,7 +171,7 @@
             return;
         }
         let Some(asked) = self.open.remove(&ticket) else { return };
-        out.push(Command::Over(ticket));
+        out.push(Command::RequestComplete(ticket));
         if let Some((attempt, engine, _)) = asked.state {
             self.release(&asked.id, attempt, engine, out);
         }
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -385,7 +385,7 @@
                     self.call_off((node, ticket, attempt), Outcome::Cancelled);
                 }
                 Command::Answer(ticket, answer) => self.answered(node, ticket, answer),
-                Command::Over(ticket) => {
+                Command::RequestComplete(ticket) => {
                     self.tries.remove(&(node, ticket));
                 }
                 Command::Release { name, engine, .. } => {
--- a/crates/pintally-platform-node/src/client_requests.rs
+++ b/crates/pintally-platform-node/src/client_requests.rs
@@ -31,7 +31,7 @@
         let queueing_time = self.queueing_time(key);
         let InferenceRequest { mut arrival, head, body } = request;
         arrival.client_timeout = arrival.client_timeout.map(|timeout| timeout.saturating_sub(queueing_time));
-        if arrival.name.as_ref().is_some_and(|name| self.host.knows(name)) {
+        if arrival.name.as_ref().is_some_and(|name| self.host.is_request_open(name)) {
             return self.reject(key, RequestError { status: 409, message: "this id is in use" });
         }
         if self.requests.bytes() + body.len() > self.config.max_total_body_bytes() {
--- a/crates/pintally-platform-node/src/endpoint_list.rs
+++ b/crates/pintally-platform-node/src/endpoint_list.rs
@@ -108,6 +108,6 @@
     pub(crate) fn is_ready(&self) -> bool {
         let has_list =
             self.watch.last_message.is_some() || self.clock.now() >= self.started_at + FIRST_LIST_TIMEOUT;
-        !self.shutdown.is_requested() && self.host.serving() > 0 && has_list
+        !self.shutdown.is_requested() && self.host.serving_engines() > 0 && has_list
     }
 }
--- a/crates/pintally-platform-node/src/host_commands.rs
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -50,7 +50,7 @@
             Command::Attempt(order) => self.start_attempt(order),
             Command::Cancel(number, _) => self.cancel_attempt(number),
             Command::Answer(number, answer) => self.send_final_answer(number, answer),
-            Command::Over(number) => self.requests.remove(number),
+            Command::RequestComplete(number) => self.requests.remove(number),
             Command::Release { name, engine, address, new_connection } => {
                 self.send_release(name, engine, address, new_connection);
             }
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -163,7 +163,7 @@
         Node {
             poller,
             clock,
-            host: Host::new(settings.clone(), config.seed).with_scope(ReleaseScope::Request),
+            host: Host::new(settings.clone(), config.seed).with_release_scope(ReleaseScope::Request),
             host_queue: HostQueue::default(),
             acceptor: Acceptor::new(listener),
             signals,
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -4,7 +4,7 @@
 
 use pintally::interface::{EndpointState, Outcome};
 use pintally_engine::Step;
-use pintally_host::{state_name, AttemptOrder, Input};
+use pintally_host::{reservation_name, AttemptOrder, Input};
 use rand::RngExt;
 use serde_json::Value;
 
@@ -194,7 +194,7 @@
         }
         let dropped = self.engines[engine].dropped.remove(&id);
         if !dropped {
-            let name = state_name(&id, attempt);
+            let name = reservation_name(&id, attempt);
             let owner = (place.0, place.1);
             self.engines[engine].held.push(State { request: id.clone(), name, owner });
             self.say(format!("{} is read at e{engine}", id.0));
@@ -270,7 +270,7 @@
             other => other,
         };
         let state = (notified == Outcome::Read)
-            .then(|| Arc::new(Value::String(state_name(&id, attempt).0.to_string())));
+            .then(|| Arc::new(Value::String(reservation_name(&id, attempt).0.to_string())));
         let ended = Input::AttemptEnded {
             number: place.2,
             attempt,
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -20,7 +20,7 @@
             Frees::Request => ReleaseScope::Request,
         };
         let seed = self.plan.seed.wrapping_mul(31).wrapping_add(u64::from(node.life) * 64 + number as u64);
-        node.host = Some(Host::new(settings, seed).with_scope(scope));
+        node.host = Some(Host::new(settings, seed).with_release_scope(scope));
         node.notified.iter_mut().for_each(|t| *t = None);
         node.stopping = false;
         node.kept.clear();
@@ -106,7 +106,7 @@
                 }
             }
             Command::Answer(ticket, answer) => self.answer((node, life, ticket), answer),
-            Command::Over(ticket) => self.checks.over((node, life, ticket)),
+            Command::RequestComplete(ticket) => self.checks.over((node, life, ticket)),
             Command::Release { name, engine, new_connection, .. } => {
                 self.release(node, name, &engine, new_connection);
             }
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -301,7 +301,7 @@
     fn at_the_end(&mut self) {
         for node in 0..self.nodes.len() {
             let Some(host) = &self.nodes[node].host else { continue };
-            let (held, waiting) = (host.open_requests(), host.open().1);
+            let (held, waiting) = (host.open_requests(), host.pending_timers_and_releases().1);
             if held > 0 || waiting > 0 {
                 let what = format!("n{node} keeps {held} requests and {waiting} calls at the end");
                 self.checks.broke(Rule::Accounts, None, what);
