--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -9,9 +9,9 @@
 
 /// An earlier attempt that may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MayHaveRun {
+pub struct SentAttempt {
     /// When it was sent.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// Zone of its engine.
     pub zone: String,
     /// Rack of its engine.
@@ -34,7 +34,7 @@
     /// Time at which the client gives up.
     pub deadline: Micros,
     /// The first attempt that may have run. Attempts at readers have no effect and never appear here.
-    pub may_have_run: Option<&'a MayHaveRun>,
+    pub may_have_run: Option<&'a SentAttempt>,
 }
 
 /// The state of an engine that the guards depend on.
@@ -106,7 +106,7 @@
             if !in_scope {
                 return Err(Denial::OutsideKeyScope);
             }
-            if now >= first.sent.saturating_add(window) {
+            if now >= first.sent_at.saturating_add(window) {
                 return Err(Denial::KeyWindowExpired);
             }
             Ok(())
--- a/crates/pintally-guards/src/connection.rs
+++ b/crates/pintally-guards/src/connection.rs
@@ -8,19 +8,19 @@
     /// The client closed or reset it.
     ClientLeft,
     /// Writing to it failed.
-    Broken,
+    IoError,
     /// The client has read nothing for longer than the write timeout.
-    Stuck,
+    WriteTimeout,
     /// A streamed answer was aborted; the missing last chunk signals it to the client.
-    StreamCut,
+    StreamAborted,
     /// The keep-alive timeout expired.
-    Idle,
+    IdleTimeout,
     /// No request arrived on it in time.
-    Silent,
+    ReceiveTimeout,
     /// Its last answer is completely written and the client had time to read it.
-    Answered,
+    ResponseDelivered,
     /// The node shuts down.
-    Stopping,
+    Shutdown,
     /// File descriptors run low.
     Evicted,
 }
@@ -29,13 +29,13 @@
     /// All reasons, in the order of their counts.
     pub const ALL: [CloseReason; 9] = [
         CloseReason::ClientLeft,
-        CloseReason::Broken,
-        CloseReason::Stuck,
-        CloseReason::StreamCut,
-        CloseReason::Idle,
-        CloseReason::Silent,
-        CloseReason::Answered,
-        CloseReason::Stopping,
+        CloseReason::IoError,
+        CloseReason::WriteTimeout,
+        CloseReason::StreamAborted,
+        CloseReason::IdleTimeout,
+        CloseReason::ReceiveTimeout,
+        CloseReason::ResponseDelivered,
+        CloseReason::Shutdown,
         CloseReason::Evicted,
     ];
 
@@ -43,21 +43,21 @@
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientLeft => "client_left",
-            CloseReason::Broken => "broken",
-            CloseReason::Stuck => "stuck",
-            CloseReason::StreamCut => "stream_cut",
-            CloseReason::Idle => "idle",
-            CloseReason::Silent => "silent",
-            CloseReason::Answered => "answered",
-            CloseReason::Stopping => "stopping",
+            CloseReason::IoError => "broken",
+            CloseReason::WriteTimeout => "stuck",
+            CloseReason::StreamAborted => "stream_cut",
+            CloseReason::IdleTimeout => "idle",
+            CloseReason::ReceiveTimeout => "silent",
+            CloseReason::ResponseDelivered => "answered",
+            CloseReason::Shutdown => "stopping",
             CloseReason::Evicted => "evicted",
         }
     }
 
     /// Whether a close for this reason leaves nobody to whom an answer could still be delivered.
-    fn voids_owed_answers(self) -> bool {
-        use CloseReason::{Broken, ClientLeft, StreamCut, Stuck};
-        matches!(self, ClientLeft | Broken | Stuck | StreamCut)
+    fn prevents_delivery(self) -> bool {
+        use CloseReason::{ClientLeft, IoError, StreamAborted, WriteTimeout};
+        matches!(self, ClientLeft | IoError | WriteTimeout | StreamAborted)
     }
 }
 
@@ -65,11 +65,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionFacts {
     /// A request of the connection is in flight.
-    pub answer_owed: bool,
+    pub answer_pending: bool,
     /// Bytes of answers not yet written.
-    pub unwritten: usize,
+    pub unwritten_bytes: usize,
     /// Received bytes are not parsed yet, and the connection may still answer a request.
-    pub unread: bool,
+    pub has_unread_input: bool,
 }
 
 /// Checks that a client connection may be closed now.
@@ -81,16 +81,16 @@
 ///
 /// The first kind of pending data found on the connection.
 pub fn may_close(connection: &ConnectionFacts, reason: CloseReason) -> Result<(), Denial> {
-    if reason.voids_owed_answers() {
+    if reason.prevents_delivery() {
         return Ok(());
     }
-    if connection.answer_owed {
-        return Err(Denial::AnswerOwed);
+    if connection.answer_pending {
+        return Err(Denial::AnswerPending);
     }
-    if connection.unwritten > 0 {
+    if connection.unwritten_bytes > 0 {
         return Err(Denial::AnswerUnwritten);
     }
-    if connection.unread {
+    if connection.has_unread_input {
         return Err(Denial::RequestUnread);
     }
     Ok(())
--- a/crates/pintally-guards/src/lib.rs
+++ b/crates/pintally-guards/src/lib.rs
@@ -11,7 +11,7 @@
 mod connection;
 mod counts;
 
-pub use attempt::{may_reject, may_send, may_start, EngineFacts, MayHaveRun, RequestFacts};
+pub use attempt::{may_reject, may_send, may_start, EngineFacts, RequestFacts, SentAttempt};
 pub use connection::{may_close, CloseReason, ConnectionFacts};
 pub use counts::{Counted, Counts, Denials};
 
@@ -39,7 +39,7 @@
     /// A rejection promises that nothing ran, and an attempt may have run.
     RejectionAfterEffect,
     /// A request of the connection is in flight.
-    AnswerOwed,
+    AnswerPending,
     /// Part of an answer is not written to the connection yet.
     AnswerUnwritten,
     /// A request on the connection has not been read.
@@ -58,7 +58,7 @@
         Denial::NoTimeLeft,
         Denial::AttemptsExhausted,
         Denial::RejectionAfterEffect,
-        Denial::AnswerOwed,
+        Denial::AnswerPending,
         Denial::AnswerUnwritten,
         Denial::RequestUnread,
     ];
@@ -75,7 +75,7 @@
             Denial::NoTimeLeft => "no_time_left",
             Denial::AttemptsExhausted => "attempts_spent",
             Denial::RejectionAfterEffect => "refusal_after_effect",
-            Denial::AnswerOwed => "answer_owed",
+            Denial::AnswerPending => "answer_owed",
             Denial::AnswerUnwritten => "answer_unwritten",
             Denial::RequestUnread => "request_unread",
         }
--- a/crates/pintally-guards/tests/guards.rs
+++ b/crates/pintally-guards/tests/guards.rs
@@ -3,7 +3,7 @@
 use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 use pintally_guards::{
     may_close, may_reject, may_send, may_start, CloseReason, ConnectionFacts, Denial, Denials, EngineFacts,
-    MayHaveRun, RequestFacts,
+    RequestFacts, SentAttempt,
 };
 use proptest::prelude::*;
 
@@ -11,7 +11,7 @@
 const DEADLINE: Micros = 5_000_000;
 const NOW: Micros = 1_000_000;
 
-fn request(idempotency: Idempotency, may_have_run: Option<&MayHaveRun>) -> RequestFacts<'_> {
+fn request(idempotency: Idempotency, may_have_run: Option<&SentAttempt>) -> RequestFacts<'_> {
     RequestFacts {
         idempotency,
         closed: false,
@@ -27,8 +27,8 @@
     EngineFacts { listing: EndpointState::Serving, role, zone: "a", rack: 1 }
 }
 
-fn ran(sent: Micros, zone: &str, rack: u64) -> MayHaveRun {
-    MayHaveRun { sent, zone: zone.into(), rack }
+fn ran(sent_at: Micros, zone: &str, rack: u64) -> SentAttempt {
+    SentAttempt { sent_at, zone: zone.into(), rack }
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut denials = Denials::default();
     denials.add(Denial::KeyWindowExpired);
     denials.add(Denial::KeyWindowExpired);
-    denials.add(Denial::AnswerOwed);
+    denials.add(Denial::AnswerPending);
     assert_eq!(
         (denials.of(Denial::KeyWindowExpired), denials.of(Denial::NoTimeLeft), denials.total()),
         (2, 0, 3)
@@ -123,13 +123,13 @@
     /// The node's own reasons never close a connection with a pending answer; reasons on the client's side always do.
     #[test]
     fn node_closes_only_connections_without_pending_data(
-        answer_owed: bool, unwritten in 0usize..3, unread: bool, reason in 0usize..CloseReason::ALL.len()
+        answer_pending: bool, unwritten_bytes in 0usize..3, has_unread_input: bool, reason in 0usize..CloseReason::ALL.len()
     ) {
-        use CloseReason::{Broken, ClientLeft, StreamCut, Stuck};
-        let facts = ConnectionFacts { answer_owed, unwritten, unread };
+        use CloseReason::{ClientLeft, IoError, StreamAborted, WriteTimeout};
+        let facts = ConnectionFacts { answer_pending, unwritten_bytes, has_unread_input };
         let reason = CloseReason::ALL[reason];
-        let voids_owed_answers = [ClientLeft, Broken, Stuck, StreamCut].contains(&reason);
+        let prevents_delivery = [ClientLeft, IoError, WriteTimeout, StreamAborted].contains(&reason);
         let clean = facts == ConnectionFacts::default();
-        prop_assert_eq!(may_close(&facts, reason).is_ok(), voids_owed_answers || clean);
+        prop_assert_eq!(may_close(&facts, reason).is_ok(), prevents_delivery || clean);
     }
 }
--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -36,7 +36,7 @@
     /// The first token has to arrive within this time.
     pub timeout: Micros,
     /// The complete answer has to arrive within this time, if it is not streamed.
-    pub complete_by: Option<Micros>,
+    pub completion_timeout: Option<Micros>,
 }
 
 /// The one final answer of a request.
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -7,7 +7,7 @@
 };
 use pintally_cells::CellName;
 use pintally_engine::Step;
-use pintally_guards::{may_send, Denial, MayHaveRun};
+use pintally_guards::{may_send, Denial, SentAttempt};
 use serde_json::Value;
 
 use super::Host;
@@ -128,7 +128,7 @@
             _ if state.is_some() => Step::Fetch,
             _ => Step::Both,
         };
-        let sent = MayHaveRun { sent: self.now, zone: known.zone.to_string(), rack: known.rack };
+        let sent = SentAttempt { sent_at: self.now, zone: known.zone.to_string(), rack: known.rack };
         record.in_flight = Some(InFlightAttempt::new(attempt, engine.clone(), step, sent));
         let time_left = record.deadline.saturating_sub(self.now);
         out.push(Command::Attempt(AttemptOrder {
@@ -143,7 +143,7 @@
             state: state.filter(|_| step == Step::Fetch),
             max_tokens: record.max_tokens,
             timeout: if timeout == 0 { time_left } else { timeout.min(time_left) },
-            complete_by: (!record.streamed && step != Step::Read).then_some(time_left),
+            completion_timeout: (!record.streamed && step != Step::Read).then_some(time_left),
         }));
         self.counters.attempts += 1;
         self.requests.mark_changed(number);
--- a/crates/pintally-host/src/request_record.rs
+++ b/crates/pintally-host/src/request_record.rs
@@ -3,7 +3,7 @@
 use pintally::interface::{AttemptNumber, EngineId, Idempotency, Micros, Outcome, RequestId};
 use pintally_cells::CellName;
 use pintally_engine::Step;
-use pintally_guards::{MayHaveRun, RequestFacts};
+use pintally_guards::{RequestFacts, SentAttempt};
 use pintally_quota::LimitId;
 
 use crate::reservations::RequestReservations;
@@ -20,7 +20,7 @@
     pub(crate) engine: EngineId,
     pub(crate) step: Step,
     /// When it was sent, and the zone and rack of its engine.
-    pub(crate) sent: MayHaveRun,
+    pub(crate) sent: SentAttempt,
     /// Its first token has arrived.
     pub(crate) has_first_token: bool,
     /// Connection probes that may still be made before the reservations that it may need are released.
@@ -35,7 +35,7 @@
         attempt: AttemptNumber,
         engine: EngineId,
         step: Step,
-        sent: MayHaveRun,
+        sent: SentAttempt,
     ) -> InFlightAttempt {
         InFlightAttempt {
             attempt,
@@ -58,7 +58,7 @@
     /// Whether running it twice is harmless.
     pub(crate) idempotency: Idempotency,
     /// Its first attempt that may have run.
-    pub(crate) may_have_run: Option<MayHaveRun>,
+    pub(crate) may_have_run: Option<SentAttempt>,
     /// Bytes that it holds.
     pub(crate) body_bytes: usize,
     /// An answer that begins by then meets the latency objective.
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -56,7 +56,7 @@
     fn new(shared: &Shared, order: &AttemptOrder, started: Instant) -> Timeouts {
         Timeouts {
             first_token_by: started + Duration::from_micros(order.timeout),
-            complete_by: order.complete_by.map(|micros| started + Duration::from_micros(micros)),
+            complete_by: order.completion_timeout.map(|micros| started + Duration::from_micros(micros)),
             stall: Duration::from_micros(shared.settings.limits.stall_timeout),
             last_read: started,
         }
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -153,7 +153,7 @@
             slots: 0,
             max_tokens: asked.max_tokens,
             timeout: left,
-            complete_by: (!asked.streamed && step != Step::Read).then_some(left),
+            completion_timeout: (!asked.streamed && step != Step::Read).then_some(left),
         }));
     }
 
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -376,7 +376,7 @@
                     };
                     self.flights.insert((node, order.number, order.attempt), flight);
                     self.at(self.now + order.timeout, Event::Late(node, order.number, order.attempt, false));
-                    if let Some(whole) = order.complete_by {
+                    if let Some(whole) = order.completion_timeout {
                         self.at(self.now + whole, Event::Late(node, order.number, order.attempt, true));
                     }
                     self.at(self.now + HOP, Event::Begin(node, Box::new(order)));
--- a/crates/pintally-platform-node/src/client_close.rs
+++ b/crates/pintally-platform-node/src/client_close.rs
@@ -23,7 +23,7 @@
         }
         self.clients.closes.add(reason);
         tracing::debug!(connection = EventSource::Connection(key).token(), reason = reason.name(),
-            state = ?client.state, requests = client.request_count, unwritten_bytes = facts.unwritten,
+            state = ?client.state, requests = client.request_count, unwritten_bytes = facts.unwritten_bytes,
             "client connection closed");
         if let Some(Connection::Client(client)) = self.connections.remove(key) {
             self.clients.count -= 1;
@@ -46,7 +46,7 @@
         let Some(client) = self.client_mut(key) else { return };
         match client.state {
             ClientState::Active(_) => self.client_disconnected(key, reason),
-            ClientState::Receiving if reason == CloseReason::Silent && client.reader.is_partial() => {
+            ClientState::Receiving if reason == CloseReason::ReceiveTimeout && client.reader.is_partial() => {
                 self.reject(key, RequestError { status: 408, message: "the request did not come in time" });
             }
             _ => drop(self.close_client(key, reason)),
--- a/crates/pintally-platform-node/src/client_connection.rs
+++ b/crates/pintally-platform-node/src/client_connection.rs
@@ -134,21 +134,21 @@
     /// that unread bytes do not count.
     pub(crate) fn facts(&self) -> ConnectionFacts {
         ConnectionFacts {
-            answer_owed: matches!(self.state, ClientState::Active(_)),
-            unwritten: self.unwritten_bytes(),
-            unread: self.state == ClientState::Receiving && has_unread_bytes(&self.stream),
+            answer_pending: matches!(self.state, ClientState::Active(_)),
+            unwritten_bytes: self.unwritten_bytes(),
+            has_unread_input: self.state == ClientState::Receiving && has_unread_bytes(&self.stream),
         }
     }
 
     /// The timeout that has expired, if any.
     pub(crate) fn expired(&self, now: Micros, timeouts: &ClientTimeouts) -> Option<CloseReason> {
         if self.write_blocked_since.is_some_and(|since| now >= since + timeouts.write) {
-            return Some(CloseReason::Stuck);
+            return Some(CloseReason::WriteTimeout);
         }
         match self.state {
             ClientState::Active(_) => None,
             ClientState::Closing => (self.write_shut_down && now >= self.last_active + LINGER_TIMEOUT)
-                .then_some(CloseReason::Answered),
+                .then_some(CloseReason::ResponseDelivered),
             ClientState::Receiving => self.receiving_expired(now, timeouts),
         }
     }
@@ -160,19 +160,19 @@
         }
         let is_late = now >= self.receiving_since + timeouts.receive;
         if self.reader.is_partial() {
-            return is_late.then_some(CloseReason::Silent);
+            return is_late.then_some(CloseReason::ReceiveTimeout);
         }
         // The response before has not been taken: the write timeout applies.
         if self.unwritten_bytes() > 0 {
             return None;
         }
         if self.request_count == 0 {
-            return is_late.then_some(CloseReason::Silent);
+            return is_late.then_some(CloseReason::ReceiveTimeout);
         }
         if timeouts.close_idle {
-            return Some(CloseReason::Stopping);
+            return Some(CloseReason::Shutdown);
         }
-        (now >= self.last_active + timeouts.idle).then_some(CloseReason::Idle)
+        (now >= self.last_active + timeouts.idle).then_some(CloseReason::IdleTimeout)
     }
 }
 
--- a/crates/pintally-platform-node/src/client_read.rs
+++ b/crates/pintally-platform-node/src/client_read.rs
@@ -36,7 +36,7 @@
             Ok(0) => return self.client_disconnected(key, CloseReason::ClientLeft),
             Ok(count) => count,
             Err(e) if is_retryable(&e) => return,
-            Err(_) => return self.client_disconnected(key, CloseReason::Broken),
+            Err(_) => return self.client_disconnected(key, CloseReason::IoError),
         };
         // Input after the end is dropped, so that the client reads its response before a reset.
         if client.state == ClientState::Closing {
--- a/crates/pintally-platform-node/src/client_response.rs
+++ b/crates/pintally-platform-node/src/client_response.rs
@@ -89,7 +89,7 @@
         self.complete_response(key);
         if is_cut {
             self.flush_client(key);
-            self.close_client(key, CloseReason::StreamCut);
+            self.close_client(key, CloseReason::StreamAborted);
         }
     }
 
@@ -121,7 +121,7 @@
         let now = self.clock.now();
         let Some(client) = self.client_mut(key) else { return };
         if client.write_output().is_err() {
-            return self.client_disconnected(key, CloseReason::Broken);
+            return self.client_disconnected(key, CloseReason::IoError);
         }
         client.after_write(now);
         let unwritten = client.unwritten_bytes();
@@ -134,7 +134,7 @@
             }
             // Closed unread: the client sends a request that crosses the close again, elsewhere.
             ClientState::Receiving
-                if unwritten == 0 && closes_idle && self.close_client(key, CloseReason::Stopping) =>
+                if unwritten == 0 && closes_idle && self.close_client(key, CloseReason::Shutdown) =>
             {
                 return
             }
--- a/crates/pintally-platform-node/src/engine_timeouts.rs
+++ b/crates/pintally-platform-node/src/engine_timeouts.rs
@@ -50,7 +50,7 @@
     fn expire_stream(&mut self, key: ConnectionKey, stream: StalledStream) {
         let request = self.requests.get(stream.number);
         match request.and_then(|request| request.client).filter(|_| stream.is_paused) {
-            Some(client) => self.client_disconnected(client, CloseReason::Stuck),
+            Some(client) => self.client_disconnected(client, CloseReason::WriteTimeout),
             None => self.abandon(key, Outcome::ConnectionBroken),
         }
     }
