--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct AttemptOrder {
     /// The request.
-    pub ticket: RequestNumber,
+    pub number: RequestNumber,
     /// Its name in this node, the same for all attempts.
     pub request: RequestId,
     /// The attempt.
@@ -36,7 +36,7 @@
     /// The first token has to arrive within this time.
     pub timeout: Micros,
     /// The complete answer has to arrive within this time, if it is not streamed.
-    pub complete_by: Option<Micros>,
+    pub completion_timeout: Option<Micros>,
 }
 
 /// The one final answer of a request.
@@ -63,7 +63,7 @@
     Answer(RequestNumber, FinalAnswer),
     /// No more commands follow for this request: its answer is given and its last attempt has ended. Issued once
     /// for each request that arrived.
-    Over(RequestNumber),
+    RequestComplete(RequestNumber),
     /// Release a reservation, named as the host's [`ReleaseScope`](crate::ReleaseScope) says.
     Release {
         /// What is released.
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -56,7 +56,7 @@
     fn new(shared: &Shared, order: &AttemptOrder, started: Instant) -> Timeouts {
         Timeouts {
             first_token_by: started + Duration::from_micros(order.timeout),
-            complete_by: order.complete_by.map(|micros| started + Duration::from_micros(micros)),
+            complete_by: order.completion_timeout.map(|micros| started + Duration::from_micros(micros)),
             stall: Duration::from_micros(shared.settings.limits.stall_timeout),
             last_read: started,
         }
@@ -86,7 +86,7 @@
     );
     session.attempt = None;
     session.shared.send_input(Input::AttemptEnded {
-        ticket: order.ticket,
+        number: order.number,
         attempt: order.attempt,
         outcome: end.outcome,
         cached_tokens: end.cached_tokens,
@@ -277,7 +277,7 @@
                 Progress::Text(_) if self.order.step == Step::Read => {}
                 Progress::Text(text) => {
                     if !std::mem::replace(&mut self.streaming, true) {
-                        session.shared.send_input(Input::FirstToken(self.order.ticket, self.order.attempt));
+                        session.shared.send_input(Input::FirstToken(self.order.number, self.order.attempt));
                     }
                     session.push_text(&text);
                 }
