--- a/crates/pintally-recovery/src/reservations/publisher.rs
+++ b/crates/pintally-recovery/src/reservations/publisher.rs
@@ -10,7 +10,7 @@
 /// Number of backup nodes of each node.
 pub(super) const BACKUP_NODES: usize = 2;
 /// A reservation younger than this is not worth a message and is not published yet.
-const MIN_AGE: Micros = 100_000;
+const MIN_PUBLISH_AGE: Micros = 100_000;
 /// Largest content of one message, so that the message fits into one packet.
 const MAX_MESSAGE_BYTES: usize = 1_000;
 /// Limit of the messages that are sent at once.
@@ -28,7 +28,7 @@
 impl Publication {
     fn is_due(&self, now: Micros) -> bool {
         match self.published_at {
-            None => now >= self.reserved_at.saturating_add(MIN_AGE),
+            None => now >= self.reserved_at.saturating_add(MIN_PUBLISH_AGE),
             Some(published_at) => now >= published_at.saturating_add(REPUBLISH_INTERVAL),
         }
     }
