--- a/src/interface.rs
+++ b/src/interface.rs
@@ -129,7 +129,7 @@
     pub discovery_mode: DiscoveryMode,
     /// How load reports reach this node.
     pub load_reporting: LoadReporting,
-    /// Whether the registered weights are meant for comparing engines. The router itself does not read this.
+    /// Whether the registered weights are meant for comparing engines; the router does not read this setting.
     pub use_registered_weights: bool,
     /// Whether a writer that finds no state to fetch reads the prompt itself.
     pub writers_read_prompts: bool,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -48,7 +48,7 @@
     readers: u32,
 }
 
-/// When a request was started and when its first token is due.
+/// What the admission measures of a request: its start, its target and its number of attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestTiming {
     pub(super) started_at: Micros,
@@ -61,7 +61,7 @@
     pub(super) fn of(request: &RequestState) -> RequestTiming {
         RequestTiming {
             started_at: request.started_at,
-            target: request.objective as f64 * TARGET_FRACTION,
+            target: request.latency_objective as f64 * TARGET_FRACTION,
             attempts: request.attempts,
         }
     }
@@ -99,9 +99,9 @@
     }
 
     /// How many requests may be started now, before earlier ones get their first tokens. While no writer
-    /// has capacity, requests wait before their read, not after it, when they would hold a read state.
-    /// Each of many nodes may have a limit below one request: a fraction of a request is allowed by a
-    /// minimum time between starts.
+    /// has capacity, requests wait before their read rather than after it, where they would hold a read
+    /// state. The fractional part of the limit, which on one of many nodes may be all of it, is granted as
+    /// a minimum time between starts.
     pub(super) fn dispatch_capacity(&self, now: Micros) -> usize {
         let occupancy = self.occupancy(now);
         let nodes = f64::from(self.settings.node_count.max(1));
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -15,7 +15,7 @@
 /// by this.
 const RESUMED_DUE_DIVISOR: Micros = 3;
 
-/// The priority among pending requests that are alike within or over quota; the least goes first.
+/// The dispatch priority among requests within quota, or among those over quota; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DispatchPriority {
     /// A resumed request that has waited long enough.
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -121,7 +121,7 @@
         let max_budget = self.writer_count().max(per_request);
         self.measurements.health_check_budget =
             (self.measurements.health_check_budget + per_request).min(max_budget);
-        let seed = self.random.draw();
+        let seed = self.random.next_u64();
         let likely = self.likely_writers(now, reader, seed);
         let max_checks = (per_request as usize).min(self.measurements.health_check_budget as usize);
         // If all of them would be in the reader's rack, one outside replaces the last, for a choice.
--- a/src/policy/reader_choice.rs
+++ b/src/policy/reader_choice.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 use crate::state::RequestState;
 
-/// Fewer expected cached tokens than this count as no match. It is the smallest cache block of the paper.
+/// Fewer expected cached tokens than this count as no match (the smallest cache block size in the paper).
 const MIN_MATCH_TOKENS: f64 = 16.0;
 /// Where a prefix has several replicas, a session leaves its own for another only if that one has this many
 /// times as many tokens in its cache.
--- a/src/policy/releases.rs
+++ b/src/policy/releases.rs
@@ -43,7 +43,7 @@
     /// The time after which a rejected client should retry, with jitter so that not all retry at once.
     fn retry_after(&mut self) -> Option<Micros> {
         let longest = self.settings.max_retry_after;
-        let drawn = self.random.draw();
+        let drawn = self.random.next_u64();
         if !self.settings.clients_honour_retry_after || longest == 0 {
             return None;
         }
--- a/src/policy/spill.rs
+++ b/src/policy/spill.rs
@@ -67,7 +67,7 @@
 
     /// Tokens queued to be read at an engine: those of this node or, if that is more, those that the engine
     /// has reported for all nodes, less what it can have read since. The report covers load that other nodes
-    /// put on keys and engines.
+    /// put on keys and engines; it counts the less, the more of the traffic this node sees itself.
     pub(super) fn read_queue(&self, now: Micros, index: usize) -> f64 {
         let engine = &self.engines[index];
         let Some(report) = engine.report.filter(|report| now < report.at + AFFINITY_HALF_LIFE_US) else {
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -12,8 +12,8 @@
 
 impl Router {
     /// The timeout of the next attempt, which guards against engines that stop answering. An attempt that may
-    /// run a request that must not run twice gets all of the remaining time, because after an early timeout
-    /// it could not be repeated. So does a read by a node that sees next to nothing of the fleet: the node
+    /// run a request that is not idempotent gets all of the remaining time, because giving it up early would
+    /// gain nothing. So does a read by a node that sees next to nothing of the fleet: the node
     /// knows of no better reader, and a read that it moves is done twice and evicts cached prefixes of other
     /// requests.
     pub(super) fn attempt_timeout(
--- a/src/policy/writer_choice.rs
+++ b/src/policy/writer_choice.rs
@@ -77,7 +77,7 @@
         self.shift_load_to_other_racks(rack, &mut least_loaded);
         let nearest = least_loaded.iter().map(|&index| self.distance(reader, index)).min()?;
         least_loaded.retain(|&index| self.distance(reader, index) == nearest);
-        let pick = self.random.draw() as usize % least_loaded.len();
+        let pick = self.random.next_u64() as usize % least_loaded.len();
         Some(least_loaded[pick])
     }
 
@@ -141,7 +141,7 @@
         if !any_in_rack || !self.without_load_reports() {
             return;
         }
-        let drawn = self.random.draw_fraction();
+        let drawn = self.random.next_fraction();
         let has_capacity = |index: &usize| self.expected_rack_load(self.engines[*index].rack) < 1.0;
         if drawn * self.expected_rack_load(rack) > LOAD_BOUND_FACTOR && writers.iter().any(has_capacity) {
             writers.retain(has_capacity);
--- a/src/state/rack.rs
+++ b/src/state/rack.rs
@@ -5,10 +5,12 @@
 use super::{AttemptKind, Engine, MovingMean};
 use crate::interface::*;
 
-/// A rack: its serving engines that only read, those that write, and its link to other racks.
+/// A rack with its engines and its link to other racks.
 #[derive(Default)]
 pub(crate) struct Rack {
+    /// The number of serving engines that only read.
     pub(crate) readers: f64,
+    /// The number of serving engines that write.
     pub(crate) writers: f64,
     /// Moving mean of the wait for a first token when a state leaves the rack over its link, in microseconds.
     pub(crate) outbound_wait: MovingMean,
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -5,7 +5,7 @@
 
 impl Random {
     /// The next number.
-    pub(crate) fn draw(&mut self) -> u64 {
+    pub(crate) fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -14,7 +14,7 @@
     }
 
     /// The next number as a fraction between 0 and 1.
-    pub(crate) fn draw_fraction(&mut self) -> f64 {
-        self.draw() as f64 / u64::MAX as f64
+    pub(crate) fn next_fraction(&mut self) -> f64 {
+        self.next_u64() as f64 / u64::MAX as f64
     }
 }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -38,7 +38,7 @@
     /// When its first token is due by its latency objective.
     pub(crate) first_token_due_at: Micros,
     /// Its class's latency objective for a prompt of its length.
-    pub(crate) objective: Micros,
+    pub(crate) latency_objective: Micros,
     pub(crate) deadline: Micros,
     pub(crate) over_quota: bool,
     /// Attempts sent so far.
@@ -67,7 +67,7 @@
         request: Request,
         idempotency: Idempotency,
         first_arrived_at: Micros,
-        objective: Micros,
+        latency_objective: Micros,
         over_quota: bool,
     ) -> RequestState {
         let deadline = now.saturating_add(request.client_timeout);
@@ -75,8 +75,8 @@
             idempotency,
             arrived_at: now,
             started_at: now,
-            first_token_due_at: first_arrived_at.saturating_add(objective).min(deadline),
-            objective,
+            first_token_due_at: first_arrived_at.saturating_add(latency_objective).min(deadline),
+            latency_objective,
             first_arrived_at,
             deadline,
             over_quota,
