--- a/src/policy/writer_choice.rs
+++ b/src/policy/writer_choice.rs
@@ -120,8 +120,8 @@
         (own + others.unwrap_or(own)) / engine.relative_weight * self.slowdown(now, index)
     }
 
-    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load a near
-    /// writer may have.
+    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load a
+    /// near writer may have.
     fn least_loaded(&self, now: Micros, rack: u64, writers: &[LoadedWriter]) -> Vec<usize> {
         let least = writers.iter().map(|writer| writer.load).fold(f64::INFINITY, f64::min);
         let bonus_streams = if self.without_load_reports() {
