--- a/src/policy/writer_choice.rs
+++ b/src/policy/writer_choice.rs
@@ -77,7 +77,7 @@
         self.shift_load_to_other_racks(rack, &mut least_loaded);
         let nearest = least_loaded.iter().map(|&index| self.distance(reader, index)).min()?;
         least_loaded.retain(|&index| self.distance(reader, index) == nearest);
-        let pick = self.random.draw() as usize % least_loaded.len();
+        let pick = self.random.next_u64() as usize % least_loaded.len();
         Some(least_loaded[pick])
     }
 
@@ -120,8 +120,8 @@
         (own + others.unwrap_or(own)) / engine.relative_weight * self.slowdown(now, index)
     }
 
-    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load a near
-    /// writer may have.
+    /// The writers that count as least loaded. The more a transfer out of the rack costs, the more load a
+    /// near writer may have.
     fn least_loaded(&self, now: Micros, rack: u64, writers: &[LoadedWriter]) -> Vec<usize> {
         let least = writers.iter().map(|writer| writer.load).fold(f64::INFINITY, f64::min);
         let bonus_streams = if self.without_load_reports() {
@@ -141,7 +141,7 @@
         if !any_in_rack || !self.without_load_reports() {
             return;
         }
-        let drawn = self.random.draw_fraction();
+        let drawn = self.random.next_fraction();
         let has_capacity = |index: &usize| self.expected_rack_load(self.engines[*index].rack) < 1.0;
         if drawn * self.expected_rack_load(rack) > LOAD_BOUND_FACTOR && writers.iter().any(has_capacity) {
             writers.retain(has_capacity);
