--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -38,15 +38,23 @@
 fn contradictions_carry_positions() {
     let text = example();
     for (from, to, what) in [
-        ("(names \"n0\" \"n1\" \"n2\")", "(names \"n0\" \"n0\")", "named twice"),
+        ("(names \"n0\" \"n1\" \"n2\")", "(names \"n0\" \"n0\")", "`names` must name each replica once"),
         ("(keepers (names \"n0\" \"n1\" \"n2\"))", "", "need `(keepers ...)`"),
-        ("(names \"n0\" \"n1\" \"n2\")", "(names \"n0\") (beat-ms 500)", "under three beats"),
+        (
+            "(names \"n0\" \"n1\" \"n2\")",
+            "(names \"n0\") (beat-ms 500)",
+            "`election-ms` must be at least three times `beat-ms`",
+        ),
         ("(counts requests)", "(counts apples)", "not requests, tokens, streams or retries"),
         ("(counts requests) (most 200)", "(counts requests)", "lacks `(most ...)`"),
         ("(tenant \"labs\") (counts requests)", "(tenant \"nobody\") (counts requests)", "no `tenant`"),
         ("\"labs-streams\"", "\"labs-requests\"", "cannot be told apart"),
         ("(bound soft)", "(bound hardly)", "not hard or soft"),
-        ("(shared-limits", "(shared-limits (lease-ms 500)", "asked for four times"),
+        (
+            "(shared-limits",
+            "(shared-limits (lease-ms 500)",
+            "`lease-ms` must be at least four times `every-ms`",
+        ),
         ("(verdicts)", "(verdicts (rest-ms 9000) (rest-most-ms 100))", "the rest is nothing"),
         ("(zone \"south-1\" \"south\")", "", "no zone of a region is named `south-1`"),
         (
--- a/crates/pintally-consensus/src/lib.rs
+++ b/crates/pintally-consensus/src/lib.rs
@@ -1,14 +1,15 @@
-//! A replicated key-value store for the little that a fleet has to agree on, held by three or five
-//! replicas.
+//! A replicated key-value store for the small amount of data on which all nodes of a fleet have to agree.
+//! Three or five nodes run a replica of it.
 //!
 //! Terms, votes and the replicated log follow Raft (Ongaro and Ousterhout 2014); membership changes of
 //! one replica at a time and the pre-vote follow Ongaro's thesis (2014); the leader's lease follows Gray
-//! and Cheriton (1989). One thing differs: a restarted replica does not trust its disk. It asks the other
-//! replicas for their logs first, and afterwards votes only for candidates whose log is at least as long
-//! as the longest one reported ([`Replica`]).
+//! and Cheriton (1989). One thing differs: a restarted replica does not trust its disk. It first asks the
+//! other replicas how long their logs are, and afterwards votes only for candidates whose log is at least
+//! as long as the longest one reported ([`Replica`]).
 //!
-//! The package performs no input or output. Messages, time and randomness are passed in; what has to be
-//! persisted and sent is returned, in that order. `docs/consensus.md` has the proofs and bounds.
+//! The package performs no input or output. The caller passes in messages, the time and a seed for random
+//! numbers, and receives the state to persist and the messages to send, in that order. The proofs and
+//! bounds are in `docs/consensus.md`.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-consensus/src/log.rs
+++ b/crates/pintally-consensus/src/log.rs
@@ -1,19 +1,19 @@
-//! The replicated log: entries that follow a snapshot.
+//! The replicated log: a snapshot and the entries that follow it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::store::Write;
 use crate::ReplicaName;
 
-/// Encoded bytes of an entry without its command, at most.
+/// Upper bound for the encoded size of an entry without its command.
 const MAX_ENTRY_OVERHEAD_BYTES: usize = 16;
-/// Encoded bytes of the lengths and the expected version of a write, at most.
+/// Upper bound for the encoded size of the lengths and the expected version of a write.
 const MAX_WRITE_OVERHEAD_BYTES: usize = 24;
-/// Encoded bytes of the length of a replica's name, at most.
+/// Upper bound for the encoded size of the length of a replica's name.
 const MAX_NAME_OVERHEAD_BYTES: usize = 2;
 
-/// A position in the log. Of two logs the one that ends at the greater position contains every entry
-/// that can have been committed.
+/// A position in the log. Positions are ordered by term and then by index. Of two logs, the one that ends
+/// at the greater position contains every entry that can have been committed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The term in which the entry was created.
@@ -25,9 +25,9 @@
 /// The command of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogCommand {
-    /// The first entry of a new leader: committing it commits everything before it.
+    /// The first entry of a new leader; committing it also commits all earlier entries.
     Noop,
-    /// The set of replicas from this entry on.
+    /// Sets the replicas of the group from this entry on.
     ChangeReplicas(Vec<ReplicaName>),
     /// A write to the store.
     Write(Write),
@@ -38,7 +38,7 @@
 pub struct LogEntry {
     /// The term in which the entry was created.
     pub term: u64,
-    /// What the entry does once it is committed.
+    /// The command that is applied once the entry is committed.
     pub command: LogCommand,
 }
 
@@ -112,7 +112,8 @@
             .map_or(0, |offset| self.last_included.index + 1 + offset as u64)
     }
 
-    /// The entries from an index on that fit into a number of bytes, but at least one if there is any.
+    /// The entries from an index on whose total size is at most `max_bytes`, but at least one entry if
+    /// there is any.
     pub(crate) fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<LogEntry> {
         let skipped = index.saturating_sub(self.last_included.index + 1) as usize;
         let mut remaining_bytes = max_bytes;
@@ -128,8 +129,8 @@
         selected
     }
 
-    /// Appends the entries that follow `prev_index`. An entry that conflicts with a received one is
-    /// removed together with all that follow it. Returns whether the log changed.
+    /// Appends the entries that follow `prev_index`. An existing entry that conflicts with a received one
+    /// is removed together with all entries after it. Returns whether the log changed.
     pub(crate) fn merge(&mut self, prev_index: u64, entries: Vec<LogEntry>) -> bool {
         let mut changed = false;
         for (index, entry) in (prev_index + 1..).zip(entries) {
--- a/crates/pintally-consensus/src/message.rs
+++ b/crates/pintally-consensus/src/message.rs
@@ -8,8 +8,8 @@
 use crate::log::{LogEntry, LogPosition};
 use crate::{Micros, ReplicaName};
 
-/// Bytes of log entries, or of a chunk of a snapshot, in one message: together with the other fields a
-/// message stays below the size of a datagram.
+/// The maximum size of the log entries, or of the snapshot chunk, in one message. It leaves room for the
+/// other fields, so that a message fits into a datagram.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 640;
 
 /// A message from one replica to another.
@@ -21,7 +21,7 @@
         term: u64,
         /// The end of the candidate's log.
         last_log: LogPosition,
-        /// Whether this is a pre-vote, which commits nobody to anything.
+        /// Whether this is a pre-vote; granting one does not bind the voter.
         pre_vote: bool,
     },
     /// The answer to [`Message::RequestVote`].
@@ -52,7 +52,7 @@
         term: u64,
         /// Whether the follower's log matches the leader's up to `match_index`.
         success: bool,
-        /// On success the last matching index, otherwise an upper bound for it.
+        /// On success the index of the last matching entry, otherwise an upper bound for it.
         match_index: u64,
         /// `sent_at` of the request.
         sent_at: Micros,
@@ -86,7 +86,7 @@
         /// `sent_at` of the request.
         sent_at: Micros,
     },
-    /// A restarted replica asks for the state of another's log.
+    /// A restarted replica asks another one for the state of its log.
     RecoveryRequest,
     /// The answer to [`Message::RecoveryRequest`].
     RecoveryResponse {
@@ -94,7 +94,7 @@
         term: u64,
         /// The end of the sender's log.
         last_log: LogPosition,
-        /// Whether the sender has never had any state.
+        /// Whether the sender has never stored any state.
         empty: bool,
         /// The replicas, as far as the sender knows.
         replicas: Vec<ReplicaName>,
--- a/crates/pintally-consensus/src/output.rs
+++ b/crates/pintally-consensus/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica hands back to its caller after each event.
+//! The actions that a replica returns to its caller after each event.
 
 use std::fmt;
 
@@ -14,8 +14,9 @@
     Save(Vec<u8>),
     /// Send this message to another replica.
     Send(ReplicaName, Message),
-    /// The proposal with this number was committed and applied: the resulting version, or, if the write
-    /// was conditional and failed, the version that is stored instead.
+    /// The proposal with this number was committed and applied. `Ok` holds the new version of the key (for
+    /// a membership change: the index of its entry); `Err` holds the unchanged version of the key if the
+    /// write had no effect, for example because it expected another version.
     ProposalApplied(u64, Result<u64, u64>),
     /// The proposal with this number was rejected by this replica; see
     /// [`ProposalError::LeadershipLost`] for the case in which a later leader may still commit it.
@@ -27,7 +28,7 @@
 /// Why a proposal was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalError {
-    /// This replica is not the leader; the name of the leader, if one is known.
+    /// This replica is not the leader. Contains the name of the leader, if one is known.
     NotLeader(Option<ReplicaName>),
     /// Leadership was lost before the entry was committed: it may or may not be committed later.
     LeadershipLost,
--- a/crates/pintally-consensus/src/persistence/tests.rs
+++ b/crates/pintally-consensus/src/persistence/tests.rs
@@ -1,4 +1,4 @@
-//! The persisted state as bytes: a later build reads what an earlier one has stored.
+//! The encoding of the persisted state does not change: a later build reads what an earlier one stored.
 
 use super::*;
 use crate::log::{LogCommand, LogEntry, LogPosition};
@@ -10,7 +10,7 @@
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    let byte = |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).unwrap();
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -31,7 +31,7 @@
 }
 
 fn persistent_state() -> PersistentState {
-    let replicas = |names: &[&str]| names.iter().map(|n| ReplicaName::from(*n)).collect::<Vec<_>>();
+    let replicas = |names: &[&str]| names.iter().map(|name| ReplicaName::from(*name)).collect::<Vec<_>>();
     let write = Write { key: "limit/c".into(), value: vec![9], expect: Some(0) };
     let entry = |term, command| LogEntry { term, command };
     let entries = vec![
@@ -50,21 +50,21 @@
 
 #[test]
 fn snapshot_bytes_are_stable() {
-    assert_bytes("register", &store().encode());
-    assert_eq!(KeyValueStore::decode(&golden("register")), Some(store()));
-    assert_bytes("register_empty", &KeyValueStore::default().encode());
-    assert_eq!(KeyValueStore::decode(&golden("register_empty")), Some(KeyValueStore::default()));
+    assert_bytes("store", &store().encode());
+    assert_eq!(KeyValueStore::decode(&golden("store")), Some(store()));
+    assert_bytes("store_empty", &KeyValueStore::default().encode());
+    assert_eq!(KeyValueStore::decode(&golden("store_empty")), Some(KeyValueStore::default()));
 }
 
 #[test]
 fn persisted_state_bytes_are_stable() {
     for (name, value) in [("state", persistent_state()), ("state_empty", PersistentState::default())] {
         assert_bytes(name, &postcard::to_stdvec(&value).unwrap());
-        let read: PersistentState = postcard::from_bytes(&golden(name)).unwrap();
-        assert_eq!(read.log, value.log, "log of {name}");
-        assert_eq!(read.current_term, value.current_term, "term of {name}");
-        assert_eq!(read.voted_for, value.voted_for, "vote of {name}");
-        assert_eq!(read.initialized, value.initialized, "flag of {name}");
+        let decoded: PersistentState = postcard::from_bytes(&golden(name)).unwrap();
+        assert_eq!(decoded.log, value.log, "log of {name}");
+        assert_eq!(decoded.current_term, value.current_term, "term of {name}");
+        assert_eq!(decoded.voted_for, value.voted_for, "vote of {name}");
+        assert_eq!(decoded.initialized, value.initialized, "flag of {name}");
     }
 }
 
--- a/crates/pintally-consensus/src/replica.rs
+++ b/crates/pintally-consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica of the group: its state and the dispatch of events to the modules below.
+//! A replica of the group: its state, and the dispatch of events to the submodules.
 
 mod election;
 mod leadership;
@@ -34,8 +34,8 @@
 /// A replica of the group.
 ///
 /// The caller passes in messages and the time, and carries out the returned [`Output`] in order. After a
-/// start a replica neither votes nor acknowledges anything until it has asked the others for their state,
-/// because its disk may have lost what it promised.
+/// start a replica neither votes nor acknowledges entries until it has asked the others for their state,
+/// because its disk may have lost a vote or an acknowledged entry.
 #[derive(Clone)]
 pub struct Replica {
     settings: Settings,
@@ -45,33 +45,40 @@
     commit_index: u64,
     last_applied: u64,
     role: Role,
-    /// The recovery of votes after a start, while it lasts.
+    /// The recovery of votes after a start, while it is in progress.
     vote_recovery: Option<VoteRecovery>,
     /// Whether the disk showed no sign of loss or corruption at the start.
     disk_intact: bool,
     /// The longest log that others reported after a start: a candidate with a shorter one gets no vote.
     min_log_position: LogPosition,
     leader: Option<ReplicaName>,
-    /// No vote is granted before this time: there is a leader, or there was one before the start.
+    /// No vote is granted before this time, because a leader was heard shortly before or may have been
+    /// heard before the start.
     sticky_until: Micros,
     election_due: Micros,
-    /// What the leader knows of the other replicas, and of one that is joining.
+    /// The replication progress of the other replicas and of the joining one, maintained by the leader.
     progress: BTreeMap<ReplicaName, FollowerProgress>,
     joining: Option<ReplicaName>,
-    /// By the index of their entry.
+    /// Pending proposals by the index of their log entry.
     pending_proposals: BTreeMap<u64, PendingProposal>,
     incoming_snapshot: Option<IncomingSnapshot>,
     outbox: Outbox,
 }
 
 impl Replica {
-    /// Creates a replica at the start of a process. `saved` holds the bytes of the last
-    /// [`Output::Save`] that the disk returned; `clean` says that the disk showed no sign of loss or
-    /// corruption.
-    pub fn new(settings: Settings, saved: Option<&[u8]>, clean: bool, seed: u64, now: Micros) -> Replica {
-        let decoded = saved.and_then(PersistentState::decode);
-        let disk_intact = clean && decoded.is_some();
-        let (mut persistent, store) = with_store(decoded.unwrap_or_default());
+    /// Creates a replica at the start of a process. `saved_state` holds the bytes of the last
+    /// [`Output::Save`] that the disk returned; `disk_undamaged` says that the disk showed no sign of loss
+    /// or corruption.
+    pub fn new(
+        settings: Settings,
+        saved_state: Option<&[u8]>,
+        disk_undamaged: bool,
+        seed: u64,
+        now: Micros,
+    ) -> Replica {
+        let decoded = saved_state.and_then(PersistentState::decode);
+        let disk_intact = disk_undamaged && decoded.is_some();
+        let (mut persistent, store) = decode_store(decoded.unwrap_or_default());
         if !persistent.initialized {
             persistent.log.snapshot_replicas = settings.replicas.clone();
         }
@@ -100,7 +107,7 @@
         replica
     }
 
-    /// The store with all entries that this replica has applied; it may be behind the leader's.
+    /// The store with all entries that this replica has applied. It may be behind the leader's store.
     pub fn store(&self) -> &KeyValueStore {
         &self.store
     }
@@ -152,7 +159,7 @@
         }
     }
 
-    /// Does what is due at this time.
+    /// Performs the actions that are due at this time.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.vote_recovery.is_some() {
             self.request_recovery(now);
@@ -176,7 +183,8 @@
                 let reported = StoredState { term, last_log, empty, replicas };
                 self.on_recovery_response(now, from, reported);
             }
-            // Until it knows what it has promised, it promises and acknowledges nothing.
+            // Until the recovery of votes ends, the replica does not know which votes it granted and which
+            // entries it acknowledged before the restart, so it does neither.
             _ if self.vote_recovery.is_some() => {}
             Message::RequestVote { .. } | Message::RequestVoteResponse { .. } => {
                 self.on_election_message(now, from, message);
@@ -248,7 +256,7 @@
         self.replicas().iter().filter(|name| **name != self.settings.name).cloned().collect()
     }
 
-    /// Moves to a later term, in which no vote has been given yet.
+    /// Moves to a later term, in which this replica has not voted yet.
     fn adopt_term(&mut self, term: u64) {
         if term > self.persistent.current_term {
             self.persistent.current_term = term;
@@ -262,8 +270,8 @@
     }
 }
 
-/// Decodes the store of a persisted state. A corrupt snapshot makes the whole state worthless.
-fn with_store(persistent: PersistentState) -> (PersistentState, KeyValueStore) {
+/// Decodes the store of a persisted state. If the snapshot is corrupt the whole state is discarded.
+fn decode_store(persistent: PersistentState) -> (PersistentState, KeyValueStore) {
     match KeyValueStore::decode(&persistent.log.snapshot) {
         Some(store) => (persistent, store),
         None => (PersistentState::default(), KeyValueStore::default()),
--- a/crates/pintally-consensus/src/replica/election.rs
+++ b/crates/pintally-consensus/src/replica/election.rs
@@ -12,23 +12,23 @@
 use super::{ElectionPhase, Replica, Role};
 
 impl Replica {
-    /// Draws the next election timeout: between one and two times the configured one, so that candidates
-    /// rarely coincide.
+    /// Draws the next election timeout at random between one and two times the configured one, so that two
+    /// replicas rarely become candidates at the same time.
     pub(super) fn reset_election_timer(&mut self, now: Micros) {
         let timeout = self.settings.election_timeout;
         self.election_due = now + timeout + self.rng.random_range(0..=timeout);
     }
 
-    /// Becomes a candidate, unless this replica may not lead.
+    /// Becomes a candidate, unless this replica must not lead.
     pub(super) fn start_election(&mut self, now: Micros, phase: ElectionPhase) {
         self.reset_election_timer(now);
-        // Guards against a minimum that nobody reaches any more: it may have been an entry that was never
-        // committed and that its holder has lost since. There is no leader, so all are asked again; what
-        // was committed is still stored by enough of them.
+        // Guards against a minimum log position that no replica reaches any more: it may stem from an entry
+        // that was never committed and that its only holder has lost since. As there is no leader, the
+        // recovery is restarted; committed entries are still stored by enough replicas.
         if self.last_log_position() < self.min_log_position {
             return self.restart_recovery(now);
         }
-        // A replica outside the group, or one without any state, is no candidate.
+        // A replica outside the group, or one without any state, does not become a candidate.
         if !self.is_voter() || self.stored_state().empty {
             return;
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Goes on to the next phase once a majority has granted its votes.
+    /// Proceeds to the next phase once a majority has granted its votes.
     fn count_votes(&mut self, now: Micros) {
         let Role::Candidate { phase, votes } = &self.role else { return };
         let replicas = self.replicas();
@@ -73,8 +73,8 @@
         last_log: LogPosition,
         phase: ElectionPhase,
     ) {
-        // Leader stickiness. Guards against a replica that was disconnected and, once it is back, deposes
-        // a healthy leader. The leader's lease depends on it.
+        // Leader stickiness. Guards against a replica that was disconnected and deposes a healthy leader
+        // when it reconnects. The leader's lease depends on it.
         if now < self.sticky_until || self.leadership(now).is_some() {
             return;
         }
@@ -98,8 +98,8 @@
             self.become_follower(now, term);
         }
         let voted_for = self.persistent.voted_for.as_ref();
-        let is_vote_free = voted_for.is_none_or(|name| name == candidate);
-        let granted = term == self.persistent.current_term && is_up_to_date && is_vote_free;
+        let is_vote_available = voted_for.is_none_or(|name| name == candidate);
+        let granted = term == self.persistent.current_term && is_up_to_date && is_vote_available;
         if granted {
             self.persistent.voted_for = Some(candidate.clone());
             self.outbox.request_save();
--- a/crates/pintally-consensus/src/replica/leadership.rs
+++ b/crates/pintally-consensus/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! The lease of a leader, its heartbeats, and how leadership begins and ends.
+//! The lease and the heartbeats of a leader, and the start and end of leadership.
 
 use crate::log::{LogCommand, LogEntry};
 use crate::output::{Output, ProposalError};
@@ -11,16 +11,17 @@
 const ELECTION_TIMEOUTS_BEFORE_STEP_DOWN: u64 = 2;
 
 impl Replica {
-    /// The term in which this replica is certainly the only leader at this time, and since when it has
-    /// been. A replica that was paused finds by the clock alone that its leadership has ended.
+    /// The term in which this replica is certainly the only leader at this time, and the time of its
+    /// election. The result depends on the clock, so a leader that was paused detects the end of its
+    /// leadership before it receives any message.
     pub fn leadership(&self, now: Micros) -> Option<(u64, Micros)> {
         let Role::Leader { elected_at, .. } = self.role else { return None };
         let lease_end = self.lease_end()?;
         (now < lease_end).then_some((self.persistent.current_term, elected_at))
     }
 
-    /// When the leader's lease ends: a majority, this replica included, has answered what was sent one
-    /// lease before or later.
+    /// When the leader's lease ends. The lease starts at the latest time such that a majority, this replica
+    /// included, has answered a message sent then or later.
     pub(super) fn lease_end(&self) -> Option<Micros> {
         let Role::Leader { next_heartbeat, .. } = self.role else { return None };
         let replicas = self.replicas();
@@ -32,13 +33,15 @@
             })
             .collect();
         acknowledged.sort_unstable_by(|a, b| b.cmp(a));
-        let by_majority = *acknowledged.get(majority(replicas.len()) - 1)?;
-        // A single replica is its own majority.
-        let lease_start = if by_majority == Micros::MAX { next_heartbeat } else { by_majority };
+        let acknowledged_by_majority = *acknowledged.get(majority(replicas.len()) - 1)?;
+        // A single replica is a majority by itself.
+        let lease_start =
+            if acknowledged_by_majority == Micros::MAX { next_heartbeat } else { acknowledged_by_majority };
         Some(lease_start.saturating_add(self.settings.leader_lease()))
     }
 
-    /// Sends heartbeats when they are due. A leader that has lost its majority for long steps down.
+    /// Sends heartbeats when they are due. A leader that has been without a majority for too long steps
+    /// down.
     pub(super) fn tick_leader(&mut self, now: Micros) {
         let Role::Leader { next_heartbeat, .. } = &mut self.role else { return };
         if now < *next_heartbeat {
@@ -67,7 +70,7 @@
         self.advance_commit_index(now);
     }
 
-    /// The very first entry of a log records the replicas, so that no snapshot is needed for them.
+    /// The first entry of an empty log records the replicas, so that no snapshot is needed for them.
     fn first_command_of_term(&self) -> LogCommand {
         if self.last_log_position().index == 0 {
             LogCommand::ChangeReplicas(self.replicas().to_vec())
--- a/crates/pintally-consensus/src/replica/membership_change.rs
+++ b/crates/pintally-consensus/src/replica/membership_change.rs
@@ -10,9 +10,9 @@
 use super::Replica;
 
 impl Replica {
-    /// Proposes another set of replicas, which adds or removes exactly one. A replica that is added has to
-    /// catch up first: until it has, the proposal is rejected as [`ProposalError::Busy`] and has to be
-    /// repeated. The result is returned as [`Output::ProposalApplied`] or [`Output::ProposalRejected`] with `number`.
+    /// Proposes a set of replicas that adds or removes exactly one. An added replica has to catch up first:
+    /// until it has, the proposal is rejected as [`ProposalError::Busy`] and has to be repeated. The result
+    /// is returned as [`Output::ProposalApplied`] or [`Output::ProposalRejected`] with `number`.
     pub fn propose_replicas(
         &mut self,
         now: Micros,
@@ -38,10 +38,10 @@
                 return self.flush(out);
             }
         }
-        self.enter_proposal(now, number, LogCommand::ChangeReplicas(replicas), out);
+        self.append_proposal(now, number, LogCommand::ChangeReplicas(replicas), out);
     }
 
-    /// Whether the previous change and an entry of this term are committed.
+    /// Whether the previous membership change and an entry of this term are committed.
     fn is_ready_for_change(&self) -> bool {
         let log = &self.persistent.log;
         let is_own_term_committed = log.term_of(self.commit_index) == Some(self.persistent.current_term);
@@ -52,7 +52,7 @@
         self.progress.get(name).is_some_and(|progress| progress.match_index >= self.commit_index)
     }
 
-    /// A leader that has removed itself steps down once that is committed.
+    /// A leader that has removed itself steps down once its removal is committed.
     pub(super) fn step_down_if_removed(&mut self, now: Micros) {
         let is_change_committed = self.commit_index >= self.persistent.log.last_replica_change();
         if self.role.is_leader() && !self.is_voter() && is_change_committed {
--- a/crates/pintally-consensus/src/replica/outbox.rs
+++ b/crates/pintally-consensus/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! Collects the output of one event and returns it in the order in which it has to be carried out.
+//! Collects the output of one event and returns it in the order in which the caller has to carry it out.
 
 use crate::message::Message;
 use crate::output::Output;
@@ -8,40 +8,41 @@
 /// The output of the current event.
 #[derive(Clone, Default)]
 pub(super) struct Outbox {
-    save: bool,
-    store_changed: bool,
+    save_requested: bool,
+    state_changed: bool,
     messages: Vec<(ReplicaName, Message)>,
     proposal_results: Vec<Output>,
 }
 
 impl Outbox {
-    /// The persistent state has changed and has to be saved before any message is sent.
+    /// Requests that the persistent state, which has changed, is saved before any message is sent.
     pub(super) fn request_save(&mut self) {
-        self.save = true;
+        self.save_requested = true;
     }
 
-    /// The store or the set of replicas has changed.
+    /// Reports that the store or the set of replicas has changed.
     pub(super) fn notify_change(&mut self) {
-        self.store_changed = true;
+        self.state_changed = true;
     }
 
     pub(super) fn send(&mut self, to: ReplicaName, message: Message) {
         self.messages.push((to, message));
     }
 
-    /// Reports the result of a proposal, after the messages.
+    /// Reports the result of a proposal. It is returned after the messages.
     pub(super) fn report(&mut self, result: Output) {
         self.proposal_results.push(result);
     }
 
-    /// Moves everything to `out`: first what has to be saved, since the messages promise it.
+    /// Moves everything to `out`. The state to save comes first, because the messages rely on it being
+    /// durable.
     pub(super) fn flush(&mut self, persistent: &PersistentState, out: &mut Vec<Output>) {
-        if std::mem::take(&mut self.save) {
+        if std::mem::take(&mut self.save_requested) {
             out.push(Output::Save(persistent.encode()));
         }
         out.extend(self.messages.drain(..).map(|(to, message)| Output::Send(to, message)));
         out.append(&mut self.proposal_results);
-        if std::mem::take(&mut self.store_changed) {
+        if std::mem::take(&mut self.state_changed) {
             out.push(Output::StateChanged);
         }
     }
--- a/crates/pintally-consensus/src/replica/proposals.rs
+++ b/crates/pintally-consensus/src/replica/proposals.rs
@@ -1,4 +1,5 @@
-//! Proposals: how they enter the leader's log, and how committed entries are applied to the store.
+//! Proposals: how they are appended to the leader's log, and how committed entries are applied to the
+//! store.
 
 use crate::log::LogCommand;
 use crate::output::{Output, ProposalError};
@@ -7,7 +8,7 @@
 
 use super::Replica;
 
-/// Proposals that may be pending at a leader.
+/// The maximum number of pending proposals at a leader.
 const MAX_PENDING_PROPOSALS: usize = 256;
 
 /// A proposal whose entry is not committed yet.
@@ -15,22 +16,22 @@
 pub(super) struct PendingProposal {
     /// The term of its entry.
     pub(super) term: u64,
-    /// The number by which the caller knows it.
+    /// The number by which the caller identifies it.
     pub(super) number: u64,
 }
 
 impl Replica {
-    /// Proposes a write to the store. Its result is returned as [`Output::ProposalApplied`] or [`Output::ProposalRejected`]
-    /// with `number`, now or after a later event.
+    /// Proposes a write to the store. The result is returned as [`Output::ProposalApplied`] or
+    /// [`Output::ProposalRejected`] with `number`, now or after a later event.
     pub fn propose(&mut self, now: Micros, number: u64, write: Write, out: &mut Vec<Output>) {
         if !write.is_within_bounds() {
             return out.push(Output::ProposalRejected(number, ProposalError::OutOfBounds));
         }
-        self.enter_proposal(now, number, LogCommand::Write(write), out);
+        self.append_proposal(now, number, LogCommand::Write(write), out);
     }
 
     /// Appends a proposal to the log if this replica is the leader and has capacity for it.
-    pub(super) fn enter_proposal(
+    pub(super) fn append_proposal(
         &mut self,
         now: Micros,
         number: u64,
@@ -73,8 +74,8 @@
         self.compact_log();
     }
 
-    /// Reports the result of the proposal whose entry was just applied, if it was made here. An entry of
-    /// another term has taken the place of the proposed one.
+    /// Reports the result of the proposal whose entry was just applied, if it was made at this replica. If
+    /// the applied entry is of another term, it has replaced the proposed one.
     fn report_applied(&mut self, entry_term: u64, result: Result<u64, u64>) {
         let Some(proposal) = self.pending_proposals.remove(&self.last_applied) else { return };
         self.outbox.report(if proposal.term == entry_term {
@@ -84,7 +85,7 @@
         });
     }
 
-    /// Replaces the applied entries by a snapshot once there are many.
+    /// Replaces the applied entries by a snapshot once there are more than the settings allow.
     fn compact_log(&mut self) {
         let applied_entries = self.last_applied - self.persistent.log.last_included.index;
         if applied_entries as usize > self.settings.log_entries_before_snapshot {
--- a/crates/pintally-consensus/src/replica/recovery.rs
+++ b/crates/pintally-consensus/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery of votes after a start: requests, responses, and what its outcome changes.
+//! The recovery of votes after a start: requests, responses, and how its outcome is applied.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use super::{Replica, Role};
 
 impl Replica {
-    /// What this replica has stored.
+    /// The state that this replica has stored.
     pub(super) fn stored_state(&self) -> StoredState {
         let last_log = self.last_log_position();
         StoredState {
@@ -32,7 +32,7 @@
         self.try_finish_recovery(now);
     }
 
-    /// Asks the others again, as a follower without a leader.
+    /// Starts the recovery again, as a follower without a leader.
     pub(super) fn restart_recovery(&mut self, now: Micros) {
         self.leader = None;
         self.role = Role::Follower;
@@ -40,7 +40,8 @@
         self.request_recovery(now);
     }
 
-    /// Asks all replicas that anybody has named, when that is due.
+    /// Sends requests, when they are due, to all replicas that are named in the settings, in the log of this
+    /// replica or in a response.
     pub(super) fn request_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.vote_recovery else { return };
         if now < recovery.next_request_at {
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Ends the recovery if enough is known.
+    /// Ends the recovery if its outcome is known.
     pub(super) fn try_finish_recovery(&mut self, now: Micros) {
-        let own = self.stored_state();
+        let own_state = self.stored_state();
         let Some(recovery) = &self.vote_recovery else { return };
         let timeout = self.settings.vote_recovery_timeout;
-        let Some(outcome) = recovery.outcome(now, &self.settings.name, &own, timeout) else { return };
+        let Some(outcome) = recovery.outcome(now, &self.settings.name, &own_state, timeout) else { return };
         self.vote_recovery = None;
         self.reset_election_timer(now);
         match outcome {
@@ -79,14 +80,15 @@
             self.persistent.voted_for = None;
         }
         self.persistent.current_term = term;
-        // A vote of this term may have been granted and lost with the disk: none is left to give.
+        // A vote in this term may have been granted and lost with the disk. Recording a vote for this
+        // replica itself prevents a second one.
         self.persistent.voted_for.get_or_insert_with(|| self.settings.name.clone());
         self.min_log_position = min_log_position;
-        self.clear_reached_minimum();
+        self.clear_min_log_position_if_reached();
     }
 
-    /// Lifts the minimum log position once the log has reached it.
-    pub(super) fn clear_reached_minimum(&mut self) {
+    /// Removes the minimum log position once the log has reached it.
+    pub(super) fn clear_min_log_position_if_reached(&mut self) {
         if self.last_log_position() >= self.min_log_position {
             self.min_log_position = LogPosition::default();
         }
--- a/crates/pintally-consensus/src/replica/replication.rs
+++ b/crates/pintally-consensus/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Log replication: what a leader sends and counts, and what a follower appends.
+//! Log replication: a leader sends entries and counts acknowledgements, a follower appends entries.
 
 use std::collections::BTreeSet;
 
@@ -9,14 +9,14 @@
 
 use super::{Replica, Role};
 
-/// What the leader knows of another replica.
+/// The replication progress of another replica, as known to the leader.
 #[derive(Clone, Debug)]
 pub(super) struct FollowerProgress {
     /// The index of the next entry to send.
     pub(super) next_index: u64,
-    /// The last index up to which its log is known to match.
+    /// The index up to which its log is known to match.
     pub(super) match_index: u64,
-    /// When the latest message was sent that it has answered.
+    /// The sending time of the latest message that it has answered.
     pub(super) acknowledged_at: Option<Micros>,
     /// Bytes of the snapshot that it has received.
     pub(super) snapshot_bytes: u32,
@@ -37,9 +37,10 @@
     pub(super) sent_at: Micros,
 }
 
-/// The follower's part.
+/// The follower's side of log replication.
 impl Replica {
-    /// Follows the sender of a leader's message, unless its term is over. Returns whether it does.
+    /// Accepts the sender of a message as the leader, unless its term is outdated. Returns whether it was
+    /// accepted.
     pub(super) fn accept_leader(
         &mut self,
         now: Micros,
@@ -88,7 +89,7 @@
             self.outbox.request_save();
         }
         self.answer_append(leader, true, match_index, sent_at);
-        self.clear_reached_minimum();
+        self.clear_min_log_position_if_reached();
         let committed = leader_commit.min(match_index);
         if committed > self.commit_index {
             self.commit_index = committed;
@@ -109,9 +110,9 @@
     }
 }
 
-/// The leader's part.
+/// The leader's side of log replication.
 impl Replica {
-    /// Tracks the progress of the current replicas, and of one that is joining.
+    /// Tracks the progress of the current replicas and of the joining one.
     pub(super) fn track_progress(&mut self) {
         let mut tracked: BTreeSet<ReplicaName> = self.peers().into_iter().collect();
         tracked.extend(self.joining.clone());
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Sends a replica the entries or the part of the snapshot that it lacks, or a heartbeat.
+    /// Sends a replica the next entries or the next snapshot chunk that it lacks, or else a heartbeat.
     pub(super) fn replicate_to(&mut self, now: Micros, name: &ReplicaName) {
         let Some(progress) = self.progress.get(name) else { return };
         let log = &self.persistent.log;
@@ -153,7 +154,8 @@
         self.outbox.send(name.clone(), message);
     }
 
-    /// Records that a follower answered. Returns whether the answer concerns this leadership.
+    /// Records that a follower answered. Returns whether the answer belongs to the current term of this
+    /// leader.
     pub(super) fn accept_response(
         &mut self,
         now: Micros,
@@ -169,7 +171,7 @@
             return false;
         }
         let Some(progress) = self.progress.get_mut(from) else { return false };
-        // What was sent in an earlier leadership does not extend the lease of this one.
+        // The answer to a message from an earlier leadership does not extend the current lease.
         if sent_at >= elected_at {
             progress.acknowledged_at = progress.acknowledged_at.max(Some(sent_at));
         }
@@ -194,8 +196,8 @@
             progress.next_index = progress.next_index.max(progress.match_index + 1);
             progress.snapshot_bytes = 0;
         } else {
-            // Guards against a follower whose disk was restored from an older image while the leadership
-            // goes on: it no longer has what it had acknowledged.
+            // Guards against a follower whose disk is restored from an older image while this leader
+            // remains: the follower no longer has entries that it had acknowledged.
             progress.match_index = progress.match_index.min(match_index);
             progress.next_index = progress.next_index.min(match_index + 1).max(1);
         }
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Commits what a majority stores, if its last entry was created in this term.
+    /// Commits the entries that a majority stores, if the last of them was created in this term.
     pub(super) fn advance_commit_index(&mut self, now: Micros) {
         if !self.role.is_leader() {
             return;
--- a/crates/pintally-consensus/src/replica/role.rs
+++ b/crates/pintally-consensus/src/replica/role.rs
@@ -7,7 +7,8 @@
 /// The two rounds of an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum ElectionPhase {
-    /// The candidate asks who would vote for it. Its term is not incremented and no vote is cast.
+    /// The candidate asks which replicas would vote for it. It does not increment its term and no vote is
+    /// cast.
     PreVote,
     /// The candidate asks for votes in its new term.
     Vote,
@@ -26,7 +27,7 @@
         self == ElectionPhase::PreVote
     }
 
-    /// The term in which a candidate wants to lead if its current term is this one.
+    /// The term in which a candidate with this current term wants to lead.
     pub(super) fn candidate_term(self, current_term: u64) -> u64 {
         match self {
             ElectionPhase::PreVote => current_term + 1,
@@ -43,7 +44,7 @@
     /// It asks for votes.
     Candidate {
         phase: ElectionPhase,
-        /// Who granted its vote, the candidate included.
+        /// The replicas that granted their vote, the candidate included.
         votes: BTreeSet<ReplicaName>,
     },
     /// It was elected.
--- a/crates/pintally-consensus/src/replica/snapshot_transfer.rs
+++ b/crates/pintally-consensus/src/replica/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshot transfer to replicas that lack entries which the leader has compacted.
+//! Snapshot transfer to replicas that lack entries that the leader has compacted.
 
 use crate::log::{Log, LogPosition};
 use crate::message::{Message, MAX_PAYLOAD_BYTES};
@@ -7,7 +7,7 @@
 
 use super::Replica;
 
-/// The size of the largest snapshot that a follower accepts.
+/// The maximum size of a snapshot that a follower accepts.
 const MAX_SNAPSHOT_BYTES: u32 = 4 << 20;
 
 /// A snapshot of which some chunks have been received.
@@ -35,7 +35,7 @@
 }
 
 impl Replica {
-    /// The message with the next chunk for a replica that has received so many bytes.
+    /// The message with the next chunk for a replica that has received `received_bytes`.
     pub(super) fn snapshot_chunk(&self, now: Micros, received_bytes: u32) -> Message {
         let log = &self.persistent.log;
         let total_bytes = log.snapshot.len() as u32;
@@ -84,7 +84,7 @@
         }
         let SnapshotChunk { last_included, replicas, total_bytes, sent_at, .. } = chunk;
         if last_included.index <= self.commit_index {
-            // Logs are identical up to the commit index: the snapshot is not needed.
+            // Logs are identical up to the commit index, so the snapshot is not needed.
             return self.answer_append(leader, true, self.commit_index, sent_at);
         }
         if total_bytes > MAX_SNAPSHOT_BYTES {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Adds a chunk that continues the snapshot; a chunk of another snapshot starts anew. Returns all
-    /// bytes received so far.
+    /// Adds a chunk if it continues the snapshot. A chunk of another snapshot discards the bytes received
+    /// so far. Returns all bytes received of this snapshot.
     fn collect_chunk(&mut self, last_included: LogPosition, offset: u32, data: Vec<u8>) -> &[u8] {
         if self.incoming_snapshot.as_ref().is_none_or(|incoming| incoming.last_included != last_included) {
             self.incoming_snapshot = None;
@@ -118,7 +118,7 @@
         &incoming.bytes
     }
 
-    /// Replaces the store and the log by a snapshot. Returns whether it could be decoded.
+    /// Replaces the store and the log by a snapshot. Returns whether the snapshot could be decoded.
     fn install_snapshot(
         &mut self,
         last_included: LogPosition,
@@ -133,7 +133,7 @@
         self.last_applied = last_included.index;
         self.outbox.request_save();
         self.outbox.notify_change();
-        self.clear_reached_minimum();
+        self.clear_min_log_position_if_reached();
         true
     }
 }
--- a/crates/pintally-consensus/src/replica/status.rs
+++ b/crates/pintally-consensus/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! The status document, and the digest that searches of the state space use.
+//! The status document, and the state digest for searches of the state space.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -27,12 +27,13 @@
         }
     }
 
-    /// The state, and why it is not the desired one. The texts are part of the status document.
+    /// The current role, and the reason why the replica neither leads nor follows a known leader. The texts
+    /// are part of the status document.
     fn state_and_reason(&self) -> (ReplicaState, Option<String>) {
         if let Some(recovery) = &self.vote_recovery {
             let responses = recovery.responses.len();
-            let lost = if self.persistent.initialized { "" } else { "; it holds nothing itself" };
-            let reason = format!("started anew, {responses} others have told what they hold{lost}");
+            let lost_state = if self.persistent.initialized { "" } else { "; it holds nothing itself" };
+            let reason = format!("started anew, {responses} others have told what they hold{lost_state}");
             return (ReplicaState::RecoveringVotes, Some(reason));
         }
         match &self.role {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// A hash of everything but the times that determines what the replica does next, for searches that
-    /// visit each state once.
+    /// A hash of the state that determines the further behaviour of the replica, without times. Searches of
+    /// the state space use it to visit each state once.
     pub fn digest(&self, now: Micros) -> u64 {
         let mut hasher = DefaultHasher::new();
         let persistent = &self.persistent;
@@ -65,8 +66,8 @@
             Role::Leader { .. } => 2u8.hash(&mut hasher),
         }
         for (name, progress) in &self.progress {
-            let sent = (progress.next_index, progress.match_index, progress.snapshot_bytes);
-            (name, sent).hash(&mut hasher);
+            let replicated = (progress.next_index, progress.match_index, progress.snapshot_bytes);
+            (name, replicated).hash(&mut hasher);
         }
         hasher.finish()
     }
--- a/crates/pintally-consensus/src/settings.rs
+++ b/crates/pintally-consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a replica, their consistency checks and the times that follow from them.
+//! The settings of a replica, their consistency checks, and the durations derived from them.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +6,17 @@
 
 use crate::{Micros, ReplicaName};
 
-/// The greatest number of replicas: more of them cost more messages than the additional failures that
-/// they tolerate are worth.
+/// The maximum number of replicas: a larger group sends more messages than the additional failures that
+/// it tolerates justify.
 pub const MAX_REPLICAS: usize = 7;
-/// The length of the longest name of a replica, in bytes.
+/// The maximum length of the name of a replica, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The shortest interval between heartbeats.
+/// The minimum interval between heartbeats.
 const MIN_HEARTBEAT_INTERVAL_US: Micros = 1_000;
-/// Heartbeats that an election timeout has to span, so that one lost message starts no election.
+/// The minimum number of heartbeat intervals in an election timeout, so that one lost message does not
+/// start an election.
 const MIN_HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 3;
-/// The greatest clock drift under which a lease still means something.
+/// The maximum clock drift: with a greater one a lease is no useful guarantee.
 const MAX_CLOCK_DRIFT: f64 = 0.2;
 
 /// The settings of a replica. Times are in microseconds.
@@ -25,17 +26,17 @@
     pub name: ReplicaName,
     /// All replicas at the first start of the fleet; afterwards the log records them.
     pub replicas: Vec<ReplicaName>,
-    /// The time between two heartbeats of a leader.
+    /// The time between two heartbeats of the leader.
     pub heartbeat_interval: Micros,
-    /// A replica that receives nothing from a leader for a random time between this and twice this
-    /// becomes a candidate.
+    /// A replica becomes a candidate when it has received nothing from a leader for a random time between
+    /// one and two times this value.
     pub election_timeout: Micros,
-    /// A restarted replica that does not reach enough of the others trusts an intact disk after this
-    /// time.
+    /// After this time a restarted replica trusts an intact disk even if too few others have responded,
+    /// provided that it and those that responded are a majority.
     pub vote_recovery_timeout: Micros,
-    /// The greatest difference between a second of one clock and a second of another, as a fraction.
+    /// The maximum relative difference between the rates of two clocks, as a fraction.
     pub max_clock_drift: f64,
-    /// The number of applied entries in the log at which a snapshot replaces them.
+    /// A snapshot replaces the applied entries of the log once there are more of them than this number.
     pub log_entries_before_snapshot: usize,
 }
 
@@ -61,42 +62,38 @@
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
         let is_valid_name = |name: &ReplicaName| (1..=MAX_NAME_BYTES).contains(&name.0.len());
         let distinct: BTreeSet<&ReplicaName> = self.replicas.iter().collect();
-        ensure(!self.replicas.is_empty(), "there is no keeper")?;
-        ensure(self.replicas.len() <= MAX_REPLICAS, "there are more than 7 keepers")?;
-        ensure(distinct.len() >= self.replicas.len(), "a keeper is named twice")?;
-        ensure(self.replicas.iter().all(is_valid_name), "a keeper's name needs 1 to 64 bytes")?;
-        ensure(
-            self.heartbeat_interval >= MIN_HEARTBEAT_INTERVAL_US,
-            "a leader's beat is under a millisecond",
-        )?;
+        ensure(!self.replicas.is_empty(), "`names` must name at least one replica")?;
+        ensure(self.replicas.len() <= MAX_REPLICAS, "`names` must name at most 7 replicas")?;
+        ensure(distinct.len() >= self.replicas.len(), "`names` must name each replica once")?;
+        ensure(self.replicas.iter().all(is_valid_name), "each name in `names` must have 1 to 64 bytes")?;
+        ensure(self.heartbeat_interval >= MIN_HEARTBEAT_INTERVAL_US, "`beat-ms` must be at least 1")?;
         ensure(
             self.election_timeout >= MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * self.heartbeat_interval,
-            "the election time is under three beats",
+            "`election-ms` must be at least three times `beat-ms`",
         )?;
         ensure(
             self.vote_recovery_timeout >= self.election_timeout,
-            "a disk is believed before an election is over",
+            "`doubt-ms` must be at least `election-ms`: a disk is not trusted before an election is over",
         )?;
-        ensure(
-            (0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift),
-            "clocks that drift apart by over a fifth are none",
-        )
+        ensure((0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift), "`drift` must be between 0 and 0.2")
     }
 
-    /// For how long a replica grants no vote after a message from a leader, or after its start.
+    /// The time after a message from a leader, or after its own start, during which a replica grants no
+    /// vote.
     pub(crate) fn leader_stickiness(&self) -> Micros {
         self.election_timeout
     }
 
-    /// For how long leadership lasts at least after a leader sent what a majority then answered: a
-    /// follower measures its stickiness by its own clock, which may be fast.
+    /// The duration of the leader's lease. It starts when the leader sends messages that a majority then
+    /// answers. It is shorter than the followers' stickiness, because a follower measures that with its own
+    /// clock, which may run fast.
     pub fn leader_lease(&self) -> Micros {
         (self.election_timeout as f64 * (1.0 - 2.0 * self.max_clock_drift)).max(0.0) as Micros
     }
 
-    /// The longest time from the loss of a leader to the next one, provided that a majority is connected,
-    /// no message is lost and no two candidates split the vote: stickiness, the spread of the election
-    /// timeouts, and two rounds of votes.
+    /// The maximum time from the loss of a leader to the election of the next one, provided that a majority
+    /// is connected, no message is lost and no two candidates split the vote. It consists of the stickiness
+    /// to the old leader, the random part of the election timeout, and two rounds of votes.
     pub fn max_election_duration(&self) -> Micros {
         2 * self.election_timeout + 2 * self.heartbeat_interval
     }
--- a/crates/pintally-consensus/src/status.rs
+++ b/crates/pintally-consensus/src/status.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// What a replica does at present. The serialised words are part of the status page.
+/// The current role of a replica. The serialised names are part of the status page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ReplicaState {
     /// It is the leader.
@@ -24,10 +24,10 @@
 pub struct Status {
     /// The name of the replica.
     pub name: String,
-    /// What it does at present.
+    /// Its current role.
     #[serde(rename = "standing")]
     pub state: ReplicaState,
-    /// Why it does not vote yet, or why it knows no leader.
+    /// Why the replica does not vote yet, or why it knows no leader.
     #[serde(rename = "why")]
     pub reason: Option<String>,
     /// The latest term that it knows.
@@ -45,7 +45,7 @@
     /// The index of the last entry of its log.
     #[serde(rename = "last")]
     pub last_log_index: u64,
-    /// For how long it remains the leader at least, in milliseconds, if it is the leader.
+    /// The remaining time of its lease, in milliseconds, if it is the leader.
     #[serde(rename = "lead_ms")]
     pub leadership_ms: Option<u64>,
     /// The number of values in the store.
--- a/crates/pintally-consensus/src/store.rs
+++ b/crates/pintally-consensus/src/store.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The length of the longest key, in bytes.
+/// The maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 96;
-/// The length of the longest value, in bytes.
+/// The maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 400;
-/// The greatest number of keys, including those whose value was deleted.
+/// The maximum number of keys, including those whose value was deleted.
 pub const MAX_KEYS: usize = 4096;
 
 /// A value and its version.
@@ -27,8 +27,8 @@
     pub key: String,
     /// The new value; an empty one deletes the key.
     pub value: Vec<u8>,
-    /// The version that the key must have (0: no value was ever written), so that a write that is
-    /// duplicated or delayed changes nothing. `None` writes unconditionally.
+    /// The version that the key must have for the write to take effect (0 if it was never written), so
+    /// that a duplicated or delayed write changes nothing. `None` writes unconditionally.
     pub expect: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl KeyValueStore {
-    /// The value of a key; one that was deleted is returned with its version and no bytes.
+    /// The value of a key. A deleted value is returned with its version and no bytes.
     pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.values.get(key)
     }
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// The current version of the key if it is not the expected one, if the write is out of bounds, or if
-    /// the key is new and the store is full. The store is unchanged then.
+    /// the key is new and the store is full. In these cases the store is unchanged.
     pub(crate) fn apply(&mut self, write: &Write) -> Result<u64, u64> {
         let current = self.values.get(&write.key).map_or(0, |value| value.version);
         let is_full = current == 0 && self.values.len() >= MAX_KEYS;
@@ -82,7 +82,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a snapshot; no bytes are the empty store. `None` if the bytes are corrupt.
+    /// Decodes a snapshot; an empty slice is the empty store. `None` if the bytes are corrupt.
     pub(crate) fn decode(bytes: &[u8]) -> Option<KeyValueStore> {
         if bytes.is_empty() {
             return Some(KeyValueStore::default());
--- a/crates/pintally-consensus/tests/common/mod.rs
+++ b/crates/pintally-consensus/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A cluster of replicas in virtual time: clocks that drift, a network that loses, duplicates and reorders
-//! messages, disks that return older images, processes that die or are paused. The invariants are checked
-//! after every step.
+//! messages, disks that return older images, and processes that die or are paused. The invariants are
+//! checked after every step.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,15 +11,15 @@
 
 pub const MS: Micros = 1_000;
 
-/// The injected faults; fractions are probabilities for each message.
+/// The injected faults. Fractions are probabilities per message.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSettings {
     pub loss: f64,
     pub duplicate: f64,
     pub delay: f64,
-    /// The mean time between two faults, 0 for none.
+    /// The mean time between two faults; 0 for no faults.
     pub fault_interval: Micros,
-    /// How many of the disks may return an older image or nothing.
+    /// The number of disks that may return an older image or nothing.
     pub faulty_disks: usize,
 }
 
@@ -29,10 +29,10 @@
 
 pub struct Node {
     pub replica: Option<Replica>,
-    /// Everything that was ever saved, the newest last.
+    /// All states that were saved, the newest last.
     pub disk: Vec<Vec<u8>>,
     pub has_faulty_disk: bool,
-    /// The speed of its clock relative to the true time.
+    /// The rate of its clock relative to true time.
     pub clock_rate: f64,
     pub clock_offset: Micros,
     pub paused_until: Micros,
@@ -56,14 +56,14 @@
     pub disconnected: Vec<Vec<bool>>,
     pub settings: Settings,
     queue: BTreeMap<(Micros, u64), Event>,
-    serial: u64,
-    /// By index: the entry that was committed first.
+    last_sequence: u64,
+    /// The entry that was first committed at each index.
     pub committed: BTreeMap<u64, LogEntry>,
     /// The leader of each term.
     leaders: BTreeMap<u64, usize>,
     pub proposals: u64,
     pub completed: u64,
-    /// Whether logs must agree (they need not if too many disks return older images).
+    /// Whether logs must agree; they need not if more than one disk may return older images.
     pub logs_must_agree: bool,
     seed: u64,
 }
@@ -75,8 +75,9 @@
         let mut settings = Settings::new("k0", &[]);
         settings.replicas = names.clone();
         settings.log_entries_before_snapshot = 6;
-        // A disk with an older image while another replica is down for longer than the recovery timeout is
-        // two failures at once, which three replicas do not tolerate. With one faulty disk it is left out.
+        // A disk that returns an older image while another replica is down for longer than the recovery
+        // timeout is two failures at once, which three replicas do not tolerate. With one faulty disk this
+        // case is excluded.
         if faults.faulty_disks == 1 {
             settings.vote_recovery_timeout = 3_600_000 * MS;
         }
@@ -98,7 +99,7 @@
             disconnected: vec![vec![false; n]; n],
             settings,
             queue: BTreeMap::new(),
-            serial: 0,
+            last_sequence: 0,
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
             proposals: 0,
@@ -119,8 +120,8 @@
     }
 
     fn push(&mut self, after: Micros, event: Event) {
-        self.serial += 1;
-        self.queue.insert((self.now + after, self.serial), event);
+        self.last_sequence += 1;
+        self.queue.insert((self.now + after, self.last_sequence), event);
     }
 
     /// The clock of a node.
@@ -128,7 +129,7 @@
         self.nodes[k].clock_offset + (self.now as f64 * self.nodes[k].clock_rate) as Micros
     }
 
-    /// Starts a process with what its disk returns.
+    /// Starts a process with the state that its disk returns.
     pub fn start(&mut self, k: usize) {
         let clock = self.clock(k);
         let settings = Settings { name: self.names[k].clone(), ..self.settings.clone() };
@@ -141,8 +142,8 @@
 
     fn schedule_tick(&mut self, k: usize) {
         let Some(replica) = &self.nodes[k].replica else { return };
-        let own = replica.next_wake().saturating_sub(self.clock(k));
-        let after = (own as f64 / self.nodes[k].clock_rate) as Micros + 1;
+        let remaining = replica.next_wake().saturating_sub(self.clock(k));
+        let after = (remaining as f64 / self.nodes[k].clock_rate) as Micros + 1;
         self.push(after, Event::Tick(k));
     }
 
@@ -150,28 +151,28 @@
     pub fn kill(&mut self, k: usize) {
         self.nodes[k].replica = None;
         if self.nodes[k].has_faulty_disk {
-            let keep = self.rng.random_range(0..=self.nodes[k].disk.len());
-            self.nodes[k].disk.truncate(keep);
+            let kept_states = self.rng.random_range(0..=self.nodes[k].disk.len());
+            self.nodes[k].disk.truncate(kept_states);
         }
     }
 
     pub fn execute(&mut self, k: usize, out: Vec<Output>) {
-        for one in out {
-            match one {
+        for output in out {
+            match output {
                 Output::Save(bytes) => self.nodes[k].disk.push(bytes),
                 Output::Send(to, message) => {
-                    let Some(to) = self.names.iter().position(|n| *n == to) else { continue };
-                    let w = self.faults;
-                    if self.disconnected[k][to] || self.rng.random_bool(w.loss) {
+                    let Some(to) = self.names.iter().position(|name| *name == to) else { continue };
+                    let faults = self.faults;
+                    if self.disconnected[k][to] || self.rng.random_bool(faults.loss) {
                         continue;
                     }
-                    let times = 1 + usize::from(self.rng.random_bool(w.duplicate));
-                    for _ in 0..times {
-                        let delay = self.rng.random_bool(w.delay);
-                        let most = if delay { 3_000 * MS } else { 20 * MS };
-                        let after = self.rng.random_range(MS..most);
+                    let copies = 1 + usize::from(self.rng.random_bool(faults.duplicate));
+                    for _ in 0..copies {
+                        let is_delayed = self.rng.random_bool(faults.delay);
+                        let max_delay = if is_delayed { 3_000 * MS } else { 20 * MS };
+                        let delay = self.rng.random_range(MS..max_delay);
                         let from = self.names[k].clone();
-                        self.push(after, Event::Deliver(to, from, message.clone()));
+                        self.push(delay, Event::Deliver(to, from, message.clone()));
                     }
                 }
                 Output::ProposalApplied(..) => self.completed += 1,
@@ -187,7 +188,7 @@
             if entry.key().0 > until {
                 break;
             }
-            let ((at, _), event) = self.queue.pop_first().expect("there is one");
+            let ((at, _), event) = self.queue.pop_first().expect("the queue has an entry");
             self.now = at;
             self.step(event);
         }
@@ -253,8 +254,8 @@
         let key = format!("v{}", self.rng.random_range(0..3u32));
         let write = Write { key, value: self.proposals.to_le_bytes().to_vec(), expect: None };
         let number = self.proposals;
-        let awake = self.now >= self.nodes[k].paused_until;
-        if let Some(replica) = self.nodes[k].replica.as_mut().filter(|_| awake) {
+        let is_running = self.now >= self.nodes[k].paused_until;
+        if let Some(replica) = self.nodes[k].replica.as_mut().filter(|_| is_running) {
             replica.propose(clock, number, write, &mut out);
         }
         self.execute(k, out);
@@ -263,15 +264,15 @@
     fn inject_fault(&mut self) {
         let n = self.nodes.len();
         let k = self.rng.random_range(0..n);
-        let span = self.rng.random_range(100 * MS..4_000 * MS);
+        let duration = self.rng.random_range(100 * MS..4_000 * MS);
         match self.rng.random_range(0..6u32) {
             0 => {
                 self.kill(k);
-                self.push(span, Event::Resume(k));
+                self.push(duration, Event::Resume(k));
             }
             1 => {
-                self.nodes[k].paused_until = self.now + span;
-                self.push(span, Event::Resume(k));
+                self.nodes[k].paused_until = self.now + duration;
+                self.push(duration, Event::Resume(k));
             }
             2 => {
                 let other = self.rng.random_range(0..n);
@@ -284,14 +285,14 @@
             }
             4 => self.disconnected = vec![vec![false; n]; n],
             _ => {
-                // The leader is hit more often.
+                // Faults of the leader are more frequent than those of other replicas.
                 if let Some(k) = (0..n).find(|k| self.is_leader(*k)) {
                     if self.rng.random_bool(0.5) {
                         self.kill(k);
                     } else {
-                        self.nodes[k].paused_until = self.now + span;
+                        self.nodes[k].paused_until = self.now + duration;
                     }
-                    self.push(span, Event::Resume(k));
+                    self.push(duration, Event::Resume(k));
                 }
             }
         }
@@ -301,27 +302,27 @@
 
     pub fn is_leader(&self, k: usize) -> bool {
         let clock = self.clock(k);
-        self.nodes[k].replica.as_ref().is_some_and(|x| x.leadership(clock).is_some())
+        self.nodes[k].replica.as_ref().is_some_and(|replica| replica.leadership(clock).is_some())
     }
 
-    /// The invariants: one leader at a time and for each term, one committed log.
+    /// Checks the invariants: one leader at a time and per term, and agreement on committed entries.
     fn check(&mut self, k: usize) {
         let seed = self.seed;
-        // A paused process acts on nothing; when it resumes it reads its clock first.
-        let leading: Vec<usize> = (0..self.nodes.len()).filter(|k| self.is_leader(*k)).collect();
-        assert!(leading.len() <= 1, "seed {seed}: {leading:?} lead at the same time");
+        // A paused process does nothing; when it resumes it reads its clock first.
+        let leaders: Vec<usize> = (0..self.nodes.len()).filter(|k| self.is_leader(*k)).collect();
+        assert!(leaders.len() <= 1, "seed {seed}: {leaders:?} lead at the same time");
         let Some(replica) = &self.nodes[k].replica else { return };
         if !self.logs_must_agree {
             return;
         }
-        if leading == [k] {
-            let by = *self.leaders.entry(replica.term()).or_insert(k);
-            assert_eq!(by, k, "seed {seed}: two leaders in term {}", replica.term());
+        if leaders == [k] {
+            let first_leader = *self.leaders.entry(replica.term()).or_insert(k);
+            assert_eq!(first_leader, k, "seed {seed}: two leaders in term {}", replica.term());
         }
         for index in replica.last_applied().saturating_sub(8)..=replica.last_applied() {
             let Some(entry) = replica.committed_entry(index) else { continue };
-            let first = self.committed.entry(index).or_insert_with(|| entry.clone());
-            assert_eq!(first, entry, "seed {seed}: replicas disagree on entry {index}");
+            let first_committed = self.committed.entry(index).or_insert_with(|| entry.clone());
+            assert_eq!(first_committed, entry, "seed {seed}: replicas disagree on entry {index}");
         }
     }
 
@@ -336,7 +337,7 @@
             fault_interval: 0,
             faulty_disks: self.faults.faulty_disks,
         };
-        self.queue.retain(|_, e| !matches!(e, Event::InjectFault));
+        self.queue.retain(|_, event| !matches!(event, Event::InjectFault));
         for k in 0..n {
             self.nodes[k].paused_until = 0;
             self.step(Event::Resume(k));
--- a/crates/pintally-consensus/tests/golden.rs
+++ b/crates/pintally-consensus/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Messages and log entries as bytes: nodes of different builds read each other's.
+//! The encoding of messages and log entries does not change: nodes of different builds read each other's
+//! messages.
 
 use std::fmt::Debug;
 
@@ -14,7 +15,7 @@
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    let byte = |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).unwrap();
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -23,7 +24,7 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-/// Asserts that a value is written as, and read from, the golden bytes of that name.
+/// Asserts that a value is encoded as, and decoded from, the golden bytes of that name.
 #[track_caller]
 fn assert_stable<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
     assert_bytes(name, &postcard::to_stdvec(&value).unwrap());
@@ -41,21 +42,22 @@
 }
 
 fn entries() -> Vec<LogEntry> {
-    let contents = [
+    let commands = [
         LogCommand::Noop,
         LogCommand::ChangeReplicas(replicas()),
         LogCommand::Write(write(None)),
         LogCommand::Write(write(Some(129))),
         LogCommand::Write(Write { key: "limit/tenant-a".into(), value: Vec::new(), expect: Some(0) }),
     ];
-    contents.into_iter().zip(299..).map(|(command, term)| LogEntry { term, command }).collect()
+    commands.into_iter().zip(299..).map(|(command, term)| LogEntry { term, command }).collect()
 }
 
 #[test]
 fn log_entry_bytes_are_stable() {
-    let names = ["entry_nothing", "entry_members", "entry_write", "entry_write_expecting", "entry_delete"];
+    let names =
+        ["entry_noop", "entry_change_replicas", "entry_write", "entry_conditional_write", "entry_delete"];
     names.into_iter().zip(entries()).for_each(|(name, entry)| assert_stable(name, entry));
-    assert_stable("value", VersionedValue { version: 130, bytes: vec![7, 0, 255] });
+    assert_stable("versioned_value", VersionedValue { version: 130, bytes: vec![7, 0, 255] });
 }
 
 #[test]
@@ -125,16 +127,16 @@
 #[test]
 fn recovery_bytes_are_stable() {
     let response = |empty, replicas| Message::RecoveryResponse { term: 301, last_log: LAST, empty, replicas };
-    assert_stable("state_query", Message::RecoveryRequest);
-    assert_stable("state_response", response(false, replicas()));
-    assert_stable("state_response_empty", response(true, Vec::new()));
+    assert_stable("recovery_request", Message::RecoveryRequest);
+    assert_stable("recovery_response", response(false, replicas()));
+    assert_stable("recovery_response_empty", response(true, Vec::new()));
 }
 
 #[test]
 fn proposal_error_bytes_are_stable() {
-    assert_stable("refusal_not_leader", ProposalError::NotLeader(Some("n2".into())));
-    assert_stable("refusal_no_leader", ProposalError::NotLeader(None));
-    assert_stable("refusal_unsure", ProposalError::LeadershipLost);
-    assert_stable("refusal_busy", ProposalError::Busy);
-    assert_stable("refusal_out_of_bounds", ProposalError::OutOfBounds);
+    assert_stable("proposal_error_not_leader", ProposalError::NotLeader(Some("n2".into())));
+    assert_stable("proposal_error_no_leader", ProposalError::NotLeader(None));
+    assert_stable("proposal_error_leadership_lost", ProposalError::LeadershipLost);
+    assert_stable("proposal_error_busy", ProposalError::Busy);
+    assert_stable("proposal_error_out_of_bounds", ProposalError::OutOfBounds);
 }
--- a/crates/pintally-consensus/tests/membership_change.rs
+++ b/crates/pintally-consensus/tests/membership_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes.
+//! Membership changes: one replica at a time, after it has caught up.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use pintally_consensus::{Output, ReplicaName};
 
 #[test]
-fn replicas_change_one_at_a_time_after_catching_up() {
+fn changes_one_replica_at_a_time_after_catch_up() {
     let mut cluster = Cluster::new(4, 12, NO_FAULTS);
     cluster.settings.replicas.truncate(3);
     for k in 0..4 {
@@ -19,21 +19,22 @@
     let change = |cluster: &mut Cluster, k: usize, replicas: Vec<ReplicaName>| {
         let (clock, mut out) = (cluster.clock(k), Vec::new());
         cluster.nodes[k].replica.as_mut().unwrap().propose_replicas(clock, 1, replicas, &mut out);
-        let rejected = out.iter().any(|o| matches!(o, Output::ProposalRejected(..)));
+        let rejected = out.iter().any(|output| matches!(output, Output::ProposalRejected(..)));
         cluster.execute(k, out);
         !rejected
     };
     assert!(!change(&mut cluster, leader_index, names[..1].to_vec()), "two changes at once are rejected");
-    assert!(!change(&mut cluster, leader_index, names.clone()), "it has to catch up first");
+    assert!(!change(&mut cluster, leader_index, names.clone()), "the added replica has to catch up first");
     run_for(&mut cluster, 500);
     assert!(change(&mut cluster, leader_index, names.clone()));
     run_for(&mut cluster, 1_000);
     assert_eq!(cluster.nodes[3].replica.as_ref().unwrap().replicas().len(), 4);
     // The leader removes itself, and another replica becomes the leader.
-    let remaining: Vec<ReplicaName> = names.iter().filter(|n| **n != names[leader_index]).cloned().collect();
+    let remaining: Vec<ReplicaName> =
+        names.iter().filter(|name| **name != names[leader_index]).cloned().collect();
     assert!(change(&mut cluster, leader_index, remaining));
     run_for(&mut cluster, 4_000);
-    let next = leader(&cluster).expect("a leader");
-    assert_ne!(next, leader_index);
-    assert_eq!(cluster.nodes[next].replica.as_ref().unwrap().replicas().len(), 3);
+    let next_leader = leader(&cluster).expect("a leader");
+    assert_ne!(next_leader, leader_index);
+    assert_eq!(cluster.nodes[next_leader].replica.as_ref().unwrap().replicas().len(), 3);
 }
--- a/crates/pintally-consensus/tests/randomized_faults.rs
+++ b/crates/pintally-consensus/tests/randomized_faults.rs
@@ -1,20 +1,20 @@
-//! Randomised fault injection in virtual time. `ACCORD_RUNS` sets the number of runs; failures name the
-//! seed.
+//! Randomised fault injection in virtual time. The environment variable `ACCORD_RUNS` sets the number of
+//! runs. Failure messages contain the seed.
 
 mod common;
 
 use common::{Cluster, FaultSettings, MS};
 
-fn runs(usual: u64) -> u64 {
-    std::env::var("ACCORD_RUNS").ok().and_then(|r| r.parse().ok()).unwrap_or(usual)
+fn run_count(default: u64) -> u64 {
+    std::env::var("ACCORD_RUNS").ok().and_then(|count| count.parse().ok()).unwrap_or(default)
 }
 
-/// Replicas agree and one leads at a time. When the faults end a leader is elected within the stated time
-/// and entries are committed, whatever one faulty disk did.
+/// Under faults, including one faulty disk, the replicas' logs agree and at most one replica leads at a
+/// time. After the faults end, a leader is elected within 8 s and entries are committed.
 #[test]
-fn logs_agree_under_faults_and_progress_resumes_after_them() {
+fn logs_agree_under_faults_and_progress_resumes() {
     let mut completed = 0;
-    for seed in 0..runs(1_500) {
+    for seed in 0..run_count(1_500) {
         let n = if seed.is_multiple_of(4) { 5 } else { 3 };
         let faulty_disks = usize::from(seed % 3 == 1);
         let fault_interval = if seed.is_multiple_of(2) { 700 * MS } else { 2_500 * MS };
@@ -26,25 +26,25 @@
         let until = cluster.now + bound;
         cluster.run(until);
         assert!((0..n).any(|k| cluster.is_leader(k)), "seed {seed}: no leader after the faults");
-        let before = cluster.completed;
+        let completed_before = cluster.completed;
         let until = cluster.now + 3_000 * MS;
         cluster.run(until);
-        assert!(cluster.completed > before, "seed {seed}: nothing is committed after the faults");
+        assert!(cluster.completed > completed_before, "seed {seed}: nothing is committed after the faults");
         let leader = (0..n).find(|k| cluster.is_leader(*k)).expect("a leader was found above");
         let store = cluster.nodes[leader].replica.as_ref().unwrap().store().clone();
-        let known = store.iter().count();
-        assert!(known > 0, "seed {seed}: the store is empty");
+        let value_count = store.iter().count();
+        assert!(value_count > 0, "seed {seed}: the store is empty");
         completed += cluster.completed;
     }
     println!("{completed} entries committed");
-    assert!(completed > runs(1_500) * 8, "too few entries were committed to show anything: {completed}");
+    assert!(completed > run_count(1_500) * 8, "too few entries were committed to show anything: {completed}");
 }
 
-/// A majority that restarts from older images may lose committed entries, but no two replicas ever lead at
-/// the same time: what depends on the leader's lease alone stays safe.
+/// A majority that restarts from older disk images may lose committed entries, but no two replicas lead at
+/// the same time, so everything that depends only on the leader's lease stays safe.
 #[test]
 fn leaders_never_overlap_with_all_disks_faulty() {
-    for seed in 0..runs(1_500) / 3 {
+    for seed in 0..run_count(1_500) / 3 {
         let faults = FaultSettings {
             loss: 0.05,
             duplicate: 0.05,
--- a/crates/pintally-consensus/tests/settings.rs
+++ b/crates/pintally-consensus/tests/settings.rs
@@ -3,7 +3,7 @@
 use pintally_consensus::Settings;
 
 #[test]
-fn inconsistent_settings_are_rejected() {
+fn rejects_inconsistent_settings() {
     let valid = Settings::new("a", &["a", "b", "c"]);
     assert!(valid.check().is_ok());
     assert!(Settings { election_timeout: valid.heartbeat_interval, ..valid.clone() }.check().is_err());
--- a/crates/pintally-consensus/tests/snapshot_transfer.rs
+++ b/crates/pintally-consensus/tests/snapshot_transfer.rs
@@ -1,12 +1,12 @@
-//! Snapshot transfer.
+//! Snapshot transfer to a replica that lacks compacted entries.
 
 mod common;
 
 use common::{leader, run_for, Cluster, NO_FAULTS};
 
-/// Guards against a snapshot that is applied for fewer entries than it covers.
+/// Guards against a follower that installs a snapshot but records fewer applied entries than it covers.
 #[test]
-fn replica_that_was_down_for_long_receives_snapshot() {
+fn lagging_replica_receives_snapshot() {
     let mut cluster = Cluster::new(3, 13, NO_FAULTS);
     run_for(&mut cluster, 3_000);
     let lagging = (leader(&cluster).expect("a leader") + 1) % 3;
--- a/crates/pintally-consensus/tests/state_space_search.rs
+++ b/crates/pintally-consensus/tests/state_space_search.rs
@@ -1,6 +1,6 @@
-//! Exhaustive search over the states of three replicas: every order of messages, each lost, delayed or
-//! duplicated, with timeouts at any instant, a crash, and a disk that returns an older image. Each state is
-//! visited once and counted.
+//! Exhaustive search of the states of three replicas: messages in every order, each of them possibly lost,
+//! delayed or duplicated, timeouts at any time, a crash, and a disk that returns an older image. Each state
+//! is visited once and counted.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,14 +11,14 @@
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// How many faults and writes may happen on one path.
+/// The number of faults and writes that may happen on one path of the search.
 #[derive(Clone, Copy, Hash)]
-struct Budget {
+struct EventBudget {
     long_pauses: u8,
     crashes: u8,
     duplicates: u8,
     writes: u8,
-    /// When `a` crashes its disk returns any earlier state.
+    /// Whether the disk of `a` may return any earlier state after a crash.
     older_images: bool,
 }
 
@@ -30,7 +30,7 @@
     inbox: Vec<(usize, usize, Message)>,
     committed: BTreeMap<u64, LogEntry>,
     leaders: BTreeMap<u64, usize>,
-    budget: Budget,
+    budget: EventBudget,
 }
 
 fn settings(k: usize) -> Settings {
@@ -38,7 +38,7 @@
 }
 
 impl Cluster {
-    fn new(budget: Budget) -> Cluster {
+    fn new(budget: EventBudget) -> Cluster {
         let replicas = [0, 1, 2].map(|k| Replica::new(settings(k), None, false, k as u64, 0));
         let mut cluster = Cluster {
             clocks: [0; 3],
@@ -49,28 +49,28 @@
             leaders: BTreeMap::new(),
             budget,
         };
-        // The first start runs in one order only: all replicas ask, all answer.
+        // The first start is not searched: all replicas send recovery requests, then all answer.
         for k in 0..3 {
-            cluster.schedule_tick(k);
+            cluster.tick(k);
         }
         while !cluster.inbox.is_empty() {
             cluster.deliver(0, true);
         }
-        assert!(cluster.replicas.iter().all(|k| !k.is_recovering_votes()));
+        assert!(cluster.replicas.iter().all(|replica| !replica.is_recovering_votes()));
         cluster.inbox.clear();
         cluster
     }
 
     fn execute(&mut self, k: usize, out: Vec<Output>) {
-        for one in out {
-            match one {
+        for output in out {
+            match output {
                 Output::Save(bytes) => self.disks[k].push(bytes),
                 Output::Send(to, message) => {
-                    let Some(to) = NAMES.iter().position(|n| *to.0 == **n) else { continue };
-                    // A second copy of a message in flight adds no state.
-                    let entry = (k, to, message);
-                    if !self.inbox.contains(&entry) {
-                        self.inbox.push(entry);
+                    let Some(to) = NAMES.iter().position(|name| *to.0 == **name) else { continue };
+                    // A second copy of a message that is in flight does not add a state.
+                    let in_flight = (k, to, message);
+                    if !self.inbox.contains(&in_flight) {
+                        self.inbox.push(in_flight);
                     }
                 }
                 _ => {}
@@ -78,33 +78,35 @@
         }
         let replica = &self.replicas[k];
         if replica.status(self.clocks[k]).state == ReplicaState::Leader {
-            let by = *self.leaders.entry(replica.term()).or_insert(k);
-            assert_eq!(by, k, "two leaders in term {}", replica.term());
+            let first_leader = *self.leaders.entry(replica.term()).or_insert(k);
+            assert_eq!(first_leader, k, "two leaders in term {}", replica.term());
         }
         for index in 1..=replica.last_applied() {
             let Some(entry) = replica.committed_entry(index) else { continue };
-            let first = self.committed.entry(index).or_insert_with(|| entry.clone());
-            assert_eq!(first, entry, "replicas disagree on entry {index}");
+            let first_committed = self.committed.entry(index).or_insert_with(|| entry.clone());
+            assert_eq!(first_committed, entry, "replicas disagree on entry {index}");
         }
     }
 
-    fn schedule_tick(&mut self, k: usize) {
+    /// Advances the clock of a replica to its next wake-up time and ticks it.
+    fn tick(&mut self, k: usize) {
         self.clocks[k] = self.clocks[k].max(self.replicas[k].next_wake());
         let mut out = Vec::new();
         self.replicas[k].tick(self.clocks[k], &mut out);
         self.execute(k, out);
     }
 
-    fn deliver(&mut self, at: usize, take: bool) {
-        let (from, to, message) = if take { self.inbox.remove(at) } else { self.inbox[at].clone() };
+    /// Delivers a message; without `remove` it stays in flight and can be delivered again.
+    fn deliver(&mut self, index: usize, remove: bool) {
+        let (from, to, message) = if remove { self.inbox.remove(index) } else { self.inbox[index].clone() };
         let mut out = Vec::new();
-        // A little time passes with every event.
+        // Every delivery advances the clock by one microsecond.
         self.clocks[to] += 1;
         self.replicas[to].receive(self.clocks[to], &ReplicaName::from(NAMES[from]), message, &mut out);
         self.execute(to, out);
     }
 
-    fn key(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for k in 0..3 {
             self.replicas[k].digest(self.clocks[k]).hash(&mut hasher);
@@ -114,10 +116,10 @@
             .inbox
             .iter()
             .map(|(from, to, message)| {
-                let mut one = DefaultHasher::new();
-                // The time of sending only affects the leader's lease, which this search leaves out.
-                (from, to, timeless(message)).hash(&mut one);
-                one.finish()
+                let mut message_hasher = DefaultHasher::new();
+                // The sending time only affects the leader's lease, which this search does not cover.
+                (from, to, without_send_time(message)).hash(&mut message_hasher);
+                message_hasher.finish()
             })
             .collect();
         inbox.sort_unstable();
@@ -125,67 +127,70 @@
         hasher.finish()
     }
 
-    fn next(&self) -> Vec<Cluster> {
-        let mut all = Vec::new();
-        let mut with = |f: &dyn Fn(&mut Cluster)| {
+    fn successors(&self) -> Vec<Cluster> {
+        let mut successors = Vec::new();
+        let mut add_successor = |apply_event: &dyn Fn(&mut Cluster)| {
             let mut cluster = self.clone();
-            f(&mut cluster);
-            all.push(cluster);
+            apply_event(&mut cluster);
+            successors.push(cluster);
         };
-        for at in 0..self.inbox.len() {
-            with(&|w| w.deliver(at, true));
+        for index in 0..self.inbox.len() {
+            add_successor(&|cluster| cluster.deliver(index, true));
             if self.budget.duplicates > 0 {
-                with(&|w| {
-                    w.budget.duplicates -= 1;
-                    w.deliver(at, false);
+                add_successor(&|cluster| {
+                    cluster.budget.duplicates -= 1;
+                    cluster.deliver(index, false);
                 });
             }
-            // Lost: the same as never delivered, but it makes room for what comes.
+            // A lost message has the same effect as one that is never delivered, but it shortens the inbox
+            // for the events that follow.
             if self.inbox.len() > 3 {
-                with(&|w| {
-                    w.inbox.remove(at);
+                add_successor(&|cluster| {
+                    cluster.inbox.remove(index);
                 });
             }
         }
         for k in 0..3 {
             if self.budget.long_pauses > 0 {
-                with(&|w| {
-                    // The stickiness to a silent leader ends on all replicas.
-                    w.budget.long_pauses -= 1;
-                    (0..3).for_each(|k| w.clocks[k] += 2_000_000);
-                    w.schedule_tick(k);
+                add_successor(&|cluster| {
+                    // Long enough for the stickiness to a silent leader to end on all replicas.
+                    cluster.budget.long_pauses -= 1;
+                    (0..3).for_each(|k| cluster.clocks[k] += 2_000_000);
+                    cluster.tick(k);
                 });
             }
             if self.budget.crashes > 0 {
-                let images = if self.budget.older_images && k == 0 { self.disks[k].len() + 1 } else { 1 };
-                for image in 0..images {
-                    with(&|w| {
-                        w.budget.crashes -= 1;
-                        let keep = w.disks[k].len() - image;
-                        w.disks[k].truncate(keep);
-                        let saved = w.disks[k].last().cloned();
-                        let clean = saved.is_some();
-                        w.replicas[k] = Replica::new(settings(k), saved.as_deref(), clean, 7, w.clocks[k]);
-                        w.schedule_tick(k);
+                let image_count =
+                    if self.budget.older_images && k == 0 { self.disks[k].len() + 1 } else { 1 };
+                for image in 0..image_count {
+                    add_successor(&|cluster| {
+                        cluster.budget.crashes -= 1;
+                        let kept_states = cluster.disks[k].len() - image;
+                        cluster.disks[k].truncate(kept_states);
+                        let saved = cluster.disks[k].last().cloned();
+                        let disk_undamaged = saved.is_some();
+                        cluster.replicas[k] =
+                            Replica::new(settings(k), saved.as_deref(), disk_undamaged, 7, cluster.clocks[k]);
+                        cluster.tick(k);
                     });
                 }
             }
             if self.budget.writes > 0 && self.replicas[k].status(self.clocks[k]).state == ReplicaState::Leader
             {
-                with(&|w| {
-                    w.budget.writes -= 1;
+                add_successor(&|cluster| {
+                    cluster.budget.writes -= 1;
                     let write = Write { key: "x".into(), value: vec![k as u8], expect: None };
                     let mut out = Vec::new();
-                    w.replicas[k].propose(w.clocks[k], 1, write, &mut out);
-                    w.execute(k, out);
+                    cluster.replicas[k].propose(cluster.clocks[k], 1, write, &mut out);
+                    cluster.execute(k, out);
                 });
             }
         }
-        all
+        successors
     }
 }
 
-fn timeless(message: &Message) -> Message {
+fn without_send_time(message: &Message) -> Message {
     let mut message = message.clone();
     match &mut message {
         Message::AppendEntries { sent_at, .. }
@@ -197,40 +202,41 @@
     message
 }
 
-/// Visits every state up to a depth and returns how many there are.
-fn search(budget: Budget, depth: usize) -> usize {
-    let first = Cluster::new(budget);
-    let mut seen = HashSet::from([first.key()]);
-    let mut queue = VecDeque::from([(first, 0)]);
-    while let Some((cluster, at)) = queue.pop_front() {
-        if at == depth {
+/// Visits every state up to a depth and returns the number of states.
+fn search(budget: EventBudget, depth: usize) -> usize {
+    let initial = Cluster::new(budget);
+    let mut seen = HashSet::from([initial.state_hash()]);
+    let mut queue = VecDeque::from([(initial, 0)]);
+    while let Some((cluster, cluster_depth)) = queue.pop_front() {
+        if cluster_depth == depth {
             continue;
         }
-        for next in cluster.next() {
-            if seen.insert(next.key()) {
-                queue.push_back((next, at + 1));
+        for successor in cluster.successors() {
+            if seen.insert(successor.state_hash()) {
+                queue.push_back((successor, cluster_depth + 1));
             }
         }
     }
     seen.len()
 }
 
-fn depth(usual: usize) -> usize {
-    std::env::var("ACCORD_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(usual)
+/// The depth of the search: the environment can set another one than this default.
+fn search_depth(default: usize) -> usize {
+    std::env::var("ACCORD_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn competing_candidates_and_a_crash() {
-    let budget = Budget { long_pauses: 2, crashes: 1, duplicates: 1, writes: 1, older_images: false };
-    let states = search(budget, depth(7));
+fn logs_agree_with_competing_candidates_and_crash() {
+    let budget = EventBudget { long_pauses: 2, crashes: 1, duplicates: 1, writes: 1, older_images: false };
+    let states = search(budget, search_depth(7));
     println!("{states} states");
     assert!(states > 5_000);
 }
 
 #[test]
-fn restart_from_older_disk_image() {
-    let budget = Budget { long_pauses: 2, crashes: 1, duplicates: 0, writes: 1, older_images: true };
-    let states = search(budget, depth(8));
+fn logs_agree_after_restart_from_older_disk_image() {
+    let budget = EventBudget { long_pauses: 2, crashes: 1, duplicates: 0, writes: 1, older_images: true };
+    let states = search(budget, search_depth(8));
     println!("{states} states");
     assert!(states > 5_000);
 }
--- a/crates/pintally-quota/src/granter.rs
+++ b/crates/pintally-quota/src/granter.rs
@@ -1,4 +1,4 @@
-//! The lease granter: what is granted to whom, and for how long it is debited.
+//! The lease granter: which allocation each holder is granted, and for how long it is debited.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,31 @@
 use crate::message::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 
-/// The fraction of the unwanted amount that is spread over the holders, so that a sudden demand finds some
-/// allocation at hand. The rest stays with the granter for new holders.
+/// The fraction of the amount beyond all demand that is distributed among the holders, so that they can
+/// serve a sudden rise of demand. The rest is kept for new holders.
 const SPARE_FRACTION: f64 = 0.5;
-/// Hysteresis: an allocation changes only by more than this fraction of itself, so that noise changes
-/// nothing.
+/// Hysteresis: an allocation changes only by more than this fraction of itself, so that small fluctuations
+/// of demand do not change it.
 const HYSTERESIS_FRACTION: f64 = 0.02;
 
-/// A holder: the name of a node and its incarnation. A restarted node is another holder, and the
-/// allocation of its former incarnation is debited until the lease has expired.
+/// Identifies a holder by the name of its node and the incarnation. A restarted node is another holder, and
+/// the allocation of its former incarnation is debited until the lease has expired.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HolderKey {
     name: String,
     incarnation: u64,
 }
 
-/// What is debited for a holder.
+/// The allocation of a holder, as debited from a limit.
 #[derive(Clone, Copy, Debug)]
 struct Allocation {
     /// The number of the holder's latest request.
     request_number: u32,
-    /// At least what the holder has.
+    /// The debited amount: at least what the holder holds.
     debit: f64,
-    /// What the holder could use.
+    /// The amount that the holder could use.
     wanted: f64,
-    /// When the holder has certainly nothing left.
+    /// The time at which the holder has certainly stopped using the allocation.
     expires_at: Micros,
 }
 
@@ -46,41 +46,42 @@
 /// The status of a limit at the granter. The serialised names are part of the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PoolStatus {
-    /// The limit.
+    /// The id of the limit.
     pub limit: u32,
-    /// Its amount.
+    /// The amount of the whole limit.
     #[serde(rename = "most")]
     pub limit_amount: f64,
-    /// The sum of what is debited.
+    /// The sum of the debited amounts.
     #[serde(rename = "lent")]
     pub granted: f64,
-    /// The sum of what the holders could use.
+    /// The sum of the amounts that the holders could use.
     pub wanted: f64,
-    /// What is debited for each holder.
+    /// The debited amount of each holder.
     pub holders: Vec<(String, f64)>,
 }
 
-/// Grants leases while one replica leads. The granter of the next leader starts without any knowledge.
+/// Grants leases during the leadership of one replica. The granter of the next leader starts without
+/// knowledge of earlier grants.
 #[derive(Clone, Debug)]
 pub struct LeaseGranter {
     settings: Settings,
-    /// When it started: it knows nothing of earlier grants.
+    /// When the granter was started. It does not know earlier grants.
     started_at: Micros,
     pools: BTreeMap<LimitId, Pool>,
 }
 
 impl LeaseGranter {
-    /// Creates a granter that knows nothing of what was granted before `since`.
+    /// Creates a granter that does not know grants made before `started_at`.
     pub fn new(
         settings: Settings,
         limits: impl IntoIterator<Item = (LimitId, Limit)>,
-        since: Micros,
+        started_at: Micros,
     ) -> LeaseGranter {
         let pool = |(id, limit)| (id, Pool { limit, allocations: BTreeMap::new() });
-        LeaseGranter { settings, started_at: since, pools: limits.into_iter().map(pool).collect() }
+        LeaseGranter { settings, started_at, pools: limits.into_iter().map(pool).collect() }
     }
 
-    /// Changes the amount of a limit. Allocations follow as they are requested again.
+    /// Changes the amount of a limit. Each allocation is adjusted when it is requested again.
     pub fn set_limit_amount(&mut self, id: LimitId, amount: f64) {
         if let Some(pool) = self.pools.get_mut(&id) {
             pool.limit.amount = amount;
@@ -102,8 +103,8 @@
         }
         let key = HolderKey { name: name.to_string(), incarnation };
         let debit_duration = self.settings.debit_duration(&pool.limit);
-        // Until all leases of the previous leader have certainly expired, what nobody has claimed may
-        // still be held. Afterwards what the granter does not know of is held by nobody.
+        // Until all leases of the previous leader have certainly expired, amounts that no holder has
+        // reported may still be held. Afterwards the granter knows all amounts that are held.
         let knows_all_leases = now >= self.started_at + debit_duration;
         pool.allocations.retain(|_, allocation| now < allocation.expires_at);
         let held = pool.record(&key, request, now + debit_duration, knows_all_leases)?;
@@ -116,7 +117,7 @@
         Some(LeaseGrant { limit: request.limit, number: request.number, granted, limit_amount })
     }
 
-    /// The status of each limit of which anything is debited.
+    /// The status of each limit for which an allocation is debited.
     pub fn status(&self) -> Vec<PoolStatus> {
         self.pools
             .iter()
@@ -127,7 +128,7 @@
 }
 
 impl Pool {
-    /// Records a request and returns what its holder holds. `None` if the request is outdated.
+    /// Records a request and returns the amount that its holder holds. `None` if the request is outdated.
     fn record(
         &mut self,
         key: &HolderKey,
@@ -136,14 +137,14 @@
         knows_all_leases: bool,
     ) -> Option<f64> {
         let known_number = self.allocations.get(key).map(|allocation| allocation.request_number);
-        // Guards against a request that is delayed or duplicated: what it returned may have been granted
-        // to another holder.
+        // Guards against a request that is delayed or duplicated: the amount that it returned may have been
+        // granted to another holder.
         if known_number.is_some_and(|number| number >= request.number) {
             return None;
         }
         let is_claim_expired = known_number.is_none() && knows_all_leases;
         let held = if is_claim_expired { 0.0 } else { f64::from(request.held) };
-        // Grants for earlier requests are void from here on, or are included in what is held.
+        // From here on grants for earlier requests are void or are included in the held amount.
         let allocation = Allocation {
             request_number: request.number,
             debit: held,
@@ -169,13 +170,13 @@
             target = held;
         }
         let granted = if target > held { target.min(available.max(held)) } else { target };
-        rounded_down(match self.limit.kind {
+        round_down(match self.limit.kind {
             LimitKind::Rate => granted,
             LimitKind::Concurrency => granted.floor(),
         })
     }
 
-    /// What a holder should have: its fair allocation, in whole units where the limit counts those.
+    /// The allocation that a holder should have: its fair allocation, in whole units for a concurrency limit.
     fn target(&self, key: &HolderKey, held: f64, grantable: f64, available: f64) -> f64 {
         let fair = self.fair_allocation(key, grantable);
         if self.limit.kind == LimitKind::Rate {
@@ -183,15 +184,15 @@
         }
         let wanted = self.wanted_by(key);
         if fair < 1.0 && wanted >= 1.0 && held < 1.0 && available >= 1.0 {
-            // Where there is less than one unit for each holder, the first to ask gets one, and returns it
-            // after use.
+            // If there is less than one unit for each holder, a holder that requests one while it is
+            // available gets it, and returns it after use.
             return 1.0;
         }
         fair.floor()
     }
 
-    /// The fair allocation of a holder by water-filling: all get what they want, or as much as the others
-    /// that want more.
+    /// The max-min fair allocation of a holder, computed by water-filling: each holder gets what it wants, up
+    /// to a common maximum. If not everything is wanted, it also gets its part of the spare amount.
     fn fair_allocation(&self, key: &HolderKey, grantable: f64) -> f64 {
         let mut wanted: Vec<f64> = self.allocations.values().map(|allocation| allocation.wanted).collect();
         let own = self.wanted_by(key);
@@ -202,18 +203,18 @@
         wanted.sort_by(f64::total_cmp);
         let mut remaining = grantable;
         let count = wanted.len();
-        for (satisfied, want) in wanted.into_iter().enumerate() {
+        for (satisfied, amount) in wanted.into_iter().enumerate() {
             let equal_part = remaining / (count - satisfied) as f64;
-            if want > equal_part {
+            if amount > equal_part {
                 return own.min(equal_part);
             }
-            remaining -= want;
+            remaining -= amount;
         }
         own
     }
 
-    /// What each holder gets of the unwanted amount. It is not spread for concurrency limits, which count
-    /// whole units.
+    /// The part of the unwanted amount that each holder gets. The unwanted amount of a concurrency limit,
+    /// which counts whole units, is not distributed.
     fn spare_per_holder(&self, unwanted: f64, holders: usize) -> f64 {
         match self.limit.kind {
             LimitKind::Rate => unwanted * SPARE_FRACTION / holders as f64,
@@ -241,8 +242,8 @@
     amount.is_finite() && amount >= 0.0
 }
 
-/// Rounds down, so that rounded allocations never add up to more than there is.
-fn rounded_down(amount: f64) -> f32 {
+/// Rounds down, so that the sum of rounded allocations never exceeds the available amount.
+fn round_down(amount: f64) -> f32 {
     let nearest = amount as f32;
     if f64::from(nearest) > amount {
         nearest.next_down().max(0.0)
--- a/crates/pintally-quota/src/holder.rs
+++ b/crates/pintally-quota/src/holder.rs
@@ -1,4 +1,4 @@
-//! The quota holder of a node: what it admits by its allocations, and what it requests.
+//! The quota holder of a node: admission of requests by the node's allocations, and requests for leases.
 
 mod allocation;
 mod status;
@@ -13,7 +13,7 @@
 use allocation::HeldAllocation;
 pub use status::LimitStatus;
 
-/// The shortest time after which a rejected client is asked to retry.
+/// The minimum time after which a rejected client is asked to retry.
 const MIN_RETRY_AFTER_US: Micros = 1_000;
 
 /// Whether a request may start under a limit.
@@ -21,7 +21,7 @@
 pub enum Admission {
     /// It may start.
     Admit,
-    /// It may not start; a retry after this time may succeed.
+    /// It must not start; a retry after this time may succeed.
     Reject(Micros),
 }
 
@@ -31,13 +31,13 @@
     settings: Settings,
     allocations: BTreeMap<LimitId, HeldAllocation>,
     names: BTreeMap<LimitId, Arc<str>>,
-    /// The limits in use; the others cost nothing.
+    /// The limits in use; no work is done for the others.
     active: BTreeSet<LimitId>,
 }
 
 impl QuotaHolder {
-    /// Creates a holder that has nothing but its floors. The allocations of an earlier incarnation are
-    /// never taken up again: the granter debits them until their leases have expired.
+    /// Creates a holder that has only its floors. The allocations of an earlier incarnation are never used
+    /// again: the granter debits them until their leases have expired.
     pub fn new(
         settings: Settings,
         limits: impl IntoIterator<Item = (LimitId, String, Limit)>,
@@ -51,9 +51,9 @@
         QuotaHolder { settings, allocations, names, active: BTreeSet::new() }
     }
 
-    /// Decides whether a request of this cost may start under a limit. It is not counted yet:
-    /// [`QuotaHolder::consume`] does that once all limits that apply to it admit it. A limit that is not
-    /// known admits everything.
+    /// Decides whether a request of this cost may start under a limit. The request is not counted yet:
+    /// [`QuotaHolder::consume`] counts it once all limits that apply to it admit it. An unknown limit admits
+    /// every request.
     pub fn admit(&mut self, now: Micros, id: LimitId, cost: f64) -> Admission {
         let settings = self.settings;
         let Some(held) = self.allocations.get_mut(&id) else { return Admission::Admit };
@@ -64,9 +64,9 @@
             return Admission::Admit;
         }
         held.record_rejection(cost);
-        let min_wait = 2 * settings.lease_request_interval;
-        let wait = held.wait_for_tokens(now, &settings).unwrap_or(min_wait);
-        Admission::Reject(wait.clamp(MIN_RETRY_AFTER_US, settings.lease_duration.max(min_wait)))
+        let default_wait = 2 * settings.lease_request_interval;
+        let wait = held.wait_for_tokens(now, &settings).unwrap_or(default_wait);
+        Admission::Reject(wait.clamp(MIN_RETRY_AFTER_US, settings.lease_duration.max(default_wait)))
     }
 
     /// Counts a request that starts.
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The requests that are due. Limits of which nothing is held or wanted become inactive.
+    /// The lease requests that are due. Limits of which nothing is held or wanted become inactive.
     pub fn lease_requests(&mut self, now: Micros) -> Vec<LeaseRequest> {
         let settings = self.settings;
         let allocations = &mut self.allocations;
@@ -112,12 +112,12 @@
         }
     }
 
-    /// What the node may use of a limit now, its floor included; `None` if there is no such limit.
+    /// The amount of a limit that the node may use now, its floor included; `None` if the limit is unknown.
     pub fn allocation(&self, now: Micros, id: LimitId) -> Option<f64> {
         self.allocations.get(&id).map(|held| held.total(now, &self.settings))
     }
 
-    /// What the node may use of a limit now beyond its floor.
+    /// The amount of a limit that the node may use now in addition to its floor.
     pub fn leased(&self, now: Micros, id: LimitId) -> f64 {
         self.allocations.get(&id).map_or(0.0, |held| held.leased(now, &self.settings))
     }
--- a/crates/pintally-quota/src/holder/allocation.rs
+++ b/crates/pintally-quota/src/holder/allocation.rs
@@ -1,4 +1,4 @@
-//! The allocation of one limit at a node: its lease, its use, and the demand for it.
+//! The allocation of one limit at a node: its lease, its use and its demand.
 
 use std::f64::consts::LN_2;
 
@@ -6,15 +6,15 @@
 use crate::message::{LeaseGrant, LeaseRequest};
 use crate::{Micros, MICROS_PER_SECOND};
 
-/// The half-life with which demand is averaged.
+/// The half-life of the exponential average of demand.
 const DEMAND_HALF_LIFE_US: f64 = 5e5;
-/// A holder requests this multiple of what it could use now, so that growth finds capacity.
+/// A holder requests this multiple of its current demand, so that a rise of demand finds capacity.
 const HEADROOM_FACTOR: f64 = 1.25;
-/// Demand below this fraction of a limit, or of one unit, counts as none.
+/// Demand below this fraction of the limit, or of one unit if the limit is greater, counts as none.
 const NEGLIGIBLE_DEMAND: f64 = 1e-3;
-/// After a rejection an allocation is requested this many times sooner.
+/// The request interval is divided by this number after a rejection or after an amount was returned.
 const URGENT_REQUEST_FACTOR: u64 = 5;
-/// Guards comparisons of amounts against rounding.
+/// Tolerance for rounding errors in comparisons of amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The latest request for an allocation.
@@ -22,7 +22,7 @@
 struct SentRequest {
     number: u32,
     sent_at: Micros,
-    /// What was held then.
+    /// The leased amount at that time.
     held: f32,
 }
 
@@ -30,22 +30,23 @@
 #[derive(Clone, Debug)]
 pub(super) struct HeldAllocation {
     pub(super) limit: Limit,
-    /// What is held under the lease, without the floor.
+    /// The amount held under the lease, without the floor.
     leased_amount: f32,
-    /// What the granter has reduced it to. It takes effect once the holder has no debt under it.
+    /// The smaller amount that the granter has granted since. A rate is reduced once its debt is paid, a
+    /// concurrency limit as its use decreases.
     reduce_to: Option<f32>,
-    /// When the lease ends by the own clock.
+    /// When the lease ends, on this node's clock.
     pub(super) lease_end: Micros,
-    /// When the latest grant was requested.
+    /// When the request for the latest grant was sent.
     pub(super) granted_at: Option<Micros>,
-    /// Rate: the tokens left, negative if there is a debt. Concurrency: how much is in use.
-    pub(super) level: f64,
-    /// The time up to which `level` is accounted for.
+    /// Rate: the tokens left, negative if there is a debt. Concurrency: the amount in use.
+    pub(super) tokens_or_in_use: f64,
+    /// The time up to which `tokens_or_in_use` is accounted for.
     settled_at: Micros,
-    /// The average demand for a rate, as of `demand_at`.
+    /// The average demand for a rate at the time `demand_at`.
     demand: f64,
     demand_at: Micros,
-    /// The cost that was rejected since the latest request.
+    /// The total cost rejected since the latest request.
     rejected_cost: f64,
     last_request: Option<SentRequest>,
     request_count: u32,
@@ -63,7 +64,7 @@
             reduce_to: None,
             lease_end: 0,
             granted_at: None,
-            level: 0.0,
+            tokens_or_in_use: 0.0,
             settled_at: 0,
             demand: 0.0,
             demand_at: 0,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// What may be used at a time beyond the floor.
+    /// The amount that may be used at this time in addition to the floor.
     pub(super) fn leased(&self, now: Micros, settings: &Settings) -> f64 {
         let leased = f64::from(self.leased_amount);
         if now < self.lease_end {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What may be used at a time, the floor included.
+    /// The amount that may be used at this time, the floor included.
     pub(super) fn total(&self, now: Micros, settings: &Settings) -> f64 {
         settings.floor(&self.limit) + self.leased(now, settings)
     }
@@ -100,7 +101,7 @@
         self.leased_amount > 0.0
     }
 
-    /// Brings the tokens of a rate up to date, and ends a lease that has expired.
+    /// Brings the tokens of a rate up to date, and drops the leased amount if the lease has expired.
     pub(super) fn settle(&mut self, now: Micros, settings: &Settings) {
         if self.settled_at == 0 {
             self.settled_at = now;
@@ -109,18 +110,18 @@
             self.refill(now, settings);
         }
         self.settled_at = self.settled_at.max(now);
-        let is_lost = match self.limit.enforcement {
+        let is_expired = match self.limit.enforcement {
             Enforcement::Hard => now >= self.lease_end,
             Enforcement::Soft => now >= self.lease_end + settings.soft_decay_duration,
         };
-        if is_lost {
+        if is_expired {
             self.leased_amount = 0.0;
             self.reduce_to = None;
         }
         self.try_reduce(settings);
     }
 
-    /// Adds the tokens of the time since the last settlement. A lease that ended in between counts up to
+    /// Adds the tokens for the time since the last settlement. A lease that ended in between counts until
     /// its end.
     fn refill(&mut self, now: Micros, settings: &Settings) {
         let lease_end = self.lease_end.clamp(self.settled_at, now);
@@ -130,29 +131,30 @@
             }
             let rate = self.total((from + to) / 2, settings);
             let capacity = (rate * settings.burst_window as f64 / MICROS_PER_SECOND).max(0.0);
-            let refilled = self.level + rate * (to - from) as f64 / MICROS_PER_SECOND;
-            // What was saved under a greater allocation does not outlast it.
-            self.level = refilled.min(capacity);
+            let refilled = self.tokens_or_in_use + rate * (to - from) as f64 / MICROS_PER_SECOND;
+            // Tokens saved under a larger allocation do not outlast it.
+            self.tokens_or_in_use = refilled.min(capacity);
         }
     }
 
-    /// Returns what the granter has asked back, as far as no debt depends on it.
+    /// Carries out a reduction by the granter, as far as the current use allows.
     fn try_reduce(&mut self, settings: &Settings) {
         let Some(target) = self.reduce_to else { return };
         let floor = settings.floor(&self.limit);
         match self.limit.kind {
-            // A debt is paid first: otherwise the next holder would start where this one is ahead.
-            LimitKind::Rate if self.level < 0.0 => {}
+            // The debt is paid first: otherwise the next holder could use the tokens that this holder has
+            // already used in advance.
+            LimitKind::Rate if self.tokens_or_in_use < 0.0 => {}
             LimitKind::Rate => {
                 let capacity = (floor + f64::from(target)) * settings.burst_window as f64 / MICROS_PER_SECOND;
                 self.leased_amount = target;
                 self.reduce_to = None;
-                self.level = self.level.min(capacity);
-                // Other holders wait for it: the granter has to learn of it soon.
+                self.tokens_or_in_use = self.tokens_or_in_use.min(capacity);
+                // Other holders may be waiting for this amount, so the granter is notified soon.
                 self.is_urgent = true;
             }
             LimitKind::Concurrency => {
-                let needed = (self.level - floor).max(0.0) as f32;
+                let needed = (self.tokens_or_in_use - floor).max(0.0) as f32;
                 self.leased_amount = self.leased_amount.min(target.max(needed));
                 if self.leased_amount <= target {
                     self.reduce_to = None;
@@ -161,21 +163,23 @@
         }
     }
 
-    /// Whether a request of this cost may start. A rate may go into debt by one request.
+    /// Whether a request of this cost may start. A rate may go into debt by the cost of one request.
     pub(super) fn has_capacity(&self, now: Micros, cost: f64, settings: &Settings) -> bool {
         match self.limit.kind {
-            LimitKind::Rate => self.level > 0.0,
-            LimitKind::Concurrency => self.level + cost <= self.total(now, settings) + ROUNDING_TOLERANCE,
+            LimitKind::Rate => self.tokens_or_in_use > 0.0,
+            LimitKind::Concurrency => {
+                self.tokens_or_in_use + cost <= self.total(now, settings) + ROUNDING_TOLERANCE
+            }
         }
     }
 
-    /// How long a rate takes to pay its debt; `None` if that is not known.
+    /// The time until a rate has paid its debt; `None` if it is not known.
     pub(super) fn wait_for_tokens(&self, now: Micros, settings: &Settings) -> Option<Micros> {
         let rate = self.total(now, settings);
         if self.limit.kind == LimitKind::Concurrency || rate <= 0.0 {
             return None;
         }
-        let missing = -self.level + ROUNDING_TOLERANCE;
+        let missing = -self.tokens_or_in_use + ROUNDING_TOLERANCE;
         Some((missing / rate * MICROS_PER_SECOND) as Micros)
     }
 
@@ -188,17 +192,17 @@
     pub(super) fn consume(&mut self, cost: f64) {
         self.admitted += 1;
         match self.limit.kind {
-            LimitKind::Rate => self.level -= cost,
-            LimitKind::Concurrency => self.level += cost,
+            LimitKind::Rate => self.tokens_or_in_use -= cost,
+            LimitKind::Concurrency => self.tokens_or_in_use += cost,
         }
     }
 
-    /// Counts what has ended under a concurrency limit.
+    /// Counts the end of a request under a concurrency limit.
     pub(super) fn release(&mut self, cost: f64) {
-        self.level = (self.level - cost).max(0.0);
+        self.tokens_or_in_use = (self.tokens_or_in_use - cost).max(0.0);
     }
 
-    /// Counts the demand for a rate, admitted or not.
+    /// Counts the demand for a rate, whether or not it is admitted.
     pub(super) fn record_demand(&mut self, now: Micros, cost: f64) {
         if self.limit.kind == LimitKind::Rate {
             let half_life_s = DEMAND_HALF_LIFE_US / MICROS_PER_SECOND;
@@ -212,11 +216,11 @@
         self.demand * 0.5f64.powf(age / DEMAND_HALF_LIFE_US)
     }
 
-    /// What could be used beyond the floor.
+    /// The amount that could be used in addition to the floor.
     pub(super) fn wanted(&self, now: Micros, settings: &Settings) -> f64 {
         let demand = match self.limit.kind {
             LimitKind::Rate => self.average_demand(now),
-            LimitKind::Concurrency => self.level + self.rejected_cost,
+            LimitKind::Concurrency => self.tokens_or_in_use + self.rejected_cost,
         };
         if demand < NEGLIGIBLE_DEMAND * self.limit.amount.min(1.0) {
             return 0.0;
@@ -237,7 +241,7 @@
         self.last_request.is_none_or(|request| now >= request.sent_at + interval)
     }
 
-    /// Creates the next request; a grant for an earlier one is void from here on.
+    /// Creates the next request. From then on a grant for an earlier request is void.
     pub(super) fn next_request(&mut self, now: Micros, limit: LimitId, wanted: f64) -> LeaseRequest {
         self.is_urgent = false;
         self.rejected_cost = 0.0;
@@ -248,8 +252,8 @@
     }
 
     pub(super) fn apply_grant(&mut self, now: Micros, grant: &LeaseGrant, settings: &Settings) {
-        // Guards against a grant for a request that another has followed: the granter no longer counts
-        // on it.
+        // Guards against a grant for a request that was followed by another one: the granter no longer
+        // takes that grant into account.
         let Some(request) = self.last_request.filter(|request| request.number == grant.number) else {
             return;
         };
@@ -258,8 +262,8 @@
             return;
         }
         self.settle(now, settings);
-        // Guards against a grant that includes what has expired on the way: it may have been granted to
-        // another holder already.
+        // Guards against a grant that includes an amount that expired while the grant was in flight: that
+        // amount may already have been granted to another holder.
         if self.leased_amount < request.held {
             return;
         }
--- a/crates/pintally-quota/src/holder/status.rs
+++ b/crates/pintally-quota/src/holder/status.rs
@@ -12,7 +12,7 @@
 /// The status of a limit at a node. The serialised names are part of the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LimitStatus {
-    /// Its name.
+    /// The name of the limit.
     pub name: Arc<str>,
     /// `hard` or `soft`.
     #[serde(rename = "bound")]
@@ -20,26 +20,26 @@
     /// `a second` or `at once`.
     #[serde(rename = "counts")]
     pub kind: &'static str,
-    /// The amount of the whole limit, as far as this node knows.
+    /// The amount of the whole limit, as last granted to this node.
     #[serde(rename = "most")]
     pub limit_amount: f64,
-    /// What the node may use now, its floor included.
+    /// The amount that the node may use now, its floor included.
     #[serde(rename = "has")]
     pub allocation: f64,
-    /// The floor.
+    /// The floor: the amount that the node may use without a lease.
     pub floor: f64,
-    /// What the node could use beyond its floor.
+    /// The amount that the node could use in addition to its floor.
     #[serde(rename = "wants")]
     pub wanted: f64,
-    /// For a concurrency limit what is in use; for a rate the tokens left, negative if there is a debt.
+    /// For a concurrency limit the amount in use; for a rate the tokens left, negative if there is a debt.
     pub in_use: f64,
     /// The age of the latest grant, in milliseconds; `None` if there was no grant yet.
     pub age_ms: Option<u64>,
     /// Whether the lease is running.
     pub leased: bool,
-    /// Requests admitted so far.
+    /// The number of requests admitted so far.
     pub admitted: u64,
-    /// Requests rejected so far.
+    /// The number of requests rejected so far.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
@@ -60,7 +60,7 @@
             allocation: self.total(now, settings),
             floor: settings.floor(&self.limit),
             wanted: self.wanted(now, settings),
-            in_use: self.level,
+            in_use: self.tokens_or_in_use,
             age_ms: self.granted_at.map(|at| now.saturating_sub(at) / 1000),
             leased: now < self.lease_end && self.granted_at.is_some(),
             admitted: self.admitted,
--- a/crates/pintally-quota/src/leader_granter.rs
+++ b/crates/pintally-quota/src/leader_granter.rs
@@ -1,15 +1,16 @@
-//! Granting by a replica while it leads, across lapses of its leadership.
+//! The granter of a replica, across interruptions of its leadership.
 
 use crate::granter::{LeaseGranter, PoolStatus};
 use crate::limit::{Limit, LimitId, Settings};
 use crate::message::{LeaseGrant, LeaseRequest};
 use crate::Micros;
 
-/// The granter of a replica: one for each term in which it leads.
+/// Grants leases while a replica leads, with one [`LeaseGranter`] per term.
 ///
 /// Guards against a leadership that lapses for a moment and continues in the same term. A new granter that
-/// counted from the start of the term would grant once more whatever is granted already. No other replica
-/// can have led in between, or the term would have changed; so the granter continues with what it knows.
+/// took the start of the term as its own start would grant again what is already granted. No other replica
+/// can have led in between, because the term would have changed then, so the granter of the term continues
+/// with its state.
 #[derive(Clone, Debug)]
 pub struct LeaderGranter {
     settings: Settings,
@@ -26,20 +27,20 @@
 }
 
 impl LeaderGranter {
-    /// Creates the granter of a replica that does not lead.
+    /// Creates the granter of a replica that does not lead yet.
     pub fn new(settings: Settings, limits: Vec<(LimitId, Limit)>) -> LeaderGranter {
         LeaderGranter { settings, limits, current: None, is_leader: false }
     }
 
-    /// Sets the term in which the replica certainly leads now, if it does. Returns whether a new granter
-    /// was started for it.
+    /// Sets the term in which the replica certainly leads now, or `None` if it does not lead. Returns whether
+    /// a new granter was started for the term.
     pub fn set_leadership(&mut self, now: Micros, term: Option<u64>) -> bool {
         self.is_leader = term.is_some();
         let Some(term) = term else { return false };
         if self.current.as_ref().is_some_and(|current| current.term == term) {
             return false;
         }
-        // The granter knows nothing from before this moment, however old the term is.
+        // The granter does not know grants made before this time, however old the term is.
         let granter = LeaseGranter::new(self.settings, self.limits.iter().copied(), now);
         self.current = Some(TermGranter { term, granter });
         true
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Answers the requests of a holder; there are no grants while the replica does not lead.
+    /// Answers the requests of a holder. Grants nothing while the replica does not lead.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -68,7 +69,7 @@
         requests.iter().filter_map(grant).collect()
     }
 
-    /// The status of each limit of which anything is granted, while the replica leads.
+    /// The status of each limit for which an allocation is debited; `None` while the replica does not lead.
     pub fn status(&self) -> Option<Vec<PoolStatus>> {
         let current = self.current.as_ref().filter(|_| self.is_leader)?;
         Some(current.granter.status())
--- a/crates/pintally-quota/src/lib.rs
+++ b/crates/pintally-quota/src/lib.rs
@@ -1,11 +1,11 @@
 //! Limits that hold for a whole fleet. The leader of the consensus group grants parts of each limit to
-//! the nodes. A node decides by its allocations alone, so no request waits for another node.
+//! the nodes. A node decides on the basis of its own allocations, so no request waits for another node.
 //!
-//! The allocations of a *hard* limit never exceed it in sum, whatever messages are lost, duplicated or
-//! delayed. A *soft* limit may be exceeded by a configured part, which a disconnected node keeps. The sum
-//! is conserved as by escrow and demarcation (O'Neil 1986; Barbará and Garcia-Molina 1994): an allocation
-//! is debited before it is granted, and credited when its holder reports that it has less or when its
-//! lease has expired. `docs/limits.md` has the bounds and proofs.
+//! The sum of the allocations of a *hard* limit never exceeds it, even if messages are lost, duplicated or
+//! delayed. A *soft* limit may be exceeded by a configured fraction, which disconnected nodes may continue
+//! to use. The sum is conserved as in escrow and the demarcation protocol (O'Neil 1986; Barbará and
+//! Garcia-Molina 1994): an allocation is debited before it is granted, and credited when its holder reports
+//! that it holds less or when its lease has expired. The bounds and proofs are in `docs/limits.md`.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-quota/src/limit.rs
+++ b/crates/pintally-quota/src/limit.rs
@@ -1,17 +1,17 @@
-//! Limits, and the settings by which they are allocated.
+//! Limits, and the settings for their allocation.
 
 use pintally_validation::{ensure, InvalidConfiguration};
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// The greatest part of a hard limit that floors may take: beyond it hardly anything is left to grant.
+/// The fraction of a hard limit that floors must stay below: with more, hardly anything is left to grant.
 const MAX_RESERVED_FRACTION: f64 = 0.9;
-/// Requests for an allocation that fit into a lease, so that a few lost messages do not end it.
+/// The minimum number of request intervals in a lease, so that a few lost messages do not end it.
 const MIN_REQUESTS_PER_LEASE: u64 = 4;
-/// The shortest burst: below it whatever is not used immediately is lost.
-const MIN_BURST_US: Micros = 10_000;
-/// The greatest clock drift under which a lease still means something.
+/// The minimum burst window: with a shorter one, tokens that are not used immediately are lost.
+const MIN_BURST_WINDOW_US: Micros = 10_000;
+/// The maximum clock drift: with a greater one a lease is no useful guarantee.
 const MAX_CLOCK_DRIFT: f64 = 0.2;
 
 /// Identifies a limit among nodes: a hash of its name.
@@ -27,48 +27,48 @@
     Concurrency,
 }
 
-/// What gives way when nodes are disconnected.
+/// Whether the limit or availability takes precedence when nodes are disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Enforcement {
-    /// The limit holds; load for which no allocation can be obtained is shed.
+    /// The limit holds; load for which no allocation can be obtained is rejected.
     Hard,
-    /// Service goes on; the limit is exceeded by a configured part.
+    /// Requests are still admitted; the limit may be exceeded by a configured fraction.
     Soft,
 }
 
 /// A limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// What it counts.
+    /// What the limit counts.
     pub kind: LimitKind,
-    /// What gives way when nodes are disconnected.
+    /// Whether the limit or availability takes precedence when nodes are disconnected.
     pub enforcement: Enforcement,
-    /// The amount for the whole fleet, per second or at the same time.
+    /// The amount for the whole fleet: per second, or in use at the same time.
     pub amount: f64,
 }
 
-/// How limits are allocated. Times are in microseconds.
+/// The settings for the allocation of limits. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of nodes in the fleet. Each has a floor, whether it is up or not.
+    /// The number of nodes in the fleet. Each of them has a floor, even while it is down.
     pub node_count: u32,
-    /// The part of a hard limit that the floors take, so that a disconnected node can continue at a low
-    /// rate.
+    /// The fraction of a hard limit that the floors of all nodes take, so that a disconnected node can
+    /// continue at a low rate.
     pub reserved_fraction: f64,
-    /// The part by which a soft limit may be exceeded while nodes are disconnected.
+    /// The fraction by which a soft limit may be exceeded while nodes are disconnected.
     pub soft_excess_fraction: f64,
     /// An allocation that is not requested again expires after this time.
     pub lease_duration: Micros,
     /// The time between two requests for an allocation in use.
     pub lease_request_interval: Micros,
-    /// What is not used of a rate may be used within this time.
+    /// Unused tokens of a rate accumulate for at most this time.
     pub burst_window: Micros,
-    /// What a concurrency limit counts ends within this time: the allocation of a lost holder is not
-    /// granted again any sooner.
+    /// The maximum duration of a request under a concurrency limit. After the lease of a lost holder has
+    /// expired, its allocation is not granted again until this time has passed as well.
     pub max_request_duration: Micros,
-    /// The time over which the soft allocation of a disconnected node decays.
+    /// The time over which an allocation of a soft limit decays to zero after its lease has expired.
     pub soft_decay_duration: Micros,
-    /// The greatest difference between a second of one clock and a second of another, as a fraction.
+    /// The maximum relative difference between the rates of two clocks, as a fraction.
     pub max_clock_drift: f64,
 }
 
@@ -95,28 +95,28 @@
     ///
     /// [`InvalidConfiguration`] with the first rule that is violated.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        ensure(self.node_count != 0, "a fleet has one node at least")?;
+        ensure(self.node_count != 0, "the fleet must have at least one node")?;
         ensure(
             (0.0..MAX_RESERVED_FRACTION).contains(&self.reserved_fraction),
-            "floors take nearly all of a hard limit",
+            "`reserve` must be at least 0 and less than 0.9: floors must not take nearly all of a hard limit",
         )?;
         ensure(
             (0.0..=1.0).contains(&self.soft_excess_fraction),
-            "a soft limit is exceeded by more than itself",
+            "`over` must be between 0 and 1: a soft limit is exceeded by at most itself",
         )?;
-        ensure(self.lease_request_interval != 0, "a share is asked for all the time")?;
+        ensure(self.lease_request_interval != 0, "`every-ms` must not be 0")?;
         ensure(
             self.lease_duration >= MIN_REQUESTS_PER_LEASE * self.lease_request_interval,
-            "a lease ends before it was asked for four times",
+            "`lease-ms` must be at least four times `every-ms`",
         )?;
-        ensure(self.burst_window >= MIN_BURST_US, "what is not used at once is lost")?;
         ensure(
-            (0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift),
-            "clocks that drift apart by over a fifth are none",
-        )
+            self.burst_window >= MIN_BURST_WINDOW_US,
+            "`burst-ms` must be at least 10: with less, tokens that are not used at once are lost",
+        )?;
+        ensure((0.0..=MAX_CLOCK_DRIFT).contains(&self.max_clock_drift), "`drift` must be between 0 and 0.2")
     }
 
-    /// What a node may use of a limit without a lease.
+    /// The amount of a limit that a node may use without a lease.
     pub fn floor(&self, limit: &Limit) -> f64 {
         let fraction = match limit.enforcement {
             Enforcement::Hard => self.reserved_fraction,
@@ -125,7 +125,7 @@
         let per_node = limit.amount * fraction / f64::from(self.node_count.max(1));
         match limit.kind {
             LimitKind::Rate => per_node,
-            // Half a stream is of no use: what does not make a whole one for each node is left to grant.
+            // Concurrency is used in whole units: what is not a whole unit for each node is left to grant.
             LimitKind::Concurrency => per_node.floor(),
         }
     }
@@ -138,9 +138,10 @@
         }
     }
 
-    /// For how long the granter debits an allocation after it was last requested. The holder counts its
-    /// lease from the sending of the request, by a clock that may be slow, and what it has admitted under
-    /// a concurrency limit ends later, within its own time.
+    /// How long the granter debits an allocation after the last request for it. The holder measures its
+    /// lease from the sending of the request, with a clock that may run slow. Use continues after the lease:
+    /// requests admitted under a concurrency limit run to their end, and the allocation of a soft rate
+    /// decays.
     pub fn debit_duration(&self, limit: &Limit) -> Micros {
         let use_after_lease = match (limit.kind, limit.enforcement) {
             (LimitKind::Concurrency, _) => self.max_request_duration,
@@ -150,7 +151,7 @@
         self.with_drift(self.lease_duration) + self.with_drift(use_after_lease)
     }
 
-    /// A time of one clock as measured by another, at most.
+    /// The longest time that another clock may measure for a duration on one clock.
     fn with_drift(&self, duration: Micros) -> Micros {
         (duration as f64 * (1.0 + 2.0 * self.max_clock_drift)) as Micros
     }
--- a/crates/pintally-quota/src/message.rs
+++ b/crates/pintally-quota/src/message.rs
@@ -6,22 +6,22 @@
 
 use crate::limit::LimitId;
 
-/// Requests or grants in one message: together with its other fields a message stays below the size of a
-/// datagram.
+/// The maximum number of requests or grants in one message, so that with its other fields a message fits
+/// into a datagram.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 40;
 
-/// A holder asks for an allocation of a limit, and thereby returns what it no longer holds.
+/// A holder's request for an allocation of a limit. It also returns what the holder no longer holds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The limit.
     pub limit: LimitId,
-    /// Counts the requests of this holder's incarnation for this limit. A grant for an earlier request is
-    /// void.
+    /// The sequence number of the request among those of this holder's incarnation for this limit. A grant
+    /// for an earlier request is void.
     pub number: u32,
-    /// The allocation that it holds, and will not exceed before it is granted more.
+    /// The allocation that the holder holds, and does not exceed until it is granted more.
     #[serde(rename = "holds")]
     pub held: f32,
-    /// The allocation that it could use.
+    /// The allocation that the holder could use.
     #[serde(rename = "wants")]
     pub wanted: f32,
 }
--- a/crates/pintally-quota/tests/golden.rs
+++ b/crates/pintally-quota/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Messages between holders and the granter as bytes: nodes of different builds read each other's.
+//! The encoding of messages between holders and the granter does not change: nodes of different builds read
+//! each other's messages.
 
 use std::fmt::Debug;
 
@@ -12,7 +13,7 @@
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    let byte = |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).unwrap();
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -21,7 +22,7 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-/// Asserts that a value is written as, and read from, the golden bytes of that name.
+/// Asserts that a value is encoded as, and decoded from, the golden bytes of that name.
 #[track_caller]
 fn assert_stable<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: T) {
     assert_bytes(name, &postcard::to_stdvec(&value).unwrap());
@@ -42,17 +43,17 @@
 
 #[test]
 fn request_bytes_are_stable() {
-    assert_stable("ask", request());
-    let nothing = LeaseRequest { limit: LimitId(0), number: 1, held: 0.0, wanted: 0.0 };
-    assert_stable("ask_message", (INCARNATION, vec![request(), nothing]));
-    assert_stable("ask_message_empty", (INCARNATION, Vec::<LeaseRequest>::new()));
+    assert_stable("request", request());
+    let zero = LeaseRequest { limit: LimitId(0), number: 1, held: 0.0, wanted: 0.0 };
+    assert_stable("request_message", (INCARNATION, vec![request(), zero]));
+    assert_stable("request_message_empty", (INCARNATION, Vec::<LeaseRequest>::new()));
 }
 
 #[test]
 fn grant_bytes_are_stable() {
     assert_stable("grant", grant());
-    let nothing = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, limit_amount: f64::MAX };
-    assert_stable("grant_message", (INCARNATION, vec![grant(), nothing]));
+    let zero = LeaseGrant { limit: LimitId(1), number: 2, granted: 0.0, limit_amount: f64::MAX };
+    assert_stable("grant_message", (INCARNATION, vec![grant(), zero]));
     assert_stable("grant_message_empty", (INCARNATION, Vec::<LeaseGrant>::new()));
 }
 
@@ -60,7 +61,7 @@
 fn limit_bytes_are_stable() {
     assert_stable("limit_id", LIMIT);
     assert_stable("kind_rate", LimitKind::Rate);
-    assert_stable("kind_level", LimitKind::Concurrency);
-    assert_stable("bound_hard", Enforcement::Hard);
-    assert_stable("bound_soft", Enforcement::Soft);
+    assert_stable("kind_concurrency", LimitKind::Concurrency);
+    assert_stable("enforcement_hard", Enforcement::Hard);
+    assert_stable("enforcement_soft", Enforcement::Soft);
 }
--- a/crates/pintally-quota/tests/settings.rs
+++ b/crates/pintally-quota/tests/settings.rs
@@ -3,7 +3,7 @@
 use pintally_quota::Settings;
 
 #[test]
-fn inconsistent_settings_are_rejected() {
+fn rejects_inconsistent_settings() {
     assert!(Settings::default().check().is_ok());
     assert!(Settings { lease_duration: 1_000, ..Settings::default() }.check().is_err());
     assert!(Settings { reserved_fraction: 0.95, ..Settings::default() }.check().is_err());
