--- a/crates/pintally-guards/src/attempt.rs
+++ b/crates/pintally-guards/src/attempt.rs
@@ -1,16 +1,16 @@
 //! Guards of attempts and rejections.
 //!
-//! They decide whether an attempt may be sent, whether it may still start when its connection comes up,
+//! They decide whether an attempt may be sent, whether it may still start when its connection is established,
 //! and whether a request may be rejected.
 
 use pintally::interface::{EndpointState, Idempotency, IdempotencyScope, Micros, Role};
 
 use crate::Denial;
 
-/// An earlier attempt that may have run.
+/// When and where an attempt was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
-    /// When it was sent.
+    /// Time of sending.
     pub sent_at: Micros,
     /// Zone of its engine.
     pub zone: String,
@@ -33,7 +33,7 @@
     pub max_attempts: u32,
     /// Time at which the client gives up.
     pub deadline: Micros,
-    /// The first attempt that may have run. Attempts at readers have no effect and never appear here.
+    /// The first attempt that may have run. Attempts at readers have no side effect and are not recorded here.
     pub may_have_run: Option<&'a SentAttempt>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// Checks that an attempt that was allowed earlier may still start now, for example after its connection
-/// came up late.
+/// was established late.
 ///
 /// # Errors
 ///
@@ -84,7 +84,7 @@
     if now >= request.deadline {
         return Err(Denial::NoTimeLeft);
     }
-    // What a reader does has no effect, however often.
+    // A read has no side effect and may be repeated.
     if engine.role == Role::Reader {
         return Ok(());
     }
--- a/crates/pintally-guards/src/connection.rs
+++ b/crates/pintally-guards/src/connection.rs
@@ -7,7 +7,7 @@
 pub enum CloseReason {
     /// The client closed or reset it.
     ClientLeft,
-    /// Writing to it failed.
+    /// Reading from it or writing to it failed.
     IoError,
     /// The client has read nothing for longer than the write timeout.
     WriteTimeout,
@@ -15,7 +15,7 @@
     StreamAborted,
     /// The keep-alive timeout expired.
     IdleTimeout,
-    /// No request arrived on it in time.
+    /// No complete request arrived on it within the receive timeout.
     ReceiveTimeout,
     /// Its last answer is completely written and the client had time to read it.
     ResponseDelivered,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a close for this reason leaves nobody to whom an answer could still be delivered.
+    /// Whether pending answers can no longer be delivered when the connection closes for this reason.
     fn prevents_delivery(self) -> bool {
         use CloseReason::{ClientLeft, IoError, StreamAborted, WriteTimeout};
         matches!(self, ClientLeft | IoError | WriteTimeout | StreamAborted)
@@ -74,8 +74,8 @@
 
 /// Checks that a client connection may be closed now.
 ///
-/// Guards every path that closes a connection against dropping an answer that is half written, and against
-/// closing on a request that was sent and not read.
+/// Prevents any path that closes a connection from dropping an answer that is partly written, or a request that
+/// the client has sent and the node has not read.
 ///
 /// # Errors
 ///
--- a/crates/pintally-guards/src/lib.rs
+++ b/crates/pintally-guards/src/lib.rs
@@ -1,9 +1,9 @@
 //! Send and close guards: the invariants of requests and client connections as pure functions.
 //!
-//! The decision core chooses what to do. The code that carries it out checks the guard first, whatever path
-//! led there (a first attempt, a retry, a late connection, a shutdown, a reload, an eviction). A denial means
-//! that a violation was prevented: the action is not carried out, and the denial is counted and logged as a
-//! defect of the router.
+//! The decision core selects an action. The code that executes it checks its guard first, on every path that
+//! leads to the action (a first attempt, a retry, a late connection, a shutdown, a reload, an eviction). A
+//! denial means that a violation was prevented: the action is not executed, and the denial is counted and
+//! logged as a defect of the router.
 
 #![deny(missing_docs)]
 
@@ -36,9 +36,9 @@
     NoTimeLeft,
     /// The limit of attempts is reached.
     AttemptsExhausted,
-    /// A rejection promises that nothing ran, and an attempt may have run.
+    /// A rejection promises the client that a retry is harmless, but an attempt may have run.
     RejectionAfterEffect,
-    /// A request of the connection is in flight.
+    /// A request of the connection is in flight and its answer is pending.
     AnswerPending,
     /// Part of an answer is not written to the connection yet.
     AnswerUnwritten,
