--- a/crates/pintally-host/src/cell_routing.rs
+++ b/crates/pintally-host/src/cell_routing.rs
@@ -1,4 +1,4 @@
-//! Routing between cells: the engines that each cell has, and which cell admits a request.
+//! Routing between cells: assigns engines to cells and selects the cell that admits a request.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 /// An endpoint, its role and the cell that the endpoint list assigns it to.
 pub(crate) type ListedEndpoint = (Endpoint, Role, Option<CellName>);
 
-/// What follows from a version of the cells file.
+/// The effect of a new version of the cells file.
 pub(crate) enum CellsUpdate {
-    /// It is the first one: the endpoints have to be assigned.
+    /// It is the first version: the endpoints have to be assigned to cells.
     Loaded,
     /// It replaces another version.
     Replaced(EngineAssignment),
@@ -23,12 +23,12 @@
     Invalid(String),
 }
 
-/// The cells of the node. Without a cells file there is one cell, without a name, with all engines.
+/// The cells of the node. Without a cells file there is one unnamed cell with all engines.
 pub(crate) struct CellRouting {
-    is_divided: bool,
+    has_cells_file: bool,
     cells: Option<Cells>,
-    /// The engines that each cell's core was last notified of and when they started: all that can change of
-    /// them by the passage of time alone.
+    /// The engines last announced to each cell's core, with their start times. Without a new list or cells file,
+    /// nothing else of an announcement changes over time.
     announced: BTreeMap<CellName, Vec<(EngineId, Option<Micros>)>>,
     /// A fault was recorded since the timer was last set.
     fault_recorded: bool,
@@ -36,10 +36,10 @@
 }
 
 impl CellRouting {
-    /// Routing as the settings say, before any version of the cells file is loaded.
+    /// Creates the routing that the settings define, before any version of the cells file is loaded.
     pub(crate) fn new(settings: &NodeSettings) -> CellRouting {
         CellRouting {
-            is_divided: settings.cells_file.is_some(),
+            has_cells_file: settings.cells_file.is_some(),
             cells: None,
             announced: BTreeMap::new(),
             fault_recorded: false,
@@ -48,8 +48,8 @@
     }
 
     /// Whether the settings name a cells file.
-    pub(crate) fn is_divided(&self) -> bool {
-        self.is_divided
+    pub(crate) fn has_cells_file(&self) -> bool {
+        self.has_cells_file
     }
 
     /// Whether a version of the cells file is loaded.
@@ -62,13 +62,13 @@
         self.cells.as_ref().map(|cells| cells.status(now)).unwrap_or_default()
     }
 
-    /// Tenants that migrate, the share of their sessions that this node has migrated, and whether it holds the
-    /// others back.
+    /// Tenants that migrate, the share of their sessions that this node has migrated, and whether the migration
+    /// of the others is paused.
     pub(crate) fn migrations(&self, unix_ms: u64) -> Vec<(String, f64, bool)> {
         let Some(cells) = &self.cells else { return Vec::new() };
         let status = |(tenant, share)| {
-            let is_held_back = cells.paused_moves().contains(&tenant);
-            (tenant, share, is_held_back)
+            let is_paused = cells.paused_moves().contains(&tenant);
+            (tenant, share, is_paused)
         };
         cells.moves(unix_ms).into_iter().map(status).collect()
     }
@@ -92,13 +92,13 @@
         self.cells.as_mut().map(|cells| cells.set_engines(now, endpoints))
     }
 
-    /// The assignment after the timer has expired.
+    /// Handles the expiry of the timer and returns the new assignment.
     pub(crate) fn timer_expired(&mut self, now: Micros) -> Option<EngineAssignment> {
         self.timer = None;
         self.cells.as_mut().map(|cells| cells.reassign(now))
     }
 
-    /// Records the endpoints announced to a cell's core; whether they differ from those announced before.
+    /// Records the endpoints announced to a cell's core. Returns whether they differ from those announced before.
     pub(crate) fn record_announcement(&mut self, cell: &CellName, endpoints: &[Endpoint]) -> bool {
         let announced: Vec<_> = endpoints.iter().map(|e| (e.engine.clone(), e.started)).collect();
         let has_changed = self.announced.get(cell) != Some(&announced);
@@ -106,7 +106,7 @@
         has_changed
     }
 
-    /// Sets the timer to when the assignment may change by the passage of time alone.
+    /// Sets the timer to the next time at which the assignment may change without an input.
     pub(crate) fn update_timer(&mut self, now: Micros, timers: &mut Timers) {
         let Some(at) = self.cells.as_ref().and_then(|cells| cells.next_change(now)) else { return };
         let at = at.max(now + 1);
@@ -116,14 +116,14 @@
         self.timer = Some(timers.replace(self.timer, at, TimerEvent::CellAssignment));
     }
 
-    /// Does the same if a fault was recorded since the last time.
+    /// Updates the timer as [`Self::update_timer`] does if a fault was recorded since the last call.
     pub(crate) fn update_timer_after_fault(&mut self, now: Micros, timers: &mut Timers) {
         if std::mem::take(&mut self.fault_recorded) {
             self.update_timer(now, timers);
         }
     }
 
-    /// Asks for admission of a request; none without a cells file.
+    /// Requests admission of a request; `None` if no cells file is loaded.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -140,7 +140,8 @@
         }
     }
 
-    /// The tenant that uses most of a cell, if any does.
+    /// The tenant with the most open requests in a cell, where `Some(None)` stands for requests without a tenant.
+    /// `None` if the cell has no open requests.
     pub(crate) fn heaviest_tenant(&self, cell: &CellName) -> Option<Option<String>> {
         self.cells.as_ref().and_then(|cells| cells.heaviest_tenant(cell))
     }
--- a/crates/pintally-host/src/command.rs
+++ b/crates/pintally-host/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the host: what its driver does with sockets, files and logs.
+//! The commands of the host, which its driver executes with sockets, files and logs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 
 use crate::input::RequestNumber;
 
-/// An attempt to be made.
+/// An attempt to send.
 #[derive(Clone, Debug)]
 pub struct AttemptOrder {
     /// The request.
     pub number: RequestNumber,
-    /// Its name in this node, the same for all attempts.
+    /// The request's name in this node, the same for all attempts.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
@@ -23,19 +23,19 @@
     pub cell: CellName,
     /// The engine.
     pub engine: EngineId,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
     /// The step that the engine executes.
     pub step: Step,
-    /// What fetches the state that was read, for [`Step::Fetch`].
+    /// The transfer parameters of the state that was read, for [`Step::Fetch`].
     pub state: Option<Arc<Value>>,
-    /// Slots of the engine, 0 if unknown.
+    /// Number of slots of the engine, 0 if unknown.
     pub slots: u64,
     /// Limit of answer tokens.
     pub max_tokens: u64,
-    /// The first token has to arrive within this time.
+    /// Time within which the first token has to arrive.
     pub timeout: Micros,
-    /// The complete answer has to arrive within this time, if it is not streamed.
+    /// Time within which the complete answer has to arrive, if it is not streamed.
     pub completion_timeout: Option<Micros>,
 }
 
@@ -44,7 +44,7 @@
 pub enum FinalAnswer {
     /// The complete answer has arrived and is delivered.
     Served,
-    /// Rejected; a retry is harmless, after this time if any is stated.
+    /// Rejected; a retry is harmless, after the stated time if there is one.
     Rejected(Option<Micros>),
     /// Failed; it may have run.
     Failed,
@@ -55,40 +55,41 @@
 /// A command of the host.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Make an attempt.
+    /// Send an attempt.
     Attempt(AttemptOrder),
     /// Cancel an attempt; its end is still reported.
     Cancel(RequestNumber, AttemptNumber),
     /// Give the final answer.
     Answer(RequestNumber, FinalAnswer),
-    /// No more commands follow for this request: its answer is given and its last attempt has ended. Issued once
-    /// for each request that arrived.
+    /// The request is complete: its answer is given, its last attempt has ended and no more commands follow for it.
+    /// Issued once for each request that arrived.
     RequestComplete(RequestNumber),
     /// Release a reservation, named as the host's [`ReleaseScope`](crate::ReleaseScope) says.
     Release {
-        /// What is released.
+        /// The name of the released reservation or request.
         name: RequestId,
         /// The engine that is called.
         engine: EngineId,
-        /// Where it listens.
+        /// The engine's address.
         address: SocketAddr,
-        /// Use a new connection. Guards against a node that was partitioned: all its pooled connections are silent
-        /// then, and calls on one after the other of them reach nobody.
+        /// Use a new connection. After a partition all pooled connections of a node may be dead, so that calls on
+        /// one after the other of them would reach no engine.
         new_connection: bool,
     },
-    /// Find out whether an attempt in flight has reached its engine: if its last byte has been written on a
-    /// connection that was opened for it, open one more. If that comes up, report
-    /// [`Input::DeliveryConfirmed`](crate::Input::DeliveryConfirmed); silence and a refusal show nothing, and
-    /// neither does a pooled connection.
+    /// Check whether an attempt in flight has reached its engine: if the attempt's last byte has been written on a
+    /// connection that was opened for it, open another connection, and report
+    /// [`Input::DeliveryConfirmed`](crate::Input::DeliveryConfirmed) if that is established. A timeout or a refusal
+    /// proves nothing, and neither does an attempt that was written on a pooled connection.
     ProbeConnection(RequestNumber, AttemptNumber, EngineId, SocketAddr),
-    /// Withdraw the release calls of a request that are not acknowledged: nothing of them is written from here on,
-    /// and their results are not needed.
+    /// Withdraw the unacknowledged release calls of a request: write nothing more of them. Their results need not be
+    /// reported.
     WithdrawReleases(RequestId),
-    /// Check the health of an engine with so many slots.
+    /// Check the health of an engine with this number of slots.
     HealthCheck(EngineId, SocketAddr, u64),
     /// Read the endpoint list again.
     ReloadEndpointList,
-    /// Query the state of the fleet from a peer, by the number that the peers' input gave it.
+    /// Query the state of the fleet from a peer, identified by its number in
+    /// [`pintally_recovery::Input::PeersChanged`].
     QueryPeer(u64),
     /// A stage of the recovery has begun.
     RecoveryStage(pintally_recovery::Stage),
@@ -96,11 +97,11 @@
     RequestQuota(Vec<pintally_quota::LeaseRequest>),
     /// Publish this node's observations of engines to the fleet; an empty report withdraws the last one.
     PublishOutlierReport(Vec<u8>),
-    /// Publish this node's observations of zones, and the number of engines that take work in each zone, to the
-    /// planner of failover.
+    /// Publish this node's observations of zones, and the number of serving engines in each zone, to the failover
+    /// planner.
     PublishZoneReport(Vec<u8>, Vec<f64>),
     /// Log a message for the operators.
     Log(String),
-    /// Everything has ended after [`Input::Stop`](crate::Input::Stop).
+    /// The shutdown that [`Input::Stop`](crate::Input::Stop) began is complete.
     Stopped,
 }
--- a/crates/pintally-host/src/cores.rs
+++ b/crates/pintally-host/src/cores.rs
@@ -11,18 +11,18 @@
 /// Prime of the FNV-1a hash that derives the seed of a named cell's core.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// One router for each cell, and the events that the host itself has for them.
+/// One router for each cell, and events that the host has queued for them.
 pub(crate) struct DecisionCores {
     settings: Arc<NodeSettings>,
     seed: u64,
     routers: BTreeMap<CellName, Router>,
     pending_events: VecDeque<(CellName, Event)>,
-    /// Kept for its capacity.
+    /// Reused, so that events need no new allocation.
     action_buffer: Vec<Action>,
 }
 
 impl DecisionCores {
-    /// No cores yet; each will get a seed derived from this one.
+    /// No cores yet; the seed of each core is derived from this one.
     pub(crate) fn new(settings: Arc<NodeSettings>, seed: u64) -> DecisionCores {
         DecisionCores {
             settings,
@@ -42,7 +42,7 @@
         self.routers.insert(cell.clone(), router);
     }
 
-    /// The seed itself for the cell without a name, and one that depends on the name for all others.
+    /// The seed itself for the unnamed cell, and one derived from the name for all others.
     fn seed_of(&self, cell: &CellName) -> u64 {
         cell.0.bytes().fold(self.seed, |seed, byte| (seed ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
     }
@@ -52,7 +52,8 @@
         self.routers.keys().cloned().collect()
     }
 
-    /// Hands an event to a cell's core and returns its actions. The vector goes back by [`Self::recycle`].
+    /// Passes an event to a cell's core and returns its actions. The caller returns the emptied vector through
+    /// [`Self::recycle`].
     pub(crate) fn handle(&mut self, now: Micros, cell: &CellName, event: Event) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.action_buffer);
         if let Some(router) = self.routers.get_mut(cell) {
@@ -61,12 +62,12 @@
         actions
     }
 
-    /// Takes back an empty vector for its capacity.
+    /// Takes back an emptied vector, so that its allocation is reused.
     pub(crate) fn recycle(&mut self, actions: Vec<Action>) {
         self.action_buffer = actions;
     }
 
-    /// Queues an event that is handed over after the actions of the current one.
+    /// Queues an event that is handled after the actions of the current one.
     pub(crate) fn queue_event(&mut self, cell: CellName, event: Event) {
         self.pending_events.push_back((cell, event));
     }
--- a/crates/pintally-host/src/counters.rs
+++ b/crates/pintally-host/src/counters.rs
@@ -7,19 +7,19 @@
     pub accepted: u64,
     /// Requests rejected before a core saw them.
     pub rejected_before_dispatch: u64,
-    /// Of these, rejected by the admission of their cell.
+    /// Of these, requests rejected by the admission of their cell.
     pub rejected_by_cell: u64,
-    /// Of these, rejected while the fleet recovers.
+    /// Of these, requests rejected while the fleet recovers.
     pub rejected_during_recovery: u64,
-    /// Of these, rejected because a quota of the whole fleet is used up.
+    /// Of these, requests rejected because a quota of the whole fleet was used up.
     pub rejected_over_quota: u64,
-    /// Retries that a quota of the whole fleet did not allow.
+    /// Retries denied because a quota of the whole fleet was used up.
     pub retries_over_quota: u64,
-    /// Of those rejected before a core saw them, rejected because no zone that they may use has capacity.
+    /// Of those rejected before a core saw them, requests rejected because no zone that they may use had capacity.
     pub rejected_no_zone: u64,
     /// Requests routed to another zone than their node's.
     pub routed_to_other_zone: u64,
-    /// Requests that gave up their capacity to another tenant while they were queued.
+    /// Queued requests that were preempted by a request of another tenant.
     pub preempted_while_queued: u64,
     /// Final answers with a complete answer.
     pub served: u64,
@@ -33,25 +33,25 @@
     pub clients_left: u64,
     /// Attempts made.
     pub attempts: u64,
-    /// Attempts that a core wanted and that were not sent.
+    /// Attempts that a core requested and that were not sent.
     pub never_sent: u64,
     /// Requests that the host ended because the core gave no final answer by the deadline.
     pub overdue: u64,
-    /// Releases, retries not counted.
+    /// Releases, without retries.
     pub releases: u64,
-    /// Releases that the host made in place of the core.
+    /// Releases of what the core had not released when the request was complete.
     pub releases_by_host: u64,
-    /// Releases made by the deadline of reservations, while an attempt was in flight that may never have reached
-    /// its engine.
+    /// Releases at the deadline of reservations, while an attempt was in flight that may never have reached its
+    /// engine.
     pub releases_guarded: u64,
     /// Releases of reservations of an earlier incarnation.
     pub orphaned_releases: u64,
-    /// Reservations taken over from dead peers to be released.
+    /// Reservations of dead peers that this node took over to release them.
     pub reservations_inherited: u64,
-    /// Calls of releases, retries counted.
+    /// Release calls, including retries.
     pub release_calls: u64,
     /// Releases given up because no engine acknowledged them.
     pub releases_lost: u64,
-    /// Inputs that match nothing: late or repeated reports of what is complete.
+    /// Inputs that match no open request or attempt, such as late or repeated reports.
     pub unmatched_inputs: u64,
 }
--- a/crates/pintally-host/src/endpoint_directory.rs
+++ b/crates/pintally-host/src/endpoint_directory.rs
@@ -15,7 +15,7 @@
 pub(crate) struct KnownEngine {
     pub(crate) address: SocketAddr,
     pub(crate) role: Role,
-    /// Slots of the engine, 0 if unknown.
+    /// Number of slots, 0 if unknown.
     pub(crate) slots: u64,
     pub(crate) listing: EndpointState,
     pub(crate) zone: Arc<str>,
@@ -23,13 +23,13 @@
 }
 
 impl KnownEngine {
-    /// What the send guards depend on.
+    /// The properties that the send guards depend on.
     pub(crate) fn facts(&self) -> EngineFacts<'_> {
         EngineFacts { listing: self.listing, role: self.role, zone: &self.zone, rack: self.rack }
     }
 }
 
-/// An endpoint is of a kind that the settings do not define.
+/// The kind of an endpoint is not defined in the settings.
 #[derive(Debug)]
 pub(crate) struct UnknownKind {
     engine: EngineId,
@@ -44,7 +44,7 @@
 
 impl std::error::Error for UnknownKind {}
 
-/// The listed engines, and engines that left the list while something of this node is still there.
+/// The listed engines, and engines that have left the list but are still in use by this node.
 #[derive(Default)]
 pub(crate) struct EndpointDirectory {
     engines: BTreeMap<EngineId, KnownEngine>,
@@ -53,7 +53,7 @@
 }
 
 impl EndpointDirectory {
-    /// Begins a complete list: whatever it does not name is gone.
+    /// Begins a complete list: marks all engines as gone until the list registers them.
     pub(crate) fn begin_full_list(&mut self) {
         self.engines.values_mut().for_each(|engine| engine.listing = EndpointState::Gone);
         self.endpoints.clear();
@@ -87,19 +87,20 @@
         Ok(())
     }
 
-    /// Whether an engine has left the list and is not forgotten yet.
+    /// Whether the directory contains engines that have left the list.
     pub(crate) fn has_gone_engines(&self) -> bool {
         self.engines.values().any(|engine| engine.listing == EndpointState::Gone)
     }
 
-    /// Forgets the engines that have left the list, except for those in use.
+    /// Removes the engines that have left the list, except for those in use.
     pub(crate) fn forget_gone(&mut self, in_use: &HashSet<EngineId>) {
         self.engines.retain(|id, engine| engine.listing != EndpointState::Gone || in_use.contains(id));
         let engines = &self.engines;
         self.endpoints.retain(|id, _| engines.contains_key(id));
     }
 
-    /// The list in force was read from its source in this incarnation. Whether this is new.
+    /// Records that the list in force was read from its source in this incarnation. Returns whether this was not
+    /// recorded before.
     pub(crate) fn confirm(&mut self) -> bool {
         !std::mem::replace(&mut self.is_confirmed, true)
     }
@@ -119,7 +120,7 @@
         self.engines.contains_key(id)
     }
 
-    /// Where an engine listens.
+    /// The address of an engine.
     pub(crate) fn address(&self, id: &EngineId) -> Option<SocketAddr> {
         self.engines.get(id).map(|engine| engine.address)
     }
@@ -129,12 +130,12 @@
         self.engines.get(id).map(|engine| engine.listing)
     }
 
-    /// Whether an engine takes work, by the list.
+    /// Whether an engine is serving according to the list.
     pub(crate) fn is_serving(&self, id: &EngineId) -> bool {
         self.listing(id) == Some(EndpointState::Serving)
     }
 
-    /// The engines that take work, by the list.
+    /// The engines that are serving according to the list.
     pub(crate) fn serving(&self) -> impl Iterator<Item = &EngineId> {
         self.listings().filter(|(_, listing)| *listing == EndpointState::Serving).map(|(id, _)| id)
     }
@@ -144,7 +145,7 @@
         self.engines.iter().map(|(id, engine)| (id, engine.listing))
     }
 
-    /// Where the known engines listen.
+    /// The addresses of the known engines.
     pub(crate) fn addresses(&self) -> HashSet<SocketAddr> {
         self.engines.values().map(|engine| engine.address).collect()
     }
--- a/crates/pintally-host/src/endpoint_list.rs
+++ b/crates/pintally-host/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list: each valid version becomes the changes against the version in force.
+//! Follows the endpoint list: computes the changes of each valid version against the version in force.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 
 use crate::input::EngineEndpoint;
 
-/// What a version of the list changes.
+/// The changes that a version of the list makes.
 #[derive(Debug)]
 pub enum ListChange {
     /// Nothing.
     Unchanged,
-    /// These entries are new or changed; entries that are missing in the new version are among them as gone.
+    /// These entries are new or changed; entries that are missing in the new version are included as gone.
     Changes(ListUpdate, Vec<EngineEndpoint>),
     /// It is invalid, and the version in force remains. The error is reported once while it stays the same.
     Invalid(Option<ConfigError>),
@@ -38,7 +38,7 @@
             Err(error) => return self.report_error(error),
         };
         self.reported_error = None;
-        // Guards against a list that goes back in time, as after a restore: a drain must not be undone.
+        // An older list, as after a restore from a backup, must not undo a drain.
         if self.version.is_some_and(|version| list.version < version) {
             return self.report_stale(list.version);
         }
@@ -66,7 +66,7 @@
         ListChange::Stale(is_new.then_some(version))
     }
 
-    /// Replaces the entries and returns those that have changed; all of the first version.
+    /// Replaces the entries and returns those that have changed, which are all entries of the first version.
     fn replace_entries(
         &mut self,
         entries: Vec<EngineEntry>,
@@ -91,7 +91,7 @@
         changes
     }
 
-    /// The version in force as the content of a list file, to be cached over a restart.
+    /// Renders the version in force as the content of a list file, to be cached across a restart.
     pub fn render(&self) -> Option<String> {
         let engines = self.entries.values().cloned().collect();
         Some(EngineList { version: self.version?, engines }.render())
--- a/crates/pintally-host/src/host.rs
+++ b/crates/pintally-host/src/host.rs
@@ -1,4 +1,4 @@
-//! The host itself: it dispatches inputs to its parts and turns the actions of the decision cores into commands.
+//! The host itself: dispatches inputs to its components and turns the actions of the decision cores into commands.
 
 mod admission;
 mod attempts;
@@ -38,23 +38,23 @@
 use crate::zone_routing::ZoneRouting;
 use crate::OrphanedReservation;
 
-/// Whether the host takes requests.
+/// Whether the host accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Running,
-    /// Graceful shutdown: no new requests, those in flight go on.
+    /// Graceful shutdown: no new requests are accepted, those in flight are completed.
     Draining,
     Stopped,
 }
 
-/// Owns the decision cores and is responsible for the effects of their actions.
+/// Owns the decision cores and executes their actions.
 pub struct Host {
     settings: Arc<NodeSettings>,
     /// The time of the last input.
     now: Micros,
     lifecycle: Lifecycle,
     release_scope: ReleaseScope,
-    /// Prefix of the names of requests that arrive in this incarnation without a name.
+    /// Prefix of the names that this incarnation generates for requests without a name.
     request_id_prefix: String,
     requests: RequestLedger,
     timers: Timers,
@@ -73,13 +73,15 @@
     release_scheduler: ReleaseScheduler,
     orphaned: OrphanedReservations,
     counters: Counters,
+    /// Violations that the guards have prevented.
     denials: Denials,
+    /// Attempts that the guards no longer permitted when their connections were established.
     withheld: Denials,
     rejections: Rejections,
 }
 
 impl Host {
-    /// A host that knows its settings and no engines.
+    /// Creates a host that knows no engines yet.
     pub fn new(settings: Arc<NodeSettings>, seed: u64) -> Host {
         Host {
             now: 0,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Sets what one release frees.
+    /// Sets which reservations one release frees.
     pub fn with_release_scope(mut self, scope: ReleaseScope) -> Host {
         self.release_scope = scope;
         self
@@ -149,18 +151,19 @@
         self
     }
 
-    /// Adds reservations that an earlier incarnation may have left. They are released with the first endpoint
-    /// list that names their engine. Those whose engine is missing in a list from its source are dropped, as
-    /// they are gone with the engine.
+    /// Adds reservations that an earlier incarnation may have left. They are released when an endpoint list names
+    /// their engine. Those whose engine is missing in a list that was read from its source are dropped, as they
+    /// are gone with the engine.
     pub fn with_orphaned_reservations(mut self, orphaned: Vec<OrphanedReservation>) -> Host {
-        // Guards against reservations of this incarnation with the same name, as after a start with the same seed.
+        // After a start with the same seed, names of the earlier incarnation may equal those of this one. Releasing
+        // them would free reservations of this incarnation.
         let mut others = orphaned;
         others.retain(|(_, name)| !self.is_own_name(name));
         self.orphaned = OrphanedReservations::new(others);
         self
     }
 
-    /// Takes in one input and appends the commands that follow.
+    /// Handles one input and appends the resulting commands.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         self.now = now;
         self.dispatch_input(input, out);
@@ -176,13 +179,13 @@
         }
     }
 
-    /// When [`Host::tick`] has something to do.
+    /// The time at which [`Host::tick`] has to be called next.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next_expiry()
     }
 
-    /// Checks that the attempt of a request that is in flight may still start now, as when its connection came
-    /// up late. A denial is counted as withheld.
+    /// Checks that the attempt in flight of a request may still start now, for example when its connection was
+    /// established late. A denial is counted as withheld.
     ///
     /// # Errors
     ///
@@ -242,20 +245,20 @@
         }
     }
 
-    /// Hands an event to a cell's core and carries out its actions, and then the events that these have queued.
+    /// Passes an event to a cell's core and executes its actions, then handles the events that these have queued.
     fn handle_event(&mut self, cell: &CellName, event: Event, out: &mut Vec<Command>) {
         let mut next = Some((cell.clone(), event));
         while let Some((cell, event)) = next {
             let mut actions = self.cores.handle(self.now, &cell, event);
             for action in actions.drain(..) {
-                self.carry_out(&cell, action, out);
+                self.execute_action(&cell, action, out);
             }
             self.cores.recycle(actions);
             next = self.cores.next_event();
         }
     }
 
-    fn carry_out(&mut self, cell: &CellName, action: Action, out: &mut Vec<Command>) {
+    fn execute_action(&mut self, cell: &CellName, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Send(id, engine, timeout) => self.send(cell, id, engine, timeout, out),
             Action::Reject(id, retry_after) => self.answer(&id, FinalAnswer::Rejected(retry_after), out),
@@ -291,10 +294,10 @@
         out: &mut Vec<Command>,
     ) {
         if answered {
-            self.record_heard(&engine);
+            self.record_engine_response(&engine);
             self.cells.record_health_check(self.now, &engine);
         }
-        // Only the cell that has the engine has requested the check; all others ignore the result.
+        // Only the core of the cell that has the engine has requested the check; all others ignore the result.
         for cell in self.cores.cells() {
             self.handle_event(&cell, Event::HealthChecked(engine.clone(), answered, load), out);
         }
@@ -346,7 +349,7 @@
         )));
     }
 
-    /// Whether a name is one of the names that this incarnation gives to requests.
+    /// Whether a name begins like the names that this incarnation generates for requests.
     fn is_own_name(&self, name: &RequestId) -> bool {
         name.0.strip_prefix(&self.request_id_prefix).is_some_and(|rest| rest.starts_with('-'))
     }
--- a/crates/pintally-host/src/host/admission.rs
+++ b/crates/pintally-host/src/host/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: the steps between the arrival of a request and its first core.
+//! Admission of requests: the steps from the arrival of a request until a core gets it.
 
 use pintally::interface::{Event, Idempotency, Micros, Request, RequestId};
 use pintally_cells::{AdmissionRequest, CellAdmission, CellName};
@@ -13,20 +13,20 @@
 use crate::reservations::RequestReservations;
 use crate::timers::TimerEvent;
 
-/// Retry-After of requests that arrive before a cells file is loaded, or give up their capacity to another tenant.
+/// Retry-After of requests that arrive before a cells file is loaded, or are preempted for another tenant.
 const CELL_RETRY_AFTER: Micros = 1_000_000;
-/// Time that a client waits where the settings define no class.
+/// Client timeout if the settings define no class.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 1_000_000;
 /// Limit of answer tokens of a request without a class.
 const DEFAULT_MAX_TOKENS: u64 = 256;
-/// Marks the sessions of requests that name none, so that they differ from all sessions that are named.
-const OWN_SESSION_BIT: u64 = 1 << 52;
+/// Set in the sessions of requests that name none, so that these differ from all named sessions.
+const UNNAMED_SESSION_BIT: u64 = 1 << 52;
 /// Multiplier that spreads consecutive request numbers evenly (the fractional part of the golden ratio).
 const SPREAD_MULTIPLIER: u64 = 0x9e37_79b9;
 
 /// Why a request was not admitted.
 enum NotAdmitted {
-    /// A request of its number is open: the input is repeated.
+    /// A request with its number is open already: the input is a repetition.
     DuplicateNumber,
     Rejected(Rejection),
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a request may use.
+/// The time and the answer tokens that a request may use.
 struct RequestBudget {
     /// Time until the deadline of its answer.
     time_left: Micros,
@@ -77,7 +77,7 @@
         }
         self.check_recovery(arrival)?;
         let quota_charge = self.check_quota(arrival, budget.max_tokens)?;
-        let session = arrival.session.unwrap_or(arrival.number | OWN_SESSION_BIT);
+        let session = arrival.session.unwrap_or(arrival.number | UNNAMED_SESSION_BIT);
         let cell = self.route(arrival, session, out)?;
         let id = self.name_request(arrival)?;
         Ok(AdmittedRequest { id, cell, session, budget, quota_charge })
@@ -88,13 +88,13 @@
         let class = arrival.class.and_then(|class| classes.get(class));
         let class_timeout = match class {
             Some(class) => class.default_client_timeout,
-            // A request without a class waits as long as the least patient class.
+            // A request without a class gets the shortest timeout of all classes.
             None => {
                 let timeouts = classes.iter().map(|class| class.default_client_timeout);
                 timeouts.min().unwrap_or(DEFAULT_CLIENT_TIMEOUT)
             }
         };
-        let client_timeout = arrival.client_timeout.map_or(class_timeout, |own| own.min(class_timeout));
+        let client_timeout = arrival.client_timeout.map_or(class_timeout, |stated| stated.min(class_timeout));
         let class_max_tokens = class.map_or(DEFAULT_MAX_TOKENS, |class| class.max_tokens);
         RequestBudget {
             time_left: client_timeout.saturating_sub(self.settings.limits.answer_margin),
@@ -103,7 +103,7 @@
     }
 
     fn check_node_limits(&self, budget: &RequestBudget) -> Result<(), Rejection> {
-        // Where a cells file is loaded the cells have the capacity.
+        // If a cells file is loaded, the cells limit the number of open requests.
         let is_full =
             !self.cells.is_loaded() && self.requests.len() >= self.settings.limits.max_open_requests;
         if self.lifecycle != Lifecycle::Running {
@@ -133,14 +133,14 @@
         let Some(quota) = &mut self.quota else { return Ok(QuotaCharge::default()) };
         quota.admit(self.now, arrival, max_tokens).map_err(|after| {
             self.counters.rejected_over_quota += 1;
-            // Spread a little, so that requests rejected together are not repeated together.
-            let spread = arrival.number.wrapping_mul(SPREAD_MULTIPLIER) % (after / 4 + 1);
-            let retry_after = self.advertised_retry_after(after + spread);
+            // Jitter of up to a quarter, so that requests rejected together are not repeated together.
+            let jitter = arrival.number.wrapping_mul(SPREAD_MULTIPLIER) % (after / 4 + 1);
+            let retry_after = self.advertised_retry_after(after + jitter);
             Rejection { reason: RejectionReason::OverQuota, retry_after }
         })
     }
 
-    /// The cell or zone whose core gets a request; its capacity is taken.
+    /// Selects the cell or zone whose core gets a request, and reserves capacity there.
     fn route(
         &mut self,
         arrival: &IncomingRequest,
@@ -154,7 +154,7 @@
                 Rejection { reason: RejectionReason::NoCapacity, retry_after }
             });
         }
-        if !self.cells.is_divided() {
+        if !self.cells.has_cells_file() {
             let only_cell = CellName::default();
             self.cores.ensure(&only_cell);
             return Ok(only_cell);
@@ -178,7 +178,8 @@
         let rejected =
             |retry_after| Rejection { reason: RejectionReason::NoCapacity, retry_after: Some(retry_after) };
         match self.cells.admit(self.now, request, arrival.unix_ms) {
-            // Without the file nobody knows which cell serves whom: nobody is served rather than everybody by all.
+            // Until the file is loaded, the cells of tenants are unknown. Requests are rejected rather than sent to
+            // any cell.
             None => Err(rejected(CELL_RETRY_AFTER)),
             Some(CellAdmission::Admit(cell)) => Ok(cell),
             Some(CellAdmission::Displace { cell, displaced: preempted }) => {
@@ -192,8 +193,8 @@
         }
     }
 
-    /// The youngest request of a cell's heaviest tenant that waits for its first attempt gives up its capacity.
-    /// Where all of them have had one none does: work already done is not thrown away.
+    /// Preempts the youngest request of a cell's heaviest tenant that has had no attempt yet. If all have had one,
+    /// none is preempted, so that no work is discarded.
     fn preempt_queued_request(&mut self, cell: &CellName, out: &mut Vec<Command>) {
         let Some(heaviest) = self.cells.heaviest_tenant(cell) else { return };
         let tenants = &self.settings.core.tenants;
@@ -220,11 +221,11 @@
         self.handle_event(cell, Event::ClientLeft(id), out);
     }
 
-    /// The name of a request: its client's, or one of the host's own. Guards against two requests of one name:
-    /// the first would never be ended.
+    /// Returns the name that the client has given a request, or generates one. A name in use is rejected: of two
+    /// open requests with one name, the first would never end.
     fn name_request(&mut self, arrival: &IncomingRequest) -> Result<RequestId, Rejection> {
-        let own_name = || RequestId(format!("{}-{}", self.request_id_prefix, arrival.number).into());
-        let id = arrival.name.clone().unwrap_or_else(own_name);
+        let generated_name = || RequestId(format!("{}-{}", self.request_id_prefix, arrival.number).into());
+        let id = arrival.name.clone().unwrap_or_else(generated_name);
         if self.requests.contains_id(&id) {
             self.counters.unmatched_inputs += 1;
             return Err(Rejection::without_retry_after(RejectionReason::NameInUse));
@@ -263,7 +264,7 @@
             Some(quota) => quota.consume(now, &quota_charge),
             None => Vec::new(),
         };
-        // The core answers by the deadline; the timer expires after it and before the client gives up.
+        // The core answers by the deadline. The timer expires after that and before the client times out.
         let deadline = now.saturating_add(budget.time_left);
         let overdue_at = deadline + self.settings.limits.answer_margin / 2;
         let class = arrival.class.and_then(|class| self.settings.core.classes.get(class));
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: those that the cores want sent, and their outcomes.
+//! Sends the attempts that the cores request, and handles their outcomes.
 
 use std::sync::Arc;
 
@@ -15,28 +15,28 @@
 use crate::input::{ReleaseScope, RequestNumber};
 use crate::request_record::{InFlightAttempt, RequestRecord};
 
-/// Why an attempt that a core wanted was not sent.
+/// Why an attempt that a core requested was not sent.
 enum NotSent {
-    /// A guard has prevented it.
+    /// A guard denied it.
     Denied(Denial),
     /// It is a retry, and the quota of retries is used up.
     RetryOverQuota,
-    /// It should fetch a state that was released.
+    /// It would fetch a state that was released.
     ReservationReleased,
 }
 
-/// What an attempt that has ended returned.
+/// The result of an attempt that has ended.
 pub(super) struct AttemptResult {
     pub(super) attempt: AttemptNumber,
     pub(super) outcome: Outcome,
     pub(super) cached_tokens: u64,
     pub(super) load: Option<LoadReport>,
-    /// What fetches the state that was read.
+    /// The transfer parameters of the state that was read.
     pub(super) state: Option<Arc<Value>>,
 }
 
 impl Host {
-    /// Sends an attempt, or notifies the core that it was not sent: the core expects an outcome in any case.
+    /// Sends an attempt, or notifies the core that it was not sent: the core expects an outcome in either case.
     pub(super) fn send(
         &mut self,
         cell: &CellName,
@@ -81,7 +81,7 @@
             return Err(NotSent::RetryOverQuota);
         }
         let is_writer = self.endpoints.get(engine).is_some_and(|known| known.role == Role::Writer);
-        if is_writer && record.reservations.is_fetch_lost() {
+        if is_writer && record.reservations.is_fetchable_lost() {
             return Err(NotSent::ReservationReleased);
         }
         Ok(())
@@ -105,8 +105,8 @@
                 self.counters.retries_over_quota += 1;
                 Outcome::NeverSent
             }
-            // Guards against an attempt that is spent on a state that was released: the core gets the outcome that
-            // the writer would give, and has the prompt read again.
+            // No attempt is wasted on a state that was released: the core gets the outcome that the writer would
+            // report, and has the prompt read again.
             NotSent::ReservationReleased => Outcome::StateNotFound,
         };
         self.cores.queue_event(cell.clone(), not_sent_event(id, attempt, outcome));
@@ -178,15 +178,15 @@
             return;
         };
         let Some(record) = self.requests.get_mut(number) else { return };
-        // A state that was fetched is not reserved any more; where one release frees all reservations of a
-        // request, the writer has freed the others as well with the first token.
+        // A fetched state is no longer reserved. If one release frees all reservations of a request, the first token
+        // shows that the writer has freed the others as well.
         let frees_all = self.release_scope == ReleaseScope::Request && step != Step::Read;
         if frees_all {
             record.reservations.clear();
         } else if step == Step::Fetch {
             record.reservations.remove_fetched();
         }
-        // A streamed answer has no deadline from here on.
+        // Once a streamed answer has begun, it has no deadline.
         if record.streamed {
             self.timers.cancel(record.overdue_timer);
         }
@@ -200,12 +200,13 @@
         if frees_all {
             self.withdraw_release(&id, 0, out);
         }
-        self.record_heard(&engine);
+        self.record_engine_response(&engine);
         self.report_answer_to_recovery(&engine, out);
         self.handle_event(&cell, Event::FirstToken(id, attempt), out);
     }
 
-    /// Notes the first token of an attempt, if it is expected; the attempt's engine and step.
+    /// Records the first token of an attempt and returns the attempt's engine and step. `None` if no first token of
+    /// this attempt is expected.
     fn record_first_token(
         &mut self,
         number: RequestNumber,
@@ -239,11 +240,11 @@
         if outcome == Outcome::Served {
             record.reservations.remove_fetched();
         }
-        record.record_effect(&ended, outcome);
+        record.record_possible_run(&ended, outcome);
         record.has_failed_attempt |= !matches!(outcome, Outcome::Read | Outcome::Served | Outcome::NeverSent);
         self.requests.mark_changed(number);
         if may_be_reserved {
-            // Guards against a call for older reservations that frees the one that was just created.
+            // A call for older reservations would free the one that was just created.
             self.withdraw_release(&id, 0, out);
         }
         self.record_engine_outcome(&cell, &ended.engine, outcome, out);
@@ -262,7 +263,7 @@
         self.release_uncertain(&id, out);
     }
 
-    /// Gives the final answer of a request if the outcome of its attempt leaves no other.
+    /// Gives the final answer of a request if the outcome of its attempt determines it.
     fn answer_after_attempt(
         &mut self,
         id: &RequestId,
@@ -273,12 +274,12 @@
         if outcome == Outcome::Served {
             self.answer(id, FinalAnswer::Served, out);
         } else if ended.has_first_token {
-            // An answer that has begun cannot be retried: its client would get a second beginning.
+            // An answer that has begun cannot be retried: its client would receive the beginning twice.
             self.answer(id, FinalAnswer::StreamCut, out);
         }
     }
 
-    /// Notifies the parts of the host of what an outcome shows of an engine.
+    /// Passes an outcome to the components that track the reachability and health of engines.
     fn record_engine_outcome(
         &mut self,
         cell: &CellName,
@@ -289,9 +290,9 @@
         match outcome {
             Outcome::Cancelled | Outcome::NeverSent => {}
             Outcome::Unreachable | Outcome::TimedOut | Outcome::ConnectionBroken => {
-                self.record_failure(engine);
+                self.record_engine_failure(engine);
             }
-            _ => self.record_heard(engine),
+            _ => self.record_engine_response(engine),
         }
         if let Some(outliers) = &mut self.outliers {
             outliers.record_outcome(self.now, engine, outcome);
@@ -316,8 +317,8 @@
     Some((record, ended))
 }
 
-/// The outcome as it counts: an engine that was to read and reports that it served, or was to answer and reports
-/// that it read, has not done its work.
+/// The outcome that counts for a step. An outcome that does not match the step is an error: `Served` for a read, and
+/// `Read` for any other step.
 fn effective_outcome(step: Step, reported: Outcome) -> Outcome {
     match (step, reported) {
         (Step::Read, Outcome::Served) => Outcome::Error,
--- a/crates/pintally-host/src/host/coordination.rs
+++ b/crates/pintally-host/src/host/coordination.rs
@@ -1,4 +1,4 @@
-//! What the nodes of the fleet coordinate: quotas, outlier detection and failover between zones.
+//! Functions that the nodes of the fleet coordinate: quotas, outlier detection and failover between zones.
 
 use pintally::interface::ListUpdate;
 use pintally_outlier_detection::Node;
--- a/crates/pintally-host/src/host/final_answers.rs
+++ b/crates/pintally-host/src/host/final_answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: each request gets exactly one, given in one place, whoever decides it.
+//! Final answers: all of them go through `Host::answer`, which gives each request exactly one.
 
 use pintally::interface::{Event, Micros, RequestId};
 use pintally_cells::CellName;
@@ -10,8 +10,7 @@
 use crate::rejections::{Rejection, RejectionReason};
 
 impl Host {
-    /// Gives the final answer of a request. This is the only place that does; the first answer counts and later
-    /// ones are ignored.
+    /// Gives the final answer of a request. The first answer counts; later ones are ignored.
     pub(super) fn answer(&mut self, id: &RequestId, answer: FinalAnswer, out: &mut Vec<Command>) {
         let Some(number) = self.requests.number(id) else { return };
         let Some(record) = self.requests.open_mut(number) else { return };
@@ -53,7 +52,8 @@
         }
     }
 
-    /// Records whether the answer of a request began within its latency objective; one that never begins is late.
+    /// Records whether the answer of a request began within its latency objective; an answer that never begins is
+    /// late.
     pub(super) fn record_latency(&mut self, cell: &CellName, is_late: bool) {
         if let Some(zones) = self.zones.as_mut().filter(|_| is_late) {
             zones.record_late_answer(self.now, cell);
@@ -75,15 +75,15 @@
         out.push(Command::RequestComplete(number));
     }
 
-    /// The time advertised in Retry-After, if clients honour it.
+    /// The time to advertise in Retry-After; `None` if clients do not honour it.
     pub(super) fn advertised_retry_after(&self, after: Micros) -> Option<Micros> {
         let core = &self.settings.core;
         let is_advertised = core.clients_honour_retry_after && core.max_retry_after > 0;
         is_advertised.then(|| after.min(core.max_retry_after))
     }
 
-    /// The core has given no answer by the deadline. Guards the rule that each request gets one, whatever the
-    /// cause.
+    /// Ends a request that the core has not answered by the deadline, so that each request gets an answer whatever
+    /// the cause of the delay.
     pub(super) fn on_answer_overdue(&mut self, number: RequestNumber, out: &mut Vec<Command>) {
         let Some(record) = self.requests.open_mut(number) else { return };
         self.counters.overdue += 1;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The graceful shutdown has taken all its time: ends all requests.
+    /// Ends all requests when the graceful shutdown has reached its timeout.
     pub(super) fn abort_all(&mut self, out: &mut Vec<Command>) {
         for number in self.requests.open_numbers() {
             self.end_in_place_of_core(number, out);
--- a/crates/pintally-host/src/host/fleet.rs
+++ b/crates/pintally-host/src/host/fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and cells files: which engines each core gets.
+//! Applies endpoint lists and cells files, and announces to each core its engines.
 
 use std::collections::HashSet;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NotifiedCells {
     All,
-    /// Those whose engines or their starts differ from the assignment before.
+    /// Those whose engines, or the start times of these, differ from the previous assignment.
     Changed,
 }
 
@@ -78,7 +78,7 @@
                 out.push(Command::Log(unknown_kind.to_string()));
             }
         }
-        if !self.cells.is_divided() {
+        if !self.cells.has_cells_file() {
             self.announce_endpoints(update, endpoints, out);
         } else if update != ListUpdate::Failed {
             self.assign_to_cells(out);
@@ -86,8 +86,8 @@
         self.forget_gone_engines();
     }
 
-    /// An engine that has left the list may still run and have something of this node; it is forgotten when it
-    /// has nothing any more.
+    /// Removes engines that have left the list and are no longer in use. Until then they may still run, with
+    /// attempts and reservations of this node.
     fn forget_gone_engines(&mut self) {
         if !self.endpoints.has_gone_engines() {
             return;
@@ -102,12 +102,13 @@
     fn engines_in_use(&self) -> HashSet<EngineId> {
         let records = || self.requests.iter().map(|(_, record)| record);
         let in_flight = records().filter_map(|record| record.in_flight.as_ref()).map(|a| &a.engine);
-        let reserved = records().flat_map(|record| record.reservations.iter()).map(|held| &held.engine);
+        let reserved =
+            records().flat_map(|record| record.reservations.iter()).map(|reservation| &reservation.engine);
         in_flight.chain(reserved).chain(self.release_retries.engines()).cloned().collect()
     }
 
-    /// Notifies the cores of endpoints where there are no cells: the core of each zone if there are zones, and
-    /// else the only core.
+    /// Announces endpoints if there is no cells file: to the core of each zone if there are zones, otherwise to the
+    /// only core.
     fn announce_endpoints(
         &mut self,
         update: ListUpdate,
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Notifies the cells' cores of their engines. A cell that was removed gets none; its core completes the
-    /// requests that it has.
+    /// Announces to the cells' cores their engines. The core of a removed cell gets none and completes its open
+    /// requests.
     fn announce_assignment(
         &mut self,
         assignment: EngineAssignment,
--- a/crates/pintally-host/src/host/recovery.rs
+++ b/crates/pintally-host/src/host/recovery.rs
@@ -1,5 +1,4 @@
-//! The host's part in the recovery after a start: what it observes of engines goes in, and the outputs are
-//! carried out.
+//! Connects the host to the recovery after a start: passes observations of engines to it and executes its outputs.
 
 use pintally::interface::{EndpointState, EngineId, ListUpdate};
 use pintally_recovery::{Input, Output};
@@ -9,25 +8,25 @@
 use crate::input::EngineEndpoint;
 
 impl Host {
-    /// Hands an input to the recovery and carries out what follows.
+    /// Passes an input to the recovery and executes its outputs.
     pub(super) fn handle_recovery(&mut self, input: Input, out: &mut Vec<Command>) {
         let Some(recovery) = &mut self.recovery else { return };
         let outputs = recovery.handle(self.now, input);
-        self.carry_out_recovery(outputs, out);
+        self.execute_recovery_outputs(outputs, out);
     }
 
     pub(super) fn on_recovery_timer(&mut self, out: &mut Vec<Command>) {
         let Some(recovery) = &mut self.recovery else { return };
         let outputs = recovery.timer_expired(self.now);
-        self.carry_out_recovery(outputs, out);
+        self.execute_recovery_outputs(outputs, out);
     }
 
-    /// Notifies the recovery of the engines that take work after a change of the endpoint list.
+    /// Notifies the recovery of the serving engines after a change of the endpoint list.
     pub(super) fn report_endpoints_to_recovery(&mut self, out: &mut Vec<Command>) {
         if self.recovery.is_none() {
             return;
         }
-        // Guards against a node that counts as cold for ever because it never contacts engines of other zones.
+        // Engines of other zones are left out: a node that never contacts them would count as cold forever.
         let in_home_zone = self.endpoints.serving().filter(|engine| self.is_in_home_zone(engine));
         let serving: Vec<EngineId> = in_home_zone.cloned().collect();
         let is_confirmed = self.endpoints.is_confirmed();
@@ -53,12 +52,12 @@
         is_recovering && self.is_in_home_zone(engine)
     }
 
-    /// Whether this node itself sends requests to an engine: it is in its zone, if there are zones.
+    /// Whether an engine is in this node's zone; without zones, all engines are.
     fn is_in_home_zone(&self, engine: &EngineId) -> bool {
         self.zones.as_ref().is_none_or(|zones| zones.is_in_home_zone(engine))
     }
 
-    fn carry_out_recovery(&mut self, outputs: Vec<Output>, out: &mut Vec<Command>) {
+    fn execute_recovery_outputs(&mut self, outputs: Vec<Output>, out: &mut Vec<Command>) {
         for output in outputs {
             match output {
                 Output::QueryPeer(peer) => out.push(Command::QueryPeer(peer)),
@@ -71,8 +70,9 @@
         }
     }
 
-    /// Guards against a core that takes engines for warm and prefixes for cached after a power loss has made
-    /// them cold and empty, while the list still shows their former start.
+    /// Announces to the cores that all engines restart now. After a power loss, engines are cold and their caches
+    /// empty, but the list still shows their former start times: the cores would take the engines for warm and
+    /// prefixes for cached.
     fn treat_engines_as_cold(&mut self, out: &mut Vec<Command>) {
         if let Some(recovery) = &mut self.recovery {
             recovery.treat_engines_as_cold(self.now);
--- a/crates/pintally-host/src/host/releases.rs
+++ b/crates/pintally-host/src/host/releases.rs
@@ -1,5 +1,5 @@
-//! Releases: reservations are released in time, whatever happens to attempts, engines and connections. The steps
-//! here are common to both scopes of releases.
+//! Releases: reservations are released in time, whatever happens to attempts, engines and connections. This module
+//! contains the steps that both release scopes have in common.
 
 use pintally::interface::{EngineId, RequestId};
 
@@ -11,36 +11,37 @@
 use crate::OrphanedReservation;
 
 impl Host {
-    /// Something arrived from an engine.
-    pub(super) fn record_heard(&mut self, engine: &EngineId) {
+    /// Records that something was received from an engine.
+    pub(super) fn record_engine_response(&mut self, engine: &EngineId) {
         match self.release_scope {
             ReleaseScope::Request => {
-                self.release_scheduler.record_heard(self.now, engine);
+                self.release_scheduler.record_response(self.now, engine);
                 self.wake_request_releases();
             }
             ReleaseScope::Attempt => self.wake_reservation_releases(engine),
         }
     }
 
-    /// Something sent to an engine failed.
-    pub(super) fn record_failure(&mut self, engine: &EngineId) {
+    /// Records that an attempt at an engine, or a call to it, has failed.
+    pub(super) fn record_engine_failure(&mut self, engine: &EngineId) {
         if self.release_scope == ReleaseScope::Request {
             self.release_scheduler.record_failure(self.now, engine);
         }
     }
 
-    /// The core releases the reservations of a request.
+    /// Executes the core's release of the reservations of a request.
     pub(super) fn release(&mut self, id: &RequestId, out: &mut Vec<Command>) {
         let Some(record) = self.requests.by_id_mut(id) else { return };
         match self.release_scope {
             ReleaseScope::Request => {
                 record.reservations.abandon_fetch();
-                // While an attempt is in flight its end releases them, or the deadline if that takes too long.
+                // While an attempt is in flight, they are released when it ends, or by the deadline if that takes
+                // too long.
                 if record.in_flight.is_none() {
                     self.release_request(id, out);
                 }
             }
-            // The attempt in flight waits for the state; its end releases it.
+            // The attempt in flight fetches the state, which is released when the attempt ends.
             ReleaseScope::Attempt if record.is_fetching() => {}
             ReleaseScope::Attempt => {
                 let reservations = record.reservations.take_all();
@@ -54,8 +55,8 @@
         let Some(record) = self.requests.by_id_mut(id) else { return };
         match self.release_scope {
             ReleaseScope::Request => {
-                // While an attempt is at an engine no deadline runs, and the release would free all reservations
-                // of the request.
+                // The release would also free the reservation that an attempt in flight may need. The release
+                // deadline does not run while an attempt is at an engine.
                 if record.in_flight.is_none() && record.reservations.has_uncertain() {
                     self.release_request(id, out);
                 }
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Releases what remains of a request that is complete.
+    /// Releases the remaining reservations of a request that is complete.
     pub(super) fn release_remaining(&mut self, mut record: RequestRecord, out: &mut Vec<Command>) {
         if let Some(deadline) = record.reservations.deadline() {
             self.timers.cancel(deadline.timer);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The result of a release call has arrived.
+    /// Handles the result of a release call.
     pub(super) fn on_release_result(
         &mut self,
         name: RequestId,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Releases the reservations of a dead peer. Names of this incarnation are not the peer's.
+    /// Releases the reservations of a dead peer, except for names of this incarnation, which cannot be the peer's.
     pub(super) fn on_reservations_inherited(
         &mut self,
         mut orphaned: Vec<OrphanedReservation>,
--- a/crates/pintally-host/src/host/request_releases.rs
+++ b/crates/pintally-host/src/host/request_releases.rs
@@ -10,14 +10,14 @@
 use crate::timers::TimerEvent;
 
 impl Host {
-    /// Begins to release all reservations of a request, unless this is in progress.
+    /// Begins the release of all reservations of a request, unless it is pending already.
     pub(super) fn release_request(&mut self, id: &RequestId, out: &mut Vec<Command>) {
         if self.release_scheduler.is_pending(id) {
             return;
         }
         let Some(record) = self.requests.by_id_mut(id) else { return };
         let Some(holder) = record.reservations.last_engine() else { return };
-        record.reservations.lose_fetchable();
+        record.reservations.mark_fetchable_lost();
         let pending_since = record.reservations.deadline_runs_since();
         self.begin_request_release(id, holder, pending_since, out);
     }
@@ -34,10 +34,11 @@
         self.call_release(id.clone(), out);
     }
 
-    /// Makes the next call for a request whose reservations are released.
+    /// Makes the next release call for a request.
     pub(super) fn call_release(&mut self, id: RequestId, out: &mut Vec<Command>) {
         let call = self.release_scheduler.next_call(self.now, &id, self.endpoints.listings());
-        let Some(ReleaseCall { engine, new_connection, next_call_after, is_last_expected }) = call else {
+        let Some(ReleaseCall { engine, new_connection, next_call_after, is_call_limit_reached }) = call
+        else {
             return;
         };
         let target = engine.and_then(|engine| self.endpoints.address(&engine).map(|a| (engine, a)));
@@ -53,11 +54,11 @@
             }
             None => drop(self.release_scheduler.end(&id)),
         }
-        if is_last_expected || next_call_after.is_none() {
+        if is_call_limit_reached || next_call_after.is_none() {
             self.counters.releases_lost += 1;
             out.push(Command::Log(format!("release not acknowledged by any engine: request_id={}", id.0)));
-            // For the core the reservations are gone now; calls continue while there is capacity for them.
-            self.forget_released(&id);
+            // The reservations count as released from now on; calls continue while there is capacity for them.
+            self.remove_released(&id);
         }
     }
 
@@ -69,11 +70,11 @@
         out: &mut Vec<Command>,
     ) {
         if !acknowledged {
-            return self.record_failure(engine);
+            return self.record_engine_failure(engine);
         }
-        self.record_heard(engine);
+        self.record_engine_response(engine);
         if self.withdraw_release(id, 1, out) {
-            self.forget_released(id);
+            self.remove_released(id);
         }
     }
 
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Ends the release of a request and withdraws its calls, if there were more than were acknowledged. Whether
-    /// a release was pending.
+    /// Ends the release of a request, and withdraws its calls if more were made than were acknowledged. Returns
+    /// whether a release was pending.
     pub(super) fn withdraw_release(
         &mut self,
         id: &RequestId,
@@ -102,8 +103,9 @@
         true
     }
 
-    /// The reservations of a request were released. What an attempt waits for is removed when it ends.
-    fn forget_released(&mut self, id: &RequestId) {
+    /// Removes the reservations of a request after they were released. While an attempt fetches one of them, they are
+    /// only marked, and the outcome of the attempt decides whether they are removed.
+    fn remove_released(&mut self, id: &RequestId) {
         let Some(record) = self.requests.by_id_mut(id) else { return };
         if record.is_fetching() {
             record.reservations.mark_released_in_flight();
--- a/crates/pintally-host/src/host/reservation_releases.rs
+++ b/crates/pintally-host/src/host/reservation_releases.rs
@@ -83,7 +83,7 @@
             }
         }
         if acknowledged {
-            self.record_heard(&engine);
+            self.record_engine_response(&engine);
         }
     }
 
--- a/crates/pintally-host/src/host/status.rs
+++ b/crates/pintally-host/src/host/status.rs
@@ -1,4 +1,4 @@
-//! What the host reports of itself, for status documents and audits.
+//! The state of the host, for status documents and audits.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::OrphanedReservation;
 
 impl Host {
-    /// Whether a request of this name has its answer or its last attempt outstanding.
+    /// Whether a request of this name still has its answer or its last attempt outstanding.
     pub fn is_request_open(&self, name: &RequestId) -> bool {
         self.requests.contains_id(name)
     }
@@ -37,8 +37,8 @@
         &self.rejections
     }
 
-    /// Attempts that were sent and not started, as the guards did not permit it any more when their connections
-    /// came up. That is no defect.
+    /// Attempts that were commanded and not started, because the guards no longer permitted them when their
+    /// connections were established. These are not defects.
     pub fn withheld(&self) -> &Denials {
         &self.withheld
     }
@@ -58,7 +58,7 @@
         self.endpoints.listing(engine)
     }
 
-    /// Where the known engines listen.
+    /// The addresses of the known engines.
     pub fn addresses(&self) -> HashSet<SocketAddr> {
         self.endpoints.addresses()
     }
@@ -78,12 +78,12 @@
         self.cores.service_rates()
     }
 
-    /// The number of engines that take work, by the list.
+    /// The number of engines that are serving according to the list.
     pub fn serving_engines(&self) -> usize {
         self.endpoints.serving().count()
     }
 
-    /// The number of timers that are set and of releases that are not acknowledged, for audits of resources.
+    /// The number of pending timers and the number of unacknowledged releases, for audits of resources.
     pub fn pending_timers_and_releases(&self) -> (usize, usize) {
         (self.timers.len(), self.release_retries.len() + self.release_scheduler.len())
     }
@@ -93,8 +93,8 @@
         self.cells.status(self.now)
     }
 
-    /// Tenants that migrate between cells, the share of their sessions that this node has migrated, and whether
-    /// it holds the others back.
+    /// Tenants that migrate between cells, the share of their sessions that this node has migrated, and whether the
+    /// migration of the others is paused.
     pub fn migration_status(&self, unix_ms: u64) -> Vec<(String, f64, bool)> {
         self.cells.migrations(unix_ms)
     }
@@ -119,15 +119,15 @@
         self.recovery.as_ref().map(|recovery| recovery.status(now))
     }
 
-    /// What the node answers when a peer queries it; the caller adds the version of the endpoint list.
+    /// The answer to a peer's recovery query, to which the caller adds the version of the endpoint list.
     pub fn recovery_answer(&self, now: Micros) -> Option<pintally_recovery::Answer> {
         self.recovery.as_ref().map(|recovery| recovery.answer(now))
     }
 
-    /// The reservations that would be orphaned if this incarnation ended now, at most so many, the latest first:
-    /// those that exist, those that reads in flight may create, those whose release is not acknowledged, and
-    /// those of an earlier incarnation that are not released yet.
-    pub fn reservations_at_exit(&self, most: usize) -> Vec<OrphanedReservation> {
+    /// The reservations that would be orphaned if this incarnation ended now, up to a limit: those that exist and
+    /// those that reads in flight may create, youngest request first, then those whose release is not acknowledged,
+    /// and those of an earlier incarnation that are not released yet.
+    pub fn reservations_at_exit(&self, limit: usize) -> Vec<OrphanedReservation> {
         if self.release_scope == ReleaseScope::Request {
             return Vec::new();
         }
@@ -139,7 +139,7 @@
             all.map(|(engine, attempt)| (engine.clone(), reservation_name(&record.id, attempt)))
         });
         let unacknowledged = self.release_retries.iter().map(|(engine, name)| (engine.clone(), name.clone()));
-        of_requests.chain(unacknowledged).chain(self.orphaned.iter().cloned()).take(most).collect()
+        of_requests.chain(unacknowledged).chain(self.orphaned.iter().cloned()).take(limit).collect()
     }
 
     /// Releases for which an acknowledgement is still expected.
--- a/crates/pintally-host/src/input.rs
+++ b/crates/pintally-host/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs of the host: what its driver has received from clients, engines, peers and files.
+//! The inputs of the host: events that its driver has received from clients, engines, peers and files.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 use pintally_cells::{CellName, CellsFile};
 use serde_json::Value;
 
-/// What one release frees.
+/// Which reservations one release frees.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReleaseScope {
-    /// The reservation of one attempt: it is named by the request and the attempt, joined by a dot. Only its
-    /// engine can execute the release.
+    /// The reservation of one attempt, named by the request and the attempt, joined by a dot. Only the engine
+    /// that has the reservation can execute the release.
     #[default]
     Attempt,
-    /// All reservations of the request, at whatever engine. Any engine can execute the release.
+    /// All reservations of the request, at all engines. Any engine can execute the release.
     Request,
 }
 
-/// A request's number in this node, given by the listener and never used again.
+/// A request's number in this node, assigned by the listener and never reused.
 pub type RequestNumber = u64;
 
 /// A request that a client has sent.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its number.
+    /// The number that the listener has assigned to it.
     pub number: RequestNumber,
-    /// The name by which engines know it, if its client gave one; otherwise the host names it.
+    /// The name under which engines know it, if its client supplied one; otherwise the host generates one.
     pub name: Option<RequestId>,
     /// Index of its class, if it names one.
     pub class: Option<usize>,
     /// Index of its tenant, if it names one.
     pub tenant: Option<usize>,
-    /// Its session; without one it has a session of its own.
+    /// Its session; a request that names none is a session of one request.
     pub session: Option<u64>,
     /// The prefix that it shares with other requests.
     pub prefix: Option<u64>,
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// How many of those are the shared prefix.
+    /// How many of these belong to the shared prefix.
     pub prefix_tokens: u64,
     /// Limit of answer tokens.
     pub max_tokens: Option<u64>,
@@ -50,22 +50,22 @@
     pub streamed: bool,
     /// The client resumes after a broken stream.
     pub resumed: bool,
-    /// Bytes that it holds while it is open.
+    /// Memory that its body occupies while it is open.
     pub bytes: usize,
-    /// Unix time of its arrival in milliseconds: migrations between cells depend on it.
+    /// Unix time of its arrival in milliseconds, on which the progress of migrations between cells depends.
     pub unix_ms: u64,
 }
 
 /// An engine of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EngineEndpoint {
-    /// The endpoint as the core takes it.
+    /// The endpoint as it is passed to the core.
     pub endpoint: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
     /// The cell that it belongs to; a spare engine belongs to none.
     pub cell: Option<CellName>,
-    /// When it started, as the list says; with name and address it identifies the engine's incarnation.
+    /// Its start time according to the list, which together with name and address identifies the engine's incarnation.
     pub started_unix_ms: Option<u64>,
 }
 
@@ -80,7 +80,8 @@
     Cells(Box<CellsFile>),
     /// A request has arrived.
     RequestArrived(IncomingRequest),
-    /// A connection probe was answered while the attempt was in flight and written: it has reached its engine.
+    /// A connection probe succeeded while the attempt was in flight and completely written: the attempt has reached
+    /// its engine.
     DeliveryConfirmed(RequestNumber, AttemptNumber),
     /// The answer of an attempt has begun.
     FirstToken(RequestNumber, AttemptNumber),
@@ -96,7 +97,7 @@
         cached_tokens: u64,
         /// The engine's load report.
         load: Option<LoadReport>,
-        /// What fetches the state that was read, with [`Outcome::Read`].
+        /// The transfer parameters with which a writer fetches the state that was read, with [`Outcome::Read`].
         state: Option<Arc<Value>>,
     },
     /// The client has left.
@@ -108,15 +109,15 @@
     Released(RequestId, EngineId, bool),
     /// An input of the recovery after a start.
     Recovery(pintally_recovery::Input),
-    /// The lease granter has answered.
+    /// The lease granter has answered a quota request.
     QuotaGranted(Vec<pintally_quota::LeaseGrant>),
     /// A node has published its observations of engines.
     OutlierReport(pintally_outlier_detection::Node, Vec<u8>),
-    /// The nodes that are alive.
+    /// The list of live nodes has changed; it is complete.
     PeersChanged(Vec<pintally_outlier_detection::Node>),
-    /// The operators declare an engine healthy.
+    /// An operator has declared an engine healthy.
     EngineCleared(String),
-    /// A failover plan: which zone serves whom.
+    /// A failover plan: which zone serves which sessions.
     FailoverPlan(Vec<u8>),
     /// Reservations of a dead peer, to be released.
     ReservationsInherited(Vec<crate::OrphanedReservation>),
--- a/crates/pintally-host/src/ledger.rs
+++ b/crates/pintally-host/src/ledger.rs
@@ -47,12 +47,12 @@
         self.records.get(&number)
     }
 
-    /// The request of this number, to be changed.
+    /// The request of this number, for modification.
     pub(crate) fn get_mut(&mut self, number: RequestNumber) -> Option<&mut RequestRecord> {
         self.records.get_mut(&number)
     }
 
-    /// The request of this name, to be changed.
+    /// The request of this name, for modification.
     pub(crate) fn by_id_mut(&mut self, id: &RequestId) -> Option<&mut RequestRecord> {
         self.numbers.get(id).and_then(|number| self.records.get_mut(number))
     }
@@ -79,7 +79,7 @@
         self.changed.push(number);
     }
 
-    /// Notes that the current input has changed a request.
+    /// Records that the current input has changed a request.
     pub(crate) fn mark_changed(&mut self, number: RequestNumber) {
         self.changed.push(number);
     }
--- a/crates/pintally-host/src/lib.rs
+++ b/crates/pintally-host/src/lib.rs
@@ -1,16 +1,17 @@
 //! The host of the decision core: a sans-I/O state machine that owns a [`Router`](pintally::Router) for each
 //! cell or zone.
 //!
-//! Inputs are handed over with the time at which they arrived, and commands are returned. The same settings,
-//! seed and inputs always give the same commands, so sockets and a simulated clock can drive the same host.
+//! Each input is passed with the time of its arrival, and the resulting commands are returned. The same
+//! settings, seed and inputs always give the same commands, so both real sockets and a simulated clock can
+//! drive the host.
 //!
-//! It guarantees, in whatever order attempts end:
+//! It guarantees, for any order in which attempts end:
 //! - each request gets exactly one [`FinalAnswer`], and no attempt after it;
-//! - each attempt that it commands is ended towards the router exactly once;
-//! - each reservation that may exist at an engine is fetched or released, and the release is retried until the
+//! - the router is notified exactly once of the end of each attempt;
+//! - each reservation that may exist at an engine is fetched or released, and the release is retried until an
 //!   engine has acknowledged it.
 //!
-//! [`Host`] orchestrates parts that each keep their own state: the ledger of requests, timers, the endpoint
+//! [`Host`] coordinates components that each keep their own state: the ledger of requests, timers, the endpoint
 //! directory, the decision cores, routing between cells and zones, outlier detection, admission by quotas and
 //! during recovery, and the schedulers of releases.
 
--- a/crates/pintally-host/src/orphaned_reservations.rs
+++ b/crates/pintally-host/src/orphaned_reservations.rs
@@ -1,8 +1,8 @@
 //! Reservations that an earlier incarnation of the node, or a dead peer, has left at engines.
 //!
-//! A node that was killed is no longer responsible for its reservations, but they still occupy memory at the
-//! engines until these expire them. So the names of the reservations that exist, or may come to exist, are
-//! persisted over a restart, and the next incarnation releases them as soon as it knows where the engines are.
+//! After a node was killed, its reservations occupy memory at the engines until the engines expire them. The names
+//! of reservations that exist, or that reads in flight may create, are therefore persisted across a restart, and
+//! the next incarnation releases them as soon as it knows the addresses of the engines.
 
 use pintally::interface::EngineId;
 
@@ -14,7 +14,6 @@
 pub(crate) struct OrphanedReservations(Vec<OrphanedReservation>);
 
 impl OrphanedReservations {
-    /// These reservations.
     pub(crate) fn new(orphaned: Vec<OrphanedReservation>) -> OrphanedReservations {
         OrphanedReservations(orphaned)
     }
@@ -24,7 +23,6 @@
         self.0.extend(orphaned);
     }
 
-    /// All of them.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &OrphanedReservation> {
         self.0.iter()
     }
@@ -39,7 +37,7 @@
         releasable
     }
 
-    /// Drops all that remain, as their engines are gone.
+    /// Drops the remaining reservations, whose engines are gone.
     pub(crate) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/pintally-host/src/outlier_detection.rs
+++ b/crates/pintally-host/src/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection by the whole fleet: what this node's attempts show of engines, and which engines are
-//! ejected, that is shown to the core as draining so that they get no new work.
+//! Outlier detection by the whole fleet: records the outcomes of this node's attempts, and presents ejected
+//! engines to the core as draining, so that they get no new work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 
 /// The time between two evaluations of the reports.
 pub(crate) const EVALUATION_INTERVAL: Micros = 100_000;
-/// A report in which only the ages have changed is published again no sooner than this.
+/// The shortest time after which a report in which only the ages have changed is published again.
 const MIN_REPUBLISH_INTERVAL: Micros = 1_000_000;
 
 /// An engine's incarnation and the number of its zone in reports.
@@ -44,11 +44,11 @@
 pub(crate) struct Evaluation {
     /// The report to publish, if it changed or is due; an empty one withdraws the last report.
     pub(crate) report: Option<Vec<u8>>,
-    /// What has changed, ordered by engine.
+    /// The ejections and readmissions, ordered by engine.
     pub(crate) changes: Vec<EjectionChange>,
 }
 
-/// What this node observes of engines, and what all nodes conclude.
+/// This node's observations of engines, and the ejections that follow from the reports of all nodes.
 pub(crate) struct OutlierEjection {
     observer: Observer,
     detector: OutlierDetector,
@@ -64,13 +64,13 @@
 }
 
 impl OutlierEjection {
-    /// Outlier detection as the settings say, if they do.
+    /// Creates outlier detection if the settings define it.
     pub(crate) fn new(settings: &NodeSettings) -> Option<OutlierEjection> {
-        let figures = settings.outlier_detection?;
+        let detection = settings.outlier_detection?;
         let this_node = Node { name: settings.name.clone(), zone: settings.core.zone.clone() };
         Some(OutlierEjection {
-            observer: Observer::new(figures),
-            detector: OutlierDetector::new(figures, this_node.clone()),
+            observer: Observer::new(detection),
+            detector: OutlierDetector::new(detection, this_node.clone()),
             this_node,
             engines: BTreeMap::new(),
             ejected: BTreeSet::new(),
@@ -101,7 +101,7 @@
         self.detector.set_endpoints(listed);
     }
 
-    /// The endpoint as it is shown to the core: ejected engines are draining.
+    /// The endpoint as it is announced to the core: ejected engines are draining.
     pub(crate) fn apply_ejection(&self, mut endpoint: Endpoint) -> Endpoint {
         if endpoint.state == EndpointState::Serving && self.ejected.contains(&endpoint.engine) {
             endpoint.state = EndpointState::Draining;
@@ -118,13 +118,14 @@
             Outcome::ConnectionBroken => Some(Fault::ConnectionBroken),
             Outcome::TimedOut => Some(Fault::TimedOut),
             Outcome::Error => Some(Fault::ErrorResponse),
-            // An engine at capacity, an expired state and what this node cancelled show nothing of its health.
+            // Capacity limits, an expired state and attempts that this node cancelled or never sent say nothing about
+            // the engine's health.
             Outcome::Overloaded | Outcome::StateNotFound | Outcome::Cancelled | Outcome::NeverSent => return,
         };
         self.observer.record(now, incarnation, zone, fault);
     }
 
-    /// Takes in the report of another node.
+    /// Processes the report of another node.
     pub(crate) fn receive_report(&mut self, now: Micros, from: &Node, report: &[u8]) {
         let report = OutlierReport::decode(report).filter(|_| from.name != self.this_node.name);
         if let Some(report) = report {
@@ -177,7 +178,7 @@
         if engines == self.published.engines && now < self.published.at + MIN_REPUBLISH_INTERVAL {
             return None;
         }
-        // With nothing left to report the last report is withdrawn.
+        // An empty message withdraws the last report.
         let bytes = if engines.is_empty() { Vec::new() } else { report.encode() };
         self.published = PublishedReport { engines, at: now };
         Some(bytes)
--- a/crates/pintally-host/src/quota_admission.rs
+++ b/crates/pintally-host/src/quota_admission.rs
@@ -1,4 +1,4 @@
-//! Admission by quotas of the whole fleet: what a request costs, and which leases are requested.
+//! Admission by quotas of the whole fleet: computes the cost of requests and requests leases.
 
 use pintally::interface::Micros;
 use pintally_config::{Counts, NodeSettings, QuotaSettings};
@@ -11,17 +11,17 @@
 /// The shortest time between two checks.
 const MIN_CHECK_INTERVAL: Micros = 1_000;
 
-/// A limit and what it counts.
+/// A limit and the unit that it counts.
 type CountedLimit = (LimitId, Counts);
 
-/// What a request consumes of one limit.
+/// The amount that a request consumes of one limit.
 struct LimitCost {
     limit: LimitId,
     counts: Counts,
     cost: f64,
 }
 
-/// What a request consumes of the limits that apply to it.
+/// The amounts that a request consumes of the limits that apply to it.
 #[derive(Default)]
 pub(crate) struct QuotaCharge(Vec<LimitCost>);
 
@@ -48,8 +48,8 @@
 
     /// The limits that apply to a tenant's requests.
     fn for_tenant(&self, tenant: Option<usize>) -> impl Iterator<Item = CountedLimit> + '_ {
-        let own = tenant.and_then(|tenant| self.by_tenant.get(tenant)).into_iter().flatten();
-        self.all_tenants.iter().chain(own).copied()
+        let of_tenant = tenant.and_then(|tenant| self.by_tenant.get(tenant)).into_iter().flatten();
+        self.all_tenants.iter().chain(of_tenant).copied()
     }
 
     /// The limits of retries that apply to a tenant's requests.
@@ -88,7 +88,7 @@
         self.holder.status(now)
     }
 
-    /// What a request will consume once it is admitted.
+    /// Checks that all limits have capacity for a request, and returns what it will consume once it is admitted.
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Consumes the charge of an admitted request. Returns the limits of concurrent requests among it, which
+    /// Consumes the charge of an admitted request. Returns those of its limits that count concurrent requests and
     /// have to be released when the request ends.
     pub(crate) fn consume(&mut self, now: Micros, charge: &QuotaCharge) -> Vec<LimitId> {
         for LimitCost { limit, cost, .. } in &charge.0 {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether a request may be retried after a failed attempt; consumes the retry if so.
+    /// Whether a request may be retried after a failed attempt; if so, the retry is consumed.
     pub(crate) fn admit_retry(&mut self, now: Micros, tenant: Option<usize>) -> bool {
         let QuotaAdmission { holder, rules, .. } = self;
         let is_admitted =
--- a/crates/pintally-host/src/recovery_admission.rs
+++ b/crates/pintally-host/src/recovery_admission.rs
@@ -5,10 +5,11 @@
 
 use crate::timers::{TimerEvent, TimerKey, Timers};
 
-/// The node's recovery, its timer, and since when engines count as restarted.
+/// The node's recovery and its timer.
 pub(crate) struct RecoveryAdmission {
     recovery: Recovery,
     timer: Option<TimerKey>,
+    /// After a loss of power, the time since which all engines count as restarted.
     cold_since: Option<Micros>,
 }
 
@@ -23,7 +24,7 @@
         self.recovery.status(now)
     }
 
-    /// What the node answers when a peer queries it, without the version of its endpoint list.
+    /// The answer to a peer's query, without the version of this node's endpoint list.
     pub(crate) fn answer(&self, now: Micros) -> Answer {
         self.recovery.answer(now, None)
     }
@@ -60,12 +61,12 @@
         self.timer = next.map(|at| timers.set(at, TimerEvent::Recovery));
     }
 
-    /// From now on engines count as restarted now, whatever the endpoint list says.
+    /// Treats all engines as restarted now, even if the endpoint list states earlier start times.
     pub(crate) fn treat_engines_as_cold(&mut self, now: Micros) {
         self.cold_since = Some(now);
     }
 
-    /// An engine's start as it is shown to the core: no earlier than the loss of power.
+    /// An engine's start time as it is announced to the core: no earlier than the loss of power.
     pub(crate) fn effective_start(&self, listed: Option<Micros>) -> Option<Micros> {
         listed.max(self.cold_since)
     }
--- a/crates/pintally-host/src/rejections.rs
+++ b/crates/pintally-host/src/rejections.rs
@@ -6,13 +6,13 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The node shuts down.
+    /// The node is shutting down.
     Stopping,
     /// The client's timeout leaves no time for an answer.
     NoTimeLeft,
     /// The node has reached its limit of open requests.
     TooManyOpen,
-    /// The fleet recovers and sheds load.
+    /// The fleet is recovering and sheds load.
     Recovering,
     /// A quota of the whole fleet is used up.
     OverQuota,
@@ -20,9 +20,9 @@
     NoCapacity,
     /// A request of the same name is open.
     NameInUse,
-    /// By the core, before any attempt.
+    /// Rejected by the core before any attempt.
     Unsent,
-    /// By the core, after attempts that never ran or that are harmless to repeat.
+    /// Rejected by the core after attempts that never ran or that are harmless to repeat.
     AfterAttempts,
 }
 
@@ -61,12 +61,12 @@
 /// A rejection before any core sees the request.
 pub(crate) struct Rejection {
     pub(crate) reason: RejectionReason,
-    /// When the client may repeat the request, if it is advised of a time.
+    /// Time after which the client may repeat the request, if one is advertised.
     pub(crate) retry_after: Option<Micros>,
 }
 
 impl Rejection {
-    /// A rejection that advises no time.
+    /// A rejection that advertises no time for a retry.
     pub(crate) fn without_retry_after(reason: RejectionReason) -> Rejection {
         Rejection { reason, retry_after: None }
     }
--- a/crates/pintally-host/src/release_retries.rs
+++ b/crates/pintally-host/src/release_retries.rs
@@ -1,12 +1,12 @@
 //! Retries of releases where each release frees one reservation and only its engine can execute it.
 //!
-//! A message can be lost with its connection, and the reservation that it should have released would stay in
-//! the engine's memory until the engine itself expires it. So a release that was not acknowledged is retried,
-//! with exponential backoff and a bounded number of attempts, also at an engine that is no longer listed. An
-//! engine that was unreachable for longer than that is called again as soon as anything arrives from it.
+//! If a release call is lost with its connection, the reservation occupies the engine's memory until the engine
+//! expires it. An unacknowledged release is therefore retried with exponential backoff and a bounded number of
+//! attempts, also at an engine that is no longer listed. An engine that was unreachable for longer than that is
+//! called again as soon as anything is received from it.
 //!
-//! A read that ended without an outcome from its engine may still be on its way, on a connection that is
-//! silent or at an engine that hangs, and the release can overtake it. So such a reservation is released again
+//! A read that ended without an outcome from its engine may still be in transit on a stalled connection or wait at
+//! an engine that hangs, and the release can overtake it. The release of such a reservation is therefore repeated
 //! after a call was acknowledged.
 
 use std::collections::BTreeMap;
@@ -17,19 +17,19 @@
 
 /// The first backoff between two attempts; it doubles with each attempt.
 const INITIAL_BACKOFF: Micros = 50_000;
-/// Attempts after which no acknowledgement is expected any more: the last one is some twelve seconds after the
-/// first.
+/// Attempts after which no acknowledgement is expected any more: the last one is made about twelve seconds after
+/// the first.
 const MAX_RELEASE_ATTEMPTS: u32 = 9;
-/// From this number of attempts on, a release is retried as soon as anything arrives from its engine.
+/// From this number of attempts on, a release is retried as soon as anything is received from its engine.
 const MIN_ATTEMPTS_BEFORE_WAKEUP: u32 = 4;
 /// Shortest time between the last attempt and such a retry.
 const MIN_WAKEUP_DELAY: Micros = 250_000;
-/// Limit of the releases retried when an engine is heard again, so that one message causes a bounded burst.
+/// Limit of the releases retried when an engine responds again, so that one message causes a bounded burst.
 const MAX_WAKEUPS: usize = 512;
-/// Additional acknowledged calls for a reservation that may come into being after a call was acknowledged. Each
-/// is made half of the release deadline later than the one before.
-const REPEATS_OF_UNCERTAIN: u32 = 3;
-/// Limit of the releases that wait for an acknowledgement; those beyond it are not retried.
+/// Additional acknowledged calls for a reservation that may be created after a call was acknowledged. The delay
+/// before each of them is half of the release deadline longer than the delay before the previous one.
+const UNCERTAIN_RELEASE_REPEATS: u32 = 3;
+/// Limit of the releases that wait for an acknowledgement. Releases beyond it are not retried.
 const MAX_PENDING: usize = 65_536;
 
 /// Whether an engine is known to have the reservation.
@@ -57,10 +57,10 @@
     len: usize,
 }
 
-/// What follows from the result of a release call.
+/// The next step after the result of a release call.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ReleaseProgress {
-    /// Nothing: the release was acknowledged or is not pending.
+    /// None: the release was acknowledged or is not pending.
     Done,
     /// Another call is due after this time.
     RetryAfter(Micros),
@@ -68,7 +68,7 @@
     GivenUp,
 }
 
-/// A release whose backoff is cut short because its engine, or any engine that can execute it, was heard.
+/// A release whose backoff is cut short because its engine, or any engine that can execute it, has responded.
 pub(crate) struct Wakeup {
     /// The name of what is released.
     pub(crate) name: RequestId,
@@ -86,7 +86,7 @@
         }
         let remaining_repeats = match certainty {
             Certainty::Confirmed => 0,
-            Certainty::Uncertain => REPEATS_OF_UNCERTAIN,
+            Certainty::Uncertain => UNCERTAIN_RELEASE_REPEATS,
         };
         let release = PendingRelease { attempts: 1, remaining_repeats, last_attempt: now, timer: None };
         let before = self.pending.entry(engine.clone()).or_default().insert(name.clone(), release);
@@ -107,7 +107,7 @@
             release.remaining_repeats -= 1;
             release.attempts = 1;
             release.last_attempt = now;
-            let repeat = REPEATS_OF_UNCERTAIN - release.remaining_repeats;
+            let repeat = UNCERTAIN_RELEASE_REPEATS - release.remaining_repeats;
             return ReleaseProgress::RetryAfter(release_deadline / 2 * Micros::from(repeat));
         }
         releases.remove(name);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Cuts short the backoff of the releases at an engine that was heard.
+    /// Cuts short the backoff of the releases at an engine that has responded.
     pub(crate) fn wake(&mut self, now: Micros, engine: &EngineId) -> Vec<Wakeup> {
         let Some(releases) = self.pending.get_mut(engine) else { return Vec::new() };
         let backed_off =
@@ -153,8 +153,8 @@
         backed_off.take(MAX_WAKEUPS).map(wake).collect()
     }
 
-    /// Whether the next attempt goes out on a new connection. Every other attempt does, as pooled connections
-    /// may be silent and new ones slow.
+    /// Whether the next attempt uses a new connection. Every other attempt does, because pooled connections may be
+    /// dead and new ones slow to be established.
     pub(crate) fn needs_new_connection(&self, name: &RequestId, engine: &EngineId) -> bool {
         let release = self.pending.get(engine).and_then(|releases| releases.get(name));
         release.is_some_and(|release| release.attempts.is_multiple_of(2))
--- a/crates/pintally-host/src/release_scheduler/tests.rs
+++ b/crates/pintally-host/src/release_scheduler/tests.rs
@@ -10,8 +10,8 @@
     (0..n).map(|i| EngineId(format!("e{i:04}").into())).collect()
 }
 
-/// The calls of one release that no engine acknowledges: when, and to which engine.
-fn calls(
+/// The times and engines of the calls of one release that no engine acknowledges.
+fn unacknowledged_calls(
     scheduler: &mut ReleaseScheduler,
     from: Micros,
     name: &str,
@@ -20,10 +20,10 @@
     let (mut now, mut calls) = (from, Vec::new());
     loop {
         match scheduler.next_call(now, &id(name), known.iter().map(|e| (e, EndpointState::Serving))) {
-            Some(ReleaseCall { engine, next_call_after, is_last_expected, .. }) => {
+            Some(ReleaseCall { engine, next_call_after, is_call_limit_reached, .. }) => {
                 calls.push((now, engine.expect("engines are known")));
                 now += next_call_after.expect("the release is repeated");
-                if is_last_expected {
+                if is_call_limit_reached {
                     return calls;
                 }
             }
@@ -41,8 +41,8 @@
         let pending_since = 1_000_000;
         for first in [pending_since, scheduler.in_flight_deadline(pending_since)] {
             scheduler.begin(first, &id("x"), known[3].clone(), pending_since);
-            let all = calls(&mut scheduler, first, "x", &known);
-            // Less than 40 ms have no capacity for four calls at the shortest interval.
+            let all = unacknowledged_calls(&mut scheduler, first, "x", &known);
+            // Less than 40 ms leave no time for four calls at the shortest interval.
             let min_calls = if pending_since + release_deadline - first >= 40_000 { 4 } else { 1 };
             let before: Vec<_> = all.iter().filter(|c| c.0 <= pending_since + release_deadline).collect();
             assert!(
@@ -64,19 +64,19 @@
     let mut scheduler = ReleaseScheduler::new(500_000);
     let known = engines(6);
     for engine in &known[..4] {
-        scheduler.record_heard(1_000_000, engine);
+        scheduler.record_response(1_000_000, engine);
     }
     scheduler.record_failure(1_100_000, &known[4]);
     scheduler.record_failure(1_200_000, &known[0]);
     scheduler.begin(1_300_000, &id("x"), known[0].clone(), 1_200_000);
-    let order: Vec<usize> = calls(&mut scheduler, 1_300_000, "x", &known)
+    let order: Vec<usize> = unacknowledged_calls(&mut scheduler, 1_300_000, "x", &known)
         .iter()
         .take(6)
         .map(|c| known.iter().position(|e| *e == c.1).expect("it is known"))
         .collect();
-    let mut sound = order[..3].to_vec();
-    sound.sort_unstable();
-    assert_eq!(sound, [1, 2, 3], "{order:?}");
+    let mut responding = order[..3].to_vec();
+    responding.sort_unstable();
+    assert_eq!(responding, [1, 2, 3], "{order:?}");
     assert_eq!(order[3], 5, "nothing is known of it");
     let mut last = order[4..].to_vec();
     last.sort_unstable();
@@ -89,50 +89,51 @@
     let mut scheduler = ReleaseScheduler::new(500_000);
     let known = engines(20);
     for engine in &known {
-        scheduler.record_heard(1_000_000, engine);
+        scheduler.record_response(1_000_000, engine);
     }
     let mut counts: HashMap<EngineId, u32> = HashMap::new();
     let gone = EngineId("gone".into());
     for n in 0..400 {
         let name = format!("request-{n}");
         scheduler.begin(1_000_000, &id(&name), gone.clone(), 1_000_000);
-        let now = known.iter().map(|e| (e, EndpointState::Serving));
+        let listed = known.iter().map(|e| (e, EndpointState::Serving));
         if let Some(ReleaseCall { engine: Some(engine), .. }) =
-            scheduler.next_call(1_000_000, &id(&name), now)
+            scheduler.next_call(1_000_000, &id(&name), listed)
         {
             *counts.entry(engine).or_default() += 1;
         }
     }
-    let most = counts.values().max().copied().unwrap_or(0);
-    assert!(counts.len() == 20 && most < 60, "{counts:?}");
+    let max_calls = counts.values().max().copied().unwrap_or(0);
+    assert!(counts.len() == 20 && max_calls < 60, "{counts:?}");
 }
 
 /// Guards against reservations that are never released when a node was partitioned from every engine for longer
-/// than all its calls take: scouts continue calling, and contact with any engine wakes all releases.
+/// than all its calls take: reachability probes continue calling, and a response of any engine wakes all releases.
 #[test]
-fn scouts_continue_and_contact_wakes_all_releases() {
+fn probes_continue_and_any_response_wakes_all_releases() {
     let mut scheduler = ReleaseScheduler::new(500_000);
     let known = engines(3);
     let all = || known.iter().map(|e| (e, EndpointState::Serving));
     let mut now = 0;
     for n in 0..40 {
         scheduler.begin(0, &id(&format!("x{n}")), known[0].clone(), 0);
-        calls(&mut scheduler, 0, &format!("x{n}"), &known);
+        unacknowledged_calls(&mut scheduler, 0, &format!("x{n}"), &known);
     }
     for _ in 0..10 {
         now += 20_000_000;
-        let going = (0..40).filter(|n| scheduler.next_call(now, &id(&format!("x{n}")), all()).is_some());
-        assert_eq!(going.count(), MAX_SCOUTS);
+        let still_calling =
+            (0..40).filter(|n| scheduler.next_call(now, &id(&format!("x{n}")), all()).is_some());
+        assert_eq!(still_calling.count(), MAX_REACHABILITY_PROBES);
     }
     assert_eq!((scheduler.len(), scheduler.awaiting_acknowledgement()), (40, 0));
     // However long the partition lasts, calls are counted for no more than the known engines.
     assert!(scheduler.pending.values().all(|release| release.calls_by_engine.len() <= known.len()));
-    scheduler.record_heard(now, &known[2]);
+    scheduler.record_response(now, &known[2]);
     let wakeups = scheduler.wake(now);
     assert_eq!(wakeups.len(), 40);
     assert!(scheduler.wake(now).is_empty());
-    // Contact right after a call does not cause another call at once.
-    assert_eq!(wakeups.iter().filter(|wakeup| wakeup.at == now + 250_000).count(), MAX_SCOUTS);
+    // A response right after a call does not cause another call at once.
+    assert_eq!(wakeups.iter().filter(|wakeup| wakeup.at == now + 250_000).count(), MAX_REACHABILITY_PROBES);
     for Wakeup { name: id, at, .. } in wakeups {
         let Some(ReleaseCall { engine, next_call_after, .. }) = scheduler.next_call(at, &id, all()) else {
             panic!("no call was made")
@@ -140,7 +141,7 @@
         assert_eq!(
             (engine.as_ref(), next_call_after),
             (Some(&known[2]), Some(62_500)),
-            "the engine that was heard is called first"
+            "the engine that has responded is called first"
         );
         scheduler.end(&id);
     }
@@ -158,7 +159,7 @@
         };
         match n {
             0..FIXED_INTERVAL_CALLS => assert_eq!(after, 62_500),
-            // The only release is its own scout.
+            // The only release is itself a reachability probe.
             _ => assert_eq!(after, 125_000),
         }
     }
--- a/crates/pintally-host/src/request_record.rs
+++ b/crates/pintally-host/src/request_record.rs
@@ -1,4 +1,4 @@
-//! What the host records of a request until its answer is given and its last attempt has ended.
+//! The record of a request, kept until its answer is given and its last attempt has ended.
 
 use pintally::interface::{AttemptNumber, EngineId, Idempotency, Micros, Outcome, RequestId};
 use pintally_cells::CellName;
@@ -9,9 +9,10 @@
 use crate::reservations::RequestReservations;
 use crate::timers::TimerKey;
 
-/// Connection probes to an engine that has not shown yet that it received an attempt.
+/// Connection probes for an attempt whose delivery to its engine is not confirmed yet.
 pub(crate) const MAX_INITIAL_PROBES: u8 = 1;
-/// Connection probes to one that has: a connection that comes up late must not undo what an earlier one showed.
+/// Connection probes after the delivery was confirmed: one probe whose connection is established late must not undo
+/// the confirmation by an earlier probe.
 pub(crate) const MAX_FURTHER_PROBES: u8 = 2;
 
 /// An attempt that has not ended.
@@ -23,14 +24,14 @@
     pub(crate) sent: SentAttempt,
     /// Its first token has arrived.
     pub(crate) has_first_token: bool,
-    /// Connection probes that may still be made before the reservations that it may need are released.
+    /// Connection probes that may still be sent before the reservations that it may need are released.
     pub(crate) remaining_probes: u8,
     /// A connection probe has shown that the machine of its engine is reachable.
     pub(crate) is_delivered: bool,
 }
 
 impl InFlightAttempt {
-    /// An attempt that is sent now.
+    /// Creates the record of an attempt that is sent now.
     pub(crate) fn new(
         attempt: AttemptNumber,
         engine: EngineId,
@@ -59,11 +60,11 @@
     pub(crate) idempotency: Idempotency,
     /// Its first attempt that may have run.
     pub(crate) may_have_run: Option<SentAttempt>,
-    /// Bytes that it holds.
+    /// Memory that its body occupies.
     pub(crate) body_bytes: usize,
-    /// An answer that begins by then meets the latency objective.
+    /// The time by which its answer has to begin to meet the latency objective.
     pub(crate) latency_deadline: Micros,
-    /// Its cell was notified whether it met the latency objective.
+    /// Whether it met the latency objective was recorded.
     pub(crate) is_latency_recorded: bool,
     pub(crate) streamed: bool,
     pub(crate) max_tokens: u64,
@@ -78,12 +79,12 @@
     pub(crate) is_closed: bool,
     /// An attempt has failed: the next one is a retry.
     pub(crate) has_failed_attempt: bool,
-    /// Limits of concurrent requests that count it.
+    /// The limits of concurrent requests that it consumes.
     pub(crate) concurrency_limits: Vec<LimitId>,
 }
 
 impl RequestRecord {
-    /// What the send guards depend on.
+    /// The state that the send guards depend on.
     pub(crate) fn facts(&self, max_attempts: u32) -> RequestFacts<'_> {
         RequestFacts {
             idempotency: self.idempotency,
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Records from the outcome of an attempt whether it may have run.
-    pub(crate) fn record_effect(&mut self, ended: &InFlightAttempt, outcome: Outcome) {
+    /// Records whether an attempt with this outcome may have run.
+    pub(crate) fn record_possible_run(&mut self, ended: &InFlightAttempt, outcome: Outcome) {
         let never_ran = matches!(
             outcome,
             Outcome::Read
@@ -121,8 +122,8 @@
         self.in_flight.as_ref().is_some_and(|in_flight| in_flight.step == Step::Fetch)
     }
 
-    /// Records that the attempt in flight was at its engine at a time: the deadline of its reservations does
-    /// not run up to then.
+    /// Records that the attempt in flight was at its engine at the given time. The deadline of the reservations runs
+    /// from then on.
     pub(crate) fn record_delivery(&mut self, at: Micros) {
         let Some(in_flight) = self.in_flight.as_mut() else { return };
         in_flight.is_delivered = true;
@@ -130,7 +131,7 @@
         self.reservations.extend_pending_since(at);
     }
 
-    /// Whether nothing more can happen to it.
+    /// Whether its answer is given and no attempt is in flight.
     pub(crate) fn is_complete(&self) -> bool {
         self.is_closed && self.in_flight.is_none()
     }
--- a/crates/pintally-host/src/reservations.rs
+++ b/crates/pintally-host/src/reservations.rs
@@ -1,8 +1,8 @@
 //! Reservations: the read states of a request that occupy memory at engines until they are fetched or released.
 //!
-//! While no attempt of a request is at any engine, its reservations are fetched or released within a stated time
-//! of the last outcome. An attempt whose connection never comes up, or that is written into a partition, is at
-//! no engine however long the node waits for it, so the host does not wait for its end.
+//! While no attempt of a request is at any engine, its reservations are fetched or released within the release
+//! deadline after the last outcome. An attempt whose connection is never established, or that is written into a
+//! partition, is at no engine although it remains in flight, so the host does not wait for its end.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     pub(crate) engine: EngineId,
     /// The attempt that read it.
     pub(crate) attempt: AttemptNumber,
-    /// What fetches it; none where a read that ended without an outcome may have created one.
+    /// Its transfer parameters; `None` if a read that ended without an outcome may have created the reservation.
     state: Option<Arc<Value>>,
 }
 
@@ -47,32 +47,32 @@
 #[derive(Clone, Copy)]
 pub(crate) struct ReservationDeadline {
     pub(crate) timer: TimerKey,
-    /// The time that the timer follows from; the timer itself may expire later.
+    /// The deadline; the timer may be set to expire later.
     pub(crate) at: Micros,
 }
 
 /// The reservations of one request.
 pub(crate) struct RequestReservations {
     reservations: Vec<Reservation>,
-    /// The release deadline runs since then: the last outcome that came from an engine. An attempt that never
-    /// reached one does not stop it.
+    /// The time since which the release deadline runs: that of the last outcome that came from an engine. An attempt
+    /// that never reached an engine does not stop the deadline.
     pending_since: Micros,
-    /// They were released while an attempt was in flight that may have been waiting for them.
+    /// They were released while an attempt that may wait for them was in flight.
     released_in_flight: bool,
     deadline: Option<ReservationDeadline>,
     /// The state that the core expects to be fetched was released, or is about to be.
-    is_fetch_lost: bool,
+    is_fetchable_lost: bool,
 }
 
 impl RequestReservations {
-    /// No reservations of a request that arrives now.
+    /// Creates the empty set of reservations of a request that arrives now.
     pub(crate) fn new(now: Micros) -> RequestReservations {
         RequestReservations {
             reservations: Vec::new(),
             pending_since: now,
             released_in_flight: false,
             deadline: None,
-            is_fetch_lost: false,
+            is_fetchable_lost: false,
         }
     }
 
@@ -93,25 +93,25 @@
 
     /// The state that a fetch can use.
     pub(crate) fn fetchable_state(&self) -> Option<Arc<Value>> {
-        if self.is_fetch_lost {
+        if self.is_fetchable_lost {
             return None;
         }
         self.reservations.iter().rev().find_map(|reservation| reservation.state.clone())
     }
 
     /// Whether the state that the core expects to be fetched was released.
-    pub(crate) fn is_fetch_lost(&self) -> bool {
-        self.is_fetch_lost
+    pub(crate) fn is_fetchable_lost(&self) -> bool {
+        self.is_fetchable_lost
     }
 
-    /// From now on a state that could be fetched is lost.
-    pub(crate) fn lose_fetchable(&mut self) {
-        self.is_fetch_lost |= self.reservations.iter().any(Reservation::is_confirmed);
+    /// Records that the fetchable state, if there is one, is released and can no longer be fetched.
+    pub(crate) fn mark_fetchable_lost(&mut self) {
+        self.is_fetchable_lost |= self.reservations.iter().any(Reservation::is_confirmed);
     }
 
-    /// The core fetches none of them any more.
+    /// Records that the core no longer expects to fetch any of them.
     pub(crate) fn abandon_fetch(&mut self) {
-        self.is_fetch_lost = false;
+        self.is_fetchable_lost = false;
         self.reservations.iter_mut().for_each(|reservation| reservation.state = None);
     }
 
@@ -127,17 +127,18 @@
         uncertain
     }
 
-    /// Removes all of them as released.
+    /// Removes all of them after they were released.
     pub(crate) fn clear(&mut self) {
         self.reservations.clear();
     }
 
-    /// Removes those that are confirmed, as fetched.
+    /// Removes those that are confirmed, after the fetch.
     pub(crate) fn remove_fetched(&mut self) {
         self.reservations.retain(|reservation| !reservation.is_confirmed());
     }
 
-    /// They were released while an attempt that fetches is in flight; its outcome decides whether they are gone.
+    /// Records that they were released while an attempt that fetches is in flight. The outcome of the attempt decides
+    /// whether they are gone.
     pub(crate) fn mark_released_in_flight(&mut self) {
         self.released_in_flight = true;
     }
@@ -153,22 +154,22 @@
         self.pending_since
     }
 
-    /// The release deadline runs no earlier than from this time on.
+    /// Lets the release deadline run from this time on, unless it already runs from a later one.
     pub(crate) fn extend_pending_since(&mut self, at: Micros) {
         self.pending_since = self.pending_since.max(at);
     }
 
-    /// When they are released although an attempt is in flight.
+    /// The time at which they are released although an attempt is in flight.
     pub(crate) fn deadline(&self) -> Option<ReservationDeadline> {
         self.deadline
     }
 
-    /// Changes when they are released although an attempt is in flight.
+    /// Sets the time at which they are released although an attempt is in flight.
     pub(crate) fn set_deadline(&mut self, deadline: Option<ReservationDeadline>) {
         self.deadline = deadline;
     }
 
-    /// Updates them with the outcome of an attempt. Whether the attempt has created a reservation or may have.
+    /// Updates them with the outcome of an attempt. Returns whether the attempt has or may have created a reservation.
     pub(crate) fn record_outcome(
         &mut self,
         now: Micros,
@@ -187,7 +188,7 @@
             _ => None,
         };
         if state.is_some() {
-            self.is_fetch_lost = false;
+            self.is_fetchable_lost = false;
         }
         if self.reservations.is_empty() {
             self.pending_since = now;
@@ -199,23 +200,24 @@
 
     fn update_pending_since(&mut self, now: Micros, ended: &InFlightAttempt, outcome: Outcome) {
         let released_in_flight = std::mem::take(&mut self.released_in_flight);
-        // The attempt never was at an engine: the deadline continues to run, and what was released meanwhile is
-        // gone.
+        // The attempt never reached an engine: the deadline continues to run, and reservations that were released
+        // meanwhile are gone.
         if matches!(outcome, Outcome::Unreachable | Outcome::NeverSent) {
             if released_in_flight {
                 self.reservations.clear();
             }
             return;
         }
-        // Where an engine had the attempt, the reservation that it waited for still exists and the deadline starts
-        // over. Without an outcome from the engine it may have had it: then fetching is attempted once more, as
-        // an answer of the writer that there is no state costs next to nothing, and repeated reading without need
-        // overloads readers.
-        let is_silent = matches!(outcome, Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled);
+        // If an engine had the attempt, the reservation that it waited for still exists, and the deadline starts
+        // over. Without an outcome from the engine, it may have had the attempt: fetching is then attempted once
+        // more, because a writer's answer that the state is missing costs next to nothing, whereas reading prompts
+        // again without need overloads readers.
+        let is_unanswered =
+            matches!(outcome, Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled);
         if released_in_flight && outcome != Outcome::StateNotFound {
-            self.is_fetch_lost = false;
+            self.is_fetchable_lost = false;
         }
-        if released_in_flight || !is_silent || ended.is_delivered {
+        if released_in_flight || !is_unanswered || ended.is_delivered {
             self.pending_since = now;
         }
     }
--- a/crates/pintally-host/src/timers.rs
+++ b/crates/pintally-host/src/timers.rs
@@ -7,12 +7,12 @@
 
 use crate::RequestNumber;
 
-/// What is done when a timer expires.
+/// The event that the expiry of a timer triggers.
 #[derive(Clone, Debug)]
 pub(crate) enum TimerEvent {
     /// A timer that a cell's decision core has set.
     Core(CellName, Timer),
-    /// The assignment of engines to cells may change by the passage of time alone.
+    /// The assignment of engines to cells may change without an input.
     CellAssignment,
     /// The core has not answered a request by its deadline.
     AnswerOverdue(RequestNumber),
@@ -30,7 +30,7 @@
     OutlierEvaluation,
     /// The observations about zones are published.
     ZoneReport,
-    /// The graceful shutdown has taken all its time.
+    /// The graceful shutdown has reached its timeout.
     ShutdownTimeout,
 }
 
--- a/crates/pintally-host/src/zone_routing.rs
+++ b/crates/pintally-host/src/zone_routing.rs
@@ -1,5 +1,5 @@
-//! Routing between zones: one core for each zone, and whole sessions routed to one of them by the failover plan
-//! in force. Inside a zone its core decides as it does without zones.
+//! Routing between zones: there is one core for each zone, and the failover plan in force routes whole sessions to
+//! one of them. Within a zone, its core decides as it would without zones.
 
 use std::collections::BTreeMap;
 
@@ -21,11 +21,11 @@
 /// The observations about zones that this node publishes.
 pub(crate) struct ZoneReport {
     pub(crate) observations: Vec<u8>,
-    /// Engines that take work, by zone.
+    /// The number of serving engines, by zone.
     pub(crate) serving_engines: Vec<f64>,
 }
 
-/// What this node observes of zones, and the failover plan that it follows.
+/// This node's observations of zones, and the failover plan that it follows.
 pub(crate) struct ZoneRouting {
     plan: PlanFollower,
     observer: ZoneObserver,
@@ -40,7 +40,7 @@
 }
 
 impl ZoneRouting {
-    /// Zone routing as the settings say, if they do and the node's zone is part of the policy.
+    /// Creates zone routing if the settings define a failover policy that contains the node's zone.
     pub(crate) fn new(settings: &NodeSettings) -> Option<ZoneRouting> {
         let failover = settings.failover.clone()?;
         let core = &settings.core;
@@ -74,7 +74,8 @@
         self.routed_to_other_zone
     }
 
-    /// Assigns the endpoints of a list update to zones. One that has moved is announced as gone to its old zone.
+    /// Assigns the endpoints of a list update to zones. An engine that has moved to another zone is announced as gone
+    /// to its old zone.
     pub(crate) fn assign(&mut self, update: ListUpdate, endpoints: &[Endpoint]) -> ZoneAssignment {
         if update == ListUpdate::Full {
             self.zone_of_engine.clear();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The report that is due: observations, and the number of engines that take work in each zone.
+    /// Creates the report that is due.
     pub(crate) fn report(&mut self, now: Micros, is_serving: impl Fn(&EngineId) -> bool) -> ZoneReport {
         let observations = self.observer.report(now).encode();
         let mut serving_engines = vec![0.0; self.zones.len()];
--- a/crates/pintally-host/tests/common/mod.rs
+++ b/crates/pintally-host/tests/common/mod.rs
@@ -22,7 +22,7 @@
 /// One millisecond.
 pub const MS: Micros = 1_000;
 
-/// A host with its time and the commands that it has issued.
+/// A host with its simulated time and the commands that it has issued.
 pub struct TestNode {
     pub host: Host,
     pub now: Micros,
@@ -50,10 +50,10 @@
 
 impl TestNode {
     pub fn new(engines: &[&str]) -> TestNode {
-        TestNode::in_scope(engines, ReleaseScope::Request)
+        TestNode::with_release_scope(engines, ReleaseScope::Request)
     }
 
-    pub fn in_scope(engines: &[&str], scope: ReleaseScope) -> TestNode {
+    pub fn with_release_scope(engines: &[&str], scope: ReleaseScope) -> TestNode {
         let settings = NodeSettings::parse("test", SETTINGS).expect("the settings are valid");
         let host = Host::new(Arc::new(settings), 7).with_release_scope(scope);
         let mut node = TestNode { host, now: 1_000_000, out: Vec::new() };
@@ -76,12 +76,12 @@
 
     pub fn arrive(&mut self, number: u64, name: &str) {
         let name = Some(RequestId(name.into()));
-        let (class, patience) = (Some(0), Some(8_000 * MS));
+        let (class, client_timeout) = (Some(0), Some(8_000 * MS));
         let arrival = IncomingRequest {
             number,
             name,
             class,
-            client_timeout: patience,
+            client_timeout,
             prompt_tokens: 400,
             streamed: true,
             ..IncomingRequest::default()
@@ -116,7 +116,7 @@
         self.out.iter().filter(|c| matches!(c, Command::Attempt(_))).count()
     }
 
-    /// Advances the time, with all timers that expire.
+    /// Advances the time and handles all timers that expire on the way.
     pub fn advance(&mut self, until: Micros) {
         while let Some(at) = self.host.next_wake().filter(|at| *at <= until) {
             self.now = self.now.max(at);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Advances to the first release call; the time of the call, if it is made by then.
+    /// Advances to the first release call and returns its time, or `None` if no call is made by the given time.
     pub fn first_release_by(&mut self, until: Micros) -> Option<Micros> {
         while self.releases().is_empty() && self.now < until {
             self.advance((self.now + MS).min(until));
--- a/crates/pintally-host/tests/delivery_probes.rs
+++ b/crates/pintally-host/tests/delivery_probes.rs
@@ -1,4 +1,4 @@
-//! Reservations while an attempt is in flight: connection probes decide whether they stay.
+//! Reservations while an attempt is in flight: connection probes decide whether they are kept.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use pintally::interface::*;
 use pintally_host::{Command, Input};
 
-/// Guards against harm by the deadline itself: a writer that was reached and waits keeps its state, whatever was
-/// released meanwhile, and so does the next one if the first rejects the attempt.
+/// Guards against a release by the deadline that takes the state from a writer which was reached and waits for it.
+/// The state is also kept for the next writer if the first one rejects the attempt.
 #[test]
-fn delivered_fetch_keeps_its_state_after_a_release_by_the_deadline() {
+fn delivered_fetch_keeps_state_after_release_by_deadline() {
     let (mut node, first) = TestNode::with_reservation(&["r0", "w0", "w1"]);
     node.first_release_by(node.now + RELEASE_DEADLINE).expect("it is released");
     node.release_result("r0", true);
@@ -20,8 +20,8 @@
     // The release deadline starts over with that outcome.
     let from = node.now;
     node.out.clear();
-    let again = node.first_release_by(from + RELEASE_DEADLINE).expect("it is released once more");
-    assert!(again > from + RELEASE_DEADLINE / 2, "after {} ms", (again - from) / MS);
+    let released_at = node.first_release_by(from + RELEASE_DEADLINE).expect("it is released once more");
+    assert!(released_at > from + RELEASE_DEADLINE / 2, "after {} ms", (released_at - from) / MS);
     // A first token frees all reservations: no more calls are made.
     node.handle(Input::FirstToken(1, second.attempt));
     assert!(node.out.iter().any(|c| matches!(c, Command::WithdrawReleases(_))));
@@ -31,7 +31,7 @@
 }
 
 /// Guards against prompts that are read again because a writer is merely slow: its machine is probed before the
-/// reservation that it may be waiting for is released, and an answer keeps the reservation.
+/// reservation that it may wait for is released, and a successful probe keeps the reservation.
 #[test]
 fn reservation_stays_while_probes_confirm_delivery() {
     let (mut node, fetch) = TestNode::with_reservation(&["r0", "w0", "w1"]);
@@ -39,19 +39,19 @@
     node.advance_confirming_delivery(fetch.attempt, from + 4 * RELEASE_DEADLINE);
     // One probe for each 5/8 of the release deadline, and no more.
     assert_eq!((node.releases(), node.probes()), (vec![], 6));
-    // With its end the deadline starts over, and the next attempt has a probe of its own.
+    // The deadline starts over when the attempt ends, and the next attempt has its own probe.
     node.end(&fetch, Outcome::TimedOut);
-    let again = node.now;
+    let ended_at = node.now;
     assert_ne!(node.last_attempt().engine, fetch.engine);
     assert!(
-        node.first_release_by(again + RELEASE_DEADLINE).expect("it is released")
-            > again + RELEASE_DEADLINE / 2
+        node.first_release_by(ended_at + RELEASE_DEADLINE).expect("it is released")
+            > ended_at + RELEASE_DEADLINE / 2
     );
     assert_eq!(node.probes(), 7);
 }
 
-/// Guards against a reservation that is never released for an attempt whose engine answered a probe and has vanished
-/// since: the node does not notice until the attempt times out, seconds later.
+/// Guards against a reservation that is never released because its engine answered a probe and vanished afterwards:
+/// the node does not notice until the attempt times out, seconds later.
 #[test]
 fn reservation_is_released_when_a_confirmed_engine_vanishes() {
     for confirmations in [1, 2, 5] {
@@ -73,9 +73,9 @@
     }
 }
 
-/// What arrives from the engine on other connections shows as well as a probe that it is reachable.
+/// Anything received from the engine on other connections proves that it is reachable, as a probe does.
 #[test]
-fn engine_heard_on_other_connections_is_not_probed() {
+fn engine_that_responds_elsewhere_is_not_probed() {
     let (mut node, fetch) = TestNode::with_reservation(&["r0", "w0"]);
     let from = node.now;
     node.advance_confirming_delivery(fetch.attempt, from + RELEASE_DEADLINE);
--- a/crates/pintally-host/tests/endpoint_list.rs
+++ b/crates/pintally-host/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Following the endpoint list: only changes are reported, invalid versions are ignored, and older ones never apply.
+//! Following the endpoint list: only changes are reported, and invalid and older versions are ignored.
 
 use pintally::interface::{EndpointState, ListUpdate};
 use pintally_host::{ListChange, ListFollower};
@@ -13,26 +13,27 @@
 
 fn apply(follower: &mut ListFollower, text: &str) -> Option<(ListUpdate, Vec<(String, EndpointState)>)> {
     match follower.apply("list", text, |ms| ms) {
-        ListChange::Changes(form, changes) => {
+        ListChange::Changes(update, changes) => {
             let mut changes: Vec<_> =
                 changes.into_iter().map(|l| (l.endpoint.engine.0.to_string(), l.endpoint.state)).collect();
             changes.sort_by(|a, b| a.0.cmp(&b.0));
-            Some((form, changes))
+            Some((update, changes))
         }
         _ => None,
     }
 }
 
 #[test]
-fn first_list_is_complete_and_later_ones_are_changes() {
+fn first_list_is_full_and_later_lists_are_deltas() {
     let mut follower = ListFollower::default();
     let first = apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).unwrap();
     assert_eq!(first.0, ListUpdate::Full);
     assert_eq!(first.1.len(), 2);
     assert!(apply(&mut follower, &list(1, &[("a", "serving"), ("b", "serving")])).is_none());
     let next = apply(&mut follower, &list(2, &[("a", "draining"), ("c", "serving")])).unwrap();
-    let want = [("a", EndpointState::Draining), ("b", EndpointState::Gone), ("c", EndpointState::Serving)];
-    assert_eq!(next, (ListUpdate::Delta, want.map(|(e, l)| (e.to_string(), l)).to_vec()));
+    let expected =
+        [("a", EndpointState::Draining), ("b", EndpointState::Gone), ("c", EndpointState::Serving)];
+    assert_eq!(next, (ListUpdate::Delta, expected.map(|(e, l)| (e.to_string(), l)).to_vec()));
     // An engine that is gone is reported once.
     assert!(apply(&mut follower, &list(3, &[("a", "draining"), ("c", "serving")])).is_none());
     assert_eq!(follower.len(), 2);
--- a/crates/pintally-host/tests/guards.rs
+++ b/crates/pintally-host/tests/guards.rs
@@ -1,4 +1,4 @@
-//! The guards in the host: attempts that start late, and the reasons of rejections.
+//! The host's use of the guards: attempts that start late, and the counted reasons of rejections.
 
 use std::sync::Arc;
 
@@ -44,11 +44,11 @@
     host
 }
 
-fn arrives(host: &mut Host, number: RequestNumber, patience: Micros) -> Vec<Command> {
+fn arrive(host: &mut Host, number: RequestNumber, client_timeout: Micros) -> Vec<Command> {
     let arrival = IncomingRequest {
         number,
         class: Some(0),
-        client_timeout: Some(patience),
+        client_timeout: Some(client_timeout),
         streamed: true,
         ..IncomingRequest::default()
     };
@@ -61,12 +61,12 @@
     out.iter().any(|command| matches!(command, Command::Attempt(_)))
 }
 
-/// Guards against an attempt that starts on a connection which came up after its engine began to drain, its client left
-/// or its deadline passed.
+/// Guards against an attempt that starts on a connection that was established after the engine began to drain, the
+/// client left or the deadline passed.
 #[test]
-fn late_start_requires_open_request_serving_engine_and_time_left() {
+fn late_start_is_denied_when_preconditions_changed() {
     let mut sent = host();
-    assert!(is_sent(&arrives(&mut sent, 1, 1_000_000)));
+    assert!(is_sent(&arrive(&mut sent, 1, 1_000_000)));
     assert_eq!(sent.may_start(START + 1, 1), Ok(()));
     assert_eq!(sent.may_start(START + 1_000_000, 1), Err(Denial::NoTimeLeft));
     assert_eq!(sent.may_start(START, 2), Err(Denial::RequestClosed), "the request is unknown");
@@ -76,7 +76,7 @@
     assert_eq!((sent.withheld().total(), sent.denials().total()), (2, 0));
 
     let mut left = host();
-    arrives(&mut left, 1, 1_000_000);
+    arrive(&mut left, 1, 1_000_000);
     left.handle(START + 1, Input::ClientLeft(1), &mut Vec::new());
     assert_eq!(left.may_start(START + 2, 1), Err(Denial::RequestClosed));
 }
@@ -87,12 +87,12 @@
     let is_rejected = |out: &[Command]| {
         out.iter().any(|command| matches!(command, Command::Answer(_, FinalAnswer::Rejected(_))))
     };
-    assert!(is_rejected(&arrives(&mut host, 1, 20_000)), "its timeout is the answer margin");
-    assert!(is_sent(&arrives(&mut host, 2, 1_000_000)));
-    arrives(&mut host, 3, 1_000_000);
-    assert!(is_rejected(&arrives(&mut host, 4, 1_000_000)), "two requests are open");
+    assert!(is_rejected(&arrive(&mut host, 1, 20_000)), "its timeout is the answer margin");
+    assert!(is_sent(&arrive(&mut host, 2, 1_000_000)));
+    arrive(&mut host, 3, 1_000_000);
+    assert!(is_rejected(&arrive(&mut host, 4, 1_000_000)), "two requests are open");
     host.handle(START, Input::Stop, &mut Vec::new());
-    assert!(is_rejected(&arrives(&mut host, 5, 1_000_000)));
+    assert!(is_rejected(&arrive(&mut host, 5, 1_000_000)));
     let counts: Vec<_> = host.rejections().by_name().collect();
     assert_eq!(counts, [("stopping", 1), ("no_time_left", 1), ("too_many_held", 1)]);
     assert_eq!(host.rejections().of(RejectionReason::Stopping), 1);
--- a/crates/pintally-host/tests/invariants.rs
+++ b/crates/pintally-host/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Property tests of the host: a small simulation of engines and clients without sockets runs generated sequences of
-//! events and checks the guarantees of the host after every step.
+//! Property tests of the host: a simulation of engines and clients without sockets runs generated sequences of events
+//! and checks the guarantees of the host after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -41,35 +41,36 @@
 }
 
 struct Client {
-    /// The cell that routes it.
+    /// The cell that routes the request.
     cell: Option<CellName>,
     class: usize,
-    gone: bool,
+    has_left: bool,
     answer: Option<FinalAnswer>,
-    due: Micros,
+    deadline: Micros,
     streamed: bool,
-    started: bool,
-    /// The zone of the engine at which it may have run first.
-    ran: Option<String>,
+    has_first_token: bool,
+    /// The zone of the first engine at which the request may have run.
+    may_have_run_in: Option<String>,
 }
 
 struct Simulation {
     now: Micros,
     host: Host,
     clients: BTreeMap<RequestNumber, Client>,
+    /// Attempts in flight, when they time out, and whether their first token has arrived.
     in_flight: BTreeMap<RequestNumber, (AttemptOrder, Micros, bool)>,
     cancelled: BTreeSet<RequestNumber>,
     reservations: BTreeSet<(String, EngineId)>,
     listing: BTreeMap<&'static str, EndpointState>,
     stopped: bool,
-    over: BTreeSet<RequestNumber>,
+    complete: BTreeSet<RequestNumber>,
 }
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
         let mut settings = NodeSettings::parse("test", SETTINGS).unwrap();
-        let divided = seed.is_multiple_of(2);
-        settings.cells_file = divided.then(|| "cells".to_string());
+        let has_cells = seed.is_multiple_of(2);
+        settings.cells_file = has_cells.then(|| "cells".to_string());
         let settings = Arc::new(settings);
         let file = CellsFile::parse("cells", CELLS, &settings.core).unwrap();
         let mut simulation = Simulation {
@@ -81,18 +82,18 @@
             reservations: BTreeSet::new(),
             listing: ENGINES.iter().map(|e| (e.0, EndpointState::Serving)).collect(),
             stopped: false,
-            over: BTreeSet::new(),
+            complete: BTreeSet::new(),
         };
-        simulation.list(ListUpdate::Full);
-        if divided {
+        simulation.send_endpoint_list(ListUpdate::Full);
+        if has_cells {
             simulation.handle(Input::Cells(Box::new(file)));
         }
         simulation
     }
 
-    fn list(&mut self, form: ListUpdate) {
-        let members = ENGINES.iter().map(|(id, kind, zone)| {
-            let member = Endpoint {
+    fn send_endpoint_list(&mut self, update: ListUpdate) {
+        let endpoints = ENGINES.iter().map(|(id, kind, zone)| {
+            let endpoint = Endpoint {
                 engine: EngineId((*id).into()),
                 zone: zone.to_string(),
                 kind: kind.to_string(),
@@ -102,52 +103,52 @@
                 started: None,
             };
             EngineEndpoint {
-                endpoint: member,
+                endpoint,
                 address: "127.0.0.1:9".parse().unwrap(),
                 cell: cell_of(id),
                 started_unix_ms: None,
             }
         });
-        let members = members.collect();
-        self.handle(Input::EndpointList(form, members));
+        let endpoints = endpoints.collect();
+        self.handle(Input::EndpointList(update, endpoints));
     }
 
     fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.host.handle(self.now, input, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn carry_out(&mut self, commands: Vec<Command>) {
+    fn execute(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Attempt(order) => self.attempt(order),
                 Command::Answer(number, answer) => self.answer(number, answer),
                 Command::Cancel(number, attempt) => {
-                    let (order, _, started) = &self.in_flight[&number];
+                    let (order, _, has_first_token) = &self.in_flight[&number];
                     assert_eq!(order.attempt, attempt);
-                    assert!(!started || self.clients[&number].answer.is_some());
+                    assert!(!has_first_token || self.clients[&number].answer.is_some());
                     self.cancelled.insert(number);
                 }
                 Command::Release { name, engine, .. } => {
                     // Every third release is lost.
-                    let heard = !(self.now + name.0.len() as u64).is_multiple_of(3);
-                    if heard {
+                    let acknowledged = !(self.now + name.0.len() as u64).is_multiple_of(3);
+                    if acknowledged {
                         self.reservations.remove(&(name.0.to_string(), engine.clone()));
                     }
-                    self.handle(Input::Released(name, engine, heard));
+                    self.handle(Input::Released(name, engine, acknowledged));
                 }
                 Command::HealthCheck(engine, _, _) => self.handle(Input::HealthChecked(engine, true, None)),
                 Command::Stopped => {
-                    assert!(!std::mem::replace(&mut self.stopped, true), "stopped twice");
+                    assert!(!std::mem::replace(&mut self.stopped, true), "shutdown reported complete twice");
                 }
                 Command::RequestComplete(number) => {
-                    assert!(self.over.insert(number), "over twice");
+                    assert!(self.complete.insert(number), "request reported complete twice");
                     assert!(!self.in_flight.contains_key(&number), "complete with an attempt in flight");
                 }
                 Command::ProbeConnection(number, attempt, engine, _) => {
-                    let out = self.in_flight.get(&number).is_some_and(|o| o.0.attempt == attempt);
-                    assert!(out, "a connection probe for an attempt that is not in flight");
+                    let is_in_flight = self.in_flight.get(&number).is_some_and(|o| o.0.attempt == attempt);
+                    assert!(is_in_flight, "a connection probe for an attempt that is not in flight");
                     // Every third probe of some engines is not answered.
                     if !engine.0.ends_with('1') || number % 3 != 0 {
                         self.handle(Input::DeliveryConfirmed(number, attempt));
@@ -167,35 +168,44 @@
     }
 
     fn attempt(&mut self, order: AttemptOrder) {
-        let client = self.clients.get_mut(&order.number).expect("an attempt for nobody");
+        let client = self.clients.get_mut(&order.number).expect("an attempt for an unknown request");
         let cell = client.cell.get_or_insert_with(|| order.cell.clone());
         assert_eq!(*cell, order.cell, "a request changed its cell");
         assert!(
             cell.0.is_empty() || cell_of(&order.engine.0).as_ref() == Some(cell),
             "an engine of another cell"
         );
-        assert!(client.answer.is_none() && !client.gone, "an attempt after the end");
-        assert!(!self.over.contains(&order.number), "an attempt after the request was complete");
+        assert!(
+            client.answer.is_none() && !client.has_left,
+            "an attempt after the final answer or after the client left"
+        );
+        assert!(!self.complete.contains(&order.number), "an attempt after the request was complete");
         assert!(!self.in_flight.contains_key(&order.number), "two attempts at once");
         assert_eq!(self.listing[&*order.engine.0], EndpointState::Serving, "an attempt at a drained engine");
-        assert!(order.timeout > 0 && self.now + order.timeout <= client.due);
-        if let Some(zone) = &client.ran {
-            assert!(client.class == 0 || client.class == 2, "an effect might happen twice, first in {zone}");
+        assert!(order.timeout > 0 && self.now + order.timeout <= client.deadline);
+        if let Some(zone) = &client.may_have_run_in {
+            assert!(
+                client.class == 0 || client.class == 2,
+                "a request that is not idempotent may run twice, first in {zone}"
+            );
         }
         if order.step == Step::Fetch {
-            assert!(order.state.is_some(), "a fetch without what fetches it");
+            assert!(order.state.is_some(), "a fetch without transfer parameters");
         }
-        let by = self.now + order.timeout;
-        self.in_flight.insert(order.number, (order, by, false));
+        let times_out_at = self.now + order.timeout;
+        self.in_flight.insert(order.number, (order, times_out_at, false));
     }
 
     fn answer(&mut self, number: RequestNumber, answer: FinalAnswer) {
-        let client = self.clients.get_mut(&number).expect("an answer for nobody");
+        let client = self.clients.get_mut(&number).expect("an answer for an unknown request");
         assert!(client.answer.replace(answer).is_none(), "two final answers");
-        assert!(!client.gone, "an answer to a client that has left");
-        assert!(self.now <= client.due || (client.streamed && client.started), "an answer too late");
+        assert!(!client.has_left, "an answer to a client that has left");
+        assert!(
+            self.now <= client.deadline || (client.streamed && client.has_first_token),
+            "an answer too late"
+        );
         if matches!(answer, FinalAnswer::Rejected(_)) {
-            assert!(client.ran.is_none() || client.class != 1, "rejected, but it may have run");
+            assert!(client.may_have_run_in.is_none() || client.class != 1, "rejected, but it may have run");
         }
     }
 
@@ -204,16 +214,17 @@
         self.cancelled.remove(&number);
         let name = (format!("{}.{}", order.request.0, order.attempt), order.engine.clone());
         let mut state = None;
-        let read = order.step == Step::Read;
-        let proven = matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent);
-        if read && (outcome == Outcome::Read || (creates_reservation && !proven)) {
+        let is_read = order.step == Step::Read;
+        let has_no_reservation =
+            matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent);
+        if is_read && (outcome == Outcome::Read || (creates_reservation && !has_no_reservation)) {
             self.reservations.insert(name);
             state = (outcome == Outcome::Read).then(|| Arc::new(serde_json::json!({ "n": order.attempt })));
         }
         if outcome == Outcome::Served {
-            self.fetched(&order);
+            self.remove_fetched(&order);
         }
-        let sure = matches!(
+        let never_ran = matches!(
             outcome,
             Outcome::Read
                 | Outcome::Overloaded
@@ -222,15 +233,15 @@
                 | Outcome::NeverSent
         );
         let client = self.clients.get_mut(&number).unwrap();
-        if !read && !sure && client.ran.is_none() {
+        if !is_read && !never_ran && client.may_have_run_in.is_none() {
             let zone = ENGINES.iter().find(|e| e.0 == &*order.engine.0).unwrap().2;
-            client.ran = Some(zone.to_string());
+            client.may_have_run_in = Some(zone.to_string());
         }
         let attempt = order.attempt;
         self.handle(Input::AttemptEnded { number, attempt, outcome, cached_tokens: 0, load: None, state });
     }
 
-    fn fetched(&mut self, order: &AttemptOrder) {
+    fn remove_fetched(&mut self, order: &AttemptOrder) {
         if let Some(n) = order.state.as_ref().and_then(|s| s["n"].as_u64()) {
             let name = format!("{}.{n}", order.request.0);
             self.reservations.retain(|(s, _)| *s != name);
@@ -238,41 +249,49 @@
     }
 
     fn first_token(&mut self, number: RequestNumber) {
-        let Some((order, _, started)) = self.in_flight.get_mut(&number) else { return };
-        if order.step == Step::Read || std::mem::replace(started, true) {
+        let Some((order, _, has_first_token)) = self.in_flight.get_mut(&number) else { return };
+        if order.step == Step::Read || std::mem::replace(has_first_token, true) {
             return;
         }
         let order = order.clone();
-        self.fetched(&order);
-        self.clients.get_mut(&number).unwrap().started = true;
+        self.remove_fetched(&order);
+        self.clients.get_mut(&number).unwrap().has_first_token = true;
         self.handle(Input::FirstToken(number, order.attempt));
     }
 
-    /// Advances the time; attempts time out and timers expire on the way.
+    /// Advances the time and handles the attempts that time out and the timers that expire on the way.
     fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
-            let timeouts = self.in_flight.values().filter(|(_, _, started)| !started).map(|(_, by, _)| *by);
-            let wholes = self.in_flight.iter().filter(|(t, (_, _, s))| *s && !self.clients[t].streamed);
-            let wholes = wholes.map(|(t, _)| self.clients[t].due - 20_000);
-            let next = timeouts.chain(wholes).chain(self.host.next_wake()).min().unwrap_or(until);
+            let token_timeouts = self
+                .in_flight
+                .values()
+                .filter(|(_, _, has_first_token)| !has_first_token)
+                .map(|(_, at, _)| *at);
+            let complete_answers = self
+                .in_flight
+                .iter()
+                .filter(|(n, (_, _, has_first_token))| *has_first_token && !self.clients[n].streamed);
+            let answer_timeouts = complete_answers.map(|(n, _)| self.clients[n].deadline - 20_000);
+            let next =
+                token_timeouts.chain(answer_timeouts).chain(self.host.next_wake()).min().unwrap_or(until);
             if next > until {
                 break;
             }
             self.now = self.now.max(next);
             let mut out = Vec::new();
             self.host.tick(self.now, &mut out);
-            self.carry_out(out);
-            let late: Vec<RequestNumber> = self
+            self.execute(out);
+            let timed_out: Vec<RequestNumber> = self
                 .in_flight
                 .iter()
-                .filter(|(t, (_, by, started))| match started {
-                    false => *by <= self.now,
-                    true => !self.clients[t].streamed && self.clients[t].due - 20_000 <= self.now,
+                .filter(|(n, (_, times_out_at, has_first_token))| match has_first_token {
+                    false => *times_out_at <= self.now,
+                    true => !self.clients[n].streamed && self.clients[n].deadline - 20_000 <= self.now,
                 })
-                .map(|(t, _)| *t)
+                .map(|(n, _)| *n)
                 .collect();
-            for number in late {
+            for number in timed_out {
                 self.end(number, Outcome::TimedOut, number % 2 == 0);
             }
             self.end_cancelled();
@@ -287,40 +306,40 @@
     }
 
     fn run_step(&mut self, step: &(u8, u8, u16)) {
-        let (kind, which, amount) = *step;
+        let (kind, index, amount) = *step;
         match kind % 12 {
             0..=2 => {
                 let number = self.clients.len() as u64 + 1;
-                let class = usize::from(which) % 3;
-                let own = (amount % 4 == 0).then_some(Micros::from(amount) * 40 + 21_000);
-                let usual = [2_000_000, 1_500_000, 1_500_000][class];
+                let class = usize::from(index) % 3;
+                let stated_timeout = (amount % 4 == 0).then_some(Micros::from(amount) * 40 + 21_000);
+                let class_timeout = [2_000_000, 1_500_000, 1_500_000][class];
                 let streamed = amount % 2 == 0;
-                let due = self.now + own.unwrap_or(usual).min(usual);
+                let deadline = self.now + stated_timeout.unwrap_or(class_timeout).min(class_timeout);
                 let client = Client {
                     cell: None,
                     class,
-                    gone: false,
+                    has_left: false,
                     answer: None,
-                    due,
+                    deadline,
                     streamed,
-                    started: false,
-                    ran: None,
+                    has_first_token: false,
+                    may_have_run_in: None,
                 };
                 self.clients.insert(number, client);
                 self.handle(Input::RequestArrived(IncomingRequest {
                     number,
                     class: Some(class),
-                    session: Some(u64::from(which) % 5),
+                    session: Some(u64::from(index) % 5),
                     prompt_tokens: u64::from(amount),
-                    client_timeout: own,
+                    client_timeout: stated_timeout,
                     streamed,
                     ..IncomingRequest::default()
                 }));
             }
             3..=6 => {
-                let Some(number) = pick_of(&self.in_flight, which) else { return };
-                let (order, _, started) = &self.in_flight[&number];
-                let outcome = match (order.step, started, amount % 10) {
+                let Some(number) = pick_in_flight(&self.in_flight, index) else { return };
+                let (order, _, has_first_token) = &self.in_flight[&number];
+                let outcome = match (order.step, has_first_token, amount % 10) {
                     (Step::Read, _, 0..=5) => Outcome::Read,
                     (_, true, 0..=6) => Outcome::Served,
                     (_, true, _) => Outcome::ConnectionBroken,
@@ -334,7 +353,7 @@
                 self.end(number, outcome, amount % 3 == 0);
             }
             7 => {
-                if let Some(number) = pick_of(&self.in_flight, which) {
+                if let Some(number) = pick_in_flight(&self.in_flight, index) {
                     self.first_token(number);
                 }
             }
@@ -342,11 +361,11 @@
                 let open: Vec<RequestNumber> = self
                     .clients
                     .iter()
-                    .filter(|(_, c)| c.answer.is_none() && !c.gone)
+                    .filter(|(_, c)| c.answer.is_none() && !c.has_left)
                     .map(|c| *c.0)
                     .collect();
-                if let Some(number) = open.get(usize::from(which) % open.len().max(1)).copied() {
-                    self.clients.get_mut(&number).unwrap().gone = true;
+                if let Some(number) = open.get(usize::from(index) % open.len().max(1)).copied() {
+                    self.clients.get_mut(&number).unwrap().has_left = true;
                     self.handle(Input::ClientLeft(number));
                     if self.in_flight.get(&number).is_some_and(|o| o.2) {
                         self.end(number, Outcome::Cancelled, false);
@@ -354,7 +373,7 @@
                 }
             }
             9 => {
-                let engine = ENGINES[usize::from(which) % ENGINES.len()].0;
+                let engine = ENGINES[usize::from(index) % ENGINES.len()].0;
                 let states = [
                     EndpointState::Serving,
                     EndpointState::Draining,
@@ -365,11 +384,11 @@
                 if self.listing[engine] == EndpointState::Gone {
                     self.reservations.retain(|(_, e)| &*e.0 != engine);
                 }
-                self.list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Delta });
+                self.send_endpoint_list(if amount % 8 == 0 { ListUpdate::Full } else { ListUpdate::Delta });
             }
-            // Inputs that match nothing: for requests that are complete or never existed, repeated.
+            // Inputs that match no attempt: for requests that are complete or never existed, or repeated ones.
             10 => {
-                let number = RequestNumber::from(which);
+                let number = RequestNumber::from(index);
                 if !self.in_flight.contains_key(&number) {
                     self.handle(Input::FirstToken(number, 0));
                     let (outcome, state) = (Outcome::Served, None);
@@ -391,17 +410,16 @@
     fn finish(mut self) {
         self.handle(Input::Stop);
         for _ in 0..40 {
-            let started: Vec<RequestNumber> =
-                self.in_flight.iter().filter(|o| o.1 .2).map(|o| *o.0).collect();
-            started.into_iter().for_each(|t| self.end(t, Outcome::Served, false));
+            let begun: Vec<RequestNumber> = self.in_flight.iter().filter(|o| o.1 .2).map(|o| *o.0).collect();
+            begun.into_iter().for_each(|number| self.end(number, Outcome::Served, false));
             self.advance(500_000);
         }
         for (number, client) in &self.clients {
-            assert!(client.gone || client.answer.is_some(), "request {number} has no final answer");
+            assert!(client.has_left || client.answer.is_some(), "request {number} has no final answer");
         }
-        assert_eq!(self.over.len(), self.clients.len(), "not all requests were reported complete");
+        assert_eq!(self.complete.len(), self.clients.len(), "not all requests were reported complete");
         assert_eq!(self.host.open_requests(), 0, "requests remain in the ledger");
-        assert!(self.stopped, "it never reported that it has stopped");
+        assert!(self.stopped, "the host never reported that it has stopped");
         let listing = &self.listing;
         self.reservations.retain(|(_, e)| listing[&*e.0] != EndpointState::Gone);
         assert!(self.reservations.is_empty(), "reservations remain: {:?}", self.reservations);
@@ -413,14 +431,14 @@
     }
 }
 
-fn pick_of<T>(in_flight: &BTreeMap<RequestNumber, T>, which: u8) -> Option<RequestNumber> {
-    in_flight.keys().nth(usize::from(which) % in_flight.len().max(1)).copied()
+fn pick_in_flight<T>(in_flight: &BTreeMap<RequestNumber, T>, index: u8) -> Option<RequestNumber> {
+    in_flight.keys().nth(usize::from(index) % in_flight.len().max(1)).copied()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In whatever order attempts end: each request gets one final answer in time and no attempt after it, nothing that
+    /// In any order of events, each request gets one final answer in time and no attempt after it, no request that
     /// is not idempotent runs twice, no attempt goes to a draining engine, and no reservation and no record remains.
     #[test]
     fn invariants_hold_for_any_order_of_events(
@@ -441,11 +459,11 @@
         let run = || {
             let mut simulation = Simulation::new(seed);
             steps.iter().for_each(|s| simulation.run_step(s));
-            let (out, answers): (Vec<_>, Vec<_>) = (
+            let (in_flight, answers): (Vec<_>, Vec<_>) = (
                 simulation.in_flight.values().map(|o| format!("{:?}", o.0)).collect(),
                 simulation.clients.values().map(|c| c.answer).collect(),
             );
-            (out, answers, simulation.host.counters())
+            (in_flight, answers, simulation.host.counters())
         };
         prop_assert_eq!(run(), run());
     }
--- a/crates/pintally-host/tests/request_release.rs
+++ b/crates/pintally-host/tests/request_release.rs
@@ -1,5 +1,5 @@
 //! Releases where one release frees all reservations of a request: when calls are made, where they are repeated,
-//! and that a late one never frees what a later attempt needs.
+//! and that a late call never frees a reservation that a later attempt needs.
 
 mod common;
 
@@ -8,77 +8,77 @@
 use pintally_engine::Step;
 use pintally_host::{Command, FinalAnswer, Input};
 
-/// Guards against a reservation that is never released while one writer after another is unreachable: each of
-/// those attempts is in flight for the node, but none is at any engine, and the release deadline runs.
+/// Guards against a reservation that is never released while one writer after another is unreachable: the node
+/// counts each attempt as in flight although it is at no engine, and the release deadline runs.
 #[test]
-fn request_is_released_by_the_deadline_while_attempts_are_unreachable() {
-    for silence in [60, 110, 250, 499, 2_000] {
+fn request_is_released_by_deadline_despite_unreachable_writers() {
+    for timeout_ms in [60, 110, 250, 499, 2_000] {
         let mut node = TestNode::new(&["r0", "w0", "w1", "w2", "w3", "w4"]);
         node.arrive(1, "x");
         node.end(&node.last_attempt(), Outcome::Read);
-        let read = node.now;
-        while node.releases().is_empty() && node.now < read + RELEASE_DEADLINE {
+        let read_at = node.now;
+        while node.releases().is_empty() && node.now < read_at + RELEASE_DEADLINE {
             let fetch = node.last_attempt();
-            let until = (node.now + silence * MS).min(read + RELEASE_DEADLINE);
+            let until = (node.now + timeout_ms * MS).min(read_at + RELEASE_DEADLINE);
             if node.first_release_by(until).is_none() {
                 node.end(&fetch, Outcome::Unreachable);
             }
         }
-        let first = node.now - read;
+        let first_call = node.now - read_at;
         assert!(
             !node.releases().is_empty(),
-            "nothing is released within {} ms at {silence} ms",
+            "nothing is released within {} ms at {timeout_ms} ms",
             RELEASE_DEADLINE / MS
         );
-        // Four engines in a row may be silent.
-        node.advance(read + RELEASE_DEADLINE);
+        // Four engines in a row may be unresponsive.
+        node.advance(read_at + RELEASE_DEADLINE);
         let ports: std::collections::BTreeSet<u16> = node.releases().iter().map(|r| r.1).collect();
-        assert!(ports.len() >= 4, "only {ports:?} from {} ms on at {silence} ms", first / MS);
+        assert!(ports.len() >= 4, "only {ports:?} from {} ms on at {timeout_ms} ms", first_call / MS);
     }
 }
 
-/// Guards against a release that frees the reservation of a later request of the same name: while the release of
-/// the first one is not acknowledged, a second request of that name is read and fetched undisturbed.
+/// Guards against a release that frees the reservation of a later request with the same name: while the release of
+/// the first request is not acknowledged, a second request with that name is read and fetched undisturbed.
 #[test]
-fn reused_request_name_keeps_its_reservation_while_the_first_is_released() {
-    for first in [Outcome::Read, Outcome::Cancelled, Outcome::ConnectionBroken] {
+fn reused_name_keeps_its_reservation_during_earlier_release() {
+    for outcome in [Outcome::Read, Outcome::Cancelled, Outcome::ConnectionBroken] {
         let mut node = TestNode::new(&["r0", "w0", "w1"]);
         node.arrive(1, "x");
         let read = node.last_attempt();
-        if first == Outcome::Read {
+        if outcome == Outcome::Read {
             node.end(&read, Outcome::Read);
         }
         node.handle(Input::ClientLeft(1));
-        node.end(&node.last_attempt(), if first == Outcome::Read { Outcome::Cancelled } else { first });
+        node.end(&node.last_attempt(), if outcome == Outcome::Read { Outcome::Cancelled } else { outcome });
         assert!(!node.releases().is_empty(), "the first reservation is released");
         assert!(!node.host.is_request_open(&RequestId("x".into())));
         // The client repeats the name before any engine has acknowledged a call.
         node.arrive(2, "x");
-        let again = node.last_attempt();
-        assert_eq!((again.number, again.step), (2, Step::Read));
-        node.end(&again, Outcome::Read);
-        // From the end of that read on no call for the first request is made.
+        let second_read = node.last_attempt();
+        assert_eq!((second_read.number, second_read.step), (2, Step::Read));
+        node.end(&second_read, Outcome::Read);
+        // After the end of that read, no call for the first request is made.
         assert!(node.out.iter().any(|c| matches!(c, Command::WithdrawReleases(id) if &*id.0 == "x")));
         let (fetch, from) = (node.last_attempt(), node.now);
         assert_eq!((fetch.number, fetch.step), (2, Step::Fetch));
         node.out.clear();
         node.advance(from + RELEASE_DEADLINE / 2);
-        assert_eq!(node.releases(), [], "after {first:?}");
+        assert_eq!(node.releases(), [], "after {outcome:?}");
         // A late acknowledgement of the first request's calls does not affect the second one's reservation.
         node.release_result("w0", true);
         node.end(&fetch, Outcome::Overloaded);
         assert_eq!((node.last_attempt().number, node.last_attempt().step), (2, Step::Fetch));
         // The reservation of the second request is released like any other.
         node.handle(Input::ClientLeft(2));
-        let over = node.now;
+        let ended_at = node.now;
         node.end(&node.last_attempt(), Outcome::Cancelled);
-        assert!(node.first_release_by(over + RELEASE_DEADLINE).is_some());
+        assert!(node.first_release_by(ended_at + RELEASE_DEADLINE).is_some());
         node.release_result("r0", true);
         assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
     }
 }
 
-/// Guards against an attempt that is spent on a state that was released: the prompt is read again.
+/// Guards against an attempt that is wasted on a state that was released: the prompt is read again.
 #[test]
 fn released_state_is_read_again_instead_of_fetched() {
     let (mut node, first) = TestNode::with_reservation(&["r0", "w0", "w1", "w2"]);
@@ -95,7 +95,7 @@
     assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
-/// Guards against a call for older reservations that frees the one that was just created.
+/// Guards against a call for older reservations that frees the reservation that was just created.
 #[test]
 fn unacknowledged_calls_are_withdrawn_after_a_repeated_read() {
     let (mut node, first) = TestNode::with_reservation(&["r0", "w0", "w1", "w2"]);
@@ -109,7 +109,7 @@
         node.out.iter().position(|c| matches!(c, Command::WithdrawReleases(_))).expect("a withdrawal");
     let fetch = node.out.iter().position(|c| matches!(c, Command::Attempt(_))).expect("a fetch");
     assert!(withdrawal < fetch);
-    // An engine had that read: the release deadline of all reservations started over with its outcome.
+    // That read reached an engine: its outcome starts the release deadline of all reservations over.
     assert_eq!(node.releases(), []);
     let from = node.now;
     let at = node.first_release_by(from + RELEASE_DEADLINE).expect("it is released");
@@ -118,20 +118,20 @@
 
 /// Guards against reads whose answer was lost and whose reservations stay while the next reads are unreachable.
 #[test]
-fn uncertain_reservation_is_released_while_reads_are_unreachable() {
+fn uncertain_reservation_is_released_despite_unreachable_reads() {
     let mut node = TestNode::new(&["r0", "r1", "r2", "r3", "w0"]);
     node.arrive(1, "x");
     node.end(&node.last_attempt(), Outcome::ConnectionBroken);
-    let lost = node.now;
-    while node.releases().is_empty() && node.now < lost + RELEASE_DEADLINE {
+    let lost_at = node.now;
+    while node.releases().is_empty() && node.now < lost_at + RELEASE_DEADLINE {
         let next = node.last_attempt();
-        if node.first_release_by((node.now + 200 * MS).min(lost + RELEASE_DEADLINE)).is_none() {
+        if node.first_release_by((node.now + 200 * MS).min(lost_at + RELEASE_DEADLINE)).is_none() {
             node.end(&next, Outcome::Unreachable);
         }
     }
     assert!(!node.releases().is_empty());
     assert!(node.attempts() >= 2);
-    // Nothing waits for that state: once the release is acknowledged nothing remains.
+    // No attempt waits for that state: nothing remains once the release is acknowledged.
     node.release_result("r0", true);
     let next = node.last_attempt();
     node.out.clear();
@@ -143,7 +143,7 @@
 
 /// Guards against a release that is dropped because its engine has left the list.
 #[test]
-fn reservation_at_an_unlisted_engine_is_released_by_another_engine() {
+fn reservation_at_unlisted_engine_is_released_by_another() {
     let (mut node, fetch) = TestNode::with_reservation(&["r0", "w0"]);
     node.handle(Input::EndpointList(ListUpdate::Full, endpoints(&["w0"])));
     node.handle(Input::ClientLeft(1));
@@ -155,9 +155,9 @@
 }
 
 /// Guards against reservations that are never released when no engine is reachable for longer than all calls take:
-/// the loss is counted and logged, and the release is called again as soon as any engine is heard.
+/// the loss is counted and logged, and the release is called again as soon as any engine responds.
 #[test]
-fn lost_release_is_reported_and_repeated_on_contact() {
+fn lost_release_is_reported_and_repeated_on_response() {
     let (mut node, fetch) = TestNode::with_reservation(&["r0", "w0"]);
     node.handle(Input::ClientLeft(1));
     node.end(&fetch, Outcome::Cancelled);
@@ -173,9 +173,9 @@
     // Another request is read: r0 is reachable again, and acknowledges the release within the deadline.
     node.arrive(2, "y");
     node.end(&node.last_attempt(), Outcome::Read);
-    let by = node.now + RELEASE_DEADLINE;
+    let deadline = node.now + RELEASE_DEADLINE;
     while node.host.pending_timers_and_releases().1 > 0 {
-        assert!(node.now < by, "{:?}", node.releases());
+        assert!(node.now < deadline, "{:?}", node.releases());
         node.out.clear();
         node.advance(node.now + MS);
         if node.releases().iter().any(|r| *r == ("x".to_string(), 4000)) {
@@ -194,7 +194,7 @@
     node.handle(Input::ClientLeft(1));
     node.end(&node.last_attempt(), Outcome::Cancelled);
     assert_eq!(node.releases(), [("x".to_string(), 4000)]);
-    // No acknowledgement is awaited: the next call goes to another engine.
+    // The next call does not wait for an acknowledgement, and goes to another engine.
     let first = node.now;
     node.advance(first + 200 * MS);
     let ports: Vec<u16> = node.releases().iter().map(|r| r.1).collect();
@@ -211,8 +211,8 @@
     assert_eq!(node.host.open_requests(), 0);
 }
 
-/// Guards against a late release that frees the state of a younger read: while an attempt is in flight nothing is
-/// released, and a pending release is withdrawn until the request is complete.
+/// Guards against a late release that frees the state of a later read: nothing is released while an attempt is in
+/// flight, and a pending release is withdrawn until the request is complete.
 #[test]
 fn nothing_is_released_while_an_attempt_is_in_flight() {
     let mut node = TestNode::new(&["r0", "r1", "w0"]);
--- a/crates/pintally-host/tests/requests.rs
+++ b/crates/pintally-host/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Request names and outcomes that do not match the step of an attempt.
+//! Duplicate request names, and outcomes that do not match the step of an attempt.
 
 mod common;
 
@@ -18,12 +18,15 @@
     assert!(node.host.is_request_open(&RequestId("x".into())));
 }
 
-/// Guards against taking a writer's report of a read for a reservation at the writer.
+/// Guards against recording a reservation at a writer that wrongly reports a read.
 #[test]
-fn writer_that_reports_a_read_has_failed() {
+fn read_reported_by_writer_is_an_error() {
     let (mut node, first) = TestNode::with_reservation(&["r0", "w0", "w1"]);
     node.end(&first, Outcome::Read);
     let second = node.last_attempt();
     assert_eq!(&second.engine.0[..1], "w");
-    assert_ne!(second.engine, first.engine, "the state is still the reader's, and another writer fetches it");
+    assert_ne!(
+        second.engine, first.engine,
+        "the state is still at the reader, and another writer fetches it"
+    );
 }
--- a/crates/pintally-host/tests/reservation_release.rs
+++ b/crates/pintally-host/tests/reservation_release.rs
@@ -10,24 +10,26 @@
 use pintally_engine::Step;
 use pintally_host::{Command, Host, Input, ReleaseScope};
 
-/// The same where a release frees one reservation and only its engine can execute it.
+/// Guards against a reservation that is never released while one writer after another is unreachable: the node
+/// counts each attempt as in flight although it is at no engine, and the release deadline runs.
 #[test]
-fn reservation_is_released_by_the_deadline_while_attempts_are_unreachable() {
-    for silence in [250, 499, 2_000] {
-        let mut node = TestNode::in_scope(&["r0", "w0", "w1", "w2", "w3", "w4"], ReleaseScope::Attempt);
+fn reservation_is_released_by_deadline_despite_unreachable_writers() {
+    for timeout_ms in [250, 499, 2_000] {
+        let mut node =
+            TestNode::with_release_scope(&["r0", "w0", "w1", "w2", "w3", "w4"], ReleaseScope::Attempt);
         node.arrive(1, "x");
         node.end(&node.last_attempt(), Outcome::Read);
-        let read = node.now;
-        while node.releases().is_empty() && node.now < read + RELEASE_DEADLINE {
+        let read_at = node.now;
+        while node.releases().is_empty() && node.now < read_at + RELEASE_DEADLINE {
             let fetch = node.last_attempt();
-            let until = (node.now + silence * MS).min(read + RELEASE_DEADLINE);
+            let until = (node.now + timeout_ms * MS).min(read_at + RELEASE_DEADLINE);
             if node.first_release_by(until).is_none() {
                 node.end(&fetch, Outcome::Unreachable);
             }
         }
-        assert_eq!(node.releases(), [("x.0".to_string(), 4000)], "at {silence} ms");
+        assert_eq!(node.releases(), [("x.0".to_string(), 4000)], "at {timeout_ms} ms");
         assert_eq!(node.host.counters().releases_guarded, 1);
-        // A released state is not fetched but read again.
+        // A released state is not fetched: the prompt is read again.
         node.end(&node.last_attempt(), Outcome::Unreachable);
         assert_eq!((&*node.last_attempt().engine.0, node.last_attempt().step), ("r0", Step::Read));
         // A writer that is reachable and merely slow keeps its reservation.
@@ -44,10 +46,10 @@
     }
 }
 
-/// A release that was given up is called again as soon as its engine is heard.
+/// A release that was given up is called again as soon as its engine responds.
 #[test]
-fn release_is_repeated_when_a_partitioned_engine_is_heard() {
-    let mut node = TestNode::in_scope(&["r0", "w0"], ReleaseScope::Attempt);
+fn release_is_repeated_when_partitioned_engine_responds() {
+    let mut node = TestNode::with_release_scope(&["r0", "w0"], ReleaseScope::Attempt);
     node.arrive(1, "x");
     node.end(&node.last_attempt(), Outcome::Read);
     let fetch = node.last_attempt();
@@ -68,11 +70,11 @@
     assert_eq!(node.releases().first(), Some(&("x.0".to_string(), 4000)));
 }
 
-/// Guards against a release that overtakes the read whose reservation it should free, on a connection that is silent
-/// or at an engine that hangs: such a release is repeated.
+/// Guards against a release that overtakes the read whose reservation it should free, because the read is delayed on
+/// a stalled connection or at an engine that hangs: such a release is repeated.
 #[test]
-fn release_of_an_uncertain_reservation_is_repeated_after_acknowledgement() {
-    let mut node = TestNode::in_scope(&["r0", "w0"], ReleaseScope::Attempt);
+fn acknowledged_release_of_uncertain_reservation_is_repeated() {
+    let mut node = TestNode::with_release_scope(&["r0", "w0"], ReleaseScope::Attempt);
     node.arrive(1, "x");
     node.handle(Input::ClientLeft(1));
     node.end(&node.last_attempt(), Outcome::TimedOut);
@@ -89,11 +91,12 @@
     assert_eq!((node.host.open_requests(), node.host.pending_timers_and_releases().1), (0, 0));
 }
 
-/// The reservations that one incarnation leaves are released by the next one as soon as their engine is endpoints,
-/// unless a list from its source no longer has the engine, and never a reservation of its own.
+/// Reservations that one incarnation leaves are released by the next one as soon as their engine is listed. They are
+/// dropped if a list from its source no longer has the engine. A reservation of the next incarnation itself is never
+/// released.
 #[test]
 fn orphaned_reservations_are_released_by_the_next_incarnation() {
-    let mut node = TestNode::in_scope(&["r0", "r1", "w0"], ReleaseScope::Attempt);
+    let mut node = TestNode::with_release_scope(&["r0", "r1", "w0"], ReleaseScope::Attempt);
     node.arrive(1, "held");
     node.end(&node.last_attempt(), Outcome::Read);
     node.arrive(2, "reads");
@@ -105,7 +108,7 @@
     assert!(["held.0", "reads.0", "unheard.0", "unheard.1"].iter().all(|n| names.contains(n)), "{names:?}");
     assert_eq!(node.host.reservations_at_exit(1).len(), 1);
 
-    // Two of their engines are endpoints at once, one later, one never again.
+    // Of their engines, r0 is listed at once, r9 later and w9 never again.
     let mut settings = NodeSettings::parse("test", SETTINGS).expect("the settings are valid");
     settings.name = "m".into();
     let orphaned = |engine: &str, name: &str| (EngineId(engine.into()), RequestId(name.into()));
@@ -132,11 +135,11 @@
     assert_eq!((node.host.pending_timers_and_releases().1, node.host.counters().orphaned_releases), (0, 2));
 }
 
-/// Two names at one address, as while one engine takes over another's address, are two engines: the reservations of
-/// each are released under its own name, and neither is forgotten with the other.
+/// While one engine takes over the address of another, two engines are listed with one address. The reservations of
+/// each are released under its own name, and none are lost when one of the engines leaves the list.
 #[test]
 fn engines_at_one_address_are_distinguished_by_name() {
-    let mut node = TestNode::in_scope(&["r0"], ReleaseScope::Attempt);
+    let mut node = TestNode::with_release_scope(&["r0"], ReleaseScope::Attempt);
     let mut both = endpoints(&["r0", "r1"]);
     both[1].address = both[0].address;
     node.arrive(1, "x");
@@ -157,6 +160,7 @@
     };
     node.advance(node.now + RELEASE_DEADLINE);
     let all: std::collections::BTreeSet<_> = node.out.iter().filter_map(released).collect();
-    let want = [("x.0", "r0"), ("y.0", "r1")].map(|(name, engine)| (name.to_string(), engine.to_string()));
-    assert_eq!(all.into_iter().collect::<Vec<_>>(), want);
+    let expected =
+        [("x.0", "r0"), ("y.0", "r1")].map(|(name, engine)| (name.to_string(), engine.to_string()));
+    assert_eq!(all.into_iter().collect::<Vec<_>>(), expected);
 }
