--- a/crates/pintally-bench-adapter/src/error.rs
+++ b/crates/pintally-bench-adapter/src/error.rs
@@ -1,20 +1,20 @@
-//! What ends the adapter before the end of its input.
+//! Errors that end the adapter before the end of its input.
 
 use std::io;
 
 use thiserror::Error;
 
-/// A fault of the input or the output, and in which line of the input.
+/// An error of the input or the output, and the line of the input at which it occurred.
 #[derive(Debug, Error)]
 #[error("pintally-bench-adapter: line {line}: {cause}")]
 pub struct StreamError {
     /// The number of the line, from 1.
     pub line: u64,
-    /// What is wrong.
+    /// The cause.
     pub cause: StreamErrorCause,
 }
 
-/// What is wrong with the input or the output.
+/// The cause of a [`StreamError`].
 #[derive(Debug, Error)]
 pub enum StreamErrorCause {
     /// The input could not be read.
@@ -23,16 +23,16 @@
     /// The output could not be written.
     #[error("cannot write: {0}")]
     Write(#[source] io::Error),
-    /// A line is no message of the wire.
+    /// A line is not a message of the bench's protocol.
     #[error("malformed message: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A message came outside a batch.
+    /// A message arrived outside a batch.
     #[error("a batch must begin with its `batch` line")]
     OutsideBatch,
     /// The input ended before the batch did.
     #[error("input ended inside a batch")]
     UnfinishedBatch,
-    /// A batch began before the last one had ended.
+    /// A batch began before the previous one had ended.
     #[error("a batch began inside a batch")]
     NestedBatch,
 }
--- a/crates/pintally-bench-adapter/src/incoming.rs
+++ b/crates/pintally-bench-adapter/src/incoming.rs
@@ -1,7 +1,7 @@
-//! Messages of the input as the bench spells them, and the events that they stand for.
+//! Messages of the input in the bench's protocol, and their conversion to events.
 
 use pintally::interface::*;
-use pintally_wire::{count, micros, Entry, LabelIndex};
+use pintally_wire::{seconds_to_micros, to_count, EndpointEntry, LabelIndex};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -15,195 +15,225 @@
         clock: f64,
         round: u64,
     },
-    OverToYou,
-    Begin {
+    #[serde(rename = "over_to_you")]
+    EndBatch,
+    #[serde(rename = "begin")]
+    StartInstance {
         node: u64,
-        salt: u64,
-        conf: Value,
+        #[serde(rename = "salt")]
+        seed: u64,
+        #[serde(rename = "conf")]
+        settings: Value,
     },
-    Teardown {
+    #[serde(rename = "teardown")]
+    StopInstance {
         node: u64,
     },
-    Update {
+    #[serde(rename = "update")]
+    EndpointList {
         node: u64,
-        form: Form,
-        #[serde(default)]
-        hosts: Option<Vec<Host>>,
+        #[serde(rename = "form")]
+        update: UpdateKind,
+        #[serde(default, rename = "hosts")]
+        entries: Option<Vec<ListEntry>>,
     },
-    Demand(Box<Demand>),
-    HeadReceived {
+    #[serde(rename = "demand")]
+    RequestArrived(Box<ArrivedRequest>),
+    #[serde(rename = "head_received")]
+    FirstToken {
         node: u64,
-        txn: String,
+        #[serde(rename = "txn")]
+        request_id: String,
         #[serde(rename = "try")]
         attempt: AttemptNumber,
     },
-    Ended(Box<EndedLine>),
-    Withdrawn {
+    #[serde(rename = "ended")]
+    AttemptEnded(Box<EndedAttempt>),
+    #[serde(rename = "withdrawn")]
+    ClientLeft {
         node: u64,
-        txn: String,
+        #[serde(rename = "txn")]
+        request_id: String,
     },
-    Elapsed {
+    #[serde(rename = "elapsed")]
+    TimerFired {
         node: u64,
         #[serde(rename = "ref")]
         timer: String,
     },
-    StatusBack {
+    #[serde(rename = "status_back")]
+    HealthChecked {
         node: u64,
-        state_code: u32,
+        #[serde(rename = "state_code")]
+        code: u32,
         engine: String,
-        #[serde(default)]
-        feedback: Option<Vec<Option<f64>>>,
+        #[serde(default, rename = "feedback")]
+        load: Option<Vec<Option<f64>>>,
     },
     #[serde(other)]
     Other,
 }
 
 impl Incoming {
-    /// The instance for which the message is, if it is for one.
+    /// The instance that the message is for, if any.
     pub fn node(&self) -> Option<u64> {
         match self {
-            Incoming::Batch { .. } | Incoming::OverToYou | Incoming::Other => None,
-            Incoming::Demand(demand) => Some(demand.node),
-            Incoming::Ended(ended) => Some(ended.node),
-            Incoming::Begin { node, .. }
-            | Incoming::Teardown { node }
-            | Incoming::Update { node, .. }
-            | Incoming::HeadReceived { node, .. }
-            | Incoming::Withdrawn { node, .. }
-            | Incoming::Elapsed { node, .. }
-            | Incoming::StatusBack { node, .. } => Some(*node),
+            Incoming::Batch { .. } | Incoming::EndBatch | Incoming::Other => None,
+            Incoming::RequestArrived(arrived) => Some(arrived.node),
+            Incoming::AttemptEnded(ended) => Some(ended.node),
+            Incoming::StartInstance { node, .. }
+            | Incoming::StopInstance { node }
+            | Incoming::EndpointList { node, .. }
+            | Incoming::FirstToken { node, .. }
+            | Incoming::ClientLeft { node, .. }
+            | Incoming::TimerFired { node, .. }
+            | Incoming::HealthChecked { node, .. } => Some(*node),
         }
     }
 }
 
-/// How an endpoint list is to be taken.
+/// How an endpoint list is to be applied.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Form {
-    Update,
-    Replace,
+pub enum UpdateKind {
+    #[serde(rename = "update")]
+    Delta,
+    #[serde(rename = "replace")]
+    Full,
     Restored,
     Unavailable,
 }
 
 /// An entry of an endpoint list.
 #[derive(Deserialize)]
-pub struct Host {
+pub struct ListEntry {
     engine: String,
-    campus: String,
-    hw: String,
-    unit_group: u64,
-    stage_state: String,
-    #[serde(default)]
-    power_hint: Option<f64>,
-    #[serde(default)]
-    born: Option<f64>,
+    #[serde(rename = "campus")]
+    zone: String,
+    #[serde(rename = "hw")]
+    kind: String,
+    #[serde(rename = "unit_group")]
+    rack: u64,
+    #[serde(rename = "stage_state")]
+    state: String,
+    #[serde(default, rename = "power_hint")]
+    weight: Option<f64>,
+    #[serde(default, rename = "born")]
+    started_s: Option<f64>,
 }
 
 /// A client's request.
 #[derive(Deserialize)]
-pub struct Demand {
+pub struct ArrivedRequest {
     node: u64,
-    txn: String,
-    band: String,
-    #[serde(default)]
-    user_group: Option<Value>,
-    #[serde(default)]
-    dialogue: Option<u64>,
-    ttl: f64,
+    #[serde(rename = "txn")]
+    id: String,
+    #[serde(rename = "band")]
+    class: String,
+    #[serde(default, rename = "user_group")]
+    tenant: Option<Value>,
+    #[serde(default, rename = "dialogue")]
+    session: Option<u64>,
+    #[serde(rename = "ttl")]
+    client_timeout_s: f64,
     #[serde(default)]
     prefix: Option<u64>,
     #[serde(default)]
     prompt_tokens: Option<f64>,
-    #[serde(default)]
-    prefix_len: Option<f64>,
+    #[serde(default, rename = "prefix_len")]
+    prefix_tokens: Option<f64>,
     #[serde(default)]
     max_tokens: Option<f64>,
-    #[serde(default)]
-    reconnect: Option<bool>,
+    #[serde(default, rename = "reconnect")]
+    resumed: Option<bool>,
 }
 
 /// The end of an attempt.
 #[derive(Deserialize)]
-pub struct EndedLine {
+pub struct EndedAttempt {
     node: u64,
-    txn: String,
+    #[serde(rename = "txn")]
+    request_id: String,
     #[serde(rename = "try")]
     attempt: AttemptNumber,
-    state_code: u32,
-    #[serde(default)]
-    no_more: Option<bool>,
+    #[serde(rename = "state_code")]
+    code: u32,
+    #[serde(default, rename = "no_more")]
+    is_final: Option<bool>,
+    /// Cached tokens if the code is one of success; 1 with code 254 if the state was not found.
     #[serde(default)]
     detail: Option<f64>,
-    #[serde(default)]
-    feedback: Option<Vec<Option<f64>>>,
+    #[serde(default, rename = "feedback")]
+    load: Option<Vec<Option<f64>>>,
 }
 
-/// The event of a message, if it is one that the router knows.
+/// Converts a message to an event; `None` if the router has no such event.
 pub fn event(labels: &LabelIndex, message: Incoming) -> Option<Event> {
     Some(match message {
-        Incoming::Update { form, hosts, .. } => {
-            let form = match form {
-                Form::Update => ListUpdate::Delta,
-                Form::Replace | Form::Restored => ListUpdate::Full,
-                Form::Unavailable => ListUpdate::Failed,
+        Incoming::EndpointList { update, entries, .. } => {
+            let update = match update {
+                UpdateKind::Delta => ListUpdate::Delta,
+                UpdateKind::Full | UpdateKind::Restored => ListUpdate::Full,
+                UpdateKind::Unavailable => ListUpdate::Failed,
             };
-            Event::EndpointList(form, hosts.unwrap_or_default().into_iter().map(endpoint).collect())
+            Event::EndpointList(update, entries.unwrap_or_default().into_iter().map(endpoint).collect())
+        }
+        Incoming::RequestArrived(arrived) => Event::RequestArrived(request(labels, *arrived)),
+        Incoming::FirstToken { request_id, attempt, .. } => {
+            Event::FirstToken(to_request_id(&request_id), attempt)
         }
-        Incoming::Demand(demand) => Event::RequestArrived(request(labels, *demand)),
-        Incoming::HeadReceived { txn, attempt, .. } => Event::FirstToken(request_id(&txn), attempt),
-        Incoming::Ended(ended) => Event::AttemptEnded(AttemptEnd {
-            id: request_id(&ended.txn),
+        Incoming::AttemptEnded(ended) => Event::AttemptEnded(AttemptEnd {
+            id: to_request_id(&ended.request_id),
             attempt: ended.attempt,
-            outcome: outcome(ended.state_code, ended.detail)?,
-            is_final: ended.no_more.unwrap_or(false),
-            cached_tokens: count(ended.detail),
-            load: ended.feedback.map(|row| labels.load(&row)),
+            outcome: outcome(ended.code, ended.detail)?,
+            is_final: ended.is_final.unwrap_or(false),
+            cached_tokens: to_count(ended.detail),
+            load: ended.load.map(|row| labels.load_from_row(&row)),
         }),
-        Incoming::Withdrawn { txn, .. } => Event::ClientLeft(request_id(&txn)),
-        Incoming::Elapsed { timer, .. } => Event::TimerFired(timer_of(&timer)?),
-        Incoming::StatusBack { state_code, engine, feedback, .. } => {
-            let load = feedback.map(|row| labels.load(&row));
-            Event::HealthChecked(EngineId(engine.into()), state_code == 0, load)
+        Incoming::ClientLeft { request_id, .. } => Event::ClientLeft(to_request_id(&request_id)),
+        Incoming::TimerFired { timer, .. } => Event::TimerFired(timer_of(&timer)?),
+        Incoming::HealthChecked { code, engine, load, .. } => {
+            let load = load.map(|row| labels.load_from_row(&row));
+            Event::HealthChecked(EngineId(engine.into()), code == 0, load)
         }
         _ => return None,
     })
 }
 
-fn request(labels: &LabelIndex, demand: Demand) -> Request {
-    let tenant = demand.user_group.as_ref().and_then(Value::as_str);
+fn request(labels: &LabelIndex, arrived: ArrivedRequest) -> Request {
+    let tenant = arrived.tenant.as_ref().and_then(Value::as_str);
     Request {
-        id: request_id(&demand.txn),
-        class: labels.class(&demand.band),
+        id: to_request_id(&arrived.id),
+        class: labels.class(&arrived.class),
         tenant: tenant.and_then(|name| labels.tenant(name)),
-        session: demand.dialogue.unwrap_or(0),
-        prefix: demand.prefix.filter(|p| *p != 0),
-        prompt_tokens: count(demand.prompt_tokens),
-        prefix_tokens: count(demand.prefix_len),
-        max_tokens: count(demand.max_tokens),
-        client_timeout: micros(demand.ttl),
-        resumed: demand.reconnect.unwrap_or(false),
+        session: arrived.session.unwrap_or(0),
+        prefix: arrived.prefix.filter(|p| *p != 0),
+        prompt_tokens: to_count(arrived.prompt_tokens),
+        prefix_tokens: to_count(arrived.prefix_tokens),
+        max_tokens: to_count(arrived.max_tokens),
+        client_timeout: seconds_to_micros(arrived.client_timeout_s),
+        resumed: arrived.resumed.unwrap_or(false),
     }
 }
 
-fn request_id(id: &str) -> RequestId {
+fn to_request_id(id: &str) -> RequestId {
     RequestId(id.into())
 }
 
-fn endpoint(host: Host) -> Endpoint {
-    let entry = Entry {
-        engine: host.engine,
-        zone: host.campus,
-        kind: host.hw,
-        rack: host.unit_group,
-        state: host.stage_state,
-        weight: host.power_hint,
-        started: host.born.map(micros),
+fn endpoint(entry: ListEntry) -> Endpoint {
+    let entry = EndpointEntry {
+        engine: entry.engine,
+        zone: entry.zone,
+        kind: entry.kind,
+        rack: entry.rack,
+        state: entry.state,
+        weight: entry.weight,
+        started: entry.started_s.map(seconds_to_micros),
     };
-    entry.member()
+    entry.into_endpoint()
 }
 
-/// The timer of a name that [`crate::outgoing`] has given it.
+/// The timer with a name that [`crate::outgoing`] sends.
 fn timer_of(name: &str) -> Option<Timer> {
     match name {
         DISPATCH_TIMER => Some(Timer::DispatchPending),
@@ -212,13 +242,13 @@
     }
 }
 
-/// The outcome of a code of the wire; `None` for codes that the router does not know.
+/// The outcome for a state code of the protocol; `None` for unknown codes.
 fn outcome(code: u32, detail: Option<f64>) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Served,
         100 => Outcome::Read,
         255 => Outcome::Error,
-        254 if count(detail) == 1 => Outcome::StateNotFound,
+        254 if to_count(detail) == 1 => Outcome::StateNotFound,
         254 => Outcome::Overloaded,
         253 => Outcome::TimedOut,
         252 => Outcome::Unreachable,
--- a/crates/pintally-bench-adapter/src/input.rs
+++ b/crates/pintally-bench-adapter/src/input.rs
@@ -1,11 +1,11 @@
-//! The input: one JSON message a line.
+//! The input: one JSON message per line.
 
 use std::io::BufRead;
 
 use crate::error::{StreamError, StreamErrorCause};
 use crate::incoming::Incoming;
 
-/// Reads messages and counts their lines.
+/// Reads messages and counts lines.
 pub struct Input<R> {
     reader: R,
     line: u64,
@@ -13,7 +13,6 @@
 }
 
 impl<R: BufRead> Input<R> {
-    /// An input of which nothing is read yet.
     pub fn new(reader: R) -> Input<R> {
         Input { reader, line: 0, buffer: String::new() }
     }
@@ -22,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// Where the input cannot be read or a line is no message.
+    /// If the input cannot be read or a line is not a valid message.
     pub fn next_message(&mut self) -> Result<Option<Incoming>, StreamError> {
         loop {
             self.buffer.clear();
--- a/crates/pintally-bench-adapter/src/main.rs
+++ b/crates/pintally-bench-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the bench's wire on standard input and output: JSON events in, JSON
-//! actions out, one [`Router`](pintally::Router) for each instance. It decides nothing.
+//! Adapter between the bench's JSON protocol on standard input and output and the decision core: it
+//! parses events, hands them to the [`Router`](pintally::Router) of their instance, and writes its actions.
+//! It makes no routing decisions.
 
 mod error;
 mod incoming;
--- a/crates/pintally-bench-adapter/src/outgoing.rs
+++ b/crates/pintally-bench-adapter/src/outgoing.rs
@@ -1,10 +1,10 @@
-//! Lines of the replies as the bench spells them, and the actions that they stand for.
+//! Lines of the replies in the bench's protocol, and their encoding from actions.
 
 use pintally::interface::*;
-use pintally_wire::seconds;
+use pintally_wire::micros_to_seconds;
 use serde::Serialize;
 
-/// The names under which timers are set on the wire, and come back when they fire.
+/// Names of timers in the protocol: sent when a timer is set, and received when it fires.
 pub const DISPATCH_TIMER: &str = "sweep";
 pub const MAINTENANCE_TIMER: &str = "watch";
 
@@ -15,94 +15,116 @@
     Ok {
         round: u64,
     },
-    Broken {
+    #[serde(rename = "broken")]
+    InvalidSettings {
         node: u64,
-        reason_text: String,
+        #[serde(rename = "reason_text")]
+        text: String,
     },
-    Issue {
+    #[serde(rename = "issue")]
+    Send {
         node: u64,
-        txn: WireId,
-        engine: WireId,
-        timeout: f64,
+        #[serde(rename = "txn")]
+        request_id: OutgoingId,
+        engine: OutgoingId,
+        #[serde(rename = "timeout")]
+        timeout_s: f64,
     },
-    OverloadReply {
+    #[serde(rename = "overload_reply")]
+    Reject {
         node: u64,
-        txn: WireId,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        pause: Option<f64>,
+        #[serde(rename = "txn")]
+        request_id: OutgoingId,
+        #[serde(rename = "pause", skip_serializing_if = "Option::is_none")]
+        retry_after_s: Option<f64>,
     },
-    ReportFailure {
+    #[serde(rename = "report_failure")]
+    Fail {
         node: u64,
-        txn: WireId,
+        #[serde(rename = "txn")]
+        request_id: OutgoingId,
     },
-    Abandon {
+    #[serde(rename = "abandon")]
+    Cancel {
         node: u64,
-        txn: WireId,
+        #[serde(rename = "txn")]
+        request_id: OutgoingId,
         #[serde(rename = "try")]
         attempt: AttemptNumber,
     },
     Release {
         node: u64,
-        txn: WireId,
+        #[serde(rename = "txn")]
+        request_id: OutgoingId,
     },
-    Ping {
+    #[serde(rename = "ping")]
+    HealthCheck {
         node: u64,
-        engine: WireId,
+        engine: OutgoingId,
     },
     Timer {
         node: u64,
-        from_now: f64,
+        #[serde(rename = "from_now")]
+        after_s: f64,
         #[serde(rename = "ref")]
         timer: &'static str,
     },
-    Follow {
+    #[serde(rename = "follow")]
+    Subscribe {
         node: u64,
         enable: bool,
     },
-    SayLog {
+    #[serde(rename = "say_log")]
+    Log {
         node: u64,
-        reason_text: String,
+        #[serde(rename = "reason_text")]
+        text: String,
     },
 }
 
-/// An id as it goes out: the same as it came in.
+/// An id in a reply, identical to the one that was received.
 #[derive(Serialize)]
 #[serde(transparent)]
-pub struct WireId(String);
+pub struct OutgoingId(String);
 
-impl From<RequestId> for WireId {
+impl From<RequestId> for OutgoingId {
     fn from(id: RequestId) -> Self {
-        WireId(id.0.to_string())
+        OutgoingId(id.0.to_string())
     }
 }
 
-impl From<EngineId> for WireId {
+impl From<EngineId> for OutgoingId {
     fn from(id: EngineId) -> Self {
-        WireId(id.0.to_string())
+        OutgoingId(id.0.to_string())
     }
 }
 
-/// The line for an action of an instance.
+/// Encodes an action of an instance's router.
 pub fn outgoing(node: u64, action: Action) -> Outgoing {
     match action {
-        Action::Send(id, engine, timeout) => {
-            Outgoing::Issue { node, txn: id.into(), engine: engine.into(), timeout: seconds(timeout) }
-        }
-        Action::Reject(id, pause) => {
-            Outgoing::OverloadReply { node, txn: id.into(), pause: pause.map(seconds) }
-        }
-        Action::Fail(id) => Outgoing::ReportFailure { node, txn: id.into() },
-        Action::Cancel(id, attempt) => Outgoing::Abandon { node, txn: id.into(), attempt },
-        Action::Release(id) => Outgoing::Release { node, txn: id.into() },
-        Action::HealthCheck(engine) => Outgoing::Ping { node, engine: engine.into() },
+        Action::Send(id, engine, timeout) => Outgoing::Send {
+            node,
+            request_id: id.into(),
+            engine: engine.into(),
+            timeout_s: micros_to_seconds(timeout),
+        },
+        Action::Reject(id, retry_after) => Outgoing::Reject {
+            node,
+            request_id: id.into(),
+            retry_after_s: retry_after.map(micros_to_seconds),
+        },
+        Action::Fail(id) => Outgoing::Fail { node, request_id: id.into() },
+        Action::Cancel(id, attempt) => Outgoing::Cancel { node, request_id: id.into(), attempt },
+        Action::Release(id) => Outgoing::Release { node, request_id: id.into() },
+        Action::HealthCheck(engine) => Outgoing::HealthCheck { node, engine: engine.into() },
         Action::SetTimer(timer, after) => {
             let name = match timer {
                 Timer::DispatchPending => DISPATCH_TIMER,
                 Timer::Maintenance => MAINTENANCE_TIMER,
             };
-            Outgoing::Timer { node, from_now: seconds(after), timer: name }
+            Outgoing::Timer { node, after_s: micros_to_seconds(after), timer: name }
         }
-        Action::Subscribe => Outgoing::Follow { node, enable: true },
-        Action::Log(reason_text) => Outgoing::SayLog { node, reason_text },
+        Action::Subscribe => Outgoing::Subscribe { node, enable: true },
+        Action::Log(text) => Outgoing::Log { node, text },
     }
 }
--- a/crates/pintally-bench-adapter/src/server.rs
+++ b/crates/pintally-bench-adapter/src/server.rs
@@ -1,11 +1,11 @@
-//! Answers batches: hands each event to the router of its instance and writes the router's actions.
+//! Processes batches: hands each event to the router of its instance and writes the router's actions.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 
 use pintally::interface::{Action, Micros};
 use pintally::Router;
-use pintally_wire::{LabelIndex, NodeConfiguration};
+use pintally_wire::{LabelIndex, ParsedSettings};
 use serde_json::Value;
 
 use crate::error::{StreamError, StreamErrorCause};
@@ -13,26 +13,26 @@
 use crate::input::Input;
 use crate::outgoing::{outgoing, Outgoing};
 
-/// One instance of the decision module and the labels of its settings.
+/// An instance of the decision core, and the labels in its settings.
 struct Instance {
     router: Router,
     labels: LabelIndex,
 }
 
-/// The input, the output and the instances that the bench has begun.
+/// The input, the output and the running instances.
 struct Server<R, W: Write> {
     input: Input<R>,
     output: BufWriter<W>,
     instances: BTreeMap<u64, Instance>,
-    /// Reused for the actions of each event.
+    /// A buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
-/// Answers batches until the input ends.
+/// Processes batches until the input ends.
 ///
 /// # Errors
 ///
-/// Where the input or output fails, or the input does not follow the wire.
+/// If the input or output fails, or the input violates the bench's protocol.
 pub fn serve(reader: impl BufRead, writer: impl Write) -> Result<(), StreamError> {
     let mut server = Server {
         input: Input::new(reader),
@@ -44,23 +44,25 @@
         let Incoming::Batch { clock, round } = message else {
             return Err(server.input.error(StreamErrorCause::OutsideBatch));
         };
-        server.answer_batch(pintally_wire::micros(clock), round)?;
+        server.process_batch(pintally_wire::seconds_to_micros(clock), round)?;
     }
     Ok(())
 }
 
 impl<R: BufRead, W: Write> Server<R, W> {
-    /// Handles the messages of one batch and closes the reply.
-    fn answer_batch(&mut self, now: Micros, round: u64) -> Result<(), StreamError> {
+    /// Handles the messages of one batch and ends the reply.
+    fn process_batch(&mut self, now: Micros, round: u64) -> Result<(), StreamError> {
         loop {
             let Some(message) = self.input.next_message()? else {
                 return Err(self.input.error(StreamErrorCause::UnfinishedBatch));
             };
             match message {
-                Incoming::OverToYou => break,
+                Incoming::EndBatch => break,
                 Incoming::Batch { .. } => return Err(self.input.error(StreamErrorCause::NestedBatch)),
-                Incoming::Begin { node, salt, conf } => self.begin(node, salt, conf)?,
-                Incoming::Teardown { node } => {
+                Incoming::StartInstance { node, seed, settings } => {
+                    self.start_instance(node, seed, settings)?;
+                }
+                Incoming::StopInstance { node } => {
                     self.instances.remove(&node);
                 }
                 message => self.handle(now, message)?,
@@ -70,19 +72,19 @@
         self.output.flush().map_err(|error| self.input.error(StreamErrorCause::Write(error)))
     }
 
-    /// Begins an instance, or answers what is wrong with its settings.
-    fn begin(&mut self, node: u64, salt: u64, settings: Value) -> Result<(), StreamError> {
-        match pintally_wire::settings(settings) {
-            Ok(NodeConfiguration { settings, labels, .. }) => {
-                let router = Router::new(settings, salt);
+    /// Starts an instance, or replies with the error in its settings.
+    fn start_instance(&mut self, node: u64, seed: u64, settings: Value) -> Result<(), StreamError> {
+        match pintally_wire::parse_settings(settings) {
+            Ok(ParsedSettings { settings, labels, .. }) => {
+                let router = Router::new(settings, seed);
                 self.instances.insert(node, Instance { router, labels });
                 Ok(())
             }
-            Err(error) => self.write(&Outgoing::Broken { node, reason_text: error.to_string() }),
+            Err(error) => self.write(&Outgoing::InvalidSettings { node, text: error.to_string() }),
         }
     }
 
-    /// Hands an event to the router of its instance; events of unknown instances are dropped.
+    /// Hands an event to the router of its instance; events for unknown instances are dropped.
     fn handle(&mut self, now: Micros, message: Incoming) -> Result<(), StreamError> {
         let Some(node) = message.node() else { return Ok(()) };
         let Some(instance) = self.instances.get_mut(&node) else { return Ok(()) };
--- a/crates/pintally-bench-adapter/tests/wire.rs
+++ b/crates/pintally-bench-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter's binary, driven from end to end with small hand-written batches.
+//! End-to-end tests of the adapter's binary with small hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,14 +12,14 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("its input").write_all(input.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+    child.stdin.take().expect("a standard input").write_all(input.as_bytes()).expect("the adapter reads");
+    child.wait_with_output().expect("the adapter ends")
 }
 
-/// The lines of the output; all of them have to be JSON.
+/// The lines of the output, each of which must be JSON.
 fn lines(output: &Output) -> Vec<Value> {
-    let text = String::from_utf8(output.stdout.clone()).expect("the wire is UTF-8");
-    text.lines().map(|line| serde_json::from_str(line).expect("the wire is JSON")).collect()
+    let text = String::from_utf8(output.stdout.clone()).expect("UTF-8 output");
+    text.lines().map(|line| serde_json::from_str(line).expect("a JSON line")).collect()
 }
 
 fn conf() -> Value {
@@ -64,22 +64,22 @@
     format!("{ended}\n")
 }
 
-/// A stream in which every given instance serves one request.
-fn session(nodes: &[u64]) -> String {
-    let each = |f: &dyn Fn(u64) -> String| nodes.iter().map(|n| f(*n)).collect::<String>();
+/// Input in which each of the given instances serves one request.
+fn one_request_each(nodes: &[u64]) -> String {
+    let for_each_node = |line: &dyn Fn(u64) -> String| nodes.iter().map(|n| line(*n)).collect::<String>();
     [
-        batch(10.0, 1, &each(&|n| begin(n, &conf()))),
-        batch(10.5, 2, &each(&|n| demand(n, "q"))),
-        batch(10.55, 3, &each(&|n| ended(n, "q", 0, 100))),
-        batch(10.56, 4, &each(&|n| format!("{}\n", json!({"t": "head_received", "node": n, "txn": "q", "try": 1, "engine": "10.0.0.2:2", "rtt": 0.01})))),
-        batch(12.0, 5, &each(&|n| ended(n, "q", 1, 0))),
+        batch(10.0, 1, &for_each_node(&|n| begin(n, &conf()))),
+        batch(10.5, 2, &for_each_node(&|n| demand(n, "q"))),
+        batch(10.55, 3, &for_each_node(&|n| ended(n, "q", 0, 100))),
+        batch(10.56, 4, &for_each_node(&|n| format!("{}\n", json!({"t": "head_received", "node": n, "txn": "q", "try": 1, "engine": "10.0.0.2:2", "rtt": 0.01})))),
+        batch(12.0, 5, &for_each_node(&|n| ended(n, "q", 1, 0))),
     ]
     .concat()
 }
 
 #[test]
 fn request_is_read_then_written() {
-    let output = run(&session(&[3]));
+    let output = run(&one_request_each(&[3]));
     assert!(output.status.success());
     let lines = lines(&output);
     let issued: Vec<&Value> = lines.iter().filter(|l| l["t"] == "issue").collect();
@@ -97,13 +97,13 @@
     let actions = |output: &Output, node: u64| -> Vec<Value> {
         lines(output).into_iter().filter(|l| l["node"] == node).collect()
     };
-    let together = run(&session(&[0, 1, 2]));
+    let together = run(&one_request_each(&[0, 1, 2]));
     for node in 0..3 {
-        let apart = run(&session(&[node]));
-        assert!(!actions(&apart, node).is_empty());
-        assert_eq!(actions(&together, node), actions(&apart, node));
+        let alone = run(&one_request_each(&[node]));
+        assert!(!actions(&alone, node).is_empty());
+        assert_eq!(actions(&together, node), actions(&alone, node));
     }
-    assert_eq!(run(&session(&[0, 1, 2])).stdout, together.stdout);
+    assert_eq!(run(&one_request_each(&[0, 1, 2])).stdout, together.stdout);
 }
 
 #[test]
@@ -116,22 +116,22 @@
 
 #[test]
 fn malformed_input_ends_with_one_line_on_stderr() {
-    let inside = "{\"t\":\"batch\",\"clock\":1.0,\"round\":1}\n";
+    let open_batch = "{\"t\":\"batch\",\"clock\":1.0,\"round\":1}\n";
     let cases = [
-        (format!("{inside}{{\"t\":\"elapsed\"\n"), "line 2"),
-        (inside.to_string(), "ended inside a batch"),
-        (format!("{inside}{inside}"), "inside a batch"),
+        (format!("{open_batch}{{\"t\":\"elapsed\"\n"), "line 2"),
+        (open_batch.to_string(), "ended inside a batch"),
+        (format!("{open_batch}{open_batch}"), "inside a batch"),
         ("{\"t\":\"over_to_you\"}\n".to_string(), "batch"),
         ("not json\n".to_string(), "line 1"),
-        (format!("{inside}{{\"t\":\"demand\",\"node\":1}}\n"), "missing field"),
-        (format!("{inside}[1, 2]\n"), "line 2"),
+        (format!("{open_batch}{{\"t\":\"demand\",\"node\":1}}\n"), "missing field"),
+        (format!("{open_batch}[1, 2]\n"), "line 2"),
     ];
-    for (input, says) in cases {
+    for (input, expected) in cases {
         let output = run(&input);
         assert_eq!(output.status.code(), Some(1), "{input}");
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(says), "{said}");
+        let message = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(message.lines().count(), 1, "{message}");
+        assert!(message.contains(expected), "{message}");
     }
 }
 
@@ -145,8 +145,8 @@
         ("family_info", "duty_by_kind"),
     ] {
         let mut conf = conf();
-        let holder = if group.is_empty() { &mut conf } else { &mut conf[group] };
-        holder.as_object_mut().unwrap().remove(key);
+        let object = if group.is_empty() { &mut conf } else { &mut conf[group] };
+        object.as_object_mut().unwrap().remove(key);
         let output = run(&batch(1.0, 1, &begin(7, &conf)));
         assert!(output.status.success());
         let lines = lines(&output);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn stopped_instance_forgets_everything() {
+fn restarted_instance_has_no_state() {
     let stop = format!("{}\n{}", json!({"t": "teardown", "node": 3}), begin(3, &conf()));
     let input = [
         batch(10.0, 1, &begin(3, &conf())),
--- a/crates/pintally-platform-node/src/arrival_times/tests.rs
+++ b/crates/pintally-platform-node/src/arrival_times/tests.rs
@@ -1,4 +1,4 @@
-//! Arrival times of requests behind each other.
+//! Arrival times of consecutive requests on a connection.
 
 use super::*;
 
@@ -11,9 +11,9 @@
     arrivals.push(0, 100);
     arrivals.push(50 * MS, 100);
     arrivals.push(90 * MS, 30);
-    // The first 100 bytes were one request; 130 are behind it.
+    // The first request is 100 bytes long, with 130 bytes behind it.
     assert_eq!(arrivals.last_before(130), Some(0));
-    // The next one ended with the third run.
+    // The next request ends in the third segment.
     assert_eq!(arrivals.last_before(10), Some(90 * MS));
     arrivals.push(400 * MS, 5);
     assert_eq!(arrivals.last_before(0), Some(400 * MS));
@@ -23,8 +23,8 @@
 fn single_bytes_are_coalesced() {
     let mut arrivals = ArrivalTimes::default();
     (0..100_000).for_each(|n| arrivals.push(n * 10, 1));
-    assert!(arrivals.runs.len() <= 201, "{}", arrivals.runs.len());
-    // With the time of the first: never later than they arrived.
+    assert!(arrivals.segments.len() <= 201, "{}", arrivals.segments.len());
+    // The arrival time is that of the first byte of the segment, so never later than the actual one.
     let last = 999_990;
     assert!(arrivals
         .last_before(0)
--- a/crates/pintally-platform-node/src/attempts.rs
+++ b/crates/pintally-platform-node/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they start, are cancelled, and end.
+//! Start, cancellation and end of attempts.
 
 use std::sync::Arc;
 
@@ -9,16 +9,17 @@
 
 use crate::connection::{Connection, ConnectionKey};
 use crate::engine_connect::Reuse;
-use crate::engine_connection::{AttemptWork, OutgoingRequest, Work};
+use crate::engine_connection::{AttemptCall, EngineCall, OutgoingRequest};
 use crate::node::Node;
 
-/// The host is notified of an abandoned attempt this long after the close of its connection. Guards against a
-/// hedged request by accident: what is sent or answered then uses another connection, on which it could
-/// overtake the close, and the engine, or whoever counts there, would see two attempts at once.
-const CLOSE_LEAD: Micros = 2_000;
+/// Delay between the close of an abandoned attempt's connection and its notification to the host.
+/// Guards against accidental hedging: the next attempt, or the answer to the client, uses another
+/// connection and could overtake the close, so that the engine, or a counter of attempts there, would
+/// see two attempts at once.
+const ABANDON_NOTIFY_DELAY: Micros = 2_000;
 
-/// How the work on an engine connection ended.
-pub(crate) struct WorkResult {
+/// The result of a call on an engine connection.
+pub(crate) struct CallResult {
     pub(crate) outcome: Outcome,
     pub(crate) cached_tokens: u64,
     pub(crate) load: Option<LoadReport>,
@@ -26,17 +27,17 @@
     pub(crate) reusable: bool,
 }
 
-impl WorkResult {
-    /// The end of work without a complete response.
-    fn without_response(outcome: Outcome) -> WorkResult {
-        WorkResult { outcome, cached_tokens: 0, load: None, reusable: false }
+impl CallResult {
+    /// The result of a call without a complete response.
+    fn without_response(outcome: Outcome) -> CallResult {
+        CallResult { outcome, cached_tokens: 0, load: None, reusable: false }
     }
 }
 
 impl Node {
     pub(crate) fn start_attempt(&mut self, order: AttemptOrder) {
         let now = self.clock.now();
-        // Guards against two attempts at once: one that is in flight ends before the next one starts.
+        // Guards against two attempts at once: an attempt in flight is cancelled before the next one starts.
         self.cancel_attempt(order.number);
         let Some(request) = self.requests.get(order.number) else {
             return self.fail_unsent(order.number, order.attempt, Outcome::NeverSent);
@@ -44,14 +45,14 @@
         let timeout_ms = order.timeout / 1000;
         let head = encode_attempt_head(&request.head, timeout_ms, request.body.len());
         let outgoing = OutgoingRequest::new(head, Some(request.body.clone()));
-        let work = Work::Attempt(AttemptWork {
+        let call = EngineCall::Attempt(AttemptCall {
             number: order.number,
             attempt: order.attempt,
             step: order.step,
             timeout_at: now.saturating_add(order.timeout),
             has_started: false,
         });
-        match self.assign_connection(order.address, &order.engine, outgoing, work, Reuse::Allowed) {
+        match self.assign_connection(order.address, &order.engine, outgoing, call, Reuse::Allowed) {
             Ok(key) => self.attempt_assigned(&order, key),
             Err(outcome) => self.fail_unsent(order.number, order.attempt, outcome),
         }
@@ -69,7 +70,7 @@
         self.write_engine(key);
     }
 
-    /// Notifies the host of an attempt that has no connection.
+    /// Notifies the host of an attempt that got no connection.
     fn fail_unsent(&mut self, number: RequestNumber, attempt: AttemptNumber, outcome: Outcome) {
         self.host_queue.push(Input::AttemptEnded {
             number,
@@ -81,39 +82,41 @@
         });
     }
 
-    /// Whether an attempt is in flight and its last byte has been written on a connection opened for it. Guards
-    /// against a reused one that has fallen silent while its engine's machine is up, or up again.
+    /// Whether an attempt is in flight and completely written on a connection that was opened for it.
+    /// Guards against a reused connection that is dead although its engine's machine is up, for
+    /// example after a restart.
     pub(crate) fn is_attempt_written(&self, number: RequestNumber, attempt: AttemptNumber) -> bool {
         let in_flight = self.requests.attempt_of(number).filter(|(in_flight, _)| *in_flight == attempt);
         let connection = in_flight.and_then(|(_, key)| self.connections.get(key));
         matches!(connection, Some(Connection::Engine(engine)) if engine.is_written() && engine.idle_before.is_none())
     }
 
-    /// Cancels the request's attempt, if one is in flight: its connection ends.
+    /// Cancels the request's attempt, if one is in flight, by closing its connection.
     pub(crate) fn cancel_attempt(&mut self, number: RequestNumber) {
         let Some((_, key)) = self.requests.attempt_of(number) else { return };
         self.abandon(key, Outcome::Cancelled);
     }
 
-    /// Ends the work on a connection without a response, and the connection.
+    /// Ends the call on a connection without a response, and closes the connection.
     pub(crate) fn abandon(&mut self, key: ConnectionKey, outcome: Outcome) {
-        self.finish_work(key, WorkResult::without_response(outcome));
+        self.finish_call(key, CallResult::without_response(outcome));
     }
 
-    /// Ends the work on a connection: the host is notified, and the connection pooled if it is reusable.
-    pub(crate) fn finish_work(&mut self, key: ConnectionKey, result: WorkResult) {
+    /// Ends the call on a connection: notifies the host, and returns the connection to the
+    /// pool if it is reusable.
+    pub(crate) fn finish_call(&mut self, key: ConnectionKey, result: CallResult) {
         let Some(connection) = self.engine_mut(key) else { return };
         let reusable = result.reusable && connection.is_written();
-        let Some(work) = connection.work.take() else { return self.close_engine(key) };
+        let Some(call) = connection.call.take() else { return self.close_engine(key) };
         let outcome = result.outcome;
-        match work {
-            Work::Attempt(work) => self.attempt_ended(key, &work, WorkResult { reusable, ..result }),
-            Work::Release { id, engine, .. } => {
+        match call {
+            EngineCall::Attempt(call) => self.attempt_ended(key, &call, CallResult { reusable, ..result }),
+            EngineCall::Release { id, engine, .. } => {
                 tracing::debug!(request_id = %id.0, engine = %engine.0, ?outcome, "release call ended");
                 let released = Input::Released(id, engine, outcome == Outcome::Served);
                 self.host_queue.push(released);
             }
-            Work::ConnectionProbe { .. } => {}
+            EngineCall::ConnectionProbe { .. } => {}
         }
         match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled | Outcome::Unreachable => {
@@ -123,18 +126,18 @@
         }
     }
 
-    fn attempt_ended(&mut self, key: ConnectionKey, work: &AttemptWork, result: WorkResult) {
-        let (number, attempt) = (work.number, work.attempt);
+    fn attempt_ended(&mut self, key: ConnectionKey, call: &AttemptCall, result: CallResult) {
+        let (number, attempt) = (call.number, call.attempt);
         if let Some(request) = self.requests.get_mut(number) {
             request.attempt.take_if(|in_flight| *in_flight == (attempt, key));
         }
-        self.log_attempt_end(key, work, &result);
-        let WorkResult { outcome, cached_tokens, load, .. } = result;
+        self.log_attempt_end(key, call, &result);
+        let CallResult { outcome, cached_tokens, load, .. } = result;
         let state = (outcome == Outcome::Read).then(|| Arc::new(Value::Null));
         let ended = Input::AttemptEnded { number, attempt, outcome, cached_tokens, load, state };
         match outcome {
             Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled => {
-                let notify_at = self.clock.now().saturating_add(CLOSE_LEAD);
+                let notify_at = self.clock.now().saturating_add(ABANDON_NOTIFY_DELAY);
                 self.host_queue.push_delayed(notify_at, ended);
             }
             _ => self.host_queue.push(ended),
@@ -142,13 +145,13 @@
     }
 
     /// Counts and logs the end of an attempt.
-    fn log_attempt_end(&mut self, key: ConnectionKey, work: &AttemptWork, result: &WorkResult) {
+    fn log_attempt_end(&mut self, key: ConnectionKey, call: &AttemptCall, result: &CallResult) {
         let Some(Connection::Engine(connection)) = self.connections.get(key) else { return };
         let engine = connection.engine.clone();
         let reason = connection.reader.error();
         let idle_before_ms = connection.idle_before.map(|idle| idle / 1000);
         self.count_outcome(&engine, result.outcome);
-        tracing::debug!(request = work.number, attempt = work.attempt, engine = %engine.0, step = ?work.step,
+        tracing::debug!(request = call.number, attempt = call.attempt, engine = %engine.0, step = ?call.step,
             outcome = ?result.outcome, cached_tokens = result.cached_tokens, load = ?result.load,
             reusable = result.reusable, reason, idle_before_ms, "attempt ended");
     }
--- a/crates/pintally-platform-node/src/background_calls.rs
+++ b/crates/pintally-platform-node/src/background_calls.rs
@@ -8,12 +8,13 @@
 
 use crate::connection::{Connection, ConnectionKey};
 use crate::engine_connect::Reuse;
-use crate::engine_connection::{OutgoingRequest, Work};
+use crate::engine_connection::{EngineCall, OutgoingRequest};
 use crate::eviction::ConnectionPurpose;
 use crate::node::Node;
 
 impl Node {
-    /// Sends a call that releases the reservations of a request; `new_connection` on a new connection only.
+    /// Sends a call that releases the reservations of a request; with `new_connection`, only
+    /// on a new connection.
     pub(crate) fn send_release(
         &mut self,
         id: RequestId,
@@ -24,8 +25,8 @@
         let timeout_at = self.clock.now() + self.settings.limits.background_call_timeout;
         let reuse = if new_connection { Reuse::NewOnly } else { Reuse::Allowed };
         let request = OutgoingRequest::new(encode_release(&id.0), None);
-        let work = Work::Release { id: id.clone(), engine: engine.clone(), timeout_at };
-        match self.assign_connection(address, &engine, request, work, reuse) {
+        let call = EngineCall::Release { id: id.clone(), engine: engine.clone(), timeout_at };
+        match self.assign_connection(address, &engine, request, call, reuse) {
             Ok(key) => {
                 tracing::debug!(request_id = %id.0, engine = %engine.0, "release call started");
                 self.write_engine(key);
@@ -34,11 +35,11 @@
         }
     }
 
-    /// Ends the release calls of a request, on whichever connections they wait.
+    /// Aborts the pending release calls of a request on all connections.
     pub(crate) fn withdraw_releases(&mut self, id: &RequestId) {
         let is_release = |connection: &Connection| match connection {
             Connection::Engine(engine) => {
-                matches!(&engine.work, Some(Work::Release { id: released, .. }) if released == id)
+                matches!(&engine.call, Some(EngineCall::Release { id: released, .. }) if released == id)
             }
             Connection::Client(_) => false,
         };
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Opens a connection beside that of a silent attempt, to check whether its engine's machine is up.
+    /// Opens a second connection to the engine of an attempt without a response, to check
+    /// whether its machine is up.
     pub(crate) fn probe_connection(
         &mut self,
         number: RequestNumber,
@@ -67,7 +69,7 @@
         let Ok(key) = self.connect(address, engine, ConnectionPurpose::BackgroundCall) else { return };
         let connect_deadline = self.clock.now() + self.settings.limits.connect_timeout;
         let Some(connection) = self.engine_mut(key) else { return };
-        connection.work = Some(Work::ConnectionProbe { number, attempt });
+        connection.call = Some(EngineCall::ConnectionProbe { number, attempt });
         connection.connect_deadline = connect_deadline;
         if connection.is_connected {
             return self.connection_probe_succeeded(key, number, attempt);
@@ -83,7 +85,7 @@
         attempt: AttemptNumber,
     ) {
         if let Some(connection) = self.engine_mut(key) {
-            connection.work = None;
+            connection.call = None;
         }
         self.release_connection(key, true);
         if self.is_attempt_written(number, attempt) {
--- a/crates/pintally-platform-node/src/cleanup.rs
+++ b/crates/pintally-platform-node/src/cleanup.rs
@@ -1,4 +1,4 @@
-//! Periodic cleanup, ten times a second: expired client connections, and the steps of a graceful shutdown.
+//! Periodic cleanup, ten times a second: closes expired client connections and advances a graceful shutdown.
 
 use pintally::interface::Micros;
 use pintally_guards::CloseReason;
@@ -7,9 +7,9 @@
 use crate::connection::{Connection, ConnectionKey};
 use crate::node::Node;
 
-/// Time between cleanups.
+/// Time between two cleanups.
 const CLEANUP_INTERVAL: Micros = 100_000;
-/// After a signal to stop, connections are accepted for this time.
+/// Connections are still accepted for this time after a signal to stop.
 const LISTENER_GRACE: Micros = 500_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Logs once a second what the core estimates, beside what passed on the sockets, to find wrong estimates.
+    /// Logs the core's estimates next to the counters of the sockets, once a second, to find wrong estimates.
     fn log_engine_estimates(&self, now: Micros) {
         for estimate in self.host.admission_estimates() {
             tracing::debug!(?estimate, in_flight = self.host.open_requests(), "admission estimate");
--- a/crates/pintally-platform-node/src/client_close.rs
+++ b/crates/pintally-platform-node/src/client_close.rs
@@ -1,4 +1,5 @@
-//! The only place in which client connections are closed: the guard checks first what is owed on them.
+//! The only place where client connections are closed: the guard first checks for responses and requests that
+//! the close would lose.
 
 use pintally_guards::{may_close, CloseReason, Denial};
 use pintally_host::Input;
@@ -10,8 +11,8 @@
 use crate::node::Node;
 
 impl Node {
-    /// Closes a client connection if the guard permits it; whether it was closed. A prevented close is counted,
-    /// except for a request that has just arrived: that is no error, it is read next.
+    /// Closes a client connection if the guard permits it; returns whether it was closed. A prevented close
+    /// is counted as an error unless the reason is a request that has just arrived, which is read next.
     pub(crate) fn close_client(&mut self, key: ConnectionKey, reason: CloseReason) -> bool {
         let Some(Connection::Client(client)) = self.connections.get(key) else { return false };
         let facts = client.facts();
--- a/crates/pintally-platform-node/src/client_connection.rs
+++ b/crates/pintally-platform-node/src/client_connection.rs
@@ -12,24 +12,24 @@
 use crate::arrival_times::ArrivalTimes;
 use crate::poller::Interest;
 
-/// Bytes that are read ahead of the request in flight.
+/// Maximum number of bytes that are read beyond the request in flight.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// Output that a slow client has not taken: above this nothing more is read for it, and none of its further
-/// requests is parsed.
+/// Limit of the output that a slow client has not read: above it, reading of the stream from the engine
+/// pauses, and no further requests of the client are parsed.
 pub(crate) const MAX_OUTPUT_BYTES: usize = 32 << 10;
-/// Below this much output, reading for a slow client and parsing of its requests resume.
+/// Reading of the stream and parsing of requests resume below this amount of unwritten output.
 pub(crate) const RESUME_OUTPUT_BYTES: usize = 8 << 10;
-/// After its write side was shut down, a connection's input is read and dropped for this time.
+/// After the write side of a connection is shut down, its input is read and dropped for this time.
 const LINGER_TIMEOUT: Micros = 400_000;
 
 /// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientState {
-    /// A request is awaited, or being received.
+    /// The node waits for a request, or is receiving one.
     Receiving,
     /// A request is in flight.
     Active(RequestNumber),
-    /// The rest of the output is written; then the connection ends.
+    /// The rest of the output is being written; then the connection ends.
     Closing,
 }
 
@@ -39,7 +39,7 @@
     pub(crate) reader: RequestReader,
     pub(crate) arrivals: ArrivalTimes,
     pub(crate) output: Vec<u8>,
-    /// How much of `output` has been written.
+    /// Number of bytes of `output` that have been written.
     pub(crate) written_bytes: usize,
     pub(crate) state: ClientState,
     /// The head of a streamed response has been queued.
@@ -48,32 +48,32 @@
     pub(crate) close_after_response: bool,
     /// Nothing more is written; input is dropped until the client closes.
     pub(crate) write_shut_down: bool,
-    /// It is closed as soon as no output is pending and no input has arrived.
+    /// The connection is closed once no output is pending and no request is partly received.
     pub(crate) close_when_idle: bool,
-    /// It is among those that may have received another complete request.
+    /// The connection is in the queue of those that may have received another complete request.
     pub(crate) is_queued: bool,
-    /// Valid requests received.
+    /// Number of valid inference requests received.
     pub(crate) request_count: u64,
-    /// When it connected, or the request that is being received began.
+    /// When the client connected, or the request that is being received began.
     pub(crate) receiving_since: Micros,
-    /// When its last response was completed, or its write side shut down.
+    /// When the last response was completed, or the write side was shut down.
     pub(crate) last_active: Micros,
-    /// Since when the client has not taken any output.
+    /// Since when the client has not read any output.
     pub(crate) write_blocked_since: Option<Micros>,
-    /// Buffered input bytes, as last added to the node's total.
+    /// Number of buffered input bytes that the node's total includes.
     pub(crate) accounted_bytes: usize,
     pub(crate) interest: Interest,
 }
 
 /// Timeouts of client connections.
 pub(crate) struct ClientTimeouts {
-    /// A request has to arrive within this time.
+    /// Maximum time in which a request has to arrive.
     pub(crate) receive: Micros,
-    /// A connection may be idle for this time.
+    /// Maximum time for which a connection may be idle.
     pub(crate) idle: Micros,
-    /// Some of the output has to be taken within this time.
+    /// Maximum time in which the client has to read some of the output.
     pub(crate) write: Micros,
-    /// The node is draining, and idle connections are closed.
+    /// The node is draining: idle connections are closed.
     pub(crate) close_idle: bool,
 }
 
@@ -100,26 +100,26 @@
         }
     }
 
-    /// Whether more is read: also behind a request in flight, so that the arrival time of the next one is
-    /// known. Guards against one client that fills the memory with what it sends at full speed.
+    /// Whether more input is read. Input is also read while a request is in flight, so that the arrival time
+    /// of the next request is known. The limit guards against a client that fills the memory by sending fast.
     pub(crate) fn wants_input(&self) -> bool {
         self.state == ClientState::Closing || self.reader.unparsed_bytes() < MAX_READ_AHEAD_BYTES
     }
 
-    /// Whether its next request may be parsed. Guards against one client that fills the memory with responses
-    /// that it does not read.
+    /// Whether the output has room for another response. Guards against a client that fills the memory with
+    /// responses that it does not read.
     pub(crate) fn accepts_responses(&self) -> bool {
         self.unwritten_bytes() <= MAX_OUTPUT_BYTES
     }
 
-    /// Whether its next request may be parsed now.
+    /// Whether the next request may be parsed now.
     pub(crate) fn accepts_requests(&self) -> bool {
         self.state == ClientState::Receiving && self.accepts_responses()
     }
 
-    /// Whether an event shows that the client has disconnected. The end of its sending counts as that (a
-    /// half-closed connection is not served), also where bytes before it have not been read: a request
-    /// among them must not start, as nobody waits for it. Only the end of a response is still written.
+    /// Whether an event shows that the client has disconnected. A half-closed connection counts as
+    /// disconnected even if it has unread bytes: a request among them must not start, because nobody waits
+    /// for its response. Only in the closing state is the rest of a response still written.
     pub(crate) fn has_disconnected(&self, events: Interest) -> bool {
         let half_closed = events.contains(Interest::RDHUP) && self.state != ClientState::Closing;
         half_closed || events.intersects(Interest::ERR | Interest::HUP)
@@ -130,8 +130,8 @@
         self.output.len() - self.written_bytes
     }
 
-    /// What the close guard checks. After the node's own end of the connection no request is answered, so
-    /// that unread bytes do not count.
+    /// The facts that the close guard checks. Unread bytes count only while the node receives requests: a
+    /// connection that it is closing answers none.
     pub(crate) fn facts(&self) -> ConnectionFacts {
         ConnectionFacts {
             answer_pending: matches!(self.state, ClientState::Active(_)),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The timeout that has expired, if any.
+    /// The reason to close the connection if one of its timeouts has expired.
     pub(crate) fn expired(&self, now: Micros, timeouts: &ClientTimeouts) -> Option<CloseReason> {
         if self.write_blocked_since.is_some_and(|since| now >= since + timeouts.write) {
             return Some(CloseReason::WriteTimeout);
@@ -154,7 +154,7 @@
     }
 
     fn receiving_expired(&self, now: Micros, timeouts: &ClientTimeouts) -> Option<CloseReason> {
-        // Its next requests wait until it takes the responses before them.
+        // The next requests are not parsed until the client reads the responses before them.
         if !self.accepts_responses() {
             return None;
         }
@@ -162,7 +162,7 @@
         if self.reader.is_partial() {
             return is_late.then_some(CloseReason::ReceiveTimeout);
         }
-        // The response before has not been taken: the write timeout applies.
+        // The client has not read the previous response: the write timeout applies.
         if self.unwritten_bytes() > 0 {
             return None;
         }
@@ -176,7 +176,7 @@
     }
 }
 
-/// Whether unread bytes are in the socket's buffer; the end of the stream does not count.
+/// Whether the socket's buffer has unread bytes; the end of the stream does not count.
 fn has_unread_bytes(stream: &TcpStream) -> bool {
     loop {
         match stream.peek(&mut [0; 1]) {
--- a/crates/pintally-platform-node/src/client_read.rs
+++ b/crates/pintally-platform-node/src/client_read.rs
@@ -1,4 +1,4 @@
-//! Input of client connections: from bytes to complete requests.
+//! Input of client connections: reading bytes and parsing requests.
 
 use std::io::Read;
 
@@ -12,7 +12,7 @@
 use crate::poller::Interest;
 use crate::syscall::is_retryable;
 
-/// Requests of one connection that are parsed in one iteration.
+/// Maximum number of requests of one connection that are parsed in one iteration.
 const MAX_REQUESTS_PER_ITERATION: usize = 8;
 
 impl Node {
@@ -38,7 +38,8 @@
             Err(e) if is_retryable(&e) => return,
             Err(_) => return self.client_disconnected(key, CloseReason::IoError),
         };
-        // Input after the end is dropped, so that the client reads its response before a reset.
+        // Input of a closing connection is read and dropped: unread bytes at the close would cause a reset,
+        // which the client could get before it has read its response.
         if client.state == ClientState::Closing {
             return;
         }
@@ -50,7 +51,7 @@
         self.process_requests(key);
     }
 
-    /// Parses the received requests, until one is in flight.
+    /// Parses the received requests until one of them is in flight.
     pub(crate) fn process_requests(&mut self, key: ConnectionKey) {
         for _ in 0..MAX_REQUESTS_PER_ITERATION {
             let Some(client) = self.client_mut(key).filter(|client| client.accepts_requests()) else { break };
@@ -71,7 +72,8 @@
         self.update_client_interest(key);
     }
 
-    /// No further request is complete: asks for the body if the client waits for that, and checks the memory.
+    /// Handles an incomplete request: sends `100 Continue` if the client waits for it, and
+    /// checks the memory limit.
     fn await_rest_of_request(&mut self, key: ConnectionKey) {
         let Some(client) = self.client_mut(key) else { return };
         if client.reader.wants_continue() {
@@ -84,17 +86,17 @@
         self.update_client_interest(key);
     }
 
-    /// Updates the total by the connection's buffered bytes; whether it is within the limit.
+    /// Updates the total with the connection's buffered bytes; returns whether the total is within the limit.
     fn account_buffered_bytes(&mut self, key: ConnectionKey) -> bool {
         let limit = self.config.max_total_body_bytes();
         let Some(Connection::Client(client)) = self.connections.get_mut(key) else { return true };
         let buffered = client.reader.held_bytes();
         self.requests.account_buffered(client.accounted_bytes, buffered);
         client.accounted_bytes = buffered;
-        self.requests.bytes() <= limit
+        self.requests.body_bytes() <= limit
     }
 
-    /// Schedules the connection's next requests for the next iteration, if they may be parsed.
+    /// Schedules the parsing of the connection's next requests, if they may be parsed.
     pub(crate) fn queue_requests(&mut self, key: ConnectionKey) {
         let Some(client) = self.client_mut(key).filter(|client| client.accepts_requests()) else { return };
         if !std::mem::replace(&mut client.is_queued, true) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Parses the requests that earlier events, or the iteration before, have scheduled.
+    /// Parses the requests of the scheduled connections.
     pub(crate) fn process_pending_requests(&mut self) {
         for key in self.clients.take_pending_requests() {
             if let Some(client) = self.client_mut(key) {
@@ -126,7 +128,7 @@
     }
 }
 
-/// The response to a request that cannot be read.
+/// The response to a request that cannot be parsed.
 fn read_error(error: &HttpError) -> RequestError {
     let status = error.status();
     let message = match status {
--- a/crates/pintally-platform-node/src/client_requests.rs
+++ b/crates/pintally-platform-node/src/client_requests.rs
@@ -1,4 +1,5 @@
-//! Client requests: readiness and status are answered here, inference requests go to the host.
+//! Handling of client requests: readiness and status requests are answered directly, inference requests go to
+//! the host.
 
 use pintally::interface::Micros;
 use pintally_host::{IncomingRequest, Input, RequestNumber};
@@ -34,7 +35,7 @@
         if arrival.name.as_ref().is_some_and(|name| self.host.is_request_open(name)) {
             return self.reject(key, RequestError { status: 409, message: "this id is in use" });
         }
-        if self.requests.bytes() + body.len() > self.config.max_total_body_bytes() {
+        if self.requests.body_bytes() + body.len() > self.config.max_total_body_bytes() {
             return self.respond(key, response(503, &[], b"no room\n"));
         }
         self.requests.insert(key, head, body);
@@ -46,7 +47,7 @@
         self.handle_input(Input::RequestArrived(arrival));
     }
 
-    /// How long the request that was read last has waited on its connection, behind others.
+    /// How long the request that was parsed last has waited on its connection behind other requests.
     fn queueing_time(&mut self, key: ConnectionKey) -> Micros {
         let now = self.clock.now();
         let Some(client) = self.client_mut(key) else { return 0 };
--- a/crates/pintally-platform-node/src/client_response.rs
+++ b/crates/pintally-platform-node/src/client_response.rs
@@ -1,4 +1,4 @@
-//! Output of client connections: responses, streams, and how both end.
+//! Output of client connections: responses and streams.
 
 use std::io::{ErrorKind, Write};
 use std::net::Shutdown;
@@ -13,10 +13,10 @@
 use crate::connection::ConnectionKey;
 use crate::node::Node;
 
-/// The header by which a response announces the end of its connection.
-const CLOSE: (&str, &str) = ("connection", "close");
+/// The header that announces the close of the connection after a response.
+const CONNECTION_CLOSE: (&str, &str) = ("connection", "close");
 
-/// Whether a client keeps up with its stream.
+/// Whether a client reads its stream as fast as it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientPace {
     KeepsUp,
@@ -24,29 +24,31 @@
 }
 
 impl Node {
-    /// Sends a response in which no engine has a part.
+    /// Sends a response that involves no engine.
     pub(crate) fn respond(&mut self, key: ConnectionKey, bytes: Vec<u8>) {
         let Some(client) = self.client_mut(key) else { return };
         client.output.extend_from_slice(&bytes);
         self.complete_response(key);
     }
 
-    /// Sends an error response; the connection ends after it.
+    /// Sends an error response, and closes the connection after it.
     pub(crate) fn reject(&mut self, key: ConnectionKey, error: RequestError) {
         let Some(client) = self.client_mut(key) else { return };
         let body = format!("{}\n", error.message);
-        client.output.extend_from_slice(&response(error.status, &[CLOSE], body.as_bytes()));
+        client.output.extend_from_slice(&response(error.status, &[CONNECTION_CLOSE], body.as_bytes()));
         client.close_after_response = true;
         self.complete_response(key);
-        // Guards against faulty clients that use up the log lines that people on call need.
+        // Guards against faulty clients that exhaust the log limit and hide lines that
+        // on-call operators need.
         if tracing::enabled!(tracing::Level::DEBUG) && self.log_limiter.allows(self.clock.now()) {
             tracing::debug!(status = error.status, reason = error.message, "request rejected as invalid");
         }
     }
 
-    /// Whether a connection ends after the current response. A draining node still answers what it has read
-    /// behind that: a request that was read and gets no response would be lost. So would one that arrives
-    /// behind a stream whose head has not announced the end of the connection: that is closed unread.
+    /// Whether the connection is closed after the current response. A draining node does not close it
+    /// if it has read part of a further request, which would be lost, nor after a stream whose head
+    /// did not announce the close: a request could be on its way, and such a connection is closed
+    /// only once it is idle.
     fn closes_after_response(&mut self, key: ConnectionKey) -> bool {
         let draining = self.shutdown.is_requested();
         let may_announce = |client: &ClientConnection| !client.streaming && !client.reader.is_partial();
@@ -54,7 +56,7 @@
             .is_some_and(|client| client.close_after_response || draining && may_announce(client))
     }
 
-    /// The response is complete in the output: the connection's next request may follow, or its end.
+    /// Handles a response that is complete in the output: the connection closes or receives its next request.
     fn complete_response(&mut self, key: ConnectionKey) {
         let now = self.clock.now();
         let closes = self.closes_after_response(key);
@@ -77,12 +79,12 @@
         let active = ClientState::Active(number);
         let Some(client) = self.client_mut(key).filter(|client| client.state == active) else { return };
         tracing::debug!(request = number, ?answer, "final answer sent");
-        let headers: &[(&str, &str)] = if closes { &[CLOSE] } else { &[] };
+        let headers: &[(&str, &str)] = if closes { &[CONNECTION_CLOSE] } else { &[] };
         match answer {
             FinalAnswer::Served => client.output.extend_from_slice(LAST_CHUNK),
             FinalAnswer::Rejected(after) => client.output.extend_from_slice(&rejection(headers, after)),
             FinalAnswer::Failed => client.output.extend_from_slice(&response(502, headers, b"failed\n")),
-            // The end of the connection without the last chunk shows that the stream is cut.
+            // The close of the connection without the last chunk tells the client that the stream is cut.
             FinalAnswer::StreamCut => client.close_after_response = true,
         }
         let is_cut = answer == FinalAnswer::StreamCut;
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Forwards events of the engine's stream to the client; none if the client is gone.
+    /// Forwards events of the engine's stream to the client; returns `None` if the client has disconnected.
     pub(crate) fn forward_events(&mut self, number: RequestNumber, events: &[u8]) -> Option<ClientPace> {
         let key = self.requests.get(number)?.client?;
         let closes = self.closes_after_response(key);
@@ -101,7 +103,7 @@
         if !std::mem::replace(&mut client.streaming, true) {
             client.close_after_response |= closes;
             let mut headers = vec![("content-type", "text/event-stream")];
-            headers.extend(closes.then_some(CLOSE));
+            headers.extend(closes.then_some(CONNECTION_CLOSE));
             client.output.extend_from_slice(&response_head(200, &headers));
         }
         client.output.extend_from_slice(&chunk(events));
@@ -132,7 +134,8 @@
             ClientState::Receiving if unwritten < RESUME_OUTPUT_BYTES && is_partial => {
                 self.queue_requests(key);
             }
-            // Closed unread: the client sends a request that crosses the close again, elsewhere.
+            // A request that the client sends at the same time is not read; the client retries
+            // it at another node.
             ClientState::Receiving
                 if unwritten == 0 && closes_idle && self.close_client(key, CloseReason::Shutdown) =>
             {
@@ -145,7 +148,7 @@
 }
 
 impl ClientConnection {
-    /// Writes output until all is written or the socket's buffer is full.
+    /// Writes output until all of it is written or the socket's buffer is full.
     fn write_output(&mut self) -> std::io::Result<()> {
         while self.unwritten_bytes() > 0 {
             match self.stream.write(&self.output[self.written_bytes..]) {
@@ -162,7 +165,8 @@
         Ok(())
     }
 
-    /// Frees written output, starts or stops the write timeout, and shuts down a connection that is closing.
+    /// Frees written output, starts or stops the write timeout, and shuts down the write side of a closing
+    /// connection.
     fn after_write(&mut self, now: Micros) {
         if self.unwritten_bytes() > 0 {
             self.write_blocked_since = self.write_blocked_since.or(Some(now));
@@ -183,7 +187,7 @@
     }
 }
 
-/// The response to a request that was rejected, with a Retry-After in seconds if there is one.
+/// The response to a rejected request, with a Retry-After header in seconds if there is one.
 fn rejection(headers: &[(&str, &str)], retry_after: Option<Micros>) -> Vec<u8> {
     let retry_after = retry_after.map(|span| format!("{:.3}", span as f64 / 1e6));
     let mut headers = headers.to_vec();
--- a/crates/pintally-platform-node/src/clients.rs
+++ b/crates/pintally-platform-node/src/clients.rs
@@ -1,10 +1,10 @@
-//! What the node records of client connections together.
+//! Data about all client connections of the node.
 
 use pintally_guards::{CloseReason, Counts, Denials};
 
 use crate::connection::ConnectionKey;
 
-/// Client connections: their number, pending work, and how they were closed.
+/// Data about all client connections: their number, queued writes and requests, and counts of closes.
 #[derive(Default)]
 pub(crate) struct Clients {
     pub(crate) count: usize,
@@ -12,9 +12,9 @@
     pending_writes: Vec<ConnectionKey>,
     /// Connections that may have received another complete request.
     pending_requests: Vec<ConnectionKey>,
-    /// Closed connections, by reason.
+    /// Number of closed connections, by reason.
     pub(crate) closes: Counts<CloseReason>,
-    /// Closes that the guards prevented.
+    /// Number of closes that the guard prevented.
     pub(crate) denied_closes: Denials,
 }
 
--- a/crates/pintally-platform-node/src/connection.rs
+++ b/crates/pintally-platform-node/src/connection.rs
@@ -9,7 +9,7 @@
 use crate::poller::Interest;
 
 slotmap::new_key_type! {
-    /// The key of a connection; that of a closed connection is not reused.
+    /// The key of a connection; keys of closed connections are not reused.
     pub(crate) struct ConnectionKey;
 }
 
@@ -41,7 +41,7 @@
         Some(key)
     }
 
-    /// Sets the events for which a connection is registered, with a system call if they have changed.
+    /// Sets the events for which a connection is registered; makes a system call only if they have changed.
     pub(crate) fn set_interest(&mut self, key: ConnectionKey, wanted: Interest) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let (stream, interest) = connection.registration();
--- a/crates/pintally-platform-node/src/endpoint_list.rs
+++ b/crates/pintally-platform-node/src/endpoint_list.rs
@@ -1,33 +1,33 @@
-//! The endpoint list: how received revisions are applied, and whether the node is ready.
+//! The endpoint list: application of received revisions, and readiness of the node.
 
 use pintally::interface::{EndpointState, ListUpdate, Micros, Outcome};
 use pintally_host::{EngineEndpoint, Input};
 use pintally_platform::{EndpointList, ListChange};
 
 use crate::connection::{Connection, ConnectionKey};
-use crate::engine_connection::Work;
+use crate::engine_connection::EngineCall;
 use crate::node::Node;
 
-/// A process that has not heard from discovery in this time is ready with the list in its configuration.
+/// After this time without a message from discovery, the list in the configuration makes the node ready.
 const FIRST_LIST_TIMEOUT: Micros = 3_000_000;
 
 impl Node {
-    /// Applies the list in the configuration, as the node last had it.
+    /// Applies the last known list, which is in the configuration.
     pub(crate) fn apply_last_known_list(&mut self) {
         if let Some(list) = self.config.last_known_list.clone() {
             self.apply_list(EndpointList { complete: true, ..list }, None);
         }
     }
 
-    /// Applies a complete list that came with a new configuration, if it is newer than the applied one.
+    /// Applies the complete list of a reloaded configuration, if it is newer than the applied one.
     pub(crate) fn apply_newer_list(&mut self, list: EndpointList) {
         if Some(list.revision) > self.watch.list.revision() {
             self.apply_list(EndpointList { complete: true, ..list }, None);
         }
     }
 
-    /// Applies a list. `last_message` is when discovery was last heard before it, if it comes from there: a list
-    /// that was stored elsewhere may have starts of any age.
+    /// Applies a list. `last_message` is the time of the message from discovery before it; none for a list
+    /// from the configuration, whose start times may be of any age.
     pub(crate) fn apply_list(&mut self, list: EndpointList, last_message: Option<Micros>) {
         let (now, revision) = (self.clock.now(), list.revision);
         match self.watch.list.advance(list) {
@@ -66,13 +66,13 @@
             .retain(|engine, counters| counters.in_flight > 0 || host.listing(engine).is_some());
     }
 
-    /// Abandons attempts that wait for a connection to an engine that is not serving any more. Guards against a
-    /// send after the notification of a drain.
+    /// Abandons attempts that wait for a connection to an engine that is no longer serving. Guards against a
+    /// send after the node has received the notification of a drain.
     fn abandon_unsent_to_unlisted(&mut self) {
         let is_affected = |connection: &Connection| match connection {
             Connection::Engine(engine) => {
                 !engine.is_connected
-                    && matches!(engine.work, Some(Work::Attempt(_)))
+                    && matches!(engine.call, Some(EngineCall::Attempt(_)))
                     && self.host.listing(&engine.engine) != Some(EndpointState::Serving)
             }
             Connection::Client(_) => false,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Closes idle connections to addresses that no endpoint has any more.
+    /// Closes idle connections to addresses that are no longer listed.
     fn close_unlisted_connections(&mut self) {
         let addresses = self.host.addresses();
         let unlisted: Vec<ConnectionKey> = self
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Whether clients may come. Guards against sends by a list that is out of date: the one in the configuration
-    /// makes the node ready only when discovery has had some time to send its own.
+    /// Whether the node is ready for clients. Guards against sends based on an outdated list: the
+    /// list in the configuration makes the node ready only after discovery has had
+    /// [`FIRST_LIST_TIMEOUT`] to send its own.
     pub(crate) fn is_ready(&self) -> bool {
         let has_list =
             self.watch.last_message.is_some() || self.clock.now() >= self.started_at + FIRST_LIST_TIMEOUT;
--- a/crates/pintally-platform-node/src/endpoint_watch.rs
+++ b/crates/pintally-platform-node/src/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of discovery: when it is opened, reopened after failures, and moved to another address.
+//! The endpoint watch at discovery: opening, timeouts, backoff after failures, and change of address.
 
 use std::net::SocketAddr;
 
@@ -9,45 +9,46 @@
 use crate::start_times::StartTimes;
 use crate::watch_connection::{WatchConnection, WatchState};
 
-/// A watch that is silent for this time, without even a message that nothing has changed, is reopened.
+/// A watch that receives nothing for this time, not even a message without changes, is reopened.
 const SILENCE_TIMEOUT: Micros = 3_100_000;
-/// A watch without any response gets more time: discovery may be slow. Guards against a node that opens one
-/// watch after another and hears none; the next one gets twice as long, up to a limit.
+/// Timeout of the first response on a watch, longer because discovery may be slow. It doubles
+/// after each expiry, up to a limit. Guards against a node that opens one watch after another and
+/// gets a response on none.
 const FIRST_RESPONSE_TIMEOUT: Micros = 5_000_000;
 const MAX_FIRST_RESPONSE_TIMEOUT: Micros = 20_000_000;
-/// Bounds of the connect timeout of a watch, which is half of the grace of drains.
+/// Bounds of the connect timeout of a watch, which is half of the drain grace.
 const MIN_CONNECT_TIMEOUT: Micros = 100_000;
 const MAX_CONNECT_TIMEOUT: Micros = 500_000;
-/// Bounds of the longest backoff before a failed watch is reopened, which is a quarter of the grace of drains;
-/// the first one is a quarter of that. Guards against a drain that is heard too late: what discovery has when it
-/// is back counts as notified at once.
+/// Bounds of the maximum backoff before a failed watch is reopened, which is a quarter of the drain grace;
+/// the first backoff is a quarter of that maximum. Guards against a late reaction to a drain: the drain grace
+/// runs from the time at which discovery is available again and has the drain.
 const MIN_BACKOFF: Micros = 20_000;
 const MAX_BACKOFF: Micros = 1_000_000;
 
-/// The watch of discovery.
+/// The endpoint watch at discovery.
 pub(crate) struct EndpointWatch {
     pub(crate) address: SocketAddr,
     /// The applied revision of the list.
     pub(crate) list: EndpointListTracker,
     pub(crate) connection: Option<WatchConnection>,
-    /// When it is reopened, if it is closed.
+    /// When a closed watch is reopened.
     reopen_at: Micros,
     /// The backoff after the next failure.
     backoff: Micros,
     max_backoff: Micros,
     connect_timeout: Micros,
     first_response_timeout: Micros,
-    /// When discovery was last heard in this process.
+    /// When this process last received a message from discovery.
     pub(crate) last_message: Option<Micros>,
     pub(crate) start_times: StartTimes,
-    /// How often it was opened.
+    /// Number of times that the watch was opened.
     pub(crate) opened: u64,
-    /// How often it has failed.
+    /// Number of times that the watch has failed.
     pub(crate) failed: u64,
 }
 
 impl EndpointWatch {
-    /// A watch that is to be opened now; sends have to stop within `drain_grace` of a drain.
+    /// A watch that is due to be opened now; sends have to stop within `drain_grace` of a drain.
     pub(crate) fn new(address: SocketAddr, now: Micros, drain_grace: Micros) -> EndpointWatch {
         let max_backoff = (drain_grace / 4).clamp(MIN_BACKOFF, MAX_BACKOFF);
         EndpointWatch {
@@ -74,7 +75,7 @@
         self.first_response_timeout = FIRST_RESPONSE_TIMEOUT;
     }
 
-    /// When it has to be reopened or its timeout expires.
+    /// When the watch has to be reopened or its timeout expires.
     pub(crate) fn deadline(&self) -> Micros {
         let Some(connection) = &self.connection else { return self.reopen_at };
         let timeout = match connection.state {
@@ -85,7 +86,8 @@
         connection.last_active.saturating_add(timeout)
     }
 
-    /// Closes the watch after a failure: the list remains, and the watch is reopened after the backoff.
+    /// Closes the watch after a failure: the applied list remains, and the watch is
+    /// reopened after the backoff.
     pub(crate) fn fail(&mut self, now: Micros) {
         self.failed += 1;
         self.connection = None;
@@ -95,14 +97,14 @@
 }
 
 impl Node {
-    /// Reopens a closed watch at once, as the core wants a current list.
+    /// Schedules a closed watch to be reopened at once, because the core needs a current list.
     pub(crate) fn reopen_watch(&mut self) {
         if self.watch.connection.is_none() {
             self.watch.reopen_at = self.clock.now();
         }
     }
 
-    /// Opens the watch when it is time, and reopens one whose timeout has expired.
+    /// Opens the watch when it is due, and reopens it when its timeout has expired.
     pub(crate) fn maintain_watch(&mut self, now: Micros) {
         if now < self.watch.deadline() {
             return;
@@ -137,7 +139,7 @@
         self.watch.reopen_at = now;
     }
 
-    /// Moves the watch to an address of discovery, if it is another one.
+    /// Reopens the watch at a new address of discovery, if the address has changed.
     pub(crate) fn set_discovery_address(&mut self, address: SocketAddr, now: Micros) {
         if address == self.watch.address {
             return;
--- a/crates/pintally-platform-node/src/engine_connect.rs
+++ b/crates/pintally-platform-node/src/engine_connect.rs
@@ -1,4 +1,4 @@
-//! Engine connections: reuse, opening, return to the pool, and close.
+//! Engine connections: reuse, opening, return to the pool, and closing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use socket2::SockRef;
 
 use crate::connection::{Connection, ConnectionKey};
-use crate::engine_connection::{EngineConnection, OutgoingRequest, Work};
+use crate::engine_connection::{EngineCall, EngineConnection, OutgoingRequest};
 use crate::eviction::ConnectionPurpose;
 use crate::node::Node;
 use crate::poller::{self, Interest};
@@ -16,20 +16,20 @@
 /// Which connection a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// An idle one if there is one.
+    /// An idle connection if there is one.
     Allowed,
-    /// Only a new one.
+    /// Only a new connection.
     NewOnly,
 }
 
 impl Node {
-    /// Assigns work to a connection: the valid idle one that was used last, or a new one.
+    /// Assigns a call to a connection: the valid idle connection that was used last, or a new one.
     pub(crate) fn assign_connection(
         &mut self,
         address: SocketAddr,
         engine: &EngineId,
         request: OutgoingRequest,
-        work: Work,
+        call: EngineCall,
         reuse: Reuse,
     ) -> Result<ConnectionKey, Outcome> {
         let now = self.clock.now();
@@ -39,7 +39,7 @@
         };
         let (key, idle_before) = match idle {
             Some((key, idle_time)) => (key, Some(idle_time)),
-            None => (self.connect(address, engine, purpose_of(&work))?, None),
+            None => (self.connect(address, engine, purpose_of(&call))?, None),
         };
         let connect_timeout = self.settings.limits.connect_timeout;
         if let Some(connection) = self.engine_mut(key) {
@@ -49,23 +49,23 @@
             connection.is_paused = false;
             connection.last_active = now;
             connection.connect_deadline = now + connect_timeout;
-            connection.work = Some(work);
+            connection.call = Some(call);
             connection.idle_before = idle_before;
         }
         self.schedule_deadline(key);
         Ok(key)
     }
 
-    /// Takes the valid idle connection that was used last, and how long it has been idle; invalid ones are
-    /// closed.
+    /// Takes the valid idle connection that was used last, and returns it with its idle time; invalid
+    /// connections are closed.
     fn take_idle_connection(&mut self, now: Micros, address: SocketAddr) -> Option<(ConnectionKey, Micros)> {
         while let Some(key) = self.engines.pool.take(now, address) {
             let Some(Connection::Engine(connection)) = self.connections.get(key) else { continue };
-            // Guards against a request on a connection that the engine has closed or that has surplus bytes,
-            // which would end as a reset that may have run.
+            // Guards against a request on a connection that the engine has closed or that has surplus bytes:
+            // the request would end with a reset and might have run.
             let is_fresh = now < connection.last_active + self.engines.idle_limit.at(now);
-            let is_quiet = connection.is_quiet();
-            if is_fresh && is_quiet {
+            let has_no_input = connection.has_no_input();
+            if is_fresh && has_no_input {
                 return Some((key, now - connection.last_active));
             }
             self.close_engine(key);
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Opens a connection; it may be established later.
+    /// Opens a connection, which may be established later.
     pub(crate) fn connect(
         &mut self,
         address: SocketAddr,
@@ -94,7 +94,7 @@
             connect_deadline: now,
             request: OutgoingRequest::default(),
             reader: EngineResponseReader::default(),
-            work: None,
+            call: None,
             idle_before: None,
             last_active: now,
             is_paused: false,
@@ -107,7 +107,8 @@
         Ok(key)
     }
 
-    /// Handles a connection whose work has ended: a reusable one is pooled unless the node is draining.
+    /// Handles a connection whose call has ended: a reusable one returns to the pool unless
+    /// the node is draining.
     pub(crate) fn release_connection(&mut self, key: ConnectionKey, reusable: bool) {
         if reusable && !self.shutdown.is_requested() {
             self.return_to_pool(key);
@@ -128,12 +129,12 @@
         self.update_engine_interest(key);
     }
 
-    /// Closes a connection whose work was abandoned, with a reset. Guards against bytes that wait in the system
-    /// for an engine that is partitioned or does not read: after an ordinary close they would still arrive, and
-    /// the attempt or the release would start when nobody accounts for it any more.
+    /// Closes a connection whose call was abandoned, with a reset. Guards against bytes in the socket's send
+    /// buffer for an engine that is partitioned or does not read: after an ordinary close they would still be
+    /// delivered, and the attempt or the release would start when it is no longer accounted for.
     pub(crate) fn reset_engine(&mut self, key: ConnectionKey) {
         if let Some(Connection::Engine(connection)) = self.connections.get(key) {
-            // If the system refuses, the ordinary close remains.
+            // If the system call fails, the connection is closed without a reset.
             let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
         self.close_engine(key);
@@ -147,9 +148,9 @@
     }
 }
 
-fn purpose_of(work: &Work) -> ConnectionPurpose {
-    match work {
-        Work::Attempt(_) => ConnectionPurpose::Attempt,
-        Work::Release { .. } | Work::ConnectionProbe { .. } => ConnectionPurpose::BackgroundCall,
+fn purpose_of(call: &EngineCall) -> ConnectionPurpose {
+    match call {
+        EngineCall::Attempt(_) => ConnectionPurpose::Attempt,
+        EngineCall::Release { .. } | EngineCall::ConnectionProbe { .. } => ConnectionPurpose::BackgroundCall,
     }
 }
--- a/crates/pintally-platform-node/src/engine_connection.rs
+++ b/crates/pintally-platform-node/src/engine_connection.rs
@@ -11,18 +11,18 @@
 
 use crate::poller::Interest;
 
-/// The end of a reused connection within this time of its request was caused before it was reused.
+/// If a reused connection ends within this time of its request, its engine had closed it before the reuse.
 const STALE_CLOSE_WITHIN: Micros = 30_000;
 
-/// What an engine connection is used for.
-pub(crate) enum Work {
-    Attempt(AttemptWork),
+/// The call that an engine connection is used for.
+pub(crate) enum EngineCall {
+    Attempt(AttemptCall),
     Release {
         id: RequestId,
         engine: EngineId,
         timeout_at: Micros,
     },
-    /// Nothing is written: that it connects shows that the engine's machine is up.
+    /// Nothing is written: an established connection shows that the engine's machine is up.
     ConnectionProbe {
         number: RequestNumber,
         attempt: AttemptNumber,
@@ -30,16 +30,16 @@
 }
 
 /// An attempt on an engine connection.
-pub(crate) struct AttemptWork {
+pub(crate) struct AttemptCall {
     pub(crate) number: RequestNumber,
     pub(crate) attempt: AttemptNumber,
     pub(crate) step: Step,
     pub(crate) timeout_at: Micros,
-    /// The first event has arrived.
+    /// The first event of the stream has arrived.
     pub(crate) has_started: bool,
 }
 
-/// The request on an engine connection, and how much of it is written.
+/// The request on an engine connection, and how much of it has been written.
 #[derive(Default)]
 pub(crate) struct OutgoingRequest {
     pub(crate) head: Vec<u8>,
@@ -60,7 +60,7 @@
         self.written_bytes == self.head.len() + self.body_bytes()
     }
 
-    /// The parts of the head and of the body that are not written.
+    /// The parts of the head and of the body that have not been written.
     fn unwritten(&self) -> [IoSlice<'_>; 2] {
         let head = &self.head[self.written_bytes.min(self.head.len())..];
         let body = self.body.as_deref().unwrap_or(&[]);
@@ -73,24 +73,24 @@
 pub(crate) struct EngineConnection {
     pub(crate) stream: TcpStream,
     pub(crate) address: SocketAddr,
-    /// The engine for which it was last used.
+    /// The engine for which the connection was last used.
     pub(crate) engine: EngineId,
     pub(crate) is_connected: bool,
-    /// By when it has to be connected.
+    /// When the connect timeout expires.
     pub(crate) connect_deadline: Micros,
     pub(crate) request: OutgoingRequest,
     pub(crate) reader: EngineResponseReader,
-    pub(crate) work: Option<Work>,
-    /// How long it had been idle before that work; none if it was opened for it.
+    pub(crate) call: Option<EngineCall>,
+    /// How long the connection had been idle before the call; none if it was opened for the call.
     pub(crate) idle_before: Option<Micros>,
-    /// When something was last received, or its use last changed.
+    /// When bytes were last received, a call last started or ended, or reading was last resumed.
     pub(crate) last_active: Micros,
-    /// Its client is slow: nothing is read for now.
+    /// Reading is paused because the client is slow.
     pub(crate) is_paused: bool,
-    /// When its stream last progressed by an event, or could not because of its client.
+    /// When the last event of the stream arrived, or reading resumed after a pause.
     pub(crate) last_progress: Micros,
     pub(crate) interest: Interest,
-    /// When it is checked, if there is no event before.
+    /// When the timeout of the connection is checked next.
     pub(crate) deadline: Micros,
 }
 
@@ -100,7 +100,7 @@
         self.is_connected && self.request.is_written()
     }
 
-    /// How much of the request was sent, for the table of outcomes.
+    /// Whether the request was written completely, for the mapping to outcomes.
     pub(crate) fn phase(&self) -> Phase {
         if self.is_written() {
             Phase::Written
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes the request until all is written or the socket's buffer is full.
+    /// Writes the request until all of it is written or the socket's buffer is full.
     pub(crate) fn write_request(&mut self) -> std::io::Result<()> {
         while !self.request.is_written() {
             match self.stream.write_vectored(&self.request.unwritten()) {
@@ -123,27 +123,28 @@
         Ok(())
     }
 
-    /// Whether the socket has neither unread bytes nor an end or error.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the socket has no unread bytes, no end of stream and no error.
+    pub(crate) fn has_no_input(&self) -> bool {
         matches!(self.stream.peek(&mut [0; 1]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// How long a reused connection had been idle that ends at once and without a byte of a response: its
-    /// engine's side had closed it before it was reused. One that ends later failed under its request.
+    /// The idle time before the call if a reused connection ends at once and without a byte of a
+    /// response: the engine's side had closed it before it was reused. A connection that ends later
+    /// failed during its request.
     pub(crate) fn stale_idle_time(&self, now: Micros) -> Option<Micros> {
-        let ended_at_once = self.reader.is_untouched() && now < self.last_active + STALE_CLOSE_WITHIN;
+        let ended_at_once = self.reader.has_no_bytes() && now < self.last_active + STALE_CLOSE_WITHIN;
         self.idle_before.filter(|_| ended_at_once)
     }
 
-    /// When its timeout expires, in its current state.
+    /// When the timeout for the current state of the connection expires.
     pub(crate) fn timeout_at(&self, idle_limit: Micros, stall_timeout: Micros) -> Micros {
-        match &self.work {
+        match &self.call {
             None => self.last_active + idle_limit,
-            Some(Work::Release { timeout_at, .. }) => *timeout_at,
-            Some(Work::ConnectionProbe { .. }) => self.connect_deadline,
-            Some(Work::Attempt(work)) if work.has_started => self.last_progress + stall_timeout,
-            Some(Work::Attempt(work)) if self.is_connected => work.timeout_at,
-            Some(Work::Attempt(work)) => self.connect_deadline.min(work.timeout_at),
+            Some(EngineCall::Release { timeout_at, .. }) => *timeout_at,
+            Some(EngineCall::ConnectionProbe { .. }) => self.connect_deadline,
+            Some(EngineCall::Attempt(call)) if call.has_started => self.last_progress + stall_timeout,
+            Some(EngineCall::Attempt(call)) if self.is_connected => call.timeout_at,
+            Some(EngineCall::Attempt(call)) => self.connect_deadline.min(call.timeout_at),
         }
     }
 }
--- a/crates/pintally-platform-node/src/engine_io.rs
+++ b/crates/pintally-platform-node/src/engine_io.rs
@@ -1,4 +1,4 @@
-//! Readiness of engine connections: connecting, writing requests, reading responses.
+//! Readiness events of engine connections: connecting, writing requests, reading responses.
 
 use std::io::{ErrorKind, Read};
 
@@ -6,21 +6,21 @@
 use pintally_platform::{encode_attempt_head, outcome_of_failure, ResponseEvent};
 
 use crate::connection::{Connection, ConnectionKey};
-use crate::engine_connection::Work;
+use crate::engine_connection::EngineCall;
 use crate::node::Node;
 use crate::poller::Interest;
 
-/// Reads of one connection in one iteration.
+/// Maximum number of reads of one connection in one iteration.
 const MAX_READS_PER_ITERATION: usize = 4;
-/// Bytes of one read: by which a slow client's output may exceed its limit.
+/// Maximum number of bytes of one read; a slow client's output may exceed its limit by this much.
 const MAX_READ_BYTES: usize = 16 << 10;
 
-/// What follows a read.
+/// Whether to read again after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadProgress {
-    /// More may be there.
+    /// More input may be available.
     Continue,
-    /// Nothing more is there for now.
+    /// No more input is available for now.
     Drained,
 }
 
@@ -48,7 +48,7 @@
             return self.connection_failed(key);
         }
         connection.is_connected = true;
-        if let Some(Work::ConnectionProbe { number, attempt }) = connection.work {
+        if let Some(EngineCall::ConnectionProbe { number, attempt }) = connection.call {
             return self.connection_probe_succeeded(key, number, attempt);
         }
         if !self.may_still_start(key) {
@@ -59,27 +59,27 @@
         self.write_engine(key);
     }
 
-    /// Whether the attempt of a connection that was established, perhaps late, may still start. One that may not
-    /// is abandoned, and was never sent.
+    /// Whether the attempt on a newly established connection may still start, in case the connection took
+    /// long. An attempt that may not start is abandoned without being sent.
     fn may_still_start(&mut self, key: ConnectionKey) -> bool {
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get(key) else { return false };
-        let Some(Work::Attempt(work)) = &connection.work else { return true };
-        let Err(denial) = self.host.may_start(now, work.number) else { return true };
-        tracing::debug!(request = work.number, attempt = work.attempt, engine = %connection.engine.0,
+        let Some(EngineCall::Attempt(call)) = &connection.call else { return true };
+        let Err(denial) = self.host.may_start(now, call.number) else { return true };
+        tracing::debug!(request = call.number, attempt = call.attempt, engine = %connection.engine.0,
             reason = %denial, "attempt not sent: connection established too late");
         self.abandon(key, Outcome::Unreachable);
         false
     }
 
-    /// Updates the attempt's head when its connection was established, perhaps late: the engine gets the time
-    /// that is left to the client now, not what was left when the connection was opened.
+    /// Updates the remaining time in the attempt's head once its connection is established: the engine gets
+    /// the time that is left now, not the time that was left when the connection was opened.
     fn refresh_remaining_time(&mut self, key: ConnectionKey) {
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get_mut(key) else { return };
-        let Some(Work::Attempt(work)) = &connection.work else { return };
-        let Some(request) = self.requests.get(work.number) else { return };
-        let remaining_ms = work.timeout_at.saturating_sub(now) / 1000;
+        let Some(EngineCall::Attempt(call)) = &connection.call else { return };
+        let Some(request) = self.requests.get(call.number) else { return };
+        let remaining_ms = call.timeout_at.saturating_sub(now) / 1000;
         let body_bytes = connection.request.body_bytes();
         connection.request.head = encode_attempt_head(&request.head, remaining_ms, body_bytes);
     }
@@ -87,7 +87,7 @@
     /// Writes the rest of the request.
     pub(crate) fn write_engine(&mut self, key: ConnectionKey) {
         let Some(connection) = self.engine_mut(key) else { return };
-        if !connection.is_connected || connection.work.is_none() {
+        if !connection.is_connected || connection.call.is_none() {
             return;
         }
         match connection.write_request() {
@@ -101,7 +101,7 @@
         let Some(connection) = self.engine_mut(key) else { return };
         let mut interest =
             if connection.is_paused { Interest::empty() } else { Interest::IN | Interest::RDHUP };
-        if connection.work.is_some() && !connection.is_written() {
+        if connection.call.is_some() && !connection.is_written() {
             interest |= Interest::OUT;
         }
         self.set_interest(key, interest);
@@ -114,7 +114,7 @@
             for event in events.drain(..) {
                 self.handle_response_event(key, event);
             }
-            // Guards against memory that fills with what a slow client has yet to take.
+            // Guards against memory that fills up with output that a slow client has not read.
             let is_paused = self.engine_mut(key).is_none_or(|connection| connection.is_paused);
             if progress == ReadProgress::Drained || is_paused {
                 return;
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Reads once and parses; none if there is nothing to handle.
+    /// Reads once and parses the input; returns `None` if there is nothing to handle.
     fn read_response(&mut self, key: ConnectionKey, events: &mut Vec<ResponseEvent>) -> Option<ReadProgress> {
         let now = self.clock.now();
-        let names = &self.config.settings.labels;
+        let labels = &self.config.settings.labels;
         let Some(Connection::Engine(connection)) = self.connections.get_mut(key) else { return None };
-        if connection.work.is_none() {
-            // Bytes on a connection that is not in use are no response to anything.
+        if connection.call.is_none() {
+            // Input or a close on an idle connection: bytes there belong to no request.
             self.close_engine(key);
             return None;
         }
@@ -138,12 +138,12 @@
                 if let Some(idle) = connection.stale_idle_time(now) {
                     self.engines.idle_limit.record_close(now, idle);
                 }
-                connection.reader.closed(names, events);
+                connection.reader.connection_closed(labels, events);
                 Some(ReadProgress::Drained)
             }
             Ok(count) => {
                 connection.last_active = now;
-                connection.reader.push(&buffer[..count], names, events);
+                connection.reader.push(&buffer[..count], labels, events);
                 let is_full = count == buffer.len();
                 Some(if is_full { ReadProgress::Continue } else { ReadProgress::Drained })
             }
@@ -160,9 +160,10 @@
     pub(crate) fn connection_failed(&mut self, key: ConnectionKey) {
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get(key) else { return };
-        // Guards against a reservation that remains for an attempt at an engine that is gone: a machine that
-        // is up again, or whose engine is down, refuses, and what its engine had before is silent for ever.
-        if matches!(connection.work, Some(Work::ConnectionProbe { .. })) {
+        // A refused probe does not confirm that the attempt was delivered. Guards against a reservation that
+        // is kept for an attempt at an engine that is gone: a machine that has restarted, or whose engine is
+        // down, refuses connections, and attempts that its engine had before get no response.
+        if matches!(connection.call, Some(EngineCall::ConnectionProbe { .. })) {
             return self.close_engine(key);
         }
         let phase = connection.phase();
--- a/crates/pintally-platform-node/src/engine_timeouts.rs
+++ b/crates/pintally-platform-node/src/engine_timeouts.rs
@@ -6,11 +6,11 @@
 use pintally_platform::outcome_of_failure;
 
 use crate::connection::{Connection, ConnectionKey};
-use crate::engine_connection::{EngineConnection, Work};
+use crate::engine_connection::{EngineCall, EngineConnection};
 use crate::node::Node;
 
 impl Node {
-    /// Schedules the check of a connection for when its timeout expires.
+    /// Schedules the check of a connection for the expiry of its timeout.
     pub(crate) fn schedule_deadline(&mut self, key: ConnectionKey) {
         let idle_limit = self.engines.idle_limit.at(self.clock.now());
         let stall_timeout = self.settings.limits.stall_timeout;
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Ends work and idle connections whose timeout has expired.
-    pub(crate) fn expire_engine_work(&mut self, now: Micros) {
+    /// Ends calls and closes idle connections whose timeout has expired.
+    pub(crate) fn expire_engine_connections(&mut self, now: Micros) {
         let idle_limit = self.engines.idle_limit.at(now);
         let stall_timeout = self.settings.limits.stall_timeout;
         while let Some((at, key)) = self.engines.next_deadline().filter(|(at, _)| *at <= now) {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Ends a stream without progress; one that waits for its client is ended as the client's fault, not the
-    /// engine's.
+    /// Ends a stream without progress. If reading was paused because the client is slow, the client
+    /// connection is ended instead, and the engine is not blamed.
     fn expire_stream(&mut self, key: ConnectionKey, stream: StalledStream) {
         let request = self.requests.get(stream.number);
         match request.and_then(|request| request.client).filter(|_| stream.is_paused) {
@@ -62,7 +62,7 @@
     is_paused: bool,
 }
 
-/// What the expiry of a timeout ends.
+/// The action on the expiry of a timeout.
 enum Expiry {
     Close,
     Abandon(Outcome),
@@ -71,13 +71,13 @@
 
 impl Expiry {
     fn of(connection: &EngineConnection) -> Expiry {
-        match &connection.work {
-            None | Some(Work::ConnectionProbe { .. }) => Expiry::Close,
-            Some(Work::Release { .. }) => Expiry::Abandon(Outcome::TimedOut),
-            Some(Work::Attempt(work)) if work.has_started => {
-                Expiry::StalledStream(StalledStream { number: work.number, is_paused: connection.is_paused })
+        match &connection.call {
+            None | Some(EngineCall::ConnectionProbe { .. }) => Expiry::Close,
+            Some(EngineCall::Release { .. }) => Expiry::Abandon(Outcome::TimedOut),
+            Some(EngineCall::Attempt(call)) if call.has_started => {
+                Expiry::StalledStream(StalledStream { number: call.number, is_paused: connection.is_paused })
             }
-            Some(Work::Attempt(_)) => Expiry::Abandon(outcome_of_failure(connection.phase(), true)),
+            Some(EngineCall::Attempt(_)) => Expiry::Abandon(outcome_of_failure(connection.phase(), true)),
         }
     }
 }
--- a/crates/pintally-platform-node/src/engines.rs
+++ b/crates/pintally-platform-node/src/engines.rs
@@ -1,4 +1,4 @@
-//! What the node records of engine connections together.
+//! Data about all engine connections of the node.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -21,17 +21,17 @@
     pub(crate) in_flight: u64,
 }
 
-/// Engine connections: idle ones, deadlines, and counters.
+/// Data about all engine connections: the idle pool, deadlines, and counters.
 pub(crate) struct Engines {
     pub(crate) pool: IdlePool,
     pub(crate) idle_limit: IdleLimit,
-    /// Connections by the time at which they have to be checked.
+    /// The time at which each connection has to be checked, in order.
     deadlines: BTreeSet<(Micros, ConnectionKey)>,
     pub(crate) counters: HashMap<EngineId, EngineCounters>,
 }
 
 impl Engines {
-    /// No connections; idle ones are reused for up to `max_idle`.
+    /// No connections yet; connections that are idle for up to `max_idle` are reused.
     pub(crate) fn new(max_idle: Micros) -> Engines {
         Engines {
             pool: IdlePool::default(),
@@ -45,7 +45,7 @@
         self.counters.entry(engine.clone()).or_default()
     }
 
-    /// The connection that has to be checked first, and when.
+    /// The connection that has to be checked next, and when.
     pub(crate) fn next_deadline(&self) -> Option<(Micros, ConnectionKey)> {
         self.deadlines.first().copied()
     }
--- a/crates/pintally-platform-node/src/event_loop.rs
+++ b/crates/pintally-platform-node/src/event_loop.rs
@@ -12,11 +12,11 @@
 use crate::node::Node;
 use crate::poller::ReadyEvent;
 
-/// Maximum wait for events.
+/// Maximum time of one wait for events.
 const MAX_WAIT: Micros = 100_000;
 
 impl Node {
-    /// Runs until a signal to stop and the graceful shutdown behind it.
+    /// Runs until a signal stops the node and the graceful shutdown is complete.
     pub(crate) fn run(&mut self) -> io::Result<()> {
         let mut events: Vec<ReadyEvent> = Vec::new();
         while !self.run_iteration(&mut events)? {}
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    /// One iteration; whether the graceful shutdown is complete.
+    /// Runs one iteration; returns whether the graceful shutdown is complete.
     fn run_iteration(&mut self, events: &mut Vec<ReadyEvent>) -> io::Result<bool> {
         let timeout = self.poll_timeout();
         events.clear();
@@ -42,7 +42,7 @@
         Ok(self.is_shutdown_complete())
     }
 
-    /// How long the poller may wait: until the next timer, and not at all if requests wait to be parsed.
+    /// How long the poller may wait: until the next timer expires, or 0 if requests wait to be parsed.
     fn poll_timeout(&self) -> Micros {
         let now = self.clock.now();
         if self.clients.has_pending_requests() {
@@ -60,8 +60,8 @@
         next.saturating_sub(now).min(MAX_WAIT)
     }
 
-    /// Disconnected clients are handled first. Guards against an attempt that starts, because of another event
-    /// of the iteration, for a client whose connection had ended by then.
+    /// Handles disconnected clients before all other events. Guards against an attempt that another event of
+    /// the same iteration starts for a client that has already disconnected.
     pub(crate) fn handle_disconnected_clients(&mut self, events: &[ReadyEvent]) {
         for event in events {
             let EventSource::Connection(key) = EventSource::from_token(event.token) else { continue };
@@ -99,7 +99,7 @@
     fn run_timers(&mut self) {
         let now = self.clock.now();
         self.tick_host(now);
-        self.expire_engine_work(now);
+        self.expire_engine_connections(now);
         self.deliver_delayed_inputs(now);
         self.retry_reload(now);
         self.resume_accepting(now);
--- a/crates/pintally-platform-node/src/event_source.rs
+++ b/crates/pintally-platform-node/src/event_source.rs
@@ -8,7 +8,7 @@
 const SIGNALS_TOKEN: u64 = 1;
 const WATCH_TOKEN: u64 = 2;
 
-/// What a readiness event is for.
+/// The source of a readiness event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventSource {
     Listener,
@@ -18,8 +18,8 @@
 }
 
 impl EventSource {
-    /// The only decoder of tokens. Guards against a reserved token being taken for a key: slotmap decodes
-    /// any number as some key, and these as a node's first connections.
+    /// The only decoder of tokens. Guards against a reserved token being taken for a connection key: slotmap
+    /// decodes any number as a key, and the reserved ones as the keys of a node's first connections.
     pub(crate) fn from_token(token: u64) -> EventSource {
         match token {
             LISTENER_TOKEN => EventSource::Listener,
--- a/crates/pintally-platform-node/src/eviction.rs
+++ b/crates/pintally-platform-node/src/eviction.rs
@@ -1,4 +1,4 @@
-//! The budget of descriptors, and which connections are closed when it is used up.
+//! The budget of file descriptors, and the eviction of connections when it is used up.
 
 use pintally::interface::Micros;
 use pintally_guards::CloseReason;
@@ -7,17 +7,17 @@
 use crate::connection::{Connection, ConnectionKey};
 use crate::node::Node;
 
-/// Descriptors that are neither clients' nor engines': standard ones, epoll, listener, signals, watch,
-/// and a few for files.
+/// Descriptors that are not used by client or engine connections: standard streams, epoll, listener, signals,
+/// watch, and a few for files.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Descriptors reserved for release calls and connection probes when clients and attempts use all others:
-/// this fraction of all, up to [`MAX_CALL_RESERVE`].
+/// Divisor of the limit that gives the number of descriptors reserved for release calls and connection probes
+/// when clients and attempts use all others, up to [`MAX_CALL_RESERVE`].
 const CALL_RESERVE_DIVISOR: usize = 16;
 const MAX_CALL_RESERVE: usize = 8;
-/// A connection that has served requests may be evicted after this time without one.
+/// A connection that has received requests may be evicted after it has been idle for this time.
 const EVICTABLE_IDLE_AFTER: Micros = 2_000_000;
 
-/// For what an engine connection is opened.
+/// The purpose for which an engine connection is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionPurpose {
     Attempt,
@@ -25,21 +25,21 @@
     BackgroundCall,
 }
 
-/// The order in which client connections are evicted; within each variant the oldest first.
+/// The order in which client connections are evicted; within each variant, the oldest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// All of its last response is written, and it is closing.
+    /// The connection is closing, and its last response is completely written.
     Answered(Micros),
-    /// It has not sent a request.
+    /// The client has not sent a request.
     Silent(Micros),
-    /// It has been idle for a while.
+    /// The connection has been idle for at least [`EVICTABLE_IDLE_AFTER`].
     Idle(Micros),
-    /// Its first request is incomplete.
+    /// The first request of the connection is incomplete.
     Partial(Micros),
 }
 
 impl EvictionRank {
-    /// None if the connection is in use.
+    /// The rank of a connection; `None` if it is in use.
     fn of(client: &ClientConnection, now: Micros) -> Option<EvictionRank> {
         if client.unwritten_bytes() > 0 {
             return None;
@@ -60,8 +60,8 @@
 }
 
 impl Node {
-    /// Closes the client connection that ranks first, of those on which nothing is owed; whether one was
-    /// closed.
+    /// Closes the client connection that ranks first and may be closed according to the guard; returns
+    /// whether one was closed.
     pub(crate) fn evict_client(&mut self) -> bool {
         let now = self.clock.now();
         let mut candidates: Vec<(EvictionRank, ConnectionKey)> = self
@@ -76,7 +76,7 @@
         candidates.into_iter().any(|(_, key)| self.close_client(key, CloseReason::Evicted))
     }
 
-    /// Whether the limit leaves a descriptor for one more connection of a client or an attempt.
+    /// Whether the limit leaves a descriptor for one more client connection or attempt.
     pub(crate) fn has_free_descriptor(&self) -> bool {
         let sockets = self.config.limits.sockets;
         self.has_free_descriptor_beyond((sockets / CALL_RESERVE_DIVISOR).min(MAX_CALL_RESERVE))
@@ -86,9 +86,9 @@
         self.connections.len() + RESERVED_DESCRIPTORS + reserve < self.config.limits.sockets
     }
 
-    /// Frees a descriptor for one more engine connection if need be; whether there is one. Guards against
-    /// reservations that are not released because attempts at unreachable engines use all descriptors:
-    /// background calls may use a few more.
+    /// Frees a descriptor for one more engine connection if there is none; returns whether one is available.
+    /// Guards against reservations that are not released because attempts at unreachable engines use all
+    /// descriptors: background calls may use the reserve.
     pub(crate) fn reserve_engine_descriptor(&mut self, purpose: ConnectionPurpose) -> bool {
         let may_use_reserve = purpose == ConnectionPurpose::BackgroundCall;
         if self.has_free_descriptor() || may_use_reserve && self.has_free_descriptor_beyond(0) {
@@ -97,9 +97,9 @@
         self.close_idle_engine() || self.evict_client()
     }
 
-    /// Closes the idle engine connection that costs least to lose; whether there was one.
+    /// Closes the idle engine connection whose loss costs least; returns whether there was one.
     pub(crate) fn close_idle_engine(&mut self) -> bool {
-        let Some(key) = self.engines.pool.least_valuable() else { return false };
+        let Some(key) = self.engines.pool.eviction_candidate() else { return false };
         self.close_engine(key);
         true
     }
--- a/crates/pintally-platform-node/src/host_commands.rs
+++ b/crates/pintally-platform-node/src/host_commands.rs
@@ -1,4 +1,4 @@
-//! Inputs to the host, and the execution of its commands.
+//! Passing of inputs to the host, and execution of its commands.
 
 use pintally::interface::Micros;
 use pintally_host::{Command, Host, Input};
@@ -6,13 +6,13 @@
 use crate::node::Node;
 
 impl Node {
-    /// Hands the host an input and executes its commands, until the queue of inputs is empty.
+    /// Queues an input and passes all queued inputs to the host.
     pub(crate) fn handle_input(&mut self, input: Input) {
         self.host_queue.push(input);
         self.drain_inputs();
     }
 
-    /// Hands the host all queued inputs.
+    /// Passes all queued inputs to the host and executes the commands that it issues.
     pub(crate) fn drain_inputs(&mut self) {
         while let Some(input) = self.host_queue.pop() {
             let now = self.clock.now();
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Runs the host's timers if one has expired.
+    /// Runs the host's timers if one of them has expired.
     pub(crate) fn tick_host(&mut self, now: Micros) {
         if self.host.next_wake().is_some_and(|at| at <= now) {
             self.run_host(|host, commands| host.tick(now, commands));
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Notifies the host of abandoned attempts whose delay is over.
+    /// Notifies the host of abandoned attempts whose notification delay has passed.
     pub(crate) fn deliver_delayed_inputs(&mut self, now: Micros) {
         while let Some(input) = self.host_queue.pop_delayed(now) {
             self.handle_input(input);
@@ -58,10 +58,11 @@
                 self.probe_connection(number, attempt, &engine, address);
             }
             Command::WithdrawReleases(id) => self.withdraw_releases(&id),
-            // The platform has no health checks of engines, and its list arrives by the watch.
+            // The platform has no health checks of engines.
             Command::HealthCheck(engine, _, _) => {
                 self.host_queue.push(Input::HealthChecked(engine, false, None));
             }
+            // The endpoint list arrives through the watch.
             Command::ReloadEndpointList => self.reopen_watch(),
             Command::Log(text) => self.log_host_message(&text),
             // Nodes on the platform have no peers.
--- a/crates/pintally-platform-node/src/host_queue.rs
+++ b/crates/pintally-platform-node/src/host_queue.rs
@@ -1,17 +1,17 @@
-//! Inputs of the host that wait to be handled.
+//! Queue of inputs to the host.
 
 use std::collections::VecDeque;
 
 use pintally::interface::Micros;
 use pintally_host::{Command, Input};
 
-/// Inputs of the host that wait to be handled.
+/// Inputs that wait to be passed to the host.
 #[derive(Default)]
 pub(crate) struct HostQueue {
     inputs: VecDeque<Input>,
-    /// Ends of abandoned attempts, by the time at which the host is notified, in order.
+    /// Ends of abandoned attempts with the time at which the host is notified, in the order of these times.
     delayed: VecDeque<(Micros, Input)>,
-    /// A buffer for the host's commands.
+    /// A reused buffer for the host's commands.
     pub(crate) commands: Vec<Command>,
 }
 
@@ -24,7 +24,8 @@
         self.inputs.pop_front()
     }
 
-    /// Adds an input that the host gets at `at`; the times of successive inputs do not decrease.
+    /// Adds an input that is passed to the host at `at`; `at` must not be before that of the previous delayed
+    /// input.
     pub(crate) fn push_delayed(&mut self, at: Micros, input: Input) {
         self.delayed.push_back((at, input));
     }
@@ -33,7 +34,7 @@
         self.delayed.front().map(|(at, _)| *at)
     }
 
-    /// The next delayed input whose time has come.
+    /// Removes the next delayed input if its time has come.
     pub(crate) fn pop_delayed(&mut self, now: Micros) -> Option<Input> {
         self.delayed.pop_front_if(|(at, _)| *at <= now).map(|(_, input)| input)
     }
--- a/crates/pintally-platform-node/src/lib.rs
+++ b/crates/pintally-platform-node/src/lib.rs
@@ -1,9 +1,9 @@
 //! A node on the operators' platform.
 //!
 //! One thread runs one non-blocking event loop, which owns the host of the decision core, the listener,
-//! all connections, the endpoint watch and the timers; signals wake the loop through a socket. The
-//! commands that an event makes the core issue are executed in the same iteration. A stream uses two
-//! descriptors: its client's and its engine's.
+//! all connections, the endpoint watch and the timers; signals wake the loop through a socket. Commands
+//! that the host issues for an event are executed in the same iteration. A stream uses two descriptors: one
+//! for its client and one for its engine.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-platform-node/src/listener.rs
+++ b/crates/pintally-platform-node/src/listener.rs
@@ -12,22 +12,22 @@
 use crate::poller::Interest;
 use crate::syscall::{accept_failure, AcceptFailure};
 
-/// Connections that are accepted in one iteration.
+/// Maximum number of connections that are accepted in one iteration.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// After a failure accepting pauses for this time.
+/// Accepting pauses for this time after a failure.
 const ACCEPT_PAUSE: Micros = 5_000;
-/// Failures over this time are persistent: a client is evicted.
+/// If accepting has failed for this time, a client connection is evicted.
 const PERSISTENT_FAILURE_AFTER: Micros = 1_000_000;
 
 /// The listener and the state of accepting.
 pub(crate) struct Acceptor {
     /// None once it is closed.
     pub(crate) listener: Option<TcpListener>,
-    /// Until when accepting pauses, if it does.
+    /// The end of the current pause.
     pub(crate) paused_until: Option<Micros>,
-    /// Since when every accept has failed.
+    /// The time of the first failure since the last successful accept.
     failing_since: Option<Micros>,
-    /// Failures by error number.
+    /// Number of failures by error number.
     pub(crate) failures: BTreeMap<i32, u64>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    /// Accepts connections that wait.
+    /// Accepts pending connections.
     pub(crate) fn accept_clients(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(listener) = &self.acceptor.listener else { return };
@@ -78,9 +78,9 @@
         }
     }
 
-    /// The process is out of descriptors: closes an idle engine connection, or else a client's. Guards against
-    /// clients that are evicted for a failure that passes by itself: by the node's own count there are
-    /// descriptors.
+    /// Closes an idle engine connection because the process is out of descriptors. If there is none, evicts a
+    /// client, but only if the failure persists or the node's own count shows no free descriptor. Guards
+    /// against clients that are evicted because of a transient failure.
     fn free_descriptor(&mut self) {
         let now = self.clock.now();
         let is_persistent =
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Pauses accepting. Guards against a loop that spins on connections that cannot be accepted.
+    /// Pauses accepting. Guards against an event loop that spins on connections that it cannot accept.
     fn pause_accepting(&mut self) {
         let Some(listener) = &self.acceptor.listener else { return };
         if self.poller.modify(listener, EventSource::Listener.token(), Interest::empty()).is_ok() {
@@ -114,17 +114,17 @@
         };
     }
 
-    /// Closes the listener, after it has accepted the connections that wait.
+    /// Accepts pending connections, then closes the listener.
     pub(crate) fn close_listener(&mut self) {
         self.accept_clients();
         self.acceptor.paused_until = None;
         self.acceptor.listener = None;
     }
 
-    /// Adds an accepted connection, if need be in place of another one.
+    /// Adds an accepted connection; at the limit, another one is evicted or the new one is closed.
     fn add_client(&mut self, stream: TcpStream) {
         let now = self.clock.now();
-        // An idle engine connection costs less to lose than a client's.
+        // Closing an idle engine connection costs less than closing a client connection.
         if !self.has_free_descriptor() {
             self.close_idle_engine();
         }
--- a/crates/pintally-platform-node/src/log_limiter.rs
+++ b/crates/pintally-platform-node/src/log_limiter.rs
@@ -1,12 +1,12 @@
-//! A limit of log lines: whatever happens, a node writes only so many in a second.
+//! A rate limit of log lines.
 
 use pintally::interface::Micros;
 
-/// Lines that may be written in one second.
+/// Maximum number of lines that are written in one second.
 const MAX_LINES_PER_SECOND: u32 = 20;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Counts log lines by the second.
+/// Counts the log lines in the current second.
 #[derive(Default)]
 pub(crate) struct LogLimiter {
     second: Micros,
@@ -15,7 +15,7 @@
 }
 
 impl LogLimiter {
-    /// Whether one more line may be written now.
+    /// Whether one more line may be written now; a line that may not is counted as suppressed.
     pub(crate) fn allows(&mut self, now: Micros) -> bool {
         let second = now / MICROS_PER_SECOND;
         if second != self.second {
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -27,14 +27,14 @@
 use crate::requests::Requests;
 use crate::shutdown::Shutdown;
 use crate::signals::Signals;
-use crate::syscall::retry_at_start;
+use crate::syscall::retry_during_startup;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 /// Size of the buffer into which sockets are read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why a node does not start, or does not go on.
+/// Why a node fails to start or stops with an error.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The signal handlers cannot be installed.
@@ -68,11 +68,11 @@
     #[error("epoll: {0}")]
     Epoll(std::io::Error),
     /// The event loop has failed.
-    #[error("the loop: {0}")]
+    #[error("event loop: {0}")]
     EventLoop(std::io::Error),
 }
 
-/// A node: the host, its sockets, and the state between them.
+/// A node: the host, its sockets, and the state that connects them.
 pub(crate) struct Node {
     pub(crate) poller: Poller,
     pub(crate) clock: Clock,
@@ -96,18 +96,18 @@
     pub(crate) shutdown: Shutdown,
 }
 
-/// Runs a node until a signal to stop and the graceful shutdown behind it; `listen` replaces the address in
-/// the configuration.
+/// Runs a node until a signal stops it and the graceful shutdown is complete; `listen` overrides the address
+/// in the configuration.
 ///
 /// # Errors
 ///
-/// If the configuration is invalid, or a system call that the node cannot do without fails.
+/// If the configuration is invalid, or an essential system call fails.
 pub fn start(config_file: PathBuf, listen: Option<SocketAddr>) -> Result<(), StartError> {
-    // First, so that no signal to stop is lost.
-    let signals = retry_at_start("setting up signals", Signals::new).map_err(StartError::Signals)?;
+    // Signal handlers are installed first, so that no signal to stop is lost.
+    let signals = retry_during_startup("setting up signals", Signals::new).map_err(StartError::Signals)?;
     let config = read_configuration(&config_file)?;
     let address = listen.unwrap_or(config.listen);
-    let listener = retry_at_start("listening", || listen_at(address))
+    let listener = retry_during_startup("listening", || listen_at(address))
         .map_err(|error| StartError::Listen { address, error })?;
     let poller = register_sources(&listener, &signals).map_err(StartError::Epoll)?;
     let mut node = Node::new(config, config_file, poller, listener, signals);
@@ -115,33 +115,33 @@
     tracing::info!(name = %node.config.name, %address, sockets = limits.sockets, memory_mb = limits.memory_mb,
         cores = limits.cores, "node started");
     node.apply_last_known_list();
-    // Guards against sends by a list that is out of date, until the first periodic cleanup.
+    // Opens the watch before the first event is handled. Guards against sends based on an outdated list.
     node.maintain_watch(node.started_at);
     node.run().map_err(StartError::EventLoop)
 }
 
 fn read_configuration(file: &Path) -> Result<Configuration, StartError> {
-    let text = retry_at_start("reading the configuration", || std::fs::read_to_string(file))
+    let text = retry_during_startup("reading the configuration", || std::fs::read_to_string(file))
         .map_err(|error| StartError::ReadConfiguration { file: file.to_path_buf(), error })?;
     Configuration::parse(&text).map_err(|error| StartError::Configuration { file: file.to_path_buf(), error })
 }
 
-/// A poller with the listener and both signal sockets.
+/// Creates a poller, and registers the listener and both signal sockets.
 fn register_sources(listener: &TcpListener, signals: &Signals) -> std::io::Result<Poller> {
-    let poller = retry_at_start("epoll", Poller::new)?;
+    let poller = retry_during_startup("epoll", Poller::new)?;
     for (fd, source) in [
         (listener.as_fd(), EventSource::Listener),
         (signals.stop_fd(), EventSource::Signals),
         (signals.reload_fd(), EventSource::Signals),
     ] {
-        retry_at_start("epoll", || poller.add(fd, source.token(), Interest::IN))?;
+        retry_during_startup("epoll", || poller.add(fd, source.token(), Interest::IN))?;
     }
     Ok(poller)
 }
 
 fn listen_at(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // A restarted node takes over the address of the one that was killed.
+    // A restarted node can bind the address while connections of its killed predecessor remain.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
--- a/crates/pintally-platform-node/src/poller.rs
+++ b/crates/pintally-platform-node/src/poller.rs
@@ -12,12 +12,12 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Events of one iteration.
+/// Maximum number of events of one wait.
 const MAX_EVENTS: usize = 256;
 /// Maximum timeout of one wait.
 const MAX_TIMEOUT_MS: u128 = 60_000;
 
-/// A socket for an outgoing connection, which [`connect`] starts.
+/// Creates a socket for an outgoing connection, to be passed to [`connect`].
 pub(crate) fn socket(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -25,7 +25,7 @@
     Ok(socket)
 }
 
-/// Starts a connection; whether it is established at once.
+/// Starts a connection; returns whether it is established at once.
 pub(crate) fn connect(socket: &Socket, address: SocketAddr) -> io::Result<bool> {
     match socket.connect(&address.into()) {
         Ok(()) => Ok(true),
@@ -42,7 +42,7 @@
     pub(crate) flags: Interest,
 }
 
-/// An epoll instance; a file descriptor leaves it when it is closed.
+/// An epoll instance; closing a file descriptor removes it.
 pub(crate) struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
@@ -64,7 +64,7 @@
 
     /// Waits up to the timeout and appends the events.
     pub(crate) fn wait(&mut self, timeout: Duration, out: &mut Vec<ReadyEvent>) -> io::Result<()> {
-        // Whole milliseconds, rounded up: a wait that ends early would spin until its time.
+        // Whole milliseconds, rounded up: if waits ended early, the loop would spin until the timer expires.
         let millis = timeout.as_micros().div_ceil(1000).min(MAX_TIMEOUT_MS) as i64;
         let timeout = Timespec { tv_sec: millis / 1000, tv_nsec: (millis % 1000) * 1_000_000 };
         self.events.clear();
--- a/crates/pintally-platform-node/src/pool.rs
+++ b/crates/pintally-platform-node/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle engine connections, and how long they may be reused.
+//! Pool of idle engine connections, and the limit of their idle time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,20 +7,21 @@
 
 use crate::connection::ConnectionKey;
 
-/// Idle connections may be reused for at least this time.
+/// Minimum of the adaptive idle limit.
 const MIN_IDLE_LIMIT: Micros = 10_000;
-/// A connection is not reused within this time of a response. Guards against a second response that its engine
-/// sends some milliseconds after the first: it would be taken for the response to the next request, which nothing
-/// in a response could tell apart.
-const SETTLE_TIME: Micros = 30_000;
-/// The limit doubles in each such interval after an early close.
+/// A connection is not reused within this time of a response. Guards against a second response that its
+/// engine sends some milliseconds after the first: it would be taken for the response to the next request,
+/// because responses carry no reference to their request.
+const MIN_IDLE_BEFORE_REUSE: Micros = 30_000;
+/// After an early close has lowered the idle limit, it doubles once per interval of this length.
 const LIMIT_DOUBLING_INTERVAL: Micros = 8_000_000;
-/// Keeps the doubling within the integer's range.
+/// Limit of the number of doublings, which prevents an overflow.
 const MAX_DOUBLINGS: u64 = 20;
 
-/// How long idle connections may be reused. Guards against engines, or a network before them, that close idle
-/// connections far earlier than the settings say, with and without notification: what is written to one of those
-/// ends as a reset that may have run. A new connection costs little beside that.
+/// Adaptive limit of the time for which a connection may be idle and still be reused. Guards against engines,
+/// or a network in front of them, that close idle connections far earlier than the settings say, with or
+/// without notification: a request written to such a connection ends with a reset and might have run. A new
+/// connection costs little compared with that.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleLimit {
     max: Micros,
@@ -29,19 +30,19 @@
 }
 
 impl IdleLimit {
-    /// The limit in the settings, until an early close.
+    /// The limit in the settings, which applies until the first early close.
     pub(crate) fn new(max: Micros) -> IdleLimit {
         IdleLimit { max, after_close: max, closed_at: 0 }
     }
 
-    /// Lowers the limit: a connection was closed by its engine's side after it had been idle for `idle`.
+    /// Lowers the limit because the engine's side closed a connection that had been idle for `idle`.
     pub(crate) fn record_close(&mut self, now: Micros, idle: Micros) {
         let limit = self.at(now);
         self.after_close = limit.min((idle / 2).max(MIN_IDLE_LIMIT));
         self.closed_at = now;
     }
 
-    /// How long a connection may have been idle to be reused at this time.
+    /// The limit at the time `now`.
     pub(crate) fn at(&self, now: Micros) -> Micros {
         let doublings = now.saturating_sub(self.closed_at) / LIMIT_DOUBLING_INTERVAL;
         self.after_close.saturating_mul(1 << doublings.min(MAX_DOUBLINGS)).min(self.max)
@@ -60,18 +61,19 @@
 }
 
 impl IdlePool {
-    /// Adds a connection whose work has ended.
+    /// Adds a connection whose call has ended.
     pub(crate) fn put(&mut self, now: Micros, address: SocketAddr, key: ConnectionKey) {
         self.idle.entry(address).or_default().push(IdleConnection { key, since: now });
     }
 
-    /// Takes the most recently used connection that has settled: older ones are closer to being closed by the
-    /// engine's side.
+    /// Takes the most recently used connection that has been idle for at least [`MIN_IDLE_BEFORE_REUSE`]: the
+    /// engine's side is likely to close older ones sooner.
     pub(crate) fn take(&mut self, now: Micros, address: SocketAddr) -> Option<ConnectionKey> {
         let idle = self.idle.get_mut(&address)?;
-        let settled =
-            idle.iter().rposition(|connection| now >= connection.since.saturating_add(SETTLE_TIME))?;
-        let key = idle.remove(settled).key;
+        let reusable = idle
+            .iter()
+            .rposition(|connection| now >= connection.since.saturating_add(MIN_IDLE_BEFORE_REUSE))?;
+        let key = idle.remove(reusable).key;
         if idle.is_empty() {
             self.idle.remove(&address);
         }
@@ -87,8 +89,8 @@
         }
     }
 
-    /// The oldest connection of the address that has most of them.
-    pub(crate) fn least_valuable(&self) -> Option<ConnectionKey> {
+    /// The oldest connection to the address that has the most idle connections.
+    pub(crate) fn eviction_candidate(&self) -> Option<ConnectionKey> {
         let (_, idle) = self.idle.iter().max_by_key(|(address, idle)| (idle.len(), **address))?;
         idle.first().map(|connection| connection.key)
     }
--- a/crates/pintally-platform-node/src/pool/tests.rs
+++ b/crates/pintally-platform-node/src/pool/tests.rs
@@ -1,4 +1,4 @@
-//! The limit of idle time.
+//! The adaptive limit of idle time.
 
 use super::*;
 
--- a/crates/pintally-platform-node/src/reload.rs
+++ b/crates/pintally-platform-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration on a signal.
+//! Reload of the configuration after a signal.
 
 use std::path::Path;
 
@@ -8,22 +8,22 @@
 
 use crate::node::Node;
 
-/// A reload that has failed is retried after this time, which doubles up to a limit.
+/// Delay before the first retry of a failed reload; it doubles up to a limit.
 const FIRST_RETRY_DELAY: Micros = 100_000;
 const MAX_RETRY_DELAY: Micros = 800_000;
-/// After this time the old configuration remains.
+/// A reload is given up after this time, and the old configuration remains.
 const RELOAD_TIMEOUT: Micros = 10_000_000;
 
 /// The state of reloads.
 #[derive(Default)]
 pub(crate) struct Reload {
     pending: Option<PendingReload>,
-    /// How many have succeeded.
+    /// Number of successful reloads.
     pub(crate) completed: u64,
 }
 
 impl Reload {
-    /// When a reload is attempted or retried.
+    /// When the pending reload is tried next.
     pub(crate) fn next_attempt(&self) -> Option<Micros> {
         self.pending.as_ref().map(|reload| reload.next_attempt)
     }
@@ -51,7 +51,7 @@
 }
 
 impl Node {
-    /// Starts a reload, on a signal.
+    /// Starts a reload.
     pub(crate) fn start_reload(&mut self) {
         let now = self.clock.now();
         self.reload.pending = Some(PendingReload {
@@ -62,9 +62,9 @@
         self.retry_reload(now);
     }
 
-    /// Reads the configuration if it is time. Guards against a reload that is lost because the file cannot be read at
-    /// the moment of the signal: it is half written, or the system refuses for a moment. An invalid configuration
-    /// changes nothing.
+    /// Tries the pending reload if it is due. Retries guard against a reload that is lost because the file
+    /// cannot be read at the time of the signal: it is partly written, or a system call fails temporarily. An
+    /// invalid configuration changes nothing.
     pub(crate) fn retry_reload(&mut self, now: Micros) {
         let pending = self.reload.pending.as_mut().filter(|reload| now >= reload.next_attempt);
         let Some(reload) = pending else { return };
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Applies what a reload may change: the address of discovery, and a newer list.
+    /// Applies the parts of a configuration that a reload may change: the address of
+    /// discovery, and a newer list.
     fn reconfigure(&mut self, now: Micros, config: Configuration) {
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
         if let Some(list) = config.last_known_list {
--- a/crates/pintally-platform-node/src/requests.rs
+++ b/crates/pintally-platform-node/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests in flight, and the memory that requests use.
+//! The requests in flight, and the memory that request bodies use.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::connection::ConnectionKey;
 
-/// A request, from its arrival until the host has ended it.
+/// A request, from its arrival until the host ends it.
 pub(crate) struct ActiveRequest {
     pub(crate) client: Option<ConnectionKey>,
     pub(crate) head: String,
@@ -23,7 +23,7 @@
     by_number: HashMap<RequestNumber, ActiveRequest>,
     next_number: RequestNumber,
     /// Bytes of the bodies of requests in flight, and of requests that are being received.
-    bytes: usize,
+    body_bytes: usize,
 }
 
 impl Requests {
@@ -33,8 +33,8 @@
     }
 
     /// Bytes of the bodies of requests in flight, and of requests that are being received.
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
+    pub(crate) fn body_bytes(&self) -> usize {
+        self.body_bytes
     }
 
     pub(crate) fn get(&self, number: RequestNumber) -> Option<&ActiveRequest> {
@@ -45,14 +45,14 @@
         self.by_number.get_mut(&number)
     }
 
-    /// The attempt in flight of a request, and its connection.
+    /// The attempt in flight of this request, and its connection.
     pub(crate) fn attempt_of(&self, number: RequestNumber) -> Option<(AttemptNumber, ConnectionKey)> {
         self.get(number).and_then(|request| request.attempt)
     }
 
     /// Adds a request under the next number.
     pub(crate) fn insert(&mut self, client: ConnectionKey, head: String, body: Vec<u8>) {
-        self.bytes += body.len();
+        self.body_bytes += body.len();
         let request = ActiveRequest { client: Some(client), head, body: Rc::from(body), attempt: None };
         self.by_number.insert(self.next_number, request);
         self.next_number += 1;
@@ -61,20 +61,20 @@
     /// Removes a request that the host has ended.
     pub(crate) fn remove(&mut self, number: RequestNumber) {
         if let Some(request) = self.by_number.remove(&number) {
-            self.bytes -= request.body.len();
+            self.body_bytes -= request.body.len();
         }
     }
 
-    /// Frees the body of a request that is not retried any more.
+    /// Frees the body of a request that is not retried again.
     pub(crate) fn discard_body(&mut self, number: RequestNumber) {
         if let Some(request) = self.by_number.get_mut(&number) {
-            self.bytes -= request.body.len();
+            self.body_bytes -= request.body.len();
             request.body = Rc::from([]);
         }
     }
 
-    /// Replaces the number of bytes that a connection has buffered of requests that are being received.
+    /// Updates the total when the number of bytes that a connection buffers changes from `before` to `after`.
     pub(crate) fn account_buffered(&mut self, before: usize, after: usize) {
-        self.bytes = self.bytes + after - before;
+        self.body_bytes = self.body_bytes + after - before;
     }
 }
--- a/crates/pintally-platform-node/src/shutdown.rs
+++ b/crates/pintally-platform-node/src/shutdown.rs
@@ -5,7 +5,7 @@
 /// The state of a graceful shutdown.
 #[derive(Default)]
 pub(crate) struct Shutdown {
-    /// When a signal requested it.
+    /// When a signal requested the shutdown.
     pub(crate) requested_at: Option<Micros>,
     /// The host has ended all requests and releases.
     pub(crate) host_stopped: bool,
--- a/crates/pintally-platform-node/src/signals.rs
+++ b/crates/pintally-platform-node/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals: a flag for each that has arrived, and readable sockets that wake the event loop.
+//! Signals: flags that record which have arrived, and sockets that wake the event loop.
 //!
-//! The flag is what counts. The byte that wakes the loop is sent by a system call, which may fail; the signal is
-//! then found in the next iteration, a tenth of a second later at the latest.
+//! The flag is authoritative. The byte that wakes the loop is sent by a system call, which may fail; the flag
+//! is then found in the next iteration, a tenth of a second later at the latest.
 
 use std::io::{self, Read};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -36,7 +36,7 @@
         self.flag.load(Ordering::SeqCst)
     }
 
-    /// Clears the flag and the wakeups; whether it was set.
+    /// Clears the flag and the wakeups; returns whether the flag was set.
     fn take(&self) -> bool {
         let mut buffer = [0; 64];
         while matches!((&self.wakeups).read(&mut buffer), Ok(count) if count > 0) {}
@@ -75,7 +75,7 @@
         self.reload.wakeups.as_fd()
     }
 
-    /// Whether any signal has arrived that was not taken.
+    /// Whether a signal has arrived that was not taken.
     pub(crate) fn is_pending(&self) -> bool {
         self.stop.is_set() || self.reload.is_set()
     }
--- a/crates/pintally-platform-node/src/start_times/tests.rs
+++ b/crates/pintally-platform-node/src/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Start times under clocks that are right, ahead and behind.
+//! Start times with a wall clock that is correct, ahead and behind.
 
 use pintally::interface::{Endpoint, EndpointState};
 
@@ -6,7 +6,7 @@
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-/// The time that all machines share, at the start of each test.
+/// The true time at the start of each test.
 const TRUE_TIME: Micros = 1_000 * HOUR;
 
 fn listed(id: &str, started: Micros) -> EngineEndpoint {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Ages of the engines of a list, in seconds, at a node whose clock is off by so much.
+/// The ages of the engines in a list, in seconds, at the node time `now`.
 fn ages(starts: &mut StartTimes, now: Micros, before: Option<Micros>, list: &[(&str, Micros)]) -> Vec<u64> {
     let mut list: Vec<EngineEndpoint> = list.iter().map(|(id, at)| listed(id, *at)).collect();
     starts.adjust(now, before, &mut list);
@@ -39,10 +39,10 @@
     let now = TRUE_TIME;
     let first = [("old", now - 100 * SECOND), ("new", now - 3 * SECOND)];
     assert_eq!(ages(&mut starts, now, None, &first), [100, 3]);
-    // Listed 12 s late, which is within the delay of lists.
+    // The engine is listed 12 s late, which is within the maximum delay of lists.
     let later = now + 20 * SECOND;
     assert_eq!(ages(&mut starts, later, Some(later - 2 * SECOND), &[("next", later - 12 * SECOND)]), [12]);
-    // Discovery was down for a minute: a start in that minute is accepted.
+    // Discovery was down for a minute: a start within that minute is accepted.
     let back = later + 60 * SECOND;
     assert_eq!(ages(&mut starts, back, Some(later), &[("missed", back - 50 * SECOND)]), [50]);
     assert_eq!(starts.corrections, 0);
@@ -55,11 +55,11 @@
     ages(&mut starts, now, None, &[("old", TRUE_TIME - HOUR)]);
     let last_message = Some(now);
     assert_eq!(ages(&mut starts, now + SECOND, last_message, &[("new", TRUE_TIME)]), [0]);
-    // From then on the clock is known to be off.
+    // From then on the error of the clock is known.
     let later = now + 30 * SECOND;
     let received = TRUE_TIME + 27 * SECOND;
     assert_eq!(ages(&mut starts, later, Some(later - SECOND), &[("next", received)]), [2]);
-    // A start that is listed again, as with a drain, is unchanged.
+    // The start time of an engine that is listed again, as with a drain, is unchanged.
     assert_eq!(ages(&mut starts, later, Some(later), &[("new", TRUE_TIME)]), [29]);
     assert_eq!(starts.corrections, 1);
 }
@@ -70,7 +70,8 @@
     let now = TRUE_TIME - HOUR;
     let first = [("old", TRUE_TIME - 100 * SECOND), ("new", TRUE_TIME - 3 * SECOND)];
     assert_eq!(ages(&mut starts, now, None, &first), [97, 0]);
-    // The newest was 3 s old: the next one that is listed shows that.
+    // The newest engine was 3 s old when its start was taken for the current time; the next engine that is
+    // listed corrects that.
     assert_eq!(ages(&mut starts, now + SECOND, Some(now), &[("next", TRUE_TIME + SECOND)]), [0]);
     assert_eq!(ages(&mut starts, now + 2 * SECOND, Some(now), &[("later", TRUE_TIME)]), [2]);
 }
--- a/crates/pintally-platform-node/src/status.rs
+++ b/crates/pintally-platform-node/src/status.rs
@@ -1,7 +1,7 @@
 //! The status document of a node, `GET /pintally/beliefs`.
 //!
-//! Its field names, and the texts under `counters` and `pace`, are read by on-call tools: they keep their
-//! spelling whatever the types behind them are called.
+//! Operators' tools read its field names and the texts under `counters` and `pace`: these must not change
+//! when the types behind them are renamed.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
 use crate::node::Node;
 
 impl Node {
-    /// The status document: what is estimated of each engine, beside what passed on its sockets.
+    /// The status document, with the core's estimates of each engine next to the counters of its sockets.
     pub(crate) fn status_document(&self) -> Value {
         let engines: Vec<Value> = self
             .engine_estimates(self.clock.now())
@@ -25,7 +25,7 @@
             "held": self.host.open_requests(),
             "clients": self.clients.count,
             "connections": self.connections.len(),
-            "bytes": self.requests.bytes(),
+            "bytes": self.requests.body_bytes(),
             "pace": admission_text(&self.host.admission_estimates()),
             "counters": counters_text(&self.host.counters()),
             "closes": counts_by_name(self.clients.closes.by_name()),
@@ -45,7 +45,7 @@
         failures.map(|(errno, count)| (errno.to_string(), (*count).into())).collect()
     }
 
-    /// What the core estimates of each engine, and the counters of its sockets.
+    /// The core's estimates of each engine, and the counters of its sockets.
     pub(crate) fn engine_estimates(
         &self,
         now: Micros,
@@ -88,7 +88,7 @@
     counts.map(|(name, count)| (name.to_string(), count.into())).collect()
 }
 
-/// An endpoint's state as the document spells it.
+/// The name of an endpoint's state in the document.
 fn state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Serving => "Serving",
@@ -97,12 +97,12 @@
     }
 }
 
-/// The counters as one text: `Counters { taken: 0, ... }`.
+/// The counters as one string: `Counters { taken: 0, ... }`.
 fn counters_text(counters: &Counters) -> String {
     format!("{:?}", CountersText(counters))
 }
 
-/// The admission estimates of all cores as one text: `[Pace { flight: inf, ... }]`.
+/// The admission estimates of all cores as one string: `[Pace { flight: inf, ... }]`.
 fn admission_text(estimates: &[AdmissionEstimate]) -> String {
     let texts: Vec<AdmissionText<'_>> = estimates.iter().map(AdmissionText).collect();
     format!("{texts:?}")
--- a/crates/pintally-platform-node/src/syscall/tests.rs
+++ b/crates/pintally-platform-node/src/syscall/tests.rs
@@ -1,4 +1,4 @@
-//! Each error that Linux documents for a call, and its meaning.
+//! Classification of the errors that Linux documents for each call.
 
 use super::*;
 
@@ -32,15 +32,15 @@
         (Errno::INVAL, RetryLater),
         (Errno::NOTSOCK, RetryLater),
     ];
-    for (errno, meaning) in table {
-        assert_eq!(accept_failure(&error(errno)), meaning, "{errno}");
+    for (errno, expected) in table {
+        assert_eq!(accept_failure(&error(errno)), expected, "{errno}");
     }
 }
 
 #[test]
-fn start_retries_transient_errors_only() {
+fn startup_retries_only_transient_errors() {
     let mut left = 3;
-    let done = retry_at_start("a call", || {
+    let done = retry_during_startup("a call", || {
         left -= 1;
         match left {
             0 => Ok("done"),
@@ -50,7 +50,7 @@
     assert_eq!(done.ok(), Some("done"));
     for errno in [Errno::NOENT, Errno::ACCESS, Errno::INVAL, Errno::AFNOSUPPORT] {
         let mut calls = 0;
-        let failed = retry_at_start("a call", || -> io::Result<()> {
+        let failed = retry_during_startup("a call", || -> io::Result<()> {
             calls += 1;
             Err(error(errno))
         });
--- a/crates/pintally-platform-node/src/watch_connection.rs
+++ b/crates/pintally-platform-node/src/watch_connection.rs
@@ -15,14 +15,14 @@
 use crate::poller::{self, Interest, Poller};
 use crate::syscall::is_retryable;
 
-/// How far a watch has come.
+/// The state of an open watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchState {
     /// The connection is being established.
     Connecting,
-    /// It is established; nothing of the response has been received.
+    /// The connection is established; no byte of the response has been received.
     Connected,
-    /// Some of the response has been received.
+    /// Part of the response has been received.
     Responding,
 }
 
@@ -30,19 +30,19 @@
 pub(crate) struct WatchConnection {
     stream: TcpStream,
     pub(crate) state: WatchState,
-    /// The rest of the request.
+    /// The part of the request that has not been written.
     output: Vec<u8>,
     reader: ResponseReader,
     decoder: WatchDecoder,
     status: u16,
-    /// When it was opened, connected, or last received something.
+    /// When the watch was opened, connected, or last received bytes.
     pub(crate) last_active: Micros,
 }
 
-/// Why a watch's response cannot be used.
+/// Why a watch's response is invalid.
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("the response cannot be read: {0}")]
+    #[error("the response is malformed: {0}")]
     Http(#[from] HttpError),
     #[error("the watch ended with status {0}")]
     Ended(u16),
@@ -52,7 +52,7 @@
     List(#[from] EndpointListError),
 }
 
-/// What was received of a watch's response.
+/// The parts of a watch's response that a read has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchProgress {
     HeadOnly,
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Writes the rest of the request; when all is written, waits for the response.
+    /// Writes the rest of the request; once all of it is written, waits for the response.
     fn write_request(&mut self, poller: &Poller) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
@@ -130,7 +130,7 @@
         connection.reader.push(&self.read_buffer[..count]);
         self.watch.reset_first_response_timeout();
         match self.handle_watch_parts() {
-            // Nothing else has changed up to now; the head of a response does not show that.
+            // A message confirms that the list is current up to now; the head of a response alone does not.
             Ok(WatchProgress::Body) if self.watch.list.revision().is_some() => {
                 self.watch.last_message = Some(now);
             }
--- a/crates/pintally-platform/src/client_request.rs
+++ b/crates/pintally-platform/src/client_request.rs
@@ -1,4 +1,4 @@
-//! Parser of client requests: what each asks for, or the error that its client gets.
+//! Parser of client requests: the kind of request, or the error response to the client.
 
 use pintally::interface::{Micros, RequestId};
 use pintally_host::{IncomingRequest, RequestNumber};
@@ -12,19 +12,20 @@
 const INFERENCE_PATH: &str = "/v1/chat/completions";
 /// Path of the platform's readiness check.
 const READINESS_PATH: &str = "/up";
-/// Path of the status document, for people on call.
+/// Path of the status document, for on-call operators.
 const STATUS_PATH: &str = "/pintally/beliefs";
 /// Maximum length of a request id.
 const MAX_ID_BYTES: usize = 128;
 /// Maximum number of tokens in a label.
 const MAX_TOKENS: u64 = 1 << 32;
-/// Maximum number of digits of a time, which fit in 64 bits.
+/// Maximum number of digits of a number of milliseconds: 18 digits fit in 64 bits.
 const MAX_MILLIS_DIGITS: usize = 18;
-/// Maximum timeout of a client: a day, longer than any client waits.
+/// Maximum timeout of a client: one day, longer than any client waits.
 const MAX_TIMEOUT_MS: u64 = 86_400_000;
 /// Headers that a request must not repeat.
 const SINGLE_HEADERS: [&str; 5] = ["x-txn", "x-lane", "x-remaining-ms", "x-entity", "x-labels"];
-/// Headers of the connection, of the framing and of the time budget, which the node sets itself.
+/// Headers that are not forwarded, because the node sets them itself: those of the connection, of the
+/// framing, and of the remaining time.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -38,23 +39,23 @@
     "x-remaining-ms",
 ];
 
-/// A parsed client request.
+/// A valid client request.
 #[derive(Debug)]
 pub enum ClientRequest {
     /// A request to be routed to engines.
     Inference(Box<InferenceRequest>),
     /// A readiness check.
     Readiness,
-    /// A query of the status document.
+    /// A request for the status document.
     Status,
 }
 
 /// A request to be routed to engines.
 #[derive(Debug)]
 pub struct InferenceRequest {
-    /// The input of the host.
+    /// The request as the host's input.
     pub arrival: IncomingRequest,
-    /// The head that engines get, up to the headers that each attempt adds.
+    /// The head that is forwarded to engines, without the headers that each attempt adds.
     pub head: String,
     /// The body, unchanged.
     pub body: Vec<u8>,
@@ -66,7 +67,7 @@
 pub struct RequestError {
     /// The HTTP status.
     pub status: u16,
-    /// What is wrong.
+    /// The text of the response body.
     pub message: &'static str,
 }
 
@@ -76,19 +77,19 @@
     }
 }
 
-/// Parses a client's request; `number` is the request's number if it is to be routed.
+/// Parses a client's request; `number` is the number it gets if it is routed to engines.
 ///
 /// # Errors
 ///
 /// If the path or the method is not served, or a header or the body is invalid.
 pub fn parse_client_request(
-    names: &LabelIndex,
+    labels: &LabelIndex,
     number: RequestNumber,
     request: Request,
 ) -> Result<ClientRequest, RequestError> {
     let path = request.target.split('?').next().unwrap_or("");
     match (request.method.as_str(), path) {
-        ("POST", INFERENCE_PATH) => parse_inference(names, number, request)
+        ("POST", INFERENCE_PATH) => parse_inference(labels, number, request)
             .map(|inference| ClientRequest::Inference(Box::new(inference))),
         ("GET" | "HEAD", READINESS_PATH) => Ok(ClientRequest::Readiness),
         ("GET", STATUS_PATH) => Ok(ClientRequest::Status),
@@ -100,18 +101,18 @@
 }
 
 fn parse_inference(
-    names: &LabelIndex,
+    labels: &LabelIndex,
     number: RequestNumber,
     request: Request,
 ) -> Result<InferenceRequest, RequestError> {
     let headers = &request.headers;
     check_single_headers(headers)?;
     let id = parse_id(headers)?;
-    let class = parse_class(names, headers)?;
-    let tenant = parse_tenant(names, headers)?;
+    let class = parse_class(labels, headers)?;
+    let tenant = parse_tenant(labels, headers)?;
     let client_timeout = parse_timeout(headers)?;
-    let labels = Labels::parse(header(headers, "x-labels").unwrap_or(""))?;
-    // Guards against a body that was cut off and would run as though it were complete.
+    let request_labels = RequestLabels::parse(header(headers, "x-labels").unwrap_or(""))?;
+    // Guards against a truncated body that an engine would run as if it were complete.
     if serde_json::from_slice::<IgnoredAny>(&request.body).is_err() {
         return Err(RequestError::bad_request("the body is no JSON"));
     }
@@ -121,10 +122,10 @@
         class: Some(class),
         tenant,
         session: header(headers, "x-entity").filter(|entity| !entity.is_empty()).map(name_to_u64),
-        prefix: labels.prefix.map(|prefix| name_to_u64(&prefix)).filter(|prefix| *prefix != 0),
-        prompt_tokens: labels.prompt_tokens.unwrap_or(request.body.len() as u64 / 4),
-        prefix_tokens: labels.prefix_tokens.unwrap_or(0),
-        max_tokens: labels.max_tokens,
+        prefix: request_labels.prefix.map(|prefix| name_to_u64(&prefix)).filter(|prefix| *prefix != 0),
+        prompt_tokens: request_labels.prompt_tokens.unwrap_or(request.body.len() as u64 / 4),
+        prefix_tokens: request_labels.prefix_tokens.unwrap_or(0),
+        max_tokens: request_labels.max_tokens,
         client_timeout,
         streamed: true,
         resumed: header(headers, "x-resent") == Some("again"),
@@ -157,15 +158,15 @@
     Ok(RequestId(id.into()))
 }
 
-fn parse_class(names: &LabelIndex, headers: &Headers) -> Result<usize, RequestError> {
+fn parse_class(labels: &LabelIndex, headers: &Headers) -> Result<usize, RequestError> {
     let name = header(headers, "x-lane").ok_or(RequestError::bad_request("X-Lane is missing"))?;
-    names.class(name).ok_or(RequestError::bad_request("X-Lane names no class"))
+    labels.class(name).ok_or(RequestError::bad_request("X-Lane names no class"))
 }
 
-fn parse_tenant(names: &LabelIndex, headers: &Headers) -> Result<Option<usize>, RequestError> {
+fn parse_tenant(labels: &LabelIndex, headers: &Headers) -> Result<Option<usize>, RequestError> {
     match header(headers, "x-org") {
         None | Some("") => Ok(None),
-        Some(name) => names.tenant(name).map(Some).ok_or(RequestError::bad_request("X-Org names no tenant")),
+        Some(name) => labels.tenant(name).map(Some).ok_or(RequestError::bad_request("X-Org names no tenant")),
     }
 }
 
@@ -174,7 +175,7 @@
     parse_millis(text).map(Some).ok_or(RequestError::bad_request("X-Remaining-Ms is no number"))
 }
 
-/// Whole milliseconds, limited to [`MAX_TIMEOUT_MS`].
+/// Parses whole milliseconds, limited to [`MAX_TIMEOUT_MS`].
 fn parse_millis(text: &str) -> Option<Micros> {
     if text.is_empty() || text.len() > MAX_MILLIS_DIGITS || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
@@ -182,7 +183,7 @@
     text.parse::<u64>().ok().map(|ms| ms.min(MAX_TIMEOUT_MS) * 1000)
 }
 
-/// The request's head without what the node sets itself.
+/// The request's head without the headers that the node sets itself.
 fn forwarded_head(request: &Request) -> String {
     let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.target);
     for (name, value) in &request.headers.0 {
@@ -193,7 +194,7 @@
     head
 }
 
-/// A name as a number: hexadecimal names of up to 64 bits by value, others by their hash.
+/// Maps a name to a number: hexadecimal names of up to 64 bits to their value, others to their hash.
 fn name_to_u64(name: &str) -> u64 {
     match u64::from_str_radix(name, 16) {
         Ok(number) if name.len() <= 16 => number,
@@ -201,18 +202,18 @@
     }
 }
 
-/// The labels of a request that routing uses.
+/// The labels in `X-Labels` that routing uses.
 #[derive(Default)]
-struct Labels {
+struct RequestLabels {
     prefix: Option<String>,
     prompt_tokens: Option<u64>,
     prefix_tokens: Option<u64>,
     max_tokens: Option<u64>,
 }
 
-impl Labels {
-    fn parse(text: &str) -> Result<Labels, RequestError> {
-        let mut labels = Labels::default();
+impl RequestLabels {
+    fn parse(text: &str) -> Result<RequestLabels, RequestError> {
+        let mut labels = RequestLabels::default();
         for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
             let (name, value) =
                 pair.split_once('=').ok_or(RequestError::bad_request("X-Labels are no pairs"))?;
@@ -229,7 +230,7 @@
     }
 }
 
-/// A number of tokens, limited to [`MAX_TOKENS`].
+/// Parses a number of tokens, limited to [`MAX_TOKENS`].
 fn parse_tokens(text: &str) -> Result<u64, RequestError> {
     let number = text.parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0);
     let Some(number) = number else {
--- a/crates/pintally-platform/src/configuration.rs
+++ b/crates/pintally-platform/src/configuration.rs
@@ -1,40 +1,40 @@
-//! A node's configuration file: limits, settings, and the endpoint list as it was last known.
+//! A node's configuration file: limits, settings, and the last known endpoint list.
 
 use std::net::SocketAddr;
 
 use pintally::interface::Micros;
 use pintally_config::{ClassSettings, Limits as HostLimits, NodeSettings};
-use pintally_wire::NodeConfiguration;
+use pintally_wire::ParsedSettings;
 use serde_json::Value;
 use thiserror::Error;
 
 use crate::endpoint_list::{EndpointList, EndpointListError};
 use crate::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Minimum number of file descriptors with which a node can work.
+/// Minimum number of file descriptors that a node needs.
 const MIN_SOCKETS: u64 = 64;
-/// Maximum number of file descriptors that is used of a limit.
+/// Maximum number of file descriptors that a node uses, however high its limit is.
 const MAX_SOCKETS: u64 = 1 << 20;
-/// Minimum memory with which a node can work, in megabytes.
+/// Minimum memory that a node needs, in megabytes.
 const MIN_MEMORY_MB: u64 = 16;
 /// Bounds of the timeout of a release call.
 const MIN_RELEASE_TIMEOUT: Micros = 50_000;
 const MAX_RELEASE_TIMEOUT: Micros = 500_000;
 /// Timeout of a class without a deadline.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 60_000_000;
-/// `max_tokens` of a request that does not state it.
+/// Output limit of a request that does not state one.
 const DEFAULT_MAX_TOKENS: u64 = 256;
-/// A request has to arrive completely within this time.
+/// Maximum time in which a request has to arrive completely.
 const RECEIVE_TIMEOUT: Micros = 2_500_000;
-/// A client has to take some of its response within this time.
+/// Maximum time in which a client has to read some of its response.
 const WRITE_TIMEOUT: Micros = 10_000_000;
-/// A client's connection may be idle for this time.
+/// Maximum time for which a client connection may be idle.
 const IDLE_TIMEOUT: Micros = 10_000_000;
-/// A stream that has gone silent has to end before its client has waited 5 s.
+/// A stream that makes no progress is ended before its client has waited 5 s.
 const STALL_TIMEOUT: Micros = 4_600_000;
-/// A final answer is given this long before the client's deadline.
+/// The final answer of a request is sent this long before the client's deadline.
 const ANSWER_MARGIN: Micros = 20_000;
-/// Accepted requests are answered, however long that takes; the platform ends the process.
+/// A graceful shutdown answers all accepted requests, however long that takes; the platform ends the process.
 const SHUTDOWN_TIMEOUT: Micros = 3_600_000_000;
 
 /// Why a configuration is invalid.
@@ -47,24 +47,24 @@
     #[error("`{0}` is missing")]
     Missing(&'static str),
     /// A field is not a string.
-    #[error("`{0}` is no text")]
+    #[error("`{0}` must be a string")]
     NotAString(&'static str),
     /// A field is not a socket address.
-    #[error("`{field}` is `{value}`, not an address and port")]
+    #[error("`{field}` is `{value}`, expected an IP address and port")]
     NotAnAddress {
         /// The field.
         field: &'static str,
         /// Its value.
         value: String,
     },
-    /// The seed is not a number.
-    #[error("`seed` is no hexadecimal number")]
+    /// The seed is not an unsigned 64-bit number.
+    #[error("`seed` must be an unsigned 64-bit integer, as a number or a hexadecimal string")]
     Seed,
     /// A limit is missing or not a positive number.
-    #[error("`limits.{0}` is missing or not a number above 0")]
+    #[error("`limits.{0}` is missing or not a number greater than 0")]
     Limit(&'static str),
     /// A limit is too low.
-    #[error("`limits.{field}` is {value}, at least {min} are needed")]
+    #[error("`limits.{field}` is {value}, expected at least {min}")]
     LimitTooLow {
         /// The field in `limits`.
         field: &'static str,
@@ -84,7 +84,7 @@
 /// Resource limits of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Part of a core.
+    /// Number of cores, which may be a fraction.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: u64,
@@ -124,14 +124,14 @@
     pub listen: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Resource limits.
     pub limits: Limits,
-    /// The endpoint list as this node last had it (`known`).
+    /// The endpoint list that this node knew last (`known`).
     pub last_known_list: Option<EndpointList>,
     /// The settings object.
-    pub settings: NodeConfiguration,
+    pub settings: ParsedSettings,
 }
 
 impl Configuration {
@@ -139,10 +139,10 @@
     ///
     /// # Errors
     ///
-    /// The error names the first field that is missing or invalid.
+    /// If a field is missing or invalid; the error names the first such field.
     pub fn parse(text: &str) -> Result<Configuration, ConfigurationError> {
         let root: Value = serde_json::from_str(text)?;
-        let seed = seed(field(&root, "seed")?);
+        let seed = parse_seed(field(&root, "seed")?);
         let limits = Limits::parse(field(&root, "limits")?)?;
         let last_known_list = match root.get("known") {
             None | Some(Value::Null) => None,
@@ -155,12 +155,12 @@
             seed: seed.ok_or(ConfigurationError::Seed)?,
             limits,
             last_known_list,
-            settings: pintally_wire::settings(field(&root, "settings")?.clone())?,
+            settings: pintally_wire::parse_settings(field(&root, "settings")?.clone())?,
         })
     }
 
-    /// Maximum number of client connections: usual clients use a third of all descriptors at most, each of
-    /// their requests needs one for an engine, and the rest is for idle clients.
+    /// Maximum number of client connections. Clients usually use at most a third of all descriptors, each of
+    /// their requests needs one more for its engine, and the rest is for idle clients.
     pub fn max_client_connections(&self) -> usize {
         self.limits.sockets / 2 - 8
     }
@@ -201,7 +201,8 @@
             0 => max_connections,
             max => max_connections.min(max as usize),
         };
-        // A release call without an answer by then counts as failed; the next ones do not wait for it.
+        // A release call that is not answered within this time counts as failed; the next ones
+        // do not wait for it.
         let release_timeout =
             (self.settings.settings.release_deadline / 4).clamp(MIN_RELEASE_TIMEOUT, MAX_RELEASE_TIMEOUT);
         HostLimits {
@@ -214,7 +215,8 @@
             write_timeout: WRITE_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             connect_timeout: self.settings.transport.connect_timeout,
-            // Closed well before the engine may close it itself: what is written after that is lost.
+            // Idle connections are closed well before the engine may close them: a request written
+            // after that is lost.
             keep_alive: self.settings.transport.keep_alive / 2,
             max_streams_per_engine: self.limits.sockets,
             background_call_timeout: release_timeout,
@@ -240,8 +242,8 @@
     value.parse().map_err(not_an_address)
 }
 
-/// A seed: a number, or a string of hexadecimal digits.
-fn seed(value: &Value) -> Option<u64> {
+/// Parses a seed: a number, or a string of hexadecimal digits.
+fn parse_seed(value: &Value) -> Option<u64> {
     match value {
         Value::Number(number) => number.as_u64(),
         Value::String(text) => u64::from_str_radix(text.trim_start_matches("0x"), 16).ok(),
@@ -249,7 +251,7 @@
     }
 }
 
-/// The settings of a class with this deadline; 0 is none.
+/// The settings of a class with this deadline; 0 means that it has none.
 fn class_settings(deadline: Micros) -> ClassSettings {
     let default_client_timeout = if deadline == 0 { DEFAULT_CLIENT_TIMEOUT } else { deadline };
     ClassSettings { default_client_timeout, max_tokens: DEFAULT_MAX_TOKENS }
--- a/crates/pintally-platform/src/encode.rs
+++ b/crates/pintally-platform/src/encode.rs
@@ -1,9 +1,9 @@
-//! Requests to engines and to discovery, as bytes.
+//! Encoding of requests to engines and to discovery.
 
 use std::fmt::Write;
 
-/// The head of an attempt: the client's request head with the body length and the time budget that is
-/// left.
+/// Encodes the head of an attempt: the client's request head, the body length, and the time that is left
+/// until the client's deadline.
 pub fn encode_attempt_head(head: &str, remaining_ms: u64, body_bytes: usize) -> Vec<u8> {
     let mut out = String::with_capacity(head.len() + 64);
     out.push_str(head);
@@ -11,12 +11,12 @@
     out.into_bytes()
 }
 
-/// A call that releases all reservations of a request.
+/// Encodes a call that releases all reservations of a request.
 pub fn encode_release(request_id: &str) -> Vec<u8> {
     format!("DELETE /v1/holds/{request_id} HTTP/1.1\r\nHost: engine\r\n\r\n").into_bytes()
 }
 
-/// A watch of the endpoint list, resumed after `revision` if there is one.
+/// Encodes a watch of the endpoint list, which resumes after `revision` if there is one.
 pub fn encode_watch(revision: Option<u64>) -> Vec<u8> {
     let index = revision.map_or(String::new(), |revision| format!("&index={revision}"));
     format!("GET /discovery/hosts?stream=1{index} HTTP/1.1\r\nHost: discovery\r\n\r\n").into_bytes()
--- a/crates/pintally-platform/src/endpoint_list.rs
+++ b/crates/pintally-platform/src/endpoint_list.rs
@@ -1,16 +1,16 @@
-//! The endpoint list as discovery sends it, and the revision that a node has applied.
+//! Parser of the endpoint lists that discovery sends, and tracking of the applied revision.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use pintally::interface::{ListUpdate, Micros};
 use pintally_host::EngineEndpoint;
-use pintally_wire::Entry;
+use pintally_wire::EndpointEntry;
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
 
-/// The list in the platform's spelling.
+/// An endpoint list in the platform's JSON schema.
 #[derive(Clone, Debug, Deserialize)]
 struct ListMessage {
     revision: u64,
@@ -19,7 +19,7 @@
     endpoints: Vec<EndpointMessage>,
 }
 
-/// An entry in the platform's spelling.
+/// An entry in the platform's JSON schema.
 #[derive(Clone, Debug, Deserialize)]
 struct EndpointMessage {
     id: String,
@@ -41,7 +41,7 @@
 
 impl From<EndpointMessage> for EngineEndpoint {
     fn from(message: EndpointMessage) -> EngineEndpoint {
-        let entry = Entry {
+        let entry = EndpointEntry {
             engine: message.id,
             zone: message.zone,
             kind: message.kind,
@@ -51,7 +51,7 @@
             started: message.up_since_ms.filter(|ms| ms.is_finite()).map(start_time),
         };
         EngineEndpoint {
-            endpoint: entry.member(),
+            endpoint: entry.into_endpoint(),
             address: message.address,
             cell: None,
             started_unix_ms: None,
@@ -59,35 +59,35 @@
     }
 }
 
-/// The start time of an engine; the node's clock and the platform's have the same epoch.
+/// Converts the start time of an engine; the clocks of the node and of the platform have the same epoch.
 fn start_time(up_since_ms: f64) -> Micros {
     (up_since_ms.max(0.0) * 1e3) as Micros
 }
 
-/// Why a list cannot be read.
+/// Why a list cannot be parsed.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
     /// It is not JSON, or a field is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// Two entries have the same id, or an id is empty.
-    #[error("engine `{0}` is listed twice or has no name")]
+    #[error("endpoint id `{0}` is empty or listed twice")]
     DuplicateOrEmptyId(String),
 }
 
-/// A revision of the endpoint list: all entries, or the changed ones.
+/// A revision of the endpoint list: all entries, or only the changed ones.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     /// The revision.
     pub revision: u64,
-    /// Whether it has all entries.
+    /// Whether it contains all entries.
     pub complete: bool,
     /// The entries.
     pub endpoints: Vec<EngineEndpoint>,
 }
 
 impl EndpointList {
-    /// Reads a list from a JSON value.
+    /// Parses a list from a JSON value.
     ///
     /// # Errors
     ///
@@ -96,7 +96,7 @@
         EndpointList::try_from(ListMessage::deserialize(value)?)
     }
 
-    /// Reads one object of a watch.
+    /// Parses one object of a watch.
     ///
     /// # Errors
     ///
@@ -124,25 +124,25 @@
     }
 }
 
-/// Why a list that can be read is not applied.
+/// Why a list that can be parsed is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidList {
     /// A complete list has no entry.
-    #[error("a whole list without an engine")]
+    #[error("complete list without an engine")]
     Empty,
-    /// Changes came before any complete list.
-    #[error("changes without a complete list before them")]
+    /// Changes arrived before any complete list.
+    #[error("changes without a preceding complete list")]
     ChangesWithoutBase,
 }
 
 /// The effect of a received list.
 #[derive(Debug)]
 pub enum ListChange {
-    /// It has no changes.
+    /// It contains no changes.
     Unchanged,
     /// It is older than the applied revision.
     Stale,
-    /// It contradicts itself or what was applied.
+    /// It is inconsistent, in itself or with what was applied.
     Invalid(InvalidList),
     /// These entries are to be applied.
     Apply(ListUpdate, Vec<EngineEndpoint>),
@@ -162,7 +162,7 @@
 
     /// Checks a received list against the applied revision, and advances to it if it is valid.
     pub fn advance(&mut self, list: EndpointList) -> ListChange {
-        // Guards against a list that goes back in time: a drain must not be undone.
+        // Guards against an outdated list, which could undo a drain.
         if self.revision.is_some_and(|applied| list.revision < applied) {
             return ListChange::Stale;
         }
--- a/crates/pintally-platform/src/endpoint_watch.rs
+++ b/crates/pintally-platform/src/endpoint_watch.rs
@@ -1,24 +1,24 @@
-//! Framing of the body of an endpoint watch.
+//! Framing of the response body of an endpoint watch.
 
 use thiserror::Error;
 
-/// Maximum size of one object of a watch: indented entries take some 400 bytes each, so that 20,000
-/// engines fit.
+/// Maximum size of one object of a watch: an indented entry takes about 400 bytes, so that 20,000 engines
+/// fit.
 const MAX_OBJECT_BYTES: usize = 8 << 20;
 
-/// An object of a watch exceeds the size limit.
+/// An object of a watch is larger than the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("an object of the list is longer than {MAX_OBJECT_BYTES} bytes")]
 pub struct ObjectTooLong;
 
-/// Splits the body of a watch into JSON objects. An object is on one line or, if it is indented, on
-/// several. Each byte is scanned once, however small the pieces in which it arrives.
+/// Splits the body of a watch into JSON objects, which may span several lines. Each byte is scanned once,
+/// however small the received pieces are.
 #[derive(Default)]
 pub struct WatchDecoder {
     buffer: Vec<u8>,
     /// Bytes of `buffer` that have been scanned; the fields below describe the scanner at that position.
     scanned: usize,
-    /// Braces and brackets that are open.
+    /// Number of open braces and brackets.
     depth: u32,
     in_string: bool,
     after_backslash: bool,
@@ -57,7 +57,7 @@
             return false;
         }
         match byte {
-            // Newlines delimit only what is not an object; inside an object they are whitespace.
+            // A newline ends a line outside objects; inside an object it is whitespace.
             b'\n' if self.depth == 0 => {
                 self.in_string = false;
                 return true;
--- a/crates/pintally-platform/src/engine_response.rs
+++ b/crates/pintally-platform/src/engine_response.rs
@@ -1,7 +1,7 @@
-//! Reader of engine responses: from bytes, split anywhere, to complete events and an outcome.
+//! Incremental parser of engine responses: turns received bytes into complete events and an outcome.
 //!
-//! Only complete events with valid lines are forwarded, so that noise inside a chunk, or a chunk whose
-//! size does not fit, never reaches a client as though an engine had sent it.
+//! Only complete events with valid lines are forwarded, so that garbage inside a chunk, or a chunk with a
+//! wrong size, never reaches a client as if it were output of the engine.
 
 use pintally::interface::{LoadReport, Outcome};
 use pintally_http::{Headers, HttpError, Part, ResponseReader};
@@ -12,20 +12,20 @@
 
 /// Maximum size of one event, and of the body of a response that is not a stream.
 const MAX_EVENT_BYTES: usize = 64 << 10;
-/// Maximum size of a chunk, as announced.
+/// Maximum announced size of a chunk.
 const MAX_CHUNK_BYTES: u64 = MAX_BODY_BYTES as u64;
-/// The header, and the name of the comment, that carry a load report.
+/// The name of the header, and of the comment in a stream, that carries a load report.
 const LOAD_REPORT: &str = "x-pressure";
-/// The header by which an engine confirms that nothing of a rejected request ran.
-const REJECTED: &str = "x-turned-away";
+/// The header by which an engine confirms that it rejected a request without running any of it.
+const REJECTED_HEADER: &str = "x-turned-away";
 
-const INVALID_LINE: &str = "a line that is none of an event";
-const EVENT_TOO_LONG: &str = "an event is too long";
+const INVALID_LINE: &str = "a line is not a field or comment of an event stream";
+const EVENT_TOO_LONG: &str = "an event exceeds the size limit";
 
-/// Progress of a response.
+/// A parsed part of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseEvent {
-    /// Complete events of the stream, unchanged; the first ones begin the response to the client.
+    /// Complete events of the stream, unchanged; the first ones start the response to the client.
     Events(Vec<u8>),
     /// The attempt has ended.
     Ended {
@@ -40,7 +40,7 @@
     },
 }
 
-/// Reads the response to one attempt.
+/// Parses the response to one attempt.
 pub struct EngineResponseReader {
     response: ResponseReader,
     status: u16,
@@ -48,7 +48,7 @@
     load: Option<LoadReport>,
     cached_tokens: u64,
     body: Vec<u8>,
-    /// The data of an event has been forwarded.
+    /// An event with data has been forwarded.
     stream_started: bool,
     ended: bool,
     error: Option<&'static str>,
@@ -71,103 +71,103 @@
 }
 
 impl EngineResponseReader {
-    /// Why the response cannot be used, for logs.
+    /// Why the response is invalid, for logs.
     pub fn error(&self) -> Option<&'static str> {
         self.error
     }
 
     /// Whether no byte has been received.
-    pub fn is_untouched(&self) -> bool {
+    pub fn has_no_bytes(&self) -> bool {
         !self.response.has_begun()
     }
 
-    /// Whether the status is one of success.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Reads received bytes and appends the events that they complete.
-    pub fn push(&mut self, bytes: &[u8], names: &LabelIndex, out: &mut Vec<ResponseEvent>) {
+    /// Parses received bytes and appends the events that they complete.
+    pub fn push(&mut self, bytes: &[u8], labels: &LabelIndex, events: &mut Vec<ResponseEvent>) {
         if self.ended {
             return;
         }
         self.response.push(bytes);
         while !self.ended {
             match self.response.next_part() {
-                Ok(Some(part)) => self.handle_part(part, names, out),
+                Ok(Some(part)) => self.handle_part(part, labels, events),
                 Ok(None) => return,
-                Err(error) => self.fail(describe(error), out),
+                Err(error) => self.fail(describe(error), events),
             }
         }
     }
 
-    /// Handles the end of the connection.
-    pub fn closed(&mut self, names: &LabelIndex, out: &mut Vec<ResponseEvent>) {
+    /// Handles the close of the connection by the engine's side.
+    pub fn connection_closed(&mut self, labels: &LabelIndex, events: &mut Vec<ResponseEvent>) {
         if self.ended {
             return;
         }
-        // A stream ends with its last chunk; the end of the connection does not show that it is complete.
+        // A stream ends with its last chunk; the close of the connection does not show that it is complete.
         match self.response.closed() {
-            Ok(part) if self.status != 200 => self.handle_part(part, names, out),
-            _ => self.fail("the connection ended", out),
+            Ok(part) if self.status != 200 => self.handle_part(part, labels, events),
+            _ => self.fail("the connection closed before the end of the response", events),
         }
     }
 
-    /// The response cannot be used; the connection is not reusable.
-    fn fail(&mut self, error: &'static str, out: &mut Vec<ResponseEvent>) {
+    /// Ends an invalid response; the connection is not reusable.
+    fn fail(&mut self, error: &'static str, events: &mut Vec<ResponseEvent>) {
         self.error = Some(error);
-        self.end(Outcome::ConnectionBroken, false, out);
+        self.end(Outcome::ConnectionBroken, false, events);
     }
 
-    fn handle_part(&mut self, part: Part, names: &LabelIndex, out: &mut Vec<ResponseEvent>) {
+    fn handle_part(&mut self, part: Part, labels: &LabelIndex, events: &mut Vec<ResponseEvent>) {
         match part {
-            Part::Head(status, headers) => self.handle_head(status, &headers, names),
+            Part::Head(status, headers) => self.handle_head(status, &headers, labels),
             Part::Body(bytes) if self.status == 200 => {
                 self.body.extend_from_slice(&bytes);
-                self.forward_events(names, out);
+                self.forward_events(labels, events);
             }
             Part::Body(bytes) => {
                 if self.body.len() + bytes.len() > MAX_EVENT_BYTES {
-                    return self.fail("the body is too long", out);
+                    return self.fail("the body exceeds the size limit", events);
                 }
                 self.body.extend_from_slice(&bytes);
             }
-            Part::End(reusable) => self.finish(reusable, names, out),
+            Part::End(reusable) => self.finish(reusable, labels, events),
         }
     }
 
-    fn handle_head(&mut self, status: u16, headers: &Headers, names: &LabelIndex) {
+    fn handle_head(&mut self, status: u16, headers: &Headers, labels: &LabelIndex) {
         self.status = status;
-        self.rejected = headers.get(REJECTED).is_some_and(|v| v.trim() == "1");
-        self.load = headers.get(LOAD_REPORT).and_then(|v| names.load_of_pairs(v));
+        self.rejected = headers.get(REJECTED_HEADER).is_some_and(|v| v.trim() == "1");
+        self.load = headers.get(LOAD_REPORT).and_then(|v| labels.load_from_pairs(v));
     }
 
     /// Forwards the complete events of the stream.
-    fn forward_events(&mut self, names: &LabelIndex, out: &mut Vec<ResponseEvent>) {
+    fn forward_events(&mut self, labels: &LabelIndex, events: &mut Vec<ResponseEvent>) {
         let Some(end) = end_of_events(&self.body) else {
             if self.body.len() > MAX_EVENT_BYTES {
-                self.fail(EVENT_TOO_LONG, out);
+                self.fail(EVENT_TOO_LONG, events);
             }
             return;
         };
         let rest = self.body.split_off(end);
         let complete = std::mem::replace(&mut self.body, rest);
-        match self.scan_lines(&complete, names) {
-            Err(InvalidLine) => self.fail(INVALID_LINE, out),
+        match self.scan_lines(&complete, labels) {
+            Err(InvalidLine) => self.fail(INVALID_LINE, events),
             Ok(has_data) => {
                 if has_data || self.stream_started {
                     self.stream_started = true;
-                    out.push(ResponseEvent::Events(complete));
+                    events.push(ResponseEvent::Events(complete));
                 }
                 if self.body.len() > MAX_EVENT_BYTES {
-                    self.fail(EVENT_TOO_LONG, out);
+                    self.fail(EVENT_TOO_LONG, events);
                 }
             }
         }
     }
 
-    /// Scans lines of a stream; whether any carries data.
-    fn scan_lines(&mut self, bytes: &[u8], names: &LabelIndex) -> Result<bool, InvalidLine> {
+    /// Checks the lines of a stream and reads usage and load reports; returns whether any line carries data.
+    fn scan_lines(&mut self, bytes: &[u8], labels: &LabelIndex) -> Result<bool, InvalidLine> {
         let mut has_data = false;
         for line in bytes.split(|b| *b == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -179,7 +179,7 @@
                 has_data = true;
                 self.read_usage(data);
             } else if let Some(comment) = line.strip_prefix(b":") {
-                self.read_comment(comment, names);
+                self.read_comment(comment, labels);
             } else if !line.is_empty()
                 && ![&b"event:"[..], b"id:", b"retry:"].iter().any(|field| line.starts_with(field))
             {
@@ -200,44 +200,44 @@
         }
     }
 
-    fn read_comment(&mut self, comment: &[u8], names: &LabelIndex) {
+    fn read_comment(&mut self, comment: &[u8], labels: &LabelIndex) {
         let Ok(text) = std::str::from_utf8(comment) else { return };
         if let Some((name, value)) = text.split_once(':') {
             if name.trim().eq_ignore_ascii_case(LOAD_REPORT) {
-                self.load = names.load_of_pairs(value).or(self.load);
+                self.load = labels.load_from_pairs(value).or(self.load);
             }
         }
     }
 
-    fn finish(&mut self, reusable: bool, names: &LabelIndex, out: &mut Vec<ResponseEvent>) {
+    fn finish(&mut self, reusable: bool, labels: &LabelIndex, events: &mut Vec<ResponseEvent>) {
         let outcome = outcome_of_response(self.status, self.rejected);
         if outcome == Outcome::Served {
-            // A last event without the blank line that ends it.
+            // The last event may lack the blank line that ends it.
             let rest = std::mem::take(&mut self.body);
-            match self.scan_lines(&rest, names) {
+            match self.scan_lines(&rest, labels) {
                 Ok(has_data) if !rest.is_empty() && (has_data || self.stream_started) => {
                     self.stream_started = true;
-                    out.push(ResponseEvent::Events(rest));
+                    events.push(ResponseEvent::Events(rest));
                 }
                 Ok(_) => {}
-                Err(InvalidLine) => return self.fail(INVALID_LINE, out),
+                Err(InvalidLine) => return self.fail(INVALID_LINE, events),
             }
-            // Guards against a stream that is cut off by the end of the connection, and an empty one.
+            // Guards against an empty stream, and one that is cut off by the close of the connection.
             if !self.stream_started || !self.response.is_chunked() {
-                return self.fail("a stream without an event or a last chunk", out);
+                return self.fail("the stream has no event or no last chunk", events);
             }
         }
         if outcome == Outcome::Read {
             let json: Value = serde_json::from_slice(&self.body).unwrap_or(Value::Null);
             self.cached_tokens = json["cached_tokens"].as_u64().unwrap_or(0);
         }
-        self.end(outcome, reusable, out);
+        self.end(outcome, reusable, events);
     }
 
-    fn end(&mut self, outcome: Outcome, reusable: bool, out: &mut Vec<ResponseEvent>) {
+    fn end(&mut self, outcome: Outcome, reusable: bool, events: &mut Vec<ResponseEvent>) {
         if !std::mem::replace(&mut self.ended, true) {
             self.body = Vec::new();
-            out.push(ResponseEvent::Ended {
+            events.push(ResponseEvent::Ended {
                 outcome,
                 cached_tokens: self.cached_tokens,
                 load: self.load,
@@ -247,20 +247,20 @@
     }
 }
 
-/// A line that no event stream has.
+/// A line that is not valid in an event stream.
 struct InvalidLine;
 
-/// An error of the HTTP reader, for logs.
+/// Describes an error of the HTTP parser, for logs.
 fn describe(error: HttpError) -> &'static str {
     match error {
         HttpError::Malformed(reason) => reason,
-        HttpError::HeadTooLarge => "the head does not end",
-        HttpError::BodyTooLarge => "a chunk is too long",
-        HttpError::Encoding => "an encoding that is not served",
+        HttpError::HeadTooLarge => "the head exceeds the size limit",
+        HttpError::BodyTooLarge => "a chunk exceeds the size limit",
+        HttpError::Encoding => "the transfer encoding is not supported",
     }
 }
 
-/// The end of the last complete event.
+/// The position behind the last complete event.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
     let ends = |at: usize| {
         bytes[at] == b'\n' && (at >= 1 && bytes[at - 1] == b'\n' || at >= 2 && bytes[at - 2..at] == *b"\n\r")
--- a/crates/pintally-platform/src/lib.rs
+++ b/crates/pintally-platform/src/lib.rs
@@ -1,7 +1,8 @@
-//! Codec of the operators' platform protocol: bytes in, typed messages and events for the host out.
+//! Codec of the operators' platform protocol: parses received bytes into typed messages and events for the
+//! host, and encodes requests.
 //!
-//! No input or output and no clock here, and no routing decisions: the event loop of
-//! `pintally-platform-node` carries the bytes.
+//! It performs no input or output, reads no clock and makes no routing decisions: the event loop of
+//! `pintally-platform-node` transfers the bytes.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-platform/src/outcome.rs
+++ b/crates/pintally-platform/src/outcome.rs
@@ -1,20 +1,20 @@
-//! The only mapping from the end of an attempt to an [`Outcome`].
+//! The only mapping from the result of an attempt to an [`Outcome`].
 //!
-//! | end of the attempt | outcome | may have run |
+//! | result of the attempt | outcome | may have run |
 //! | --- | --- | --- |
 //! | 200 and events to the last chunk | `Served` | yes |
 //! | 202 | `Read` | no |
 //! | 410 with the engine's confirmation that it was rejected | `StateNotFound` | no |
 //! | any other status with that confirmation | `Overloaded` | no |
 //! | any other status | `Error` | yes |
-//! | no connection, or it ended before the request's last byte was written | `Unreachable` | no |
-//! | it ended, or the response cannot be parsed, after that | `ConnectionBroken` | yes |
+//! | no connection, or it closed before the request's last byte was written | `Unreachable` | no |
+//! | the connection closed, or the response is invalid, after that | `ConnectionBroken` | yes |
 //! | timeout before the request's last byte was written | `Unreachable` | no |
 //! | timeout after that | `TimedOut` | yes |
 
 use pintally::interface::Outcome;
 
-/// How far the request of an attempt was sent.
+/// Whether the request of an attempt was sent completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The request's last byte has not been written.
--- a/crates/pintally-platform/src/outcome/tests.rs
+++ b/crates/pintally-platform/src/outcome/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a retry of a request that is not idempotent after a response that does not show that
+/// Guards against a retry of a request that is not idempotent after a response that does not confirm that
 /// nothing ran.
 #[test]
 fn outcome_table() {
