--- a/crates/pintally-platform/tests/golden.rs
+++ b/crates/pintally-platform/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of the platform protocol: what engines and clients are sent, and what is read out of a
-//! configuration, a client's request, an engine's answer and discovery's lists.
+//! Golden files of the platform protocol: the bytes sent to engines and discovery, error responses, and the
+//! values parsed from a configuration, a client request, engine responses and endpoint lists.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -26,19 +26,19 @@
     match outcome {
         Outcome::Served => "served",
         Outcome::Read => "read",
-        Outcome::StateNotFound => "no state",
-        Outcome::Overloaded => "full",
+        Outcome::StateNotFound => "state not found",
+        Outcome::Overloaded => "overloaded",
         Outcome::Error => "error",
         Outcome::Unreachable => "unreachable",
-        Outcome::ConnectionBroken => "broken",
+        Outcome::ConnectionBroken => "connection broken",
         Outcome::TimedOut => "timed out",
         Outcome::Cancelled => "cancelled",
         Outcome::NeverSent => "never sent",
     }
 }
 
-fn listing_name(listing: EndpointState) -> &'static str {
-    match listing {
+fn state_name(state: EndpointState) -> &'static str {
+    match state {
         EndpointState::Serving => "serving",
         EndpointState::Draining => "draining",
         EndpointState::Gone => "gone",
@@ -57,7 +57,7 @@
     reader.next_request().expect("a readable request").expect("a complete request")
 }
 
-fn call_of(bytes: &[u8]) -> Result<ClientRequest, RequestError> {
+fn parse_request(bytes: &[u8]) -> Result<ClientRequest, RequestError> {
     parse_client_request(&configuration().settings.labels, 7, request(bytes))
 }
 
@@ -70,9 +70,9 @@
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!((config.limits.cores, config.limits.memory_mb, config.limits.sockets), (0.5, 32, 256));
     assert_eq!((config.max_client_connections(), config.max_total_body_bytes()), (120, 8 << 20));
-    let known = config.last_known_list.as_ref().expect("a list");
-    assert_eq!((known.revision, known.complete, known.endpoints.len()), (4, true, 1));
-    let engine = &known.endpoints[0];
+    let list = config.last_known_list.as_ref().expect("a list");
+    assert_eq!((list.revision, list.complete, list.endpoints.len()), (4, true, 1));
+    let engine = &list.endpoints[0];
     assert_eq!((&*engine.endpoint.engine.0, engine.address.to_string()), ("s-1", "127.0.0.1:3001".into()));
     assert_eq!(
         (engine.endpoint.rack, engine.endpoint.weight, engine.endpoint.started),
@@ -149,8 +149,8 @@
 
 #[test]
 fn client_request_values() {
-    let Ok(ClientRequest::Inference(inference)) = call_of(CLIENT_REQUEST.as_bytes()) else {
-        panic!("no request for work")
+    let Ok(ClientRequest::Inference(inference)) = parse_request(CLIENT_REQUEST.as_bytes()) else {
+        panic!("not an inference request")
     };
     let a = &inference.arrival;
     assert_eq!(a.number, 7);
@@ -161,11 +161,12 @@
     assert_eq!((a.client_timeout, a.streamed, a.resumed, a.bytes), (Some(4_800_000), true, true, 30));
     assert_eq!(inference.body, b"{\"model\":\"chat\",\"stream\":true}");
 
-    // Headers with a default, and names that are no hexadecimal number.
-    let least = "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Entity: somebody\r\n\
+    // Headers with a default, and names that are not hexadecimal numbers.
+    let minimal =
+        "POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Entity: somebody\r\n\
                  X-Labels: prefix=somewhere\r\nContent-Length: 9\r\n\r\n{\"a\":\"b\"}";
-    let Ok(ClientRequest::Inference(inference)) = call_of(least.as_bytes()) else {
-        panic!("no request for work")
+    let Ok(ClientRequest::Inference(inference)) = parse_request(minimal.as_bytes()) else {
+        panic!("not an inference request")
     };
     let a = &inference.arrival;
     assert_eq!((a.class, a.tenant, a.client_timeout, a.max_tokens), (Some(1), None, None, None));
@@ -175,8 +176,8 @@
 
 #[test]
 fn attempt_bytes() {
-    let Ok(ClientRequest::Inference(inference)) = call_of(CLIENT_REQUEST.as_bytes()) else {
-        panic!("no request for work")
+    let Ok(ClientRequest::Inference(inference)) = parse_request(CLIENT_REQUEST.as_bytes()) else {
+        panic!("not an inference request")
     };
     let mut attempt = encode_attempt_head(&inference.head, 900, inference.body.len());
     attempt.extend_from_slice(&inference.body);
@@ -191,22 +192,22 @@
 
 #[test]
 fn client_request_errors() {
-    let work = "POST /v1/chat/completions HTTP/1.1";
-    let good = "X-Txn: a1\r\nX-Lane: chat\r\n";
-    let with = |lines: &str| format!("{good}{lines}");
+    let inference = "POST /v1/chat/completions HTTP/1.1";
+    let valid = "X-Txn: a1\r\nX-Lane: chat\r\n";
+    let with = |lines: &str| format!("{valid}{lines}");
     let cases = [
-        (work, "X-Lane: chat\r\n".to_string(), "{}"),
-        (work, "X-Txn: a/b\r\nX-Lane: chat\r\n".to_string(), "{}"),
-        (work, "X-Txn: a1\r\n".to_string(), "{}"),
-        (work, "X-Txn: a1\r\nX-Lane: none\r\n".to_string(), "{}"),
-        (work, with("X-Org: nobody\r\n"), "{}"),
-        (work, with("X-Remaining-Ms: soon\r\n"), "{}"),
-        (work, with("X-Txn: a2\r\n"), "{}"),
-        (work, with("X-Labels: prompt_len\r\n"), "{}"),
-        (work, with("X-Labels: prompt_len=long\r\n"), "{}"),
-        (work, with("X-Labels: prefix_len=-1\r\n"), "{}"),
-        (work, with("X-Labels: max_out=inf\r\n"), "{}"),
-        (work, good.to_string(), "{\"cut\":"),
+        (inference, "X-Lane: chat\r\n".to_string(), "{}"),
+        (inference, "X-Txn: a/b\r\nX-Lane: chat\r\n".to_string(), "{}"),
+        (inference, "X-Txn: a1\r\n".to_string(), "{}"),
+        (inference, "X-Txn: a1\r\nX-Lane: none\r\n".to_string(), "{}"),
+        (inference, with("X-Org: nobody\r\n"), "{}"),
+        (inference, with("X-Remaining-Ms: soon\r\n"), "{}"),
+        (inference, with("X-Txn: a2\r\n"), "{}"),
+        (inference, with("X-Labels: prompt_len\r\n"), "{}"),
+        (inference, with("X-Labels: prompt_len=long\r\n"), "{}"),
+        (inference, with("X-Labels: prefix_len=-1\r\n"), "{}"),
+        (inference, with("X-Labels: max_out=inf\r\n"), "{}"),
+        (inference, valid.to_string(), "{\"cut\":"),
         ("GET /v1/chat/completions HTTP/1.1", String::new(), ""),
         ("POST /up HTTP/1.1", String::new(), ""),
         ("HEAD /pintally/beliefs HTTP/1.1", String::new(), ""),
@@ -215,32 +216,32 @@
     let mut got = String::new();
     for (line, headers, body) in cases {
         let bytes = format!("{line}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
-        let rejected = call_of(bytes.as_bytes()).expect_err(&bytes);
+        let rejected = parse_request(bytes.as_bytes()).expect_err(&bytes);
         let _ = writeln!(got, "{} {}", rejected.status, rejected.message);
     }
     assert_golden("client_request_errors.txt", &got);
 }
 
 #[test]
-fn routes() {
-    let of = |line: &str| call_of(format!("{line} HTTP/1.1\r\n\r\n").as_bytes());
-    assert!(matches!(of("GET /up"), Ok(ClientRequest::Readiness)));
-    assert!(matches!(of("HEAD /up?x=1"), Ok(ClientRequest::Readiness)));
-    assert!(matches!(of("GET /pintally/beliefs"), Ok(ClientRequest::Status)));
+fn request_paths() {
+    let parse = |line: &str| parse_request(format!("{line} HTTP/1.1\r\n\r\n").as_bytes());
+    assert!(matches!(parse("GET /up"), Ok(ClientRequest::Readiness)));
+    assert!(matches!(parse("HEAD /up?x=1"), Ok(ClientRequest::Readiness)));
+    assert!(matches!(parse("GET /pintally/beliefs"), Ok(ClientRequest::Status)));
 }
 
-/// An engine's response as text, read one byte at a time.
-fn answer_text(bytes: &[u8]) -> String {
-    let (names, mut reader, mut progress) =
+/// Parses an engine's response byte by byte and formats the result.
+fn response_text(bytes: &[u8]) -> String {
+    let (labels, mut reader, mut events) =
         (configuration().settings.labels, EngineResponseReader::default(), Vec::new());
-    bytes.iter().for_each(|b| reader.push(&[*b], &names, &mut progress));
+    bytes.iter().for_each(|b| reader.push(&[*b], &labels, &mut events));
     let mut got = String::new();
-    for one in progress {
-        let _ = match one {
+    for event in events {
+        let _ = match event {
             ResponseEvent::Events(bytes) => write!(got, "events:\n{}", String::from_utf8_lossy(&bytes)),
             ResponseEvent::Ended { outcome, cached_tokens, load, reusable } => writeln!(
                 got,
-                "outcome: {}\nkept tokens: {cached_tokens}\nload: {}\nreusable: {reusable}",
+                "outcome: {}\ncached tokens: {cached_tokens}\nload: {}\nreusable: {reusable}",
                 outcome_name(outcome),
                 load_text(load)
             ),
@@ -250,36 +251,36 @@
 }
 
 #[test]
-fn engine_answers() {
-    let answers = [
+fn engine_responses() {
+    let responses = [
         ("engine_stream.txt", &include_bytes!("golden/engine_stream.http")[..]),
         ("engine_read.txt", include_bytes!("golden/engine_read.http")),
-        ("engine_turned_away.txt", include_bytes!("golden/engine_turned_away.http")),
+        ("engine_rejected.txt", include_bytes!("golden/engine_rejected.http")),
     ];
-    for (expected, bytes) in answers {
-        assert_golden(expected, &answer_text(bytes));
+    for (expected, bytes) in responses {
+        assert_golden(expected, &response_text(bytes));
     }
 }
 
 #[test]
-fn outcomes_of_statuses() {
+fn outcomes_of_statuses_and_failures() {
     let mut got = String::new();
     for status in [200, 202, 400, 404, 409, 410, 429, 500, 502, 503, 504] {
-        let names = [false, true].map(|turned_away| outcome_name(outcome_of_response(status, turned_away)));
-        let _ = writeln!(got, "{status}: {}; turned away: {}", names[0], names[1]);
+        let names = [false, true].map(|rejected| outcome_name(outcome_of_response(status, rejected)));
+        let _ = writeln!(got, "{status}: {}; rejected: {}", names[0], names[1]);
     }
     for (phase, name) in [(Phase::Unwritten, "unwritten"), (Phase::Written, "written")] {
         let names = [false, true].map(|timed_out| outcome_name(outcome_of_failure(phase, timed_out)));
-        let _ = writeln!(got, "{name}: {}; in time: {}", names[0], names[1]);
+        let _ = writeln!(got, "{name}: {}; timed out: {}", names[0], names[1]);
     }
     assert_golden("outcomes.txt", &got);
 }
 
 #[test]
-fn discovery_messages() {
+fn endpoint_list_messages() {
     let (mut decoder, mut tracker, mut got) =
         (WatchDecoder::default(), EndpointListTracker::default(), String::new());
-    decoder.push(include_bytes!("golden/discovery.txt")).expect("short");
+    decoder.push(include_bytes!("golden/endpoint_list_messages.txt")).expect("short");
     while let Some(line) = decoder.next_object() {
         let list = match EndpointList::parse(&line) {
             Ok(list) => list,
@@ -290,21 +291,21 @@
         };
         let _ = writeln!(got, "revision {}, complete {}:", list.revision, list.complete);
         let _ = match tracker.advance(list) {
-            ListChange::Unchanged => writeln!(got, "  same"),
-            ListChange::Stale => writeln!(got, "  older"),
-            ListChange::Invalid(why) => writeln!(got, "  unsound: {why}"),
-            ListChange::Apply(form, members) => {
-                let full = matches!(form, ListUpdate::Full);
-                let _ = writeln!(got, "  holds, {}", if full { "all" } else { "changes" });
+            ListChange::Unchanged => writeln!(got, "  unchanged"),
+            ListChange::Stale => writeln!(got, "  stale"),
+            ListChange::Invalid(reason) => writeln!(got, "  invalid: {reason}"),
+            ListChange::Apply(update, members) => {
+                let is_full = matches!(update, ListUpdate::Full);
+                let _ = writeln!(got, "  apply, {}", if is_full { "full" } else { "delta" });
                 members.iter().try_for_each(|listed| {
                     let m = &listed.endpoint;
-                    let (id, address, state) = (&m.engine.0, listed.address, listing_name(m.state));
+                    let (id, address, state) = (&m.engine.0, listed.address, state_name(m.state));
                     let _ = write!(got, "  {id} {address} zone={:?} kind={} rack={}", m.zone, m.kind, m.rack);
                     writeln!(got, " {state} weight={} started={:?}", m.weight, m.started)
                 })
             }
         };
-        let _ = writeln!(got, "  follows from {:?}", tracker.revision());
+        let _ = writeln!(got, "  applied revision {:?}", tracker.revision());
     }
-    assert_golden("discovery_taken.txt", &got);
+    assert_golden("endpoint_lists_applied.txt", &got);
 }
--- a/crates/pintally-wire/src/labels.rs
+++ b/crates/pintally-wire/src/labels.rs
@@ -1,15 +1,15 @@
-//! LabelIndex and labels of events: classes, tenants, load fields, states of engines.
+//! Labels in events and endpoint lists: classes, tenants, fields of load reports, states of engines.
 
 use std::collections::HashMap;
 
 use pintally::interface::{Endpoint, EndpointState, EngineId, LoadReport, Micros};
 
-/// Turns the labels of events into indices of the settings.
+/// Maps the labels in events to indices in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct LabelIndex {
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
-    /// The labels of load reports that come as rows.
+    /// The labels of the columns of load reports that are sent as rows.
     load_fields: Vec<String>,
 }
 
@@ -32,8 +32,8 @@
         self.tenants.get(name).copied()
     }
 
-    /// A load report as a row, in the order of the settings' fields.
-    pub fn load(&self, row: &[Option<f64>]) -> LoadReport {
+    /// Parses a load report that is sent as a row of values, in the order of `fields` in the settings.
+    pub fn load_from_row(&self, row: &[Option<f64>]) -> LoadReport {
         let mut load = LoadReport::default();
         for (name, value) in self.load_fields.iter().zip(row) {
             set_field(&mut load, name, *value);
@@ -41,9 +41,9 @@
         load
     }
 
-    /// A load report as `name=value` pairs; `None` if any of it cannot be read or nothing
-    /// is reported.
-    pub fn load_of_pairs(&self, text: &str) -> Option<LoadReport> {
+    /// Parses a load report that is sent as `name=value` pairs; `None` if any pair is malformed or no
+    /// known field is reported.
+    pub fn load_from_pairs(&self, text: &str) -> Option<LoadReport> {
         let mut load = LoadReport::default();
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
@@ -73,8 +73,8 @@
     }
 }
 
-/// An engine's state by its label in a list; an unknown label takes the engine out of service.
-pub fn listing(label: &str) -> EndpointState {
+/// Maps the label of an engine's state in an endpoint list; an unknown label takes the engine out of service.
+pub fn endpoint_state(label: &str) -> EndpointState {
     match label {
         "SERVING" | "up" => EndpointState::Serving,
         "DRAINING" | "draining" => EndpointState::Draining,
@@ -82,9 +82,9 @@
     }
 }
 
-/// An entry of an endpoint list, however its source spells the fields.
+/// An entry of an endpoint list, independent of the field names in its source.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The engine's id.
     pub engine: String,
     /// Its zone.
@@ -97,19 +97,19 @@
     pub state: String,
     /// Its registered weight, if it has one.
     pub weight: Option<f64>,
-    /// Its last start, 0 or absent if long ago.
+    /// Its last start time; 0 or `None` if it is unknown or long ago.
     pub started: Option<Micros>,
 }
 
-impl Entry {
-    /// The entry as the decision core takes it.
-    pub fn member(self) -> Endpoint {
+impl EndpointEntry {
+    /// Converts the entry to the type of the decision core.
+    pub fn into_endpoint(self) -> Endpoint {
         Endpoint {
             engine: EngineId(self.engine.into()),
             zone: self.zone,
             kind: self.kind,
             rack: self.rack,
-            state: listing(&self.state),
+            state: endpoint_state(&self.state),
             weight: self.weight.unwrap_or(1.0),
             started: self.started.filter(|at| *at > 0),
         }
--- a/crates/pintally-wire/src/settings/error.rs
+++ b/crates/pintally-wire/src/settings/error.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with a settings object.
+//! Errors in a settings object.
 
 use thiserror::Error;
 
-/// What is missing in a settings object, or wrong with it.
+/// An error in a settings object.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It lacks a key, or a value is of the wrong type.
+    /// A key is missing, or a value is of the wrong type.
     #[error("settings: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The node's number is not below the number of nodes.
+    /// The node's index is not below the number of nodes.
     #[error("settings: `me` is {node}, outside the {nodes} of `balancers`")]
     NodeOutOfRange {
-        /// The node's number.
+        /// The node's index.
         node: u32,
-        /// How many nodes there are.
+        /// The number of nodes.
         nodes: u32,
     },
     /// A kind of machine has an unknown role.
@@ -28,12 +28,12 @@
     /// A class does not say whether its requests may be repeated.
     #[error("settings: unknown value `{0}` for `effect`")]
     UnknownIdempotency(String),
-    /// The endpoint list arrives in an unknown way.
+    /// The mode in which the endpoint list is delivered is unknown.
     #[error("settings: unknown value `{0}` for `discovery`")]
     UnknownDiscoveryMode(String),
 }
 
-/// Callers that report errors as text take the message.
+/// For callers that report errors as text.
 impl From<SettingsError> for String {
     fn from(error: SettingsError) -> String {
         error.to_string()
--- a/crates/pintally-wire/src/settings/form.rs
+++ b/crates/pintally-wire/src/settings/schema.rs
@@ -1,6 +1,6 @@
-//! The settings object as the bench spells it. Its keys and values are spelled here and in the mapping
-//! of [`super::settings`], nowhere else. The types are named as the bench names their keys: serde puts
-//! the names into the error messages that the bench records.
+//! The JSON schema of the settings object. The bench defines the names of its keys and values; only this
+//! file and [`super::parse_settings`] contain them. The types are named after the bench's keys, because
+//! serde puts the type names into the error messages that the bench records.
 
 use serde::Deserialize;
 
@@ -36,14 +36,14 @@
     pub(super) quota_per_s: f64,
 }
 
-/// What the settings say of the family of fleets, by kind of machine or by class.
+/// Settings of the engines: lists by kind of machine or by class.
 #[derive(Deserialize)]
 pub(super) struct FamilyInfo {
     #[serde(default, rename = "aim_us_per_1000_prompt_tokens")]
     pub(super) latency_objective_us_per_1000_tokens: Vec<f64>,
     #[serde(rename = "duty_by_kind")]
     pub(super) roles: Vec<String>,
-    /// Missing or 0: states are released within a default time.
+    /// If it is missing or 0, a default release deadline applies.
     #[serde(default, rename = "let_go_by")]
     pub(super) release_deadline_s: f64,
     #[serde(default, rename = "read_in_place")]
@@ -83,7 +83,7 @@
 
 #[derive(Default, Deserialize)]
 pub(super) struct Prices {
-    /// Missing: health checks are taken to be free; own traffic bounds them all the same.
+    /// If it is missing, health checks cost nothing; the node's own traffic limits their number all the same.
     #[serde(default, rename = "probe")]
     pub(super) health_check: f64,
 }
--- a/crates/pintally-wire/tests/golden.rs
+++ b/crates/pintally-wire/tests/golden.rs
@@ -1,13 +1,13 @@
-//! A golden settings object with every key and value, and the labels of load reports and lists.
+//! A golden settings object with every key and value, and the labels of load reports and endpoint lists.
 
 use pintally::interface::{DiscoveryMode, EndpointState, Idempotency, IdempotencyScope, LoadReporting, Role};
-use pintally_wire::{listing, settings, NodeConfiguration};
+use pintally_wire::{endpoint_state, parse_settings, ParsedSettings};
 use serde_json::Value;
 
 const SETTINGS: &str = include_str!("golden/settings.json");
 
-fn read(json: &str) -> NodeConfiguration {
-    settings(serde_json::from_str::<Value>(json).expect("JSON")).expect("valid settings")
+fn read(json: &str) -> ParsedSettings {
+    parse_settings(serde_json::from_str::<Value>(json).expect("JSON")).expect("valid settings")
 }
 
 #[test]
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn settings_of_sockets() {
+fn transport_settings() {
     let transport = read(SETTINGS).transport;
     assert_eq!(transport.deadlines, [5_000_000, 0, 0, 0, 0]);
     assert_eq!((transport.connect_timeout, transport.keep_alive), (200_000, 12_000_000));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn other_values() {
+fn alternative_values() {
     let json = SETTINGS.replace("\"on_request\"", "\"pushed\"").replace("\"on_probe\"", "\"inline\"");
     let s = read(&json.replace("\"off\"", "\"nominal\"")).settings;
     assert!(matches!((s.discovery_mode, s.load_reporting), (DiscoveryMode::Push, LoadReporting::Inline)));
@@ -76,22 +76,22 @@
 }
 
 #[test]
-fn labels() {
+fn labels_of_load_reports_and_states() {
     let labels = read(SETTINGS).labels;
     assert_eq!((labels.class("cell"), labels.class("none")), (Some(4), None));
     assert_eq!((labels.tenant("acme"), labels.tenant("none")), (Some(0), None));
-    let row = labels.load(&[Some(0.5), Some(2.0), Some(0.25), Some(3.0), Some(9.0)]);
-    let pairs = labels.load_of_pairs("busy=0.5, q=2,x0=0.25,x1=3,other=9").expect("a report");
-    let more = labels.load_of_pairs("util=0.5,queue=2,x0=0.25,x1=3").expect("a report");
+    let row = labels.load_from_row(&[Some(0.5), Some(2.0), Some(0.25), Some(3.0), Some(9.0)]);
+    let pairs = labels.load_from_pairs("busy=0.5, q=2,x0=0.25,x1=3,other=9").expect("a report");
+    let more = labels.load_from_pairs("util=0.5,queue=2,x0=0.25,x1=3").expect("a report");
     for load in [row, pairs, more] {
         assert_eq!((load.slots, load.queue), (Some(0.5), Some(2.0)));
         assert_eq!((load.memory, load.backlog), (Some(0.25), Some(3.0)));
     }
     for label in ["SERVING", "up"] {
-        assert!(matches!(listing(label), EndpointState::Serving), "{label}");
+        assert!(matches!(endpoint_state(label), EndpointState::Serving), "{label}");
     }
     for label in ["DRAINING", "draining"] {
-        assert!(matches!(listing(label), EndpointState::Draining), "{label}");
+        assert!(matches!(endpoint_state(label), EndpointState::Draining), "{label}");
     }
-    assert!(matches!(listing("removed"), EndpointState::Gone));
+    assert!(matches!(endpoint_state("removed"), EndpointState::Gone));
 }
