--- a/crates/pintally-bench-adapter/src/incoming.rs
+++ b/crates/pintally-bench-adapter/src/incoming.rs
@@ -160,7 +160,7 @@
     code: u32,
     #[serde(default, rename = "no_more")]
     is_final: Option<bool>,
-    /// Cached tokens if the code is one of success; 1 with code 254 if the state was not found.
+    /// The number of cached tokens; with code 254, 1 means that the state was not found.
     #[serde(default)]
     detail: Option<f64>,
     #[serde(default, rename = "feedback")]
--- a/crates/pintally-platform-node/src/client_connection.rs
+++ b/crates/pintally-platform-node/src/client_connection.rs
@@ -10,7 +10,7 @@
 use pintally_platform::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 use crate::arrival_times::ArrivalTimes;
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 
 /// Maximum number of bytes that are read beyond the request in flight.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
@@ -62,7 +62,7 @@
     pub(crate) write_blocked_since: Option<Micros>,
     /// Number of buffered input bytes that the node's total includes.
     pub(crate) accounted_bytes: usize,
-    pub(crate) interest: Interest,
+    pub(crate) interest: EventFlags,
 }
 
 /// Timeouts of client connections.
@@ -96,7 +96,7 @@
             last_active: now,
             write_blocked_since: None,
             accounted_bytes: 0,
-            interest: Interest::IN | Interest::RDHUP,
+            interest: EventFlags::IN | EventFlags::RDHUP,
         }
     }
 
@@ -120,9 +120,9 @@
     /// Whether an event shows that the client has disconnected. A half-closed connection counts as
     /// disconnected even if it has unread bytes: a request among them must not start, because nobody waits
     /// for its response. Only in the closing state is the rest of a response still written.
-    pub(crate) fn has_disconnected(&self, events: Interest) -> bool {
-        let half_closed = events.contains(Interest::RDHUP) && self.state != ClientState::Closing;
-        half_closed || events.intersects(Interest::ERR | Interest::HUP)
+    pub(crate) fn has_disconnected(&self, events: EventFlags) -> bool {
+        let half_closed = events.contains(EventFlags::RDHUP) && self.state != ClientState::Closing;
+        half_closed || events.intersects(EventFlags::ERR | EventFlags::HUP)
     }
 
     /// Output bytes that have not been written.
--- a/crates/pintally-platform-node/src/client_read.rs
+++ b/crates/pintally-platform-node/src/client_read.rs
@@ -9,7 +9,7 @@
 use crate::client_connection::ClientState;
 use crate::connection::{Connection, ConnectionKey};
 use crate::node::Node;
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 use crate::syscall::is_retryable;
 
 /// Maximum number of requests of one connection that are parsed in one iteration.
@@ -18,13 +18,13 @@
 impl Node {
     /// Handles an event of a client that has not disconnected, as [`Node::handle_disconnected_clients`] has
     /// checked.
-    pub(crate) fn handle_client_event(&mut self, key: ConnectionKey, events: Interest) {
+    pub(crate) fn handle_client_event(&mut self, key: ConnectionKey, events: EventFlags) {
         let Some(client) = self.client_mut(key) else { return };
         let wants_input = client.wants_input();
-        if events.contains(Interest::OUT) {
+        if events.contains(EventFlags::OUT) {
             self.clients.queue_write(key);
         }
-        if events.intersects(Interest::IN | Interest::RDHUP) && wants_input {
+        if events.intersects(EventFlags::IN | EventFlags::RDHUP) && wants_input {
             self.read_client(key);
         }
     }
@@ -117,12 +117,12 @@
     /// Registers the connection for the events that its state needs.
     pub(crate) fn update_client_interest(&mut self, key: ConnectionKey) {
         let Some(client) = self.client_mut(key) else { return };
-        let mut interest = Interest::RDHUP;
+        let mut interest = EventFlags::RDHUP;
         if client.wants_input() {
-            interest |= Interest::IN;
+            interest |= EventFlags::IN;
         }
         if client.unwritten_bytes() > 0 {
-            interest |= Interest::OUT;
+            interest |= EventFlags::OUT;
         }
         self.set_interest(key, interest);
     }
--- a/crates/pintally-platform-node/src/connection.rs
+++ b/crates/pintally-platform-node/src/connection.rs
@@ -6,7 +6,7 @@
 use crate::engine_connection::EngineConnection;
 use crate::event_source::EventSource;
 use crate::node::Node;
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 
 slotmap::new_key_type! {
     /// The key of a connection; keys of closed connections are not reused.
@@ -21,7 +21,7 @@
 
 impl Connection {
     /// The socket, and the events for which it is registered.
-    fn registration(&mut self) -> (&TcpStream, &mut Interest) {
+    fn registration(&mut self) -> (&TcpStream, &mut EventFlags) {
         match self {
             Connection::Client(client) => (&client.stream, &mut client.interest),
             Connection::Engine(engine) => (&engine.stream, &mut engine.interest),
@@ -42,7 +42,7 @@
     }
 
     /// Sets the events for which a connection is registered; makes a system call only if they have changed.
-    pub(crate) fn set_interest(&mut self, key: ConnectionKey, wanted: Interest) {
+    pub(crate) fn set_interest(&mut self, key: ConnectionKey, wanted: EventFlags) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let (stream, interest) = connection.registration();
         if *interest == wanted {
--- a/crates/pintally-platform-node/src/endpoint_watch.rs
+++ b/crates/pintally-platform-node/src/endpoint_watch.rs
@@ -11,8 +11,8 @@
 
 /// A watch that receives nothing for this time, not even a message without changes, is reopened.
 const SILENCE_TIMEOUT: Micros = 3_100_000;
-/// Timeout of the first response on a watch, longer because discovery may be slow. It doubles
-/// after each expiry, up to a limit. Guards against a node that opens one watch after another and
+/// Timeout of the first response on a watch, longer than [`SILENCE_TIMEOUT`] because discovery may be slow.
+/// It doubles after each expiry, up to a limit. Guards against a node that opens one watch after another and
 /// gets a response on none.
 const FIRST_RESPONSE_TIMEOUT: Micros = 5_000_000;
 const MAX_FIRST_RESPONSE_TIMEOUT: Micros = 20_000_000;
--- a/crates/pintally-platform-node/src/engine_connect.rs
+++ b/crates/pintally-platform-node/src/engine_connect.rs
@@ -11,7 +11,7 @@
 use crate::engine_connection::{EngineCall, EngineConnection, OutgoingRequest};
 use crate::eviction::ConnectionPurpose;
 use crate::node::Node;
-use crate::poller::{self, Interest};
+use crate::poller::{self, EventFlags};
 
 /// Which connection a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
             last_active: now,
             is_paused: false,
             last_progress: now,
-            interest: if is_connected { Interest::IN | Interest::RDHUP } else { Interest::OUT },
+            interest: if is_connected { EventFlags::IN | EventFlags::RDHUP } else { EventFlags::OUT },
             deadline: Micros::MAX,
         };
         let key = self.register(Connection::Engine(Box::new(connection))).ok_or(Outcome::NeverSent)?;
--- a/crates/pintally-platform-node/src/engine_connection.rs
+++ b/crates/pintally-platform-node/src/engine_connection.rs
@@ -9,7 +9,7 @@
 use pintally_host::RequestNumber;
 use pintally_platform::{EngineResponseReader, Phase};
 
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 
 /// If a reused connection ends within this time of its request, its engine had closed it before the reuse.
 const STALE_CLOSE_WITHIN: Micros = 30_000;
@@ -89,7 +89,7 @@
     pub(crate) is_paused: bool,
     /// When the last event of the stream arrived, or reading resumed after a pause.
     pub(crate) last_progress: Micros,
-    pub(crate) interest: Interest,
+    pub(crate) interest: EventFlags,
     /// When the timeout of the connection is checked next.
     pub(crate) deadline: Micros,
 }
--- a/crates/pintally-platform-node/src/engine_io.rs
+++ b/crates/pintally-platform-node/src/engine_io.rs
@@ -8,7 +8,7 @@
 use crate::connection::{Connection, ConnectionKey};
 use crate::engine_connection::EngineCall;
 use crate::node::Node;
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 
 /// Maximum number of reads of one connection in one iteration.
 const MAX_READS_PER_ITERATION: usize = 4;
@@ -25,13 +25,13 @@
 }
 
 impl Node {
-    pub(crate) fn handle_engine_event(&mut self, key: ConnectionKey, events: Interest) {
+    pub(crate) fn handle_engine_event(&mut self, key: ConnectionKey, events: EventFlags) {
         let Some(connection) = self.engine_mut(key) else { return };
         if connection.is_connected {
-            if events.contains(Interest::OUT) {
+            if events.contains(EventFlags::OUT) {
                 self.write_engine(key);
             }
-            if events.intersects(Interest::IN | Interest::RDHUP | Interest::HUP | Interest::ERR) {
+            if events.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
                 self.read_engine(key);
             }
         } else {
@@ -41,10 +41,10 @@
     }
 
     /// Handles the first event of a connection: it is established, or has failed.
-    fn finish_connect(&mut self, key: ConnectionKey, events: Interest) {
+    fn finish_connect(&mut self, key: ConnectionKey, events: EventFlags) {
         let Some(connection) = self.engine_mut(key) else { return };
         let has_failed = !matches!(connection.stream.take_error(), Ok(None));
-        if has_failed || events.intersects(Interest::ERR | Interest::HUP) {
+        if has_failed || events.intersects(EventFlags::ERR | EventFlags::HUP) {
             return self.connection_failed(key);
         }
         connection.is_connected = true;
@@ -100,9 +100,9 @@
     pub(crate) fn update_engine_interest(&mut self, key: ConnectionKey) {
         let Some(connection) = self.engine_mut(key) else { return };
         let mut interest =
-            if connection.is_paused { Interest::empty() } else { Interest::IN | Interest::RDHUP };
+            if connection.is_paused { EventFlags::empty() } else { EventFlags::IN | EventFlags::RDHUP };
         if connection.call.is_some() && !connection.is_written() {
-            interest |= Interest::OUT;
+            interest |= EventFlags::OUT;
         }
         self.set_interest(key, interest);
     }
--- a/crates/pintally-platform-node/src/eviction.rs
+++ b/crates/pintally-platform-node/src/eviction.rs
@@ -10,8 +10,8 @@
 /// Descriptors that are not used by client or engine connections: standard streams, epoll, listener, signals,
 /// watch, and a few for files.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Divisor of the limit that gives the number of descriptors reserved for release calls and connection probes
-/// when clients and attempts use all others, up to [`MAX_CALL_RESERVE`].
+/// The limit divided by this number, up to [`MAX_CALL_RESERVE`], is the number of descriptors that are
+/// reserved for release calls and connection probes when clients and attempts use all others.
 const CALL_RESERVE_DIVISOR: usize = 16;
 const MAX_CALL_RESERVE: usize = 8;
 /// A connection that has received requests may be evicted after it has been idle for this time.
--- a/crates/pintally-platform-node/src/listener.rs
+++ b/crates/pintally-platform-node/src/listener.rs
@@ -9,7 +9,7 @@
 use crate::connection::Connection;
 use crate::event_source::EventSource;
 use crate::node::Node;
-use crate::poller::Interest;
+use crate::poller::EventFlags;
 use crate::syscall::{accept_failure, AcceptFailure};
 
 /// Maximum number of connections that are accepted in one iteration.
@@ -93,7 +93,7 @@
     /// Pauses accepting. Guards against an event loop that spins on connections that it cannot accept.
     fn pause_accepting(&mut self) {
         let Some(listener) = &self.acceptor.listener else { return };
-        if self.poller.modify(listener, EventSource::Listener.token(), Interest::empty()).is_ok() {
+        if self.poller.modify(listener, EventSource::Listener.token(), EventFlags::empty()).is_ok() {
             self.acceptor.paused_until = Some(self.clock.now() + ACCEPT_PAUSE);
         }
     }
@@ -107,7 +107,7 @@
             self.acceptor.paused_until = None;
             return;
         };
-        let resumed = self.poller.modify(listener, EventSource::Listener.token(), Interest::IN);
+        let resumed = self.poller.modify(listener, EventSource::Listener.token(), EventFlags::IN);
         self.acceptor.paused_until = match resumed {
             Ok(()) => None,
             Err(_) => Some(now + ACCEPT_PAUSE),
--- a/crates/pintally-platform-node/src/node.rs
+++ b/crates/pintally-platform-node/src/node.rs
@@ -22,7 +22,7 @@
 use crate::host_queue::HostQueue;
 use crate::listener::Acceptor;
 use crate::log_limiter::LogLimiter;
-use crate::poller::{Interest, Poller};
+use crate::poller::{EventFlags, Poller};
 use crate::reload::Reload;
 use crate::requests::Requests;
 use crate::shutdown::Shutdown;
@@ -134,7 +134,7 @@
         (signals.stop_fd(), EventSource::Signals),
         (signals.reload_fd(), EventSource::Signals),
     ] {
-        retry_during_startup("epoll", || poller.add(fd, source.token(), Interest::IN))?;
+        retry_during_startup("epoll", || poller.add(fd, source.token(), EventFlags::IN))?;
     }
     Ok(poller)
 }
--- a/crates/pintally-platform-node/src/poller.rs
+++ b/crates/pintally-platform-node/src/poller.rs
@@ -7,7 +7,7 @@
 
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll;
-pub(crate) use rustix::event::epoll::EventFlags as Interest;
+pub(crate) use rustix::event::epoll::EventFlags;
 use rustix::event::Timespec;
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadyEvent {
     pub(crate) token: u64,
-    pub(crate) flags: Interest,
+    pub(crate) flags: EventFlags,
 }
 
 /// An epoll instance; closing a file descriptor removes it.
@@ -54,11 +54,11 @@
         Ok(Poller { epoll, events: Vec::with_capacity(MAX_EVENTS) })
     }
 
-    pub(crate) fn add(&self, source: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
+    pub(crate) fn add(&self, source: impl AsFd, token: u64, interest: EventFlags) -> io::Result<()> {
         Ok(epoll::add(&self.epoll, source, epoll::EventData::new_u64(token), interest)?)
     }
 
-    pub(crate) fn modify(&self, source: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
+    pub(crate) fn modify(&self, source: impl AsFd, token: u64, interest: EventFlags) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, source, epoll::EventData::new_u64(token), interest)?)
     }
 
--- a/crates/pintally-platform-node/src/watch_connection.rs
+++ b/crates/pintally-platform-node/src/watch_connection.rs
@@ -12,7 +12,7 @@
 
 use crate::event_source::EventSource;
 use crate::node::Node;
-use crate::poller::{self, Interest, Poller};
+use crate::poller::{self, EventFlags, Poller};
 use crate::syscall::is_retryable;
 
 /// The state of an open watch.
@@ -70,7 +70,7 @@
         let socket = poller::socket(address)?;
         poller::connect(&socket, address)?;
         let stream: TcpStream = socket.into();
-        poller.add(&stream, EventSource::EndpointWatch.token(), Interest::OUT)?;
+        poller.add(&stream, EventSource::EndpointWatch.token(), EventFlags::OUT)?;
         Ok(WatchConnection {
             stream,
             state: WatchState::Connecting,
@@ -93,17 +93,17 @@
                 Err(e) => return Err(e),
             }
         }
-        poller.modify(&self.stream, EventSource::EndpointWatch.token(), Interest::IN | Interest::RDHUP)
+        poller.modify(&self.stream, EventSource::EndpointWatch.token(), EventFlags::IN | EventFlags::RDHUP)
     }
 }
 
 impl Node {
-    pub(crate) fn handle_watch_event(&mut self, events: Interest) {
+    pub(crate) fn handle_watch_event(&mut self, events: EventFlags) {
         let now = self.clock.now();
         let Some(connection) = &mut self.watch.connection else { return };
         if connection.state == WatchState::Connecting {
             let has_failed = !matches!(connection.stream.take_error(), Ok(None));
-            if has_failed || events.intersects(Interest::ERR | Interest::HUP) {
+            if has_failed || events.intersects(EventFlags::ERR | EventFlags::HUP) {
                 return self.watch.fail(now);
             }
             connection.state = WatchState::Connected;
--- a/crates/pintally-wire/src/settings/error.rs
+++ b/crates/pintally-wire/src/settings/error.rs
@@ -25,7 +25,7 @@
     /// A class with idempotency keys has no scope, or an unknown one.
     #[error("settings: unknown or missing `group` in `profiles`")]
     UnknownIdempotencyScope,
-    /// A class does not say whether its requests may be repeated.
+    /// The idempotency of a class is unknown.
     #[error("settings: unknown value `{0}` for `effect`")]
     UnknownIdempotency(String),
     /// The mode in which the endpoint list is delivered is unknown.
