--- a/crates/pintally-benchmarks/src/price.rs
+++ b/crates/pintally-benchmarks/src/price.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use pintally::interface::Role;
-use pintally_cells::{CellName, CellSpec, CellsFile, Home, Needs, TenantHome};
+use pintally_cells::{CellName, CellSpec, CellsFile, HomeCells, RequiredEngines, TenantHome};
 use pintally_scenario::{in_time, requests, run, Day};
 
 use crate::flood::Interval;
@@ -102,7 +102,7 @@
 fn divide(day: &Day, number: usize, most: usize, lends: bool) -> Result<Day, MeasureError> {
     let mut day = day.clone();
     let name = |n: usize| format!("cell-{n}");
-    let (mut groups, mut needs) = (Vec::new(), Needs::default());
+    let (mut groups, mut needs) = (Vec::new(), RequiredEngines::default());
     for group in &day.engines {
         let spare = group.count % most;
         let each = (group.count - spare) / number;
@@ -131,10 +131,15 @@
     for (tenant, share) in shares {
         let least = (0..number).min_by(|a, b| f64::total_cmp(&loads[*a], &loads[*b])).unwrap_or(0);
         loads[least] += share;
-        let home = Home::Pinned(vec![CellName::from(name(least).as_str())]);
+        let home = HomeCells::Pinned(vec![CellName::from(name(least).as_str())]);
         tenants.push(TenantHome { tenant, home });
     }
-    let cell = |n| CellSpec { name: CellName::from(name(n).as_str()), weight: 1.0, needs, fallback: None };
+    let cell = |n| CellSpec {
+        name: CellName::from(name(n).as_str()),
+        weight: 1.0,
+        required_engines: needs,
+        fallback: None,
+    };
     let cells = (0..number).map(cell).collect();
     day.engines = groups;
     day.cells = Some(CellsFile { version: 1, cells, tenants, moves: Vec::new() });
--- a/crates/pintally-cells/src/admission.rs
+++ b/crates/pintally-cells/src/admission.rs
@@ -4,8 +4,8 @@
 
 use crate::cells::Cells;
 use crate::edge::EdgeDecision;
-use crate::health::{CellHealth, Level};
-use crate::moves::Move;
+use crate::health::{CellHealth, ServiceLevel};
+use crate::moves::TenantMove;
 use crate::CellName;
 
 /// A cell serves requests of an unavailable one only while it uses less than this fraction of its own quota.
@@ -88,7 +88,7 @@
         health.update_admission(now, self.overload.is_overloaded(now, &home));
         let admits_class = health.admits(request.class);
         let usable = health.usable_fraction();
-        if health.level() == Level::Unavailable {
+        if health.level() == ServiceLevel::Unavailable {
             return self.admit_to_unavailable(now, home, request);
         }
         if !admits_class {
@@ -137,7 +137,8 @@
     /// does not fit is rejected.
     fn fallback(&self, now: Micros, home: &CellName, request: AdmissionRequest) -> Option<CellName> {
         let fallback = self.file.cell_named(home)?.fallback.clone()?;
-        let is_normal = self.health.get(&fallback).is_some_and(|health| health.level() == Level::Normal);
+        let is_normal =
+            self.health.get(&fallback).is_some_and(|health| health.level() == ServiceLevel::Normal);
         let usage = self.edge.usage(&fallback);
         let has_slots = (usage.used as f64) < usage.quota as f64 * MAX_FALLBACK_UTILIZATION
             && self.edge.used_slots() < self.slots;
@@ -151,21 +152,23 @@
     /// The cell of a request: by the file, and by how far this node has let a move come.
     fn cell_of(&mut self, now: Micros, request: AdmissionRequest, unix_ms: u64) -> Option<CellName> {
         let Cells { file, move_rate, health, overload, paused_moves, .. } = self;
-        file.cell_for_share(request.tenant, request.session, |tenant_move: &Move| {
-            let level = |cell: &CellName| health.get(cell).map_or(Level::Unavailable, CellHealth::level);
-            let worst = |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(Level::Unavailable);
+        file.cell_for_share(request.tenant, request.session, |tenant_move: &TenantMove| {
+            let level =
+                |cell: &CellName| health.get(cell).map_or(ServiceLevel::Unavailable, CellHealth::level);
+            let worst =
+                |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(ServiceLevel::Unavailable);
             let target_level = worst(&tenant_move.to);
             let target_overloaded = tenant_move.to.iter().any(|cell| overload.is_overloaded(now, cell));
             // No session must stay in a cell that is worse off than the target.
             let home_is_worse = worst(&file.home(&tenant_move.tenant)) > target_level;
-            let paused = (target_overloaded || target_level > Level::Normal) && !home_is_worse;
+            let paused = (target_overloaded || target_level > ServiceLevel::Normal) && !home_is_worse;
             let is_listed = paused_moves.contains(&tenant_move.tenant);
             if paused && !is_listed {
                 paused_moves.push(tenant_move.tenant.clone());
             } else if !paused && is_listed {
                 paused_moves.retain(|tenant| *tenant != tenant_move.tenant);
             }
-            move_rate.share(tenant_move, unix_ms, paused)
+            move_rate.update_share(tenant_move, unix_ms, paused)
         })
     }
 
--- a/crates/pintally-cells/src/cells.rs
+++ b/crates/pintally-cells/src/cells.rs
@@ -8,7 +8,7 @@
 use crate::edge::EdgeAdmission;
 use crate::engine_health::EngineHealth;
 use crate::file::{CellsFile, VersionError};
-use crate::health::{CellHealth, Level};
+use crate::health::{CellHealth, ServiceLevel};
 use crate::loans::Loans;
 use crate::move_rate::MoveRateController;
 use crate::overload::OverloadTracker;
@@ -30,7 +30,7 @@
     /// The cell.
     pub cell: CellName,
     /// Its level of service.
-    pub level: Level,
+    pub level: ServiceLevel,
     /// The fraction of the needed engines that it has.
     pub capacity: f64,
     /// How many engines it has borrowed.
@@ -204,16 +204,16 @@
 
     /// The share of a tenant's sessions that have moved at this node, for each move of the file.
     pub fn moves(&self, unix_ms: u64) -> Vec<(String, f64)> {
-        let share = |tenant_move: &crate::Move| {
+        let share = |tenant_move: &crate::TenantMove| {
             let current = self.move_rate.current_share(&tenant_move.tenant);
-            current.unwrap_or_else(|| tenant_move.share(unix_ms))
+            current.unwrap_or_else(|| tenant_move.moved_share(unix_ms))
         };
         self.file.moves.iter().map(|tenant_move| (tenant_move.tenant.clone(), share(tenant_move))).collect()
     }
 
     /// When time alone may change something, so that [`Cells::reassign`] is due.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let recovers = self.health.values().any(|health| health.level() != Level::Normal);
+        let recovers = self.health.values().any(|health| health.level() != ServiceLevel::Normal);
         let recovery = recovers.then(|| now.saturating_add(RECOVERY_INTERVAL_MICROS));
         let needs_tick = self.engine_health.needs_tick(now) || self.overload.needs_tick(now);
         let observation = needs_tick.then(|| now.saturating_add(OBSERVATION_INTERVAL_MICROS));
--- a/crates/pintally-cells/src/composition.rs
+++ b/crates/pintally-cells/src/composition.rs
@@ -2,7 +2,7 @@
 
 use pintally::interface::Role;
 
-use crate::file::{CellSpec, Needs};
+use crate::file::{CellSpec, RequiredEngines};
 
 /// Engines that a cell lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,9 +44,9 @@
     }
 
     /// What is missing if mixed engines replace the role that lacks most.
-    pub(crate) fn shortage(&self, needs: &Needs) -> Shortage {
-        let mut readers = needs.readers.saturating_sub(self.readers);
-        let mut writers = needs.writers.saturating_sub(self.writers);
+    pub(crate) fn shortage(&self, required: &RequiredEngines) -> Shortage {
+        let mut readers = required.readers.saturating_sub(self.readers);
+        let mut writers = required.writers.saturating_sub(self.writers);
         for _ in 0..self.mixed {
             if readers >= writers {
                 readers = readers.saturating_sub(1);
@@ -59,17 +59,18 @@
 
     /// The fraction of the needed engines that there are, of the scarcer role.
     pub(crate) fn fraction(&self, cell: &CellSpec) -> f64 {
-        let shortage = self.shortage(&cell.needs);
+        let shortage = self.shortage(&cell.required_engines);
         let fraction = |missing: usize, needed: usize| 1.0 - missing as f64 / needed.max(1) as f64;
-        fraction(shortage.readers, cell.needs.readers).min(fraction(shortage.writers, cell.needs.writers))
+        fraction(shortage.readers, cell.required_engines.readers)
+            .min(fraction(shortage.writers, cell.required_engines.writers))
     }
 }
 
 /// The fraction of the needed engines of the scarcer role if each engine counts by its health score, and mixed
 /// engines replace the role that lacks most.
 pub(crate) fn healthy_fraction(cell: &CellSpec, scores: &[(Role, f64)]) -> f64 {
-    let mut readers = cell.needs.readers as f64;
-    let mut writers = cell.needs.writers as f64;
+    let mut readers = cell.required_engines.readers as f64;
+    let mut writers = cell.required_engines.writers as f64;
     for (role, score) in scores {
         match role {
             Role::Reader => readers -= score,
@@ -85,5 +86,5 @@
         }
     }
     let fraction = |missing: f64, needed: usize| 1.0 - missing.max(0.0) / needed.max(1) as f64;
-    fraction(readers, cell.needs.readers).min(fraction(writers, cell.needs.writers))
+    fraction(readers, cell.required_engines.readers).min(fraction(writers, cell.required_engines.writers))
 }
--- a/crates/pintally-cells/src/file/parse.rs
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -4,8 +4,8 @@
 use pintally_config::form::{Document, Form};
 use pintally_config::ConfigError;
 
-use super::{CellSpec, CellsFile, Home, Needs, TenantHome};
-use crate::moves::{Move, Step};
+use super::{CellSpec, CellsFile, HomeCells, RequiredEngines, TenantHome};
+use crate::moves::{MovePhase, TenantMove};
 use crate::CellName;
 
 /// The invariant that classes with an idempotency key could violate.
@@ -75,19 +75,19 @@
         if self.has_cell(&name) {
             return Err(form.error(format!("cell `{name}` is given twice")));
         }
-        let needs = Needs {
+        let required_engines = RequiredEngines {
             readers: form.count_or("readers", 1, 0, MAX_ENGINES)? as usize,
             writers: form.count_or("writers", 1, 0, MAX_ENGINES)? as usize,
         };
-        if needs.readers == 0 || needs.writers == 0 {
-            let lacks = if needs.readers == 0 { "readers" } else { "writers" };
+        if required_engines.readers == 0 || required_engines.writers == 0 {
+            let lacks = if required_engines.readers == 0 { "readers" } else { "writers" };
             return Err(form.error(format!("cell `{name}` is built without {lacks}: it could serve nobody")));
         }
         let fallback = form.text_or("fallback", "")?;
         self.cells.push(CellSpec {
             name: name.as_str().into(),
             weight: form.number_or("weight", 1.0, 0.0, MAX_WEIGHT)?,
-            needs,
+            required_engines,
             fallback: (!fallback.is_empty()).then(|| fallback.as_str().into()),
         });
         form.finish()
@@ -135,11 +135,11 @@
         let shards = form.count_or("shards", 0, 0, MAX_SHARDS)? as usize;
         let home = match (pinned, shards) {
             (Some(_), 1..) => return Err(form.error("a tenant has `cells` or `shards`, not both")),
-            (Some(cells), 0) => Home::Pinned(cells),
+            (Some(cells), 0) => HomeCells::Pinned(cells),
             (None, 0) => {
                 return Err(form.error(format!("tenant `{tenant}` has neither `cells` nor `shards`")))
             }
-            (None, shards) => Home::Shards(shards),
+            (None, shards) => HomeCells::Shards(shards),
         };
         form.finish()?;
         self.tenants.push(TenantHome { tenant, home });
@@ -153,9 +153,9 @@
         }
         let to = self.read_cell_names(&form.need("to")?)?;
         let over_ms = form.count_or("over-ms", DEFAULT_MOVE_TIME_MS, 1, MAX_MOVE_TIME_MS)?;
-        let step = read_step(form)?;
+        let phase = read_phase(form)?;
         form.finish()?;
-        self.moves.push(Move { tenant, to, over_ms, step });
+        self.moves.push(TenantMove { tenant, to, over_ms, phase });
         Ok(())
     }
 
@@ -206,16 +206,16 @@
 }
 
 /// Reads the step of a move with its times; 0 stands for a time that is not given.
-fn read_step(form: &Form) -> Result<Step, ConfigError> {
+fn read_phase(form: &Form) -> Result<MovePhase, ConfigError> {
     let since = form.count_or("since-unix-ms", 0, 0, MAX_NUMBER)?;
     let at = form.count_or("back-unix-ms", 0, 0, MAX_NUMBER)?;
     let step = form.text_or("step", "prepare")?;
     match (step.as_str(), since, at) {
-        ("prepare", 0, 0) => Ok(Step::Prepare),
-        ("both", 1.., 0) => Ok(Step::Both { since }),
-        ("done", 1.., 0) => Ok(Step::Done { since }),
-        ("back", 0, 1..) => Ok(Step::Back { since: at, at }),
-        ("back", _, 1..) if at >= since => Ok(Step::Back { since, at }),
+        ("prepare", 0, 0) => Ok(MovePhase::Prepare),
+        ("both", 1.., 0) => Ok(MovePhase::Both { since }),
+        ("done", 1.., 0) => Ok(MovePhase::Done { since }),
+        ("back", 0, 1..) => Ok(MovePhase::Back { since: at, at }),
+        ("back", _, 1..) if at >= since => Ok(MovePhase::Back { since, at }),
         ("prepare" | "both" | "done" | "back", ..) => Err(form.error(
             "`prepare` has no times, `both` and `done` have `since-unix-ms`, `back` has `back-unix-ms` \
              behind it as well",
--- a/crates/pintally-cells/src/file/render.rs
+++ b/crates/pintally-cells/src/file/render.rs
@@ -2,8 +2,8 @@
 
 use pintally_config::form::quoted;
 
-use super::{CellSpec, CellsFile, Home, TenantHome};
-use crate::moves::{Move, Step};
+use super::{CellSpec, CellsFile, HomeCells, TenantHome};
+use crate::moves::{MovePhase, TenantMove};
 use crate::CellName;
 
 impl CellsFile {
@@ -32,25 +32,25 @@
         "(cell {} (weight {}) (readers {}) (writers {}){fallback})",
         quoted(&cell.name.0),
         cell.weight,
-        cell.needs.readers,
-        cell.needs.writers
+        cell.required_engines.readers,
+        cell.required_engines.writers
     )
 }
 
 fn tenant_form(tenant: &TenantHome) -> String {
     let home = match &tenant.home {
-        Home::Pinned(cells) => format!("(cells {})", quoted_names(cells)),
-        Home::Shards(count) => format!("(shards {count})"),
+        HomeCells::Pinned(cells) => format!("(cells {})", quoted_names(cells)),
+        HomeCells::Shards(count) => format!("(shards {count})"),
     };
     format!("(tenant {} {home})", quoted(&tenant.tenant))
 }
 
-fn move_form(tenant_move: &Move) -> String {
-    let step = match tenant_move.step {
-        Step::Prepare => "(step prepare)".to_string(),
-        Step::Both { since } => format!("(step both) (since-unix-ms {since})"),
-        Step::Done { since } => format!("(step done) (since-unix-ms {since})"),
-        Step::Back { since, at } => {
+fn move_form(tenant_move: &TenantMove) -> String {
+    let step = match tenant_move.phase {
+        MovePhase::Prepare => "(step prepare)".to_string(),
+        MovePhase::Both { since } => format!("(step both) (since-unix-ms {since})"),
+        MovePhase::Done { since } => format!("(step done) (since-unix-ms {since})"),
+        MovePhase::Back { since, at } => {
             format!("(step back) (since-unix-ms {since}) (back-unix-ms {at})")
         }
     };
--- a/crates/pintally-cells/src/file/versions.rs
+++ b/crates/pintally-cells/src/file/versions.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use super::{CellsFile, Home, TenantHome};
-use crate::moves::{Move, Step};
+use super::{CellsFile, HomeCells, TenantHome};
+use crate::moves::{MovePhase, TenantMove};
 use crate::CellName;
 
 /// An operator's command for a tenant's move.
@@ -48,10 +48,10 @@
         moved_share: f64,
     },
     /// The command does not fit the move's step.
-    #[error("a move that stands at {step:?} cannot take the turn {command:?}")]
-    WrongStep {
+    #[error("a move that stands at {phase:?} cannot take the turn {command:?}")]
+    WrongPhase {
         /// The move's step.
-        step: Step,
+        phase: MovePhase,
         /// The command.
         command: MoveCommand,
     },
@@ -70,13 +70,13 @@
     },
     /// A move takes a step that may not follow its current one.
     #[error("the move of tenant `{tenant}` goes from {from:?} to {to:?}")]
-    MoveStep {
+    InvalidPhaseChange {
         /// The tenant.
         tenant: String,
         /// The step in the current version.
-        from: Step,
+        from: MovePhase,
         /// The step in the new version.
-        to: Step,
+        to: MovePhase,
     },
     /// A tenant has moved to a cell that the version does not have.
     #[error("tenant `{0}` has moved to a cell that is gone")]
@@ -89,23 +89,28 @@
     /// # Errors
     ///
     /// [`MoveError`] if the command is not possible now.
-    pub fn step(&self, tenant: &str, command: MoveCommand, unix_ms: u64) -> Result<CellsFile, MoveError> {
+    pub fn apply_move_command(
+        &self,
+        tenant: &str,
+        command: MoveCommand,
+        unix_ms: u64,
+    ) -> Result<CellsFile, MoveError> {
         let mut next = CellsFile { version: self.version + 1, ..self.clone() };
         let Some(index) = self.moves.iter().position(|known| known.tenant == tenant) else {
             next.moves.push(self.new_move(tenant, command)?);
             return Ok(next);
         };
         let current = &self.moves[index];
-        match (&command, current.step) {
-            (MoveCommand::Settle, Step::Done { .. }) => {
+        match (&command, current.phase) {
+            (MoveCommand::Settle, MovePhase::Done { .. }) => {
                 next.moves.remove(index);
                 next.pin(tenant, current.to.clone());
             }
-            (MoveCommand::Settle, Step::Back { .. }) if current.share(unix_ms) <= 0.0 => {
+            (MoveCommand::Settle, MovePhase::Back { .. }) if current.moved_share(unix_ms) <= 0.0 => {
                 next.moves.remove(index);
             }
             _ => {
-                next.moves[index].step = next_step(current, command, unix_ms)?;
+                next.moves[index].phase = next_phase(current, command, unix_ms)?;
                 debug_assert!(next.moves[index].may_follow(current));
             }
         }
@@ -113,7 +118,7 @@
     }
 
     /// The move of a tenant that does not move yet.
-    fn new_move(&self, tenant: &str, command: MoveCommand) -> Result<Move, MoveError> {
+    fn new_move(&self, tenant: &str, command: MoveCommand) -> Result<TenantMove, MoveError> {
         let MoveCommand::Begin { to, over_ms } = command else {
             return Err(MoveError::NotMoving(tenant.to_string()));
         };
@@ -123,12 +128,12 @@
         if to.is_empty() || to == self.home(tenant) {
             return Err(MoveError::AlreadyThere(tenant.to_string()));
         }
-        Ok(Move { tenant: tenant.to_string(), to, over_ms: over_ms.max(1), step: Step::Prepare })
+        Ok(TenantMove { tenant: tenant.to_string(), to, over_ms: over_ms.max(1), phase: MovePhase::Prepare })
     }
 
     /// Makes cells the home of a tenant.
     fn pin(&mut self, tenant: &str, cells: Vec<CellName>) {
-        let home = Home::Pinned(cells);
+        let home = HomeCells::Pinned(cells);
         match self.tenants.iter_mut().find(|known| known.tenant == tenant) {
             Some(known) => known.home = home,
             None => self.tenants.push(TenantHome { tenant: tenant.to_string(), home }),
@@ -147,9 +152,9 @@
             let tenant = old.tenant.clone();
             match self.moves.iter().find(|new| new.tenant == old.tenant) {
                 Some(new) if !new.may_follow(old) => {
-                    return Err(VersionError::MoveStep { tenant, from: old.step, to: new.step });
+                    return Err(VersionError::InvalidPhaseChange { tenant, from: old.phase, to: new.phase });
                 }
-                None if matches!(old.step, Step::Done { .. })
+                None if matches!(old.phase, MovePhase::Done { .. })
                     && old.to.iter().any(|cell| !cells.contains(cell)) =>
                 {
                     return Err(VersionError::TargetRemoved(tenant));
@@ -162,17 +167,17 @@
 }
 
 /// The step after a command for a move that goes on.
-fn next_step(current: &Move, command: MoveCommand, unix_ms: u64) -> Result<Step, MoveError> {
-    let moved_share = current.share(unix_ms);
-    match (command, current.step) {
+fn next_phase(current: &TenantMove, command: MoveCommand, unix_ms: u64) -> Result<MovePhase, MoveError> {
+    let moved_share = current.moved_share(unix_ms);
+    match (command, current.phase) {
         (MoveCommand::Begin { .. }, _) => Err(MoveError::AlreadyMoving(current.tenant.clone())),
-        (MoveCommand::Go, Step::Prepare) => Ok(Step::Both { since: unix_ms }),
-        (MoveCommand::Done, Step::Both { since }) if moved_share >= 1.0 => Ok(Step::Done { since }),
-        (MoveCommand::Done, Step::Both { .. }) => Err(MoveError::Incomplete { moved_share }),
-        (MoveCommand::Back, Step::Prepare) => Ok(Step::Back { since: unix_ms, at: unix_ms }),
-        (MoveCommand::Back, Step::Both { since } | Step::Done { since }) => {
-            Ok(Step::Back { since, at: unix_ms })
+        (MoveCommand::Go, MovePhase::Prepare) => Ok(MovePhase::Both { since: unix_ms }),
+        (MoveCommand::Done, MovePhase::Both { since }) if moved_share >= 1.0 => Ok(MovePhase::Done { since }),
+        (MoveCommand::Done, MovePhase::Both { .. }) => Err(MoveError::Incomplete { moved_share }),
+        (MoveCommand::Back, MovePhase::Prepare) => Ok(MovePhase::Back { since: unix_ms, at: unix_ms }),
+        (MoveCommand::Back, MovePhase::Both { since } | MovePhase::Done { since }) => {
+            Ok(MovePhase::Back { since, at: unix_ms })
         }
-        (command, step) => Err(MoveError::WrongStep { step, command }),
+        (command, phase) => Err(MoveError::WrongPhase { phase, command }),
     }
 }
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/health.rs
@@ -31,7 +31,7 @@
 
 /// The level of service of a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum ServiceLevel {
     /// It serves all requests.
     #[default]
     Normal,
@@ -43,33 +43,33 @@
     Unavailable,
 }
 
-impl Level {
+impl ServiceLevel {
     /// The name in log lines and in the counters document, older than the variants' names.
     pub fn name(self) -> &'static str {
         match self {
-            Level::Normal => "Well",
-            Level::Constrained => "Thin",
-            Level::Shedding => "Shed",
-            Level::Unavailable => "Lost",
+            ServiceLevel::Normal => "Well",
+            ServiceLevel::Constrained => "Thin",
+            ServiceLevel::Shedding => "Shed",
+            ServiceLevel::Unavailable => "Lost",
         }
     }
 
     /// The level of a cell with this fraction of the needed engines.
-    fn of_capacity(capacity: f64) -> Level {
+    fn of_capacity(capacity: f64) -> ServiceLevel {
         match capacity {
-            capacity if capacity <= 0.0 => Level::Unavailable,
-            capacity if capacity < MIN_CONSTRAINED_CAPACITY => Level::Shedding,
-            capacity if capacity < MIN_NORMAL_CAPACITY => Level::Constrained,
-            _ => Level::Normal,
+            capacity if capacity <= 0.0 => ServiceLevel::Unavailable,
+            capacity if capacity < MIN_CONSTRAINED_CAPACITY => ServiceLevel::Shedding,
+            capacity if capacity < MIN_NORMAL_CAPACITY => ServiceLevel::Constrained,
+            _ => ServiceLevel::Normal,
         }
     }
 
     /// The next better level.
-    fn raised(self) -> Level {
+    fn raised(self) -> ServiceLevel {
         match self {
-            Level::Unavailable => Level::Shedding,
-            Level::Shedding => Level::Constrained,
-            Level::Constrained | Level::Normal => Level::Normal,
+            ServiceLevel::Unavailable => ServiceLevel::Shedding,
+            ServiceLevel::Shedding => ServiceLevel::Constrained,
+            ServiceLevel::Constrained | ServiceLevel::Normal => ServiceLevel::Normal,
         }
     }
 }
@@ -85,7 +85,7 @@
 /// The level of service of one cell.
 #[derive(Clone, Debug)]
 pub struct CellHealth {
-    level: Level,
+    level: ServiceLevel,
     capacity: f64,
     /// Since when the capacity has been enough for the next better level.
     calm_since: Option<Micros>,
@@ -109,7 +109,7 @@
         let equal_share = 1.0 / classes.len().max(1) as f64;
         classes.iter_mut().for_each(|class| class.share = equal_share);
         CellHealth {
-            level: Level::Normal,
+            level: ServiceLevel::Normal,
             capacity: 1.0,
             calm_since: None,
             failing: false,
@@ -122,7 +122,7 @@
     }
 
     /// The level of service.
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> ServiceLevel {
         self.level
     }
 
@@ -134,9 +134,9 @@
     /// The fraction of its slots that it may use.
     pub fn usable_fraction(&self) -> f64 {
         match self.level {
-            Level::Normal => 1.0,
-            Level::Shedding => self.admitted_fraction,
-            Level::Constrained | Level::Unavailable => self.capacity,
+            ServiceLevel::Normal => 1.0,
+            ServiceLevel::Shedding => self.admitted_fraction,
+            ServiceLevel::Constrained | ServiceLevel::Unavailable => self.capacity,
         }
     }
 
@@ -146,7 +146,7 @@
     pub fn update_admission(&mut self, now: Micros, overloaded: bool) {
         let elapsed_s = now.saturating_sub(self.admission_updated) as f64 / 1e6;
         self.admission_updated = self.admission_updated.max(now);
-        if self.level != Level::Shedding {
+        if self.level != ServiceLevel::Shedding {
             self.admitted_fraction = self.capacity;
         } else if overloaded {
             self.admitted_fraction *= ADMISSION_DECREASE_PER_S.powf(elapsed_s);
@@ -200,18 +200,18 @@
         lowered
     }
 
-    fn level_of(&self, capacity: f64) -> Level {
+    fn level_of(&self, capacity: f64) -> ServiceLevel {
         if self.failing {
-            Level::Unavailable
+            ServiceLevel::Unavailable
         } else {
-            Level::of_capacity(capacity)
+            ServiceLevel::of_capacity(capacity)
         }
     }
 
     /// Takes one step towards a better level, if it is time; whether it did.
-    fn try_raise(&mut self, now: Micros, target: Level) -> bool {
+    fn try_raise(&mut self, now: Micros, target: ServiceLevel) -> bool {
         // Being able to serve at all needs neither a margin nor a calm time.
-        let was_unavailable = self.level == Level::Unavailable;
+        let was_unavailable = self.level == ServiceLevel::Unavailable;
         let safe_target = if was_unavailable { target } else { self.level_of(self.capacity - HYSTERESIS) };
         if safe_target >= self.level {
             self.calm_since = None;
@@ -234,9 +234,9 @@
             arrivals.share += ARRIVAL_WEIGHT * (arrived - arrivals.share);
         }
         match self.level {
-            Level::Normal | Level::Constrained => true,
-            Level::Unavailable => false,
-            Level::Shedding => class.is_some_and(|class| self.admits_while_shedding(class)),
+            ServiceLevel::Normal | ServiceLevel::Constrained => true,
+            ServiceLevel::Unavailable => false,
+            ServiceLevel::Shedding => class.is_some_and(|class| self.admits_while_shedding(class)),
         }
     }
 
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -23,16 +23,18 @@
 mod overload;
 
 pub use admission::{AdmissionRequest, CellAdmission, RejectionReason};
-pub use assign::{cells_of, draw};
+pub use assign::{cells_by_hash, hash_fraction};
 pub use assignment::EngineAssignment;
 pub use cells::{CellStatus, Cells};
 pub use edge::{EdgeAdmission, EdgeDecision, SlotUsage};
 pub use engine_health::EngineHealth;
-pub use file::{CellSpec, CellsFile, Home, MoveCommand, MoveError, Needs, TenantHome, VersionError};
-pub use health::{CellHealth, Level};
+pub use file::{
+    CellSpec, CellsFile, HomeCells, MoveCommand, MoveError, RequiredEngines, TenantHome, VersionError,
+};
+pub use health::{CellHealth, ServiceLevel};
 pub use loans::{Loans, ServingEngine};
 pub use move_rate::MoveRateController;
-pub use moves::{Move, Step};
+pub use moves::{MovePhase, TenantMove};
 pub use overload::OverloadTracker;
 
 use std::sync::Arc;
--- a/crates/pintally-cells/src/loans.rs
+++ b/crates/pintally-cells/src/loans.rs
@@ -7,9 +7,9 @@
 
 use pintally::interface::{EngineId, Micros, Role};
 
-use crate::assign::{draw, number};
+use crate::assign::{hash_fraction, number};
 use crate::composition::{Composition, Shortage};
-use crate::file::{CellSpec, Needs};
+use crate::file::{CellSpec, RequiredEngines};
 use crate::CellName;
 
 /// A cell must have been complete for this long before it returns its engines, in microseconds.
@@ -39,7 +39,7 @@
 /// A cell that may borrow: what it is to have, and the rank among the cells; the lowest rank goes first.
 struct Candidate<'a, R> {
     cell: &'a CellSpec,
-    target: Needs,
+    target: RequiredEngines,
     rank: R,
 }
 
@@ -97,7 +97,10 @@
         let fleet = Fleet { cells, serving };
         let target = |cell: &CellSpec| {
             let pairs = requested_pairs(&cell.name);
-            Needs { readers: cell.needs.readers + pairs, writers: cell.needs.writers + pairs }
+            RequiredEngines {
+                readers: cell.required_engines.readers + pairs,
+                writers: cell.required_engines.writers + pairs,
+            }
         };
         self.end_invalid(fleet);
         cells.iter().for_each(|cell| self.end_unneeded(now, cell, &target(cell), serving));
@@ -105,7 +108,7 @@
         while let Some(loan) = self.replacement(fleet) {
             self.borrowers.insert(loan.engine, loan.borrower);
         }
-        let requesting: Vec<(&CellSpec, Needs)> = cells
+        let requesting: Vec<(&CellSpec, RequiredEngines)> = cells
             .iter()
             .filter(|cell| requested_pairs(&cell.name) > 0)
             .map(|cell| (cell, target(cell)))
@@ -126,7 +129,13 @@
     }
 
     /// Ends the loans of a cell that has had all it needs without them for long enough.
-    fn end_unneeded(&mut self, now: Micros, cell: &CellSpec, target: &Needs, serving: &[ServingEngine]) {
+    fn end_unneeded(
+        &mut self,
+        now: Micros,
+        cell: &CellSpec,
+        target: &RequiredEngines,
+        serving: &[ServingEngine],
+    ) {
         let complete = own_engines(cell, serving).shortage(target).is_none();
         if !complete || self.borrowed(&cell.name) == 0 {
             self.complete_since.remove(&cell.name);
@@ -143,14 +152,14 @@
     fn replacement(&self, fleet: Fleet) -> Option<NewLoan> {
         let candidates = fleet.cells.iter().map(|cell| Candidate {
             cell,
-            target: cell.needs,
+            target: cell.required_engines,
             rank: self.all_engines(cell, fleet.serving).fraction(cell),
         });
         self.next_loan(candidates, fleet, |cell, shortage| self.reclaimable(cell, shortage, fleet))
     }
 
     /// The next loan that a cell only requests.
-    fn requested(&self, fleet: Fleet, requesting: &[(&CellSpec, Needs)]) -> Option<NewLoan> {
+    fn requested(&self, fleet: Fleet, requesting: &[(&CellSpec, RequiredEngines)]) -> Option<NewLoan> {
         let candidates = requesting.iter().map(|(cell, target)| Candidate {
             cell,
             target: *target,
@@ -224,7 +233,7 @@
             .iter()
             .filter(|one| self.borrowers.get(&one.engine) == Some(&cell.name) && one.engine != *engine)
             .for_each(|one| others.add(one.role));
-        others.shortage(&cell.needs).is_none()
+        others.shortage(&cell.required_engines).is_none()
     }
 
     /// An engine that another cell has requested, if that has borrowed notably more.
@@ -238,7 +247,7 @@
     /// The spare engine that a cell would borrow next: of the role that it lacks most, by hash.
     fn spare(&self, cell: &CellSpec, shortage: Shortage, serving: &[ServingEngine]) -> Option<EngineId> {
         let preference = |one: &ServingEngine| (shortage.of_role(one.role), one.role != Role::Mixed);
-        let hash = |one: &ServingEngine| draw(&cell.name.0, number(&one.engine.0));
+        let hash = |one: &ServingEngine| hash_fraction(&cell.name.0, number(&one.engine.0));
         serving
             .iter()
             .filter(|one| one.cell.is_none() && !self.borrowers.contains_key(&one.engine))
--- a/crates/pintally-cells/src/move_rate.rs
+++ b/crates/pintally-cells/src/move_rate.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::moves::{Move, Step};
+use crate::moves::{MovePhase, TenantMove};
 
 /// The state of one move at this node.
 #[derive(Clone, Copy, Debug)]
@@ -30,13 +30,13 @@
 impl MoveRateController {
     /// The share of a tenant's sessions that have moved at this node; `paused` says whether the target cell must
     /// get no further session.
-    pub fn share(&mut self, tenant_move: &Move, unix_ms: u64, paused: bool) -> f64 {
-        let Some(since) = tenant_move.step.since() else {
+    pub fn update_share(&mut self, tenant_move: &TenantMove, unix_ms: u64, paused: bool) -> f64 {
+        let Some(since) = tenant_move.phase.since() else {
             let prepared = MoveProgress { since: None, share: 0.0, updated: unix_ms };
             self.moves.insert(tenant_move.tenant.clone(), prepared);
             return 0.0;
         };
-        let file_share = tenant_move.share(unix_ms);
+        let file_share = tenant_move.moved_share(unix_ms);
         let known = self.moves.get_mut(&tenant_move.tenant);
         let Some(progress) = known.filter(|known| known.since.is_none_or(|known| known == since)) else {
             let new = MoveProgress { since: Some(since), share: file_share, updated: unix_ms };
@@ -48,7 +48,7 @@
         let step = elapsed as f64 / tenant_move.over_ms.max(1) as f64;
         // The clock may go back; sessions that have moved stay.
         progress.updated = progress.updated.max(unix_ms);
-        if matches!(tenant_move.step, Step::Back { .. }) {
+        if matches!(tenant_move.phase, MovePhase::Back { .. }) {
             progress.share = progress.share.min(file_share);
         } else if !paused {
             progress.share = file_share.min(progress.share + step).max(progress.share);
--- a/crates/pintally-cells/src/moves.rs
+++ b/crates/pintally-cells/src/moves.rs
@@ -6,12 +6,12 @@
 //! misses one reaches the same decision as the others. A request stays in the cell in which it began, whatever the
 //! move does meanwhile.
 
-use crate::assign::draw;
+use crate::assign::hash_fraction;
 use crate::CellName;
 
 /// The step of a move; times are Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum MovePhase {
     /// Prepared: nothing changes yet.
     Prepare,
     /// Sessions move.
@@ -33,19 +33,21 @@
     },
 }
 
-impl Step {
+impl MovePhase {
     /// When the first session moved; `None` if the move is only prepared.
     pub(crate) fn since(&self) -> Option<u64> {
         match *self {
-            Step::Prepare => None,
-            Step::Both { since } | Step::Done { since } | Step::Back { since, .. } => Some(since),
+            MovePhase::Prepare => None,
+            MovePhase::Both { since } | MovePhase::Done { since } | MovePhase::Back { since, .. } => {
+                Some(since)
+            }
         }
     }
 }
 
 /// A tenant's move.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
+pub struct TenantMove {
     /// The tenant.
     pub tenant: String,
     /// The target cells.
@@ -53,45 +55,49 @@
     /// Time until all sessions have moved, in milliseconds.
     pub over_ms: u64,
     /// The current step.
-    pub step: Step,
+    pub phase: MovePhase,
 }
 
-impl Move {
+impl TenantMove {
     /// The share of sessions that have moved at a time.
-    pub fn share(&self, unix_ms: u64) -> f64 {
+    pub fn moved_share(&self, unix_ms: u64) -> f64 {
         let moved = |since: u64, at: u64| {
             (at.saturating_sub(since) as f64 / self.over_ms.max(1) as f64).clamp(0.0, 1.0)
         };
-        match self.step {
-            Step::Prepare => 0.0,
-            Step::Both { since } | Step::Done { since } => moved(since, unix_ms),
-            Step::Back { since, at } => (moved(since, at) - moved(at, unix_ms)).max(0.0),
+        match self.phase {
+            MovePhase::Prepare => 0.0,
+            MovePhase::Both { since } | MovePhase::Done { since } => moved(since, unix_ms),
+            MovePhase::Back { since, at } => (moved(since, at) - moved(at, unix_ms)).max(0.0),
         }
     }
 
     /// Whether a session has moved at a time. Sessions move in the order of a hash and return in the reverse
     /// order.
-    pub fn is_over(&self, session: u64, unix_ms: u64) -> bool {
-        self.is_over_at(session, self.share(unix_ms))
+    pub fn has_moved(&self, session: u64, unix_ms: u64) -> bool {
+        self.has_moved_at_share(session, self.moved_share(unix_ms))
     }
 
     /// Whether a session has moved when a share of all sessions has.
-    pub fn is_over_at(&self, session: u64, share: f64) -> bool {
-        share >= 1.0 || draw(&self.tenant, session) < share
+    pub fn has_moved_at_share(&self, session: u64, share: f64) -> bool {
+        share >= 1.0 || hash_fraction(&self.tenant, session) < share
     }
 
     /// Whether the step may follow that of an earlier version of the same move.
-    pub fn may_follow(&self, before: &Move) -> bool {
+    pub fn may_follow(&self, before: &TenantMove) -> bool {
         if self.tenant != before.tenant || self.to != before.to || self.over_ms != before.over_ms {
             return false;
         }
-        match (before.step, self.step) {
+        match (before.phase, self.phase) {
             (a, b) if a == b => true,
-            (Step::Prepare, Step::Both { .. } | Step::Done { .. } | Step::Back { .. }) => true,
-            (Step::Both { since: a }, Step::Done { since: b }) => a == b,
-            (Step::Both { since: a } | Step::Done { since: a }, Step::Back { since: b, at }) => {
-                a == b && at >= a
-            }
+            (
+                MovePhase::Prepare,
+                MovePhase::Both { .. } | MovePhase::Done { .. } | MovePhase::Back { .. },
+            ) => true,
+            (MovePhase::Both { since: a }, MovePhase::Done { since: b }) => a == b,
+            (
+                MovePhase::Both { since: a } | MovePhase::Done { since: a },
+                MovePhase::Back { since: b, at },
+            ) => a == b && at >= a,
             _ => false,
         }
     }
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -50,7 +50,12 @@
 }
 
 fn cell(name: &str, weight: f64, readers: usize, writers: usize) -> CellSpec {
-    CellSpec { name: name.into(), weight, needs: Needs { readers, writers }, fallback: None }
+    CellSpec {
+        name: name.into(),
+        weight,
+        required_engines: RequiredEngines { readers, writers },
+        fallback: None,
+    }
 }
 
 fn cells(many: usize) -> Vec<CellSpec> {
@@ -68,7 +73,7 @@
         let fresh = CellName::from(format!("c{many}").as_str());
         let mut moved = 0;
         for key in 0..KEYS {
-            let (before, after) = (&cells_of(&few, key, 1)[0], &cells_of(&more, key, 1)[0]);
+            let (before, after) = (&cells_by_hash(&few, key, 1)[0], &cells_by_hash(&more, key, 1)[0]);
             if before != after {
                 assert_eq!(*after, fresh, "key {key} moved between old cells");
                 moved += 1;
@@ -84,7 +89,7 @@
 fn assignment_follows_weights() {
     let cells = [cell("a", 1.0, 1, 1), cell("b", 3.0, 1, 1), cell("none", 0.0, 1, 1)];
     let mut won: BTreeMap<CellName, u64> = BTreeMap::new();
-    (0..40_000).for_each(|key| *won.entry(cells_of(&cells, key, 1)[0].clone()).or_default() += 1);
+    (0..40_000).for_each(|key| *won.entry(cells_by_hash(&cells, key, 1)[0].clone()).or_default() += 1);
     assert!(!won.contains_key(&"none".into()));
     let ratio = won[&CellName::from("b")] as f64 / won[&CellName::from("a")] as f64;
     assert!((2.85..3.15).contains(&ratio), "{ratio}");
@@ -95,7 +100,7 @@
 fn two_sharded_tenants_seldom_share_all_cells() {
     let cells = cells(8);
     let shards: Vec<BTreeSet<CellName>> =
-        (0..400u64).map(|t| cells_of(&cells, t, 2).into_iter().collect()).collect();
+        (0..400u64).map(|t| cells_by_hash(&cells, t, 2).into_iter().collect()).collect();
     let pairs = shards.len() * (shards.len() - 1) / 2;
     let same = (0..shards.len()).flat_map(|i| (0..i).map(move |j| (i, j)));
     let same = same.filter(|(i, j)| shards[*i] == shards[*j]).count();
@@ -176,8 +181,8 @@
 
 // ---- moves ----
 
-fn a_move(step: Step) -> Move {
-    Move { tenant: "t".into(), to: vec!["b".into()], over_ms: 1000, step }
+fn a_move(phase: MovePhase) -> TenantMove {
+    TenantMove { tenant: "t".into(), to: vec!["b".into()], over_ms: 1000, phase }
 }
 
 proptest! {
@@ -188,16 +193,16 @@
     fn sessions_move_once_and_return_once(session in any::<u64>(), back in 0u64..3000, times in prop::collection::vec(0u64..6000, 2..40)) {
         let mut times = times;
         times.sort_unstable();
-        let forward = a_move(Step::Both { since: 500 });
-        let over: Vec<bool> = times.iter().map(|t| forward.is_over(session, *t)).collect();
+        let forward = a_move(MovePhase::Both { since: 500 });
+        let over: Vec<bool> = times.iter().map(|t| forward.has_moved(session, *t)).collect();
         prop_assert!(over.is_sorted());
         let at = 500 + back;
-        let backward = a_move(Step::Back { since: 500, at });
-        let over: Vec<bool> = times.iter().filter(|t| **t >= at).map(|t| backward.is_over(session, *t)).collect();
+        let backward = a_move(MovePhase::Back { since: 500, at });
+        let over: Vec<bool> = times.iter().filter(|t| **t >= at).map(|t| backward.has_moved(session, *t)).collect();
         prop_assert!(over.iter().rev().is_sorted());
         // No session changes its cell at the moment in which the move is reversed.
-        prop_assert_eq!(forward.is_over(session, at), backward.is_over(session, at));
-        prop_assert!(!backward.is_over(session, at + 1001));
+        prop_assert_eq!(forward.has_moved(session, at), backward.has_moved(session, at));
+        prop_assert!(!backward.has_moved(session, at + 1001));
     }
 }
 
@@ -256,7 +261,7 @@
                         assert!(at[i] != at[j] || belongs[i] == belongs[j]);
                     }
                     // A node that missed `both` or `prepare` agrees with one that saw it.
-                    if history[3].moves.iter().any(|m| matches!(m.step, Step::Done { .. })) {
+                    if history[3].moves.iter().any(|m| matches!(m.phase, MovePhase::Done { .. })) {
                         assert_eq!(
                             history[2].cell_for(Some("t"), session, now),
                             history[3].cell_for(Some("t"), session, now)
@@ -286,15 +291,19 @@
     let first = CellsFile::parse("cells", text, &core).unwrap();
     let begin = MoveCommand::Begin { to: vec!["b".into()], over_ms: 1000 };
     for early in [MoveCommand::Go, MoveCommand::Done, MoveCommand::Back, MoveCommand::Settle] {
-        assert!(first.step("t", early, 0).is_err());
+        assert!(first.apply_move_command("t", early, 0).is_err());
     }
-    assert!(first.step("t", MoveCommand::Begin { to: vec!["a".into()], over_ms: 1 }, 0).is_err());
-    assert!(first.step("t", MoveCommand::Begin { to: vec!["z".into()], over_ms: 1 }, 0).is_err());
+    assert!(first
+        .apply_move_command("t", MoveCommand::Begin { to: vec!["a".into()], over_ms: 1 }, 0)
+        .is_err());
+    assert!(first
+        .apply_move_command("t", MoveCommand::Begin { to: vec!["z".into()], over_ms: 1 }, 0)
+        .is_err());
     let walk = |turns: &[(MoveCommand, u64)]| {
         let mut node = Cells::new(first.clone(), 10, 1 << 20, &core);
         let mut file = first.clone();
         for (turn, at) in turns {
-            file = file.step("t", turn.clone(), *at).unwrap();
+            file = file.apply_move_command("t", turn.clone(), *at).unwrap();
             assert_eq!(CellsFile::parse("again", &file.render(), &core).unwrap(), file);
             node.replace_file(0, file.clone()).unwrap();
         }
@@ -317,21 +326,29 @@
     let never = walk(&[(begin.clone(), 0), (MoveCommand::Back, 5), (MoveCommand::Settle, 6)]);
     assert_eq!(never.home("t"), ["a".into()]);
     // Not before all sessions have moved, and not twice.
-    let going = first.step("t", begin.clone(), 0).unwrap().step("t", MoveCommand::Go, 10).unwrap();
-    assert!(going.step("t", MoveCommand::Done, 500).unwrap_err().to_string().contains("49%"));
-    assert!(going.step("t", begin, 500).is_err());
-    assert!(going.step("t", MoveCommand::Go, 500).is_err());
-    assert!(going.step("t", MoveCommand::Back, 500).unwrap().step("t", MoveCommand::Settle, 600).is_err());
+    let going = first
+        .apply_move_command("t", begin.clone(), 0)
+        .unwrap()
+        .apply_move_command("t", MoveCommand::Go, 10)
+        .unwrap();
+    assert!(going.apply_move_command("t", MoveCommand::Done, 500).unwrap_err().to_string().contains("49%"));
+    assert!(going.apply_move_command("t", begin, 500).is_err());
+    assert!(going.apply_move_command("t", MoveCommand::Go, 500).is_err());
+    assert!(going
+        .apply_move_command("t", MoveCommand::Back, 500)
+        .unwrap()
+        .apply_move_command("t", MoveCommand::Settle, 600)
+        .is_err());
 }
 
 #[test]
 fn contradicting_move_steps_are_rejected() {
-    let both = a_move(Step::Both { since: 10 });
-    assert!(!a_move(Step::Both { since: 11 }).may_follow(&both));
-    assert!(!a_move(Step::Prepare).may_follow(&both));
-    assert!(!a_move(Step::Both { since: 10 }).may_follow(&a_move(Step::Done { since: 10 })));
-    assert!(a_move(Step::Back { since: 10, at: 20 }).may_follow(&both));
-    assert!(!a_move(Step::Back { since: 10, at: 5 }).may_follow(&both));
+    let both = a_move(MovePhase::Both { since: 10 });
+    assert!(!a_move(MovePhase::Both { since: 11 }).may_follow(&both));
+    assert!(!a_move(MovePhase::Prepare).may_follow(&both));
+    assert!(!a_move(MovePhase::Both { since: 10 }).may_follow(&a_move(MovePhase::Done { since: 10 })));
+    assert!(a_move(MovePhase::Back { since: 10, at: 20 }).may_follow(&both));
+    assert!(!a_move(MovePhase::Back { since: 10, at: 5 }).may_follow(&both));
 }
 
 // ---- levels, loans and edge admission ----
@@ -341,25 +358,25 @@
     let mut health = CellHealth::new([1.0, 2.0, 3.0].into_iter());
     let second = 1_000_000;
     assert!(health.update(0, 0.2, 0.2));
-    assert_eq!(health.level(), Level::Shedding);
+    assert_eq!(health.level(), ServiceLevel::Shedding);
     // A capacity just over the threshold does not raise the level.
     for s in 1..20 {
         health.update(s * second, 0.42, 0.42);
     }
-    assert_eq!(health.level(), Level::Shedding);
+    assert_eq!(health.level(), ServiceLevel::Shedding);
     health.update(20 * second, 1.0, 1.0);
-    assert_eq!(health.level(), Level::Shedding);
+    assert_eq!(health.level(), ServiceLevel::Shedding);
     health.update(26 * second, 1.0, 1.0);
-    assert_eq!(health.level(), Level::Constrained);
+    assert_eq!(health.level(), ServiceLevel::Constrained);
     health.update(27 * second, 1.0, 1.0);
-    assert_eq!(health.level(), Level::Constrained);
+    assert_eq!(health.level(), ServiceLevel::Constrained);
     health.update(32 * second, 1.0, 1.0);
-    assert_eq!(health.level(), Level::Normal);
+    assert_eq!(health.level(), ServiceLevel::Normal);
     health.update(33 * second, 0.0, 0.0);
-    assert_eq!(health.level(), Level::Unavailable);
+    assert_eq!(health.level(), ServiceLevel::Unavailable);
     // A cell that is able to serve again does so at once.
     health.update(34 * second, 0.5, 0.5);
-    assert_eq!(health.level(), Level::Shedding);
+    assert_eq!(health.level(), ServiceLevel::Shedding);
 }
 
 /// A node that starts knows the cells before their engines: no engine is lost then.
@@ -368,7 +385,7 @@
     let core = core(&["t", "u", "v"]);
     let mut node = Cells::new(CellsFile::parse("cells", FILE, &core).unwrap(), 10, 1 << 20, &core);
     node.set_engines(0, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
+    assert!(node.status(9).iter().all(|s| s.level == ServiceLevel::Normal));
     let mut all = Vec::new();
     for cell in ["a", "b"] {
         for (id, role) in
@@ -378,10 +395,10 @@
         }
     }
     node.set_engines(1, all.clone());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Normal));
+    assert!(node.status(9).iter().all(|s| s.level == ServiceLevel::Normal));
     // From then on an empty list means that all engines are gone.
     node.set_engines(2, Vec::new());
-    assert!(node.status(9).iter().all(|s| s.level == Level::Unavailable));
+    assert!(node.status(9).iter().all(|s| s.level == ServiceLevel::Unavailable));
 }
 
 /// The admitted fraction grows while the cell is not overloaded, and shrinks while it is.
--- a/crates/pintally-cells/tests/failures.rs
+++ b/crates/pintally-cells/tests/failures.rs
@@ -168,15 +168,15 @@
     let mut cells = cells(false);
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
-    assert_eq!((a.level, a.failing), (Level::Unavailable, true));
-    assert_eq!(status(&cells, now, "b").level, Level::Normal);
+    assert_eq!((a.level, a.failing), (ServiceLevel::Unavailable, true));
+    assert_eq!(status(&cells, now, "b").level, ServiceLevel::Normal);
     // One idempotent request a second is admitted as a trial; others never are.
     assert_eq!(cells.admit(now, ask(1), 0), CellAdmission::Admit("b".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("a".into()));
     assert_eq!(cells.admit(now, ask(0), 0), CellAdmission::Admit("b".into()));
     assert_eq!(cells.admit(now + SECOND, ask(0), 0), CellAdmission::Admit("a".into()));
     // The trials succeed from here on: the cell recovers step by step.
-    let (mut at, mut levels) = (now, vec![Level::Unavailable]);
+    let (mut at, mut levels) = (now, vec![ServiceLevel::Unavailable]);
     for _ in 0..90 {
         at += SECOND;
         for engine in ["aw0", "aw1"] {
@@ -188,7 +188,10 @@
             levels.push(level);
         }
     }
-    assert_eq!(levels, [Level::Unavailable, Level::Shedding, Level::Constrained, Level::Normal]);
+    assert_eq!(
+        levels,
+        [ServiceLevel::Unavailable, ServiceLevel::Shedding, ServiceLevel::Constrained, ServiceLevel::Normal]
+    );
 }
 
 #[test]
@@ -197,7 +200,7 @@
     let now = release(&mut cells, 0);
     let a = status(&cells, now, "a");
     // One spare writer of the two that it lacks.
-    assert_eq!((a.borrowed, a.level, a.failing), (1, Level::Constrained, false));
+    assert_eq!((a.borrowed, a.level, a.failing), (1, ServiceLevel::Constrained, false));
     let spread = cells.reassign(now + 1);
     let lent = &spread.cells[&CellName::from("a")];
     let fresh = lent.iter().find(|m| &*m.engine.0 == "sw").expect("the spare writer");
@@ -218,7 +221,7 @@
         cells.reassign(now);
     }
     let b = status(&cells, now, "b");
-    assert_eq!((b.borrowed, b.overloaded, b.level), (2, true, Level::Normal));
+    assert_eq!((b.borrowed, b.overloaded, b.level), (2, true, ServiceLevel::Normal));
     // Lost engines of another cell are replaced first, at once.
     let now = release(&mut cells, now);
     assert_eq!(status(&cells, now, "a").borrowed, 1);
@@ -262,28 +265,28 @@
 
 // ---- the rate of a move ----
 
-fn a_move(step: Step) -> Move {
-    Move { tenant: "t".into(), to: vec!["b".into()], over_ms: 10_000, step }
+fn a_move(phase: MovePhase) -> TenantMove {
+    TenantMove { tenant: "t".into(), to: vec!["b".into()], over_ms: 10_000, phase }
 }
 
 #[test]
 fn move_pauses_while_target_is_overloaded() {
-    let (mut rate, both) = (MoveRateController::default(), a_move(Step::Both { since: 1000 }));
-    assert_eq!(rate.share(&both, 1000, false), 0.0);
-    assert!((rate.share(&both, 3000, false) - 0.2).abs() < 1e-9);
-    assert!((rate.share(&both, 8000, true) - 0.2).abs() < 1e-9);
+    let (mut rate, both) = (MoveRateController::default(), a_move(MovePhase::Both { since: 1000 }));
+    assert_eq!(rate.update_share(&both, 1000, false), 0.0);
+    assert!((rate.update_share(&both, 3000, false) - 0.2).abs() < 1e-9);
+    assert!((rate.update_share(&both, 8000, true) - 0.2).abs() < 1e-9);
     // The sessions of the pause do not move all at once.
-    assert!((rate.share(&both, 9000, false) - 0.3).abs() < 1e-9);
-    let done = a_move(Step::Done { since: 1000 });
-    assert!((rate.share(&done, 12_000, false) - 0.6).abs() < 1e-9);
-    assert_eq!(rate.share(&done, 60_000, false), 1.0);
+    assert!((rate.update_share(&both, 9000, false) - 0.3).abs() < 1e-9);
+    let done = a_move(MovePhase::Done { since: 1000 });
+    assert!((rate.update_share(&done, 12_000, false) - 0.6).abs() < 1e-9);
+    assert_eq!(rate.update_share(&done, 60_000, false), 1.0);
     // A node that learns late of the step continues at the rate from then on.
     let mut late = MoveRateController::default();
-    assert_eq!(late.share(&a_move(Step::Prepare), 5000, false), 0.0);
-    assert!((late.share(&both, 6000, false) - 0.1).abs() < 1e-9);
-    assert!((late.share(&both, 9000, false) - 0.4).abs() < 1e-9);
+    assert_eq!(late.update_share(&a_move(MovePhase::Prepare), 5000, false), 0.0);
+    assert!((late.update_share(&both, 6000, false) - 0.1).abs() < 1e-9);
+    assert!((late.update_share(&both, 9000, false) - 0.4).abs() < 1e-9);
     // A node that restarts starts at the file's share.
-    assert!((MoveRateController::default().share(&both, 6000, true) - 0.5).abs() < 1e-9);
+    assert!((MoveRateController::default().update_share(&both, 6000, true) - 0.5).abs() < 1e-9);
 }
 
 #[test]
@@ -329,15 +332,15 @@
         let (mut rate, mut unix, mut last) = (MoveRateController::default(), 1000u64, 0.0f64);
         for (passed, back, paused) in steps {
             unix = if back { unix.saturating_sub(passed / 8).max(1000) } else { unix + passed };
-            let both = a_move(Step::Both { since: 1000 });
-            let share = rate.share(&both, unix, paused);
+            let both = a_move(MovePhase::Both { since: 1000 });
+            let share = rate.update_share(&both, unix, paused);
             prop_assert!(share >= last);
-            prop_assert!(share <= both.share(unix).max(last));
+            prop_assert!(share <= both.moved_share(unix).max(last));
             last = share;
         }
-        let back = a_move(Step::Back { since: 1000, at: unix });
-        prop_assert!(rate.share(&back, unix, false) <= last);
-        prop_assert_eq!(rate.share(&back, unix + 10_001, true), 0.0);
+        let back = a_move(MovePhase::Back { since: 1000, at: unix });
+        prop_assert!(rate.update_share(&back, unix, false) <= last);
+        prop_assert_eq!(rate.update_share(&back, unix + 10_001, true), 0.0);
     }
 
     /// Half of a cell's quota for bodies is available whatever the others have reserved; all cells together never
--- a/crates/pintally-cells/tests/golden.rs
+++ b/crates/pintally-cells/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The text of the cells file and of its cached copy: a later build reads what an earlier one has written.
 
 use pintally::interface::{DiscoveryMode, LoadReporting, Settings, Tenant};
-use pintally_cells::{CellSpec, CellsFile, Home, Move, Needs, Step, TenantHome};
+use pintally_cells::{CellSpec, CellsFile, HomeCells, MovePhase, RequiredEngines, TenantHome, TenantMove};
 
 const GOLDEN: &str = include_str!("golden/cells.txt");
 
@@ -36,12 +36,12 @@
 }
 
 fn cell(name: &str, weight: f64, readers: usize, fallback: Option<&str>) -> CellSpec {
-    let needs = Needs { readers, writers: 3 };
-    CellSpec { name: name.into(), weight, needs, fallback: fallback.map(Into::into) }
+    let required_engines = RequiredEngines { readers, writers: 3 };
+    CellSpec { name: name.into(), weight, required_engines, fallback: fallback.map(Into::into) }
 }
 
-fn step(tenant: &str, step: Step) -> Move {
-    Move { tenant: tenant.into(), to: vec!["b".into(), "c d".into()], over_ms: 1_000, step }
+fn tenant_move(tenant: &str, phase: MovePhase) -> TenantMove {
+    TenantMove { tenant: tenant.into(), to: vec!["b".into(), "c d".into()], over_ms: 1_000, phase }
 }
 
 fn file() -> CellsFile {
@@ -49,12 +49,15 @@
     CellsFile {
         version: 300,
         cells: vec![cell("a", 1.0, 2, Some("b")), cell("b", 0.25, 1, None), cell("c d", 0.0, 100, None)],
-        tenants: vec![home("t", Home::Pinned(vec!["a".into(), "b".into()])), home("v\"w", Home::Shards(2))],
+        tenants: vec![
+            home("t", HomeCells::Pinned(vec!["a".into(), "b".into()])),
+            home("v\"w", HomeCells::Shards(2)),
+        ],
         moves: vec![
-            step("t", Step::Prepare),
-            step("u", Step::Both { since: 5_000 }),
-            step("v\"w", Step::Done { since: 5_000 }),
-            step("x", Step::Back { since: 5_000, at: 6_000 }),
+            tenant_move("t", MovePhase::Prepare),
+            tenant_move("u", MovePhase::Both { since: 5_000 }),
+            tenant_move("v\"w", MovePhase::Done { since: 5_000 }),
+            tenant_move("x", MovePhase::Back { since: 5_000, at: 6_000 }),
         ],
     }
 }
--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -140,19 +140,19 @@
         table.add_row([
             cell.name.to_string(),
             cell.weight.to_string(),
-            cell.needs.readers.to_string(),
-            cell.needs.writers.to_string(),
+            cell.required_engines.readers.to_string(),
+            cell.required_engines.writers.to_string(),
             cell.fallback.as_ref().map(std::string::ToString::to_string).unwrap_or_default(),
             tenants.join(", "),
         ]);
     }
     println!("{table}");
     for m in &file.moves {
-        let share = m.share(unix_ms()) * 100.0;
+        let share = m.moved_share(unix_ms()) * 100.0;
         let (from, to) = (names(&file.home(&m.tenant)), names(&m.to));
         println!(
             "{} moves from {from} to {to}: {:?}, {share:.0}% of its sessions are over",
-            m.tenant, m.step
+            m.tenant, m.phase
         );
     }
     Ok(ExitCode::SUCCESS)
@@ -163,7 +163,7 @@
     if !settings.core.tenants.iter().any(|t| t.name == tenant) {
         return Err(Failure::usage(format!("no tenant is named `{tenant}` in the settings")));
     }
-    let next = file.step(tenant, turn, unix_ms()).map_err(Failure::failed)?.render();
+    let next = file.apply_move_command(tenant, turn, unix_ms()).map_err(Failure::failed)?.render();
     // What is written must be what a node takes.
     CellsFile::parse(&path, &next, &settings.core).map_err(Failure::failed)?;
     if !write {
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -6,7 +6,7 @@
 
 use comfy_table::Table;
 use pintally::interface::EndpointState;
-use pintally_cells::{CellsFile, Home};
+use pintally_cells::{CellsFile, HomeCells};
 use pintally_config::form::Document;
 use pintally_config::{ConfigError, EngineList, NodeSettings};
 use pintally_placement::{greedy, solve, steps, Group, Plan, Problem, Step, Tenant, Unsolved};
@@ -113,7 +113,7 @@
     for (name, (reads, writes)) in &demand.tenants {
         let home: Vec<usize> = file.home(name).iter().filter_map(|c| index(&c.0)).collect();
         let chosen = file.tenants.iter().find(|t| t.tenant == *name).map(|t| &t.home);
-        let pinned = matches!(chosen, Some(Home::Pinned(_))) || home.len() > 1;
+        let pinned = matches!(chosen, Some(HomeCells::Pinned(_))) || home.len() > 1;
         if home.len() > 1 {
             notes.push(format!("{name} spans {} cells: an even part of it stays in each", home.len()));
         }
--- a/crates/pintally-config/src/failover.rs
+++ b/crates/pintally-config/src/failover.rs
@@ -100,7 +100,7 @@
 /// The next value of a form, which must name a zone.
 fn known_zone(map: &ZoneMap, form: &Form) -> Result<usize, ConfigError> {
     let name = form.text()?;
-    map.zone(&name).ok_or_else(|| form.error(format!("no zone of a region is named `{name}`")))
+    map.zone_index(&name).ok_or_else(|| form.error(format!("no zone of a region is named `{name}`")))
 }
 
 fn policy(form: &Form, map: ZoneMap) -> Result<Settings, ConfigError> {
@@ -151,7 +151,7 @@
         return Err(form.error(format!("no `tenant` is named `{tenant}`")));
     }
     let home = &s.core.zone;
-    if !home.is_empty() && regions.policy.zones.zone(home).is_none() {
+    if !home.is_empty() && regions.policy.zones.zone_index(home).is_none() {
         return Err(form.error(format!("the node's zone `{home}` is in no region")));
     }
     if RAMP_STEPS * regions.policy.ramp_step < s.core.slow_start_duration {
--- a/crates/pintally-failover/src/flow.rs
+++ b/crates/pintally-failover/src/flow.rs
@@ -22,7 +22,11 @@
 
 /// Places as much as possible of what each zone needs in the spare capacity of the others, at the least cost.
 /// A price that is not finite forbids the pair.
-pub fn place(needs: &[f64], spare: &[f64], price: impl Fn(usize, usize) -> f64) -> FlowAssignment {
+pub fn min_cost_placement(
+    needs: &[f64],
+    spare: &[f64],
+    price: impl Fn(usize, usize) -> f64,
+) -> FlowAssignment {
     let zones = needs.len().min(spare.len());
     let mut unplaced: Vec<f64> = needs[..zones].to_vec();
     let mut spare: Vec<f64> = spare[..zones].to_vec();
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -39,7 +39,7 @@
 
     /// Applies a plan, unless it is not later than the current one, and returns whether it did.
     pub fn apply(&mut self, now: Micros, plan: FailoverPlan) -> bool {
-        if !plan.follows(self.latest.as_ref().map(|latest| &latest.plan)) {
+        if !plan.supersedes(self.latest.as_ref().map(|latest| &latest.plan)) {
             return false;
         }
         self.latest = Some(ReceivedPlan { plan, received: now });
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -20,7 +20,7 @@
 mod status;
 mod zone_recovery;
 
-pub use flow::{place, FlowAssignment};
+pub use flow::{min_cost_placement, FlowAssignment};
 pub use follower::{PlanFollower, Route};
 pub use health::ZoneHealth;
 pub use map::{Settings, Zone, ZoneMap, MAX_ZONES};
--- a/crates/pintally-failover/src/map.rs
+++ b/crates/pintally-failover/src/map.rs
@@ -39,7 +39,7 @@
 
 impl ZoneMap {
     /// The index of a zone by its name.
-    pub fn zone(&self, name: &str) -> Option<usize> {
+    pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|z| z.name == name)
     }
 
--- a/crates/pintally-failover/src/plan.rs
+++ b/crates/pintally-failover/src/plan.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether the plan replaces the current one, if there is any.
-    pub fn follows(&self, current: Option<&FailoverPlan>) -> bool {
+    pub fn supersedes(&self, current: Option<&FailoverPlan>) -> bool {
         current.is_none_or(|current| (current.term, current.number) < (self.term, self.number))
     }
 }
--- a/crates/pintally-failover/src/planner.rs
+++ b/crates/pintally-failover/src/planner.rs
@@ -1,6 +1,6 @@
 //! The leader's planner: from the reports of all nodes to a failover plan.
 
-use crate::flow::place;
+use crate::flow::min_cost_placement;
 use crate::health::{ObservedZone, Reports, ZoneHealth};
 use crate::map::Settings;
 use crate::observer::ZoneReport;
@@ -82,7 +82,7 @@
     }
 
     /// Sets or withdraws an operator's order for a zone.
-    pub fn order(&mut self, zone: usize, order: Option<OperatorOrder>) {
+    pub fn set_order(&mut self, zone: usize, order: Option<OperatorOrder>) {
         if let Some(current) = self.orders.get_mut(zone) {
             *current = order;
         }
@@ -104,7 +104,7 @@
             (0..zones).map(|zone| self.spare_capacity(zone, &observed[zone], &loads[zone])).collect();
         let map = &self.settings.zones;
         let price = |from: usize, to: usize| if from == to { f64::INFINITY } else { map.price(from, to) };
-        let placed = place(&needs, &spare, price);
+        let placed = min_cost_placement(&needs, &spare, price);
         for (zone, row) in self.rows.iter_mut().enumerate().take(zones) {
             let fully_open = self.recoveries[zone].is_fully_open();
             let excess = if fully_open { Excess::StaysLocal } else { Excess::Rejected };
@@ -162,7 +162,7 @@
     /// The status document that the next plan would have if a zone were evacuated; changes nothing.
     pub fn dry_run(&self, now: Micros, zone: usize) -> Status {
         let mut dry_run = self.clone();
-        dry_run.order(zone, Some(OperatorOrder::Evacuate));
+        dry_run.set_order(zone, Some(OperatorOrder::Evacuate));
         dry_run.plan(now);
         dry_run.status
     }
--- a/crates/pintally-failover/tests/failover.rs
+++ b/crates/pintally-failover/tests/failover.rs
@@ -2,8 +2,8 @@
 //! after a delay.
 
 use pintally_failover::{
-    place, FailoverPlan, Micros, OperatorOrder, PlanFollower, Planner, Route, Settings, Zone, ZoneHealth,
-    ZoneMap, ZoneObserver, ZoneReport,
+    min_cost_placement, FailoverPlan, Micros, OperatorOrder, PlanFollower, Planner, Route, Settings, Zone,
+    ZoneHealth, ZoneMap, ZoneObserver, ZoneReport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -354,7 +354,7 @@
         let needs: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(0..3u32))).collect();
         let offers: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(0..4u32))).collect();
         let prices: Vec<f64> = (0..9).map(|_| f64::from(rng.random_range(1..9u32))).collect();
-        let placed = place(&needs, &offers, |a, b| prices[a * 3 + b]);
+        let placed = min_cost_placement(&needs, &offers, |a, b| prices[a * 3 + b]);
         let best = best_placement(&needs, &offers, &prices, 0, 0.0, 0.0);
         let amount: f64 = placed.flow.iter().flatten().sum();
         assert!((amount - best.0).abs() < 1e-6 && (placed.cost - best.1).abs() < 1e-6, "{placed:?} {best:?}");
@@ -397,14 +397,14 @@
     assert_eq!(dry.zones[1].open, 0.0);
     assert!(dry.routes[1].iter().all(|g| g.0 != "b"), "{dry:?}");
     assert_eq!(world.planner.status().zones[1].open, 1.0, "a dry run changes nothing");
-    world.planner.order(1, Some(OperatorOrder::Evacuate));
+    world.planner.set_order(1, Some(OperatorOrder::Evacuate));
     let (served, _) = world.run(20_000);
     assert!(served > 0.97, "{served}");
     assert_eq!(world.planner.status().zones[1].open, 0.0);
-    world.planner.order(1, None);
+    world.planner.set_order(1, None);
     world.run(20_000);
     assert_eq!(world.planner.status().zones[1].open, 1.0);
-    world.planner.order(1, Some(OperatorOrder::Hold));
+    world.planner.set_order(1, Some(OperatorOrder::Hold));
     world.failure_rate[1] = 1.0;
     world.run(6_000);
     assert_eq!(world.planner.status().zones[1].open, 1.0, "the order holds it");
--- a/crates/pintally-host/src/zone_routing.rs
+++ b/crates/pintally-host/src/zone_routing.rs
@@ -44,7 +44,7 @@
     pub(crate) fn new(settings: &NodeSettings) -> Option<ZoneRouting> {
         let failover = settings.failover.clone()?;
         let core = &settings.core;
-        let home_zone = failover.policy.zones.zone(&core.zone)?;
+        let home_zone = failover.policy.zones.zone_index(&core.zone)?;
         let zones = &failover.policy.zones.zones;
         Some(ZoneRouting {
             observer: ZoneObserver::new(zones.len()),
--- a/crates/pintally-kserve-node/src/failover_leader.rs
+++ b/crates/pintally-kserve-node/src/failover_leader.rs
@@ -54,7 +54,7 @@
     /// Takes a plan of the leader's; whether it follows the latest one.
     pub(crate) fn receive_plan(&mut self, bytes: &[u8]) -> bool {
         let Some(plan) = FailoverPlan::decode(bytes, self.engine_counts.len()) else { return false };
-        if !plan.follows(self.latest.as_ref()) {
+        if !plan.supersedes(self.latest.as_ref()) {
             return false;
         }
         self.latest = Some(plan);
@@ -64,7 +64,7 @@
     /// Takes a node's report, if this node leads.
     pub(crate) fn receive_report(&mut self, now: Micros, node: &str, zone: &str, bytes: &[u8]) {
         let Some(planner) = &mut self.planner else { return };
-        let zone = self.settings.policy.zones.zone(zone);
+        let zone = self.settings.policy.zones.zone_index(zone);
         if let (Some(zone), Some(report)) = (zone, ZoneReport::decode(bytes)) {
             planner.receive_report(now, node, zone, report);
         }
@@ -106,7 +106,7 @@
         planner.update_zones(&nodes, &self.engine_counts);
         let orders = lock(&shared.fleet.zone_orders).clone();
         for (index, zone) in self.settings.policy.zones.zones.iter().enumerate() {
-            planner.order(index, orders.get(&zone.name).and_then(|order| parse_order(order)));
+            planner.set_order(index, orders.get(&zone.name).and_then(|order| parse_order(order)));
         }
         let open_before: Vec<_> = planner.status().zones.iter().map(|zone| zone.open).collect();
         let plan = planner.plan(now);
@@ -126,7 +126,7 @@
         let own = std::iter::once(shared.settings.core.zone.as_str());
         let alive =
             membership.members().filter(|member| member.is_alive()).map(pintally_membership::Member::zone);
-        for zone in alive.chain(own).filter_map(|name| map.zone(name)) {
+        for zone in alive.chain(own).filter_map(|name| map.zone_index(name)) {
             nodes[zone] += 1;
         }
         nodes
@@ -134,7 +134,7 @@
 
     fn answer_dry_run(&self, now: Micros, shared: &Shared) {
         let Some(request) = lock(&shared.fleet.pending_dry_run).take() else { return };
-        let zone = self.settings.policy.zones.zone(&request.zone);
+        let zone = self.settings.policy.zones.zone_index(&request.zone);
         let status = zone.and_then(|zone| Some(self.planner.as_ref()?.dry_run(now, zone)));
         let _ = request.answer.try_send(status);
     }
--- a/crates/pintally-kserve-node/src/replica_thread/commands.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/commands.rs
@@ -98,7 +98,7 @@
         out: &mut Vec<Output>,
     ) -> Result<(), CommandAnswer> {
         let zones = self.shared.settings.failover.as_ref().map(|failover| &failover.policy.zones);
-        let known = zones.is_some_and(|zones| zones.zone(zone).is_some());
+        let known = zones.is_some_and(|zones| zones.zone_index(zone).is_some());
         if !known || !ZONE_ORDERS.contains(&order.as_str()) {
             return Err(CommandAnswer::rejected(format!("no zone of a region is named `{zone}`")));
         }
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -458,7 +458,9 @@
     fn turn(&mut self, tenant: &str, turn: MoveCommand) {
         let unix_ms = UNIX_MS + self.now / 1000;
         // A day's script may end a move before its time; nodes then go on as the file had it.
-        let Some(Ok(next)) = self.cells.as_ref().map(|c| c.step(tenant, turn, unix_ms)) else { return };
+        let Some(Ok(next)) = self.cells.as_ref().map(|c| c.apply_move_command(tenant, turn, unix_ms)) else {
+            return;
+        };
         for node in 0..self.nodes.len() {
             let late = self.day.hears_after(node).as_micros() as Micros;
             let input = Input::Cells(Box::new(next.clone()));
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -9,7 +9,7 @@
 
 use pintally::interface::EndpointState;
 use pintally_audit::{Answer, EngineFigures, Record, What};
-use pintally_cells::{CellsFile, Move, Step};
+use pintally_cells::{CellsFile, MovePhase, TenantMove};
 use pintally_config::NodeSettings;
 use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, ReportAccuracy};
 use rand::{RngExt, SeedableRng};
@@ -466,11 +466,16 @@
         if let MoveStep::Prepare { to, over } = step {
             cells.moves.retain(|m| m.tenant != tenant);
             let (to, over_ms) = (vec![to.as_str().into()], (over.as_millis() as u64).max(1));
-            cells.moves.push(Move { tenant: tenant.to_string(), to, over_ms, step: Step::Prepare });
+            cells.moves.push(TenantMove {
+                tenant: tenant.to_string(),
+                to,
+                over_ms,
+                phase: MovePhase::Prepare,
+            });
         } else if let Some(one) = cells.moves.iter_mut().find(|m| m.tenant == tenant) {
-            one.step = match (one.step, step) {
-                (Step::Prepare, MoveStep::Both) => Step::Both { since: now },
-                (Step::Both { since }, MoveStep::Done) => Step::Done { since },
+            one.phase = match (one.phase, step) {
+                (MovePhase::Prepare, MoveStep::Both) => MovePhase::Both { since: now },
+                (MovePhase::Both { since }, MoveStep::Done) => MovePhase::Done { since },
                 (other, _) => other,
             };
         }
