--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -69,7 +69,7 @@
              holds back more than {:.0}% of a kind\n    a verdict without evidence dies within {:.0} s",
             verdicts.attempts_until_ejection(),
             verdicts.max_ejection_fraction * 100.0,
-            verdicts.max_time_without_evidence() as f64 / 1e6
+            verdicts.max_ejection_without_evidence() as f64 / 1e6
         );
     }
     if let Some(regions) = &settings.failover {
--- a/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
@@ -93,7 +93,7 @@
             return;
         }
         let (shared, reload_list) = (self.shared.clone(), self.reload_list.clone());
-        let address = membership.route(peer);
+        let address = membership.peer_address(peer);
         let spawned = spawn_small("fetch", move || {
             fetch_list(&shared, address, &reload_list);
             shared.fleet.list_fetch_running.store(false, Ordering::Release);
--- a/crates/pintally-kserve-node/src/fleet/link.rs
+++ b/crates/pintally-kserve-node/src/fleet/link.rs
@@ -82,7 +82,7 @@
     let mut membership =
         Settings::new(&settings.fleet, &node.name, &node.core.zone, settings.listen, settings.seeds.clone());
     membership.seeds.extend(&restored.peer_addresses);
-    membership.reach =
+    membership.address_overrides =
         settings.reach.iter().map(|(name, address)| (PeerName::from(name.as_str()), *address)).collect();
     membership.probe_interval = settings.period;
     membership.probe_timeout = settings.answer;
--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -213,7 +213,7 @@
         match event {
             MembershipEvent::MemberUp(name, incarnation) => {
                 info!(peer = %name, boot = incarnation.boot, "peer alive");
-                self.with_backup(|backup, _| backup.node_up(&name.0, incarnation.mark));
+                self.with_backup(|backup, _| backup.node_up(&name.0, incarnation.nonce));
             }
             MembershipEvent::MemberDown(name) => {
                 info!(peer = %name, "peer dead");
@@ -226,13 +226,13 @@
             MembershipEvent::MemberSuspected(name) => debug!(peer = %name, "peer suspected"),
             MembershipEvent::FactReceived(origin, topic) => self.handle_fact(&origin, topic),
             MembershipEvent::DirectMessage(from, topic, bytes) => self.handle_message(&from, topic, bytes),
-            MembershipEvent::StoredIncarnationOutdated { own, now } => {
+            MembershipEvent::StoredIncarnationOutdated { previous_boot, new_boot } => {
                 warn!(
-                    stored = own,
-                    known_to_peers = now,
+                    stored = previous_boot,
+                    known_to_peers = new_boot,
                     "stored incarnation is outdated: store lost or restored"
                 );
-                self.shared.fleet.store_record(RecordKey::Boot, now.to_le_bytes().to_vec());
+                self.shared.fleet.store_record(RecordKey::Boot, new_boot.to_le_bytes().to_vec());
             }
             MembershipEvent::NameYielded => {
                 warn!("another process runs under this node's name: this one sends nothing to peers");
--- a/crates/pintally-kserve-node/src/fleet/quota_exchange.rs
+++ b/crates/pintally-kserve-node/src/fleet/quota_exchange.rs
@@ -12,7 +12,7 @@
 impl FleetThread<'_> {
     /// The node that leads the replicas in the latest term that this node knows.
     pub(super) fn leader(&self) -> Option<PeerName> {
-        self.link.membership.highest(FactTopic::Leadership.topic()).cloned()
+        self.link.membership.node_with_highest_number(FactTopic::Leadership.topic()).cloned()
     }
 
     /// Sends lease requests to the granter, in messages of bounded size.
@@ -20,7 +20,7 @@
         let granter = self.leader();
         *lock(&self.shared.fleet.lease_granter) = granter.as_ref().map(ToString::to_string);
         let Some(granter) = granter else { return };
-        let mark = self.link.membership.incarnation().mark;
+        let mark = self.link.membership.incarnation().nonce;
         for requests in requests.chunks(MAX_ENTRIES_PER_MESSAGE) {
             if *granter.0 == *self.shared.settings.name {
                 let holder = LeaseHolder { name: granter.to_string(), mark };
@@ -64,7 +64,7 @@
 
     /// Grants are for one incarnation: another process of the same name has leases of its own.
     fn apply_grants(&self, mark: u64, grants: Vec<LeaseGrant>) {
-        if mark == self.link.membership.incarnation().mark {
+        if mark == self.link.membership.incarnation().nonce {
             self.shared.send_input(Input::QuotaGranted(grants));
         }
     }
--- a/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
+++ b/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
@@ -72,7 +72,7 @@
         let membership = &self.link.membership;
         let alive: Vec<&Member> = membership.members().filter(|member| member.is_alive()).collect();
         let addresses: Vec<String> =
-            alive.iter().map(|member| membership.route(member).to_string()).collect();
+            alive.iter().map(|member| membership.peer_address(member).to_string()).collect();
         self.shared.fleet.store_record(RecordKey::PeerAddresses, addresses.join("\n").into_bytes());
         if self.shared.settings.outlier_detection.is_some() {
             let observers = alive.iter().map(|member| observer(member)).collect();
--- a/crates/pintally-kserve-node/src/fleet/reservations.rs
+++ b/crates/pintally-kserve-node/src/fleet/reservations.rs
@@ -54,7 +54,7 @@
         let membership = &mut self.link.membership;
         let alive = membership.members().filter(|m| m.is_alive()).map(|m| &*m.name().0);
         let backup_nodes = ReservationPublisher::backup_nodes(&self.shared.settings.name, alive);
-        let mark = membership.incarnation().mark;
+        let mark = membership.incarnation().nonce;
         for message in reservations.publisher.publish_due(now, mark, &own, &backup_nodes) {
             for node in &backup_nodes {
                 let (peer, topic) = (PeerName::from(node.as_str()), MessageTopic::Reservations.topic());
--- a/crates/pintally-kserve-node/src/fleet/startup.rs
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -60,7 +60,7 @@
         service_rates: records.service_rates(settings),
         orphaned_reservations: records.orphaned_reservations(),
         remembered: RememberedState { fleet_rate, issues },
-        incarnation: ProcessIncarnation { boot, mark: seed },
+        incarnation: ProcessIncarnation { boot, nonce: seed },
         peer_addresses: records.peer_addresses(),
         store,
     }
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -19,7 +19,7 @@
         fault: Some("fails"),
         scope: Some(FaultScope::Zone("a".into())),
         reporters: vec!["n0".into()],
-        cleared_by: vec!["n1".into()],
+        working_for: vec!["n1".into()],
         recovery_step: Some("rests"),
         ejected: true,
         step_age_ms: 5,
@@ -34,7 +34,7 @@
     let got = [
         line(&verdict),
         line(&pool),
-        line(&[FaultScope::Link, FaultScope::Zone("a".into()), FaultScope::Everyone]),
+        line(&[FaultScope::Link, FaultScope::Zone("a".into()), FaultScope::AllNodes]),
         line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
         line(&[Stage::LoadingState, Stage::QueryingPeers, Stage::SlowStart, Stage::Serving]),
         line(&[
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -173,7 +173,12 @@
                 Replica::new(consensus::Settings::new(&names[n], &replicas), None, false, rng.random(), 1)
             });
             Node {
-                peers: Membership::new(settings, ProcessIncarnation { boot: 1, mark: life }, rng.random(), 1),
+                peers: Membership::new(
+                    settings,
+                    ProcessIncarnation { boot: 1, nonce: life },
+                    rng.random(),
+                    1,
+                ),
                 alive: true,
                 woken_for: Micros::MAX,
                 replica,
@@ -437,7 +442,7 @@
         }
         let node = &self.nodes[n];
         let own = format!("n{n}");
-        let Some(leader) = node.peers.highest(LEADER_ANNOUNCEMENT).cloned() else { return };
+        let Some(leader) = node.peers.node_with_highest_number(LEADER_ANNOUNCEMENT).cloned() else { return };
         let life = node.life;
         let mut out = Vec::new();
         for asks in asks.chunks(MAX_ENTRIES_PER_MESSAGE) {
--- a/crates/pintally-membership/src/event.rs
+++ b/crates/pintally-membership/src/event.rs
@@ -30,13 +30,13 @@
     FactReceived(PeerName, Topic),
     /// A peer sent a message to this node alone.
     DirectMessage(PeerName, Topic, Vec<u8>),
-    /// Peers remember a later start of this node than its disk did: the disk was lost or restored from an
-    /// older image. The caller is to store the number `now`.
+    /// Peers know a later boot number of this node than its disk held: the disk was lost or restored from an
+    /// older image. The caller must store `new_boot`.
     StoredIncarnationOutdated {
-        /// The start number that this node had.
-        own: u64,
-        /// The start number that applies from here on.
-        now: u64,
+        /// The boot number that this node had until now.
+        previous_boot: u64,
+        /// The boot number under which this node continues.
+        new_boot: u64,
     },
     /// Another process runs under this node's name; this one has yielded the name and sends nothing more.
     NameYielded,
--- a/crates/pintally-membership/src/fact.rs
+++ b/crates/pintally-membership/src/fact.rs
@@ -11,7 +11,7 @@
 /// Largest payload of a fact: several facts fit into one datagram.
 pub const MAX_PAYLOAD_BYTES: usize = 400;
 /// Topics that one node may publish facts on.
-pub const MAX_FACTS: usize = 16;
+pub const MAX_TOPICS_PER_NODE: usize = 16;
 /// Facts of the whole fleet that a node stores, so that no peer can exhaust its memory.
 const MAX_STORED_FACTS: usize = MAX_MEMBERS * 4;
 
@@ -51,7 +51,7 @@
 pub enum GossipError {
     /// The payload exceeds [`MAX_PAYLOAD_BYTES`].
     PayloadTooLarge,
-    /// The node publishes on [`MAX_FACTS`] topics already.
+    /// The node publishes on [`MAX_TOPICS_PER_NODE`] topics already.
     TooManyTopics,
 }
 
@@ -59,7 +59,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             GossipError::PayloadTooLarge => write!(f, "a fact holds at most {MAX_PAYLOAD_BYTES} bytes"),
-            GossipError::TooManyTopics => write!(f, "a node speaks on at most {MAX_FACTS} topics"),
+            GossipError::TooManyTopics => write!(f, "a node speaks on at most {MAX_TOPICS_PER_NODE} topics"),
         }
     }
 }
@@ -93,7 +93,9 @@
         let key = (fact.origin.clone(), fact.topic);
         let accepted = match self.facts.get(&key) {
             Some(known) => fact.precedence() > known.precedence(),
-            None => self.topic_count(&fact.origin) < MAX_FACTS && self.facts.len() < MAX_STORED_FACTS,
+            None => {
+                self.topic_count(&fact.origin) < MAX_TOPICS_PER_NODE && self.facts.len() < MAX_STORED_FACTS
+            }
         };
         if accepted {
             self.facts.insert(key, fact);
--- a/crates/pintally-membership/src/identity.rs
+++ b/crates/pintally-membership/src/identity.rs
@@ -23,7 +23,7 @@
 
 /// Identifies one run of a node's process. Later incarnations compare greater.
 ///
-/// The start number is counted on the node's disk. The mark is drawn at random at each start, so that two
+/// The start number is counted on the node's disk. The nonce is drawn at random at each start, so that two
 /// processes with the same number are distinguished: the disk was lost or restored from an older image, or
 /// the node was started twice. Not to be confused with SWIM's incarnation, which a running process raises
 /// to refute a suspicion.
@@ -32,7 +32,7 @@
     /// Number of the start, as far as the node knows; raised when peers remember a later one.
     pub boot: u64,
     /// Drawn at random at the start of the process.
-    pub mark: u64,
+    pub nonce: u64,
 }
 
 /// Longest name of a node, a zone or a fleet.
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -28,11 +28,11 @@
 mod status;
 
 pub use event::{MembershipEvent, Output};
-pub use fact::{GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
+pub use fact::{GossipError, GossipFact, Topic, MAX_PAYLOAD_BYTES, MAX_TOPICS_PER_NODE};
 pub use identity::{PeerName, ProcessIncarnation};
 pub use member_table::{Member, MemberState};
 pub use membership::Membership;
-pub use packet::{MAX_DATAGRAM, MAX_DIRECT_MESSAGE_BYTES};
+pub use packet::{MAX_DATAGRAM_BYTES, MAX_DIRECT_MESSAGE_BYTES};
 pub use pintally_validation::InvalidConfiguration;
 pub use settings::Settings;
 pub use status::{Counters, PeerStatus, Status};
--- a/crates/pintally-membership/src/membership.rs
+++ b/crates/pintally-membership/src/membership.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::event::{MembershipEvent, Output};
-use crate::fact::{FactStore, GossipError, GossipFact, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES};
+use crate::fact::{FactStore, GossipError, GossipFact, Topic, MAX_PAYLOAD_BYTES, MAX_TOPICS_PER_NODE};
 use crate::gossip_queue::{GossipItem, GossipQueue};
 use crate::identity::{PeerName, ProcessIncarnation};
 use crate::local_health::LocalHealth;
@@ -55,7 +55,7 @@
     last_tick: Micros,
     protocol_periods: u64,
     raises: IncarnationRaises,
-    has_yielded_name: bool,
+    has_stopped: bool,
     /// What this process has published, to be published again under another process incarnation.
     published: BTreeMap<Topic, Vec<u8>>,
     fact_version: u64,
@@ -94,7 +94,7 @@
             last_tick: now,
             protocol_periods: 0,
             raises: IncarnationRaises::new(now),
-            has_yielded_name: false,
+            has_stopped: false,
             published: BTreeMap::new(),
             fact_version: 0,
             counters: Counters::default(),
@@ -128,8 +128,8 @@
     }
 
     /// Whether this process has yielded its name to another one, or has left.
-    pub fn has_yielded_name(&self) -> bool {
-        self.has_yielded_name
+    pub fn has_stopped(&self) -> bool {
+        self.has_stopped
     }
 
     /// All facts on a topic, without those that were withdrawn.
@@ -144,7 +144,7 @@
 
     /// The live node, this one included, that has published the highest number on a topic. Numbers are
     /// eight bytes in little-endian order; any other payload counts as 0.
-    pub fn highest(&self, topic: Topic) -> Option<&PeerName> {
+    pub fn node_with_highest_number(&self, topic: Topic) -> Option<&PeerName> {
         let is_live = |fact: &&GossipFact| {
             fact.origin == self.own.name || self.members.get(&fact.origin).is_some_and(Member::is_alive)
         };
@@ -169,7 +169,7 @@
             name: self.own.name.to_string(),
             boot: self.own.process_incarnation.boot,
             local_health_score: self.health.score(),
-            has_yielded_name: self.has_yielded_name,
+            has_stopped: self.has_stopped,
             peers: self.members.iter().map(|member| PeerStatus::new(member, now)).collect(),
             facts: self.facts.len(),
             queued_gossip: self.gossip.len(),
@@ -178,8 +178,8 @@
     }
 
     /// The address at which this node reaches a peer.
-    pub fn route(&self, member: &Member) -> SocketAddr {
-        self.settings.reach.get(member.name()).copied().unwrap_or(member.address())
+    pub fn peer_address(&self, member: &Member) -> SocketAddr {
+        self.settings.address_overrides.get(member.name()).copied().unwrap_or(member.address())
     }
 
     /// Sends a message to one peer, once; it may be lost. Returns whether it was sent: the peer is alive,
@@ -194,10 +194,10 @@
         let Some(member) = self.members.get(peer).filter(|member| member.is_alive()) else {
             return false;
         };
-        if payload.len() > MAX_DIRECT_MESSAGE_BYTES || self.has_yielded_name {
+        if payload.len() > MAX_DIRECT_MESSAGE_BYTES || self.has_stopped {
             return false;
         }
-        let address = self.route(member);
+        let address = self.peer_address(member);
         self.send(address, Message::Direct { topic, payload }, outputs);
         true
     }
@@ -217,7 +217,7 @@
         if is_current && self.published.get(&topic) == Some(&payload) {
             return Ok(());
         }
-        if known.is_none() && self.facts.topic_count(&key.0) >= MAX_FACTS {
+        if known.is_none() && self.facts.topic_count(&key.0) >= MAX_TOPICS_PER_NODE {
             return Err(GossipError::TooManyTopics);
         }
         self.published.insert(topic, payload.clone());
@@ -244,11 +244,12 @@
     /// Announces to all live peers that this node leaves. Nothing is sent afterwards.
     pub fn leave(&mut self, outputs: &mut Vec<Output>) {
         self.own.state = MemberState::Left;
-        let addresses: Vec<SocketAddr> = self.members.alive().map(|member| self.route(member)).collect();
+        let addresses: Vec<SocketAddr> =
+            self.members.alive().map(|member| self.peer_address(member)).collect();
         for address in addresses {
             self.send(address, Message::Leave, outputs);
         }
-        self.has_yielded_name = true;
+        self.has_stopped = true;
     }
 
     /// The time at which [`Membership::tick`] has work to do.
@@ -264,7 +265,7 @@
 
     /// Does all work that is due.
     pub fn tick(&mut self, now: Micros, outputs: &mut Vec<Output>) {
-        if self.has_yielded_name {
+        if self.has_stopped {
             return self.stop_timers();
         }
         self.detect_pause(now, outputs);
@@ -324,7 +325,7 @@
             Err(PacketError::Malformed) => return self.counters.malformed += 1,
             Err(PacketError::Foreign) => return self.counters.foreign += 1,
         };
-        if self.has_yielded_name {
+        if self.has_stopped {
             return;
         }
         self.counters.received += 1;
--- a/crates/pintally-membership/src/membership/dissemination.rs
+++ b/crates/pintally-membership/src/membership/dissemination.rs
@@ -8,7 +8,7 @@
 use crate::gossip_queue::GossipItem;
 use crate::identity::PeerName;
 use crate::member_table::{MemberState, MemberUpdate};
-use crate::packet::{Message, Packet, MAX_DATAGRAM};
+use crate::packet::{Message, Packet, MAX_DATAGRAM_BYTES};
 
 /// Estimated bytes of an update without its name and zone.
 const UPDATE_OVERHEAD_BYTES: usize = 64;
@@ -16,7 +16,7 @@
 const FACT_OVERHEAD_BYTES: usize = 48;
 /// Estimated bytes of a gossip packet without updates.
 const GOSSIP_OVERHEAD_BYTES: usize = 128;
-/// A packet may exceed [`MAX_DATAGRAM`] by so much, since its parts are estimated; a larger one is not sent.
+/// A packet may exceed [`MAX_DATAGRAM_BYTES`] by so much, since its parts are estimated; a larger one is not sent.
 const MAX_EXCESS_BYTES: usize = 600;
 
 fn estimated_update_bytes(update: &MemberUpdate) -> usize {
@@ -36,7 +36,7 @@
         let about_receiver = self
             .members
             .iter()
-            .find(|member| member.state() != MemberState::Alive && self.route(member) == to);
+            .find(|member| member.state() != MemberState::Alive && self.peer_address(member) == to);
         packet.updates.extend(about_receiver.map(|member| member.update.clone()));
         self.piggyback(&mut packet);
         self.transmit(to, &packet, outputs);
@@ -48,7 +48,7 @@
         let peers = self.members.alive_count();
         for item in self.gossip.by_fewest_transmissions() {
             let size = self.append(&item, packet);
-            if length + size > MAX_DATAGRAM {
+            if length + size > MAX_DATAGRAM_BYTES {
                 remove_last(&item, packet);
                 return;
             }
@@ -93,7 +93,7 @@
         let mut length = packet.encode().len();
         for update in updates {
             let size = estimated_update_bytes(&update);
-            if length + size > MAX_DATAGRAM {
+            if length + size > MAX_DATAGRAM_BYTES {
                 self.transmit(to, &packet, outputs);
                 packet = self.new_packet(Message::Gossip);
                 length = GOSSIP_OVERHEAD_BYTES;
@@ -103,7 +103,7 @@
         }
         for fact in facts {
             let size = estimated_fact_bytes(&fact);
-            if length + size > MAX_DATAGRAM {
+            if length + size > MAX_DATAGRAM_BYTES {
                 self.transmit(to, &packet, outputs);
                 packet = self.new_packet(Message::Gossip);
                 length = GOSSIP_OVERHEAD_BYTES;
@@ -133,7 +133,7 @@
 
     fn transmit(&mut self, to: SocketAddr, packet: &Packet, outputs: &mut Vec<Output>) {
         let bytes = packet.encode();
-        if bytes.is_empty() || bytes.len() > MAX_DATAGRAM + MAX_EXCESS_BYTES {
+        if bytes.is_empty() || bytes.len() > MAX_DATAGRAM_BYTES + MAX_EXCESS_BYTES {
             return;
         }
         self.counters.sent += 1;
--- a/crates/pintally-membership/src/membership/incarnation.rs
+++ b/crates/pintally-membership/src/membership/incarnation.rs
@@ -53,8 +53,9 @@
         // that goes on raising its number as well is another one that runs now.
         let detection_time = self.settings.max_failure_detection_time(self.alive_count());
         self.raises.record(now, RAISE_WINDOW_DETECTION_TIMES * detection_time);
-        if self.raises.is_exceeded() && update.process_incarnation.mark < self.own.process_incarnation.mark {
-            self.has_yielded_name = true;
+        if self.raises.is_exceeded() && update.process_incarnation.nonce < self.own.process_incarnation.nonce
+        {
+            self.has_stopped = true;
             outputs.push(Output::Event(MembershipEvent::NameYielded));
             return;
         }
@@ -75,12 +76,12 @@
     /// Continues under a start number above the one that peers remember, and publishes all facts again
     /// under it.
     fn raise_above(&mut self, remembered_boot: u64, outputs: &mut Vec<Output>) {
-        let own = self.own.process_incarnation.boot;
-        let now = remembered_boot + 1;
-        self.own.process_incarnation.boot = now;
+        let previous_boot = self.own.process_incarnation.boot;
+        let new_boot = remembered_boot + 1;
+        self.own.process_incarnation.boot = new_boot;
         self.own.incarnation = 0;
-        self.counters.disk_went_back += 1;
-        outputs.push(Output::Event(MembershipEvent::StoredIncarnationOutdated { own, now }));
+        self.counters.outdated_incarnations += 1;
+        outputs.push(Output::Event(MembershipEvent::StoredIncarnationOutdated { previous_boot, new_boot }));
         self.gossip.push(GossipItem::Member(self.own.name.clone()));
         for (topic, payload) in self.published.clone() {
             self.publish_version(topic, payload);
--- a/crates/pintally-membership/src/membership/probing.rs
+++ b/crates/pintally-membership/src/membership/probing.rs
@@ -70,7 +70,7 @@
         is_eligible: impl Fn(&Member) -> bool,
     ) -> Vec<SocketAddr> {
         let eligible = self.members.iter().filter(|member| is_eligible(member));
-        let mut addresses: Vec<SocketAddr> = eligible.map(|member| self.route(member)).collect();
+        let mut addresses: Vec<SocketAddr> = eligible.map(|member| self.peer_address(member)).collect();
         addresses.shuffle(&mut self.rng);
         addresses.truncate(limit);
         addresses
@@ -83,12 +83,12 @@
         if !is_alone && !self.protocol_periods.is_multiple_of(SEED_PING_PERIODS) {
             return;
         }
-        let live: Vec<SocketAddr> = self.members.alive().map(|member| self.route(member)).collect();
+        let live: Vec<SocketAddr> = self.members.alive().map(|member| self.peer_address(member)).collect();
         let mut seeds = self.settings.seeds.clone();
         // Guards against a fleet that stays split after a partition: members that were declared dead
         // count as seeds.
         let dead = self.members.iter().filter(|member| member.state() == MemberState::Dead);
-        seeds.extend(dead.map(|member| self.route(member)));
+        seeds.extend(dead.map(|member| self.peer_address(member)));
         seeds.retain(|seed| *seed != self.own.address && !live.contains(seed));
         seeds.sort_unstable();
         seeds.dedup();
@@ -128,7 +128,7 @@
     }
 
     fn send_probe(&mut self, now: Micros, target: PeerName, outputs: &mut Vec<Output>) {
-        let Some(address) = self.members.get(&target).map(|member| self.route(member)) else { return };
+        let Some(address) = self.members.get(&target).map(|member| self.peer_address(member)) else { return };
         let sequence = self.next_sequence();
         self.counters.probes += 1;
         self.probe = Some(Probe {
@@ -216,7 +216,8 @@
             return;
         }
         let sequence = self.next_sequence();
-        let address = self.members.get(&target).map_or(advertised_address, |member| self.route(member));
+        let address =
+            self.members.get(&target).map_or(advertised_address, |member| self.peer_address(member));
         let nack_at = now + self.settings.probe_timeout;
         self.relayed_probes.insert(sequence, RelayedProbe { requester, requester_sequence, nack_at });
         self.send(address, Message::Ping { sequence, target: Some(target) }, outputs);
--- a/crates/pintally-membership/src/membership/updates.rs
+++ b/crates/pintally-membership/src/membership/updates.rs
@@ -73,7 +73,7 @@
         let origin = fact.origin.clone();
         let topic = fact.topic;
         if origin == self.own.name {
-            if fact.process_incarnation.mark == self.own.process_incarnation.mark {
+            if fact.process_incarnation.nonce == self.own.process_incarnation.nonce {
                 return;
             }
             let update = MemberUpdate { process_incarnation: fact.process_incarnation, ..self.own.clone() };
--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -13,7 +13,7 @@
 use crate::member_table::MemberUpdate;
 
 /// Largest datagram: below what common links carry without fragmentation.
-pub const MAX_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Largest payload of a direct message: with its header it fills a datagram.
 pub const MAX_DIRECT_MESSAGE_BYTES: usize = 1100;
 /// Version of the wire format, the first byte of every packet.
--- a/crates/pintally-membership/src/packet/tests.rs
+++ b/crates/pintally-membership/src/packet/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(bytes, golden(name), "bytes of {name}");
 }
 
-const INCARNATION: ProcessIncarnation = ProcessIncarnation { boot: 3, mark: 1 << 40 };
+const INCARNATION: ProcessIncarnation = ProcessIncarnation { boot: 3, nonce: 1 << 40 };
 
 fn update(name: &str, state: MemberState, address: &str) -> MemberUpdate {
     let (address, zone) = (address.parse().unwrap(), "zone-a".into());
--- a/crates/pintally-membership/src/settings.rs
+++ b/crates/pintally-membership/src/settings.rs
@@ -32,7 +32,7 @@
     /// Addresses of some peers, to join the fleet at the start and whenever no other peer is known.
     pub seeds: Vec<SocketAddr>,
     /// Peers that this node reaches at another address than they advertise.
-    pub reach: BTreeMap<PeerName, SocketAddr>,
+    pub address_overrides: BTreeMap<PeerName, SocketAddr>,
     /// Time between two probes (SWIM's protocol period).
     pub probe_interval: Micros,
     /// Time for a direct acknowledgement; the rest of the interval is for indirect ones.
@@ -57,7 +57,7 @@
             zone: zone.to_string(),
             address,
             seeds,
-            reach: BTreeMap::new(),
+            address_overrides: BTreeMap::new(),
             probe_interval: 500_000,
             probe_timeout: 150_000,
             indirect_probes: 3,
--- a/crates/pintally-membership/src/status.rs
+++ b/crates/pintally-membership/src/status.rs
@@ -32,7 +32,8 @@
     /// Facts that anti-entropy has brought.
     pub repaired: u64,
     /// Times that peers remembered a later start of this node than its disk did.
-    pub disk_went_back: u64,
+    #[serde(rename = "disk_went_back")]
+    pub outdated_incarnations: u64,
 }
 
 /// A peer on the status page.
@@ -76,9 +77,9 @@
     /// Lifeguard's local health score, 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_score: u32,
-    /// The process has yielded the name to another process under it.
+    /// Whether this process has stopped: it yielded its name to another process, or it has left.
     #[serde(rename = "stepped_back")]
-    pub has_yielded_name: bool,
+    pub has_stopped: bool,
     /// The peers.
     pub peers: Vec<PeerStatus>,
     /// Number of facts that it knows.
--- a/crates/pintally-membership/tests/common/mod.rs
+++ b/crates/pintally-membership/tests/common/mod.rs
@@ -64,7 +64,7 @@
             fleet: "test".into(),
         };
         for number in 0..nodes {
-            network.add(settings(number), ProcessIncarnation { boot: 1, mark: 1000 + number as u64 });
+            network.add(settings(number), ProcessIncarnation { boot: 1, nonce: 1000 + number as u64 });
         }
         network
     }
@@ -178,7 +178,7 @@
 
     /// Whether every running node knows exactly the running nodes as alive.
     pub fn is_converged(&self) -> bool {
-        let up: Vec<&Node> = self.nodes.iter().filter(|n| n.up && !n.membership.has_yielded_name()).collect();
+        let up: Vec<&Node> = self.nodes.iter().filter(|n| n.up && !n.membership.has_stopped()).collect();
         up.iter().all(|n| {
             n.membership.alive_count() == up.len()
                 && n.membership.members().filter(|m| m.is_alive()).all(|m| m.state() == MemberState::Alive)
--- a/crates/pintally-membership/tests/malformed_packets.rs
+++ b/crates/pintally-membership/tests/malformed_packets.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 
 use pintally_membership::{
-    Membership, Output, ProcessIncarnation, Settings, Topic, MAX_FACTS, MAX_PAYLOAD_BYTES,
+    Membership, Output, ProcessIncarnation, Settings, Topic, MAX_PAYLOAD_BYTES, MAX_TOPICS_PER_NODE,
 };
 use proptest::prelude::*;
 
 fn node(number: u16, seed: u16) -> Membership {
     let address = |n: u16| SocketAddr::from(([127, 0, 0, 1], 7000 + n));
     let settings = Settings::new("test", &format!("n{number}"), "a", address(number), vec![address(seed)]);
-    Membership::new(settings, ProcessIncarnation { boot: 1, mark: number.into() }, number.into(), 0)
+    Membership::new(settings, ProcessIncarnation { boot: 1, nonce: number.into() }, number.into(), 0)
 }
 
 fn datagrams(outputs: Vec<Output>) -> Vec<Vec<u8>> {
@@ -47,11 +47,13 @@
 fn fact_size_and_topic_count_are_limited() {
     let mut node = node(1, 2);
     assert!(node.publish(Topic(0), vec![0; MAX_PAYLOAD_BYTES + 1]).is_err());
-    for topic in 0..MAX_FACTS as u8 {
+    for topic in 0..MAX_TOPICS_PER_NODE as u8 {
         node.publish(Topic(topic), vec![topic]).unwrap();
     }
     assert!(node.publish(Topic(99), vec![1]).is_err());
     let mut outputs = Vec::new();
     node.tick(0, &mut outputs);
-    assert!(datagrams(outputs).iter().all(|datagram| datagram.len() <= pintally_membership::MAX_DATAGRAM));
+    assert!(datagrams(outputs)
+        .iter()
+        .all(|datagram| datagram.len() <= pintally_membership::MAX_DATAGRAM_BYTES));
 }
--- a/crates/pintally-membership/tests/simulated_fleet.rs
+++ b/crates/pintally-membership/tests/simulated_fleet.rs
@@ -65,14 +65,14 @@
 fn outdated_stored_incarnation_is_corrected_by_peers() {
     let mut network = Network::new(6, 11);
     network.nodes[2].up = false;
-    network.restart(2, ProcessIncarnation { boot: 9, mark: 77 });
+    network.restart(2, ProcessIncarnation { boot: 9, nonce: 77 });
     network.run(15 * SECOND);
     network.nodes[2].up = false;
     network.run(16 * SECOND);
-    network.restart(2, ProcessIncarnation { boot: 4, mark: 5 });
+    network.restart(2, ProcessIncarnation { boot: 4, nonce: 5 });
     network.nodes[2].membership.publish(Topic(1), b"after".to_vec()).unwrap();
     network.run(30 * SECOND);
-    let outdated = MembershipEvent::StoredIncarnationOutdated { own: 4, now: 10 };
+    let outdated = MembershipEvent::StoredIncarnationOutdated { previous_boot: 4, new_boot: 10 };
     assert!(network.nodes[2].events.iter().any(|n| n.1 == outdated), "{:?}", network.nodes[2].events);
     assert!(network.is_converged());
     for node in &network.nodes {
@@ -93,10 +93,10 @@
         let mut network = Network::new(6, seed);
         network.run(10 * SECOND);
         let twin = Settings { address: address(50), ..settings(4) };
-        let twin = network.add(twin, ProcessIncarnation { boot: 1, mark: 900 + 200 * (seed % 2) });
+        let twin = network.add(twin, ProcessIncarnation { boot: 1, nonce: 900 + 200 * (seed % 2) });
         network.run(60 * SECOND);
         let yielded: Vec<bool> =
-            [4, twin].iter().map(|n| network.nodes[*n].membership.has_yielded_name()).collect();
+            [4, twin].iter().map(|n| network.nodes[*n].membership.has_stopped()).collect();
         assert_eq!(yielded.iter().filter(|b| **b).count(), 1, "seed {seed}: {yielded:?}");
         let others = [0, 1, 2, 3, 5];
         for n in others {
@@ -114,7 +114,7 @@
 fn packets_of_another_fleet_are_rejected() {
     let mut network = Network::new(4, 3);
     let foreign = Settings { fleet: "other".into(), ..settings(4) };
-    let foreign = network.add(foreign, ProcessIncarnation { boot: 5, mark: 1 });
+    let foreign = network.add(foreign, ProcessIncarnation { boot: 5, nonce: 1 });
     network.run(30 * SECOND);
     assert_eq!(network.nodes[foreign].membership.alive_count(), 1);
     for n in 0..4 {
--- a/crates/pintally-outlier-detection/src/agreement.rs
+++ b/crates/pintally-outlier-detection/src/agreement.rs
@@ -19,7 +19,8 @@
     /// The nodes of this zone.
     Zone(String),
     /// All nodes.
-    Everyone,
+    #[serde(rename = "Everyone")]
+    AllNodes,
 }
 
 impl FaultScope {
@@ -27,7 +28,7 @@
     /// by itself.
     pub(crate) fn concerns(&self, node: &Node) -> bool {
         match self {
-            FaultScope::Everyone => true,
+            FaultScope::AllNodes => true,
             FaultScope::Zone(zone) => *zone == node.zone,
             FaultScope::Link => false,
         }
@@ -47,7 +48,7 @@
     /// Nodes that report a fault.
     pub(crate) reporters: Vec<Reporter<'a>>,
     /// Nodes for which the engine worked after the first of these faults.
-    pub(crate) cleared_by: Vec<&'a Node>,
+    pub(crate) working_for: Vec<&'a Node>,
 }
 
 impl EngineReports<'_> {
@@ -56,25 +57,25 @@
         if self.reporters.is_empty() {
             return None;
         }
-        let agree = |reporters: usize, cleared_by: usize| {
-            reporters >= min_reporters && reporters >= SUCCESS_WEIGHT * cleared_by
+        let agree = |reporters: usize, working_for: usize| {
+            reporters >= min_reporters && reporters >= SUCCESS_WEIGHT * working_for
         };
-        if agree(self.reporters.len(), self.cleared_by.len()) {
-            return Some(FaultScope::Everyone);
+        if agree(self.reporters.len(), self.working_for.len()) {
+            return Some(FaultScope::AllNodes);
         }
         let zones: BTreeSet<&str> =
             self.reporters.iter().map(|reporter| reporter.node.zone.as_str()).collect();
         let zone = zones.into_iter().find(|zone| {
             let reporters = self.reporters.iter().filter(|reporter| reporter.node.zone == *zone).count();
-            let cleared_by = self.cleared_by.iter().filter(|node| node.zone == *zone).count();
-            agree(reporters, cleared_by)
+            let working_for = self.working_for.iter().filter(|node| node.zone == *zone).count();
+            agree(reporters, working_for)
         });
         Some(zone.map_or(FaultScope::Link, |zone| FaultScope::Zone(zone.to_string())))
     }
 
     /// Whether the engine works for a node.
-    pub(crate) fn is_cleared_by(&self, node: &Node) -> bool {
-        self.cleared_by.iter().any(|other| other.name == node.name)
+    pub(crate) fn is_working_for(&self, node: &Node) -> bool {
+        self.working_for.iter().any(|other| other.name == node.name)
     }
 
     /// Whether any reporter's last attempt timed out.
--- a/crates/pintally-outlier-detection/src/detector.rs
+++ b/crates/pintally-outlier-detection/src/detector.rs
@@ -144,7 +144,7 @@
             let scope = reports.scope(self.min_reporters());
             let concerned = scope.is_some_and(|scope| scope.concerns(&self.peers.local));
             // A node for which the engine works while it fails others goes by its own evidence.
-            if concerned && !reports.is_cleared_by(&self.peers.local) {
+            if concerned && !reports.is_working_for(&self.peers.local) {
                 let suspicion = if reports.any_timeout() { Suspicion::TimingOut } else { Suspicion::Failing };
                 outliers.insert(engine, suspicion);
             }
@@ -162,7 +162,7 @@
             let reports = self.reports_of(now, engine, since, unreliable);
             if !reports.reporters.is_empty() {
                 RampEvidence::Failure
-            } else if !reports.cleared_by.is_empty() {
+            } else if !reports.working_for.is_empty() {
                 RampEvidence::Success
             } else {
                 RampEvidence::Nothing
--- a/crates/pintally-outlier-detection/src/reports.rs
+++ b/crates/pintally-outlier-detection/src/reports.rs
@@ -158,11 +158,11 @@
         // A success before the first failure that others saw does not contradict them.
         let first_failure = reporters.iter().map(|reporter| reporter.evidence.last_failure).min();
         let after = first_failure.unwrap_or(0).max(after);
-        let cleared_by = evidence_of_engine()
+        let working_for = evidence_of_engine()
             .filter(|(_, evidence)| evidence.reports_success(now, &self.settings))
             .filter(|(_, evidence)| evidence.last_success > after)
             .map(|(report, _)| &report.node)
             .collect();
-        EngineReports { reporters, cleared_by }
+        EngineReports { reporters, working_for }
     }
 }
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -71,7 +71,7 @@
     }
 
     /// The longest time for which an engine that no node tries stays ejected after the last evidence.
-    pub fn max_time_without_evidence(&self) -> Micros {
+    pub fn max_ejection_without_evidence(&self) -> Micros {
         self.evidence_retention + 2 * self.max_ejection_time + 2 * self.ramp_step
     }
 }
--- a/crates/pintally-outlier-detection/src/status.rs
+++ b/crates/pintally-outlier-detection/src/status.rs
@@ -24,7 +24,7 @@
     pub reporters: Vec<String>,
     /// Nodes for which the engine works.
     #[serde(rename = "clear")]
-    pub cleared_by: Vec<String>,
+    pub working_for: Vec<String>,
     /// `rests`, `on trial`, `a quarter` or `back`, if the engine is ejected or recovering.
     #[serde(rename = "step")]
     pub recovery_step: Option<&'static str>,
@@ -90,7 +90,7 @@
             fault: reports.last_fault().map(Fault::description),
             scope: reports.scope(self.min_reporters()),
             reporters: reports.reporters.iter().map(|reporter| reporter.node.name.clone()).collect(),
-            cleared_by: reports.cleared_by.iter().map(|node| node.name.clone()).collect(),
+            working_for: reports.working_for.iter().map(|node| node.name.clone()).collect(),
             recovery_step: ramp.map(|ramp| ramp.step.name()),
             ejected: self.ejections.ejected().contains(&engine),
             step_age_ms: ramp.map_or(0, |ramp| now.saturating_sub(ramp.since) / 1000),
--- a/crates/pintally-outlier-detection/tests/detection.rs
+++ b/crates/pintally-outlier-detection/tests/detection.rs
@@ -127,7 +127,7 @@
         fleet.delay = 200 * MS;
         fleet.run(900);
         assert_eq!(fleet.ejecting_nodes(3), nodes, "{nodes} nodes");
-        assert_eq!(fleet.scope(0, 3), Some(FaultScope::Everyone));
+        assert_eq!(fleet.scope(0, 3), Some(FaultScope::AllNodes));
         assert_eq!((0..8).filter(|e| fleet.ejecting_nodes(*e) > 0).count(), 1, "and no other is ejected");
     }
 }
@@ -254,7 +254,7 @@
     fleet.run(900);
     assert_eq!(fleet.ejecting_nodes(0), 4);
     // No node has a request for the engine any more.
-    let bound = fleet.settings.max_time_without_evidence();
+    let bound = fleet.settings.max_ejection_without_evidence();
     let until = fleet.now + bound;
     while fleet.now < until {
         fleet.now += TICK;
