--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -9,7 +9,7 @@
 
 use pintally_host::IncomingRequest;
 use pintally_http::{response, HttpError, Request, RequestReader};
-use pintally_kserve::{self as kserve, Form, InferenceRequest, Route, DEADLINE_HEADER};
+use pintally_kserve::{self as kserve, InferenceEndpoint, InferenceRequest, Route, DEADLINE_HEADER};
 use tracing::debug;
 
 use crate::request_session::{self, ClientRequest, Connection};
@@ -147,16 +147,16 @@
     let counter = if overload { &counters.turned_away } else { &counters.bad_requests };
     counter.fetch_add(1, Ordering::Relaxed);
     debug!(status = rejection.status, reason = rejection.message, "request rejected");
-    let _ = reply(stream, rejection.status, &kserve::error(&rejection.message, overload), false);
+    let _ = reply(stream, rejection.status, &kserve::error_body(&rejection.message, overload), false);
     drain(stream);
 }
 
 /// Serves one request.
 fn serve(shared: &Shared, stream: &mut TcpStream, waker: &Arc<Waker>, request: &Request) -> Connection {
     let route = kserve::route(&request.method, &request.target);
-    if let Route::Infer(model, form) = &route {
+    if let Route::Inference(model, endpoint) = &route {
         if *model == shared.settings.model {
-            return infer(shared, stream, waker, *form, request);
+            return infer(shared, stream, waker, *endpoint, request);
         }
     }
     let response = respond(shared, route);
@@ -175,25 +175,27 @@
         Route::Ready => status::readiness(shared),
         Route::ModelReady(model) if known(&model) => status::readiness(shared),
         Route::Counters => status::counters(shared),
-        Route::Peers => status::published(&fleet.membership_status, "this node has no peers in its settings"),
+        Route::Membership => {
+            status::published(&fleet.membership_status, "this node has no peers in its settings")
+        }
         Route::Recovery => {
             status::published(&fleet.recovery_status, "this node has no recovery in its settings")
         }
-        Route::Keepers => status::published(&fleet.consensus_status, "this node is no keeper"),
+        Route::Consensus => status::published(&fleet.consensus_status, "this node is no keeper"),
         Route::Limits => status::limits(shared),
-        Route::Regions => {
+        Route::Failover => {
             status::published(&fleet.failover_status, "this node has no regions in its settings")
         }
-        Route::Verdicts => {
+        Route::OutlierDetection => {
             status::published(&fleet.outlier_status, "this node has no verdicts in its settings")
         }
-        Route::Server => StatusResponse::ok(kserve::metadata(env!("CARGO_PKG_VERSION"))),
-        Route::Model(model) if known(&model) => StatusResponse::ok(kserve::model_metadata(&model)),
-        Route::Model(model) | Route::ModelReady(model) | Route::Infer(model, _) => {
+        Route::ServerMetadata => StatusResponse::ok(kserve::server_metadata(env!("CARGO_PKG_VERSION"))),
+        Route::ModelMetadata(model) if known(&model) => StatusResponse::ok(kserve::model_metadata(&model)),
+        Route::ModelMetadata(model) | Route::ModelReady(model) | Route::Inference(model, _) => {
             StatusResponse::error(404, &format!("unknown model `{model}`"))
         }
-        Route::WrongMethod => StatusResponse::error(405, "this endpoint has another method"),
-        Route::Unknown => StatusResponse::error(404, "no such endpoint"),
+        Route::MethodNotAllowed => StatusResponse::error(405, "this endpoint has another method"),
+        Route::NotFound => StatusResponse::error(404, "no such endpoint"),
     }
 }
 
@@ -202,17 +204,18 @@
     shared: &Shared,
     stream: &mut TcpStream,
     waker: &Arc<Waker>,
-    form: Form,
+    endpoint: InferenceEndpoint,
     request: &Request,
 ) -> Connection {
-    let inference = match InferenceRequest::parse(form, &request.body, request.headers.get(DEADLINE_HEADER)) {
-        Ok(inference) => inference,
-        Err(error) => return bad_request(shared, stream, &error.0, request.keep_alive),
-    };
-    match incoming_request(shared, form, &inference, request.body.len()) {
+    let inference =
+        match InferenceRequest::parse(endpoint, &request.body, request.headers.get(DEADLINE_HEADER)) {
+            Ok(inference) => inference,
+            Err(error) => return bad_request(shared, stream, &error.0, request.keep_alive),
+        };
+    match incoming_request(shared, endpoint, &inference, request.body.len()) {
         Ok(incoming) => {
             let model = shared.settings.model.clone();
-            let client_request = ClientRequest { inference, form, model, keep_alive: request.keep_alive };
+            let client_request = ClientRequest { inference, endpoint, model, keep_alive: request.keep_alive };
             request_session::run(shared, stream, waker, &client_request, incoming)
         }
         Err(message) => bad_request(shared, stream, &message, request.keep_alive),
@@ -221,13 +224,13 @@
 
 fn bad_request(shared: &Shared, stream: &mut TcpStream, message: &str, keep_alive: bool) -> Connection {
     shared.counters.bad_requests.fetch_add(1, Ordering::Relaxed);
-    Connection::after(reply(stream, 400, &kserve::error(message, false), keep_alive))
+    Connection::after(reply(stream, 400, &kserve::error_body(message, false), keep_alive))
 }
 
 /// The request as the host takes it; the error says which name is not known.
 fn incoming_request(
     shared: &Shared,
-    form: Form,
+    endpoint: InferenceEndpoint,
     inference: &InferenceRequest,
     bytes: usize,
 ) -> Result<IncomingRequest, String> {
@@ -258,7 +261,7 @@
         prefix_tokens: inference.prefix_tokens,
         max_tokens: inference.max_tokens,
         client_timeout: inference.deadline_ms.map(|ms| ms * MICROS_PER_MILLI),
-        streamed: form == Form::Stream,
+        streamed: endpoint == InferenceEndpoint::GenerateStream,
         resumed: inference.resumed,
         bytes,
         unix_ms: shared.clock.unix_ms(),
--- a/crates/pintally-kserve-node/src/listener.rs
+++ b/crates/pintally-kserve-node/src/listener.rs
@@ -69,7 +69,7 @@
 }
 
 fn reject(mut stream: &TcpStream) {
-    let body = pintally_kserve::error("too many connections", true);
+    let body = pintally_kserve::error_body("too many connections", true);
     let headers = [("content-type", "application/json"), ("connection", "close")];
     // One small write into an empty buffer: it does not wait.
     let _ = stream.write(&response(503, &headers, body.as_bytes()));
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -151,7 +151,7 @@
     }
 
     /// Engines that take work, by the node's endpoint list.
-    pub fn serving(&self) -> usize {
+    pub fn serving_engines(&self) -> usize {
         self.shared.serving.load(Ordering::Relaxed)
     }
 
--- a/crates/pintally-kserve-node/src/request_session.rs
+++ b/crates/pintally-kserve-node/src/request_session.rs
@@ -12,7 +12,7 @@
 use pintally::interface::{AttemptNumber, Micros, Outcome, RequestId};
 use pintally_host::{FinalAnswer, IncomingRequest, Input, RequestNumber};
 use pintally_http::{chunk, header_line, response, response_head, sse_event, LAST_CHUNK};
-use pintally_kserve::{self as kserve, Form, InferenceRequest};
+use pintally_kserve::{self as kserve, InferenceEndpoint, InferenceRequest};
 use tracing::debug;
 
 use crate::attempt;
@@ -55,7 +55,7 @@
 /// A client's request for inference.
 pub(crate) struct ClientRequest {
     pub(crate) inference: InferenceRequest,
-    pub(crate) form: Form,
+    pub(crate) endpoint: InferenceEndpoint,
     pub(crate) model: String,
     pub(crate) keep_alive: bool,
 }
@@ -179,7 +179,7 @@
     /// Sends the text that has come in, if the answer streams; `false` if the client does not take it, or
     /// the answer has grown too long.
     pub(crate) fn flush(&mut self) -> bool {
-        if self.request.form != Form::Stream {
+        if self.request.endpoint != InferenceEndpoint::GenerateStream {
             return self.unsent_text.len() <= MAX_COLLECTED_BYTES;
         }
         if self.unsent_text.is_empty() || self.client_left || self.answered {
@@ -224,17 +224,19 @@
     fn write_answer(&mut self, answer: FinalAnswer) -> io::Result<()> {
         let (model, id) = (&self.request.model, self.answer_id());
         match answer {
-            FinalAnswer::Served => match self.request.form {
-                Form::Stream => self.end_stream(&kserve::stream_end(model, &id)),
-                Form::Infer => self.write_body(200, &kserve::infer_answer(model, &id, &self.unsent_text)),
-                Form::Generate => {
-                    self.write_body(200, &kserve::generate_answer(model, &id, &self.unsent_text))
+            FinalAnswer::Served => match self.request.endpoint {
+                InferenceEndpoint::GenerateStream => self.end_stream(&kserve::stream_end(model, &id)),
+                InferenceEndpoint::Infer => {
+                    self.write_body(200, &kserve::infer_response(model, &id, &self.unsent_text))
+                }
+                InferenceEndpoint::Generate => {
+                    self.write_body(200, &kserve::generate_response(model, &id, &self.unsent_text))
                 }
             },
             _ if self.head_sent => self.end_stream(&kserve::stream_error("the answer was cut off")),
             FinalAnswer::Rejected(retry_after) => reject(self.client, retry_after, self.request.keep_alive),
             FinalAnswer::Failed | FinalAnswer::StreamCut => {
-                self.write_body(502, &kserve::error("the request failed", false))
+                self.write_body(502, &kserve::error_body("the request failed", false))
             }
         }
     }
@@ -311,7 +313,7 @@
 
 /// Rejects a request for overload, with the time after which to retry if there is one.
 fn reject(client: &mut TcpStream, retry_after: Option<Micros>, keep_alive: bool) -> io::Result<()> {
-    let body = kserve::error("no room: try again", true);
+    let body = kserve::error_body("no room: try again", true);
     let mut head = format!("HTTP/1.1 503 Service Unavailable\r\ncontent-length: {}\r\n", body.len());
     header_line(&mut head, "content-type", "application/json");
     if let Some(after) = retry_after {
--- a/crates/pintally-kserve-node/src/status.rs
+++ b/crates/pintally-kserve-node/src/status.rs
@@ -25,7 +25,7 @@
 
     /// An error that a retry will not mend.
     pub(crate) fn error(status: u16, message: &str) -> StatusResponse {
-        StatusResponse { status, body: kserve::error(message, false) }
+        StatusResponse { status, body: kserve::error_body(message, false) }
     }
 }
 
--- a/crates/pintally-kserve/src/lib.rs
+++ b/crates/pintally-kserve/src/lib.rs
@@ -7,8 +7,9 @@
 mod response;
 mod route;
 
-pub use request::{Form, InferenceRequest, InvalidRequest, DEADLINE_HEADER};
+pub use request::{InferenceEndpoint, InferenceRequest, InvalidRequest, DEADLINE_HEADER};
 pub use response::{
-    error, generate_answer, infer_answer, metadata, model_metadata, stream_end, stream_error, stream_part,
+    error_body, generate_response, infer_response, model_metadata, server_metadata, stream_end, stream_error,
+    stream_part,
 };
 pub use route::{route, Route};
--- a/crates/pintally-kserve/src/request/mod.rs
+++ b/crates/pintally-kserve/src/request/mod.rs
@@ -19,15 +19,15 @@
 /// Bits of a text's hash that are dropped, so that it is below [`INTEGER_LIMIT`].
 const HASH_SHIFT: u32 = 11;
 
-/// The endpoint, which decides the form of the response.
+/// The inference endpoint of a request, which decides the format of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum InferenceEndpoint {
     /// Tensors in, tensors out.
     Infer,
     /// Text in, the complete text out.
     Generate,
     /// Text in, server-sent events out.
-    Stream,
+    GenerateStream,
 }
 
 /// A request for inference.
@@ -80,7 +80,7 @@
     ///
     /// A body that is not JSON, or a field that is not valid.
     pub fn parse(
-        form: Form,
+        endpoint: InferenceEndpoint,
         body: &[u8],
         header_ms: Option<&str>,
     ) -> Result<InferenceRequest, InvalidRequest> {
@@ -90,7 +90,7 @@
         };
         let Value::Object(root) = value else { return invalid("the body must be a JSON object") };
         let mut request = InferenceRequest { id: optional_name(&root, "id")?, ..InferenceRequest::default() };
-        request.prompt = prompt(form, &root)?;
+        request.prompt = prompt(endpoint, &root)?;
         let empty = Map::new();
         let parameters = match root.get("parameters") {
             None | Some(Value::Null) => &empty,
@@ -138,10 +138,10 @@
     }
 }
 
-fn prompt(form: Form, root: &Map<String, Value>) -> Result<String, InvalidRequest> {
-    match form {
-        Form::Infer => tensor_text(root),
-        Form::Generate | Form::Stream => match root.get("text_input") {
+fn prompt(endpoint: InferenceEndpoint, root: &Map<String, Value>) -> Result<String, InvalidRequest> {
+    match endpoint {
+        InferenceEndpoint::Infer => tensor_text(root),
+        InferenceEndpoint::Generate | InferenceEndpoint::GenerateStream => match root.get("text_input") {
             Some(Value::String(text)) => Ok(text.clone()),
             _ => invalid("`text_input` must be a text"),
         },
--- a/crates/pintally-kserve/src/request/tests.rs
+++ b/crates/pintally-kserve/src/request/tests.rs
@@ -5,15 +5,18 @@
 #[test]
 fn shorter_deadline_applies() {
     let body = br#"{"id":"a","text_input":"hi","parameters":{"class":"c","session":"s","deadline_ms":900}}"#;
-    let ask = InferenceRequest::parse(Form::Generate, body, Some("300")).unwrap();
+    let ask = InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("300")).unwrap();
     assert_eq!((ask.class.as_deref(), ask.deadline_ms), (Some("c"), Some(300)));
-    assert_eq!(ask.session, InferenceRequest::parse(Form::Stream, body, None).unwrap().session);
+    assert_eq!(
+        ask.session,
+        InferenceRequest::parse(InferenceEndpoint::GenerateStream, body, None).unwrap().session
+    );
 }
 
 #[test]
 fn infer_accepts_one_text() {
     let body = br#"{"inputs":[{"name":"text_input","shape":[1,1],"datatype":"BYTES","data":[["x"]]}]}"#;
-    assert_eq!(InferenceRequest::parse(Form::Infer, body, None).unwrap().prompt, "x");
+    assert_eq!(InferenceRequest::parse(InferenceEndpoint::Infer, body, None).unwrap().prompt, "x");
 }
 
 #[test]
@@ -29,7 +32,7 @@
         (r#"{"text_input":"x","parameters":{"deadline_ms":0}}"#, "deadline"),
         (r#"{"text_input":"x","parameters":{"class":[]}}"#, "class"),
     ] {
-        let error = InferenceRequest::parse(Form::Generate, body.as_bytes(), None).unwrap_err();
+        let error = InferenceRequest::parse(InferenceEndpoint::Generate, body.as_bytes(), None).unwrap_err();
         assert!(error.0.contains(why), "{body}: {error}");
     }
 }
--- a/crates/pintally-kserve/src/response.rs
+++ b/crates/pintally-kserve/src/response.rs
@@ -3,17 +3,17 @@
 use serde_json::{json, Value};
 
 /// The body of an error, and whether a retry is harmless.
-pub fn error(message: &str, retry_is_harmless: bool) -> String {
+pub fn error_body(message: &str, retry_is_harmless: bool) -> String {
     json!({ "error": message, "retry_is_harmless": retry_is_harmless }).to_string()
 }
 
 /// The complete response of `generate`.
-pub fn generate_answer(model: &str, id: &str, text: &str) -> String {
+pub fn generate_response(model: &str, id: &str, text: &str) -> String {
     json!({ "model_name": model, "id": id, "text_output": text }).to_string()
 }
 
 /// The complete response of `infer`.
-pub fn infer_answer(model: &str, id: &str, text: &str) -> String {
+pub fn infer_response(model: &str, id: &str, text: &str) -> String {
     let output = json!({ "name": "text_output", "datatype": "BYTES", "shape": [1], "data": [text] });
     json!({ "model_name": model, "id": id, "outputs": [output] }).to_string()
 }
@@ -34,7 +34,7 @@
 }
 
 /// `GET /v2`.
-pub fn metadata(version: &str) -> String {
+pub fn server_metadata(version: &str) -> String {
     json!({ "name": "pintally", "version": version, "extensions": ["generate"] }).to_string()
 }
 
--- a/crates/pintally-kserve/src/route/mod.rs
+++ b/crates/pintally-kserve/src/route/mod.rs
@@ -5,7 +5,7 @@
 
 use percent_encoding::percent_decode_str;
 
-use crate::Form;
+use crate::InferenceEndpoint;
 
 /// An endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,31 +15,31 @@
     /// `GET /v2/health/ready`
     Ready,
     /// `GET /v2`
-    Server,
+    ServerMetadata,
     /// `GET /pintally/counters`: this project's own, for operators.
     Counters,
     /// `GET /pintally/peers`: the members that the node knows.
-    Peers,
+    Membership,
     /// `GET /pintally/recovery`: the stage of recovery after a start.
     Recovery,
     /// `GET /pintally/limits`: this node's allocations of the fleet's limits.
     Limits,
     /// `GET /pintally/regions`: zones, the failover plan and its leader.
-    Regions,
+    Failover,
     /// `GET /pintally/verdicts`: outlier detection: health and ejection of engines.
-    Verdicts,
+    OutlierDetection,
     /// `GET /pintally/keepers`: the state of the replica, if this node runs one.
-    Keepers,
+    Consensus,
     /// `GET /v2/models/{model}[/versions/{version}]`
-    Model(String),
+    ModelMetadata(String),
     /// `GET /v2/models/{model}[/versions/{version}]/ready`
     ModelReady(String),
     /// `POST .../infer`, `.../generate` and `.../generate_stream`
-    Infer(String, Form),
+    Inference(String, InferenceEndpoint),
     /// The endpoint is there, but not with this method.
-    WrongMethod,
+    MethodNotAllowed,
     /// No such endpoint.
-    Unknown,
+    NotFound,
 }
 
 /// The endpoint of a request line. A version in the path names the same model.
@@ -50,38 +50,38 @@
         .split('/')
         .map(|s| percent_decode_str(s).decode_utf8().ok().map(std::borrow::Cow::into_owned))
         .collect();
-    let Some(decoded) = decoded else { return Route::Unknown };
+    let Some(decoded) = decoded else { return Route::NotFound };
     let mut parts: Vec<&str> = decoded.iter().map(String::as_str).collect();
     if parts.len() >= 5 && parts[..2] == ["v2", "models"] && parts[3] == "versions" {
         parts.drain(3..5);
     }
-    let get = |route| if method == "GET" { route } else { Route::WrongMethod };
+    let get = |route| if method == "GET" { route } else { Route::MethodNotAllowed };
     match parts[..] {
-        ["v2"] => get(Route::Server),
+        ["v2"] => get(Route::ServerMetadata),
         ["pintally", "counters"] => get(Route::Counters),
-        ["pintally", "peers"] => get(Route::Peers),
+        ["pintally", "peers"] => get(Route::Membership),
         ["pintally", "recovery"] => get(Route::Recovery),
         ["pintally", "limits"] => get(Route::Limits),
-        ["pintally", "regions"] => get(Route::Regions),
-        ["pintally", "verdicts"] => get(Route::Verdicts),
-        ["pintally", "keepers"] => get(Route::Keepers),
+        ["pintally", "regions"] => get(Route::Failover),
+        ["pintally", "verdicts"] => get(Route::OutlierDetection),
+        ["pintally", "keepers"] => get(Route::Consensus),
         ["v2", "health", "live"] => get(Route::Live),
         ["v2", "health", "ready"] => get(Route::Ready),
-        ["v2", "models", model] => get(Route::Model(model.into())),
+        ["v2", "models", model] => get(Route::ModelMetadata(model.into())),
         ["v2", "models", model, "ready"] => get(Route::ModelReady(model.into())),
         ["v2", "models", model, action] => {
-            let form = match action {
-                "infer" => Form::Infer,
-                "generate" => Form::Generate,
-                "generate_stream" => Form::Stream,
-                _ => return Route::Unknown,
+            let endpoint = match action {
+                "infer" => InferenceEndpoint::Infer,
+                "generate" => InferenceEndpoint::Generate,
+                "generate_stream" => InferenceEndpoint::GenerateStream,
+                _ => return Route::NotFound,
             };
             if method == "POST" {
-                Route::Infer(model.into(), form)
+                Route::Inference(model.into(), endpoint)
             } else {
-                Route::WrongMethod
+                Route::MethodNotAllowed
             }
         }
-        _ => Route::Unknown,
+        _ => Route::NotFound,
     }
 }
--- a/crates/pintally-kserve/tests/golden.rs
+++ b/crates/pintally-kserve/tests/golden.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use pintally_kserve::{
-    error, generate_answer, infer_answer, metadata, model_metadata, stream_end, stream_error, stream_part,
-    Form, InferenceRequest, DEADLINE_HEADER,
+    error_body, generate_response, infer_response, model_metadata, server_metadata, stream_end, stream_error,
+    stream_part, InferenceEndpoint, InferenceRequest, DEADLINE_HEADER,
 };
 
 fn assert_golden(file: &str, got: &str) {
@@ -17,13 +17,13 @@
 #[test]
 fn answers() {
     let answers = [
-        error("what is wrong", true),
-        generate_answer("m", "a1", "a \"text\""),
-        infer_answer("m", "a1", "a \"text\""),
+        error_body("what is wrong", true),
+        generate_response("m", "a1", "a \"text\""),
+        infer_response("m", "a1", "a \"text\""),
         stream_part("m", "a1", "a"),
         stream_end("m", "a1"),
         stream_error("what is wrong"),
-        metadata("1.2.3"),
+        server_metadata("1.2.3"),
         model_metadata("m"),
     ];
     assert_golden("answers.jsonl", &(answers.join("\n") + "\n"));
@@ -34,7 +34,7 @@
     let body = br#"{"id":"a1","text_input":"hi","parameters":{"class":"hint","tenant":"north","session":5,
         "prefix":"somewhere","prefix_tokens":100,"prompt_tokens":200,"max_tokens":64,"deadline_ms":900,
         "resumed":true}}"#;
-    let ask = InferenceRequest::parse(Form::Generate, body, Some("800")).expect("a sound body");
+    let ask = InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("800")).expect("a sound body");
     assert_eq!((ask.id.as_deref(), ask.prompt.as_str()), (Some("a1"), "hi"));
     assert_eq!((ask.class.as_deref(), ask.tenant.as_deref()), (Some("hint"), Some("north")));
     assert_eq!((ask.session, ask.prefix), (Some(5), Some(6_426_401_579_379_495)));
@@ -63,10 +63,10 @@
         let _ = writeln!(
             got,
             "{}",
-            InferenceRequest::parse(Form::Generate, body.as_bytes(), None).expect_err(body)
+            InferenceRequest::parse(InferenceEndpoint::Generate, body.as_bytes(), None).expect_err(body)
         );
     }
-    let header = InferenceRequest::parse(Form::Generate, br#"{"text_input":"x"}"#, Some("soon"))
+    let header = InferenceRequest::parse(InferenceEndpoint::Generate, br#"{"text_input":"x"}"#, Some("soon"))
         .expect_err("a header");
     let _ = writeln!(got, "{header}");
     for body in [
@@ -76,8 +76,11 @@
         r#"{"inputs":[{"datatype":"BYTES","shape":[2]}]}"#,
         r#"{"inputs":[{"datatype":"BYTES","shape":[1],"data":[1]}]}"#,
     ] {
-        let _ =
-            writeln!(got, "{}", InferenceRequest::parse(Form::Infer, body.as_bytes(), None).expect_err(body));
+        let _ = writeln!(
+            got,
+            "{}",
+            InferenceRequest::parse(InferenceEndpoint::Infer, body.as_bytes(), None).expect_err(body)
+        );
     }
     assert_golden("request_errors.txt", &got);
 }
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -151,7 +151,7 @@
         let node = Node::start(self.settings.clone(), 7).map_err(|e| RunError(e.to_string()))?;
         self.fleet.recorder.note(What::NodeUp { node: "n0".into() });
         let by = std::time::Instant::now() + Duration::from_secs(10);
-        while node.serving() == 0 {
+        while node.serving_engines() == 0 {
             if std::time::Instant::now() > by {
                 return Err(RunError("the node has taken in no list".into()));
             }
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -13,7 +13,7 @@
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
 use pintally_engine::{completion, release, AttemptReader, Completion, Progress, Step};
 use pintally_http::{chunk, response, response_head, sse_event, RequestReader, LAST_CHUNK};
-use pintally_kserve::{generate_answer, stream_end, stream_part, Form, InferenceRequest};
+use pintally_kserve::{generate_response, stream_end, stream_part, InferenceEndpoint, InferenceRequest};
 use pintally_scenario::{run_steady, Day, Running};
 use serde_json::Value;
 
@@ -162,7 +162,9 @@
             }
         };
         let streamed = request.target.ends_with("_stream");
-        let Ok(ask) = InferenceRequest::parse(Form::Generate, &request.body, None) else { return };
+        let Ok(ask) = InferenceRequest::parse(InferenceEndpoint::Generate, &request.body, None) else {
+            return;
+        };
         let serial = self.serial.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{serial}", self.settings.name);
         let every_fifth = serial % 5 == 4;
@@ -196,7 +198,7 @@
             bytes.extend_from_slice(LAST_CHUNK);
             bytes
         } else {
-            response(200, &[], generate_answer("default", &id, &text).as_bytes())
+            response(200, &[], generate_response("default", &id, &text).as_bytes())
         };
         let _ = client.write_all(&bytes);
         if self.fault == Fault::AnswersTwice && every_fifth {
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -201,11 +201,11 @@
             assert!(Instant::now() < by, "the node never looked at `{text}`");
             thread::sleep(Duration::from_millis(2));
         }
-        assert_eq!(rig.node().unwrap().serving(), 2, "{text}");
+        assert_eq!(rig.node().unwrap().serving_engines(), 2, "{text}");
     }
     rig.publish().unwrap();
     let by = Instant::now() + WAIT;
-    while rig.node().unwrap().serving() != 2 {
+    while rig.node().unwrap().serving_engines() != 2 {
         assert!(Instant::now() < by, "the sound list was not taken in");
         thread::sleep(Duration::from_millis(2));
     }
