--- a/crates/pintally-benchmarks/src/load.rs
+++ b/crates/pintally-benchmarks/src/load.rs
@@ -170,7 +170,7 @@
             for progress in out.drain(..) {
                 match progress {
                     Progress::Text(_) => first = first.or(Some(Instant::now())),
-                    Progress::Over { outcome, state, reusable, .. } => {
+                    Progress::Ended { outcome, state, reusable, .. } => {
                         if reusable {
                             self.open.insert(address, stream);
                         }
--- a/crates/pintally-cells/src/file/parse.rs
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -34,7 +34,7 @@
     /// [`ConfigError`] names the file, the line and the fault.
     pub fn parse(file: &str, text: &str, core: &Settings) -> Result<CellsFile, ConfigError> {
         let document = Document::parse(file, text)?;
-        CellsFile::read(&document.only("cells")?, core)
+        CellsFile::read(&document.only_form("cells")?, core)
     }
 
     /// Reads and validates the form `(cells ...)` of any document.
@@ -43,22 +43,22 @@
     ///
     /// [`ConfigError`] names the file, the line and the fault.
     pub fn read(root: &Form, core: &Settings) -> Result<CellsFile, ConfigError> {
-        let version = root.need("version")?;
+        let version = root.required_form("version")?;
         let mut file = CellsFile { version: version.count(0, MAX_NUMBER)?, ..CellsFile::default() };
         version.finish()?;
-        for form in root.all("cell")? {
+        for form in root.forms_named("cell")? {
             file.read_cell(&form)?;
         }
         if file.cells.is_empty() {
             return Err(root.error("`cells` lacks `(cell ...)`"));
         }
-        for form in root.all("cell")? {
+        for form in root.forms_named("cell")? {
             file.check_fallback(&form)?;
         }
-        for form in root.all("tenant")? {
+        for form in root.forms_named("tenant")? {
             file.read_tenant(&form, core)?;
         }
-        for form in root.all("move")? {
+        for form in root.forms_named("move")? {
             file.read_move(&form, core)?;
         }
         file.check_weights(root, core)?;
@@ -100,7 +100,7 @@
     /// Checks that the fallback of a cell is another cell of the file.
     fn check_fallback(&self, form: &Form) -> Result<(), ConfigError> {
         let cell = form.text()?;
-        let Some(fallback) = form.maybe("fallback")? else { return Ok(()) };
+        let Some(fallback) = form.optional_form("fallback")? else { return Ok(()) };
         let name = fallback.text()?;
         if name == cell || !self.has_cell(&name) {
             return Err(fallback.error(format!("no other cell is named `{name}`")));
@@ -131,7 +131,7 @@
         if self.tenants.iter().any(|known| known.tenant == tenant) {
             return Err(form.error(format!("tenant `{tenant}` is given twice")));
         }
-        let pinned = form.maybe("cells")?.map(|cells| self.read_cell_names(&cells)).transpose()?;
+        let pinned = form.optional_form("cells")?.map(|cells| self.read_cell_names(&cells)).transpose()?;
         let shards = form.count_or("shards", 0, 0, MAX_SHARDS)? as usize;
         let home = match (pinned, shards) {
             (Some(_), 1..) => return Err(form.error("a tenant has `cells` or `shards`, not both")),
@@ -151,7 +151,7 @@
         if self.moves.iter().any(|known| known.tenant == tenant) {
             return Err(form.error(format!("tenant `{tenant}` has two moves at once")));
         }
-        let to = self.read_cell_names(&form.need("to")?)?;
+        let to = self.read_cell_names(&form.required_form("to")?)?;
         let over_ms = form.count_or("over-ms", DEFAULT_MOVE_TIME_MS, 1, MAX_MOVE_TIME_MS)?;
         let phase = read_phase(form)?;
         form.finish()?;
--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -168,11 +168,11 @@
     ] {
         assert!(FILE.contains(from), "{from}");
         let error = CellsFile::parse("cells", &FILE.replacen(from, to, 1), &core).expect_err(to);
-        assert!(error.what.contains(why), "{to}: {error}");
+        assert!(error.message.contains(why), "{to}: {error}");
         assert!(error.line > 0, "{to}: {error}");
     }
     let homeless = FILE.replace("(weight 1)", "(weight 0)");
-    assert!(CellsFile::parse("cells", &homeless, &core).unwrap_err().what.contains("in no cell"));
+    assert!(CellsFile::parse("cells", &homeless, &core).unwrap_err().message.contains("in no cell"));
     let mut keyed = core.clone();
     keyed.classes[0].idempotency = Idempotency::WithKey(IdempotencyScope::Zone, 1_000_000);
     let error = CellsFile::parse("cells", FILE, &keyed).unwrap_err();
--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -19,7 +19,8 @@
     let mut lines = String::new();
     let death_known = settings.membership.as_ref().map(|peers| {
         let mut figures = pintally_membership::Settings::new("x", "x", "", peers.listen, Vec::new());
-        (figures.probe_interval, figures.suspicion_multiplier) = (peers.period, peers.suspicion);
+        (figures.probe_interval, figures.suspicion_multiplier) =
+            (peers.probe_interval, peers.suspicion_multiplier);
         figures.max_failure_detection_time(settings.core.node_count as usize)
     });
     if let Some(within) = death_known {
@@ -30,9 +31,9 @@
         );
     }
     if let Some(recovery) = &settings.recovery {
-        let silent = recovery.read_within
+        let silent = recovery.disk_read_timeout
             + if settings.membership.is_some() {
-                recovery.answer_within * u64::from(recovery.rounds)
+                recovery.answer_timeout * u64::from(recovery.query_rounds)
             } else {
                 0
             };
@@ -43,8 +44,8 @@
             (silent + recovery.max_slow_start) as f64 / 1e6,
             recovery.commit_interval as f64 / 1e6
         );
-        if let Some(known) = death_known.filter(|_| recovery.inherit_after > 0) {
-            let within = known + recovery.inherit_after;
+        if let Some(known) = death_known.filter(|_| recovery.reservation_takeover_delay > 0) {
+            let within = known + recovery.reservation_takeover_delay;
             lines += &format!(
                 "\n  what a node held that never returns is let go within {:.1} s of its death, while one of two \
                  peers lives and no message is lost",
@@ -74,7 +75,7 @@
     }
     if let Some(regions) = &settings.failover {
         let s = &regions.policy;
-        let detection_time = settings.membership.as_ref().map_or(0, |p| 2 * p.period);
+        let detection_time = settings.membership.as_ref().map_or(0, |p| 2 * p.probe_interval);
         lines += &format!(
             "\n  {} zones: work leaves a lost one within {:.1} s, and is back {:.0} s after the end of its trouble if \
              it was not tried before, {:.0} s at the most\n    without word of the keepers' leader for {:.1} s a node \
@@ -94,7 +95,7 @@
              beyond {}\n    a node that is cut off has {:.3}; what a lost node had returns within {:.1} s",
             limit.name,
             limit.limit,
-            limit.counts.name(),
+            limit.unit.name(),
             bounds.max_total,
             bounds.per_additional_node,
             settings.core.node_count,
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -39,12 +39,12 @@
 impl Demand {
     fn parse(file: &str, text: &str, settings: &NodeSettings) -> Result<Demand, ConfigError> {
         let document = Document::parse(file, text)?;
-        let root = document.only("demand")?;
+        let root = document.only_form("demand")?;
         let pair = |form: &pintally_config::form::Form| -> Result<(f64, f64), ConfigError> {
             Ok((form.number_or("reads", 0.0, 0.0, 1e12)?, form.number_or("writes", 0.0, 0.0, 1e12)?))
         };
         let (mut kinds, mut tenants) = (BTreeMap::new(), BTreeMap::new());
-        for form in root.all("capacity")? {
+        for form in root.forms_named("capacity")? {
             let kind = form.text()?;
             if !settings.core.engine_kinds.iter().any(|k| k.name == kind) {
                 return Err(form.error(format!("no kind is named `{kind}` in the settings")));
@@ -52,7 +52,7 @@
             kinds.insert(kind, pair(&form)?);
             form.finish()?;
         }
-        for form in root.all("tenant")? {
+        for form in root.forms_named("tenant")? {
             let tenant = form.text()?;
             if !settings.core.tenants.iter().any(|t| t.name == tenant) {
                 return Err(form.error(format!("no tenant is named `{tenant}` in the settings")));
--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -353,7 +353,7 @@
 fn what_a_node_held_that_never_returns_is_let_go_by_its_peers() {
     let mut fleet = Nodes::new(3);
     for settings in &mut fleet.settings {
-        settings.recovery.as_mut().unwrap().inherit_after = 1_500_000;
+        settings.recovery.as_mut().unwrap().reservation_takeover_delay = 1_500_000;
     }
     let (stand, reader) = states_of_a_killed_node(&mut fleet);
     until("its peers let go of them", 15, || reader.states() == 0);
--- a/crates/pintally-cli/tests/platform/stand.rs
+++ b/crates/pintally-cli/tests/platform/stand.rs
@@ -709,7 +709,7 @@
                     Ok(Some(Part::Head(s, _))) => status = s,
                     Ok(Some(Part::Body(b))) => body.extend(b),
                     Ok(Some(Part::End(_))) => {
-                        self.left = reader.rest();
+                        self.left = reader.take_leftover();
                         return (status, body, true);
                     }
                     Ok(None) => break,
--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -11,10 +11,10 @@
 
 /// Contradictions inside a class form that its values do not show.
 pub(crate) fn class_form(form: &Form) -> Result<(), ConfigError> {
-    if let Some(copies) = form.maybe("second-copies")? {
-        let wanted = copies.yes()?;
+    if let Some(copies) = form.optional_form("second-copies")? {
+        let wanted = copies.boolean()?;
         copies.finish()?;
-        let effect = form.need("effect")?.text()?;
+        let effect = form.required_form("effect")?.text()?;
         if wanted && effect != "safe" {
             return Err(copies.rule_error(
                 rule::NO_EFFECT_TWICE,
@@ -157,8 +157,8 @@
 
 /// The form of a setting: the inner form, or the outer one where that is a default; `None` where both are.
 fn setting_form<'a>(root: &Form<'a>, outer: &str, inner: &str) -> Result<Option<Form<'a>>, ConfigError> {
-    let Some(form) = root.maybe(outer)? else { return Ok(None) };
-    Ok(Some(form.maybe(inner)?.unwrap_or(form)))
+    let Some(form) = root.optional_form(outer)? else { return Ok(None) };
+    Ok(Some(form.optional_form(inner)?.unwrap_or(form)))
 }
 
 /// An error at a setting that names the rule it guards.
--- a/crates/pintally-config/src/class.rs
+++ b/crates/pintally-config/src/class.rs
@@ -17,7 +17,7 @@
 /// Reads all classes: into the core's settings, and what the node needs beside them in the same order.
 pub(crate) fn read(root: &Form, core: &mut Settings) -> Result<Vec<ClassSettings>, ConfigError> {
     let mut classes = Vec::new();
-    for form in root.all("class")? {
+    for form in root.forms_named("class")? {
         let (class, settings) = read_form(&form)?;
         if core.classes.iter().any(|other| other.name == class.name) {
             return Err(form.error(format!("class `{}` is given twice", class.name)));
@@ -52,7 +52,7 @@
 }
 
 fn idempotency(form: &Form) -> Result<Idempotency, ConfigError> {
-    let effect = form.need("effect")?;
+    let effect = form.required_form("effect")?;
     let idempotency = match effect.text()?.as_str() {
         "safe" => Idempotency::Idempotent,
         "unsafe" => Idempotency::NotIdempotent,
--- a/crates/pintally-config/src/consensus.rs
+++ b/crates/pintally-config/src/consensus.rs
@@ -57,12 +57,12 @@
 
 /// Reads the form, if it is there.
 pub(crate) fn read(root: &Form) -> Result<Option<ConsensusSettings>, ConfigError> {
-    root.maybe("keepers")?.map(|form| read_form(&form)).transpose()
+    root.optional_form("keepers")?.map(|form| read_form(&form)).transpose()
 }
 
 fn read_form(form: &Form) -> Result<ConsensusSettings, ConfigError> {
     let mut names = Vec::new();
-    if let Some(list) = form.maybe("names")? {
+    if let Some(list) = form.optional_form("names")? {
         while let Some(name) = list.optional_text()? {
             names.push(name);
         }
--- a/crates/pintally-config/src/endpoint_list.rs
+++ b/crates/pintally-config/src/endpoint_list.rs
@@ -56,12 +56,12 @@
     /// The first mistake in the text, with its position.
     pub fn parse(file: &str, text: &str) -> Result<EngineList, ConfigError> {
         let document = Document::parse(file, text)?;
-        let root = document.only("engines")?;
-        let version = root.need("version")?;
+        let root = document.only_form("engines")?;
+        let version = root.required_form("version")?;
         let mut list = EngineList { version: version.count(0, MAX_EXACT_INTEGER)?, engines: Vec::new() };
         version.finish()?;
         let mut seen = BTreeSet::new();
-        for form in root.all("engine")? {
+        for form in root.forms_named("engine")? {
             let id = engine_id(&form)?;
             if !seen.insert(id.clone()) {
                 return Err(form.error(format!("engine `{id}` is listed twice")));
@@ -125,7 +125,7 @@
     }
 
     /// The entry as the core takes it; `clock` turns Unix milliseconds into the node's time.
-    pub fn member(&self, clock: impl Fn(u64) -> Micros) -> Endpoint {
+    pub fn to_endpoint(&self, clock: impl Fn(u64) -> Micros) -> Endpoint {
         Endpoint {
             engine: self.id.clone(),
             zone: self.zone.clone(),
--- a/crates/pintally-config/src/error.rs
+++ b/crates/pintally-config/src/error.rs
@@ -12,14 +12,14 @@
     /// Column, from 1.
     pub column: usize,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// The rule of the service that the setting would break.
     pub rule: Option<&'static str>,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.what)?;
+        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.message)?;
         match self.rule {
             Some(rule) => write!(f, " (rule: {rule})"),
             None => Ok(()),
--- a/crates/pintally-config/src/failover.rs
+++ b/crates/pintally-config/src/failover.rs
@@ -66,7 +66,7 @@
 
 /// Reads the form, if it is there.
 pub(crate) fn read(root: &Form) -> Result<Option<FailoverSettings>, ConfigError> {
-    root.maybe("regions")?.map(|form| read_form(&form)).transpose()
+    root.optional_form("regions")?.map(|form| read_form(&form)).transpose()
 }
 
 fn read_form(form: &Form) -> Result<FailoverSettings, ConfigError> {
@@ -79,17 +79,17 @@
 /// Zones with their regions, and the prices between them. A pair without a way has an infinite price.
 fn zone_map(form: &Form) -> Result<ZoneMap, ConfigError> {
     let mut map = ZoneMap::default();
-    for zone in form.all("zone")? {
+    for zone in form.forms_named("zone")? {
         map.zones.push(Zone { name: zone.text()?, region: zone.text()? });
         zone.finish()?;
     }
-    for pair in form.all("price")? {
+    for pair in form.forms_named("price")? {
         let (a, b) = (known_zone(&map, &pair)?, known_zone(&map, &pair)?);
         let price = pair.number(0.0, MAX_PRICE)?;
         pair.finish()?;
         map.prices.push((a, b, price));
     }
-    for pair in form.all("no-way")? {
+    for pair in form.forms_named("no-way")? {
         let (a, b) = (known_zone(&map, &pair)?, known_zone(&map, &pair)?);
         pair.finish()?;
         map.prices.push((a, b, f64::INFINITY));
@@ -126,7 +126,7 @@
 /// The names in all inner forms of a key.
 fn names(form: &Form, key: &str) -> Result<Vec<String>, ConfigError> {
     let mut names = Vec::new();
-    for named in form.all(key)? {
+    for named in form.forms_named(key)? {
         names.push(named.text()?);
         named.finish()?;
     }
@@ -135,7 +135,7 @@
 
 /// What the form needs of the other settings.
 pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
-    let (Some(regions), Some(form)) = (&s.failover, root.maybe("regions")?) else { return Ok(()) };
+    let (Some(regions), Some(form)) = (&s.failover, root.optional_form("regions")?) else { return Ok(()) };
     if s.consensus.is_none() {
         return Err(form.error("regions need `(keepers ...)`: their leader decides what is given up"));
     }
--- a/crates/pintally-config/src/form/document.rs
+++ b/crates/pintally-config/src/form/document.rs
@@ -6,7 +6,7 @@
 use crate::ConfigError;
 
 /// The largest file that is read.
-pub const MAX_FILE: usize = 16 << 20;
+pub const MAX_FILE_BYTES: usize = 16 << 20;
 /// The deepest nesting that is read: the parser recurses.
 const MAX_DEPTH: usize = 64;
 
@@ -23,15 +23,15 @@
     ///
     /// A text that is too large, nested too deep, or not a sequence of S-expressions.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
-        let error = |line, column, what: String| ConfigError {
+        let error = |line, column, message: String| ConfigError {
             file: file.to_string(),
             line,
             column,
-            what,
+            message,
             rule: None,
         };
-        if text.len() > MAX_FILE {
-            return Err(error(0, 0, format!("the file is larger than {MAX_FILE} bytes")));
+        if text.len() > MAX_FILE_BYTES {
+            return Err(error(0, 0, format!("the file is larger than {MAX_FILE_BYTES} bytes")));
         }
         if let Some(line) = first_line_too_deep(text) {
             return Err(error(line, 1, format!("lists are nested more than {MAX_DEPTH} deep")));
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Another form, more than one, or none.
-    pub fn only(&self, name: &str) -> Result<Form<'_>, ConfigError> {
+    pub fn only_form(&self, name: &str) -> Result<Form<'_>, ConfigError> {
         let mut forms = self.forms()?;
         if forms.len() == 1 && forms[0].name() == name {
             return Ok(forms.remove(0));
@@ -77,7 +77,7 @@
             file: self.file.clone(),
             line: 1,
             column: 1,
-            what: format!("the file must hold one form `({name} ...)` and nothing else"),
+            message: format!("the file must hold one form `({name} ...)` and nothing else"),
             rule: None,
         })
     }
--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::ConfigError;
 
-pub use self::document::{Document, MAX_FILE};
+pub use self::document::{Document, MAX_FILE_BYTES};
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
@@ -41,8 +41,8 @@
         Position { line: start.line(), column: start.column() + 1 }
     }
 
-    fn error(self, file: &str, what: String) -> ConfigError {
-        ConfigError { file: file.to_string(), line: self.line, column: self.column, what, rule: None }
+    fn error(self, file: &str, message: String) -> ConfigError {
+        ConfigError { file: file.to_string(), line: self.line, column: self.column, message, rule: None }
     }
 }
 
@@ -104,7 +104,7 @@
 
     /// An error at the position of an inner form, or of this one if that is not there.
     pub(crate) fn error_at(&self, key: &str, what: impl Into<String>) -> Result<ConfigError, ConfigError> {
-        let place = self.maybe(key)?;
+        let place = self.optional_form(key)?;
         Ok(place.as_ref().unwrap_or(self).error(what))
     }
 
@@ -190,7 +190,7 @@
     /// # Errors
     ///
     /// Another value, or none.
-    pub fn yes(&self) -> Result<bool, ConfigError> {
+    pub fn boolean(&self) -> Result<bool, ConfigError> {
         match self.text()?.as_str() {
             "yes" => Ok(true),
             "no" => Ok(false),
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// One of them holds something that is not a form.
-    pub fn all(&self, key: &str) -> Result<Vec<Form<'a>>, ConfigError> {
+    pub fn forms_named(&self, key: &str) -> Result<Vec<Form<'a>>, ConfigError> {
         let mut found = Vec::new();
         for (index, (name, datum)) in self.inner.iter().enumerate() {
             if *name == key {
@@ -219,8 +219,8 @@
     /// # Errors
     ///
     /// It is there twice.
-    pub fn maybe(&self, key: &str) -> Result<Option<Form<'a>>, ConfigError> {
-        let mut found = self.all(key)?;
+    pub fn optional_form(&self, key: &str) -> Result<Option<Form<'a>>, ConfigError> {
+        let mut found = self.forms_named(key)?;
         match found.len() {
             0 => Ok(None),
             1 => Ok(found.pop()),
@@ -233,8 +233,8 @@
     /// # Errors
     ///
     /// It is there twice, or not at all.
-    pub fn need(&self, key: &str) -> Result<Form<'a>, ConfigError> {
-        self.maybe(key)?.ok_or_else(|| self.error(format!("`{}` lacks `({key} ...)`", self.name)))
+    pub fn required_form(&self, key: &str) -> Result<Form<'a>, ConfigError> {
+        self.optional_form(key)?.ok_or_else(|| self.error(format!("`{}` lacks `({key} ...)`", self.name)))
     }
 
     /// The inner key's text, or a default.
@@ -269,8 +269,8 @@
     /// # Errors
     ///
     /// The key is there twice, or holds anything but yes or no.
-    pub fn yes_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
-        self.inner_value(key, default, Form::yes)
+    pub fn boolean_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
+        self.inner_value(key, default, Form::boolean)
     }
 
     /// The inner key's milliseconds as microseconds, or a default in milliseconds.
@@ -289,7 +289,7 @@
         default: T,
         take: impl Fn(&Form<'a>) -> Result<T, ConfigError>,
     ) -> Result<T, ConfigError> {
-        let Some(form) = self.maybe(key)? else { return Ok(default) };
+        let Some(form) = self.optional_form(key)? else { return Ok(default) };
         let value = take(&form)?;
         form.finish()?;
         Ok(value)
--- a/crates/pintally-config/src/limits.rs
+++ b/crates/pintally-config/src/limits.rs
@@ -44,9 +44,9 @@
 
 /// Reads the form, or the defaults if it is not there.
 pub(crate) fn read(root: &Form) -> Result<Limits, ConfigError> {
-    match root.maybe("limits")? {
+    match root.optional_form("limits")? {
         Some(form) => read_form(&form),
-        None => read_form(&Document::parse("", "(limits)")?.only("limits")?),
+        None => read_form(&Document::parse("", "(limits)")?.only_form("limits")?),
     }
 }
 
--- a/crates/pintally-config/src/node.rs
+++ b/crates/pintally-config/src/node.rs
@@ -65,8 +65,8 @@
     /// The first mistake in the text, with its position and the rule that it would break.
     pub fn parse(file: &str, text: &str) -> Result<NodeSettings, ConfigError> {
         let document = Document::parse(file, text)?;
-        let root = document.only("pintally")?;
-        let settings = NodeSettings::read(&root, &root.need("node")?)?;
+        let root = document.only_form("pintally")?;
+        let settings = NodeSettings::read(&root, &root.required_form("node")?)?;
         root.finish()?;
         Ok(settings)
     }
@@ -159,7 +159,7 @@
 
 /// The file of the endpoint list, and how often it is read.
 fn endpoint_list_file(node: &Form) -> Result<(String, Micros), ConfigError> {
-    let engines = node.need("engines")?;
+    let engines = node.required_form("engines")?;
     let file = engines.text()?;
     let interval = engines.millis_or("every-ms", 100.0, 1.0, 60_000.0)?;
     engines.finish()?;
@@ -172,7 +172,7 @@
 
 fn tenants(root: &Form) -> Result<Vec<Tenant>, ConfigError> {
     let mut tenants: Vec<Tenant> = Vec::new();
-    for form in root.all("tenant")? {
+    for form in root.forms_named("tenant")? {
         let name = form.text()?;
         if tenants.iter().any(|tenant| tenant.name == name) {
             return Err(form.error(format!("tenant `{name}` is given twice")));
@@ -187,7 +187,7 @@
 /// Reads the kinds of engines into the core's settings; returns the slots of each.
 fn engine_kinds(root: &Form, core: &mut Settings) -> Result<Vec<u64>, ConfigError> {
     let mut slots = Vec::new();
-    for form in root.all("kind")? {
+    for form in root.forms_named("kind")? {
         let name = form.text()?;
         if core.engine_kinds.iter().any(|kind| kind.name == name) {
             return Err(form.error(format!("kind `{name}` is given twice")));
--- a/crates/pintally-config/src/outlier_detection.rs
+++ b/crates/pintally-config/src/outlier_detection.rs
@@ -7,7 +7,7 @@
 
 /// Reads the form, if it is there.
 pub(crate) fn read(root: &Form) -> Result<Option<Settings>, ConfigError> {
-    root.maybe("verdicts")?.map(|form| read_form(&form)).transpose()
+    root.optional_form("verdicts")?.map(|form| read_form(&form)).transpose()
 }
 
 fn read_form(form: &Form) -> Result<Settings, ConfigError> {
@@ -39,7 +39,7 @@
 }
 
 /// The form that reads back as these settings.
-pub fn verdicts_form(s: &Settings) -> String {
+pub fn outlier_detection_form(s: &Settings) -> String {
     format!(
         "(verdicts (memory-ms {}) (strikes {}) (accusers {}) (rest-ms {}) (rest-most-ms {}) (step-ms {}) \
          (most {:?}) (own {:?}))",
--- a/crates/pintally-config/src/quota.rs
+++ b/crates/pintally-config/src/quota.rs
@@ -15,7 +15,7 @@
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counts {
+pub enum QuotaUnit {
     /// Requests that begin, a second.
     Requests,
     /// Tokens of prompts and of the longest answers, a second.
@@ -26,17 +26,17 @@
     Retries,
 }
 
-impl Counts {
-    const NAMES: [(&'static str, Counts); 4] = [
-        ("requests", Counts::Requests),
-        ("tokens", Counts::Tokens),
-        ("streams", Counts::Streams),
-        ("retries", Counts::Retries),
+impl QuotaUnit {
+    const NAMES: [(&'static str, QuotaUnit); 4] = [
+        ("requests", QuotaUnit::Requests),
+        ("tokens", QuotaUnit::Tokens),
+        ("streams", QuotaUnit::Streams),
+        ("retries", QuotaUnit::Retries),
     ];
 
     /// Its name in settings.
     pub fn name(self) -> &'static str {
-        Counts::NAMES.iter().find(|(_, c)| *c == self).map_or("", |(name, _)| name)
+        QuotaUnit::NAMES.iter().find(|(_, c)| *c == self).map_or("", |(name, _)| name)
     }
 }
 
@@ -48,7 +48,7 @@
     /// The tenant whose requests it counts; without one it counts all.
     pub tenant: Option<String>,
     /// What it counts.
-    pub counts: Counts,
+    pub unit: QuotaUnit,
     /// Whether the limit or availability gives way where nodes cannot reach each other.
     pub enforcement: Enforcement,
     /// The amount for the whole fleet.
@@ -63,7 +63,7 @@
 
     /// The limit as the lease granter and holders take it.
     pub fn limit(&self) -> Limit {
-        let kind = if self.counts == Counts::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
+        let kind = if self.unit == QuotaUnit::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
         Limit { kind, enforcement: self.enforcement, amount: self.limit }
     }
 }
@@ -102,7 +102,7 @@
             s.max_clock_drift
         )?;
         for limit in &self.limits {
-            write!(f, " (limit {} (counts {})", quoted(&limit.name), limit.counts.name())?;
+            write!(f, " (limit {} (counts {})", quoted(&limit.name), limit.unit.name())?;
             if let Some(tenant) = &limit.tenant {
                 write!(f, " (tenant {})", quoted(tenant))?;
             }
@@ -115,13 +115,13 @@
 
 /// Reads the form, if it is there.
 pub(crate) fn read(root: &Form) -> Result<Option<QuotaSettings>, ConfigError> {
-    root.maybe("shared-limits")?.map(|form| read_form(&form)).transpose()
+    root.optional_form("shared-limits")?.map(|form| read_form(&form)).transpose()
 }
 
 fn read_form(form: &Form) -> Result<QuotaSettings, ConfigError> {
     let allocation = allocation(form)?;
     let mut limits: Vec<QuotaSpec> = Vec::new();
-    for limit_form in form.all("limit")? {
+    for limit_form in form.forms_named("limit")? {
         let limit = limit(&limit_form)?;
         if let Some(other) = limits.iter().find(|other| other.id() == limit.id()) {
             return Err(limit_form.error(format!(
@@ -157,22 +157,22 @@
     if name.is_empty() || name.len() > MAX_LIMIT_NAME_BYTES {
         return Err(form.error(format!("a limit's name needs 1 to {MAX_LIMIT_NAME_BYTES} bytes")));
     }
-    let counts = counted(form)?;
+    let unit = unit(form)?;
     let enforcement = enforcement(form)?;
-    let amount = form.need("most")?;
+    let amount = form.required_form("most")?;
     let limit = amount.number(0.0, MAX_LIMIT_AMOUNT)?;
     amount.finish()?;
     let tenant = Some(form.text_or("tenant", "")?).filter(|tenant| !tenant.is_empty());
     form.finish()?;
-    Ok(QuotaSpec { name, tenant, counts, enforcement, limit })
+    Ok(QuotaSpec { name, tenant, unit, enforcement, limit })
 }
 
-fn counted(form: &Form) -> Result<Counts, ConfigError> {
-    let counts = form.need("counts")?;
-    let name = counts.text()?;
-    counts.finish()?;
-    let known = Counts::NAMES.iter().find(|(known, _)| *known == name).map(|(_, counts)| *counts);
-    known.ok_or_else(|| counts.error(format!("`{name}` is not requests, tokens, streams or retries")))
+fn unit(form: &Form) -> Result<QuotaUnit, ConfigError> {
+    let counts_form = form.required_form("counts")?;
+    let name = counts_form.text()?;
+    counts_form.finish()?;
+    let known = QuotaUnit::NAMES.iter().find(|(known, _)| *known == name).map(|(_, unit)| *unit);
+    known.ok_or_else(|| counts_form.error(format!("`{name}` is not requests, tokens, streams or retries")))
 }
 
 fn enforcement(form: &Form) -> Result<Enforcement, ConfigError> {
--- a/crates/pintally-config/src/recovery.rs
+++ b/crates/pintally-config/src/recovery.rs
@@ -22,11 +22,11 @@
     /// Between two commits: what a power loss may cost.
     pub commit_interval: Micros,
     /// How long the start waits for the disk.
-    pub read_within: Micros,
+    pub disk_read_timeout: Micros,
     /// How long a round of questions to peers waits for answers.
-    pub answer_within: Micros,
+    pub answer_timeout: Micros,
     /// Rounds of questions to peers.
-    pub rounds: u32,
+    pub query_rounds: u32,
     /// Peers asked in a round.
     pub peers_queried: usize,
     /// Slow start ends after this time at the latest.
@@ -36,7 +36,7 @@
     /// The fraction of that which it serves without cached prefixes.
     pub uncached_capacity_fraction: f64,
     /// So long after a peer's death two backup nodes release its reservations; 0 for never.
-    pub inherit_after: Micros,
+    pub reservation_takeover_delay: Micros,
     /// An injected storage fault, by name and seed: for scenarios and tests only.
     pub storage_fault: Option<(String, u64)>,
 }
@@ -48,19 +48,19 @@
             f,
             "(recovery (every-ms {}) (read-within-ms {})",
             millis(self.commit_interval),
-            millis(self.read_within)
+            millis(self.disk_read_timeout)
         )?;
         if let Some(store) = &self.store {
             write!(f, " (store {})", quoted(store))?;
         }
-        write!(f, " (answer-within-ms {}) (rounds {})", millis(self.answer_within), self.rounds)?;
+        write!(f, " (answer-within-ms {}) (rounds {})", millis(self.answer_timeout), self.query_rounds)?;
         write!(f, " (ask {}) (careful-most-ms {})", self.peers_queried, millis(self.max_slow_start))?;
         write!(
             f,
             " (per-engine-per-s {}) (textless {})",
             self.requests_per_second_per_engine, self.uncached_capacity_fraction
         )?;
-        write!(f, " (inherit-after-ms {})", millis(self.inherit_after))?;
+        write!(f, " (inherit-after-ms {})", millis(self.reservation_takeover_delay))?;
         if let Some((storage_fault, seed)) = &self.storage_fault {
             write!(f, " (lying-disk {} (seed {seed}))", quoted(storage_fault))?;
         }
@@ -70,7 +70,7 @@
 
 /// Reads the form, if it is there.
 pub(crate) fn read(root: &Form) -> Result<Option<RecoverySettings>, ConfigError> {
-    root.maybe("recovery")?.map(|form| read_form(&form)).transpose()
+    root.optional_form("recovery")?.map(|form| read_form(&form)).transpose()
 }
 
 fn read_form(form: &Form) -> Result<RecoverySettings, ConfigError> {
@@ -78,12 +78,12 @@
     let settings = RecoverySettings {
         store: Some(form.text_or("store", "")?).filter(|s| !s.is_empty()),
         commit_interval: form.millis_or("every-ms", 200.0, 1.0, 60_000.0)?,
-        read_within: form.millis_or("read-within-ms", 300.0, 1.0, 60_000.0)?,
-        answer_within: form.millis_or("answer-within-ms", 200.0, 1.0, 60_000.0)?,
-        rounds: form.count_or("rounds", 2, 1, 20)? as u32,
+        disk_read_timeout: form.millis_or("read-within-ms", 300.0, 1.0, 60_000.0)?,
+        answer_timeout: form.millis_or("answer-within-ms", 200.0, 1.0, 60_000.0)?,
+        query_rounds: form.count_or("rounds", 2, 1, 20)? as u32,
         peers_queried: form.count_or("ask", 3, 1, 16)? as usize,
         max_slow_start: form.millis_or("careful-most-ms", 30_000.0, 1.0, 3_600_000.0)?,
-        inherit_after: form.millis_or("inherit-after-ms", 5_000.0, 0.0, 3_600_000.0)?,
+        reservation_takeover_delay: form.millis_or("inherit-after-ms", 5_000.0, 0.0, 3_600_000.0)?,
         requests_per_second_per_engine: form.number_or("per-engine-per-s", 2.0, 0.001, 1e6)?,
         uncached_capacity_fraction: form.number_or("textless", 0.9, 0.01, 1.0)?,
         storage_fault,
@@ -93,7 +93,7 @@
 }
 
 fn storage_fault(form: &Form) -> Result<Option<(String, u64)>, ConfigError> {
-    let Some(fault) = form.maybe("lying-disk")? else { return Ok(None) };
+    let Some(fault) = form.optional_form("lying-disk")? else { return Ok(None) };
     let (name, seed) = (fault.text()?, fault.count_or("seed", 1, 0, 1 << 53)?);
     if !STORAGE_FAULTS.contains(&name.as_str()) {
         let known = STORAGE_FAULTS.join(", ");
@@ -106,7 +106,7 @@
 /// The settings against those of the router.
 pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
     let Some(recovery) = &s.recovery else { return Ok(()) };
-    let form = root.maybe("recovery")?;
+    let form = root.optional_form("recovery")?;
     let breaks = |rule, what: String| match &form {
         Some(form) => form.rule_error(rule, what),
         None => root.rule_error(rule, what),
@@ -115,7 +115,7 @@
         let what = "`careful-most-ms` is under `warm-after-ms`: all would be let in before engines are warm";
         return Err(breaks(rule::COLD_ENGINES_PROTECTED, what.into()));
     }
-    let silent = recovery.read_within + recovery.answer_within * Micros::from(recovery.rounds);
+    let silent = recovery.disk_read_timeout + recovery.answer_timeout * Micros::from(recovery.query_rounds);
     if silent > MAX_SILENT_START {
         let what = format!("with every peer and disk silent nothing is served for {} ms", silent / 1000);
         return Err(breaks(rule::NO_REQUEST_LOST, what));
--- a/crates/pintally-config/src/router.rs
+++ b/crates/pintally-config/src/router.rs
@@ -17,11 +17,11 @@
     }
     let mut settings = defaults(node.text_or("zone", "")?, number, nodes);
     let empty = Document::parse("", "(rules)")?;
-    let rules = match root.maybe("rules")? {
+    let rules = match root.optional_form("rules")? {
         Some(form) => form,
-        None => empty.only("rules")?,
+        None => empty.only_form("rules")?,
     };
-    shape(&rules, &mut settings)?;
+    read_rules(&rules, &mut settings)?;
     rules.finish()?;
     Ok(settings)
 }
@@ -62,14 +62,15 @@
 /// # Errors
 ///
 /// A value that is not valid, or values that contradict each other.
-pub fn shape(form: &Form, settings: &mut Settings) -> Result<(), ConfigError> {
+pub fn read_rules(form: &Form, settings: &mut Settings) -> Result<(), ConfigError> {
     settings.load_reporting = load_reporting(form, settings.load_reporting)?;
-    settings.use_registered_weights = form.yes_or("weights", settings.use_registered_weights)?;
-    settings.writers_read_prompts = form.yes_or("writers-read", settings.writers_read_prompts)?;
-    settings.cancellation_allowed = form.yes_or("cancel", settings.cancellation_allowed)?;
-    settings.health_checks_allowed = form.yes_or("probes", settings.health_checks_allowed)?;
+    settings.use_registered_weights = form.boolean_or("weights", settings.use_registered_weights)?;
+    settings.writers_read_prompts = form.boolean_or("writers-read", settings.writers_read_prompts)?;
+    settings.cancellation_allowed = form.boolean_or("cancel", settings.cancellation_allowed)?;
+    settings.health_checks_allowed = form.boolean_or("probes", settings.health_checks_allowed)?;
     settings.health_check_cost = form.number_or("probe-price", settings.health_check_cost, 0.0, 100.0)?;
-    settings.clients_honour_retry_after = form.yes_or("retry-after", settings.clients_honour_retry_after)?;
+    settings.clients_honour_retry_after =
+        form.boolean_or("retry-after", settings.clients_honour_retry_after)?;
     settings.max_retry_after =
         form.millis_or("retry-after-most-ms", millis(settings.max_retry_after), 0.0, 600_000.0)?;
     settings.max_attempts = form.count_or("attempts", settings.max_attempts.into(), 1, 100)? as u32;
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -1,7 +1,7 @@
 //! The forms of what holds for the whole fleet: what is read comes back as it was, and what does not go
 //! together is reported with its position.
 
-use pintally_config::{verdicts_form, NodeSettings};
+use pintally_config::{outlier_detection_form, NodeSettings};
 
 fn example() -> String {
     std::fs::read_to_string("../../examples/regions.sexp").unwrap()
@@ -20,7 +20,7 @@
         first.recovery.as_ref().unwrap().to_string(),
         first.consensus.as_ref().unwrap().to_string(),
         first.quotas.as_ref().unwrap().to_string(),
-        verdicts_form(first.outlier_detection.as_ref().unwrap()),
+        outlier_detection_form(first.outlier_detection.as_ref().unwrap()),
         first.failover.as_ref().unwrap().to_string(),
     ];
     let begin = text.find("(peers").unwrap();
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use pintally::interface::{DiscoveryMode, EndpointState, Idempotency, IdempotencyScope, LoadReporting, Role};
-use pintally_config::{verdicts_form, Counts, EngineList, NodeSettings};
+use pintally_config::{outlier_detection_form, EngineList, NodeSettings, QuotaUnit};
 use pintally_quota::Enforcement;
 
 fn golden(file: &str) -> String {
@@ -187,18 +187,21 @@
     assert_eq!((peers.fleet.as_str(), peers.listen.to_string().as_str()), ("golden", "127.0.0.1:7000"));
     let seeds: Vec<_> = peers.seeds.iter().map(std::string::ToString::to_string).collect();
     assert_eq!(seeds, ["127.0.0.1:7001", "127.0.0.1:7002"]);
-    assert_eq!(peers.reach, [("n1".to_string(), "127.0.0.1:7101".parse().expect("an address"))]);
-    assert_eq!((peers.period, peers.answer, peers.indirect), (400_000, 120_000, 2));
-    assert_eq!((peers.suspicion, peers.repair, peers.forget), (5.5, 1_900_000, 500_000_000));
+    assert_eq!(peers.address_overrides, [("n1".to_string(), "127.0.0.1:7101".parse().expect("an address"))]);
+    assert_eq!((peers.probe_interval, peers.probe_timeout, peers.indirect_probes), (400_000, 120_000, 2));
+    assert_eq!(
+        (peers.suspicion_multiplier, peers.anti_entropy_interval, peers.dead_member_retention),
+        (5.5, 1_900_000, 500_000_000)
+    );
     let recovery = s.recovery.expect("recovery");
     assert_eq!((recovery.store.as_deref(), recovery.commit_interval), (Some("state"), 150_000));
-    assert_eq!((recovery.read_within, recovery.answer_within), (310_000, 210_000));
-    assert_eq!((recovery.rounds, recovery.peers_queried, recovery.max_slow_start), (4, 5, 20_000_000));
+    assert_eq!((recovery.disk_read_timeout, recovery.answer_timeout), (310_000, 210_000));
+    assert_eq!((recovery.query_rounds, recovery.peers_queried, recovery.max_slow_start), (4, 5, 20_000_000));
     assert_eq!(
         (
             recovery.requests_per_second_per_engine,
             recovery.uncached_capacity_fraction,
-            recovery.inherit_after
+            recovery.reservation_takeover_delay
         ),
         (6.5, 0.8, 4_000_000)
     );
@@ -206,18 +209,21 @@
 
     let s = read("fleet_defaults.sexp");
     let peers = s.membership.expect("peers");
-    assert!(peers.seeds.is_empty() && peers.reach.is_empty());
-    assert_eq!((peers.period, peers.answer, peers.indirect), (500_000, 150_000, 3));
-    assert_eq!((peers.suspicion, peers.repair, peers.forget), (4.0, 2_000_000, 600_000_000));
+    assert!(peers.seeds.is_empty() && peers.address_overrides.is_empty());
+    assert_eq!((peers.probe_interval, peers.probe_timeout, peers.indirect_probes), (500_000, 150_000, 3));
+    assert_eq!(
+        (peers.suspicion_multiplier, peers.anti_entropy_interval, peers.dead_member_retention),
+        (4.0, 2_000_000, 600_000_000)
+    );
     let recovery = s.recovery.expect("recovery");
     assert_eq!((recovery.store, recovery.commit_interval, recovery.storage_fault), (None, 200_000, None));
-    assert_eq!((recovery.read_within, recovery.answer_within), (300_000, 200_000));
-    assert_eq!((recovery.rounds, recovery.peers_queried, recovery.max_slow_start), (2, 3, 30_000_000));
+    assert_eq!((recovery.disk_read_timeout, recovery.answer_timeout), (300_000, 200_000));
+    assert_eq!((recovery.query_rounds, recovery.peers_queried, recovery.max_slow_start), (2, 3, 30_000_000));
     assert_eq!(
         (
             recovery.requests_per_second_per_engine,
             recovery.uncached_capacity_fraction,
-            recovery.inherit_after
+            recovery.reservation_takeover_delay
         ),
         (2.0, 0.9, 5_000_000)
     );
@@ -272,8 +278,8 @@
     );
     let names: Vec<_> = shared.limits.iter().map(|l| (l.name.as_str(), l.limit)).collect();
     assert_eq!(names, [("requests", 100.5), ("tokens", 5000.0), ("streams", 64.0), ("retries", 10.0)]);
-    let counted: Vec<_> = shared.limits.iter().map(|l| l.counts).collect();
-    assert_eq!(counted, [Counts::Requests, Counts::Tokens, Counts::Streams, Counts::Retries]);
+    let counted: Vec<_> = shared.limits.iter().map(|l| l.unit).collect();
+    assert_eq!(counted, [QuotaUnit::Requests, QuotaUnit::Tokens, QuotaUnit::Streams, QuotaUnit::Retries]);
     let bounds: Vec<_> = shared.limits.iter().map(|l| l.enforcement).collect();
     assert_eq!(bounds, [Enforcement::Hard, Enforcement::Soft, Enforcement::Hard, Enforcement::Soft]);
     let tenants: Vec<_> = shared.limits.iter().map(|l| l.tenant.as_deref()).collect();
@@ -343,7 +349,7 @@
         s.recovery.as_ref().expect("recovery").to_string(),
         s.consensus.as_ref().expect("keepers").to_string(),
         s.quotas.as_ref().expect("shared limits").to_string(),
-        verdicts_form(s.outlier_detection.as_ref().expect("verdicts")),
+        outlier_detection_form(s.outlier_detection.as_ref().expect("verdicts")),
         s.failover.as_ref().expect("regions").to_string(),
     ];
     assert_eq!(forms.join("\n") + "\n", golden("written_forms.sexp"));
--- a/crates/pintally-config/tests/invalid_files.rs
+++ b/crates/pintally-config/tests/invalid_files.rs
@@ -34,7 +34,7 @@
     let example = std::fs::read_to_string("../../examples/node-silent.sexp").unwrap();
     assert_eq!(read(&example).unwrap().core.load_reporting, LoadReporting::Off);
     let error = read(&parsed.replace("(role writer)", "(role mixed)")).unwrap_err();
-    assert!(error.what.contains("no `kind` is a writer"), "{error}");
+    assert!(error.message.contains("no `kind` is a writer"), "{error}");
 }
 
 /// Each case changes one piece of the good file and says in which line, why, and by which rule.
@@ -90,7 +90,7 @@
         assert!(GOOD.contains(from), "{from}");
         let text = GOOD.replacen(from, to, 1);
         let error = NodeSettings::parse("bad", &text).expect_err(&text);
-        assert!(error.what.contains(why), "{to}: {error}");
+        assert!(error.message.contains(why), "{to}: {error}");
         if *line > 0 {
             assert_eq!(error.line, *line, "{to}: {error}");
         }
@@ -105,11 +105,11 @@
 #[test]
 fn nesting_and_size_are_bounded() {
     let deep = "(".repeat(100_000);
-    assert!(NodeSettings::parse("deep", &deep).unwrap_err().what.contains("deep"));
+    assert!(NodeSettings::parse("deep", &deep).unwrap_err().message.contains("deep"));
     let quotes = "'".repeat(100_000);
     assert!(NodeSettings::parse("quotes", &quotes).is_err());
-    let large = " ".repeat(pintally_config::form::MAX_FILE + 1);
-    assert!(NodeSettings::parse("large", &large).unwrap_err().what.contains("larger"));
+    let large = " ".repeat(pintally_config::form::MAX_FILE_BYTES + 1);
+    assert!(NodeSettings::parse("large", &large).unwrap_err().message.contains("larger"));
 }
 
 #[test]
@@ -135,6 +135,6 @@
         ("(engines (version 1) (engine \"a\" (address \"127.0.0.1:1\") (colour red)))", "unknown key"),
     ] {
         let error = EngineList::parse("list", text).expect_err(text);
-        assert!(error.what.contains(why), "{text}: {error}");
+        assert!(error.message.contains(why), "{text}: {error}");
     }
 }
--- a/crates/pintally-engine/src/attempt_reader/mod.rs
+++ b/crates/pintally-engine/src/attempt_reader/mod.rs
@@ -20,7 +20,7 @@
     /// The answer starts, or continues, with this text.
     Text(String),
     /// The attempt has ended.
-    Over {
+    Ended {
         /// How it ended.
         outcome: Outcome,
         /// Prompt tokens found in the cache.
@@ -166,7 +166,7 @@
 
     fn end(&mut self, outcome: Outcome, state: Option<Value>, reusable: bool, out: &mut Vec<Progress>) {
         if !std::mem::replace(&mut self.ended, true) {
-            out.push(Progress::Over {
+            out.push(Progress::Ended {
                 outcome,
                 cached_tokens: self.cached_tokens,
                 load: self.load,
--- a/crates/pintally-engine/src/attempt_reader/tests.rs
+++ b/crates/pintally-engine/src/attempt_reader/tests.rs
@@ -16,7 +16,7 @@
     for progress in out {
         match progress {
             Progress::Text(t) => text.push_str(&t),
-            Progress::Over { outcome, .. } => assert!(end.replace(outcome).is_none(), "two ends"),
+            Progress::Ended { outcome, .. } => assert!(end.replace(outcome).is_none(), "two ends"),
         }
     }
     (text, end.expect("no end"))
--- a/crates/pintally-engine/tests/golden.rs
+++ b/crates/pintally-engine/tests/golden.rs
@@ -65,7 +65,7 @@
         let (mut reader, mut progress) = (AttemptReader::new(Step::Fetch, 0), Vec::new());
         reader.push(answer.as_bytes(), &mut progress);
         match progress.pop() {
-            Some(Progress::Over { outcome, .. }) => outcome,
+            Some(Progress::Ended { outcome, .. }) => outcome,
             other => panic!("no end: {other:?}"),
         }
     };
--- a/crates/pintally-host/src/endpoint_list.rs
+++ b/crates/pintally-host/src/endpoint_list.rs
@@ -115,7 +115,7 @@
 
 fn to_endpoint(entry: &EngineEntry, clock: impl Fn(u64) -> Micros) -> EngineEndpoint {
     EngineEndpoint {
-        endpoint: entry.member(clock),
+        endpoint: entry.to_endpoint(clock),
         address: entry.address,
         cell: entry.cell.as_deref().map(CellName::from),
         started_unix_ms: entry.started_unix_ms,
--- a/crates/pintally-host/src/quota_admission.rs
+++ b/crates/pintally-host/src/quota_admission.rs
@@ -1,7 +1,7 @@
 //! Admission by quotas of the whole fleet: computes the cost of requests and requests leases.
 
 use pintally::interface::Micros;
-use pintally_config::{Counts, NodeSettings, QuotaSettings};
+use pintally_config::{NodeSettings, QuotaSettings, QuotaUnit};
 use pintally_quota::{Admission, LeaseGrant, LeaseRequest, LimitId, LimitStatus, QuotaHolder};
 
 use crate::input::IncomingRequest;
@@ -12,12 +12,12 @@
 const MIN_CHECK_INTERVAL: Micros = 1_000;
 
 /// A limit and the unit that it counts.
-type CountedLimit = (LimitId, Counts);
+type CountedLimit = (LimitId, QuotaUnit);
 
 /// The amount that a request consumes of one limit.
 struct LimitCost {
     limit: LimitId,
-    counts: Counts,
+    counts: QuotaUnit,
     cost: f64,
 }
 
@@ -36,7 +36,7 @@
         let tenants = &settings.core.tenants;
         let mut rules = QuotaRules { all_tenants: Vec::new(), by_tenant: vec![Vec::new(); tenants.len()] };
         for limit in &quotas.limits {
-            let counted = (limit.id(), limit.counts);
+            let counted = (limit.id(), limit.unit);
             let tenant = limit.tenant.as_ref().and_then(|name| tenants.iter().position(|t| t.name == *name));
             match tenant {
                 Some(tenant) => rules.by_tenant[tenant].push(counted),
@@ -54,7 +54,7 @@
 
     /// The limits of retries that apply to a tenant's requests.
     fn retry_limits(&self, tenant: Option<usize>) -> impl Iterator<Item = LimitId> + '_ {
-        let limits = self.for_tenant(tenant).filter(|(_, counts)| *counts == Counts::Retries);
+        let limits = self.for_tenant(tenant).filter(|(_, counts)| *counts == QuotaUnit::Retries);
         limits.map(|(limit, _)| limit)
     }
 }
@@ -100,9 +100,9 @@
         max_tokens: u64,
     ) -> Result<QuotaCharge, Micros> {
         let cost_of = |counts| match counts {
-            Counts::Requests | Counts::Streams => Some(1.0),
-            Counts::Tokens => Some((arrival.prompt_tokens + max_tokens) as f64),
-            Counts::Retries => None,
+            QuotaUnit::Requests | QuotaUnit::Streams => Some(1.0),
+            QuotaUnit::Tokens => Some((arrival.prompt_tokens + max_tokens) as f64),
+            QuotaUnit::Retries => None,
         };
         let limits = self.rules.for_tenant(arrival.tenant);
         let costs: Vec<LimitCost> = limits
@@ -126,7 +126,7 @@
         for LimitCost { limit, cost, .. } in &charge.0 {
             self.holder.consume(now, *limit, *cost);
         }
-        charge.0.iter().filter(|c| c.counts == Counts::Streams).map(|c| c.limit).collect()
+        charge.0.iter().filter(|c| c.counts == QuotaUnit::Streams).map(|c| c.limit).collect()
     }
 
     /// Releases the limits of concurrent requests that a request has consumed.
--- a/crates/pintally-http/src/request.rs
+++ b/crates/pintally-http/src/request.rs
@@ -52,7 +52,7 @@
     }
 
     /// Bytes in memory: of the request that comes in, and behind it.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.incoming.as_ref().map_or(0, |(request, _)| request.body.len())
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Whether the client waits for `100 Continue`; true once for each request.
-    pub fn wants_continue(&mut self) -> bool {
+    pub fn take_expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
--- a/crates/pintally-http/src/response.rs
+++ b/crates/pintally-http/src/response.rs
@@ -43,7 +43,7 @@
     }
 
     /// The same reader, to which a chunk announced as longer than this is an error.
-    pub fn with_chunk_most(mut self, most: u64) -> ResponseReader {
+    pub fn with_max_chunk_bytes(mut self, most: u64) -> ResponseReader {
         self.max_chunk_bytes = most;
         self
     }
@@ -59,17 +59,17 @@
     }
 
     /// Whether any byte of the response has come.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.framing.is_some() || !self.buffer.is_empty()
     }
 
     /// Bytes that have come and belong to no part returned so far.
-    pub fn leftover(&self) -> usize {
+    pub fn leftover_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Takes what has come behind the response: the start of the next one.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_leftover(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buffer)
     }
 
--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -255,7 +255,7 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    self.progress.push(Progress::Over {
+                    self.progress.push(Progress::Ended {
                         outcome: outcome_of_transport_error(Phase::Sent, error.kind()),
                         cached_tokens: 0,
                         load: None,
@@ -281,7 +281,7 @@
                     }
                     session.push_text(&text);
                 }
-                Progress::Over { outcome, cached_tokens, load, state, reusable } => {
+                Progress::Ended { outcome, cached_tokens, load, state, reusable } => {
                     let reusable = reusable && self.unsent.is_empty();
                     end = Some(AttemptEnd { outcome, cached_tokens, load, state, reusable });
                 }
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -110,11 +110,11 @@
     let mut buffer = [0u8; READ_BUFFER_BYTES];
     loop {
         if let Some(request) = reader.next_request()? {
-            capacity.resize(reader.held_bytes() + request.body.len())?;
+            capacity.resize(reader.buffered_bytes() + request.body.len())?;
             return Ok(Some(request));
         }
-        capacity.resize(reader.held_bytes())?;
-        if reader.wants_continue() && stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").is_err() {
+        capacity.resize(reader.buffered_bytes())?;
+        if reader.take_expects_continue() && stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").is_err() {
             return Ok(None);
         }
         if reader.is_partial() && !std::mem::replace(&mut started, true) {
--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -233,7 +233,8 @@
     fn new(shared: &Shared) -> ReservationRecord {
         let has_peers = shared.settings.membership.is_some();
         let recovery = shared.settings.recovery.as_ref();
-        let recovery = recovery.filter(|r| r.store.is_some() || has_peers && r.inherit_after > 0);
+        let recovery =
+            recovery.filter(|r| r.store.is_some() || has_peers && r.reservation_takeover_delay > 0);
         ReservationRecord { interval: recovery.map(|r| r.commit_interval), written_at: 0, stale: true }
     }
 
--- a/crates/pintally-kserve-node/src/fleet/link.rs
+++ b/crates/pintally-kserve-node/src/fleet/link.rs
@@ -82,14 +82,17 @@
     let mut membership =
         Settings::new(&settings.fleet, &node.name, &node.core.zone, settings.listen, settings.seeds.clone());
     membership.seeds.extend(&restored.peer_addresses);
-    membership.address_overrides =
-        settings.reach.iter().map(|(name, address)| (PeerName::from(name.as_str()), *address)).collect();
-    membership.probe_interval = settings.period;
-    membership.probe_timeout = settings.answer;
-    membership.indirect_probes = settings.indirect;
-    membership.suspicion_multiplier = settings.suspicion;
-    membership.anti_entropy_interval = settings.repair;
-    membership.dead_member_retention = settings.forget;
+    membership.address_overrides = settings
+        .address_overrides
+        .iter()
+        .map(|(name, address)| (PeerName::from(name.as_str()), *address))
+        .collect();
+    membership.probe_interval = settings.probe_interval;
+    membership.probe_timeout = settings.probe_timeout;
+    membership.indirect_probes = settings.indirect_probes;
+    membership.suspicion_multiplier = settings.suspicion_multiplier;
+    membership.anti_entropy_interval = settings.anti_entropy_interval;
+    membership.dead_member_retention = settings.dead_member_retention;
     membership
 }
 
--- a/crates/pintally-kserve-node/src/fleet/reservations.rs
+++ b/crates/pintally-kserve-node/src/fleet/reservations.rs
@@ -24,9 +24,9 @@
 impl ReplicatedReservations {
     /// `None` where the settings never let a peer release a dead node's reservations.
     pub(super) fn new(settings: &RecoverySettings) -> Option<ReplicatedReservations> {
-        (settings.inherit_after > 0).then(|| ReplicatedReservations {
+        (settings.reservation_takeover_delay > 0).then(|| ReplicatedReservations {
             publisher: ReservationPublisher::default(),
-            backup: BackupNode::new(settings.inherit_after),
+            backup: BackupNode::new(settings.reservation_takeover_delay),
             next_publish: 0,
         })
     }
--- a/crates/pintally-kserve-node/src/fleet/startup.rs
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -117,7 +117,7 @@
     let (store, loaded) = Store::open(&StoreSettings {
         directory: PathBuf::from(folder),
         commit_interval: Duration::from_micros(settings.commit_interval),
-        load_timeout: Duration::from_micros(settings.read_within),
+        load_timeout: Duration::from_micros(settings.disk_read_timeout),
         storage_fault: injected_fault(settings),
     });
     (Some(store), loaded)
@@ -156,8 +156,8 @@
         expected_nodes: expected_nodes(settings),
         has_peers: settings.membership.is_some(),
         peers_queried: own.peers_queried,
-        answer_timeout: own.answer_within,
-        query_rounds: own.rounds,
+        answer_timeout: own.answer_timeout,
+        query_rounds: own.query_rounds,
         max_slow_start: own.max_slow_start,
         slow_start_min_capacity: core.slow_start_min_capacity,
         slow_start_duration: core.slow_start_duration,
@@ -166,7 +166,7 @@
         max_retry_after: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
         classes: classes.collect(),
     };
-    Some(Recovery::new(recovery_settings, now, own.read_within))
+    Some(Recovery::new(recovery_settings, now, own.disk_read_timeout))
 }
 
 /// Nodes that send to the same engines. Where zones have cores of their own, a zone's engines are shared
--- a/crates/pintally-kserve-node/src/watcher/files.rs
+++ b/crates/pintally-kserve-node/src/watcher/files.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read, Write};
 use std::path::Path;
 
-use pintally_config::form::MAX_FILE;
+use pintally_config::form::MAX_FILE_BYTES;
 
 /// A watched file: its bytes as last read, and whether it could not be read.
 #[derive(Default)]
@@ -34,7 +34,7 @@
 /// Reads a file up to one byte over the largest that is parsed, so that a larger one is an error there.
 pub(super) fn read(path: &str) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(MAX_FILE as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
--- a/crates/pintally-platform-node/src/client_read.rs
+++ b/crates/pintally-platform-node/src/client_read.rs
@@ -76,7 +76,7 @@
     /// checks the memory limit.
     fn await_rest_of_request(&mut self, key: ConnectionKey) {
         let Some(client) = self.client_mut(key) else { return };
-        if client.reader.wants_continue() {
+        if client.reader.take_expects_continue() {
             client.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
             self.clients.queue_write(key);
         }
@@ -90,7 +90,7 @@
     fn account_buffered_bytes(&mut self, key: ConnectionKey) -> bool {
         let limit = self.config.max_total_body_bytes();
         let Some(Connection::Client(client)) = self.connections.get_mut(key) else { return true };
-        let buffered = client.reader.held_bytes();
+        let buffered = client.reader.buffered_bytes();
         self.requests.account_buffered(client.accounted_bytes, buffered);
         client.accounted_bytes = buffered;
         self.requests.body_bytes() <= limit
--- a/crates/pintally-platform-node/src/client_requests.rs
+++ b/crates/pintally-platform-node/src/client_requests.rs
@@ -51,7 +51,7 @@
     fn queueing_time(&mut self, key: ConnectionKey) -> Micros {
         let now = self.clock.now();
         let Some(client) = self.client_mut(key) else { return 0 };
-        let bytes_behind = client.reader.held_bytes();
+        let bytes_behind = client.reader.buffered_bytes();
         client.arrivals.last_before(bytes_behind).map_or(0, |arrived| now.saturating_sub(arrived))
     }
 }
--- a/crates/pintally-platform/src/engine_response.rs
+++ b/crates/pintally-platform/src/engine_response.rs
@@ -57,7 +57,7 @@
 impl Default for EngineResponseReader {
     fn default() -> EngineResponseReader {
         EngineResponseReader {
-            response: ResponseReader::new(MAX_HEAD_BYTES).with_chunk_most(MAX_CHUNK_BYTES),
+            response: ResponseReader::new(MAX_HEAD_BYTES).with_max_chunk_bytes(MAX_CHUNK_BYTES),
             status: 0,
             rejected: false,
             load: None,
@@ -78,7 +78,7 @@
 
     /// Whether no byte has been received.
     pub fn has_no_bytes(&self) -> bool {
-        !self.response.has_begun()
+        !self.response.has_started()
     }
 
     /// Whether the status is 2xx.
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -159,7 +159,7 @@
                             ending = event["finished"].as_bool().or(ending);
                         }
                     }
-                    Ok(Some(Part::End(_))) if reader.leftover() > 0 => {
+                    Ok(Some(Part::End(_))) if reader.leftover_bytes() > 0 => {
                         // It came together with more: a second answer must not hide behind the first.
                         self.recorder.note(What::Extra { request: t.id.clone() });
                         return match ending {
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -68,7 +68,7 @@
         return Err(form.error(format!("unknown kind of fault `{kind}`; there are {}", names.join(", "))));
     };
     let mut engines = Vec::new();
-    if let Some(inner) = form.maybe("engines")? {
+    if let Some(inner) = form.optional_form("engines")? {
         while let Some(engine) = inner.optional_text()? {
             engines.push(engine);
         }
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -209,8 +209,8 @@
             peers.listen = at;
             let doors = (0..self.day.nodes)
                 .filter_map(|n| Some((format!("n{n}"), relays.address(n).filter(|_| n != number)?)));
-            peers.reach = doors.collect();
-            peers.seeds = peers.reach.iter().take(2).map(|r| r.1).collect();
+            peers.address_overrides = doors.collect();
+            peers.seeds = peers.address_overrides.iter().take(2).map(|r| r.1).collect();
         }
         if let Some(recovery) = &mut settings.recovery {
             let folder = self.publisher.file(number).with_extension("state");
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -146,7 +146,7 @@
         s.consensus.as_ref().map(ToString::to_string),
         s.quotas.as_ref().map(ToString::to_string),
         s.failover.as_ref().map(ToString::to_string),
-        s.outlier_detection.as_ref().map(pintally_config::verdicts_form),
+        s.outlier_detection.as_ref().map(pintally_config::outlier_detection_form),
     ];
     for form in forms {
         text += &form.map(|f| format!("\n  {f}")).unwrap_or_default();
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -6,7 +6,7 @@
 use pintally::interface::{Role, Settings};
 use pintally_cells::CellsFile;
 use pintally_config::form::{Document, Form};
-use pintally_config::{shape, ConfigError, NodeSettings, STORAGE_FAULTS};
+use pintally_config::{read_rules, ConfigError, NodeSettings, STORAGE_FAULTS};
 
 use crate::faults;
 
@@ -222,8 +222,8 @@
     /// Reads and checks a day. `file` is used in errors only.
     pub fn parse(file: &str, text: &str) -> Result<Day, ConfigError> {
         let document = Document::parse(file, text)?;
-        let root = document.only("day")?;
-        let zones = match root.maybe("zones")? {
+        let root = document.only_form("day")?;
+        let zones = match root.optional_form("zones")? {
             None => vec!["a".to_string()],
             Some(form) => {
                 let mut zones = Vec::new();
@@ -237,17 +237,17 @@
         if zones.is_empty() {
             return Err(root.error("a day needs a zone"));
         }
-        let nodes = root.need("nodes")?;
+        let nodes = root.required_form("nodes")?;
         let count = nodes.count(1, MAX_NODES as u64)? as usize;
         let own = Document::parse("", "(node (engines \"\"))")?;
-        let cells_form = root.maybe("cells")?;
-        let settings = NodeSettings::read(&root, &own.only("node")?)?;
-        let moved = match nodes.maybe("moved")? {
+        let cells_form = root.optional_form("cells")?;
+        let settings = NodeSettings::read(&root, &own.only_form("node")?)?;
+        let moved = match nodes.optional_form("moved")? {
             None => None,
             Some(form) => {
                 let mut core = settings.core.clone();
                 let many = form.count(0, count as u64)? as usize;
-                shape(&form, &mut core)?;
+                read_rules(&form, &mut core)?;
                 form.finish()?;
                 Some((many, core))
             }
@@ -255,19 +255,19 @@
         let span = |ms: u64| Duration::from_micros(ms);
         let cells = cells_form.map(|form| CellsFile::read(&form, &settings.core)).transpose()?;
         let mut engines = Vec::new();
-        for form in root.all("engines")? {
+        for form in root.forms_named("engines")? {
             engines.push(engines_of(&form, &settings, cells.as_ref())?);
         }
         if engines.is_empty() {
             return Err(root.error("a day needs `(engines ...)`"));
         }
-        let traffic = traffic_of(&root.need("traffic")?, &settings)?;
+        let traffic = traffic_of(&root.required_form("traffic")?, &settings)?;
         let mut list = Vec::new();
-        for form in root.all("fault")? {
+        for form in root.forms_named("fault")? {
             list.push(faults::parse(&form, &zones, &settings, cells.as_ref())?);
         }
         let mut disks = BTreeMap::new();
-        for form in root.all("disk")? {
+        for form in root.forms_named("disk")? {
             let (node, storage_fault) = (form.count(0, count as u64 - 1)? as usize, form.text()?);
             form.finish()?;
             if !STORAGE_FAULTS.contains(&storage_fault.as_str()) {
@@ -278,7 +278,7 @@
             }
             disks.insert(node, storage_fault);
         }
-        let processes = nodes.yes_or("processes", false)?;
+        let processes = nodes.boolean_or("processes", false)?;
         if !processes && (settings.membership.is_some() || !disks.is_empty()) {
             return Err(nodes.error("peers and disks need `(processes yes)`: each node is a process then"));
         }
@@ -314,7 +314,7 @@
 }
 
 fn range(form: &Form, key: &str, default: (u64, u64), most: u64) -> Result<(u64, u64), ConfigError> {
-    let Some(inner) = form.maybe(key)? else { return Ok(default) };
+    let Some(inner) = form.optional_form(key)? else { return Ok(default) };
     let (least, largest) = (inner.count(0, most)?, inner.count(0, most)?);
     inner.finish()?;
     if least > largest {
@@ -359,7 +359,7 @@
 
 fn traffic_of(form: &Form, settings: &NodeSettings) -> Result<Traffic, ConfigError> {
     let mut classes = Vec::new();
-    for inner in form.all("class")? {
+    for inner in form.forms_named("class")? {
         let name = inner.text()?;
         if !settings.core.classes.iter().any(|c| c.name == name) {
             return Err(inner.error(format!("no `class` is named `{name}`")));
@@ -384,7 +384,7 @@
         return Err(form.error("`traffic` needs a class with a share over 0"));
     }
     let mut tenants: BTreeMap<String, f64> = BTreeMap::new();
-    for inner in form.all("tenant")? {
+    for inner in form.forms_named("tenant")? {
         let name = inner.text()?;
         if !settings.core.tenants.iter().any(|t| t.name == name) {
             return Err(inner.error(format!("no `tenant` is named `{name}`")));
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -141,7 +141,7 @@
             for progress in out.drain(..) {
                 match progress {
                     Progress::Text(t) => text.push_str(&t),
-                    Progress::Over { outcome, state, .. } => return Some((outcome, text, state)),
+                    Progress::Ended { outcome, state, .. } => return Some((outcome, text, state)),
                 }
             }
         }
