--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -55,7 +55,11 @@
             "(shared-limits (lease-ms 500)",
             "`lease-ms` must be at least four times `every-ms`",
         ),
-        ("(verdicts)", "(verdicts (rest-ms 9000) (rest-most-ms 100))", "the rest is nothing"),
+        (
+            "(verdicts)",
+            "(verdicts (rest-ms 9000) (rest-most-ms 100))",
+            "`rest-ms` must be above 0 and at most `rest-most-ms`",
+        ),
         ("(zone \"south-1\" \"south\")", "", "no zone of a region is named `south-1`"),
         (
             "(zone \"north-2\" \"north\")",
--- a/crates/pintally-membership/src/event.rs
+++ b/crates/pintally-membership/src/event.rs
@@ -15,7 +15,7 @@
     Event(MembershipEvent),
 }
 
-/// A change in the fleet or in this node's part in it.
+/// A change in the fleet, or in this node's own membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// A peer is alive: it is new, it came back, or its process restarted.
@@ -24,7 +24,7 @@
     MemberSuspected(PeerName),
     /// A peer was declared dead.
     MemberDown(PeerName),
-    /// A peer has announced that it leaves.
+    /// A peer has announced that it leaves the fleet.
     MemberLeft(PeerName),
     /// A new version of a fact was received.
     FactReceived(PeerName, Topic),
--- a/crates/pintally-membership/src/fact.rs
+++ b/crates/pintally-membership/src/fact.rs
@@ -8,14 +8,14 @@
 use crate::identity::{is_valid_name, PeerName, ProcessIncarnation};
 use crate::member_table::MAX_MEMBERS;
 
-/// Largest payload of a fact: several facts fit into one datagram.
+/// Largest payload of a fact, so that several facts fit into one datagram.
 pub const MAX_PAYLOAD_BYTES: usize = 400;
-/// Topics that one node may publish facts on.
+/// Greatest number of topics on which one node may publish facts.
 pub const MAX_TOPICS_PER_NODE: usize = 16;
-/// Facts of the whole fleet that a node stores, so that no peer can exhaust its memory.
+/// Greatest number of facts of the whole fleet that a node stores, so that no peer can exhaust its memory.
 const MAX_STORED_FACTS: usize = MAX_MEMBERS * 4;
 
-/// The subject of a fact or a direct message; each package that uses the fleet has its own numbers.
+/// The subject of a fact or a direct message. Each package that uses membership assigns its own numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Topic(pub u8);
 
@@ -26,11 +26,11 @@
     pub origin: PeerName,
     /// Its subject.
     pub topic: Topic,
-    /// The process that published it; a fact of a later process wins whatever its version.
+    /// The process that published it. A fact of a later process takes precedence, whatever its version.
     pub process_incarnation: ProcessIncarnation,
     /// Counts the versions that one process has published.
     pub version: u64,
-    /// The content; empty where the fact was withdrawn.
+    /// The content; empty if the fact was withdrawn.
     pub payload: Vec<u8>,
 }
 
@@ -58,8 +58,12 @@
 impl fmt::Display for GossipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            GossipError::PayloadTooLarge => write!(f, "a fact holds at most {MAX_PAYLOAD_BYTES} bytes"),
-            GossipError::TooManyTopics => write!(f, "a node speaks on at most {MAX_TOPICS_PER_NODE} topics"),
+            GossipError::PayloadTooLarge => {
+                write!(f, "the payload of a fact must not exceed {MAX_PAYLOAD_BYTES} bytes")
+            }
+            GossipError::TooManyTopics => {
+                write!(f, "a node must not publish facts on more than {MAX_TOPICS_PER_NODE} topics")
+            }
         }
     }
 }
--- a/crates/pintally-membership/src/gossip_queue.rs
+++ b/crates/pintally-membership/src/gossip_queue.rs
@@ -6,10 +6,11 @@
 use crate::fact::Topic;
 use crate::identity::PeerName;
 
-/// An update is transmitted this many times the logarithm of the fleet's size.
+/// An update is transmitted this many times the binary logarithm of the fleet's size.
 const RETRANSMIT_MULTIPLIER: f64 = 3.0;
 
-/// The subject of an update. Its content is looked up when it is sent, so that it is always the latest.
+/// The subject of an update. The content is looked up when the update is sent, so that it is always the
+/// latest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum GossipItem {
     /// The state of a member.
@@ -56,7 +57,7 @@
     }
 }
 
-/// Transmissions of one update in a fleet with so many peers.
+/// How often one update is transmitted in a fleet with this many peers.
 fn retransmit_limit(peers: usize) -> u32 {
     (RETRANSMIT_MULTIPLIER * ((peers + 2) as f64).log2()).ceil() as u32
 }
--- a/crates/pintally-membership/src/identity.rs
+++ b/crates/pintally-membership/src/identity.rs
@@ -23,19 +23,19 @@
 
 /// Identifies one run of a node's process. Later incarnations compare greater.
 ///
-/// The start number is counted on the node's disk. The nonce is drawn at random at each start, so that two
-/// processes with the same number are distinguished: the disk was lost or restored from an older image, or
-/// the node was started twice. Not to be confused with SWIM's incarnation, which a running process raises
-/// to refute a suspicion.
+/// The boot number is counted on the node's disk. The nonce is drawn at random at each start, so that two
+/// processes with the same boot number are distinguished. Such processes occur if the disk was lost or
+/// restored from an older image, or if the node was started twice. SWIM's incarnation is a different number: a running process raises it to
+/// refute a suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessIncarnation {
-    /// Number of the start, as far as the node knows; raised when peers remember a later one.
+    /// Number of this start of the node, counted on its disk; raised if peers know a later one.
     pub boot: u64,
     /// Drawn at random at the start of the process.
     pub nonce: u64,
 }
 
-/// Longest name of a node, a zone or a fleet.
+/// Length of the longest name of a node, a zone or a fleet.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 /// Whether a name may be used on the wire.
--- a/crates/pintally-membership/src/lib.rs
+++ b/crates/pintally-membership/src/lib.rs
@@ -4,15 +4,16 @@
 //! events come out. It opens no sockets, starts no threads and reads no clocks.
 //!
 //! Failure detection follows SWIM (Das, Gupta, Motivala 2002) with Lifeguard's three refinements (Dadgar,
-//! Phillips, Currey 2017): a node scales its timeouts by its own health before it accuses others, a
-//! suspicion times out sooner the more nodes confirm it, and a suspect is notified of the suspicion first.
-//! Updates that gossip has missed are repaired by comparing digests (anti-entropy, Demers and others 1987).
-//! `docs/membership.md` gives bounds and costs.
+//! Phillips, Currey 2017): a node scales its timeouts by its own health, so that an unhealthy node does not
+//! accuse healthy peers; a suspicion times out sooner the more nodes confirm it; and messages to a suspect
+//! tell it of the suspicion first. Updates that gossip did not deliver are repaired by comparing digests
+//! (anti-entropy, Demers and others 1987). `docs/membership.md` gives bounds and costs.
 //!
-//! Two numbers are called incarnation and mean different things:
+//! Two different numbers are called incarnation:
 //!
 //! - SWIM's *incarnation* is a counter that a member raises to refute a suspicion of itself;
-//! - a [`ProcessIncarnation`] identifies one run of a node's process, and outranks the former.
+//! - a [`ProcessIncarnation`] identifies one run of a node's process. It takes precedence over SWIM's
+//!   incarnation.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-membership/src/local_health.rs
+++ b/crates/pintally-membership/src/local_health.rs
@@ -1,8 +1,9 @@
-//! A node's own health, considered before it accuses others (Lifeguard's local health multiplier).
+//! A node's own health. It scales the node's timeouts, so that an unhealthy node does not accuse healthy
+//! peers (Lifeguard's local health multiplier).
 
 use crate::Micros;
 
-/// The worst score: every timeout is then nine times as long.
+/// The worst score, at which every timeout is nine times as long.
 const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
 
 /// How much evidence a node has that it is itself unhealthy.
@@ -12,15 +13,15 @@
 }
 
 impl LocalHealth {
-    /// A probe was acknowledged.
+    /// Lowers the score after a probe was acknowledged.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Something happened that a healthy node would not see: a probe that even the relays could not
-    /// report on, a suspicion of this node, a tick that came late.
-    pub(crate) fn degrade(&mut self, by: u32) {
-        self.score = (self.score + by).min(MAX_LOCAL_HEALTH_SCORE);
+    /// Raises the score after evidence that this node is unhealthy: a failed probe on which not every relay
+    /// reported, a suspicion of this node, or a tick that came late.
+    pub(crate) fn degrade(&mut self, penalty: u32) {
+        self.score = (self.score + penalty).min(MAX_LOCAL_HEALTH_SCORE);
     }
 
     /// A timeout, multiplied by the score plus one.
--- a/crates/pintally-membership/src/member_table.rs
+++ b/crates/pintally-membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The state of each peer, and which of two updates on one peer wins.
+//! The state of each peer, and the precedence of updates on the same peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,19 +9,20 @@
 use crate::identity::{is_valid_name, PeerName, ProcessIncarnation, MAX_NAME_BYTES};
 use crate::Micros;
 
-/// Peers that a node remembers.
+/// Greatest number of peers that a node remembers.
 pub(crate) const MAX_MEMBERS: usize = 4096;
 
-/// The state of a peer. Of two updates with one incarnation the later in this order wins.
+/// The state of a peer. Of two updates with the same incarnation, the one whose state comes later in this
+/// order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes, as far as is known.
+    /// As far as is known, it answers probes.
     Alive,
     /// A probe of it failed, and it has not refuted the suspicion yet.
     Suspect,
     /// It did not refute a suspicion in time.
     Dead,
-    /// It has announced that it leaves.
+    /// It has announced that it leaves the fleet.
     Left,
 }
 
@@ -33,7 +34,7 @@
     /// SWIM's incarnation: raised by the member itself to refute a suspicion.
     pub(crate) incarnation: u32,
     pub(crate) state: MemberState,
-    /// Of a suspect: a hash of the accuser's name.
+    /// If the state is `Suspect`: a hash of the accuser's name.
     pub(crate) accuser: u64,
     pub(crate) address: SocketAddr,
     pub(crate) zone: Arc<str>,
@@ -99,7 +100,7 @@
         self.since
     }
 
-    /// Whether it counts as running; a suspect still does.
+    /// Whether it is considered to be running. This includes suspects.
     pub fn is_alive(&self) -> bool {
         matches!(self.update.state, MemberState::Alive | MemberState::Suspect)
     }
@@ -109,10 +110,10 @@
     }
 }
 
-/// What became of an update.
+/// The result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
-    /// What is known already wins, or the table is full.
+    /// The known update takes precedence, or the table is full.
     Ignored,
     /// The member was not known.
     Added,
@@ -154,8 +155,8 @@
         self.alive
     }
 
-    /// Applies an update if it wins over what is known. A stranger beyond [`MAX_MEMBERS`] is ignored, so
-    /// that nobody can exhaust a node's memory with names.
+    /// Applies an update if it takes precedence over the known one. New members beyond [`MAX_MEMBERS`] are
+    /// ignored, so that no peer can exhaust this node's memory with names.
     pub(crate) fn apply(&mut self, now: Micros, update: MemberUpdate) -> UpdateOutcome {
         let Some(member) = self.members.get_mut(&update.name) else {
             return self.add(now, update);
@@ -184,8 +185,8 @@
         UpdateOutcome::Added
     }
 
-    /// Removes the members that have been dead or gone since before a time; returns their names.
-    pub(crate) fn remove_gone_before(&mut self, before: Micros) -> Vec<PeerName> {
+    /// Removes the members that died or left before a time; returns their names.
+    pub(crate) fn remove_inactive_before(&mut self, before: Micros) -> Vec<PeerName> {
         let is_expired = |member: &&Member| !member.is_alive() && member.since < before;
         let names: Vec<PeerName> =
             self.iter().filter(is_expired).map(|member| member.name().clone()).collect();
--- a/crates/pintally-membership/src/membership.rs
+++ b/crates/pintally-membership/src/membership.rs
@@ -28,25 +28,25 @@
 
 /// A tick that comes this many probe intervals late shows that the process was paused.
 const PAUSE_THRESHOLD_INTERVALS: u64 = 3;
-/// What a pause costs in local health.
+/// What a pause adds to the local health score.
 const PAUSE_HEALTH_PENALTY: u32 = 4;
 
-/// One node's part in the membership protocol of its fleet.
+/// One node's state machine of the membership protocol.
 pub struct Membership {
     settings: Settings,
     /// Hash of the fleet's name.
     fleet: u64,
-    /// This node, as it is gossiped.
+    /// The update on this node that it gossips.
     own: MemberUpdate,
     rng: ChaCha8Rng,
     health: LocalHealth,
     members: MemberTable,
     facts: FactStore,
     gossip: GossipQueue,
-    /// Peers that are still to be probed in this round, the next one last.
+    /// Peers that are still to be probed in this round. The next one is the last of the list.
     probe_round: Vec<PeerName>,
     probe: Option<Probe>,
-    /// Probes on behalf of others, by the sequence number of the own ping.
+    /// Probes on behalf of others, by the sequence number of this node's ping.
     relayed_probes: BTreeMap<u32, RelayedProbe>,
     /// The sequence number that was used last.
     sequence: u32,
@@ -56,15 +56,16 @@
     protocol_periods: u64,
     raises: IncarnationRaises,
     has_stopped: bool,
-    /// What this process has published, to be published again under another process incarnation.
+    /// The payloads that this process has published. They are published again when its process incarnation
+    /// changes.
     published: BTreeMap<Topic, Vec<u8>>,
     fact_version: u64,
     counters: Counters,
 }
 
 impl Membership {
-    /// Creates a node that knows its seeds and no peer. `incarnation` holds the start number that the
-    /// node's disk has counted; `seed` that of all random choices.
+    /// Creates a node that knows its seeds and no peer. `incarnation` holds the boot number that is counted
+    /// on the node's disk; `seed` is the seed of all random choices.
     pub fn new(settings: Settings, incarnation: ProcessIncarnation, seed: u64, now: Micros) -> Membership {
         let own = MemberUpdate {
             name: settings.name.clone(),
@@ -127,7 +128,7 @@
         self.own.address
     }
 
-    /// Whether this process has yielded its name to another one, or has left.
+    /// Whether this process has stopped: it yielded its name to another process, or it has left the fleet.
     pub fn has_stopped(&self) -> bool {
         self.has_stopped
     }
@@ -177,13 +178,13 @@
         }
     }
 
-    /// The address at which this node reaches a peer.
+    /// The address to which this node sends packets for a peer.
     pub fn peer_address(&self, member: &Member) -> SocketAddr {
         self.settings.address_overrides.get(member.name()).copied().unwrap_or(member.address())
     }
 
     /// Sends a message to one peer, once; it may be lost. Returns whether it was sent: the peer is alive,
-    /// the payload fits, and this node has not yielded its name.
+    /// the payload fits, and this node has not stopped.
     pub fn send_direct(
         &mut self,
         peer: &PeerName,
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// Stores and gossips a new version of an own fact.
+    /// Stores and gossips a new version of one of this node's facts.
     fn publish_version(&mut self, topic: Topic, payload: Vec<u8>) {
         self.fact_version += 1;
         let origin = self.own.name.clone();
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Announces to all live peers that this node leaves. Nothing is sent afterwards.
+    /// Announces to all live peers that this node leaves the fleet. Nothing is sent afterwards.
     pub fn leave(&mut self, outputs: &mut Vec<Output>) {
         self.own.state = MemberState::Left;
         let addresses: Vec<SocketAddr> =
@@ -252,7 +253,7 @@
         self.has_stopped = true;
     }
 
-    /// The time at which [`Membership::tick`] has work to do.
+    /// The next time at which [`Membership::tick`] has work to do.
     pub fn next_wake(&self) -> Micros {
         let probe = self.probe.as_ref().map(Probe::next_deadline);
         let relayed = self.relayed_probes.values().map(|relayed| relayed.nack_at).min();
@@ -293,11 +294,12 @@
         self.relayed_probes.clear();
     }
 
-    /// Guards against a process that was paused and, once it runs again, takes everyone for dead: what it
-    /// waited for during the pause proves nothing, and its suspicions start again.
+    /// Guards against a process that resumes after a pause and declares all peers dead because their answers
+    /// are late. Probes that were in progress during the pause are dropped, and suspects get the full
+    /// suspicion timeout again.
     fn detect_pause(&mut self, now: Micros, outputs: &mut Vec<Output>) {
-        let due = self.next_wake().max(self.last_tick);
-        let pause = now.saturating_sub(due);
+        let expected_at = self.next_wake().max(self.last_tick);
+        let pause = now.saturating_sub(expected_at);
         if pause < PAUSE_THRESHOLD_INTERVALS * self.settings.probe_interval {
             return;
         }
@@ -309,10 +311,10 @@
         outputs.push(Output::Event(MembershipEvent::PauseDetected(pause)));
     }
 
-    /// Removes members that have been dead or gone for longer than they are remembered.
+    /// Removes members that died or left longer ago than the retention time.
     fn forget_dead_members(&mut self, now: Micros) {
         let before = now.saturating_sub(self.settings.dead_member_retention);
-        for name in self.members.remove_gone_before(before) {
+        for name in self.members.remove_inactive_before(before) {
             self.facts.remove_origin(&name);
             self.gossip.remove(&GossipItem::Member(name));
         }
@@ -328,7 +330,7 @@
         if self.has_stopped {
             return;
         }
-        self.counters.received += 1;
+        self.counters.packets_received += 1;
         let sender =
             Sender { name: packet.from, process_incarnation: packet.process_incarnation, address: from };
         let was_known = sender.name == self.own.name || self.members.get(&sender.name).is_some();
@@ -345,17 +347,18 @@
         self.handle_message(now, &sender, was_known, packet.message, outputs);
     }
 
-    /// What a sender must learn before it is answered. A sender of an earlier process than is known learns
-    /// of the later one: its disk was restored from an older image, or another process runs under its name.
-    /// Another process under this node's own name learns of this one; that settles which of them yields.
+    /// The newer process that a sender must learn of before its message is handled. A sender whose process is
+    /// earlier than the known one receives the later one: its disk was restored from an older image, or
+    /// another process runs under its name. A sender that uses this node's own name receives this node's
+    /// process, so that the two settle which of them yields the name.
     fn newer_process_of(&self, sender: &Sender) -> Option<MemberUpdate> {
         let known = self.members.get(&sender.name);
         if let Some(later) = known.filter(|member| member.incarnation() > sender.process_incarnation) {
             return Some(later.update.clone());
         }
-        let is_twin =
+        let is_duplicate =
             sender.name == self.own.name && sender.process_incarnation != self.own.process_incarnation;
-        is_twin.then(|| self.own.clone())
+        is_duplicate.then(|| self.own.clone())
     }
 
     fn handle_message(
@@ -372,7 +375,7 @@
                 if target.is_none_or(|target| target == self.own.name) {
                     self.send(from, Message::Ack { sequence }, outputs);
                 }
-                // A new member is sent a digest of everything, to learn what it misses.
+                // A digest to a new member starts an exchange of all that either node misses.
                 if !was_known && self.members.get(&sender.name).is_some() {
                     self.send_digest(from, true, outputs);
                 }
@@ -401,7 +404,7 @@
         payload: Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        // Stricter than `send_direct`: a longer payload is counted and dropped.
+        // This limit is lower than that of `send_direct`: a longer payload is counted and dropped.
         if payload.len() > MAX_PAYLOAD_BYTES {
             self.counters.malformed += 1;
             return;
--- a/crates/pintally-membership/src/membership/anti_entropy.rs
+++ b/crates/pintally-membership/src/membership/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: nodes compare digests of all they know, and send each other what differs.
+//! Anti-entropy: nodes compare digests of all members and facts, and send each other what differs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::member_table::{Member, MemberUpdate};
 use crate::packet::{DigestEntry, Message};
 
-/// Entries of a digest in one packet.
+/// Greatest number of digest entries in one packet.
 const MAX_DIGEST_ENTRIES: usize = 70;
 
 /// One part of a peer's digest.
@@ -29,8 +29,8 @@
             && self.entries.is_sorted()
     }
 
-    /// The keys that this part speaks for: from its first to its last entry; the outer parts speak for the
-    /// rest of the range.
+    /// The keys that this part covers: from its first to its last entry. The first part also covers all lower
+    /// keys, and the last part all higher ones.
     fn key_range(&self) -> RangeInclusive<u64> {
         let first = self.entries.first().map_or(0, |entry| entry.key);
         let last = self.entries.last().map_or(0, |entry| entry.key);
@@ -41,14 +41,14 @@
 }
 
 impl Membership {
-    /// Sends a digest to a random live peer, in as many packets as it takes.
+    /// Sends a digest to a random live peer.
     pub(super) fn start_anti_entropy(&mut self, outputs: &mut Vec<Output>) {
         for address in self.random_peers(1, Member::is_alive) {
             self.send_digest(address, true, outputs);
         }
     }
 
-    /// Sends a digest of this node and all members and facts that it knows.
+    /// Sends a digest of this node and all members and facts that it knows, in as many packets as needed.
     pub(super) fn send_digest(&mut self, to: SocketAddr, reply_expected: bool, outputs: &mut Vec<Output>) {
         let updates = self.all_updates().map(DigestEntry::of_update);
         let mut entries: Vec<DigestEntry> =
@@ -65,8 +65,9 @@
         std::iter::once(&self.own).chain(self.members.iter().map(|member| &member.update))
     }
 
-    /// Sends the peer what it misses. If this node misses something as well, it replies with a digest of
-    /// its own, once.
+    /// Sends the peer the updates and facts that differ from its digest or are missing there. If this node
+    /// misses entries of the digest and `reply_expected` is set, it replies with its own digest, for which no
+    /// reply is expected.
     pub(super) fn handle_digest(
         &mut self,
         from: SocketAddr,
@@ -79,17 +80,17 @@
             return;
         }
         let keys = digest.key_range();
-        let theirs: BTreeMap<u64, u32> = digest.entries.iter().map(|e| (e.key, e.version)).collect();
-        let mut own = BTreeSet::new();
+        let peer_versions: BTreeMap<u64, u32> = digest.entries.iter().map(|e| (e.key, e.version)).collect();
+        let mut own_entries = BTreeSet::new();
         let mut is_missing = |entry: DigestEntry| {
-            own.insert(entry);
-            keys.contains(&entry.key) && theirs.get(&entry.key) != Some(&entry.version)
+            own_entries.insert(entry);
+            keys.contains(&entry.key) && peer_versions.get(&entry.key) != Some(&entry.version)
         };
         let updates: Vec<MemberUpdate> =
             self.all_updates().filter(|update| is_missing(DigestEntry::of_update(update))).cloned().collect();
         let facts: Vec<GossipFact> =
             self.facts.iter().filter(|fact| is_missing(DigestEntry::of_fact(fact))).cloned().collect();
-        let misses_entries = digest.entries.iter().any(|entry| !own.contains(entry));
+        let misses_entries = digest.entries.iter().any(|entry| !own_entries.contains(entry));
         self.send_gossip(from, updates, facts, outputs);
         if reply_expected && misses_entries {
             self.send_digest(from, false, outputs);
--- a/crates/pintally-membership/src/membership/dissemination.rs
+++ b/crates/pintally-membership/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: packets with piggybacked updates, and packets of updates alone.
+//! Dissemination: packets with piggybacked updates, and packets that carry only updates.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,8 @@
 const FACT_OVERHEAD_BYTES: usize = 48;
 /// Estimated bytes of a gossip packet without updates.
 const GOSSIP_OVERHEAD_BYTES: usize = 128;
-/// A packet may exceed [`MAX_DATAGRAM_BYTES`] by so much, since its parts are estimated; a larger one is not sent.
+/// A packet may exceed [`MAX_DATAGRAM_BYTES`] by this much, since the sizes of its parts are estimated. A
+/// larger packet is not sent.
 const MAX_EXCESS_BYTES: usize = 600;
 
 fn estimated_update_bytes(update: &MemberUpdate) -> usize {
@@ -31,8 +32,8 @@
     /// Sends a message with as many queued updates as fit.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, outputs: &mut Vec<Output>) {
         let mut packet = self.new_packet(message);
-        // Guards against a suspect that learns of the suspicion last: whoever is written to receives first
-        // what is said of itself (Lifeguard's buddy system).
+        // Guards against a suspect that learns too late of the suspicion to refute it: a packet to a peer
+        // that is not known as alive carries the update on that peer first (Lifeguard's buddy system).
         let about_receiver = self
             .members
             .iter()
@@ -81,7 +82,7 @@
         self.members.get(name).map(|member| &member.update)
     }
 
-    /// Sends updates and facts alone, in as many packets as it takes.
+    /// Sends packets that carry only these updates and facts, in as many packets as needed.
     pub(super) fn send_gossip(
         &mut self,
         to: SocketAddr,
@@ -117,16 +118,16 @@
     }
 
     fn new_packet(&self, message: Message) -> Packet {
-        // The sender introduces itself in the messages that start an exchange, so that a new member is
-        // known at once.
-        let introduces_sender =
+        // Pings, acks and leave messages carry the sender's own update, so that the receiver knows a new
+        // member at once.
+        let includes_own_update =
             matches!(message, Message::Ping { .. } | Message::Ack { .. } | Message::Leave);
         Packet {
             fleet: self.fleet,
             from: self.own.name.clone(),
             process_incarnation: self.own.process_incarnation,
             message,
-            updates: introduces_sender.then(|| self.own.clone()).into_iter().collect(),
+            updates: includes_own_update.then(|| self.own.clone()).into_iter().collect(),
             facts: Vec::new(),
         }
     }
@@ -136,14 +137,14 @@
         if bytes.is_empty() || bytes.len() > MAX_DATAGRAM_BYTES + MAX_EXCESS_BYTES {
             return;
         }
-        self.counters.sent += 1;
-        self.counters.bytes += bytes.len() as u64;
+        self.counters.packets_sent += 1;
+        self.counters.bytes_sent += bytes.len() as u64;
         outputs.push(Output::Datagram(to, bytes));
     }
 }
 
-/// Removes the update that did not fit. A packet that is too long before anything was added loses its last
-/// update of that kind instead.
+/// Removes the update that did not fit. If nothing was added because the packet was too long before, its last
+/// update of that kind is removed instead.
 fn remove_last(item: &GossipItem, packet: &mut Packet) {
     match item {
         GossipItem::Member(_) => drop(packet.updates.pop()),
--- a/crates/pintally-membership/src/membership/incarnation.rs
+++ b/crates/pintally-membership/src/membership/incarnation.rs
@@ -1,5 +1,5 @@
-//! Updates on this node itself: suspicions to refute, a later process that peers remember, and another
-//! process under the same name.
+//! Updates on this node itself: suspicions to refute, a later process incarnation that peers know, and
+//! another process under the same name.
 
 use super::Membership;
 use crate::event::{MembershipEvent, Output};
@@ -7,13 +7,13 @@
 use crate::member_table::{MemberState, MemberUpdate};
 use crate::Micros;
 
-/// A process that raises its start number more often than this, within the time in which a death is
-/// detected, shares its name with another process.
+/// A process that raises its boot number more often than this within one window shares its name with another
+/// process.
 const MAX_RAISES: u32 = 3;
-/// The raises count together within so many times the longest failure detection.
+/// Length of the window in which raises are counted, as a multiple of the longest failure detection time.
 const RAISE_WINDOW_DETECTION_TIMES: u64 = 4;
 
-/// How often this process has raised its start number in the current window.
+/// How often this process has raised its boot number in the current window.
 pub(super) struct IncarnationRaises {
     count: u32,
     window_start: Micros,
@@ -49,8 +49,9 @@
         if update.process_incarnation < self.own.process_incarnation {
             return;
         }
-        // A disk that was restored from an older image explains a later process once or twice. A process
-        // that goes on raising its number as well is another one that runs now.
+        // A disk that was restored from an older image causes one or two raises. More raises show that
+        // another process runs under this name now and raises its boot number as well. The one with the
+        // greater nonce yields the name.
         let detection_time = self.settings.max_failure_detection_time(self.alive_count());
         self.raises.record(now, RAISE_WINDOW_DETECTION_TIMES * detection_time);
         if self.raises.is_exceeded() && update.process_incarnation.nonce < self.own.process_incarnation.nonce
@@ -59,7 +60,7 @@
             outputs.push(Output::Event(MembershipEvent::NameYielded));
             return;
         }
-        self.raise_above(update.process_incarnation.boot, outputs);
+        self.raise_boot_above(update.process_incarnation.boot, outputs);
     }
 
     /// Refutes a suspicion of this process by raising SWIM's incarnation.
@@ -73,11 +74,10 @@
         self.gossip.push(GossipItem::Member(self.own.name.clone()));
     }
 
-    /// Continues under a start number above the one that peers remember, and publishes all facts again
-    /// under it.
-    fn raise_above(&mut self, remembered_boot: u64, outputs: &mut Vec<Output>) {
+    /// Continues under a boot number above the one that peers know, and publishes all facts again under it.
+    fn raise_boot_above(&mut self, known_boot: u64, outputs: &mut Vec<Output>) {
         let previous_boot = self.own.process_incarnation.boot;
-        let new_boot = remembered_boot + 1;
+        let new_boot = known_boot + 1;
         self.own.process_incarnation.boot = new_boot;
         self.own.incarnation = 0;
         self.counters.outdated_incarnations += 1;
--- a/crates/pintally-membership/src/membership/probing.rs
+++ b/crates/pintally-membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: direct ones, indirect ones through relays, and those relayed for others.
+//! Probes: direct probes, indirect probes through relays, and probes relayed for other nodes.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,12 @@
 use crate::packet::{hash_accuser, Message};
 use crate::Micros;
 
-/// Relayed probes in flight; further requests are ignored, so that peers cannot exhaust this node's memory.
+/// Greatest number of relayed probes in flight. Further requests are ignored, so that peers cannot exhaust
+/// this node's memory.
 const MAX_RELAYED_PROBES: usize = 256;
-/// Protocol periods between two attempts to reach seeds that are not known to be alive.
+/// Protocol periods between two pings of seeds that are not known to be alive, while other peers are alive.
 const SEED_PING_PERIODS: u64 = 4;
-/// Seeds that are pinged at once.
+/// Greatest number of seeds that are pinged at once.
 const MAX_SEED_PINGS: usize = 3;
 
 /// This node's own probe of a peer.
@@ -23,13 +24,13 @@
 pub(super) struct Probe {
     target: PeerName,
     sequence: u32,
-    /// When relays are asked for indirect probes, unless they were already.
+    /// When relays are asked for indirect probes, if the target has not acknowledged until then.
     indirect_at: Micros,
     /// When the probe fails.
     deadline: Micros,
     /// Relays that were asked; 0 until the probe becomes indirect.
     relays_asked: usize,
-    /// Relays that reported at least that they had no acknowledgement.
+    /// Relays that reported that they have no acknowledgement yet.
     nacks: usize,
 }
 
@@ -53,7 +54,7 @@
     requester: SocketAddr,
     /// The requester's sequence number.
     requester_sequence: u32,
-    /// When the requester is sent a nack.
+    /// When a nack is sent to the requester.
     pub(super) nack_at: Micros,
 }
 
@@ -63,7 +64,7 @@
         self.sequence
     }
 
-    /// Addresses of random peers.
+    /// Addresses of random eligible peers, at most `limit`.
     pub(super) fn random_peers(
         &mut self,
         limit: usize,
@@ -76,8 +77,8 @@
         addresses
     }
 
-    /// Pings seeds that are not known to be alive: in each period while there is no live peer, else at
-    /// times, since a partition may have left too few.
+    /// Pings seeds that are not known to be alive: in each protocol period while no peer is alive, otherwise
+    /// once in [`SEED_PING_PERIODS`], since a partition may have left this node only a part of the fleet.
     pub(super) fn ping_seeds(&mut self, outputs: &mut Vec<Output>) {
         let is_alone = self.members.alive_count() == 0;
         if !is_alone && !self.protocol_periods.is_multiple_of(SEED_PING_PERIODS) {
@@ -85,8 +86,8 @@
         }
         let live: Vec<SocketAddr> = self.members.alive().map(|member| self.peer_address(member)).collect();
         let mut seeds = self.settings.seeds.clone();
-        // Guards against a fleet that stays split after a partition: members that were declared dead
-        // count as seeds.
+        // Guards against a fleet that stays split after a partition: members that were declared dead are
+        // pinged like seeds.
         let dead = self.members.iter().filter(|member| member.state() == MemberState::Dead);
         seeds.extend(dead.map(|member| self.peer_address(member)));
         seeds.retain(|seed| *seed != self.own.address && !live.contains(seed));
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Probes the next live peer of the round. A round that is exhausted starts again in another order.
+    /// Probes the next live peer of the round. After the last peer a new round starts in another order.
     pub(super) fn start_probe(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         if self.probe.is_some() {
             return;
@@ -142,7 +143,7 @@
         self.send(address, Message::Ping { sequence, target: Some(target) }, outputs);
     }
 
-    /// Makes the probe indirect, or fails it, when its time has come.
+    /// Requests indirect probes once the probe timeout has passed, and fails the probe at its deadline.
     pub(super) fn advance_probe(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         let Some(mut probe) = self.probe.take() else { return };
         if now >= probe.deadline {
@@ -166,11 +167,12 @@
         }
     }
 
-    /// Nobody has acknowledged: the target becomes a suspect.
+    /// Ends a probe that was not acknowledged, neither directly nor through a relay: the target becomes a
+    /// suspect.
     fn fail_probe(&mut self, now: Micros, probe: &Probe, outputs: &mut Vec<Output>) {
         self.counters.unanswered += 1;
-        // Guards against blaming others for this node's own links: relays that cannot even be heard are
-        // evidence against this node, not against the target.
+        // Guards against blaming the target for a fault of this node's own links: a relay from which not even
+        // a nack arrives is evidence that this node is unhealthy.
         if probe.nacks < probe.relays_asked {
             self.health.degrade(1);
         }
@@ -223,7 +225,7 @@
         self.send(address, Message::Ping { sequence, target: Some(target) }, outputs);
     }
 
-    /// Notifies requesters whose targets have not acknowledged in time.
+    /// Sends a nack to the requesters whose targets have not acknowledged in time.
     pub(super) fn send_due_nacks(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         let is_due = |relayed: &RelayedProbe| relayed.nack_at <= now;
         let due: Vec<u32> =
--- a/crates/pintally-membership/src/membership/suspicion.rs
+++ b/crates/pintally-membership/src/membership/suspicion.rs
@@ -9,14 +9,14 @@
 
 /// Bounds of the time until an unrefuted suspicion makes a member dead.
 struct SuspicionTimeouts {
-    /// With as many accusers as a probe asks relays.
+    /// With as many confirmations as a probe has relays.
     min: Micros,
-    /// With one accuser.
+    /// With one accuser, that is without confirmation.
     max: Micros,
 }
 
 impl SuspicionTimeouts {
-    /// The more nodes confirm a suspicion the sooner it times out (Lifeguard).
+    /// A suspicion times out sooner the more nodes confirm it (Lifeguard).
     fn timeout(&self, accusers: usize, expected_confirmations: usize) -> Micros {
         let confirmations = accusers.saturating_sub(1) as f64;
         let expected = expected_confirmations as f64;
@@ -38,7 +38,7 @@
     pub(super) fn suspect(&mut self, now: Micros, update: MemberUpdate, outputs: &mut Vec<Output>) {
         let name = update.name.clone();
         let accuser = update.accuser;
-        // Before the update, which can change the number of live members.
+        // Computed before the update is applied, because the update can change the number of live members.
         let timeouts = self.suspicion_timeouts();
         let is_new = match self.members.apply(now, update) {
             UpdateOutcome::Ignored => false,
@@ -49,7 +49,7 @@
         let Some(member) = self.members.get_mut(&name).filter(|member| member.is_suspect()) else {
             return;
         };
-        // The first accusers are gossiped, so that other nodes can count them too.
+        // Only the first accusers are recorded and gossiped, so that other nodes can count them too.
         let is_confirmation =
             member.accusers.len() <= expected_confirmations && member.accusers.insert(accuser);
         if is_confirmation {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Gives all suspects the full time again.
+    /// Extends the deadlines of all suspects to the full suspicion timeout from now.
     pub(super) fn extend_suspicions(&mut self, now: Micros) {
         let deadline = now + self.suspicion_timeouts().max;
         for name in self.suspect_names() {
--- a/crates/pintally-membership/src/membership/updates.rs
+++ b/crates/pintally-membership/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Applies updates on members and facts that packets or timeouts bring.
+//! Applies updates on members, and facts, that result from packets or timeouts.
 
 use rand::Rng;
 
@@ -26,7 +26,7 @@
         let state = update.state;
         let process = update.process_incarnation;
         let known = self.members.get(&name);
-        // The death of a peer that was never known is no event.
+        // The death or departure of a peer that was never known causes no event.
         if known.is_none() && matches!(state, MemberState::Dead | MemberState::Left) {
             self.members.apply(now, update);
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether an accusation is new, or confirms the current suspicion.
+    /// Whether an accusation supersedes what is known of the peer, or confirms the current suspicion.
     fn is_relevant_accusation(&self, update: &MemberUpdate) -> bool {
         let Some(known) = self.members.get(&update.name).map(|member| &member.update) else {
             return true;
@@ -55,14 +55,15 @@
         known.precedence() == update.precedence() || update.supersedes(known)
     }
 
-    /// Puts a member at a random place of the current round, so that a new member is not the first target
-    /// of every node.
+    /// Inserts a member at a random position of the current round, so that not every node probes a new member
+    /// first.
     fn insert_into_probe_round(&mut self, name: PeerName) {
-        let place = (self.rng.next_u32() as usize) % (self.probe_round.len() + 1);
-        self.probe_round.insert(place, name);
+        let position = (self.rng.next_u32() as usize) % (self.probe_round.len() + 1);
+        self.probe_round.insert(position, name);
     }
 
-    /// Applies a fact. One of this node's own from another process reveals that process.
+    /// Applies a fact. A fact with this node's name as its origin, but from another process, reveals that
+    /// process.
     pub(super) fn apply_fact(
         &mut self,
         now: Micros,
--- a/crates/pintally-membership/src/packet.rs
+++ b/crates/pintally-membership/src/packet.rs
@@ -1,7 +1,8 @@
 //! The wire format: a version, a checksum, and a packet encoded by postcard.
 //!
-//! Postcard writes fields and variants by their order and not by their names: the order is fixed, the names
-//! are free. A packet that cannot be read in full is dropped and counted; no part of it is believed.
+//! Postcard encodes fields and variants by their order, without names: the order is part of the wire format,
+//! and names may change. A packet that cannot be decoded in full is dropped and counted; no part of it is
+//! applied.
 
 use std::net::SocketAddr;
 
@@ -12,26 +13,27 @@
 use crate::identity::{is_valid_name, PeerName, ProcessIncarnation};
 use crate::member_table::MemberUpdate;
 
-/// Largest datagram: below what common links carry without fragmentation.
+/// Target size of a datagram: common links carry it without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Largest payload of a direct message: with its header it fills a datagram.
+/// Largest payload of a direct message that is sent, so that it fits into a datagram with the packet's
+/// header.
 pub const MAX_DIRECT_MESSAGE_BYTES: usize = 1100;
 /// Version of the wire format, the first byte of every packet.
 const WIRE_VERSION: u8 = 1;
-/// The version and the checksum.
+/// Size of the version and the checksum.
 const HEADER_BYTES: usize = 5;
 
 /// A packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
-    /// The fleet, by a hash of its name.
+    /// Hash of the fleet's name.
     pub(crate) fleet: u64,
     /// The sender.
     pub(crate) from: PeerName,
     /// The sender's process.
     pub(crate) process_incarnation: ProcessIncarnation,
     pub(crate) message: Message,
-    /// Piggybacked updates on members; the sender introduces itself in some messages.
+    /// Piggybacked updates on members. Some messages carry the sender's own update.
     pub(crate) updates: Vec<MemberUpdate>,
     /// Piggybacked facts.
     pub(crate) facts: Vec<GossipFact>,
@@ -40,8 +42,8 @@
 /// The purpose of a packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Asks for an acknowledgement. Names the target, so that another node that has taken over its
-    /// address does not answer; a seed is pinged without a name.
+    /// Asks for an acknowledgement. The target is named, so that another node that has taken over its
+    /// address does not answer. A seed is pinged without a name.
     Ping { sequence: u32, target: Option<PeerName> },
     /// Acknowledges a ping.
     Ack { sequence: u32 },
@@ -49,11 +51,12 @@
     PingRequest { sequence: u32, target: PeerName, address: SocketAddr },
     /// Reports that a ping on behalf of the receiver has had no acknowledgement yet.
     Nack { sequence: u32 },
-    /// One part of a digest of all that the sender knows: the receiver sends what differs or is missing.
+    /// One part of a digest of all members and facts that the sender knows. The receiver replies with what
+    /// differs or is missing.
     Digest { part: u16, parts: u16, entries: Vec<DigestEntry>, reply_expected: bool },
-    /// Carries nothing but updates and facts.
+    /// Carries only updates and facts.
     Gossip,
-    /// A message of the layer above, for the receiver alone.
+    /// A message of the application to this receiver alone.
     Direct { topic: Topic, payload: Vec<u8> },
     /// The sender leaves the fleet.
     Leave,
@@ -62,7 +65,7 @@
 /// Why bytes are not a packet of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PacketError {
-    /// They are damaged, or are no packet at all.
+    /// The bytes are damaged, or they are not a packet.
     Malformed,
     /// The packet belongs to another fleet, or to another version of the wire format.
     Foreign,
@@ -71,7 +74,7 @@
 /// Represents one update or fact in a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct DigestEntry {
-    /// Hash of what the entry is about.
+    /// Hash of the subject: a member, or the origin and topic of a fact.
     pub(crate) key: u64,
     /// Hash of the version.
     pub(crate) version: u32,
@@ -93,7 +96,7 @@
     }
 }
 
-/// Distinguishes hashes of equal names; the numbers are part of the wire format.
+/// Makes the hashes of equal names differ by their use. The numbers are part of the wire format.
 #[derive(Clone, Copy)]
 enum KeyKind {
     Member = 0,
@@ -118,7 +121,8 @@
 }
 
 fn hash_version(version: &impl Serialize) -> u32 {
-    // Plain data can always be encoded; if it could not, the entry would count as different.
+    // Encoding plain data does not fail. If it did, the version would be 0 and the entry would count as
+    // different.
     postcard::to_stdvec(version).map_or(0, |bytes| xxh3_64(&bytes) as u32)
 }
 
--- a/crates/pintally-membership/src/packet/tests.rs
+++ b/crates/pintally-membership/src/packet/tests.rs
@@ -1,4 +1,4 @@
-//! The wire format is stable: nodes of different builds read each other's packets.
+//! The wire format is stable, so that nodes of different builds decode each other's packets.
 
 use super::*;
 use crate::member_table::MemberState;
@@ -120,7 +120,8 @@
     assert_packet_stable("leave", &packet(Message::Leave));
 }
 
-/// Nodes compare hashes only: those of two builds must agree, or everything is sent again and again.
+/// Nodes compare only hashes. If the hashes of two builds differed, nodes would send each other all updates
+/// and facts in every exchange.
 #[test]
 fn digest_hashes_are_stable() {
     let bytes =
@@ -137,13 +138,13 @@
 fn packet_of_another_fleet_version_or_checksum_is_rejected() {
     let ping = golden("ping");
     let fleet = hash_fleet("fleet-a");
-    let with = |at: usize, byte: u8| {
+    let decode_with = |position: usize, byte: u8| {
         let mut bytes = ping.clone();
-        bytes[at] = byte;
+        bytes[position] = byte;
         Packet::decode(&bytes, fleet)
     };
     assert_eq!(Packet::decode(&ping, hash_fleet("fleet-b")), Err(PacketError::Foreign));
-    assert_eq!(with(0, WIRE_VERSION + 1), Err(PacketError::Foreign));
-    assert_eq!(with(1, !ping[1]), Err(PacketError::Malformed));
+    assert_eq!(decode_with(0, WIRE_VERSION + 1), Err(PacketError::Foreign));
+    assert_eq!(decode_with(1, !ping[1]), Err(PacketError::Malformed));
     assert_eq!(Packet::decode(&ping[..4], fleet), Err(PacketError::Malformed));
 }
--- a/crates/pintally-membership/src/status.rs
+++ b/crates/pintally-membership/src/status.rs
@@ -1,4 +1,4 @@
-//! The status document of a node's fleet. Its JSON spelling is fixed.
+//! The status document of a node's fleet. Its JSON names are fixed.
 
 use serde::Serialize;
 
@@ -11,12 +11,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Packets sent.
-    pub sent: u64,
+    #[serde(rename = "sent")]
+    pub packets_sent: u64,
     /// Bytes of the packets sent.
-    pub bytes: u64,
-    /// Packets received and read.
-    pub received: u64,
-    /// Packets that were damaged or made no sense.
+    #[serde(rename = "bytes")]
+    pub bytes_sent: u64,
+    /// Packets received and decoded.
+    #[serde(rename = "received")]
+    pub packets_received: u64,
+    /// Packets that were damaged or invalid.
     #[serde(rename = "garbled")]
     pub malformed: u64,
     /// Packets of another fleet, or of another version of the wire format.
@@ -29,14 +32,14 @@
     pub refuted: u64,
     /// Ticks that came so late that the process must have been paused.
     pub paused: u64,
-    /// Facts that anti-entropy has brought.
+    /// Facts received by anti-entropy.
     pub repaired: u64,
-    /// Times that peers remembered a later start of this node than its disk did.
+    /// How often peers knew a later boot number of this node than its own.
     #[serde(rename = "disk_went_back")]
     pub outdated_incarnations: u64,
 }
 
-/// A peer on the status page.
+/// A peer in the status document.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
     /// Its name.
@@ -48,7 +51,7 @@
     /// Its state.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// The start number of its process.
+    /// The boot number of its process.
     pub boot: u64,
     /// Milliseconds since it entered its state.
     pub for_ms: u64,
@@ -72,19 +75,19 @@
 pub struct Status {
     /// The node's own name.
     pub name: String,
-    /// The start number of its process, raised if peers remembered a later one.
+    /// The boot number of its process; raised if peers knew a later one.
     pub boot: u64,
     /// Lifeguard's local health score, 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_score: u32,
-    /// Whether this process has stopped: it yielded its name to another process, or it has left.
+    /// Whether this process has stopped: it yielded its name to another process, or it has left the fleet.
     #[serde(rename = "stepped_back")]
     pub has_stopped: bool,
     /// The peers.
     pub peers: Vec<PeerStatus>,
     /// Number of facts that it knows.
     pub facts: usize,
-    /// Number of updates that it still gossips.
+    /// Number of updates that it is still gossiping.
     #[serde(rename = "news")]
     pub queued_gossip: usize,
     /// Its counters.
--- a/crates/pintally-membership/tests/common/mod.rs
+++ b/crates/pintally-membership/tests/common/mod.rs
@@ -17,7 +17,7 @@
     pub membership: Membership,
     pub events: Vec<(Micros, MembershipEvent)>,
     pub up: bool,
-    /// It is paused until then; packets wait.
+    /// The node is paused until this time. Packets to it are delivered afterwards.
     pub paused_until: Micros,
 }
 
@@ -34,7 +34,7 @@
     pub nodes: Vec<Node>,
     pub loss: f64,
     pub duplication: f64,
-    /// Directed links, by node number, that drop all packets.
+    /// Directed links that drop all packets: the numbers of sender and receiver.
     pub cut_links: BTreeSet<(usize, usize)>,
     queue: BTreeMap<(Micros, u64), Packet>,
     serial: u64,
@@ -77,24 +77,25 @@
         self.nodes.len() - 1
     }
 
-    /// Replaces a dead node's process by a new one.
+    /// Replaces a dead node's process with a new one.
     pub fn restart(&mut self, number: usize, incarnation: ProcessIncarnation) {
         let seed = self.rng.next_u64();
         let membership = Membership::new(settings(number), incarnation, seed, self.now);
         self.nodes[number] = Node { membership, events: Vec::new(), up: true, paused_until: 0 };
     }
 
-    pub fn partition_at(&mut self, at: usize) {
+    /// Cuts all links between the nodes below this number and the others.
+    pub fn partition_at(&mut self, boundary: usize) {
         let n = self.nodes.len();
-        for a in 0..at {
-            for b in at..n {
+        for a in 0..boundary {
+            for b in boundary..n {
                 self.cut_links.insert((a, b));
                 self.cut_links.insert((b, a));
             }
         }
     }
 
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         probability > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < probability
     }
 
@@ -108,12 +109,12 @@
                     else {
                         continue;
                     };
-                    if self.cut_links.contains(&(number, target)) || self.chance(self.loss) {
+                    if self.cut_links.contains(&(number, target)) || self.random_bool(self.loss) {
                         continue;
                     }
-                    let times = 1 + usize::from(self.chance(self.duplication));
+                    let copies = 1 + usize::from(self.random_bool(self.duplication));
                     let from = address_of(&self.nodes[number]);
-                    for _ in 0..times {
+                    for _ in 0..copies {
                         let delay = 200 + self.rng.next_u64() % 4_800;
                         self.serial += 1;
                         let at = (self.now + delay, self.serial);
@@ -164,16 +165,16 @@
         }
     }
 
-    /// Runs until a condition holds, at most until a time; returns when it held.
-    pub fn run_until(&mut self, deadline: Micros, holds: impl Fn(&Network) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, but not beyond the deadline; returns the time at which it held.
+    pub fn run_until(&mut self, deadline: Micros, condition: impl Fn(&Network) -> bool) -> Option<Micros> {
         while self.now < deadline {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now);
             }
             let next = (self.now + 50_000).min(deadline);
             self.run(next);
         }
-        holds(self).then_some(self.now)
+        condition(self).then_some(self.now)
     }
 
     /// Whether every running node knows exactly the running nodes as alive.
@@ -186,8 +187,8 @@
     }
 
     pub fn member_down_count(&self) -> usize {
-        let down = |n: &&(Micros, MembershipEvent)| matches!(n.1, MembershipEvent::MemberDown(_));
-        self.nodes.iter().map(|n| n.events.iter().filter(down).count()).sum()
+        let is_down = |e: &&(Micros, MembershipEvent)| matches!(e.1, MembershipEvent::MemberDown(_));
+        self.nodes.iter().map(|n| n.events.iter().filter(is_down).count()).sum()
     }
 }
 
--- a/crates/pintally-membership/tests/malformed_packets.rs
+++ b/crates/pintally-membership/tests/malformed_packets.rs
@@ -1,4 +1,4 @@
-//! Arbitrary and damaged packets: no panic, no unbounded growth, no effect on the state.
+//! Arbitrary and damaged packets cause no panic and no change of the state, and facts are bounded.
 
 use std::net::SocketAddr;
 
@@ -29,14 +29,14 @@
     }
 
     #[test]
-    fn packet_with_a_flipped_bit_is_rejected(place in any::<prop::sample::Index>(), bit in 0u8..8) {
+    fn packet_with_a_flipped_bit_is_rejected(position in any::<prop::sample::Index>(), bit in 0u8..8) {
         let (mut sender, mut receiver) = (node(1, 2), node(2, 1));
         let mut outputs = Vec::new();
         sender.publish(Topic(3), vec![9; 100]).unwrap();
         sender.tick(0, &mut outputs);
         let mut bytes = datagrams(outputs).remove(0);
-        let place = place.index(bytes.len());
-        bytes[place] ^= 1 << bit;
+        let position = position.index(bytes.len());
+        bytes[position] ^= 1 << bit;
         receiver.receive(5, "127.0.0.1:7001".parse().unwrap(), &bytes, &mut Vec::new());
         prop_assert_eq!(receiver.alive_count(), 1);
         prop_assert_eq!(receiver.facts(Topic(3)).count(), 0);
--- a/crates/pintally-outlier-detection/src/agreement.rs
+++ b/crates/pintally-outlier-detection/src/agreement.rs
@@ -8,10 +8,10 @@
 use crate::evidence::EngineEvidence;
 use crate::observer::Fault;
 
-/// One node for which the engine works outweighs this many that report it.
+/// At least this many nodes must report an engine for each node for which it works.
 const SUCCESS_WEIGHT: usize = 4;
 
-/// Which nodes a fault of an engine concerns.
+/// The nodes that a fault of an engine concerns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum FaultScope {
     /// Only the links of the reporting nodes: the engine works for others.
@@ -24,8 +24,8 @@
 }
 
 impl FaultScope {
-    /// Whether the scope is a reason for `node` to eject the engine. Faults of its own link a node handles
-    /// by itself.
+    /// Whether the scope is a reason for `node` to eject the engine. A link fault is not: each node handles
+    /// faults of its own links by itself.
     pub(crate) fn concerns(&self, node: &Node) -> bool {
         match self {
             FaultScope::AllNodes => true,
@@ -52,15 +52,16 @@
 }
 
 impl EngineReports<'_> {
-    /// The scope of the fault if `min_reporters` are needed; `None` if no node reports one.
+    /// The scope of the fault, if a wider scope than the link requires `min_reporters`; `None` if no node
+    /// reports a fault.
     pub(crate) fn scope(&self, min_reporters: usize) -> Option<FaultScope> {
         if self.reporters.is_empty() {
             return None;
         }
-        let agree = |reporters: usize, working_for: usize| {
+        let is_agreed = |reporters: usize, working_for: usize| {
             reporters >= min_reporters && reporters >= SUCCESS_WEIGHT * working_for
         };
-        if agree(self.reporters.len(), self.working_for.len()) {
+        if is_agreed(self.reporters.len(), self.working_for.len()) {
             return Some(FaultScope::AllNodes);
         }
         let zones: BTreeSet<&str> =
@@ -68,7 +69,7 @@
         let zone = zones.into_iter().find(|zone| {
             let reporters = self.reporters.iter().filter(|reporter| reporter.node.zone == *zone).count();
             let working_for = self.working_for.iter().filter(|node| node.zone == *zone).count();
-            agree(reporters, working_for)
+            is_agreed(reporters, working_for)
         });
         Some(zone.map_or(FaultScope::Link, |zone| FaultScope::Zone(zone.to_string())))
     }
@@ -78,12 +79,12 @@
         self.working_for.iter().any(|other| other.name == node.name)
     }
 
-    /// Whether any reporter's last attempt timed out.
+    /// Whether any reporter's last failed attempt timed out.
     pub(crate) fn any_timeout(&self) -> bool {
         self.reporters.iter().any(|reporter| reporter.evidence.fault == Some(Fault::TimedOut))
     }
 
-    /// The fault that was seen last.
+    /// The most recent fault.
     pub(crate) fn last_fault(&self) -> Option<Fault> {
         let last = self.reporters.iter().max_by_key(|reporter| reporter.evidence.last_failure)?;
         last.evidence.fault
--- a/crates/pintally-outlier-detection/src/detector.rs
+++ b/crates/pintally-outlier-detection/src/detector.rs
@@ -1,4 +1,4 @@
-//! Outlier detection by the merged reports of all nodes.
+//! Outlier detection from the merged reports of all nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +7,15 @@
 use crate::endpoints::{Endpoints, Peers};
 use crate::recovery_ramp::RampEvidence;
 use crate::report::OutlierReport;
-use crate::reports::{EngineFilter, Reports};
+use crate::report_store::{EngineFilter, ReportStore};
 use crate::settings::Settings;
 use crate::{EngineIncarnation, Micros};
 
-/// If this fraction of the engines of a kind time out, the cause is overload and no engine is an outlier.
+/// If at least this fraction of the engines of a kind time out, the cause is taken to be overload, and the
+/// engines that time out are not outliers.
 const MIN_OVERLOAD_FRACTION: f64 = 0.34;
 
-/// From this number of nodes on, `min_reporters` applies; in smaller fleets one reporter is enough.
+/// In fleets of at least this many nodes `min_reporters` applies. In smaller ones one reporter is enough.
 const MIN_NODES_FOR_AGREEMENT: usize = 3;
 
 /// A node of the fleet.
@@ -35,23 +36,23 @@
     pub kind: String,
 }
 
-/// How an engine that is to be ejected fails.
+/// How an outlier fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Suspicion {
-    /// At least one reporter's attempt timed out, as it also does under overload.
+enum FailureMode {
+    /// At least one reporter's last failed attempt timed out, which also happens under overload.
     TimingOut,
-    /// No reporter's attempt timed out.
+    /// No reporter's last failed attempt timed out.
     Failing,
 }
 
-/// Engines of one kind, and how many of them time out.
+/// The number of engines of one kind, and of those that time out.
 #[derive(Clone, Copy, Debug, Default)]
-struct KindLoad {
+struct KindTimeouts {
     engines: usize,
     timing_out: usize,
 }
 
-impl KindLoad {
+impl KindTimeouts {
     fn is_overloaded(self) -> bool {
         self.timing_out as f64 >= MIN_OVERLOAD_FRACTION * self.engines as f64
     }
@@ -63,26 +64,26 @@
     settings: Settings,
     peers: Peers,
     pub(crate) endpoints: Endpoints,
-    pub(crate) reports: Reports,
+    pub(crate) reports: ReportStore,
     pub(crate) ejections: Ejections,
-    /// When operators cleared an engine: evidence from before does not count.
+    /// When operators cleared an engine. Evidence from before that time does not count.
     cleared: BTreeMap<EngineIncarnation, Micros>,
 }
 
 impl OutlierDetector {
-    /// A detector at the node `local` that has received no report.
+    /// Creates the detector of the node `local`, without any report.
     pub fn new(settings: Settings, local: Node) -> OutlierDetector {
         OutlierDetector {
             settings,
             peers: Peers::new(local),
             endpoints: Endpoints::default(),
-            reports: Reports::new(settings),
+            reports: ReportStore::new(settings),
             ejections: Ejections::new(settings),
             cleared: BTreeMap::new(),
         }
     }
 
-    /// Replaces the list of engines that take work, each with the number of its zone. The state of other
+    /// Replaces the list of engines that accept work, each with the number of its zone. The state of other
     /// engines, and of former incarnations, is dropped.
     pub fn set_endpoints(&mut self, engines: BTreeMap<EngineIncarnation, (ListedEngine, u32)>) {
         self.endpoints = Endpoints(engines);
@@ -100,7 +101,7 @@
         self.reports.receive(now, from, report);
     }
 
-    /// Ends an engine's ejection by an operator's order: evidence from before `now` does not count any more.
+    /// Ends an engine's ejection by an operator's command. Evidence from before `now` no longer counts.
     pub fn clear(&mut self, now: Micros, engine: EngineIncarnation) {
         self.cleared.insert(engine, now);
         self.ejections.remove(engine);
@@ -111,14 +112,15 @@
         self.endpoints.incarnation(name)
     }
 
-    /// Engines that a node reports or that are recovering: all nodes include their evidence of these.
+    /// Engines that a node reports or that are recovering. All nodes include their evidence of these engines
+    /// in their reports.
     pub fn reported_engines(&self, now: Micros) -> BTreeSet<EngineIncarnation> {
         self.reports.reported_engines(now).chain(self.ejections.ramps().keys().copied()).collect()
     }
 
-    /// Evaluates all reports anew and returns the engines that this node must not use.
+    /// Evaluates all reports again and returns the engines that this node must not use.
     pub fn tick(&mut self, now: Micros) -> &BTreeSet<EngineIncarnation> {
-        self.ejections.sum_up(now);
+        self.ejections.add_elapsed_time(now);
         self.reports.expire(now);
         let unreliable = self.reports.unreliable_nodes();
         let mut outliers = self.outliers(now, &unreliable);
@@ -134,7 +136,11 @@
     }
 
     /// Engines with a fault whose scope includes this node.
-    fn outliers(&self, now: Micros, unreliable: &BTreeSet<String>) -> BTreeMap<EngineIncarnation, Suspicion> {
+    fn outliers(
+        &self,
+        now: Micros,
+        unreliable: &BTreeSet<String>,
+    ) -> BTreeMap<EngineIncarnation, FailureMode> {
         let mut outliers = BTreeMap::new();
         for engine in self.reported_engines(now) {
             if !self.endpoints.contains(&engine) {
@@ -142,11 +148,12 @@
             }
             let reports = self.reports_of(now, engine, 0, unreliable);
             let scope = reports.scope(self.min_reporters());
-            let concerned = scope.is_some_and(|scope| scope.concerns(&self.peers.local));
-            // A node for which the engine works while it fails others goes by its own evidence.
-            if concerned && !reports.is_working_for(&self.peers.local) {
-                let suspicion = if reports.any_timeout() { Suspicion::TimingOut } else { Suspicion::Failing };
-                outliers.insert(engine, suspicion);
+            let is_concerned = scope.is_some_and(|scope| scope.concerns(&self.peers.local));
+            // A node for which the engine works relies on its own evidence and does not eject the engine.
+            if is_concerned && !reports.is_working_for(&self.peers.local) {
+                let failure_mode =
+                    if reports.any_timeout() { FailureMode::TimingOut } else { FailureMode::Failing };
+                outliers.insert(engine, failure_mode);
             }
         }
         outliers
@@ -165,13 +172,13 @@
             } else if !reports.working_for.is_empty() {
                 RampEvidence::Success
             } else {
-                RampEvidence::Nothing
+                RampEvidence::NoReport
             }
         };
         self.ejections.ramps().iter().map(|(engine, ramp)| (*engine, evidence(*engine, ramp.since))).collect()
     }
 
-    /// The reports about an engine that are later than `after` and than an operator's order to clear it.
+    /// The reports about an engine that are later than `after` and than an operator's command to clear it.
     pub(crate) fn reports_of(
         &self,
         now: Micros,
@@ -181,7 +188,7 @@
     ) -> EngineReports<'_> {
         let cleared = self.cleared.get(&engine).copied().unwrap_or(0);
         let zone = self.endpoints.zone(&engine);
-        self.reports.of_engine(now, EngineFilter { engine, zone, after: after.max(cleared) }, unreliable)
+        self.reports.about_engine(now, EngineFilter { engine, zone, after: after.max(cleared) }, unreliable)
     }
 
     /// How many nodes must report a fault in this fleet.
@@ -193,17 +200,18 @@
         }
     }
 
-    /// Removes engines that time out together with many others of their kind: that is overload.
-    fn exclude_overloaded(&self, outliers: &mut BTreeMap<EngineIncarnation, Suspicion>) {
-        let mut loads: BTreeMap<&str, KindLoad> = BTreeMap::new();
+    /// Removes engines that time out together with many others of their kind, since the cause is overload.
+    fn exclude_overloaded(&self, outliers: &mut BTreeMap<EngineIncarnation, FailureMode>) {
+        let mut timeouts_by_kind: BTreeMap<&str, KindTimeouts> = BTreeMap::new();
         for (engine, kind) in self.endpoints.kinds() {
-            let load = loads.entry(kind).or_default();
-            load.engines += 1;
-            load.timing_out += usize::from(outliers.get(engine) == Some(&Suspicion::TimingOut));
+            let timeouts = timeouts_by_kind.entry(kind).or_default();
+            timeouts.engines += 1;
+            timeouts.timing_out += usize::from(outliers.get(engine) == Some(&FailureMode::TimingOut));
         }
-        outliers.retain(|engine, suspicion| {
-            let load = loads.get(self.endpoints.kind(engine));
-            *suspicion == Suspicion::Failing || !load.is_some_and(|load| load.is_overloaded())
+        outliers.retain(|engine, failure_mode| {
+            let timeouts = timeouts_by_kind.get(self.endpoints.kind(engine));
+            *failure_mode == FailureMode::Failing
+                || !timeouts.is_some_and(|timeouts| timeouts.is_overloaded())
         });
     }
 }
--- a/crates/pintally-outlier-detection/src/ejection.rs
+++ b/crates/pintally-outlier-detection/src/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejected engines: their recovery ramps, and the bound on how many this node ejects at once.
+//! Ejected engines: their recovery ramps, and the bound on how many of them this node ejects at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +13,12 @@
     settings: Settings,
     ramps: BTreeMap<EngineIncarnation, RecoveryRamp>,
     ejected: BTreeSet<EngineIncarnation>,
-    /// When the ejection time was last summed up; 0 before the first time.
-    summed_at: Micros,
+    /// Time up to which `total_ejection_seconds` is accounted; 0 before the first evaluation.
+    accounted_until: Micros,
     /// Engine-seconds of ejection at this node.
-    pub(crate) total_seconds: f64,
-    /// How often an engine was ejected anew.
-    pub(crate) total: u64,
+    pub(crate) total_ejection_seconds: f64,
+    /// How often an engine was ejected, without repeated ejections during a recovery.
+    pub(crate) total_ejections: u64,
 }
 
 impl Ejections {
@@ -27,9 +27,9 @@
             settings,
             ramps: BTreeMap::new(),
             ejected: BTreeSet::new(),
-            summed_at: 0,
-            total_seconds: 0.0,
-            total: 0,
+            accounted_until: 0,
+            total_ejection_seconds: 0.0,
+            total_ejections: 0,
         }
     }
 
@@ -43,7 +43,7 @@
         &self.ramps
     }
 
-    /// Forgets engines that are not listed any more.
+    /// Forgets engines that are no longer listed.
     pub(crate) fn retain_listed(&mut self, endpoints: &Endpoints) {
         self.ramps.retain(|engine, _| endpoints.contains(engine));
         self.ejected.retain(|engine| endpoints.contains(engine));
@@ -56,16 +56,16 @@
     }
 
     /// Adds the time since the last call to the total ejection time.
-    pub(crate) fn sum_up(&mut self, now: Micros) {
-        let elapsed = if self.summed_at == 0 { 0 } else { now.saturating_sub(self.summed_at) };
-        self.summed_at = now;
-        self.total_seconds += self.ejected.len() as f64 * elapsed as f64 / 1e6;
+    pub(crate) fn add_elapsed_time(&mut self, now: Micros) {
+        let elapsed = if self.accounted_until == 0 { 0 } else { now.saturating_sub(self.accounted_until) };
+        self.accounted_until = now;
+        self.total_ejection_seconds += self.ejected.len() as f64 * elapsed as f64 / 1e6;
     }
 
     /// Ejects an engine, unless it is ejected or recovering already.
     pub(crate) fn eject(&mut self, now: Micros, engine: EngineIncarnation) {
         if !self.ramps.contains_key(&engine) {
-            self.total += 1;
+            self.total_ejections += 1;
             self.ramps.insert(engine, RecoveryRamp::new(now, &self.settings));
         }
     }
@@ -78,8 +78,9 @@
         }
     }
 
-    /// Recomputes which engines this node does not use: those whose ramp does not admit it yet, the longest
-    /// at their step first, and of each kind no more than the greatest fraction.
+    /// Recomputes which engines this node does not use: those whose ramp does not admit this node yet, but at
+    /// most `max_ejection_fraction` of the engines of each kind. Engines that entered their step first take
+    /// precedence.
     pub(crate) fn select(&mut self, peers: &Peers, endpoints: &Endpoints) {
         let mut candidates: Vec<(Micros, EngineIncarnation)> = self
             .ramps
@@ -88,10 +89,10 @@
             .map(|(engine, ramp)| (ramp.since, *engine))
             .collect();
         candidates.sort_unstable();
-        let mut remaining = self.max_ejected_by_kind(endpoints);
+        let mut remaining_by_kind = self.max_ejected_by_kind(endpoints);
         self.ejected = BTreeSet::new();
         for (_, engine) in candidates {
-            let Some(remaining) = remaining.get_mut(endpoints.kind(&engine)) else { continue };
+            let Some(remaining) = remaining_by_kind.get_mut(endpoints.kind(&engine)) else { continue };
             if *remaining > 0 {
                 *remaining -= 1;
                 self.ejected.insert(engine);
--- a/crates/pintally-outlier-detection/src/endpoints.rs
+++ b/crates/pintally-outlier-detection/src/endpoints.rs
@@ -66,8 +66,8 @@
         self.alive.len()
     }
 
-    /// How many nodes may use a recovering engine before the local node: a hash orders the nodes alike at
-    /// all of them, and differently for each engine.
+    /// How many nodes are admitted to a recovering engine before the local node. The order is given by a hash
+    /// of the engine and the node's name, so that it is the same at all nodes and differs between engines.
     pub(crate) fn local_rank(&self, engine: EngineIncarnation) -> usize {
         let hash = |name: &str| {
             let mut bytes = engine.0.to_le_bytes().to_vec();
--- a/crates/pintally-outlier-detection/src/evidence.rs
+++ b/crates/pintally-outlier-detection/src/evidence.rs
@@ -5,10 +5,11 @@
 use crate::settings::Settings;
 use crate::Micros;
 
-/// Timeouts have many causes besides a bad engine, so they need this many times the failures.
+/// To report an engine for timeouts, a node must have seen this many times the usual number of consecutive
+/// failures, since timeouts have many causes besides a faulty engine.
 const TIMEOUT_THRESHOLD_FACTOR: u32 = 2;
 
-/// Consecutive failures and successes of one engine as one node reported them, on the local clock.
+/// Consecutive failures and successes of one engine as one node reported them. Times are on the local clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineEvidence {
     failures: u8,
@@ -22,8 +23,8 @@
 }
 
 impl EngineEvidence {
-    /// Converts the ages of an observation that was received at `now` to times of the local clock. The
-    /// greatest age stands for an event that was never seen.
+    /// Converts the ages of an observation that was received at `now` to times of the local clock. `u16::MAX`
+    /// stands for an event that was never seen.
     pub(crate) fn received(now: Micros, observation: &Observation) -> EngineEvidence {
         let time_of = |age: u16| match age {
             u16::MAX => 0,
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Whether the node saw enough consecutive failures, recently, to report the engine as an outlier.
+    /// Whether the node's last attempt failed within the evidence retention, after enough consecutive
+    /// failures to report the engine as an outlier.
     pub(crate) fn reports_failure(&self, now: Micros, settings: &Settings) -> bool {
         let threshold = match self.fault {
             Some(Fault::TimedOut) => TIMEOUT_THRESHOLD_FACTOR * settings.consecutive_failures,
@@ -49,7 +51,7 @@
             && now.saturating_sub(self.last_failure) <= settings.evidence_retention
     }
 
-    /// Whether the node's last attempt succeeded, recently.
+    /// Whether the node's last attempt succeeded within the evidence retention.
     pub(crate) fn reports_success(&self, now: Micros, settings: &Settings) -> bool {
         self.successes > 0
             && self.last_success > self.last_failure
--- a/crates/pintally-outlier-detection/src/lib.rs
+++ b/crates/pintally-outlier-detection/src/lib.rs
@@ -1,9 +1,9 @@
-//! Outlier detection of engines by the merged evidence of all nodes of a fleet; no input or output.
+//! Outlier detection of engines from the merged evidence of all nodes of a fleet; no input or output.
 //!
-//! An [`Observer`] counts the outcomes of a node's own attempts by engine incarnation and makes a small report
-//! of them. An [`OutlierDetector`] merges the reports of all nodes: an engine is ejected where enough reliable
-//! nodes report it and few are served by it, and it recovers by one trial for the whole fleet, then in steps.
-//! All nodes reach the same decisions from the same reports; none waits for another.
+//! An [`Observer`] counts the outcomes of a node's own attempts by engine incarnation and makes a small
+//! report of them. An [`OutlierDetector`] merges the reports of all nodes: an engine is ejected if enough
+//! reliable nodes report it and it works for few others. It recovers by one trial for the whole fleet, then
+//! in steps. All nodes reach the same decisions from the same reports, and no node waits for another.
 //! `docs/outlier-detection.md` has the rules and bounds.
 
 #![deny(missing_docs)]
@@ -16,7 +16,7 @@
 mod observer;
 mod recovery_ramp;
 mod report;
-mod reports;
+mod report_store;
 mod settings;
 mod status;
 
@@ -34,8 +34,8 @@
 /// Microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// One incarnation of an engine: a hash of its name, its address and its start. Evidence of an engine that was
-/// replaced under the same name or address is not evidence of its successor.
+/// One incarnation of an engine: a hash of its name, its address and its start time. Evidence of an engine
+/// that was replaced under the same name or address does not apply to its successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineIncarnation(pub u64);
 
--- a/crates/pintally-outlier-detection/src/observer.rs
+++ b/crates/pintally-outlier-detection/src/observer.rs
@@ -52,7 +52,7 @@
 
 impl AttemptCounts {
     fn record_failure(&mut self, now: Micros, fault: Fault) {
-        // Only failures without a success between them count as consecutive.
+        // Failures are consecutive if no success occurred between them.
         if self.last_success > self.last_failure {
             self.failures = 0;
         }
@@ -99,7 +99,7 @@
 }
 
 impl Observer {
-    /// An observer that has seen no attempt.
+    /// Creates an observer without any recorded attempt.
     pub fn new(settings: Settings) -> Observer {
         Observer { settings, counts: BTreeMap::new() }
     }
@@ -114,12 +114,12 @@
         }
     }
 
-    /// Forgets what was seen of an engine.
+    /// Forgets the recorded attempts at an engine.
     pub fn clear(&mut self, engine: EngineIncarnation) {
         self.counts.remove(&engine);
     }
 
-    /// This node's report: the engines that fail for it, and what it saw of `reported_by_others`.
+    /// This node's report: its observations of the engines that fail for it and of `reported_by_others`.
     pub fn report(&mut self, now: Micros, reported_by_others: &BTreeSet<EngineIncarnation>) -> OutlierReport {
         let retention = self.settings.evidence_retention;
         self.counts.retain(|_, counts| now.saturating_sub(counts.last_attempt()) <= retention);
@@ -131,13 +131,15 @@
             })
             .map(|(engine, counts)| counts.observation(now, *engine))
             .collect();
-        // The most recent evidence is reported first; the oldest is cut off.
-        observations.sort_by_key(|seen| (seen.failure_age.min(seen.success_age), seen.engine));
+        // The observations with the most recent attempt are kept if there are too many.
+        observations.sort_by_key(|observation| {
+            (observation.failure_age.min(observation.success_age), observation.engine)
+        });
         observations.truncate(MAX_OBSERVATIONS);
         OutlierReport { observations, zones: self.zone_usage(now) }
     }
 
-    /// By zone: how many engines were used, and how many of them are failing.
+    /// The number of used engines and of failing ones, by zone.
     fn zone_usage(&self, now: Micros) -> Vec<(u32, u8, u8)> {
         let mut zones: BTreeMap<u32, (u8, u8)> = BTreeMap::new();
         for counts in self.counts.values() {
--- a/crates/pintally-outlier-detection/src/recovery_ramp.rs
+++ b/crates/pintally-outlier-detection/src/recovery_ramp.rs
@@ -1,5 +1,5 @@
-//! Recovery of an ejected engine: ejection time, one trial for the whole fleet, a quarter of the nodes, all
-//! nodes.
+//! Recovery of an ejected engine: after its ejection time, one node of the fleet tries it, then a quarter of
+//! the nodes use it, then all nodes.
 
 use crate::settings::Settings;
 use crate::Micros;
@@ -7,10 +7,10 @@
 /// Each failure during recovery multiplies the ejection time by this.
 const EJECTION_TIME_FACTOR: u64 = 2;
 
-/// The trial ends without evidence after this many ejection times.
+/// Without evidence the trial ends after this many ejection times.
 const MAX_TRIAL_EJECTION_TIMES: u64 = 2;
 
-/// At the partial step one node in this many may use the engine.
+/// At the partial step the engine is used by the number of nodes divided by this, rounded up.
 const PARTIAL_STEP_DIVISOR: usize = 4;
 
 /// A step of the recovery ramp.
@@ -18,11 +18,11 @@
 pub(crate) enum RampStep {
     /// No node may use the engine.
     Ejected,
-    /// One node of the fleet may.
+    /// One node of the fleet may use the engine.
     Trial,
-    /// A quarter of the nodes may.
+    /// A quarter of the nodes may use the engine.
     Partial,
-    /// All nodes may; the last ejection time is remembered in case the engine fails again.
+    /// All nodes may use the engine. The last ejection time is remembered in case the engine fails again.
     Recovered,
 }
 
@@ -45,20 +45,20 @@
     Failure,
     /// No node reports a failure, and at least one reports a success.
     Success,
-    /// No node reports anything.
-    Nothing,
+    /// No node reports a failure or a success.
+    NoReport,
 }
 
-/// What is to be done with a ramp after its evidence was applied.
+/// Whether a ramp continues after its evidence was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RampProgress {
     /// The engine is still recovering.
     Recovering,
-    /// The engine worked long enough for its ejection to be forgotten.
+    /// The engine has recovered long enough ago for its ejection to be forgotten.
     Forgotten,
 }
 
-/// The recovery ramp of one engine, from its ejection until that is forgotten.
+/// The recovery ramp of one engine, from its ejection until the ejection is forgotten.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecoveryRamp {
     pub(crate) step: RampStep,
@@ -73,7 +73,8 @@
         RecoveryRamp { step: RampStep::Ejected, since: now, ejection_time: settings.base_ejection_time }
     }
 
-    /// Takes the next step if the time and the evidence since the current step began allow it.
+    /// Enters the next step if the time and the evidence since the current step began allow it. A failure
+    /// after the ejection time ejects the engine again.
     pub(crate) fn advance(
         &mut self,
         now: Micros,
@@ -89,8 +90,8 @@
             }
             _ if evidence == RampEvidence::Failure => self.eject_again(now, settings),
             RampStep::Trial => {
-                // The trial passes without evidence in the end: where no node had a request for the
-                // engine, the ejection must end by itself.
+                // The trial also passes after a time without evidence, so that the ejection ends even if no
+                // node has a request for the engine.
                 let timeout = MAX_TRIAL_EJECTION_TIMES * self.ejection_time;
                 if evidence == RampEvidence::Success || elapsed >= timeout {
                     self.enter(now, RampStep::Partial);
--- a/crates/pintally-outlier-detection/src/report.rs
+++ b/crates/pintally-outlier-detection/src/report.rs
@@ -4,16 +4,16 @@
 
 use crate::EngineIncarnation;
 
-/// Most engines in one report, so that it fits into one gossiped fact.
+/// Greatest number of engines in one report, so that it fits into one gossiped fact.
 pub const MAX_OBSERVATIONS: usize = 18;
 
-/// Most zones in one report, so that it fits into one gossiped fact.
+/// Greatest number of zones in one report, so that it fits into one gossiped fact.
 pub(crate) const MAX_REPORTED_ZONES: usize = 16;
 
 /// The unit of the ages in an [`Observation`]: 10 ms, in microseconds.
 pub(crate) const AGE_UNIT_MICROS: u64 = 10_000;
 
-/// What a node saw recently of one engine.
+/// The recent outcomes of one node's attempts at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The observed engine.
@@ -34,20 +34,20 @@
     pub fault: u8,
 }
 
-/// What a node saw recently of all engines.
+/// The recent outcomes of one node's attempts at all engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutlierReport {
     /// Engines whose last attempt by this node failed, and engines that other nodes report and that this
     /// node used.
     #[serde(rename = "seen")]
     pub observations: Vec<Observation>,
-    /// By zone of engines: the zone's number, how many engines the node used recently, and the last attempt
-    /// at how many of them failed.
+    /// For each zone of engines: its number, how many of its engines the node used recently, and for how many
+    /// of these the node's last attempt failed.
     pub zones: Vec<(u32, u8, u8)>,
 }
 
 impl OutlierReport {
-    /// Encodes the report, within the bound of a gossiped fact.
+    /// Encodes the report. The bytes fit into a gossiped fact.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
--- a/crates/pintally-outlier-detection/src/reports.rs
+++ b/crates/pintally-outlier-detection/src/report_store.rs
@@ -9,13 +9,14 @@
 use crate::settings::Settings;
 use crate::{EngineIncarnation, Micros};
 
-/// Bounds the memory for reports; those of further nodes are ignored.
+/// Greatest number of nodes whose reports are stored, to bound their memory. Reports of further nodes are
+/// ignored.
 const MAX_REPORTING_NODES: usize = 4096;
 
-/// A node must have used so many engines before their failures are taken for its own.
+/// A node must have used at least this many engines before their failures are attributed to the node.
 const MIN_USED_ENGINES: u32 = 3;
 
-/// Reports are dropped after this many evidence retentions.
+/// Reports are dropped after this many times the evidence retention.
 const REPORT_RETENTION_FACTOR: u64 = 2;
 
 /// A node's recent use of the engines of one zone.
@@ -30,7 +31,7 @@
 #[derive(Clone, Debug)]
 struct NodeReport {
     node: Node,
-    received: Micros,
+    received_at: Micros,
     evidence: BTreeMap<EngineIncarnation, EngineEvidence>,
     zones: Vec<ZoneUsage>,
 }
@@ -51,18 +52,18 @@
                 failing: u32::from(*failing),
             })
             .collect();
-        NodeReport { node: node.clone(), received: now, evidence, zones }
+        NodeReport { node: node.clone(), received_at: now, evidence, zones }
     }
 
-    /// Whether most of all engines that the node uses fail for it.
+    /// Whether most of the engines that the node uses fail for it.
     fn is_unreliable(&self, settings: &Settings) -> bool {
         let used = self.zones.iter().map(|zone| zone.used).sum();
         let failing = self.zones.iter().map(|zone| zone.failing).sum();
         mostly_failing(used, failing, settings)
     }
 
-    /// Whether most engines of a zone that the node uses fail for it.
-    fn is_cut_off_from(&self, zone: u32, settings: &Settings) -> bool {
+    /// Whether most of the engines of a zone that the node uses fail for it.
+    fn cannot_reach_zone(&self, zone: u32, settings: &Settings) -> bool {
         let usage = self.zones.iter().find(|usage| usage.zone == zone);
         usage.is_some_and(|usage| mostly_failing(usage.used, usage.failing, settings))
     }
@@ -72,26 +73,26 @@
     used >= MIN_USED_ENGINES && f64::from(failing) >= settings.local_fault_fraction * f64::from(used)
 }
 
-/// The engine whose reports are merged.
+/// Selects the reports about one engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineFilter {
     pub(crate) engine: EngineIncarnation,
-    /// The number of its zone.
+    /// The number of the engine's zone.
     pub(crate) zone: u32,
-    /// Only later evidence counts.
+    /// Only evidence later than this counts.
     pub(crate) after: Micros,
 }
 
 /// The latest reports of all nodes.
 #[derive(Clone, Debug)]
-pub(crate) struct Reports {
+pub(crate) struct ReportStore {
     settings: Settings,
     by_node: BTreeMap<String, NodeReport>,
 }
 
-impl Reports {
-    pub(crate) fn new(settings: Settings) -> Reports {
-        Reports { settings, by_node: BTreeMap::new() }
+impl ReportStore {
+    pub(crate) fn new(settings: Settings) -> ReportStore {
+        ReportStore { settings, by_node: BTreeMap::new() }
     }
 
     /// Replaces a node's report.
@@ -102,10 +103,10 @@
         self.by_node.insert(node.name.clone(), NodeReport::new(now, node, report));
     }
 
-    /// Drops old reports.
+    /// Drops reports that are older than their retention.
     pub(crate) fn expire(&mut self, now: Micros) {
         let retention = REPORT_RETENTION_FACTOR * self.settings.evidence_retention;
-        self.by_node.retain(|_, report| now.saturating_sub(report.received) <= retention);
+        self.by_node.retain(|_, report| now.saturating_sub(report.received_at) <= retention);
     }
 
     /// Engines that at least one node reports.
@@ -117,7 +118,7 @@
             .map(|(engine, _)| *engine)
     }
 
-    /// Nodes for which most engines fail: the cause is taken to be the node, and its reports do not count.
+    /// Nodes for which most engines fail. The cause is taken to be the node, and its reports do not count.
     pub(crate) fn unreliable_nodes(&self) -> BTreeSet<String> {
         self.by_node
             .iter()
@@ -126,20 +127,21 @@
             .collect()
     }
 
-    /// Zones whose nodes cannot reach the engines of another: their names, and the number of the other.
+    /// The partitions between zones: for each node for which most of the engines of a zone fail, the name of
+    /// the node's zone and the number of the engines' zone.
     pub(crate) fn partitions(&self) -> BTreeSet<(String, u32)> {
         let mut partitions = BTreeSet::new();
         for report in self.by_node.values() {
-            let cut_off =
-                report.zones.iter().filter(|usage| report.is_cut_off_from(usage.zone, &self.settings));
-            partitions.extend(cut_off.map(|usage| (report.node.zone.clone(), usage.zone)));
+            let unreachable =
+                report.zones.iter().filter(|usage| report.cannot_reach_zone(usage.zone, &self.settings));
+            partitions.extend(unreachable.map(|usage| (report.node.zone.clone(), usage.zone)));
         }
         partitions
     }
 
-    /// The current reports about one engine. Reports of a fault by unreliable nodes, and by nodes that cannot
-    /// reach the engine's zone as a whole, do not count.
-    pub(crate) fn of_engine(
+    /// The current reports about one engine. A fault does not count if it is reported by an unreliable node
+    /// or by a node for which most of the engines of the engine's zone fail.
+    pub(crate) fn about_engine(
         &self,
         now: Micros,
         filter: EngineFilter,
@@ -150,12 +152,12 @@
             || self.by_node.values().filter_map(|report| Some((report, *report.evidence.get(&engine)?)));
         let reporters: Vec<Reporter<'_>> = evidence_of_engine()
             .filter(|(report, _)| !unreliable.contains(&report.node.name))
-            .filter(|(report, _)| !report.is_cut_off_from(zone, &self.settings))
+            .filter(|(report, _)| !report.cannot_reach_zone(zone, &self.settings))
             .filter(|(_, evidence)| evidence.reports_failure(now, &self.settings))
             .filter(|(_, evidence)| evidence.last_failure > after)
             .map(|(report, evidence)| Reporter { node: &report.node, evidence })
             .collect();
-        // A success before the first failure that others saw does not contradict them.
+        // A success before the first reported failure does not contradict the reporters.
         let first_failure = reporters.iter().map(|reporter| reporter.evidence.last_failure).min();
         let after = first_failure.unwrap_or(0).max(after);
         let working_for = evidence_of_engine()
--- a/crates/pintally-outlier-detection/src/settings.rs
+++ b/crates/pintally-outlier-detection/src/settings.rs
@@ -7,21 +7,24 @@
 /// Settings of outlier detection. Times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long evidence counts.
+    /// How long the outcome of an attempt counts as evidence.
     pub evidence_retention: Micros,
     /// A node reports an engine after this many consecutive failures.
     pub consecutive_failures: u32,
-    /// How many reliable nodes must report an engine; one is enough in a fleet of one or two nodes.
+    /// An engine is ejected if this many reliable nodes report it; in a fleet of one or two nodes one is
+    /// enough.
     pub min_reporters: usize,
-    /// Time from an ejection to the trial; doubled each time the engine fails again.
+    /// Time from an ejection to the trial. It is doubled each time the engine fails again during its
+    /// recovery.
     pub base_ejection_time: Micros,
     /// Upper bound of the doubled ejection time.
     pub max_ejection_time: Micros,
     /// Duration of a step of the recovery ramp.
     pub ramp_step: Micros,
-    /// Greatest fraction of the engines of one kind that a node ejects at once.
+    /// The greatest fraction of the engines of one kind that a node ejects at once.
     pub max_ejection_fraction: f64,
-    /// If this fraction of the engines that a node uses fail for it, the cause is taken to be the node.
+    /// If at least this fraction of the engines that a node uses fail for it, the cause is taken to be the
+    /// node.
     pub local_fault_fraction: f64,
 }
 
@@ -45,32 +48,35 @@
     ///
     /// # Errors
     ///
-    /// [`InvalidConfiguration`] names the violated rule.
+    /// [`InvalidConfiguration`] states the first rule that is violated.
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
-        ensure(self.consecutive_failures != 0, "no failure at all accuses an engine")?;
-        ensure(self.min_reporters != 0, "nobody needs to accuse an engine")?;
+        ensure(self.consecutive_failures != 0, "`strikes` must be at least 1")?;
+        ensure(self.min_reporters != 0, "`accusers` must be at least 1")?;
         ensure(
             self.evidence_retention >= 2 * self.ramp_step,
-            "evidence is forgotten within a step of the way back",
+            "`memory-ms` must be at least twice `step-ms`: evidence must outlast a step of the recovery",
         )?;
         ensure(
             self.base_ejection_time != 0 && self.base_ejection_time <= self.max_ejection_time,
-            "the rest is nothing, or over its most",
+            "`rest-ms` must be above 0 and at most `rest-most-ms`",
         )?;
         ensure(
             (0.0..=0.9).contains(&self.max_ejection_fraction),
-            "nearly all engines of a kind could be held back",
+            "`most` must be between 0 and 0.9: some engines of a kind must remain in use",
         )?;
-        ensure((0.1..=1.0).contains(&self.local_fault_fraction), "one failure would tell of the node itself")
+        ensure(
+            (0.1..=1.0).contains(&self.local_fault_fraction),
+            "`own` must be between 0.1 and 1: one failing engine must not discredit the node's reports",
+        )
     }
 
-    /// Failed attempts of the whole fleet until an engine is ejected, besides those made while the reports are
-    /// still on their way.
+    /// Failed attempts of the whole fleet until an engine is ejected, without those made while the reports
+    /// are in transit.
     pub fn attempts_until_ejection(&self) -> u32 {
         self.consecutive_failures * self.min_reporters as u32
     }
 
-    /// The longest time for which an engine that no node tries stays ejected after the last evidence.
+    /// The longest time for which an engine that no node uses stays ejected after the last evidence.
     pub fn max_ejection_without_evidence(&self) -> Micros {
         self.evidence_retention + 2 * self.max_ejection_time + 2 * self.ramp_step
     }
--- a/crates/pintally-outlier-detection/src/status.rs
+++ b/crates/pintally-outlier-detection/src/status.rs
@@ -1,4 +1,5 @@
-//! The status document of outlier detection. The JSON names are older than the names of the fields.
+//! The status document of outlier detection. The JSON names are fixed and differ from the names of the
+//! fields.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +15,7 @@
 pub struct EngineStatus {
     /// The engine's name.
     pub engine: String,
-    /// The description of the last fault.
+    /// The description of the most recent fault.
     pub fault: Option<&'static str>,
     /// The scope of the fault; `None` if the engine is recovering and no node reports it now.
     #[serde(rename = "reach")]
@@ -28,7 +29,7 @@
     /// `rests`, `on trial`, `a quarter` or `back`, if the engine is ejected or recovering.
     #[serde(rename = "step")]
     pub recovery_step: Option<&'static str>,
-    /// Whether this node does not use the engine now.
+    /// Whether this node currently does not use the engine.
     #[serde(rename = "held_back")]
     pub ejected: bool,
     /// How long ago the recovery step began, in milliseconds.
@@ -44,13 +45,14 @@
     /// Nodes for which most engines fail, so that their reports do not count.
     #[serde(rename = "unsound")]
     pub unreliable_nodes: Vec<String>,
-    /// Zones whose nodes cannot reach the engines of another: their names, and the number of the other.
+    /// Partitions between zones: the name of a zone of nodes, and the number of a zone of engines of which
+    /// most fail for a node of the former.
     #[serde(rename = "cut")]
     pub partitions: Vec<(String, u32)>,
     /// Engine-seconds of ejection at this node.
     #[serde(rename = "held_s")]
     pub ejection_seconds: f64,
-    /// How often an engine was ejected anew.
+    /// How often an engine was ejected, without repeated ejections during a recovery.
     #[serde(rename = "verdicts")]
     pub ejections: u64,
 }
@@ -67,12 +69,12 @@
                 .collect(),
             unreliable_nodes: unreliable.into_iter().collect(),
             partitions: self.reports.partitions().into_iter().collect(),
-            ejection_seconds: self.ejections.total_seconds,
-            ejections: self.ejections.total,
+            ejection_seconds: self.ejections.total_ejection_seconds,
+            ejections: self.ejections.total_ejections,
         }
     }
 
-    /// The state of an engine; `None` if it is not listed, or if neither reports nor an ejection count.
+    /// The state of an engine; `None` if it is not listed, or if it is neither reported nor recovering.
     fn engine_status(
         &self,
         now: Micros,
--- a/crates/pintally-outlier-detection/tests/detection.rs
+++ b/crates/pintally-outlier-detection/tests/detection.rs
@@ -16,11 +16,11 @@
     nodes: Vec<Node>,
     observers: Vec<Observer>,
     detectors: Vec<OutlierDetector>,
-    /// The outcome of an attempt by time, node and engine.
+    /// The fault of an attempt by time, node and engine; `None` if it succeeds.
     outcome: Box<dyn Fn(Micros, usize, usize) -> Option<Fault>>,
     engines: Vec<EngineIncarnation>,
     zones: Vec<u32>,
-    /// Reports that other nodes have not received yet: when they will, from which node.
+    /// Reports in transit to the other nodes: the time of arrival, the sender and the report.
     pending_reports: Vec<(Micros, usize, OutlierReport)>,
     delay: Micros,
     attempts: Vec<u64>,
@@ -57,8 +57,8 @@
             load: BTreeMap::new(),
         };
         fleet.set_endpoints();
-        for v in &mut fleet.detectors {
-            v.set_peers(fleet.nodes.clone());
+        for detector in &mut fleet.detectors {
+            detector.set_peers(fleet.nodes.clone());
         }
         fleet
     }
@@ -70,7 +70,7 @@
                 (self.engines[e], (listed, self.zones[e]))
             })
             .collect();
-        self.detectors.iter_mut().for_each(|v| v.set_endpoints(list.clone()));
+        self.detectors.iter_mut().for_each(|detector| detector.set_endpoints(list.clone()));
     }
 
     fn tick(&mut self) {
@@ -92,14 +92,15 @@
                 self.observers[n].record(now, self.engines[e], self.zones[e], fault);
             }
         }
-        let (due, later) = std::mem::take(&mut self.pending_reports).into_iter().partition(|m| m.0 <= now);
-        self.pending_reports = later;
-        let due: Vec<(Micros, usize, OutlierReport)> = due;
-        for (_, from, report) in due {
+        let (arrived, pending) =
+            std::mem::take(&mut self.pending_reports).into_iter().partition(|m| m.0 <= now);
+        self.pending_reports = pending;
+        let arrived: Vec<(Micros, usize, OutlierReport)> = arrived;
+        for (_, from, report) in arrived {
             let node = self.nodes[from].clone();
-            for (n, v) in self.detectors.iter_mut().enumerate().filter(|(n, _)| *n != from) {
+            for (n, detector) in self.detectors.iter_mut().enumerate().filter(|(n, _)| *n != from) {
                 let _ = n;
-                v.receive_report(now, &node, &report);
+                detector.receive_report(now, &node, &report);
             }
         }
     }
@@ -111,7 +112,10 @@
     /// How many nodes eject an engine.
     fn ejecting_nodes(&mut self, e: usize) -> usize {
         let (now, incarnation) = (self.now, self.engines[e]);
-        self.detectors.iter_mut().filter_map(|v| v.tick(now).contains(&incarnation).then_some(())).count()
+        self.detectors
+            .iter_mut()
+            .filter_map(|detector| detector.tick(now).contains(&incarnation).then_some(()))
+            .count()
     }
 
     fn scope(&self, n: usize, e: usize) -> Option<FaultScope> {
@@ -132,8 +136,8 @@
     }
 }
 
-/// Recovery: one node tries the engine, then a quarter of the nodes, then all; a failed trial doubles the
-/// ejection time.
+/// An ejected engine is tried by one node, then used by a quarter of the nodes, then by all. A failed trial
+/// doubles the ejection time.
 #[test]
 fn ejected_engine_recovers_by_one_trial_and_in_steps() {
     let recovery = 8_000 * MS;
@@ -142,12 +146,12 @@
         Fleet::new(nodes, 6, move |now, _, e| (e == 2 && now < recovery).then_some(Fault::Unreachable));
     fleet.run(1_000);
     assert_eq!(fleet.ejecting_nodes(2), nodes);
-    let mut most = 0;
+    let mut max_admitting = 0;
     while fleet.now < recovery {
         fleet.tick();
-        most = most.max(nodes - fleet.ejecting_nodes(2));
+        max_admitting = max_admitting.max(nodes - fleet.ejecting_nodes(2));
     }
-    assert!(most <= 1, "{most} nodes tried it at once while it failed");
+    assert!(max_admitting <= 1, "{max_admitting} nodes tried it at once while it failed");
     let failed = fleet.failed[2];
     let mut admitting = BTreeSet::new();
     for _ in 0..200 {
@@ -177,7 +181,7 @@
     assert_eq!(fleet.detectors[0].status(fleet.now).unreliable_nodes, ["n4"]);
 }
 
-/// Guards against ejecting fifty engines because a zone cannot reach another.
+/// Guards against the ejection of fifty engines because one zone cannot reach another.
 #[test]
 fn zone_partition_is_reported_and_ejects_no_engine() {
     // Nodes of zone a (even) cannot reach engines of zone 1 (odd); those of zone b can.
@@ -192,7 +196,8 @@
     let mut fleet = Fleet::new(8, 12, |_, n, e| (n % 2 == 0 && e == 5).then_some(Fault::ConnectionBroken));
     fleet.run(4_000);
     let (now, incarnation) = (fleet.now, fleet.engines[5]);
-    let ejects: Vec<bool> = fleet.detectors.iter_mut().map(|v| v.tick(now).contains(&incarnation)).collect();
+    let ejects: Vec<bool> =
+        fleet.detectors.iter_mut().map(|detector| detector.tick(now).contains(&incarnation)).collect();
     assert!((0..8).all(|n| n % 2 == 0 || !ejects[n]), "{ejects:?}");
     assert_eq!(fleet.scope(1, 5), Some(FaultScope::Zone("a".into())));
 }
@@ -211,20 +216,24 @@
 #[test]
 fn max_ejection_fraction_bounds_ejections_of_a_kind() {
     let mut fleet = Fleet::new(6, 10, |_, n, e| (e < 7 && n > 0).then_some(Fault::ConnectionBroken));
-    // No node may be taken for unreliable.
+    // With this fraction no node is considered unreliable.
     fleet.settings.local_fault_fraction = 1.0;
     fleet.detectors = fleet.nodes.iter().map(|n| OutlierDetector::new(fleet.settings, n.clone())).collect();
     fleet.set_endpoints();
     let all = fleet.nodes.clone();
-    fleet.detectors.iter_mut().for_each(|v| v.set_peers(all.clone()));
+    fleet.detectors.iter_mut().for_each(|detector| detector.set_peers(all.clone()));
     fleet.run(3_000);
     let now = fleet.now;
-    let ejected: Vec<usize> = fleet.detectors.iter_mut().map(|v| v.tick(now).len()).collect();
-    assert!(ejected.iter().all(|h| *h <= 5) && ejected.iter().any(|h| *h >= 4), "{ejected:?}");
+    let ejected: Vec<usize> = fleet.detectors.iter_mut().map(|detector| detector.tick(now).len()).collect();
+    assert!(
+        ejected.iter().all(|count| *count <= 5) && ejected.iter().any(|count| *count >= 4),
+        "{ejected:?}"
+    );
 }
 
-/// Guards against a report that arrives after the engine was replaced under the same name and address. The
-/// second assertion shows that the test catches a build whose incarnations ignore the start time.
+/// Guards against a report that arrives after the engine was replaced under the same name and address and
+/// ejects the new engine. The second assertion shows that the test would detect incarnations that ignore the
+/// start time.
 #[test]
 fn ejection_concerns_one_incarnation_of_an_engine() {
     let replaced = |started: u64| {
@@ -243,24 +252,24 @@
             .max()
             .unwrap()
     };
-    assert_eq!(replaced(8), 0, "late reports are about the engine before");
-    assert!(replaced(7) > 0, "without the start time the new engine is ejected for the old one");
+    assert_eq!(replaced(8), 0, "late reports concern the previous engine");
+    assert!(replaced(7) > 0, "without the start time the new engine is ejected for faults of the old one");
 }
 
 #[test]
-fn ejection_ends_by_time_and_by_operator_order() {
+fn ejection_ends_by_timeout_and_by_operator_command() {
     let mut fleet =
         Fleet::new(4, 6, |now, _, e| (e == 0 && now < 2_000 * MS).then_some(Fault::ConnectionBroken));
     fleet.run(900);
     assert_eq!(fleet.ejecting_nodes(0), 4);
-    // No node has a request for the engine any more.
+    // From here on no node has a request for the engine.
     let bound = fleet.settings.max_ejection_without_evidence();
-    let until = fleet.now + bound;
-    while fleet.now < until {
+    let deadline = fleet.now + bound;
+    while fleet.now < deadline {
         fleet.now += TICK;
         let now = fleet.now;
-        fleet.detectors.iter_mut().for_each(|v| {
-            v.tick(now);
+        fleet.detectors.iter_mut().for_each(|detector| {
+            detector.tick(now);
         });
     }
     assert_eq!(fleet.ejecting_nodes(0), 0);
@@ -268,27 +277,28 @@
         Fleet::new(4, 6, |now, _, e| (e == 0 && now < 2_000 * MS).then_some(Fault::ConnectionBroken));
     fleet.run(1_100);
     let (now, incarnation) = (fleet.now, fleet.engines[0]);
-    fleet.detectors.iter_mut().for_each(|v| v.clear(now, incarnation));
-    fleet.observers.iter_mut().for_each(|w| w.clear(incarnation));
+    fleet.detectors.iter_mut().for_each(|detector| detector.clear(now, incarnation));
+    fleet.observers.iter_mut().for_each(|observer| observer.clear(incarnation));
     assert_eq!(fleet.ejecting_nodes(0), 0);
     assert_eq!(fleet.detectors[0].incarnation("e0"), Some(incarnation));
 }
 
-/// The time between the trials of an engine that fails again and again is doubled.
+/// The time between two trials of an engine that fails repeatedly is doubled.
 #[test]
 fn ejection_time_grows_for_flapping_engine() {
     let mut fleet = Fleet::new(6, 8, |now, _, e| {
         (e == 4 && (now / (700 * MS)).is_multiple_of(2)).then_some(Fault::ConnectionBroken)
     });
-    let mut tried = Vec::new();
+    let mut failed_by_second = Vec::new();
     for _ in 0..60 {
         let before = fleet.failed[4];
         fleet.run(1_000);
-        tried.push(fleet.failed[4] - before);
+        failed_by_second.push(fleet.failed[4] - before);
     }
-    let (first, last): (u64, u64) = (tried[..20].iter().sum(), tried[40..].iter().sum());
-    println!("failed attempts by second: {tried:?}");
-    assert!(last <= first, "{tried:?}");
+    let (first, last): (u64, u64) =
+        (failed_by_second[..20].iter().sum(), failed_by_second[40..].iter().sum());
+    println!("failed attempts by second: {failed_by_second:?}");
+    assert!(last <= first, "{failed_by_second:?}");
 }
 
 #[test]
--- a/crates/pintally-outlier-detection/tests/golden.rs
+++ b/crates/pintally-outlier-detection/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded outlier reports: nodes of different builds decode each other's.
+//! The encoding of outlier reports is stable, so that nodes of different builds decode each other's reports.
 
 use pintally_outlier_detection::{EngineIncarnation, Fault, Observation, Observer, OutlierReport, Settings};
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// An observer reports the numbers of its faults.
+/// The numbers of faults in an observer's report are stable.
 #[test]
 fn observer_report_bytes_are_stable() {
     let mut observer = Observer::new(Settings::default());
@@ -49,12 +49,12 @@
         observer.record(engine * 10_000, EngineIncarnation(engine), 7, Some(fault));
     }
     let report = observer.report(100_000, &Default::default());
-    assert_bytes("witness_report", &report.encode());
-    assert_eq!(OutlierReport::decode(&golden("witness_report")), Some(report));
+    assert_bytes("observer_report", &report.encode());
+    assert_eq!(OutlierReport::decode(&golden("observer_report")), Some(report));
 }
 
 #[test]
 fn engine_incarnation_hash_is_stable() {
     let incarnation = EngineIncarnation::of("engine-a", "10.0.0.1:8000", 1_700_000_000_123);
-    assert_bytes("engine_life", &incarnation.0.to_be_bytes());
+    assert_bytes("engine_incarnation", &incarnation.0.to_be_bytes());
 }
