--- a/crates/pintally-membership/src/membership/incarnation.rs
+++ b/crates/pintally-membership/src/membership/incarnation.rs
@@ -49,8 +49,8 @@
         if update.process_incarnation < self.own.process_incarnation {
             return;
         }
-        // A disk that was restored from an older image causes one or two raises. More raises show that
-        // another process runs under this name now and raises its boot number as well. The one with the
+        // A disk that was restored from an older image causes one or two raises. A greater number shows that
+        // another process is running under this name and raises its boot number as well. The one with the
         // greater nonce yields the name.
         let detection_time = self.settings.max_failure_detection_time(self.alive_count());
         self.raises.record(now, RAISE_WINDOW_DETECTION_TIMES * detection_time);
--- a/crates/pintally-membership/src/membership/suspicion.rs
+++ b/crates/pintally-membership/src/membership/suspicion.rs
@@ -27,10 +27,10 @@
 
 impl Membership {
     fn suspicion_timeouts(&self) -> SuspicionTimeouts {
-        let n = self.alive_count();
+        let node_count = self.alive_count();
         SuspicionTimeouts {
-            min: self.health.scale(self.settings.min_suspicion_timeout(n)),
-            max: self.health.scale(self.settings.max_suspicion_timeout(n)),
+            min: self.health.scale(self.settings.min_suspicion_timeout(node_count)),
+            max: self.health.scale(self.settings.max_suspicion_timeout(node_count)),
         }
     }
 
--- a/crates/pintally-membership/src/status.rs
+++ b/crates/pintally-membership/src/status.rs
@@ -54,7 +54,8 @@
     /// The boot number of its process.
     pub boot: u64,
     /// Milliseconds since it entered its state.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub state_age_ms: u64,
 }
 
 impl PeerStatus {
@@ -65,7 +66,7 @@
             address: member.address().to_string(),
             state: member.state(),
             boot: member.incarnation().boot,
-            for_ms: now.saturating_sub(member.since) / MICROS_PER_MILLISECOND,
+            state_age_ms: now.saturating_sub(member.since) / MICROS_PER_MILLISECOND,
         }
     }
 }
--- a/crates/pintally-outlier-detection/tests/detection.rs
+++ b/crates/pintally-outlier-detection/tests/detection.rs
@@ -236,7 +236,7 @@
 /// start time.
 #[test]
 fn ejection_concerns_one_incarnation_of_an_engine() {
-    let replaced = |started: u64| {
+    let max_ejecting_after_replacement = |started: u64| {
         let mut fleet =
             Fleet::new(5, 6, |now, _, e| (e == 0 && now < 3_000 * MS).then_some(Fault::ConnectionBroken));
         fleet.delay = 600 * MS;
@@ -252,8 +252,11 @@
             .max()
             .unwrap()
     };
-    assert_eq!(replaced(8), 0, "late reports concern the previous engine");
-    assert!(replaced(7) > 0, "without the start time the new engine is ejected for faults of the old one");
+    assert_eq!(max_ejecting_after_replacement(8), 0, "late reports concern the previous engine");
+    assert!(
+        max_ejecting_after_replacement(7) > 0,
+        "without the start time the new engine is ejected for faults of the old one"
+    );
 }
 
 #[test]
