--- a/crates/pintally-cells/src/admission.rs
+++ b/crates/pintally-cells/src/admission.rs
@@ -2,17 +2,17 @@
 
 use pintally::interface::Micros;
 
+use crate::cell_health::{CellHealth, ServiceLevel};
 use crate::cells::Cells;
 use crate::edge::EdgeDecision;
-use crate::health::{CellHealth, ServiceLevel};
-use crate::moves::TenantMove;
+use crate::tenant_move::TenantMove;
 use crate::CellName;
 
-/// A cell serves requests of an unavailable one only while it uses less than this fraction of its own quota.
+/// A cell serves requests of an unavailable cell only while it uses less than this fraction of its own quota.
 const MAX_FALLBACK_UTILIZATION: f64 = 0.7;
 /// A client whose cell is unavailable may retry after this time, in milliseconds.
 const UNAVAILABLE_RETRY_AFTER_MS: u64 = 2000;
-/// A client whose request is shed, or whose body has no space, may retry after this time, in milliseconds.
+/// A client may retry after this time if its request is shed or there is no space for the body, in milliseconds.
 const SHED_RETRY_AFTER_MS: u64 = 1000;
 
 /// A request that arrives.
@@ -48,7 +48,7 @@
 pub enum CellAdmission {
     /// This cell serves it.
     Admit(CellName),
-    /// `cell` serves it once the heaviest tenant of `displaced` has given up a request that waits.
+    /// `cell` serves it once a waiting request of the heaviest tenant of `displaced` has been displaced.
     Displace {
         /// The cell that serves the request.
         cell: CellName,
@@ -57,7 +57,7 @@
     },
     /// It is rejected.
     Reject {
-        /// The cell that it belongs to.
+        /// The cell that it belongs to, if any.
         cell: Option<CellName>,
         /// When the client may retry, in milliseconds.
         retry_after_ms: u64,
@@ -73,7 +73,7 @@
 }
 
 impl Cells {
-    /// Decides on a request, and reserves a slot if it is admitted; [`Cells::release`] returns it.
+    /// Decides on a request, and reserves a slot if it is admitted; [`Cells::release`] frees the slot.
     pub fn admit(&mut self, now: Micros, request: AdmissionRequest, unix_ms: u64) -> CellAdmission {
         let Some(home) = self.cell_of(now, request, unix_ms) else {
             return CellAdmission::Reject {
@@ -112,7 +112,7 @@
         CellAdmission::Admit(cell)
     }
 
-    /// Admits a trial to an unavailable cell that may work again, or else the request to its fallback.
+    /// Admits a request of an unavailable cell: as a trial to the cell itself if one is due, otherwise to its fallback.
     fn admit_to_unavailable(
         &mut self,
         now: Micros,
@@ -133,8 +133,7 @@
         }
     }
 
-    /// The cell that serves a request of an unavailable one, as far as it has spare capacity of its own; what
-    /// does not fit is rejected.
+    /// The fallback that serves a request of an unavailable cell; `None` if there is none or it lacks spare capacity.
     fn fallback(&self, now: Micros, home: &CellName, request: AdmissionRequest) -> Option<CellName> {
         let fallback = self.file.cell_named(home)?.fallback.clone()?;
         let is_normal =
@@ -149,7 +148,7 @@
         accepts.then_some(fallback)
     }
 
-    /// The cell of a request: by the file, and by how far this node has let a move come.
+    /// The cell of a request according to the file and to the progress of the tenant's move at this node.
     fn cell_of(&mut self, now: Micros, request: AdmissionRequest, unix_ms: u64) -> Option<CellName> {
         let Cells { file, move_rate, health, overload, paused_moves, .. } = self;
         file.cell_for_share(request.tenant, request.session, |tenant_move: &TenantMove| {
@@ -159,7 +158,7 @@
                 |cells: &[CellName]| cells.iter().map(level).max().unwrap_or(ServiceLevel::Unavailable);
             let target_level = worst(&tenant_move.to);
             let target_overloaded = tenant_move.to.iter().any(|cell| overload.is_overloaded(now, cell));
-            // No session must stay in a cell that is worse off than the target.
+            // A move out of a cell that is worse off than the target is not paused.
             let home_is_worse = worst(&file.home(&tenant_move.tenant)) > target_level;
             let paused = (target_overloaded || target_level > ServiceLevel::Normal) && !home_is_worse;
             let is_listed = paused_moves.contains(&tenant_move.tenant);
@@ -182,7 +181,7 @@
         self.edge.release(cell, tenant, bytes);
     }
 
-    /// The tenant that uses most slots of a cell.
+    /// The tenant that uses the most slots of a cell.
     pub fn heaviest_tenant(&self, cell: &CellName) -> Option<Option<String>> {
         self.edge.heaviest_tenant(cell)
     }
--- a/crates/pintally-cells/src/assignment.rs
+++ b/crates/pintally-cells/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignment of engines to cells: their own and borrowed ones.
+//! Assignment of engines to cells: the engines that belong to a cell, and those that it borrows.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 /// The engines of each cell.
 #[derive(Clone, Debug, Default)]
 pub struct EngineAssignment {
-    /// The engines of each cell, borrowed ones among them. A borrowed engine counts as started when it was
-    /// borrowed.
+    /// The engines of each cell, including borrowed ones. The start time of a borrowed engine is not earlier than
+    /// the time of the loan.
     pub cells: BTreeMap<CellName, Vec<Endpoint>>,
-    /// Changes for the log.
+    /// Log messages about the changes.
     pub notes: Vec<String>,
 }
 
@@ -24,14 +24,14 @@
 #[derive(Default)]
 struct CellEngines {
     endpoints: Vec<Endpoint>,
-    /// Engines that serve, by role.
+    /// The number of serving engines by role.
     serving: Composition,
-    /// The health scores of engines that serve.
+    /// The roles and health scores of the serving engines.
     scores: Vec<(Role, f64)>,
 }
 
 impl Cells {
-    /// Makes and ends loans, updates the levels of cells, and returns the engines of each cell.
+    /// Makes and ends loans, updates the service levels of cells, and returns the engines of each cell.
     pub fn reassign(&mut self, now: Micros) -> EngineAssignment {
         let mut assignment = EngineAssignment::default();
         if !self.has_endpoints {
@@ -46,11 +46,12 @@
             let listed = engines.serving.fraction(cell);
             if health.update(now, listed, healthy_fraction(cell, &engines.scores)) {
                 let percent = (health.capacity() * 100.0).round();
-                let fails = if health.is_failing() { ", those that are there fail" } else { "" };
+                let failing = if health.is_failing() { ", the listed engines fail" } else { "" };
                 let level = health.level().name();
-                assignment
-                    .notes
-                    .push(format!("cell {} is {level}: {percent}% of its engines{fails}", cell.name));
+                assignment.notes.push(format!(
+                    "cell {} is {level}: {percent}% of its required engines{failing}",
+                    cell.name
+                ));
             }
             assignment.cells.insert(cell.name.clone(), engines.endpoints);
         }
@@ -72,7 +73,7 @@
                     self.borrowed_at.insert(engine.clone(), now);
                 }
                 None if self.borrowed_at.contains_key(engine) => {
-                    notes.push(format!("engine {} is given back", engine.0));
+                    notes.push(format!("engine {} is no longer lent", engine.0));
                     self.borrowed_at.remove(engine);
                 }
                 _ => {}
@@ -81,8 +82,8 @@
         self.borrowed_at.retain(|engine, _| self.loans.borrower(engine).is_some());
     }
 
-    /// The engines that count for loans. A failing engine counts as gone: another may replace it, and it replaces
-    /// none. An engine of a cell that the file does not know is spare.
+    /// The engines that are considered for loans. A failing engine is left out: another engine may replace it, and it
+    /// is not lent. An engine whose cell is not in the file is spare.
     fn serving_engines(&self) -> Vec<ServingEngine> {
         let is_known = |cell: &CellName| self.file.cells.iter().any(|known| known.name == *cell);
         self.engines
@@ -107,7 +108,7 @@
             let ListedEngine { endpoint, role, .. } = listed;
             let mut endpoint = endpoint.clone();
             if borrowed {
-                // It caches no prefix of this cell: it starts slowly as a cold engine does.
+                // The engine caches no prefixes of this cell, so it goes through slow start like a cold one.
                 endpoint.started = endpoint.started.max(self.borrowed_at.get(engine).copied());
             }
             if endpoint.state == EndpointState::Serving {
--- a/crates/pintally-cells/src/health.rs
+++ b/crates/pintally-cells/src/cell_health.rs
@@ -1,31 +1,32 @@
 //! The level of service of a cell that has lost engines, and its recovery.
 //!
-//! The level falls at once, and rises one step at a time, only after the cell has been calm: a cell whose engines
-//! come and go does not flap, and the classes that it sheds do not change all the time.
+//! The level falls at once, but rises one step at a time and only after the capacity has been sufficient for a while.
+//! This keeps the level, and the set of classes that are shed, from flapping when engines come and go.
 
 use pintally::interface::Micros;
 
-/// Below this fraction of the needed engines a cell is constrained,
+/// A cell with less than this fraction of its required engines is constrained.
 const MIN_NORMAL_CAPACITY: f64 = 0.75;
-/// and below this one it sheds load.
+/// A cell with less than this fraction of its required engines sheds load.
 const MIN_CONSTRAINED_CAPACITY: f64 = 0.4;
-/// The level rises when the capacity has been above the threshold by this much,
-const HYSTERESIS: f64 = 0.1;
-/// for this long, in microseconds.
-const CALM_TIME_MICROS: Micros = 5_000_000;
-/// A cell whose engines' health scores add up to less than this fraction fails whatever it admits, and counts as
-/// unavailable,
+/// The level rises only when the capacity exceeds the threshold by this much,
+const CAPACITY_HYSTERESIS: f64 = 0.1;
+/// and has done so for this long, in microseconds.
+const STABLE_TIME_MICROS: Micros = 5_000_000;
+/// A cell is failing, and therefore unavailable, if the health scores of its engines add up to less than this fraction
+/// of the required engines: it would fail nearly all requests that it admits.
 const MIN_WORKING_FRACTION: f64 = 0.15;
-/// until they add up to this fraction again.
+/// A failing cell recovers when the health scores add up to this fraction.
 const MIN_RECOVERED_FRACTION: f64 = 0.5;
-/// Time between two trial requests to a failing cell, in microseconds;
+/// Time between two trial requests to a failing cell, in microseconds.
 const TRIAL_INTERVAL_MICROS: Micros = 1_000_000;
-/// each success halves it, down to this.
+/// Each successful attempt halves the time between trial requests, down to this minimum.
 const MIN_TRIAL_INTERVAL_MICROS: Micros = 60_000;
-/// A cell that sheds load and is not overloaded admits this fraction more of the requests each second;
+/// The admitted fraction of a cell that sheds load grows by this much each second while the cell is not overloaded.
 const ADMISSION_INCREASE_PER_S: f64 = 0.1;
-/// overloaded, it admits this fraction of them each second, down to the capacity of its engines.
-const ADMISSION_DECREASE_PER_S: f64 = 0.5;
+/// While the cell is overloaded, the admitted fraction is multiplied by this factor each second, down to the fraction
+/// of the required engines that the cell has.
+const ADMISSION_FACTOR_PER_S: f64 = 0.5;
 /// Weight of a new arrival in the moving averages of the classes.
 const ARRIVAL_WEIGHT: f64 = 0.02;
 
@@ -35,16 +36,16 @@
     /// It serves all requests.
     #[default]
     Normal,
-    /// Tenants over their quota are rejected sooner.
+    /// It has lost engines and may use only a part of its slots, so that tenants over their part are rejected sooner.
     Constrained,
-    /// Only the classes of the highest priority are admitted, as many as there are engines for.
+    /// Only the classes of the highest priority are admitted, as far as the engines suffice.
     Shedding,
     /// It cannot serve: it has no engine of a role, or its engines fail.
     Unavailable,
 }
 
 impl ServiceLevel {
-    /// The name in log lines and in the counters document, older than the variants' names.
+    /// The name in log lines and in the counters document. It differs from the variant's name for compatibility.
     pub fn name(self) -> &'static str {
         match self {
             ServiceLevel::Normal => "Well",
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The level of a cell with this fraction of the needed engines.
+    /// The level of a cell with this fraction of its required engines.
     fn of_capacity(capacity: f64) -> ServiceLevel {
         match capacity {
             capacity if capacity <= 0.0 => ServiceLevel::Unavailable,
@@ -74,7 +75,7 @@
     }
 }
 
-/// A class of requests.
+/// The arrivals of a class of requests.
 #[derive(Clone, Copy, Debug)]
 struct ClassArrivals {
     /// Its share of the arrivals, a moving average.
@@ -87,8 +88,8 @@
 pub struct CellHealth {
     level: ServiceLevel,
     capacity: f64,
-    /// Since when the capacity has been enough for the next better level.
-    calm_since: Option<Micros>,
+    /// Since when the capacity has been sufficient for the next better level.
+    stable_since: Option<Micros>,
     /// Whether it is unavailable because its engines fail, not because they are gone.
     failing: bool,
     /// When the next trial request may be admitted while it is failing.
@@ -97,7 +98,7 @@
     /// The fraction of arrivals that it admits while it sheds load, and when that was last updated.
     admitted_fraction: f64,
     admission_updated: Micros,
-    /// By the index of the class.
+    /// The classes by their index.
     classes: Vec<ClassArrivals>,
 }
 
@@ -111,7 +112,7 @@
         CellHealth {
             level: ServiceLevel::Normal,
             capacity: 1.0,
-            calm_since: None,
+            stable_since: None,
             failing: false,
             next_trial: 0,
             trial_interval: TRIAL_INTERVAL_MICROS,
@@ -126,7 +127,7 @@
         self.level
     }
 
-    /// The fraction of the needed engines that it has.
+    /// The fraction of the required engines that it has, counted by their health scores if that is less.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
@@ -140,16 +141,16 @@
         }
     }
 
-    /// Adapts the admitted fraction to whether the cell is overloaded. The engines that it has lost say what it
-    /// could do when it was full; how much of the arrivals it can serve now shows only in whether it keeps up.
-    /// Guards against a cell with spare capacity that rejects what it could serve.
+    /// Adapts the admitted fraction to whether the cell is overloaded. The fraction of engines that are left limits
+    /// what the cell can serve compared with its full load. How much of the current arrivals it can serve shows only
+    /// in whether it keeps up. Guards against a cell with spare capacity that rejects requests that it could serve.
     pub fn update_admission(&mut self, now: Micros, overloaded: bool) {
         let elapsed_s = now.saturating_sub(self.admission_updated) as f64 / 1e6;
         self.admission_updated = self.admission_updated.max(now);
         if self.level != ServiceLevel::Shedding {
             self.admitted_fraction = self.capacity;
         } else if overloaded {
-            self.admitted_fraction *= ADMISSION_DECREASE_PER_S.powf(elapsed_s);
+            self.admitted_fraction *= ADMISSION_FACTOR_PER_S.powf(elapsed_s);
         } else {
             self.admitted_fraction += ADMISSION_INCREASE_PER_S * elapsed_s;
         }
@@ -181,12 +182,12 @@
         }
     }
 
-    /// Updates the level by the fractions of the needed engines that are listed and that are healthy, and returns
+    /// Updates the level by the fractions of the required engines that are listed and that are healthy, and returns
     /// whether the level has changed.
     pub fn update(&mut self, now: Micros, listed: f64, healthy: f64) -> bool {
         self.capacity = listed.min(healthy).clamp(0.0, 1.0);
-        let recovers = if self.failing { MIN_RECOVERED_FRACTION } else { MIN_WORKING_FRACTION };
-        self.failing = listed > 0.0 && healthy < recovers;
+        let min_healthy = if self.failing { MIN_RECOVERED_FRACTION } else { MIN_WORKING_FRACTION };
+        self.failing = listed > 0.0 && healthy < min_healthy;
         let target = self.level_of(self.capacity);
         if target < self.level {
             return self.try_raise(now, target);
@@ -196,7 +197,7 @@
             self.admitted_fraction = self.capacity;
         }
         self.level = target;
-        self.calm_since = None;
+        self.stable_since = None;
         lowered
     }
 
@@ -208,21 +209,22 @@
         }
     }
 
-    /// Takes one step towards a better level, if it is time; whether it did.
+    /// Raises the level by one step towards `target` if the conditions for it hold, and returns whether it did.
     fn try_raise(&mut self, now: Micros, target: ServiceLevel) -> bool {
-        // Being able to serve at all needs neither a margin nor a calm time.
+        // A cell that is able to serve again leaves `Unavailable` at once, without margin and without delay.
         let was_unavailable = self.level == ServiceLevel::Unavailable;
-        let safe_target = if was_unavailable { target } else { self.level_of(self.capacity - HYSTERESIS) };
+        let safe_target =
+            if was_unavailable { target } else { self.level_of(self.capacity - CAPACITY_HYSTERESIS) };
         if safe_target >= self.level {
-            self.calm_since = None;
+            self.stable_since = None;
             return false;
         }
-        let since = *self.calm_since.get_or_insert(now);
-        let calm_time = if was_unavailable { 0 } else { CALM_TIME_MICROS };
-        if now < since.saturating_add(calm_time) {
+        let since = *self.stable_since.get_or_insert(now);
+        let stable_time = if was_unavailable { 0 } else { STABLE_TIME_MICROS };
+        if now < since.saturating_add(stable_time) {
             return false;
         }
-        self.calm_since = Some(now);
+        self.stable_since = Some(now);
         self.level = self.level.raised();
         true
     }
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Whether the classes of higher priority leave some of the admitted fraction to this one.
+    /// Whether the classes of higher priority use less than the admitted fraction, so that this one is admitted.
     fn admits_while_shedding(&self, class: usize) -> bool {
         let Some(own) = self.classes.get(class) else { return false };
         let higher: f64 = self
--- a/crates/pintally-cells/src/cells.rs
+++ b/crates/pintally-cells/src/cells.rs
@@ -1,21 +1,21 @@
-//! The cells of a fleet as one node sees them.
+//! The state of all cells at one node.
 
 use std::collections::BTreeMap;
 
 use pintally::interface::{Endpoint, EngineId, Idempotency, LoadReport, Micros, Outcome, Role, Settings};
 
 use crate::assignment::EngineAssignment;
+use crate::cell_health::{CellHealth, ServiceLevel};
 use crate::edge::EdgeAdmission;
 use crate::engine_health::EngineHealth;
 use crate::file::{CellsFile, VersionError};
-use crate::health::{CellHealth, ServiceLevel};
 use crate::loans::Loans;
 use crate::move_rate::MoveRateController;
 use crate::overload::OverloadTracker;
 use crate::CellName;
 
-/// The fraction of the space for bodies that is divided over cells. The rest is for requests that are still being
-/// received, whose cell is not known yet.
+/// The fraction of the memory for request bodies that is divided over cells. The rest is for requests that are still
+/// being received, whose cell is not known yet.
 const DIVIDED_BODY_FRACTION: f64 = 0.75;
 
 /// Time between two reassignments while a cell is below the normal level, in microseconds.
@@ -35,9 +35,9 @@
     pub capacity: f64,
     /// How many engines it has borrowed.
     pub borrowed: usize,
-    /// Whether too many of its responses begin late.
+    /// Whether too many of its responses begin late, or never.
     pub overloaded: bool,
-    /// Whether its engines are listed and fail.
+    /// Whether it is unavailable because its listed engines fail.
     pub failing: bool,
 }
 
@@ -50,13 +50,13 @@
     pub(crate) cell: Option<CellName>,
 }
 
-/// All cells of a fleet as one node sees them.
+/// All cells of the fleet, with the state that one node keeps of them.
 pub struct Cells {
     pub(crate) file: CellsFile,
     pub(crate) edge: EdgeAdmission,
     /// The node's slots for open requests.
     pub(crate) slots: usize,
-    /// Bytes for the bodies of requests in cells.
+    /// Bytes for request bodies that are divided over cells.
     body_capacity: usize,
     /// Priority weights by the index of the class.
     priority_weights: Vec<f64>,
@@ -69,8 +69,9 @@
     pub(crate) paused_moves: Vec<String>,
     pub(crate) health: BTreeMap<CellName, CellHealth>,
     pub(crate) loans: Loans,
-    /// Whether an endpoint list has come. Guards against a node that starts, knows the cells before their
-    /// engines, takes all cells for unavailable and then recovers for many seconds while nothing is wrong.
+    /// Whether an endpoint list with engines has been received. A node that starts knows the cells before their
+    /// engines; without this flag it would regard all cells as unavailable, and then recover for many seconds
+    /// although no engine was lost.
     pub(crate) has_endpoints: bool,
     pub(crate) engines: BTreeMap<EngineId, ListedEngine>,
     /// When each loan was made.
@@ -78,7 +79,7 @@
 }
 
 impl Cells {
-    /// Cells for a node with `slots` for open requests, and `body_capacity` bytes for their bodies.
+    /// The cells at a node with `slots` for open requests and `body_capacity` bytes for their bodies.
     pub fn new(file: CellsFile, slots: usize, body_capacity: usize, core: &Settings) -> Cells {
         let mut cells = Cells {
             file: CellsFile::default(),
@@ -121,12 +122,12 @@
         self.file = file;
     }
 
-    /// The version of the cells file in force.
+    /// The cells file in force.
     pub fn file(&self) -> &CellsFile {
         &self.file
     }
 
-    /// Replaces the cells file by another version.
+    /// Replaces the cells file by another version and returns the new assignment of engines.
     ///
     /// # Errors
     ///
@@ -140,7 +141,8 @@
         Ok(self.reassign(now))
     }
 
-    /// Replaces the endpoint list: each engine with its role and the cell that it belongs to, if any.
+    /// Replaces the endpoint list (each engine with its role and the cell that it belongs to, if any) and returns the
+    /// new assignment of engines.
     pub fn set_engines(
         &mut self,
         now: Micros,
@@ -202,7 +204,7 @@
         self.health.iter().map(status).collect()
     }
 
-    /// The share of a tenant's sessions that have moved at this node, for each move of the file.
+    /// Each tenant with a move, and the share of its sessions that have moved at this node.
     pub fn moves(&self, unix_ms: u64) -> Vec<(String, f64)> {
         let share = |tenant_move: &crate::TenantMove| {
             let current = self.move_rate.current_share(&tenant_move.tenant);
@@ -211,7 +213,7 @@
         self.file.moves.iter().map(|tenant_move| (tenant_move.tenant.clone(), share(tenant_move))).collect()
     }
 
-    /// When time alone may change something, so that [`Cells::reassign`] is due.
+    /// When [`Cells::reassign`] must be called although nothing else has changed.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let recovers = self.health.values().any(|health| health.level() != ServiceLevel::Normal);
         let recovery = recovers.then(|| now.saturating_add(RECOVERY_INTERVAL_MICROS));
--- a/crates/pintally-cells/src/composition.rs
+++ b/crates/pintally-cells/src/composition.rs
@@ -1,4 +1,4 @@
-//! The engines of a cell by role, against those that it is built for.
+//! The number of engines of a cell by role, compared with what the cell requires.
 
 use pintally::interface::Role;
 
@@ -16,7 +16,7 @@
         self == Shortage::default()
     }
 
-    /// How many engines of a role would help.
+    /// How many engines of a role would reduce the shortage.
     pub(crate) fn of_role(self, role: Role) -> usize {
         match role {
             Role::Reader => self.readers,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What is missing if mixed engines replace the role that lacks most.
+    /// The shortage if each mixed engine counts for the role that lacks more engines.
     pub(crate) fn shortage(&self, required: &RequiredEngines) -> Shortage {
         let mut readers = required.readers.saturating_sub(self.readers);
         let mut writers = required.writers.saturating_sub(self.writers);
@@ -57,7 +57,7 @@
         Shortage { readers, writers }
     }
 
-    /// The fraction of the needed engines that there are, of the scarcer role.
+    /// The fraction of the required engines that the cell has, for the role with the lower fraction.
     pub(crate) fn fraction(&self, cell: &CellSpec) -> f64 {
         let shortage = self.shortage(&cell.required_engines);
         let fraction = |missing: usize, needed: usize| 1.0 - missing as f64 / needed.max(1) as f64;
@@ -66,8 +66,8 @@
     }
 }
 
-/// The fraction of the needed engines of the scarcer role if each engine counts by its health score, and mixed
-/// engines replace the role that lacks most.
+/// The fraction of the required engines for the role with the lower fraction, if each engine counts by its health
+/// score, and each mixed engine counts for the role that lacks more.
 pub(crate) fn healthy_fraction(cell: &CellSpec, scores: &[(Role, f64)]) -> f64 {
     let mut readers = cell.required_engines.readers as f64;
     let mut writers = cell.required_engines.writers as f64;
--- a/crates/pintally-cells/src/edge.rs
+++ b/crates/pintally-cells/src/edge.rs
@@ -1,19 +1,20 @@
-//! Admission at the edge of a cell: which requests are rejected before they cost a read.
+//! Admission at the edge of a cell, where requests are rejected before any engine reads their prompts.
 //!
-//! A node has a number of slots for open requests. Each cell has a quota of them that no other cell can take; what
-//! it does not use is lent, and taken back as soon as it is needed. Inside a cell whose quota is in use each tenant
-//! has an equal part of it; the tenant that is over its part is rejected or displaced first.
+//! A node has a number of slots for open requests. Each cell has a guaranteed quota of them. Other cells may use the
+//! slots that a cell leaves free; it reclaims them as soon as it needs them. If the quota of a cell is in use, each of
+//! its tenants has an equal part of it, and requests of a tenant that exceeds its part are rejected or displaced first.
 
 use std::collections::BTreeMap;
 
 use crate::CellName;
 
-/// Retry-After of a tenant, for each multiple of its part that it uses, in milliseconds.
+/// Retry-After for a rejected request, per multiple of its equal part that the tenant uses, in milliseconds.
 const RETRY_AFTER_STEP_MS: u64 = 250;
-/// Upper bound of that time.
+/// Upper bound of Retry-After, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 2000;
 
-/// The fraction of a cell's quota for bodies that is never lent: open requests cannot return their bodies at once.
+/// The fraction of a cell's quota for bodies that other cells cannot use, because the memory of the bodies of open
+/// requests cannot be reclaimed at once.
 const UNLENT_BODY_FRACTION: f64 = 0.5;
 
 /// The decision on one request.
@@ -21,9 +22,9 @@
 pub enum EdgeDecision {
     /// There is a free slot.
     Admit,
-    /// There is one once a request of this cell, which uses more than its quota, is displaced.
+    /// There is a free slot once a request of this cell is displaced.
     Displace(CellName),
-    /// There is none; retry after this many milliseconds.
+    /// There is no free slot; the client may retry after this many milliseconds.
     Reject(u64),
 }
 
@@ -49,7 +50,7 @@
 }
 
 impl CellUsage {
-    /// The bytes of the quota that are never lent.
+    /// The bytes of the quota that other cells cannot use.
     fn unlent_body_bytes(&self) -> usize {
         (self.body_quota as f64 * UNLENT_BODY_FRACTION) as usize
     }
@@ -58,14 +59,14 @@
         self.tenants.get(&tenant.map(str::to_string)).copied().unwrap_or(0)
     }
 
-    /// Each tenant's equal part of `quota` slots, if `tenant` is one of those that use the cell.
+    /// The equal part of `quota` slots of each tenant that uses the cell, `tenant` included.
     fn fair_slots(&self, tenant: Option<&str>, quota: usize) -> usize {
         let others = self.tenants.iter().filter(|(other, used)| **used > 0 && other.as_deref() != tenant);
         quota / (others.count() + 1)
     }
 }
 
-/// Slots and bytes of bodies in use, by cell and tenant.
+/// The slots and the bytes for bodies that are in use, by cell and tenant.
 #[derive(Clone, Debug, Default)]
 pub struct EdgeAdmission {
     slots: usize,
@@ -76,8 +77,8 @@
 }
 
 impl EdgeAdmission {
-    /// Divides the node's slots and its bytes for bodies over cells by weight. Other cells keep what they use and
-    /// have no quota any more.
+    /// Divides the node's slots and its bytes for bodies over cells by weight. Cells that are not given have no quota
+    /// any more; their open requests keep their slots.
     pub fn divide<'a>(
         &mut self,
         slots: usize,
@@ -116,8 +117,8 @@
         self.used_slots
     }
 
-    /// Whether a body fits into a cell. Half of each cell's quota is never lent; the other half is lent while it
-    /// is not used.
+    /// Whether there is space for a body in a cell. Half of each cell's quota is reserved for the cell; other cells may
+    /// use the other half while it is free.
     pub fn fits_body(&self, name: &CellName, bytes: usize) -> bool {
         let Some(cell) = self.cells.get(name) else { return false };
         if cell.body_bytes + bytes <= cell.unlent_body_bytes() {
@@ -129,15 +130,15 @@
         self.body_bytes + bytes + reserved <= self.body_capacity
     }
 
-    /// Decides on a request of a tenant in a cell of whose quota only the fraction `usable` counts now, as when
-    /// the cell has lost engines. Reserves nothing.
+    /// Decides on a request of a tenant in a cell. Only the fraction `usable` of the cell's quota counts, which is less
+    /// than 1 while the cell lacks engines. Reserves nothing.
     pub fn decide(&self, name: &CellName, tenant: Option<&str>, usable: f64) -> EdgeDecision {
         let Some(cell) = self.cells.get(name) else { return EdgeDecision::Reject(MAX_RETRY_AFTER_MS) };
         let quota = ((cell.slots.quota as f64 * usable.clamp(0.0, 1.0)) as usize).max(1);
         let own = cell.slots_of(tenant);
         let fair = cell.fair_slots(tenant, quota);
         let at_least_one = fair.max(1);
-        // A cell that has lost engines borrows nothing: slots would not help it.
+        // A cell that lacks engines gets no slots of other cells: its engines could not serve more requests.
         if usable < 1.0 && cell.slots.used >= quota && own >= at_least_one {
             return reject(own / at_least_one);
         }
@@ -148,34 +149,35 @@
                 _ => EdgeDecision::Admit,
             };
         }
-        // Over the quota: slots that others do not use, unless the tenant itself is the cause.
+        // Above its quota the cell uses free slots of others, unless the tenant has used up its part and no slot may
+        // be lent.
         if has_free_slot && (own < at_least_one || self.lendable_slots() > 0) {
             return EdgeDecision::Admit;
         }
         if own < fair {
-            // Another tenant of the cell is the cause: one of its requests is displaced.
+            // Another tenant of the cell exceeds its part, and one of that tenant's requests is displaced.
             return EdgeDecision::Displace(name.clone());
         }
         reject(own / at_least_one)
     }
 
-    /// Slots that may be lent: all but one for each cell within its quota, so that its next request never waits
-    /// for another to be displaced.
+    /// The number of free slots that cells above their quota may use. One slot is kept free for each cell below its
+    /// quota, so that its next request need not wait until another is displaced.
     fn lendable_slots(&self) -> usize {
         let within_quota = self.cells.values().filter(|cell| cell.slots.used < cell.slots.quota).count();
         self.slots.saturating_sub(self.used_slots + within_quota)
     }
 
-    /// The other cell that is furthest over its quota.
-    fn largest_borrower(&self, but: &CellName) -> Option<CellName> {
+    /// The cell other than `except` that exceeds its quota most.
+    fn largest_borrower(&self, except: &CellName) -> Option<CellName> {
         self.cells
             .iter()
-            .filter(|(name, cell)| *name != but && cell.slots.used > cell.slots.quota)
+            .filter(|(name, cell)| *name != except && cell.slots.used > cell.slots.quota)
             .max_by_key(|(_, cell)| cell.slots.used - cell.slots.quota)
             .map(|(name, _)| name.clone())
     }
 
-    /// The tenant that uses most slots of a cell.
+    /// The tenant that uses the most slots of a cell.
     pub fn heaviest_tenant(&self, cell: &CellName) -> Option<Option<String>> {
         let tenants = &self.cells.get(cell)?.tenants;
         tenants
@@ -211,7 +213,7 @@
     }
 }
 
-/// Rejects a request of a tenant that uses a multiple of its part.
+/// Rejects a request of a tenant that uses `multiple` times its equal part.
 fn reject(multiple: usize) -> EdgeDecision {
     let retry_after_ms = multiple as u64 * RETRY_AFTER_STEP_MS;
     EdgeDecision::Reject(retry_after_ms.clamp(RETRY_AFTER_STEP_MS, MAX_RETRY_AFTER_MS))
--- a/crates/pintally-cells/src/engine_health.rs
+++ b/crates/pintally-cells/src/engine_health.rs
@@ -1,39 +1,39 @@
 //! Health scores of engines by the outcomes of attempts.
 //!
-//! The endpoint list says which engines there are; an engine with a bad release is listed and fails. Its health
-//! score falls with the fraction of its attempts that fail, and rises again as attempts succeed or failures decay.
-//! Each tenant has one vote, however many requests it sends: requests of one tenant that no engine can serve must
-//! not take a whole cell from the others.
+//! An engine may be in the endpoint list and yet fail requests, for example after a faulty software release. Its
+//! health score falls with the fraction of its attempts that fail, and rises again as attempts succeed or failures
+//! decay. Each tenant has one vote, regardless of how many requests it sends: if no engine can serve the requests of
+//! one tenant, its cell must not become unavailable for the other tenants.
 
 use std::collections::BTreeMap;
 
 use pintally::interface::{EngineId, LoadReport, Micros, Outcome};
 
-/// Half-life of outcomes, in microseconds.
+/// Half-life of recorded outcomes, in microseconds.
 const HALF_LIFE_MICROS: f64 = 10_000_000.0;
-/// An engine starts as if it had had this many successes.
+/// The health score counts this many successes in addition to those recorded.
 const PRIOR_SUCCESSES: f64 = 3.0;
-/// A lower score counts as 0.
+/// A score below this one counts as 0.
 const MIN_SCORE: f64 = 0.1;
-/// An engine becomes failing below this score,
+/// An engine starts to count as failing below this score.
 const MIN_HEALTHY_SCORE: f64 = 0.5;
-/// and stays so below this one.
+/// A failing engine stays failing below this score.
 const MIN_RECOVERED_SCORE: f64 = 0.75;
-/// Each relapse soon after a recovery doubles the half-life, at most this many times.
+/// Each time an engine fails again soon after a recovery (a relapse) the half-life doubles, at most this many times.
 const MAX_RELAPSES: u32 = 4;
-/// More consecutive successes than this discount earlier failures each,
+/// After this many consecutive successes each further one reduces the weight of earlier failures.
 const SUCCESSES_BEFORE_DISCOUNT: u32 = 3;
-/// to this fraction: a repaired engine is not judged by its past.
+/// Factor by which such a success reduces the weight of earlier failures, so that a repaired engine recovers soon.
 const FAILURE_DISCOUNT: f64 = 0.6;
-/// After this many consecutive successes a further failure is no relapse.
-const SUCCESSES_UNTIL_CURED: u32 = 20;
-/// Most tenants that have a vote on one engine; the one with the fewest outcomes makes space for another.
+/// After this many consecutive successes a further failure does not count as a relapse.
+const SUCCESSES_TO_RESET_RELAPSES: u32 = 20;
+/// The maximum number of tenants with a vote on one engine. The vote with the fewest outcomes is dropped for a new one.
 const MAX_VOTERS: usize = 32;
-/// Fewer decayed outcomes than this have no vote.
+/// A tenant's vote is dropped when its outcomes have decayed to this number.
 const MIN_OUTCOMES: f64 = 0.01;
-/// An engine is at capacity from this queue on, relative to what it can hold,
+/// An engine is at capacity if its queue is at least this long, relative to what it can hold.
 const MIN_FULL_QUEUE: f64 = 1.0;
-/// or from this fraction of its slots on.
+/// An engine is at capacity if at least this fraction of its slots is in use.
 const MIN_FULL_SLOTS: f64 = 0.95;
 
 /// How an attempt counts.
@@ -42,7 +42,7 @@
     Success,
     /// The engine answered with an error, or too late.
     Failure,
-    /// There was no connection, or it broke.
+    /// No connection could be made, or it broke.
     ConnectionFailure,
 }
 
@@ -86,12 +86,12 @@
     updated: Micros,
     /// Outcomes by tenant.
     votes: BTreeMap<Option<usize>, OutcomeCounts>,
-    /// When it started, by the endpoint list.
+    /// When the engine started, according to the endpoint list.
     started: Option<Micros>,
-    /// Whether it was at capacity in its last load report; unknown before the first.
-    full: Option<bool>,
+    /// Whether the engine was at capacity in its last load report; `None` before the first report.
+    at_capacity: Option<bool>,
     failing: bool,
-    /// Whether it was failing before, so that the next failure is a relapse.
+    /// Whether the engine has been failing before, so that the next time counts as a relapse.
     has_failed: bool,
     relapses: u32,
     consecutive_successes: u32,
@@ -131,25 +131,25 @@
     fn record_load(&mut self, load: &LoadReport) {
         let queue_full = load.queue.is_some_and(|queue| queue >= MIN_FULL_QUEUE);
         let slots_full = load.slots.is_some_and(|slots| slots >= MIN_FULL_SLOTS);
-        self.full = Some(queue_full || slots_full);
+        self.at_capacity = Some(queue_full || slots_full);
     }
 
-    /// How an outcome counts; `None` if it says nothing about the engine.
+    /// How an outcome counts; `None` if it is no evidence about the engine's health.
     fn classify(&self, outcome: Outcome) -> Option<AttemptResult> {
         match outcome {
             Outcome::Served | Outcome::Read => Some(AttemptResult::Success),
             Outcome::Error => Some(AttemptResult::Failure),
             Outcome::ConnectionBroken | Outcome::Unreachable => Some(AttemptResult::ConnectionFailure),
-            // A timeout is the fault of an engine that had capacity. At an engine that was full, or reports
-            // no load, the cause may be overload, which must not pass for a bad release.
-            Outcome::TimedOut if self.full == Some(false) => Some(AttemptResult::Failure),
+            // A timeout counts as a failure only of an engine that had free capacity. At an engine that was at
+            // capacity, or that reports no load, the cause may be overload, which is not a failure of the engine.
+            Outcome::TimedOut if self.at_capacity == Some(false) => Some(AttemptResult::Failure),
             _ => None,
         }
     }
 
     fn record(&mut self, now: Micros, tenant: Option<usize>, result: AttemptResult) {
         self.decay(now);
-        self.make_space_for(tenant);
+        self.make_room_for_vote(tenant);
         self.votes.entry(tenant).or_default().record(result);
         if result == AttemptResult::Success {
             self.record_success();
@@ -159,7 +159,7 @@
         self.update_failing(now);
     }
 
-    fn make_space_for(&mut self, tenant: Option<usize>) {
+    fn make_room_for_vote(&mut self, tenant: Option<usize>) {
         if self.votes.contains_key(&tenant) || self.votes.len() < MAX_VOTERS {
             return;
         }
@@ -174,7 +174,7 @@
         if self.consecutive_successes > SUCCESSES_BEFORE_DISCOUNT {
             self.votes.values_mut().for_each(OutcomeCounts::discount_failures);
         }
-        if self.consecutive_successes >= SUCCESSES_UNTIL_CURED {
+        if self.consecutive_successes >= SUCCESSES_TO_RESET_RELAPSES {
             self.has_failed = false;
             self.relapses = 0;
         }
@@ -217,22 +217,23 @@
         }
     }
 
-    /// Records a successful health check: the engine can be reached again, whatever it answers to requests.
+    /// Records a successful health check. It discards earlier connection failures, since the engine can be reached
+    /// again, but no failures of requests.
     pub fn record_health_check(&mut self, now: Micros, engine: &EngineId) {
         let Some(state) = self.engines.get_mut(engine) else { return };
         state.votes.values_mut().for_each(|counts| counts.connection_failures = 0.0);
         state.update_failing(now);
     }
 
-    /// Sets when an engine started, by the endpoint list. A restarted engine has no past.
+    /// Sets when an engine started, according to the endpoint list. After a restart earlier outcomes do not count.
     pub fn set_started(&mut self, engine: &EngineId, started: Option<Micros>) {
         let Some(state) = self.engines.get_mut(engine) else { return };
         if state.started != started && started.is_some() {
-            *state = EngineState { started, full: state.full, ..EngineState::default() };
+            *state = EngineState { started, at_capacity: state.at_capacity, ..EngineState::default() };
         }
     }
 
-    /// Updates the engines as failures decay.
+    /// Updates which engines are failing, as their failures decay.
     pub fn tick(&mut self, now: Micros) {
         self.engines.values_mut().for_each(|state| state.update_failing(now));
     }
@@ -242,17 +243,17 @@
         self.engines.get(engine).map_or(1.0, |state| state.score(now))
     }
 
-    /// Whether an engine is failing, so that another has to replace it even if it is listed.
+    /// Whether an engine is failing, so that another must replace it although it is listed.
     pub fn is_failing(&self, engine: &EngineId) -> bool {
         self.engines.get(engine).is_some_and(|state| state.failing)
     }
 
-    /// Whether time alone may change something.
+    /// Whether [`EngineHealth::tick`] may change something.
     pub fn needs_tick(&self, now: Micros) -> bool {
         self.engines.values().any(|state| state.failing || state.score(now) < MIN_RECOVERED_SCORE)
     }
 
-    /// Forgets all engines but those that are known.
+    /// Drops all engines except known ones.
     pub fn retain(&mut self, is_known: impl Fn(&EngineId) -> bool) {
         self.engines.retain(|engine, _| is_known(engine));
     }
--- a/crates/pintally-cells/src/file.rs
+++ b/crates/pintally-cells/src/file.rs
@@ -1,11 +1,11 @@
-//! The cells file: cells, the engines that they need, the cells of each tenant, and moves under way.
+//! The cells file: the cells, the engines that they need, the cells of each tenant, and the current moves.
 
 mod parse;
 mod render;
 mod versions;
 
-use crate::assign::{cells_by_hash, number, pick};
-use crate::moves::TenantMove;
+use crate::hashing::{cell_for_session, cells_by_hash, key_of};
+use crate::tenant_move::TenantMove;
 use crate::CellName;
 
 pub use versions::{MoveCommand, MoveError, VersionError};
@@ -13,13 +13,13 @@
 /// The contents of a cells file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CellsFile {
-    /// Grows with each change.
+    /// Increases with each change of the file.
     pub version: u64,
     /// The cells.
     pub cells: Vec<CellSpec>,
-    /// Tenants whose cells the operator has chosen, wholly or in part.
+    /// Tenants for which the operator has set the cells, or how many of them.
     pub tenants: Vec<TenantHome>,
-    /// The moves under way.
+    /// The moves that have begun and are not settled.
     pub moves: Vec<TenantMove>,
 }
 
@@ -28,20 +28,20 @@
 pub struct CellSpec {
     /// Its name.
     pub name: CellName,
-    /// Its weight wherever something is divided: tenants, sessions and slots of a node.
+    /// Its weight in the division of tenants and sessions over cells, and of each node's slots and bytes for bodies.
     pub weight: f64,
     /// The engines that it needs.
     pub required_engines: RequiredEngines,
-    /// The cell that serves what it can of this one's requests while this one is unavailable.
+    /// The cell that serves requests of this one while this one is unavailable, as far as it has spare capacity.
     pub fallback: Option<CellName>,
 }
 
 /// The engines that a cell needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequiredEngines {
-    /// Engines that read; mixed ones count for the role that lacks them.
+    /// The required number of readers. A mixed engine counts for the role that lacks more engines.
     pub readers: usize,
-    /// Engines that write.
+    /// The required number of writers.
     pub writers: usize,
 }
 
@@ -64,12 +64,12 @@
 }
 
 impl CellsFile {
-    /// The cells that serve a tenant while it does not move.
+    /// The home cells of a tenant, which serve it unless its sessions have moved.
     pub fn home(&self, tenant: &str) -> Vec<CellName> {
         match self.tenants.iter().find(|known| known.tenant == tenant).map(|known| &known.home) {
             Some(HomeCells::Pinned(cells)) => cells.clone(),
-            Some(HomeCells::Shards(count)) => cells_by_hash(&self.cells, number(tenant), *count),
-            None => cells_by_hash(&self.cells, number(tenant), 1),
+            Some(HomeCells::Shards(count)) => cells_by_hash(&self.cells, key_of(tenant), *count),
+            None => cells_by_hash(&self.cells, key_of(tenant), 1),
         }
     }
 
@@ -78,7 +78,7 @@
         self.cell_for_share(tenant, session, |tenant_move| tenant_move.moved_share(unix_ms))
     }
 
-    /// The cell of a request when the tenant's move has come as far as `share` says.
+    /// The cell of a request, if `share` returns the share of sessions that a move has moved so far.
     pub fn cell_for_share(
         &self,
         tenant: Option<&str>,
@@ -95,7 +95,7 @@
             Some(tenant_move) => tenant_move.to.clone(),
             None => self.home(tenant),
         };
-        pick(&cells, session)
+        cell_for_session(&cells, session)
     }
 
     /// A cell by its name.
--- a/crates/pintally-cells/src/file/parse.rs
+++ b/crates/pintally-cells/src/file/parse.rs
@@ -5,25 +5,25 @@
 use pintally_config::ConfigError;
 
 use super::{CellSpec, CellsFile, HomeCells, RequiredEngines, TenantHome};
-use crate::moves::{MovePhase, TenantMove};
+use crate::tenant_move::{MovePhase, TenantMove};
 use crate::CellName;
 
-/// The invariant that classes with an idempotency key could violate.
+/// The rule that classes with an idempotency key could violate.
 const NO_DUPLICATE_EFFECTS: &str = "no effect happens twice";
 
-/// Most bytes in a cell's name.
+/// The maximum length of a cell's name.
 const MAX_NAME_BYTES: usize = 64;
-/// Most engines of a role that a cell may need.
-const MAX_ENGINES: u64 = 100_000;
-/// Most cells by hash of one tenant.
+/// The maximum number of engines of one role that a cell may need.
+const MAX_ENGINES_PER_ROLE: u64 = 100_000;
+/// The maximum number of cells that one tenant gets by hash.
 const MAX_SHARDS: u64 = 10_000;
-/// The greatest weight of a cell.
+/// The maximum weight of a cell.
 const MAX_WEIGHT: f64 = 1e6;
-/// Versions and times are numbers below this, which every form can hold exactly.
+/// The maximum version or time. Numbers up to this one are exact in every form, also as a floating-point number.
 const MAX_NUMBER: u64 = 1 << 52;
-/// Time until all sessions have moved, unless the file says it, in milliseconds.
+/// Time until all sessions have moved if the file does not set `over-ms`, in milliseconds.
 const DEFAULT_MOVE_TIME_MS: u64 = 30_000;
-/// The longest such time: a day.
+/// The maximum of `over-ms`: one day.
 const MAX_MOVE_TIME_MS: u64 = 86_400_000;
 
 impl CellsFile {
@@ -76,12 +76,14 @@
             return Err(form.error(format!("cell `{name}` is given twice")));
         }
         let required_engines = RequiredEngines {
-            readers: form.count_or("readers", 1, 0, MAX_ENGINES)? as usize,
-            writers: form.count_or("writers", 1, 0, MAX_ENGINES)? as usize,
+            readers: form.count_or("readers", 1, 0, MAX_ENGINES_PER_ROLE)? as usize,
+            writers: form.count_or("writers", 1, 0, MAX_ENGINES_PER_ROLE)? as usize,
         };
         if required_engines.readers == 0 || required_engines.writers == 0 {
             let lacks = if required_engines.readers == 0 { "readers" } else { "writers" };
-            return Err(form.error(format!("cell `{name}` is built without {lacks}: it could serve nobody")));
+            return Err(
+                form.error(format!("cell `{name}` is configured without {lacks}: it could serve no request"))
+            );
         }
         let fallback = form.text_or("fallback", "")?;
         self.cells.push(CellSpec {
@@ -120,7 +122,9 @@
             names.push(cell.name.clone());
         }
         if names.is_empty() {
-            return Err(form.error("at least one cell must be named: a tenant in none cannot be served"));
+            return Err(
+                form.error("at least one cell must be named: a tenant without a cell cannot be served")
+            );
         }
         form.finish()?;
         Ok(names)
@@ -134,7 +138,7 @@
         let pinned = form.optional_form("cells")?.map(|cells| self.read_cell_names(&cells)).transpose()?;
         let shards = form.count_or("shards", 0, 0, MAX_SHARDS)? as usize;
         let home = match (pinned, shards) {
-            (Some(_), 1..) => return Err(form.error("a tenant has `cells` or `shards`, not both")),
+            (Some(_), 1..) => return Err(form.error("a tenant has either `cells` or `shards`, not both")),
             (Some(cells), 0) => HomeCells::Pinned(cells),
             (None, 0) => {
                 return Err(form.error(format!("tenant `{tenant}` has neither `cells` nor `shards`")))
@@ -149,7 +153,7 @@
     fn read_move(&mut self, form: &Form, core: &Settings) -> Result<(), ConfigError> {
         let tenant = read_known_tenant(form, core)?;
         if self.moves.iter().any(|known| known.tenant == tenant) {
-            return Err(form.error(format!("tenant `{tenant}` has two moves at once")));
+            return Err(form.error(format!("tenant `{tenant}` has more than one `move`")));
         }
         let to = self.read_cell_names(&form.required_form("to")?)?;
         let over_ms = form.count_or("over-ms", DEFAULT_MOVE_TIME_MS, 1, MAX_MOVE_TIME_MS)?;
@@ -159,23 +163,24 @@
         Ok(())
     }
 
-    /// Checks that no tenant, and no request without one, would be without a cell.
+    /// Checks that each tenant has a cell, and that requests without a tenant have one.
     fn check_weights(&self, root: &Form, core: &Settings) -> Result<(), ConfigError> {
         if self.cells.iter().any(|cell| cell.weight > 0.0) {
             return Ok(());
         }
         let has_home = |tenant: &str| self.tenants.iter().any(|known| known.tenant == tenant);
-        let who = match core.tenants.iter().find(|tenant| !has_home(&tenant.name)) {
+        let without_cell = match core.tenants.iter().find(|tenant| !has_home(&tenant.name)) {
             Some(tenant) => format!("tenant `{}`", tenant.name),
             None => "requests without a tenant".to_string(),
         };
-        Err(root.error(format!("{who} would be in no cell: none has a weight over 0")))
+        Err(root.error(format!("{without_cell} would be in no cell: no cell has a `weight` above 0")))
     }
 
-    /// Checks that idempotency keys have the scope of the whole fleet. Repeats of a request with a key are dropped
-    /// inside a group of engines. A zone that lies in several cells would let a repeat of one tenant reach engines
-    /// that its own cell never sees; while a tenant moves, the repeat of a request that ran in the old cell would
-    /// run in the new one.
+    /// Checks that idempotency keys have the scope of the whole fleet. Engines drop a repeated request with the same
+    /// key only within the scope of the key. With the scope of a zone or a rack, a request that ran in one cell could
+    /// be repeated in another: if a zone has engines of several cells, the repeat may reach engines that the tenant's
+    /// own cell does not use; and while a tenant moves, the repeat of a request that ran in the old cell would run in
+    /// the new one.
     fn check_idempotency_scopes(&self, root: &Form, core: &Settings) -> Result<(), ConfigError> {
         if self.cells.len() < 2 {
             return Ok(());
@@ -184,8 +189,8 @@
         Err(root.rule_error(
             NO_DUPLICATE_EFFECTS,
             format!(
-                "the repeats of class `{}` are dropped inside a zone or rack, but its tenants may be in \
-                 several cells one after the other: only the group `all` spans cells",
+                "repeats of class `{}` are dropped within a zone or rack only, but its tenants may move between \
+                 cells: only the group `all` spans cells",
                 class.name
             ),
         ))
@@ -205,20 +210,20 @@
     }
 }
 
-/// Reads the step of a move with its times; 0 stands for a time that is not given.
+/// Reads the phase of a move, called `step` in the file, and its times; 0 means that a time is not given.
 fn read_phase(form: &Form) -> Result<MovePhase, ConfigError> {
     let since = form.count_or("since-unix-ms", 0, 0, MAX_NUMBER)?;
     let at = form.count_or("back-unix-ms", 0, 0, MAX_NUMBER)?;
-    let step = form.text_or("step", "prepare")?;
-    match (step.as_str(), since, at) {
+    let phase = form.text_or("step", "prepare")?;
+    match (phase.as_str(), since, at) {
         ("prepare", 0, 0) => Ok(MovePhase::Prepare),
         ("both", 1.., 0) => Ok(MovePhase::Both { since }),
         ("done", 1.., 0) => Ok(MovePhase::Done { since }),
         ("back", 0, 1..) => Ok(MovePhase::Back { since: at, at }),
         ("back", _, 1..) if at >= since => Ok(MovePhase::Back { since, at }),
         ("prepare" | "both" | "done" | "back", ..) => Err(form.error(
-            "`prepare` has no times, `both` and `done` have `since-unix-ms`, `back` has `back-unix-ms` \
-             behind it as well",
+            "`prepare` has no times, `both` and `done` have `since-unix-ms`, `back` has `back-unix-ms`, \
+             not before `since-unix-ms` if that is given",
         )),
         (other, ..) => Err(form.error(format!("`step` is `{other}`, not prepare, both, done or back"))),
     }
--- a/crates/pintally-cells/src/file/render.rs
+++ b/crates/pintally-cells/src/file/render.rs
@@ -3,11 +3,11 @@
 use pintally_config::form::quoted;
 
 use super::{CellSpec, CellsFile, HomeCells, TenantHome};
-use crate::moves::{MovePhase, TenantMove};
+use crate::tenant_move::{MovePhase, TenantMove};
 use crate::CellName;
 
 impl CellsFile {
-    /// The text of the file; [`CellsFile::parse`] reads it back.
+    /// The text of the file; [`CellsFile::parse`] parses it to the same file.
     pub fn render(&self) -> String {
         let cells = self.cells.iter().map(cell_form);
         let tenants = self.tenants.iter().map(tenant_form);
--- a/crates/pintally-cells/src/file/versions.rs
+++ b/crates/pintally-cells/src/file/versions.rs
@@ -1,9 +1,9 @@
-//! Which versions of a cells file may follow another: steps of a move.
+//! Operator commands for moves, and which version of a cells file may replace another.
 
 use std::collections::BTreeSet;
 
 use super::{CellsFile, HomeCells, TenantHome};
-use crate::moves::{MovePhase, TenantMove};
+use crate::tenant_move::{MovePhase, TenantMove};
 use crate::CellName;
 
 /// An operator's command for a tenant's move.
@@ -16,41 +16,41 @@
         /// Time until all sessions have moved, in milliseconds.
         over_ms: u64,
     },
-    /// Move sessions from now on.
+    /// Start to move sessions.
     Go,
-    /// All sessions have moved.
+    /// Mark the move as done; possible once all sessions have moved.
     Done,
     /// Move the sessions back.
     Back,
-    /// End the move: the cells where the sessions are become the tenant's home.
+    /// End the move: the cells in which the sessions are become the tenant's home cells.
     Settle,
 }
 
-/// Why a command for a move is not possible now.
+/// Why a command for a move is not possible in its current phase.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum MoveError {
-    /// The tenant does not move.
-    #[error("tenant `{0}` is not on the move")]
+    /// The tenant has no move.
+    #[error("tenant `{0}` has no move")]
     NotMoving(String),
-    /// The tenant moves already.
-    #[error("tenant `{0}` is on the move already")]
+    /// The tenant has a move already.
+    #[error("tenant `{0}` has a move already")]
     AlreadyMoving(String),
     /// A target cell does not exist.
     #[error("no cell is named `{0}`")]
     UnknownCell(CellName),
-    /// The target is the tenant's home, or there is none.
-    #[error("tenant `{0}` is there already")]
+    /// The target cells are the tenant's home cells, or none is given.
+    #[error("the target cells of tenant `{0}` are its home cells, or none is given")]
     AlreadyThere(String),
     /// Not all sessions have moved yet.
-    #[error("only {:.0}% of the sessions are over", .moved_share * 100.0)]
+    #[error("only {:.0}% of the sessions have moved", .moved_share * 100.0)]
     Incomplete {
         /// The share of sessions that have moved.
         moved_share: f64,
     },
-    /// The command does not fit the move's step.
-    #[error("a move that stands at {phase:?} cannot take the turn {command:?}")]
+    /// The command is not possible in the move's phase.
+    #[error("command {command:?} is not possible for a move in phase {phase:?}")]
     WrongPhase {
-        /// The move's step.
+        /// The move's phase.
         phase: MovePhase,
         /// The command.
         command: MoveCommand,
@@ -61,34 +61,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VersionError {
     /// It is older.
-    #[error("version {version} is older than {current}, which holds")]
+    #[error("version {version} is older than version {current}, which is in force")]
     Older {
         /// The version.
         version: u64,
         /// The version in force.
         current: u64,
     },
-    /// A move takes a step that may not follow its current one.
-    #[error("the move of tenant `{tenant}` goes from {from:?} to {to:?}")]
+    /// A move enters a phase that may not follow its current one.
+    #[error("the move of tenant `{tenant}` cannot change from {from:?} to {to:?}")]
     InvalidPhaseChange {
         /// The tenant.
         tenant: String,
-        /// The step in the current version.
+        /// The phase in the current version.
         from: MovePhase,
-        /// The step in the new version.
+        /// The phase in the new version.
         to: MovePhase,
     },
-    /// A tenant has moved to a cell that the version does not have.
-    #[error("tenant `{0}` has moved to a cell that is gone")]
+    /// A tenant has moved to a cell that the new version does not have.
+    #[error("tenant `{0}` has moved to a cell that the new version lacks")]
     TargetRemoved(String),
 }
 
 impl CellsFile {
-    /// The next version, in which a tenant's move takes a step.
+    /// The next version of the file, in which a command is applied to a tenant's move.
     ///
     /// # Errors
     ///
-    /// [`MoveError`] if the command is not possible now.
+    /// [`MoveError`] if the command is not possible in the move's current phase.
     pub fn apply_move_command(
         &self,
         tenant: &str,
@@ -117,7 +117,7 @@
         Ok(next)
     }
 
-    /// The move of a tenant that does not move yet.
+    /// The move that the command begins, for a tenant without a move.
     fn new_move(&self, tenant: &str, command: MoveCommand) -> Result<TenantMove, MoveError> {
         let MoveCommand::Begin { to, over_ms } = command else {
             return Err(MoveError::NotMoving(tenant.to_string()));
@@ -131,7 +131,7 @@
         Ok(TenantMove { tenant: tenant.to_string(), to, over_ms: over_ms.max(1), phase: MovePhase::Prepare })
     }
 
-    /// Makes cells the home of a tenant.
+    /// Makes these cells the home cells of a tenant.
     fn pin(&mut self, tenant: &str, cells: Vec<CellName>) {
         let home = HomeCells::Pinned(cells);
         match self.tenants.iter_mut().find(|known| known.tenant == tenant) {
@@ -140,12 +140,12 @@
         }
     }
 
-    /// Checks that this version may follow another: no move may take a step that does not follow its current one.
-    /// Moves that end by leaving the file may do so at any step.
+    /// Checks that this version may replace an earlier one: each move must stay in its phase or enter one that may
+    /// follow. A move may be removed from the file in any phase; after `done` its target cells must still exist.
     ///
     /// # Errors
     ///
-    /// [`VersionError`] names the move that contradicts.
+    /// [`VersionError`] names the tenant whose move violates this.
     pub fn check_follows(&self, before: &CellsFile) -> Result<(), VersionError> {
         let cells: BTreeSet<&CellName> = self.cells.iter().map(|cell| &cell.name).collect();
         for old in &before.moves {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The step after a command for a move that goes on.
+/// The phase of a move after a command that does not end it.
 fn next_phase(current: &TenantMove, command: MoveCommand, unix_ms: u64) -> Result<MovePhase, MoveError> {
     let moved_share = current.moved_share(unix_ms);
     match (command, current.phase) {
--- a/crates/pintally-cells/src/lib.rs
+++ b/crates/pintally-cells/src/lib.rs
@@ -1,41 +1,41 @@
-//! Cells: subsets of the fleet that serve some tenants or keys and nobody else.
+//! Cells: subsets of the fleet, each of which serves a subset of the tenants and sessions.
 //!
-//! Every node reaches the same decision from the same file: the cell of a request follows from the cells file, the
-//! tenant, the session and the time, and from nothing that one node alone has observed. Such observations decide
-//! only which requests are rejected, which engines are borrowed and how fast moves go.
+//! All nodes with the same cells file assign a request to the same cell, because the assignment depends only on the
+//! file, the tenant, the session and the time. What a single node observes affects only which requests it rejects,
+//! which engines are borrowed and how fast sessions move between cells.
 //!
-//! No input or output; the caller passes the time. `docs/cells.md` weighs the options.
+//! The crate performs no input or output; the caller passes the time. `docs/cells.md` compares the design options.
 
 #![deny(missing_docs)]
 
 mod admission;
-mod assign;
 mod assignment;
+mod cell_health;
 mod cells;
 mod composition;
 mod edge;
 mod engine_health;
 mod file;
-mod health;
+mod hashing;
 mod loans;
 mod move_rate;
-mod moves;
 mod overload;
+mod tenant_move;
 
 pub use admission::{AdmissionRequest, CellAdmission, RejectionReason};
-pub use assign::{cells_by_hash, hash_fraction};
 pub use assignment::EngineAssignment;
+pub use cell_health::{CellHealth, ServiceLevel};
 pub use cells::{CellStatus, Cells};
 pub use edge::{EdgeAdmission, EdgeDecision, SlotUsage};
 pub use engine_health::EngineHealth;
 pub use file::{
     CellSpec, CellsFile, HomeCells, MoveCommand, MoveError, RequiredEngines, TenantHome, VersionError,
 };
-pub use health::{CellHealth, ServiceLevel};
+pub use hashing::{cells_by_hash, hash_fraction};
 pub use loans::{Loans, ServingEngine};
 pub use move_rate::MoveRateController;
-pub use moves::{MovePhase, TenantMove};
 pub use overload::OverloadTracker;
+pub use tenant_move::{MovePhase, TenantMove};
 
 use std::sync::Arc;
 
--- a/crates/pintally-cells/src/loans.rs
+++ b/crates/pintally-cells/src/loans.rs
@@ -1,21 +1,23 @@
-//! Loans: spare engines that replace what a cell has lost.
+//! Loans: spare engines that a cell borrows to replace lost engines, or because it is overloaded.
 //!
-//! Which cell borrows which engine follows from the endpoint list and the cells file. A loan stays until its cell
-//! has been complete without it for a while, so that engines that come and go move nothing.
+//! Which engine a cell borrows is determined by the endpoint list, the cells file and the requests of overloaded cells.
+//! A loan ends only after its cell has had all engines that it needs without the loan for a while, so that loans do
+//! not change whenever an engine comes and goes.
 
 use std::collections::BTreeMap;
 
 use pintally::interface::{EngineId, Micros, Role};
 
-use crate::assign::{hash_fraction, number};
 use crate::composition::{Composition, Shortage};
 use crate::file::{CellSpec, RequiredEngines};
+use crate::hashing::{hash_fraction, key_of};
 use crate::CellName;
 
-/// A cell must have been complete for this long before it returns its engines, in microseconds.
+/// A cell returns its borrowed engines after it has had all that it needs without them for this long, in microseconds.
 const RETURN_DELAY_MICROS: Micros = 10_000_000;
 
-/// A cell gives up a requested engine only to one that has borrowed at least this many fewer.
+/// An engine that a cell borrows beyond its needs goes to another cell only if that has borrowed at least this many
+/// engines fewer.
 const MIN_LOAN_DIFFERENCE: usize = 2;
 
 /// A serving engine of the endpoint list.
@@ -36,14 +38,14 @@
     borrower: CellName,
 }
 
-/// A cell that may borrow: what it is to have, and the rank among the cells; the lowest rank goes first.
+/// A cell that may borrow, with the engines that it should have. Candidates of a lower rank borrow first.
 struct Candidate<'a, R> {
     cell: &'a CellSpec,
     target: RequiredEngines,
     rank: R,
 }
 
-/// The cells and the serving engines that loans are made for.
+/// The cells and the serving engines between which loans are made.
 #[derive(Clone, Copy)]
 struct Fleet<'a> {
     cells: &'a [CellSpec],
@@ -55,7 +57,7 @@
 pub struct Loans {
     /// The borrower of each engine.
     borrowers: BTreeMap<EngineId, CellName>,
-    /// Since when each borrower has been complete without its loans.
+    /// Since when each borrower has had all engines that it needs without its loans.
     complete_since: BTreeMap<CellName, Micros>,
 }
 
@@ -75,17 +77,18 @@
         self.borrowers.is_empty()
     }
 
-    /// When a loan may end by time alone.
+    /// The earliest time at which a loan may end although the endpoint list does not change.
     pub fn next_return(&self) -> Option<Micros> {
         let first = self.complete_since.values().min()?;
         Some(first.saturating_add(RETURN_DELAY_MICROS))
     }
 
-    /// Makes and ends loans for the engines that serve now, and returns whether anything has changed.
-    /// `requested_pairs` says how many readers and writers beyond its needs a cell requests.
+    /// Makes and ends loans for the engines that serve now, and returns whether any loan has changed.
+    /// `requested_pairs` returns how many readers, and as many writers, a cell requests beyond its required engines.
     ///
-    /// Lost engines are replaced first: an engine that another cell has only requested is taken back for that at
-    /// once. What is left goes to the cells that request more, the one that has borrowed least first.
+    /// Lost engines are replaced first. For that, an engine that another cell has borrowed beyond its required engines
+    /// is reclaimed at once. The remaining spare engines go to the cells that request more, first to the one that has
+    /// borrowed the fewest.
     pub fn update(
         &mut self,
         now: Micros,
@@ -104,7 +107,8 @@
         };
         self.end_invalid(fleet);
         cells.iter().for_each(|cell| self.end_unneeded(now, cell, &target(cell), serving));
-        // The cell that has lost most is helped first, one engine at a time, so that none takes all.
+        // The cell that lacks the largest fraction of its engines borrows first. Each loan is one engine, so that no
+        // cell takes all spare engines.
         while let Some(loan) = self.replacement(fleet) {
             self.borrowers.insert(loan.engine, loan.borrower);
         }
@@ -119,7 +123,7 @@
         self.borrowers != before
     }
 
-    /// Ends the loans of engines that do not serve or belong to a cell now, and of cells that there are no more.
+    /// Ends the loans of engines that no longer serve or now belong to a cell, and of cells that no longer exist.
     fn end_invalid(&mut self, fleet: Fleet) {
         let is_spare =
             |engine: &EngineId| fleet.serving.iter().any(|one| one.engine == *engine && one.cell.is_none());
@@ -128,7 +132,7 @@
         });
     }
 
-    /// Ends the loans of a cell that has had all it needs without them for long enough.
+    /// Ends the loans of a cell that has had all engines that it needs without them for long enough.
     fn end_unneeded(
         &mut self,
         now: Micros,
@@ -158,7 +162,7 @@
         self.next_loan(candidates, fleet, |cell, shortage| self.reclaimable(cell, shortage, fleet))
     }
 
-    /// The next loan that a cell only requests.
+    /// The next loan that gives a cell a requested engine beyond its required ones.
     fn requested(&self, fleet: Fleet, requesting: &[(&CellSpec, RequiredEngines)]) -> Option<NewLoan> {
         let candidates = requesting.iter().map(|(cell, target)| Candidate {
             cell,
@@ -168,8 +172,8 @@
         self.next_loan(candidates, fleet, |cell, shortage| self.balancing(cell, shortage, fleet))
     }
 
-    /// The loan for the candidate of the lowest rank that lacks an engine and can have one: a spare engine, or
-    /// else one that `other_source` finds.
+    /// The loan for the candidate of the lowest rank that lacks an engine and can get one: a spare engine, or
+    /// otherwise one that `other_source` finds.
     fn next_loan<'a, R: PartialOrd>(
         &self,
         candidates: impl Iterator<Item = Candidate<'a, R>>,
@@ -205,7 +209,7 @@
         engines
     }
 
-    /// An engine lent to another cell that has all that it needs without it.
+    /// An engine lent to another cell that has all its required engines without it.
     fn reclaimable(&self, cell: &CellSpec, shortage: Shortage, fleet: Fleet) -> Option<EngineId> {
         let mut found: Option<(usize, &EngineId)> = None;
         for other in fleet.cells.iter().filter(|other| other.name != cell.name) {
@@ -216,7 +220,7 @@
                 .filter(|one| self.borrowers.get(&one.engine) == Some(&other.name))
                 .filter(|one| shortage.of_role(one.role) > 0)
                 .filter(|one| self.can_spare(other, &one.engine, fleet.serving));
-            // The cell that has borrowed most gives first.
+            // The engine is taken from the cell that has borrowed the most.
             for one in lent {
                 if found.is_none_or(|found| (borrowed, &one.engine) > found) {
                     found = Some((borrowed, &one.engine));
@@ -226,7 +230,7 @@
         found.map(|(_, engine)| engine.clone())
     }
 
-    /// Whether a cell has all that it needs without an engine that it has borrowed.
+    /// Whether a cell has all its required engines without an engine that it has borrowed.
     fn can_spare(&self, cell: &CellSpec, engine: &EngineId, serving: &[ServingEngine]) -> bool {
         let mut others = own_engines(cell, serving);
         serving
@@ -236,7 +240,7 @@
         others.shortage(&cell.required_engines).is_none()
     }
 
-    /// An engine that another cell has requested, if that has borrowed notably more.
+    /// An engine lent to another cell beyond its required ones, if that cell has borrowed clearly more engines.
     fn balancing(&self, cell: &CellSpec, shortage: Shortage, fleet: Fleet) -> Option<EngineId> {
         let engine = self.reclaimable(cell, shortage, fleet)?;
         let borrower = self.borrowers.get(&engine)?;
@@ -244,10 +248,10 @@
         differs.then_some(engine)
     }
 
-    /// The spare engine that a cell would borrow next: of the role that it lacks most, by hash.
+    /// The spare engine that a cell would borrow next: of the role that it lacks most, chosen by hash.
     fn spare(&self, cell: &CellSpec, shortage: Shortage, serving: &[ServingEngine]) -> Option<EngineId> {
         let preference = |one: &ServingEngine| (shortage.of_role(one.role), one.role != Role::Mixed);
-        let hash = |one: &ServingEngine| hash_fraction(&cell.name.0, number(&one.engine.0));
+        let hash = |one: &ServingEngine| hash_fraction(&cell.name.0, key_of(&one.engine.0));
         serving
             .iter()
             .filter(|one| one.cell.is_none() && !self.borrowers.contains_key(&one.engine))
--- a/crates/pintally-cells/src/moves.rs
+++ b/crates/pintally-cells/src/tenant_move.rs
@@ -1,30 +1,30 @@
-//! The move of a tenant from its cells to others, step by step, each step a version of the cells file.
+//! The move of a tenant from its home cells to others. Each phase of a move is set by a version of the cells file.
 //!
-//! `prepare`: nothing changes yet. `both`: sessions move one by one until all have, so that only a few at a time
-//! find a cold cache. `done`: all have moved. `back`: they return in the same way, from wherever the move had come.
-//! How far a move has come follows from times in the file, so that a node that restarts, sees a version late or
-//! misses one reaches the same decision as the others. A request stays in the cell in which it began, whatever the
-//! move does meanwhile.
+//! `prepare`: nothing changes yet. `both`: sessions move gradually until all have moved, so that only a few at a time
+//! find a cold cache. `done`: all sessions have moved. `back`: the sessions that have moved return in the same way.
+//! The progress of a move is computed from times in the file, so that a node that restarts, receives a version late
+//! or misses one reaches the same decision as the others. A request stays in the cell in which it began, regardless
+//! of the move's progress.
 
-use crate::assign::hash_fraction;
+use crate::hashing::hash_fraction;
 use crate::CellName;
 
-/// The step of a move; times are Unix milliseconds.
+/// The phase of a move; times are Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MovePhase {
     /// Prepared: nothing changes yet.
     Prepare,
-    /// Sessions move.
+    /// Sessions move gradually.
     Both {
         /// When the first session moved.
         since: u64,
     },
-    /// All sessions have moved; where the time of `both` has not passed yet they still follow it.
+    /// All sessions have moved; until [`TenantMove::over_ms`] has passed since the first one they still move gradually.
     Done {
         /// When the first session moved.
         since: u64,
     },
-    /// Sessions return.
+    /// Sessions return gradually.
     Back {
         /// When the first session moved.
         since: u64,
@@ -54,7 +54,7 @@
     pub to: Vec<CellName>,
     /// Time until all sessions have moved, in milliseconds.
     pub over_ms: u64,
-    /// The current step.
+    /// The current phase.
     pub phase: MovePhase,
 }
 
@@ -82,7 +82,7 @@
         share >= 1.0 || hash_fraction(&self.tenant, session) < share
     }
 
-    /// Whether the step may follow that of an earlier version of the same move.
+    /// Whether this is the same move as in an earlier version, in the same phase or one that may follow.
     pub fn may_follow(&self, before: &TenantMove) -> bool {
         if self.tenant != before.tenant || self.to != before.to || self.over_ms != before.over_ms {
             return false;
--- a/crates/pintally-cells/tests/common/mod.rs
+++ b/crates/pintally-cells/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Helpers of the tests of cells.
+//! Helpers shared by the tests.
 
 use pintally::interface::{Endpoint, EndpointState, EngineId};
 
-/// An engine that serves.
-pub fn member(name: &str) -> Endpoint {
+/// The endpoint of a serving engine.
+pub fn serving_endpoint(name: &str) -> Endpoint {
     Endpoint {
         engine: EngineId(name.into()),
         zone: String::new(),
--- a/crates/pintally-cells/tests/golden.rs
+++ b/crates/pintally-cells/tests/golden.rs
@@ -1,11 +1,11 @@
-//! The text of the cells file and of its cached copy: a later build reads what an earlier one has written.
+//! Golden text of the cells file: later builds must parse what earlier ones have written, cached copies included.
 
 use pintally::interface::{DiscoveryMode, LoadReporting, Settings, Tenant};
 use pintally_cells::{CellSpec, CellsFile, HomeCells, MovePhase, RequiredEngines, TenantHome, TenantMove};
 
 const GOLDEN: &str = include_str!("golden/cells.txt");
 
-fn core() -> Settings {
+fn core_settings() -> Settings {
     let tenant = |name: &str| Tenant { name: name.to_string(), quota_per_s: 0.0 };
     Settings {
         zone: String::new(),
@@ -65,5 +65,5 @@
 #[test]
 fn cells_file_text_is_stable() {
     assert_eq!(file().render(), GOLDEN);
-    assert_eq!(CellsFile::parse("cells", GOLDEN, &core()).unwrap(), file());
+    assert_eq!(CellsFile::parse("cells", GOLDEN, &core_settings()).unwrap(), file());
 }
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -2,8 +2,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::map::Settings;
 use crate::plan::{FailoverPlan, FULL_PARTS};
+use crate::settings::Settings;
 use crate::Micros;
 
 /// The routing decision for a request.
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -11,24 +11,24 @@
 
 mod flow;
 mod follower;
-mod health;
-mod map;
 mod observer;
 mod plan;
 mod planner;
 mod routing_row;
+mod settings;
 mod status;
+mod zone_health;
 mod zone_recovery;
 
 pub use flow::{min_cost_placement, FlowAssignment};
 pub use follower::{PlanFollower, Route};
-pub use health::ZoneHealth;
-pub use map::{Settings, Zone, ZoneMap, MAX_ZONES};
 pub use observer::{ZoneObserver, ZoneReport};
 pub use pintally_validation::InvalidConfiguration;
 pub use plan::FailoverPlan;
 pub use planner::{OperatorOrder, Planner};
+pub use settings::{Settings, Zone, ZoneMap, MAX_ZONES};
 pub use status::{Status, ZoneStatus};
+pub use zone_health::ZoneHealth;
 
 /// Microseconds of a monotonic clock.
 pub type Micros = u64;
--- a/crates/pintally-failover/src/observer.rs
+++ b/crates/pintally-failover/src/observer.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::map::MAX_ZONES;
 use crate::plan::FULL_PARTS;
+use crate::settings::MAX_ZONES;
 use crate::Micros;
 
 /// Half-life of the counts, in microseconds.
--- a/crates/pintally-failover/src/plan.rs
+++ b/crates/pintally-failover/src/plan.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::map::MAX_ZONES;
+use crate::settings::MAX_ZONES;
 
 /// Fractions in a plan are sent in parts of this number.
 pub(crate) const FULL_PARTS: u8 = 255;
--- a/crates/pintally-failover/src/planner.rs
+++ b/crates/pintally-failover/src/planner.rs
@@ -1,12 +1,12 @@
 //! The leader's planner: from the reports of all nodes to a failover plan.
 
 use crate::flow::min_cost_placement;
-use crate::health::{ObservedZone, Reports, ZoneHealth};
-use crate::map::Settings;
 use crate::observer::ZoneReport;
 use crate::plan::FailoverPlan;
 use crate::routing_row::{Excess, RoutingRow, ZoneLoad};
+use crate::settings::Settings;
 use crate::status::Status;
+use crate::zone_health::{ObservedZone, Reports, ZoneHealth};
 use crate::zone_recovery::ZoneRecovery;
 use crate::Micros;
 
--- a/crates/pintally-failover/src/status.rs
+++ b/crates/pintally-failover/src/status.rs
@@ -3,9 +3,9 @@
 use serde::Serialize;
 
 use crate::flow::FlowAssignment;
-use crate::health::{ObservedZone, ZoneHealth};
 use crate::planner::{OperatorOrder, Planner};
 use crate::routing_row::ZoneLoad;
+use crate::zone_health::{ObservedZone, ZoneHealth};
 
 /// The state of one zone.
 #[derive(Clone, Debug, PartialEq, Serialize)]
--- a/crates/pintally-failover/src/zone_recovery.rs
+++ b/crates/pintally-failover/src/zone_recovery.rs
@@ -1,8 +1,8 @@
 //! Evacuation and recovery of one zone, as the leader decides them.
 
-use crate::health::{ObservedZone, ZoneHealth};
-use crate::map::Settings;
 use crate::plan::FULL_PARTS;
+use crate::settings::Settings;
+use crate::zone_health::{ObservedZone, ZoneHealth};
 use crate::Micros;
 
 /// The steps of the recovery ramp, as parts of the zone's capacity: evacuated, a trickle that shows how the zone
