--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -163,7 +163,7 @@
     };
     until("a rehearsal is answered", 10, || {
         let (done, text) = order("plan", "a");
-        done && text.contains("people gave it up")
+        done && text.contains("evacuated by an operator")
     });
     assert_eq!(zone(&fleet, "a"), Some(1.0), "a rehearsal changes nothing");
     until("the order is taken", 10, || order("order", "a").0);
--- a/crates/pintally-failover/src/flow.rs
+++ b/crates/pintally-failover/src/flow.rs
@@ -1,27 +1,27 @@
-//! Placement of requests: a minimum-cost flow from zones that lack capacity to zones with spare capacity.
+//! Placement of requests as a minimum-cost flow from zones that lack capacity to zones with spare capacity.
 //!
-//! Exact, by successive shortest paths (Ahuja, Magnanti and Orlin, *Network Flows*, 1993): with at most 20
-//! zones a path is found by relaxation over a matrix, and there are at most as many paths as pairs of zones.
+//! The solution is exact, by successive shortest paths (Ahuja, Magnanti and Orlin, *Network Flows*, 1993). With at most
+//! 20 zones each path is found by relaxation over a matrix, and there are at most as many paths as pairs of zones.
 
-/// Smaller amounts and differences are rounding errors.
+/// Amounts and differences below this count as rounding errors.
 const EPSILON: f64 = 1e-9;
 
-/// Marks a vertex that no path reaches.
+/// Stands for the absent predecessor of a vertex that starts a path or that no path reaches.
 const NO_VERTEX: usize = usize::MAX;
 
 /// A placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowAssignment {
-    /// From each zone to each zone: the amount.
+    /// The amount that is sent from each zone (outer index) to each zone (inner index).
     pub flow: Vec<Vec<f64>>,
-    /// By zone: the amount that found no capacity.
+    /// By zone: the amount for which there was no capacity.
     pub unplaced: Vec<f64>,
-    /// The sum of amounts times prices.
+    /// The sum of all amounts, each multiplied by its price.
     pub cost: f64,
 }
 
-/// Places as much as possible of what each zone needs in the spare capacity of the others, at the least cost.
-/// A price that is not finite forbids the pair.
+/// Places as much as possible of what each zone needs in the spare capacity of the others, at the minimum cost. A price
+/// that is not finite forbids the pair of zones.
 pub fn min_cost_placement(
     needs: &[f64],
     spare: &[f64],
@@ -53,7 +53,7 @@
     FlowAssignment { flow, unplaced, cost }
 }
 
-/// Sends an amount along a path. A step from a target back to a source takes back what was sent before.
+/// Sends an amount along a path. A step from a target back to a source reduces an amount that was sent before.
 fn augment(flow: &mut [Vec<f64>], path: &[usize], amount: f64) {
     let zones = flow.len();
     for step in path.windows(2) {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Shortest paths from all sources to each vertex: its cost and the vertex before it.
+/// The shortest path from the sources to each vertex: its cost, and the vertex before the last one.
 struct ShortestPaths {
     cost: Vec<f64>,
     before: Vec<usize>,
@@ -90,7 +90,7 @@
         paths
     }
 
-    /// Shortens the paths by each edge once; whether any path became shorter.
+    /// Relaxes each edge once, and returns whether any path became shorter.
     fn relax(&mut self, flow: &[Vec<f64>], price: &impl Fn(usize, usize) -> f64) -> bool {
         let zones = flow.len();
         let mut changed = false;
@@ -119,11 +119,11 @@
         true
     }
 
-    /// The path to a vertex, from its source on.
+    /// The path to a vertex, beginning at its source.
     fn path_to(&self, target: usize) -> Vec<usize> {
         let mut path = vec![target];
         let mut vertex = target;
-        // A path visits each vertex once; the bound guards against a cycle by rounding errors.
+        // A path visits each vertex at most once. The bound guards against a cycle caused by rounding errors.
         while self.before[vertex] != NO_VERTEX && path.len() <= 2 * self.cost.len() {
             vertex = self.before[vertex];
             path.push(vertex);
@@ -133,7 +133,7 @@
     }
 }
 
-/// The cheapest path from a zone that needs capacity to one that has some, and the amount that it carries.
+/// The cheapest path from a zone that needs capacity to one that has spare capacity, and the amount to send along it.
 fn cheapest_path(
     unplaced: &[f64],
     spare: &[f64],
--- a/crates/pintally-failover/src/follower.rs
+++ b/crates/pintally-failover/src/follower.rs
@@ -1,4 +1,4 @@
-//! A node that follows the leader's plans.
+//! Routing of a node's requests according to the leader's plans.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -11,7 +11,7 @@
 pub enum Route {
     /// The engines of this zone serve it.
     Zone(usize),
-    /// No zone that it may use has capacity; the client may retry after this time.
+    /// No zone that may serve it has capacity; the client may retry after this time.
     Reject(Micros),
 }
 
@@ -22,7 +22,7 @@
     received: Micros,
 }
 
-/// Routes a node's requests by the latest plan.
+/// Routes the requests of one node according to the latest plan.
 #[derive(Clone, Debug)]
 pub struct PlanFollower {
     settings: Settings,
@@ -32,12 +32,12 @@
 }
 
 impl PlanFollower {
-    /// A node in the zone `home` that has received no plan.
+    /// The follower of a node in the zone `home`, without a plan.
     pub fn new(settings: Settings, home: usize) -> PlanFollower {
         PlanFollower { settings, home, latest: None }
     }
 
-    /// Applies a plan, unless it is not later than the current one, and returns whether it did.
+    /// Applies a plan if it is later than the current one, and returns whether it did.
     pub fn apply(&mut self, now: Micros, plan: FailoverPlan) -> bool {
         if !plan.supersedes(self.latest.as_ref().map(|latest| &latest.plan)) {
             return false;
@@ -46,18 +46,17 @@
         true
     }
 
-    /// The plan in force: a plan expires unless it is renewed.
+    /// The plan in force; `None` if there is none or the latest one has expired.
     pub fn plan(&self, now: Micros) -> Option<&FailoverPlan> {
         let latest = self.latest.as_ref()?;
         (now < latest.received + self.settings.plan_lifetime).then_some(&latest.plan)
     }
 
-    /// The route of a session's requests: the same zone while the plan's fractions stay the same, and as few
-    /// sessions as possible change theirs when the fractions do. A session that is `region_bound` may not leave the
-    /// region.
+    /// The route of a session's requests. A session stays in the same zone while the fractions in the plan stay the
+    /// same; when they change, few sessions change their zone. A `region_bound` session may not leave the region.
     pub fn route(&self, now: Micros, session: u64, region_bound: bool) -> Route {
-        // Without a plan, as without a majority of the replicas, every node serves in its own zone what that
-        // can carry.
+        // Without a plan, for example while the replicas have no majority, every node serves its requests in its own
+        // zone, as far as that has capacity.
         let Some(row) = self.plan(now).and_then(|plan| plan.rows.get(self.home)) else {
             return Route::Zone(self.home);
         };
@@ -66,7 +65,7 @@
         let others = row.iter().filter(|route| !is_home(route));
         let is_allowed =
             |zone: u8| !region_bound || self.settings.zones.in_same_region(self.home, usize::from(zone));
-        // The hash is the session's position in the row.
+        // The hash of the session determines its position in the row, from 0 to 254.
         let mut position = (xxh3_64(&session.to_le_bytes()) >> 56) as u32 * u32::from(FULL_PARTS) / 256;
         for (zone, parts) in own.chain(others).filter(|(zone, _)| is_allowed(*zone)) {
             if position < u32::from(*parts) {
--- a/crates/pintally-failover/src/lib.rs
+++ b/crates/pintally-failover/src/lib.rs
@@ -1,11 +1,13 @@
-//! Failover between zones and regions, decided by one leader; no input or output.
+//! Failover between zones and regions, decided by one leader. The crate performs no input or output.
 //!
-//! Each node reports the requests that its clients send and the outcomes of its attempts by zone
-//! ([`ZoneObserver`]). The leader of the replicas works out how the requests of each zone are divided over zones
-//! and publishes a plan with its term ([`Planner`]); each node follows the latest plan until it expires
-//! ([`PlanFollower`]), whole sessions at a time. Without a plan a node serves its requests in its own zone.
+//! Each node reports the rate of the requests that its clients send, and the outcomes of its attempts by zone
+//! ([`ZoneObserver`]). From these reports the leader of the replicas computes how the requests of each zone are divided
+//! over zones, and publishes a plan with its term ([`Planner`]). Each node follows the latest plan until it expires
+//! ([`PlanFollower`]) and routes all requests of a session to the same zone. Without a plan a node serves its requests
+//! in its own zone.
 //!
-//! Inside a zone the decision core is unchanged. `docs/failover.md` has the options weighed and the bounds.
+//! Which engine of a zone serves a request is still the decision of the core. `docs/failover.md` compares the design
+//! options and states the bounds.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-failover/src/observer.rs
+++ b/crates/pintally-failover/src/observer.rs
@@ -1,4 +1,4 @@
-//! Outcomes of one node's own requests and attempts, counted by zone.
+//! One node's counts of its clients' requests, and of the outcomes of its attempts by zone.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,22 +6,22 @@
 use crate::settings::MAX_ZONES;
 use crate::Micros;
 
-/// Half-life of the counts, in microseconds.
+/// Half-life of the decaying counts, in microseconds.
 const HALF_LIFE_MICROS: f64 = 1.5e6;
 
-/// A zone with fewer recent attempts than this is reported as unused.
+/// A zone with fewer recent attempts than this is reported with no attempts.
 const MIN_REPORTED_ATTEMPTS: f64 = 0.5;
 
-/// Bounds the reported number of attempts, which is sent in 16 bits.
+/// The maximum reported number of attempts, which is sent in 16 bits.
 const MAX_REPORTED_ATTEMPTS: f64 = 65_000.0;
 
-/// The report of one node, as it is gossiped.
+/// The report of one node, in the form in which it is gossiped.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneReport {
-    /// Requests a second that clients send to the node.
+    /// Requests per second that clients send to the node.
     pub offered: f32,
-    /// By zone of engines: recent attempts, and of these the fraction that failed and the fraction that
-    /// was late, in parts of 255.
+    /// By the zone of the engines: the number of recent attempts, and the fractions of them that failed and that were
+    /// late, in parts of 255.
     pub zones: Vec<(u16, u8, u8)>,
 }
 
@@ -31,8 +31,8 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a report; `None` if the bytes are malformed, or if they name too many zones or an impossible
-    /// rate.
+    /// Decodes a report; `None` if the bytes are malformed, if there are too many zones, or if the rate is negative or
+    /// not finite.
     pub fn decode(bytes: &[u8]) -> Option<ZoneReport> {
         let report: ZoneReport = postcard::from_bytes(bytes).ok()?;
         let valid = report.offered.is_finite() && report.offered >= 0.0 && report.zones.len() <= MAX_ZONES;
@@ -76,7 +76,7 @@
 }
 
 impl ZoneObserver {
-    /// An observer of `zones` zones that has seen nothing.
+    /// An observer of `zones` zones without any counts.
     pub fn new(zones: usize) -> ZoneObserver {
         ZoneObserver { zones: vec![AttemptCounts::default(); zones], offered: 0.0, updated: 0 }
     }
--- a/crates/pintally-failover/src/plan.rs
+++ b/crates/pintally-failover/src/plan.rs
@@ -1,24 +1,25 @@
-//! The failover plan, as it is gossiped.
+//! The failover plan, in the form in which it is gossiped.
 
 use serde::{Deserialize, Serialize};
 
 use crate::settings::MAX_ZONES;
 
-/// Fractions in a plan are sent in parts of this number.
+/// Fractions in a plan and in reports are sent as parts of this number.
 pub(crate) const FULL_PARTS: u8 = 255;
 
-/// Most zones that share the requests of one zone, so that a plan of 20 zones fits into one gossiped fact.
+/// The maximum number of zones that share the requests of one zone, so that a plan of 20 zones fits into one gossiped
+/// fact.
 pub(crate) const MAX_ROUTES_PER_ZONE: usize = 4;
 
 /// How the requests of each zone are divided over zones, decided by one leader in its term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailoverPlan {
-    /// The leader's term: a later one wins.
+    /// The leader's term. A plan of a later term replaces one of an earlier term.
     pub term: u64,
-    /// The number of the plan within its term.
+    /// The number of the plan within its term; it increases with each plan.
     pub number: u64,
-    /// By zone in which a request arrives: the zones that serve it, and the fraction of requests that each
-    /// serves, in parts of 255. The fraction that is missing is rejected in the zone of arrival.
+    /// By the zone in which requests arrive: the zones that serve them, and the fraction that each serves, in parts of
+    /// 255. If the parts add up to less than 255, the rest is rejected in the zone of arrival.
     pub rows: Vec<Vec<(u8, u8)>>,
     /// By zone: the fraction of its capacity that is in use, in parts of 255; 0 if it is evacuated.
     pub open: Vec<u8>,
@@ -30,7 +31,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a plan; `None` if the bytes are malformed, or if the plan is not one of `zones` zones.
+    /// Decodes a plan; `None` if the bytes are malformed, or if the plan is not a valid one for `zones` zones.
     pub fn decode(bytes: &[u8], zones: usize) -> Option<FailoverPlan> {
         let plan: FailoverPlan = postcard::from_bytes(bytes).ok()?;
         let is_valid = |row: &Vec<(u8, u8)>| {
@@ -43,7 +44,7 @@
         (fits && plan.rows.iter().all(is_valid)).then_some(plan)
     }
 
-    /// Whether the plan replaces the current one, if there is any.
+    /// Whether this plan replaces the current one, if there is any.
     pub fn supersedes(&self, current: Option<&FailoverPlan>) -> bool {
         current.is_none_or(|current| (current.term, current.number) < (self.term, self.number))
     }
--- a/crates/pintally-failover/src/planner.rs
+++ b/crates/pintally-failover/src/planner.rs
@@ -1,4 +1,4 @@
-//! The leader's planner: from the reports of all nodes to a failover plan.
+//! The leader's planner, which turns the reports of all nodes into a failover plan.
 
 use crate::flow::min_cost_placement;
 use crate::observer::ZoneReport;
@@ -15,7 +15,7 @@
 pub enum OperatorOrder {
     /// Evacuate the zone until the order is withdrawn.
     Evacuate,
-    /// Change nothing about the zone until the order is withdrawn.
+    /// Neither evacuate the zone nor change the step of its recovery until the order is withdrawn.
     Hold,
 }
 
@@ -35,12 +35,12 @@
     pub(crate) orders: Vec<Option<OperatorOrder>>,
     pub(crate) rows: Vec<RoutingRow>,
     status: Status,
-    /// When the leadership began.
+    /// When the leadership began, in microseconds.
     since: Micros,
 }
 
 impl Planner {
-    /// A planner of a leadership that begins now; `before` is the latest plan of a former leader.
+    /// A planner for a leadership that begins now; `before` is the latest plan that is known, if any.
     pub fn new(settings: Settings, term: u64, before: Option<&FailoverPlan>, now: Micros) -> Planner {
         let zones = settings.zones.zones.len();
         let recovery = |zone: usize| match before.and_then(|plan| plan.open.get(zone)) {
@@ -56,8 +56,8 @@
             rows,
             settings,
             term,
-            // Guards against a leadership that lapses and goes on in its term: plans that are numbered from
-            // the start again would be taken for old ones.
+            // Guards against a leadership that lapses and is renewed in the same term: if its plans were numbered
+            // from the start again, nodes would ignore them as old ones.
             number: before.filter(|plan| plan.term == term).map_or(0, |plan| plan.number),
             reports: Reports::default(),
             nodes: vec![0; zones],
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Replaces the report of the node `name` in `zone`.
+    /// Replaces the report of the node `name`, which is in `zone`.
     pub fn receive_report(&mut self, now: Micros, name: &str, zone: usize, report: ZoneReport) {
         if zone < self.nodes.len() {
             self.reports.receive(now, name, zone, report);
@@ -121,7 +121,7 @@
     }
 
     fn advance_recoveries(&mut self, now: Micros, observed: &[ObservedZone]) {
-        // A new leader collects the reports of all nodes first.
+        // A new leader first collects the reports of all nodes for the time of `failure_grace`.
         let collecting = now < self.since + self.settings.failure_grace;
         for (zone, observed) in observed.iter().enumerate() {
             match self.orders[zone] {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Requests a second that a zone carries: by its engines, less the fraction that fails there, as far as the
-    /// zone is open.
+    /// Requests per second that a zone can serve: that of its engines, less the fraction of attempts that fail there,
+    /// as far as the zone is open.
     fn capacity(&self, zone: usize, observed: &ObservedZone) -> f64 {
         self.engines[zone]
             * self.settings.requests_per_second_per_engine
@@ -143,11 +143,11 @@
             * self.recoveries[zone].open_fraction()
     }
 
-    /// Requests a second that a zone offers to others. Its reserve is its own, whether it is used or not; a zone
-    /// that is recovering, failing or of unknown health offers nothing.
+    /// Requests per second that a zone can serve for others. The local reserve is kept for its own requests, even if
+    /// they do not use it. A zone that is recovering, failing or of unknown health serves none for others.
     fn spare_capacity(&self, zone: usize, observed: &ObservedZone, load: &ZoneLoad) -> f64 {
-        let serves = matches!(observed.health, ZoneHealth::Healthy | ZoneHealth::Degraded);
-        if !serves || !self.recoveries[zone].is_fully_open() {
+        let is_working = matches!(observed.health, ZoneHealth::Healthy | ZoneHealth::Degraded);
+        if !is_working || !self.recoveries[zone].is_fully_open() {
             return 0.0;
         }
         let reserve = self.settings.local_reserve * load.capacity;
@@ -159,7 +159,7 @@
         &self.status
     }
 
-    /// The status document that the next plan would have if a zone were evacuated; changes nothing.
+    /// The status document that the next plan would have if a zone were evacuated. Does not change the planner.
     pub fn dry_run(&self, now: Micros, zone: usize) -> Status {
         let mut dry_run = self.clone();
         dry_run.set_order(zone, Some(OperatorOrder::Evacuate));
--- a/crates/pintally-failover/src/routing_row.rs
+++ b/crates/pintally-failover/src/routing_row.rs
@@ -1,39 +1,40 @@
-//! How the requests that arrive in one zone are divided over zones.
+//! The division of the requests that arrive in one zone over the zones that serve them.
 
 use std::cmp::Reverse;
 
 use crate::plan::{FULL_PARTS, MAX_ROUTES_PER_ZONE};
 
-/// The division changes only if a zone's parts change by more than this, so that noise moves no session.
+/// The division changes only if the parts of a zone (of 255) change by more than this, so that noise in the measured
+/// rates moves no sessions.
 const HYSTERESIS_PARTS: i32 = 10;
 
-/// A zone to which less than this is offered a second gets no request.
-const MIN_OFFERED: f64 = 1e-6;
+/// A zone that is offered at most this many requests per second has none to divide.
+const MIN_OFFERED_PER_S: f64 = 1e-6;
 
-/// From this fraction of placed requests on, the rest is taken for rounding errors.
+/// If at least this fraction of the requests is placed, the rest counts as a rounding error.
 const MIN_PLACED_FRACTION: f64 = 0.995;
 
-/// A zone that serves a part of the requests.
+/// A zone and the parts (of 255) of the requests that it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ZoneShare {
     zone: u8,
     parts: u8,
 }
 
-/// The zones that serve the requests of one zone, the own one first.
+/// The zones that serve the requests of one zone; the zone itself comes first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RoutingRow {
     shares: Vec<ZoneShare>,
 }
 
-/// What is known of the zone whose requests are divided.
+/// The load and the capacity of the zone whose requests are divided.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneLoad {
-    /// Requests a second that clients send to the zone.
+    /// Requests per second that clients send to the zone.
     pub(crate) offered: f64,
-    /// Requests a second that its engines carry, as far as the zone is open.
+    /// Requests per second that its engines can serve, as far as the zone is open.
     pub(crate) capacity: f64,
-    /// The offered requests that the zone serves itself.
+    /// The part of `offered` that the zone serves itself.
     pub(crate) local: f64,
 }
 
@@ -42,30 +43,30 @@
         ZoneLoad { offered, capacity, local: offered.min(capacity) }
     }
 
-    /// The offered requests that other zones must serve.
+    /// The part of `offered` that other zones must serve.
     pub(crate) fn excess(&self) -> f64 {
         self.offered - self.local
     }
 }
 
-/// What becomes of the requests that found no capacity anywhere.
+/// What happens to the requests for which no zone has capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Excess {
-    /// They stay in the zone, which is fully open. Guards against rejecting requests because of an estimate:
-    /// the zone's own queues know better than the estimated capacity what it can still take.
+    /// They stay in the zone, which is fully open. Guards against rejecting requests because of an inaccurate
+    /// estimate: the zone's own queues show more precisely than the estimated capacity what it can still admit.
     StaysLocal,
     /// They are rejected.
     Rejected,
 }
 
 impl RoutingRow {
-    /// The row of a plan.
+    /// The row with this content in a plan.
     pub(crate) fn from_plan(row: &[(u8, u8)]) -> RoutingRow {
         let shares = row.iter().map(|(zone, parts)| ZoneShare { zone: *zone, parts: *parts }).collect();
         RoutingRow { shares }
     }
 
-    /// The row as it is sent in a plan.
+    /// The row in the form in which a plan carries it.
     pub(crate) fn to_plan(&self) -> Vec<(u8, u8)> {
         self.shares.iter().map(|share| (share.zone, share.parts)).collect()
     }
@@ -77,10 +78,10 @@
             .map(|share| (usize::from(share.zone), f64::from(share.parts) / f64::from(FULL_PARTS)))
     }
 
-    /// Divides the requests of `zone`: its own part, and `flow` to other zones.
+    /// Divides the requests of `zone`: it serves `load.local` itself, and sends `flow` to the other zones.
     pub(crate) fn divide(zone: usize, load: &ZoneLoad, flow: &[f64], excess: Excess) -> RoutingRow {
         let zone = zone as u8;
-        if load.offered <= MIN_OFFERED || load.local >= load.offered {
+        if load.offered <= MIN_OFFERED_PER_S || load.local >= load.offered {
             let all = ZoneShare { zone, parts: FULL_PARTS };
             let shares = if load.capacity > 0.0 { vec![all] } else { Vec::new() };
             return RoutingRow { shares };
@@ -102,7 +103,7 @@
         row
     }
 
-    /// The parts that no zone serves.
+    /// The parts that are assigned to no zone.
     fn rest(&self) -> u8 {
         let sum: u32 = self.shares.iter().map(|share| u32::from(share.parts)).sum();
         let full = u32::from(FULL_PARTS);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Adds rounding errors to the first zone, so that no request is rejected for them.
+    /// Adds the rest, which is a rounding error, to the first zone, so that no request is rejected because of it.
     fn add_rest_to_first(&mut self) {
         let rest = self.rest();
         if let Some(first) = self.shares.first_mut() {
@@ -129,11 +130,11 @@
         self.shares.iter().find(|share| share.zone == zone).map_or(0, |share| i32::from(share.parts))
     }
 
-    /// Replaces the row by a new one, unless they differ by noise only.
+    /// Replaces the row by a new one if they differ by more than noise.
     pub(crate) fn update(&mut self, new: RoutingRow) {
         let mut zones = self.shares.iter().chain(&new.shares).map(|share| share.zone);
         let differs = zones.any(|zone| (self.parts_of(zone) - new.parts_of(zone)).abs() > HYSTERESIS_PARTS);
-        // The ends are reached whatever the noise: all requests in one zone, or none anywhere.
+        // The change to a single zone, or to none, is made even if it is within the noise.
         let reaches_end = new.shares.len() <= 1 && self.shares.len() != new.shares.len();
         if differs || reaches_end {
             *self = new;
@@ -141,7 +142,7 @@
     }
 }
 
-/// The other zones with the largest parts, as many as a row has space for beside the own one.
+/// The other zones with the largest parts, as many as fit into a row beside the zone itself.
 fn largest_shares(flow: &[f64], parts: impl Fn(f64) -> u8) -> Vec<ZoneShare> {
     let mut shares: Vec<ZoneShare> = flow
         .iter()
--- a/crates/pintally-failover/src/settings.rs
+++ b/crates/pintally-failover/src/settings.rs
@@ -6,16 +6,16 @@
 
 use crate::Micros;
 
-/// Most zones, so that a plan fits into one gossiped fact.
+/// The maximum number of zones, so that a plan fits into one gossiped fact.
 pub const MAX_ZONES: usize = 20;
 
-/// The price between two zones of one region, unless the settings list one.
+/// The price between two zones of one region if the settings list none for them.
 const REGIONAL_PRICE: f64 = 1.0;
 
-/// The price between zones of different regions, unless the settings list one.
+/// The price between zones of different regions if the settings list none for them.
 const REMOTE_PRICE: f64 = 10.0;
 
-/// Bounds the shift when the hold-down is doubled; the greatest hold-down applies long before.
+/// Bounds the exponent when the hold-down is doubled repeatedly; `max_hold_down` is reached long before.
 const MAX_HOLD_DOWN_DOUBLINGS: u32 = 20;
 
 /// A zone of engines and nodes.
@@ -32,8 +32,8 @@
 pub struct ZoneMap {
     /// All zones.
     pub zones: Vec<Zone>,
-    /// Prices of routing a request between two zones, in both directions; other pairs cost 1 within a region
-    /// and 10 beyond. A price that is not finite forbids the pair.
+    /// Prices of routing a request between two zones, valid in both directions. The default price is 1 between zones
+    /// of a region and 10 between regions. A price that is not finite forbids routing between the two zones.
     pub prices: Vec<(usize, usize, f64)>,
 }
 
@@ -60,29 +60,29 @@
     }
 }
 
-/// Settings of failover. Times in microseconds.
+/// Settings of failover; times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zones.
     pub zones: ZoneMap,
-    /// Requests a second that one warmed-up engine carries, over all nodes.
+    /// Requests per second that one warmed-up engine can serve, from all nodes together.
     pub requests_per_second_per_engine: f64,
     /// The fraction of a zone's capacity that may be used.
     pub max_utilization: f64,
     /// The fraction of a zone's capacity that is reserved for its own requests.
     pub local_reserve: f64,
-    /// Time between two plans.
+    /// The time between two plans.
     pub plan_interval: Micros,
-    /// A plan that is not renewed expires after this time.
+    /// A plan that is not replaced by a new one expires after this time.
     pub plan_lifetime: Micros,
     /// A zone must be failing for this long before it is evacuated.
     pub failure_grace: Micros,
-    /// Time from an evacuation to the trickle of requests that begins the recovery; doubled each time the zone
-    /// fails during recovery.
+    /// The time from an evacuation to the first step of the recovery; doubled each time the zone fails during
+    /// recovery.
     pub base_hold_down: Micros,
     /// Upper bound of the doubled hold-down.
     pub max_hold_down: Micros,
-    /// Duration of a step of the recovery ramp.
+    /// The duration of a step of the recovery ramp.
     pub ramp_step: Micros,
 }
 
@@ -111,36 +111,45 @@
     pub fn check(&self) -> Result<(), InvalidConfiguration> {
         let zones = &self.zones.zones;
         let names: BTreeSet<&str> = zones.iter().map(|z| z.name.as_str()).collect();
-        ensure(!zones.is_empty(), "there is no zone")?;
+        ensure(!zones.is_empty(), "there is no `zone`")?;
         ensure(zones.len() <= MAX_ZONES, "there are more than 20 zones")?;
         ensure(names.len() >= zones.len(), "a zone is in two regions, or named twice")?;
-        ensure(self.zones.prices.iter().all(|p| p.2 >= 0.0), "a price is below nothing")?;
-        ensure(self.requests_per_second_per_engine > 0.0, "an engine carries nothing")?;
-        ensure((0.1..=1.0).contains(&self.max_utilization), "nearly nothing of a zone may be used")?;
-        ensure((0.0..=1.0).contains(&self.local_reserve), "a zone keeps more than it has")?;
+        ensure(self.zones.prices.iter().all(|p| p.2 >= 0.0), "a `price` is negative")?;
+        ensure(
+            self.requests_per_second_per_engine > 0.0,
+            "`per-engine-per-s` must be above 0: an engine would serve nothing",
+        )?;
+        ensure(
+            (0.1..=1.0).contains(&self.max_utilization),
+            "`fill` must be from 0.1 to 1: below, nearly nothing of a zone may be used",
+        )?;
+        ensure(
+            (0.0..=1.0).contains(&self.local_reserve),
+            "`floor` must be from 0 to 1: a zone cannot reserve more than it has",
+        )?;
         ensure(
             self.plan_lifetime >= 3 * self.plan_interval,
-            "a plan ends before it was renewed three times",
+            "`lasts-ms` is under three times `every-ms`: a plan expires before it was renewed three times",
         )?;
         ensure(
             self.failure_grace >= 2 * self.plan_interval,
-            "a zone is given up before two plans have seen it bad",
+            "`grace-ms` is under twice `every-ms`: a zone would be evacuated before two plans have seen it fail",
         )?;
         ensure(
             self.base_hold_down >= self.failure_grace && self.base_hold_down <= self.max_hold_down,
-            "a zone is tried again before it was given up, or never",
+            "`hold-ms` is under `grace-ms` or over `hold-most-ms`: a zone would be tried again too early, or never",
         )?;
-        ensure(self.ramp_step >= 2 * self.plan_interval, "a step of the way back is over before it was seen")
+        ensure(self.ramp_step >= 2 * self.plan_interval, "`step-ms` is under twice `every-ms`: a step of the recovery would end before a plan has seen its effect")
     }
 
-    /// The longest time from the first sign that a zone is lost until all nodes follow a plan without it, if
+    /// The longest time from the first evidence that a zone is lost until all nodes follow a plan without it, if
     /// reports and plans take `gossip_delay` to reach all nodes.
     pub fn max_failover_time(&self, gossip_delay: Micros) -> Micros {
         self.failure_grace + 2 * self.plan_interval + 2 * gossip_delay
     }
 
-    /// The longest time from the end of a fault until the zone is fully open, if it failed `failures` times during
-    /// recovery before.
+    /// The longest time from the end of a fault until the zone is fully open, if the zone has failed `failures` times
+    /// during recovery before.
     pub fn max_recovery_time(&self, failures: u32) -> Micros {
         let hold_down = self
             .base_hold_down
--- a/crates/pintally-failover/src/status.rs
+++ b/crates/pintally-failover/src/status.rs
@@ -1,4 +1,4 @@
-//! The status document of the planner. The JSON names are older than the names of the fields.
+//! The status document of the planner. The names in JSON differ from those of the fields for compatibility.
 
 use serde::Serialize;
 
@@ -17,23 +17,23 @@
     pub health: ZoneHealth,
     /// How many nodes of the zone are alive.
     pub nodes: usize,
-    /// Requests a second that the zone's engines carry, as far as the zone is open.
+    /// Requests per second that the zone's engines can serve, as far as the zone is open.
     #[serde(rename = "room")]
     pub capacity: f64,
     /// The fraction of the capacity that is in use.
     pub open: f64,
-    /// Requests a second that clients send to the zone.
+    /// Requests per second that clients send to the zone.
     pub offered: f64,
-    /// Requests a second of other zones that the zone serves by the plan.
+    /// Requests per second of other zones that the zone serves according to the plan.
     #[serde(rename = "takes")]
     pub accepted: f64,
     /// The fraction of attempts at the zone that fail, over all nodes.
     #[serde(rename = "failing")]
     pub failed_fraction: f64,
-    /// Why the zone is not fully open and healthy.
+    /// Why the zone is not fully open, is degraded or is under an operator's order; empty otherwise.
     #[serde(rename = "why")]
     pub reason: String,
-    /// How often the zone was evacuated or took a step of its recovery.
+    /// How often the zone has been evacuated or has taken a step of its recovery.
     #[serde(rename = "moves")]
     pub transitions: u64,
 }
@@ -46,7 +46,7 @@
     /// By zone: the zones that serve its requests, with the fractions.
     #[serde(rename = "goes")]
     pub routes: Vec<Vec<(String, f64)>>,
-    /// Requests a second for which no zone has capacity.
+    /// Requests per second for which no zone has capacity.
     #[serde(rename = "refused")]
     pub rejected: f64,
 }
@@ -83,19 +83,21 @@
         }
     }
 
-    /// Why a zone is as it is; empty if it is fully open and healthy.
+    /// Why a zone is not fully open, is degraded or is under an operator's order; empty otherwise.
     fn reason(&self, zone: usize, observed: &ObservedZone) -> String {
         let attempts = &observed.attempts;
         let failed_percent = attempts.failed_fraction * 100.0;
         let recovery = &self.recoveries[zone];
         match self.orders[zone] {
-            Some(OperatorOrder::Evacuate) => "people gave it up".to_string(),
-            Some(OperatorOrder::Hold) => "people hold it as it is".to_string(),
+            Some(OperatorOrder::Evacuate) => "evacuated by an operator".to_string(),
+            Some(OperatorOrder::Hold) => "held by an operator".to_string(),
             None if recovery.open_parts() == 0 => {
                 let count = attempts.count;
-                format!("{failed_percent:.0}% of {count:.0} attempts there failed; it is tried again later")
+                format!(
+                    "{failed_percent:.0}% of {count:.0} attempts failed; recovery begins after the hold-down"
+                )
             }
-            None if !recovery.is_fully_open() => "on its way back".to_string(),
+            None if !recovery.is_fully_open() => "recovering".to_string(),
             None if observed.health == ZoneHealth::Degraded => {
                 let late_percent = attempts.late_fraction * 100.0;
                 format!("{failed_percent:.0}% of attempts fail, {late_percent:.0}% of requests are late")
--- a/crates/pintally-failover/src/zone_health.rs
+++ b/crates/pintally-failover/src/zone_health.rs
@@ -1,4 +1,4 @@
-//! The health of zones by the merged reports of all nodes.
+//! The health of zones according to the reports of all nodes.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,35 @@
 use crate::plan::FULL_PARTS;
 use crate::Micros;
 
-/// Older reports do not count, in microseconds.
+/// Reports older than this are dropped, in microseconds.
 const REPORT_LIFETIME_MICROS: Micros = 3_000_000;
-/// Bounds the memory for reports; those of further nodes are ignored.
+/// The maximum number of nodes whose reports are kept, which bounds memory. Reports of further nodes are ignored.
 const MAX_REPORTING_NODES: usize = 4096;
 /// A zone is failing if this fraction of attempts fails.
 const MIN_FAILING_FRACTION: f64 = 0.5;
-/// A zone is degraded if this fraction of attempts fails,
+/// A zone is degraded if this fraction of attempts fails.
 const MIN_DEGRADED_FRACTION: f64 = 0.05;
-/// or if this fraction of requests is late.
+/// A zone is degraded if this fraction of requests is late. A recovering zone is not opened further meanwhile.
 const MIN_LATE_FRACTION: f64 = 0.5;
-/// Fewer attempts than this are no evidence about a zone.
+/// With fewer attempts than this there is no evidence about the engines of a zone.
 const MIN_ATTEMPTS: f64 = 4.0;
 
 /// The health of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ZoneHealth {
-    /// It serves.
+    /// Its engines serve, or there is no evidence against it.
     #[serde(rename = "Alive")]
     Healthy,
-    /// It is late, or some attempts fail (a gray failure).
+    /// Some attempts fail, or many requests are late (a gray failure).
     #[serde(rename = "Grey")]
     Degraded,
-    /// Most attempts fail; nodes of the zone are alive.
+    /// Most attempts fail, and nodes of the zone are alive.
     Failing,
     /// Most attempts fail, and no node of the zone is alive.
     #[serde(rename = "Gone")]
     Lost,
-    /// No node of the zone is alive, and there is no evidence about its engines: a partition is no failure.
+    /// No node of the zone is alive, and there is no evidence about its engines. The cause may be a network partition,
+    /// so the zone does not count as failed.
     Unknown,
 }
 
@@ -47,7 +48,7 @@
     pub(crate) late_fraction: f64,
 }
 
-/// What the nodes report of one zone, and the health that follows from it.
+/// The attempts that the nodes report for one zone, and the zone's health.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservedZone {
     pub(crate) attempts: ZoneAttempts,
@@ -55,12 +56,12 @@
 }
 
 impl ObservedZone {
-    /// Judges a zone by its attempts and by how many of its nodes are alive.
+    /// Determines the health of a zone from its attempts and the number of its nodes that are alive.
     pub(crate) fn new(attempts: ZoneAttempts, nodes: usize) -> ObservedZone {
         ObservedZone { attempts, health: health(&attempts, nodes) }
     }
 
-    /// Whether too many requests are late for more to be admitted.
+    /// Whether so many requests are late that no more may be admitted.
     pub(crate) fn is_late(&self) -> bool {
         self.attempts.late_fraction >= MIN_LATE_FRACTION
     }
@@ -106,7 +107,7 @@
 }
 
 impl Reports {
-    /// Replaces the report of the node `name` in `zone`.
+    /// Replaces the report of the node `name`, which is in `zone`.
     pub(crate) fn receive(&mut self, now: Micros, name: &str, zone: usize, report: ZoneReport) {
         if self.by_node.len() < MAX_REPORTING_NODES || self.by_node.contains_key(name) {
             self.by_node.insert(name.to_string(), NodeReport { zone, received: now, report });
@@ -132,7 +133,7 @@
         ZoneAttempts { count, failed_fraction: failed / divisor, late_fraction: late / divisor }
     }
 
-    /// Requests a second that clients send to the nodes of each of so many zones.
+    /// By zone, for `zones` zones: requests per second that clients send to its nodes.
     pub(crate) fn offered(&self, zones: usize) -> Vec<f64> {
         let mut offered = vec![0.0; zones];
         for node in self.by_node.values() {
--- a/crates/pintally-failover/src/zone_recovery.rs
+++ b/crates/pintally-failover/src/zone_recovery.rs
@@ -1,31 +1,31 @@
-//! Evacuation and recovery of one zone, as the leader decides them.
+//! The leader's decisions on evacuation and recovery of one zone.
 
 use crate::plan::FULL_PARTS;
 use crate::settings::Settings;
 use crate::zone_health::{ObservedZone, ZoneHealth};
 use crate::Micros;
 
-/// The steps of the recovery ramp, as parts of the zone's capacity: evacuated, a trickle that shows how the zone
-/// serves, a quarter, a half, all.
+/// The steps of the recovery ramp, in parts of 255 of the zone's capacity: evacuated, a small fraction that shows
+/// whether the zone serves, a quarter, a half, all.
 const RAMP_PARTS: [u8; 5] = [0, 8, 64, 128, FULL_PARTS];
 const EVACUATED: usize = 0;
 const FULLY_OPEN: usize = RAMP_PARTS.len() - 1;
 
-/// The hold-down is reset after the zone was fully open for this many of the longest hold-downs.
+/// The hold-down is reset after the zone has been fully open for this multiple of the longest hold-down.
 const HOLD_DOWN_RESET_FACTOR: u64 = 4;
 
 /// The recovery ramp of one zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneRecovery {
-    /// Index in [`RAMP_PARTS`].
+    /// Index into [`RAMP_PARTS`].
     step: usize,
     /// When the current step began.
     since: Micros,
     /// Since when the zone has been failing without interruption.
     failing_since: Option<Micros>,
-    /// Time from an evacuation to the trickle.
+    /// Time from an evacuation to the first step of the recovery.
     hold_down: Micros,
-    /// How often the step changed.
+    /// How often the step has changed.
     pub(crate) transitions: u64,
 }
 
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Continues from the open parts in the plan of a former leader.
+    /// Continues at the step given by the open parts in the plan of a former leader.
     pub(crate) fn resume(now: Micros, open_parts: u8, settings: &Settings) -> ZoneRecovery {
         let step = RAMP_PARTS.iter().rposition(|parts| *parts <= open_parts).unwrap_or(EVACUATED);
         ZoneRecovery { step, ..ZoneRecovery::new(now, settings) }
     }
 
-    /// The parts of the zone's capacity that are in use.
+    /// The fraction of the zone's capacity that is in use, in parts of 255.
     pub(crate) fn open_parts(&self) -> u8 {
         RAMP_PARTS[self.step]
     }
@@ -62,7 +62,7 @@
         f64::from(self.open_parts()) / f64::from(FULL_PARTS)
     }
 
-    /// Evacuates the zone, or takes the next step of its recovery, if it is time.
+    /// Evacuates the zone, or takes the next step of its recovery, if that is due.
     pub(crate) fn advance(&mut self, now: Micros, zone: &ObservedZone, settings: &Settings) {
         let failing = matches!(zone.health, ZoneHealth::Failing | ZoneHealth::Lost);
         self.failing_since = if failing { self.failing_since.or(Some(now)) } else { None };
@@ -79,28 +79,28 @@
             }
             return;
         }
-        // After an evacuation the hold-down alone decides. Guards against steps that are faster than engines
-        // warm up: while what is admitted is late, or rejected there, no more is.
+        // An evacuated zone waits for the hold-down only. The later steps also wait while the zone is failing or its
+        // requests are late, so that the zone is not opened faster than its engines warm up.
         let (duration, ready) = if self.step == EVACUATED {
             (self.hold_down, true)
         } else {
             (settings.ramp_step, !failing && !zone.is_late())
         };
-        // A zone of which nothing is known stays as it is.
+        // A zone of unknown health stays at its step.
         if elapsed >= duration && ready && zone.health != ZoneHealth::Unknown {
             self.enter(now, self.step + 1);
         }
     }
 
-    /// Whether a failing zone is evacuated now: a recovering one at the first sign, one that is fully open only
-    /// when the failure lasts.
+    /// Whether a failing zone is evacuated now: a recovering one at once, one that is fully open only after it has been
+    /// failing for `failure_grace`.
     fn must_evacuate(&self, now: Micros, settings: &Settings) -> bool {
-        let lasts =
+        let grace_elapsed =
             self.failing_since.is_some_and(|since| now.saturating_sub(since) >= settings.failure_grace);
-        lasts || !self.is_fully_open()
+        grace_elapsed || !self.is_fully_open()
     }
 
-    /// Evacuates the zone by an operator's order: the hold-down begins when the order is withdrawn.
+    /// Evacuates the zone by an operator's order. The hold-down begins when the order is withdrawn.
     pub(crate) fn evacuate(&mut self, now: Micros) {
         if self.step != EVACUATED {
             self.enter(now, EVACUATED);
--- a/crates/pintally-failover/tests/golden.rs
+++ b/crates/pintally-failover/tests/golden.rs
@@ -1,10 +1,10 @@
-//! Encoded reports and plans: nodes of different builds decode each other's.
+//! Golden bytes of encoded reports and plans, which nodes of different builds must be able to decode.
 
 use pintally_failover::{FailoverPlan, ZoneObserver, ZoneReport};
 
-const GOLDEN: &str = include_str!("golden/words.txt");
+const GOLDEN: &str = include_str!("golden/reports_and_plans.txt");
 
-/// The bytes that the golden file holds under a name.
+/// The bytes that the golden file has under a name.
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
@@ -20,13 +20,13 @@
 #[test]
 fn report_bytes_are_stable() {
     let full = ZoneReport { offered: 12.25, zones: vec![(300, 255, 0), (0, 0, 0), (65_000, 1, 128)] };
-    for (name, report) in [("word", full), ("word_empty", ZoneReport::default())] {
+    for (name, report) in [("report", full), ("report_empty", ZoneReport::default())] {
         assert_bytes(name, &report.encode());
         assert_eq!(ZoneReport::decode(&golden(name)), Some(report), "report of {name}");
     }
 }
 
-/// The report of what an observer counted.
+/// Checks the bytes of a report that an observer makes from its counts.
 #[test]
 fn observer_report_bytes_are_stable() {
     let mut observer = ZoneObserver::new(3);
@@ -34,8 +34,8 @@
     (0..4).for_each(|n| observer.record_attempt(0, 1, n == 0));
     observer.record_late(0, 1);
     let report = observer.report(0);
-    assert_bytes("local_word", &report.encode());
-    assert_eq!(ZoneReport::decode(&golden("local_word")), Some(report));
+    assert_bytes("observer_report", &report.encode());
+    assert_eq!(ZoneReport::decode(&golden("observer_report")), Some(report));
 }
 
 #[test]
