--- a/crates/pintally-cells/src/cell_health.rs
+++ b/crates/pintally-cells/src/cell_health.rs
@@ -9,9 +9,10 @@
 const MIN_NORMAL_CAPACITY: f64 = 0.75;
 /// A cell with less than this fraction of its required engines sheds load.
 const MIN_CONSTRAINED_CAPACITY: f64 = 0.4;
-/// The level rises only when the capacity exceeds the threshold by this much,
+/// The level rises only when the capacity exceeds the threshold by this much, and has done so for
+/// [`STABLE_TIME_MICROS`].
 const CAPACITY_HYSTERESIS: f64 = 0.1;
-/// and has done so for this long, in microseconds.
+/// How long the capacity must be sufficient before the level rises, in microseconds.
 const STABLE_TIME_MICROS: Micros = 5_000_000;
 /// A cell is failing, and therefore unavailable, if the health scores of its engines add up to less than this fraction
 /// of the required engines: it would fail nearly all requests that it admits.
@@ -95,7 +96,7 @@
     /// When the next trial request may be admitted while it is failing.
     next_trial: Micros,
     trial_interval: Micros,
-    /// The fraction of arrivals that it admits while it sheds load, and when that was last updated.
+    /// The fraction of arrivals that the cell admits while it sheds load, and when that was last updated.
     admitted_fraction: f64,
     admission_updated: Micros,
     /// The classes by their index.
