--- a/crates/pintally-benchmarks/src/flood.rs
+++ b/crates/pintally-benchmarks/src/flood.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 use std::thread;
 
-use pintally_scenario::{in_time, requests, run, Day, Fault, FaultKind};
+use pintally_scenario::{requests, run, timely_value_share, Fault, FaultKind, Scenario};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 use crate::report::Spread;
@@ -63,7 +63,12 @@
 }
 
 /// Measures a flood over some seeds, with the day's cells and without.
-pub fn flood(day: &Day, tenant: &str, times: f64, seeds: Range<u64>) -> Result<Vec<Flood>, MeasureError> {
+pub fn flood(
+    day: &Scenario,
+    tenant: &str,
+    times: f64,
+    seeds: Range<u64>,
+) -> Result<Vec<Flood>, MeasureError> {
     let Some(cells) = &day.cells else { return Err(error("the day has no cells")) };
     let own: BTreeSet<_> = cells.home(tenant).into_iter().collect();
     let others: BTreeSet<String> = day
@@ -81,15 +86,15 @@
     let mut flooded = quiet.clone();
     flooded.faults.push(Fault {
         kind: FaultKind::TenantFlood,
-        at: day.length / 6,
-        length: day.length,
-        part: 0.0,
-        of: None,
+        start: day.length / 6,
+        duration: day.length,
+        fraction: 0.0,
+        engine_kind: None,
         cell: None,
         engines: Vec::new(),
-        name: Some(tenant.to_string()),
-        size: times,
-        batch: 1,
+        zone_or_tenant: Some(tenant.to_string()),
+        magnitude: times,
+        batch_size: 1,
     });
     let mut found = Vec::new();
     for (name, divided) in [("cells", true), ("one pool", false)] {
@@ -109,8 +114,9 @@
             let b = b.map_err(|_| error("a run ended by a panic"))?;
             let (a, b) = (a.map_err(error)?, b.map_err(error)?);
             kept &= a.kept() && b.kept();
-            without.push(in_time(requests(day, &a.record).iter().filter(|r| r.of(&others))));
-            with.push(in_time(requests(day, &b.record).iter().filter(|r| r.of(&others))));
+            without
+                .push(timely_value_share(requests(day, &a.record).iter().filter(|r| r.is_of_any(&others))));
+            with.push(timely_value_share(requests(day, &b.record).iter().filter(|r| r.is_of_any(&others))));
         }
         let changes: Vec<f64> = without.iter().zip(&with).map(|(a, b)| b / a.max(1e-9) - 1.0).collect();
         found.push(Flood {
--- a/crates/pintally-benchmarks/src/moves.rs
+++ b/crates/pintally-benchmarks/src/moves.rs
@@ -10,7 +10,7 @@
 
 use pintally_audit::Record;
 use pintally_cells::CellName;
-use pintally_scenario::{requests, run, Day, Fault, FaultKind, One, APART};
+use pintally_scenario::{requests, run, Fault, FaultKind, RequestRecord, Scenario, CELLS_FILE_SPREAD};
 
 use crate::report::Spread;
 use crate::{error, MeasureError};
@@ -49,10 +49,10 @@
 pub type Recorded = Result<(Vec<Record>, bool), MeasureError>;
 
 /// Plays a day with a seed.
-pub type Recorder<'a> = &'a (dyn Fn(&Day, u64) -> Recorded + Sync);
+pub type Recorder<'a> = &'a (dyn Fn(&Scenario, u64) -> Recorded + Sync);
 
 /// Plays a day over sockets.
-pub fn recorded(day: &Day, seed: u64) -> Recorded {
+pub fn recorded(day: &Scenario, seed: u64) -> Recorded {
     let result = run(day, seed, None).map_err(error)?;
     let kept = result.kept();
     Ok((result.record, kept))
@@ -60,7 +60,7 @@
 
 /// Plays moves over some seeds, in groups for the spread; so many seeds at the same time.
 pub fn moves(
-    day: &Day,
+    day: &Scenario,
     tenant: &str,
     to: &str,
     seeds: Range<u64>,
@@ -85,7 +85,7 @@
     // Prepared after an eighth of the day, before which caches fill; a quarter of it after that sessions begin to go.
     let (from, length) = (day.length / 8, day.length * 5 / 8);
     let (begin, over) = (from + length / 3, length / 3);
-    let settled = begin + over + APART + day.notice;
+    let settled = begin + over + CELLS_FILE_SPREAD + day.list_delay;
     if settled + Duration::from_secs(1) > day.length {
         return Err(error("the day is too short: nothing would be left after the move"));
     }
@@ -93,22 +93,22 @@
         let mut day = day.clone();
         day.faults = vec![Fault {
             kind: FaultKind::MoveTenant,
-            at: from,
-            length,
-            part: 0.0,
-            of: None,
+            start: from,
+            duration: length,
+            fraction: 0.0,
+            engine_kind: None,
             cell: Some(to.to_string()),
             engines: Vec::new(),
-            name: Some(tenant.to_string()),
-            size: over.as_secs_f64() * 1e3,
-            batch: 1,
+            zone_or_tenant: Some(tenant.to_string()),
+            magnitude: over.as_secs_f64() * 1e3,
+            batch_size: 1,
         }];
         day
     };
     let mut quiet = day.clone();
     quiet.faults.clear();
     let arms = [("no move", quiet), ("at its pace", with(over)), ("at once", with(Duration::from_millis(1)))];
-    let mut heard: Vec<Vec<Vec<One>>> = vec![Vec::new(); arms.len()];
+    let mut heard: Vec<Vec<Vec<RequestRecord>>> = vec![Vec::new(); arms.len()];
     let mut broken = 0;
     let all: Vec<u64> = seeds.collect();
     for pair in all.chunks(at_once.max(1)) {
@@ -144,7 +144,7 @@
     (how, who, when): (&'static str, &'static str, &'static str),
     tenants: &BTreeSet<String>,
     (from, to): (Duration, Duration),
-    seeds: &[Vec<One>],
+    seeds: &[Vec<RequestRecord>],
     groups: usize,
 ) -> Part {
     let (mut p50, mut p99, mut count, mut late) = (Vec::new(), Vec::new(), 0, 0);
@@ -152,17 +152,19 @@
         let mut firsts = Vec::new();
         for run in group {
             // Days begin with their first request.
-            let begin = run.first().map_or(0, |o| o.at);
-            let inside = |o: &&One| {
-                let at = Duration::from_micros(o.at.saturating_sub(begin));
-                o.of(tenants) && at >= from && at < to
+            let begin = run.first().map_or(0, |o| o.sent_at_us);
+            let inside = |o: &&RequestRecord| {
+                let at = Duration::from_micros(o.sent_at_us.saturating_sub(begin));
+                o.is_of_any(tenants) && at >= from && at < to
             };
             for one in run.iter().filter(inside) {
                 count += 1;
                 late += usize::from(!one.in_time());
                 // Who was not served waited for ever.
                 firsts.push(
-                    one.first.filter(|_| one.served).map_or(f64::INFINITY, |f| (f - one.at) as f64 / 1e3),
+                    one.first_token_at_us
+                        .filter(|_| one.served)
+                        .map_or(f64::INFINITY, |f| (f - one.sent_at_us) as f64 / 1e3),
                 );
             }
         }
--- a/crates/pintally-benchmarks/src/price.rs
+++ b/crates/pintally-benchmarks/src/price.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::Role;
 use pintally_cells::{CellName, CellSpec, CellsFile, HomeCells, RequiredEngines, TenantHome};
-use pintally_scenario::{in_time, requests, run, Day};
+use pintally_scenario::{requests, run, timely_value_share, Scenario};
 
 use crate::flood::Interval;
 use crate::report::Spread;
@@ -27,19 +27,19 @@
 
 /// Plays a day with a seed: the share of the worth asked that was served in time, and whether all rules
 /// were kept.
-pub type Player<'a> = &'a (dyn Fn(&Day, u64) -> Result<(f64, bool), MeasureError> + Sync);
+pub type Player<'a> = &'a (dyn Fn(&Scenario, u64) -> Result<(f64, bool), MeasureError> + Sync);
 
 /// Plays a day over sockets.
-pub fn over_sockets(day: &Day, seed: u64) -> Result<(f64, bool), MeasureError> {
+pub fn over_sockets(day: &Scenario, seed: u64) -> Result<(f64, bool), MeasureError> {
     let result = run(day, seed, None).map_err(error)?;
-    Ok((in_time(requests(day, &result.record).iter()), result.kept()))
+    Ok((timely_value_share(requests(day, &result.record).iter()), result.kept()))
 }
 
 /// Measures a day without cells as one pool and divided into each number of cells. Of each group of
 /// engines what a number does not divide is spare: lent in one of the two ways, left out in the other.
 /// `at_once` runs are played at the same time.
 pub fn price(
-    day: &Day,
+    day: &Scenario,
     numbers: &[usize],
     seeds: Range<u64>,
     at_once: usize,
@@ -90,7 +90,7 @@
 }
 
 /// What all numbers of cells divide, and with the rest of the engines if given.
-fn pool(day: &Day, most: usize, rest: bool) -> Day {
+fn pool(day: &Scenario, most: usize, rest: bool) -> Scenario {
     let mut day = day.clone();
     if !rest {
         day.engines.iter_mut().for_each(|e| e.count -= e.count % most);
@@ -99,7 +99,7 @@
 }
 
 /// The day in so many cells: each with an even part of the engines, tenants so that shares are even.
-fn divide(day: &Day, number: usize, most: usize, lends: bool) -> Result<Day, MeasureError> {
+fn divide(day: &Scenario, number: usize, most: usize, lends: bool) -> Result<Scenario, MeasureError> {
     let mut day = day.clone();
     let name = |n: usize| format!("cell-{n}");
     let (mut groups, mut needs) = (Vec::new(), RequiredEngines::default());
--- a/crates/pintally-benchmarks/src/stage.rs
+++ b/crates/pintally-benchmarks/src/stage.rs
@@ -27,8 +27,8 @@
             slots: 2048,
             queue: 1 << 16,
             memory_tokens: 50_000_000,
-            read_per_s: 1e9,
-            link_per_s: 1e9,
+            read_tokens_per_s: 1e9,
+            link_tokens_per_s: 1e9,
             token_gap: Duration::from_micros(10),
             ..Rig::spec(&id, role)
         }
--- a/crates/pintally-cli/src/check.rs
+++ b/crates/pintally-cli/src/check.rs
@@ -4,7 +4,7 @@
 
 use pintally_config::form::Document;
 use pintally_config::{EngineList, NodeSettings};
-use pintally_scenario::Day;
+use pintally_scenario::Scenario;
 
 use crate::{read, Failure};
 
@@ -117,7 +117,7 @@
         }),
         "engines" => EngineList::parse(file, &text)
             .map(|l| format!("list of {} engines, version {}", l.engines.len(), l.version)),
-        "day" => Day::parse(file, &text).map(|d| {
+        "day" => Scenario::parse(file, &text).map(|d| {
             format!("day `{}` of {} s with {} troubles", d.name, d.length.as_secs_f64(), d.faults.len())
         }),
         _ => {
--- a/crates/pintally-cli/src/day.rs
+++ b/crates/pintally-cli/src/day.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use comfy_table::Table;
-use pintally_scenario::{from_bench, run_with as play, Day, DayResult, Scale, Shape};
+use pintally_scenario::{from_bench, run_with as play, Scale, Scenario, ScenarioResult, ShapeStats};
 
 use crate::audit::print_rules;
 use crate::{read, Failure};
@@ -65,7 +65,7 @@
 }
 
 fn run_day(args: &RunArgs) -> Result<ExitCode, Failure> {
-    let day = Day::parse(&args.file, &read(&args.file)?).map_err(Failure::usage)?;
+    let day = Scenario::parse(&args.file, &read(&args.file)?).map_err(Failure::usage)?;
     let first = args.seed.unwrap_or(day.seed);
     let mut kept = true;
     // Nodes that are processes run this very program.
@@ -94,7 +94,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn write_record(path: &str, result: &DayResult) -> std::io::Result<()> {
+fn write_record(path: &str, result: &ScenarioResult) -> std::io::Result<()> {
     let mut out = BufWriter::new(File::create(path)?);
     for line in &result.record {
         serde_json::to_writer(&mut out, line)?;
@@ -103,7 +103,7 @@
     out.flush()
 }
 
-fn print(result: &DayResult) {
+fn print(result: &ScenarioResult) {
     let r = &result.report;
     println!("day {}, seed {}, {:.1} s", result.day, result.seed, result.took_s);
     println!("troubles: {}", result.troubles.join(", "));
@@ -114,7 +114,7 @@
     println!("{table}");
     if let Some(shapes) = &result.shapes {
         for (name, s) in [("old", shapes.old), ("new", shapes.new)] {
-            let Shape { nodes, asked, served, in_time, sends } = s;
+            let ShapeStats { nodes, asked, served, in_time, sends } = s;
             println!("{name} shape: {nodes} nodes, {asked} asked, {served} served, {in_time} in time, {sends} sends");
         }
     }
--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -7,7 +7,7 @@
 use pintally_benchmarks::{moves, price, MeasureError};
 use pintally_lab::fleet::{self, FleetSpec};
 use pintally_lab::{compare, play, record, size, supported, Which};
-use pintally_scenario::Day;
+use pintally_scenario::Scenario;
 
 use crate::measure::{print_moves, print_prices, MoveOf};
 use crate::{read, Failure};
@@ -152,7 +152,7 @@
         What::Moves { of, rate, seeds } => {
             let mut day = load(&of.day)?;
             day.traffic.per_second *= rate;
-            let own = |day: &Day, seed: u64| record(day, Which::Module, seed).map_err(MeasureError);
+            let own = |day: &Scenario, seed: u64| record(day, Which::Module, seed).map_err(MeasureError);
             let (first, cores) =
                 (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
             let found = moves(&day, &of.tenant, &of.to, first..first + seeds, of.groups, (cores, &own))
@@ -164,7 +164,7 @@
             let mut day = load(day)?;
             day.length = seconds.map_or(day.length, Duration::from_secs_f64);
             day.traffic.per_second *= rate;
-            let own = |day: &Day, seed: u64| {
+            let own = |day: &Scenario, seed: u64| {
                 let played = play(day, Which::Module, seed).map_err(MeasureError)?;
                 Ok((played.in_time, played.broken.is_empty()))
             };
@@ -205,8 +205,8 @@
 }
 
 /// A day, naming what it cannot play in virtual time.
-fn load(path: &str) -> Result<Day, Failure> {
-    let day = Day::parse(path, &read(path)?).map_err(Failure::usage)?;
+fn load(path: &str) -> Result<Scenario, Failure> {
+    let day = Scenario::parse(path, &read(path)?).map_err(Failure::usage)?;
     let mut left: Vec<String> =
         day.faults.iter().filter(|f| !supported(f.kind)).map(|f| format!("{:?}", f.kind)).collect();
     left.dedup();
--- a/crates/pintally-cli/src/measure/mod.rs
+++ b/crates/pintally-cli/src/measure/mod.rs
@@ -8,7 +8,7 @@
     added_latency, deciding, emulated, flood, moves, open_streams, over_sockets, plans, price, recorded,
     saturation,
 };
-use pintally_scenario::Day;
+use pintally_scenario::Scenario;
 
 use crate::{read, Failure};
 
@@ -181,8 +181,8 @@
     RuleBroken,
 }
 
-fn parse_day(path: &str) -> Result<Day, Failure> {
-    Day::parse(path, &read(path)?).map_err(Failure::usage)
+fn parse_day(path: &str) -> Result<Scenario, Failure> {
+    Scenario::parse(path, &read(path)?).map_err(Failure::usage)
 }
 
 /// Time to a first token that the node adds.
--- a/crates/pintally-cli/src/mock_engines.rs
+++ b/crates/pintally-cli/src/mock_engines.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use pintally_scenario::{Day, Engines};
+use pintally_scenario::{Engines, Scenario};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
@@ -18,7 +18,7 @@
 }
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
-    let day = Day::parse(&args.file, &read(&args.file)?).map_err(Failure::usage)?;
+    let day = Scenario::parse(&args.file, &read(&args.file)?).map_err(Failure::usage)?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Failure::failed)?;
     let engines = Engines::start(&day).map_err(Failure::failed)?;
     engines.write_list(&args.list).map_err(|e| Failure::usage(format!("{}: {e}", args.list)))?;
--- a/crates/pintally-cli/src/status.rs
+++ b/crates/pintally-cli/src/status.rs
@@ -37,7 +37,7 @@
 
 /// The document that a node serves at a path, if it does.
 pub(crate) fn fetch(node: SocketAddr, path: &str) -> Option<Value> {
-    serde_json::from_slice(&pintally_scenario::get(node, path)?).ok()
+    serde_json::from_slice(&pintally_scenario::http_get(node, path)?).ok()
 }
 
 pub(crate) fn run(args: &Args, which: StatusDocument) -> Result<ExitCode, Failure> {
--- a/crates/pintally-cli/tests/fleet/by_hand.rs
+++ b/crates/pintally-cli/tests/fleet/by_hand.rs
@@ -13,7 +13,9 @@
 use pintally_audit::Answer;
 use pintally_config::{EngineEntry, EngineList, NodeSettings};
 use pintally_mock_engine::{Engine, Fleet, Port, Recorder};
-use pintally_scenario::{get, AttemptResult, Client, Day, Process, Rig, Running, Try};
+use pintally_scenario::{
+    http_get, AttemptResult, Client, ClientAttempt, NodeProcess, Rig, RunningNode, Scenario,
+};
 use serde_json::Value;
 use tempfile::TempDir;
 
@@ -21,9 +23,9 @@
 
 /// Some nodes that know each other by their addresses.
 pub struct Nodes {
-    day: Day,
+    day: Scenario,
     pub settings: Vec<NodeSettings>,
-    pub running: Vec<Option<Box<Process>>>,
+    pub running: Vec<Option<Box<NodeProcess>>>,
     folder: TempDir,
     starts: u64,
     _ports: Vec<Port>,
@@ -37,7 +39,7 @@
     /// The same with more forms in the settings.
     pub fn with(nodes: usize, more: &str) -> Nodes {
         let text = crate::text(1, nodes, 1, &format!("(tenant \"a\") {more}"));
-        let day = Day::parse("by-hand", &text).unwrap();
+        let day = Scenario::parse("by-hand", &text).unwrap();
         let folder = tempfile::tempdir().unwrap();
         let ports: Vec<Port> = (0..2 * nodes).map(|_| Port::hold().unwrap()).collect();
         // Links have addresses that nobody binds by chance: a node that was killed finds its own again.
@@ -81,7 +83,7 @@
         // Each life has a mark of its own.
         self.starts += 1;
         let seed = (self.starts * 16 + node as u64) << 11;
-        let process = Process::start(Path::new(EXE), &settings, &self.day.shared, seed).unwrap();
+        let process = NodeProcess::start(Path::new(EXE), &settings, &self.day.shared, seed).unwrap();
         self.running[node] = Some(Box::new(process));
     }
 
@@ -108,7 +110,7 @@
     }
 
     pub fn status_document(&self, node: usize, path: &str) -> Value {
-        get(self.settings[node].listen, path)
+        http_get(self.settings[node].listen, path)
             .and_then(|b| serde_json::from_slice(&b).ok())
             .unwrap_or(Value::Null)
     }
@@ -249,10 +251,10 @@
     twin.recovery.as_mut().unwrap().store = None;
     fs::write(&twin.engines_file, engines(1, &[EndpointState::Serving; 4]).render()).unwrap();
     let own = Arc::new(twin.clone());
-    let second = Process::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
+    let second = NodeProcess::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
     let back = |at: SocketAddr| -> Value {
         let document: Option<Value> =
-            get(at, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
+            http_get(at, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
         document.map_or(Value::Null, |t| t["stepped_back"].clone())
     };
     until("one of the two steps back", 30, || {
@@ -263,8 +265,8 @@
 }
 
 /// A request that asks at a node, under this number.
-fn ask(node: SocketAddr, n: u32, patience: Duration) -> Try {
-    Try {
+fn ask(node: SocketAddr, n: u32, patience: Duration) -> ClientAttempt {
+    ClientAttempt {
         id: format!("c{n}"),
         node: "n0".into(),
         address: node,
--- a/crates/pintally-cli/tests/fleet/golden.rs
+++ b/crates/pintally-cli/tests/fleet/golden.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use pintally_scenario::get;
+use pintally_scenario::http_get;
 use serde_json::Value;
 
 use crate::by_hand::{until, Nodes};
@@ -72,7 +72,7 @@
     let leader = (0..3).find(|node| is_leader(&fleet, *node)).expect("one leads");
     let mut got = String::new();
     for path in PATHS {
-        let document = get(fleet.settings[leader].listen, path).expect("a document");
+        let document = http_get(fleet.settings[leader].listen, path).expect("a document");
         let document = String::from_utf8(document).expect("text");
         let mut paths = BTreeSet::new();
         field_paths(&serde_json::from_str(&document).expect("JSON"), "", &mut paths);
--- a/crates/pintally-cli/tests/fleet/limits.rs
+++ b/crates/pintally-cli/tests/fleet/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pintally_audit::{Answer, What};
-use pintally_scenario::{DayResult, Running};
+use pintally_scenario::{RunningNode, ScenarioResult};
 use serde_json::Value;
 
 use crate::by_hand::{until, Nodes, EXE};
@@ -114,7 +114,7 @@
 
 /// The worst excess over a limit, in requests, of those that were let in: asked, and neither refused nor
 /// unanswered, by the time at which they were asked.
-fn excess(result: &DayResult, most: f64) -> (f64, usize) {
+fn excess(result: &ScenarioResult, most: f64) -> (f64, usize) {
     let mut asked: BTreeMap<&str, u64> = BTreeMap::new();
     let mut let_in = Vec::new();
     for r in &result.record {
@@ -138,7 +138,7 @@
 }
 
 /// A day under a limit of 12 requests a second for one tenant that sends about 20, spread over nodes.
-fn limited(name: &str, seed: u64, faults: &str) -> (DayResult, f64, usize) {
+fn limited(name: &str, seed: u64, faults: &str) -> (ScenarioResult, f64, usize) {
     let more = format!("(tenant \"a\") (tenant \"b\") {KEEPERS} {LIMITS} {faults}");
     let result = crate::play(name, 18, 4, seed, &more);
     let (worst, let_in) = excess(&result, 12.0);
--- a/crates/pintally-cli/tests/fleet/main.rs
+++ b/crates/pintally-cli/tests/fleet/main.rs
@@ -10,10 +10,10 @@
 
 use std::path::Path;
 
-use pintally_scenario::{run_with, Day, DayResult, Turns};
+use pintally_scenario::{run_with, RunSlots, Scenario, ScenarioResult};
 
 /// Days at once: each has a handful of processes and hundreds of clients.
-static TURNS: Turns = Turns::new(3);
+static TURNS: RunSlots = RunSlots::new(3);
 
 /// A day of some nodes and nine engines; `more` adds disks and faults.
 fn text(seconds: u32, nodes: usize, seed: u64, more: &str) -> String {
@@ -46,9 +46,9 @@
 }
 
 /// Plays a day with nodes as processes; rules must be kept and no cold engine may fall.
-fn play(name: &str, seconds: u32, nodes: usize, seed: u64, more: &str) -> DayResult {
-    let _turn = TURNS.wait();
-    let day = Day::parse(name, &text(seconds, nodes, seed, more)).expect("a sound day");
+fn play(name: &str, seconds: u32, nodes: usize, seed: u64, more: &str) -> ScenarioResult {
+    let _turn = TURNS.acquire();
+    let day = Scenario::parse(name, &text(seconds, nodes, seed, more)).expect("a sound day");
     let result = run_with(&day, seed, Path::new(env!("CARGO_BIN_EXE_pintally"))).expect("the day is played");
     let r = &result.report;
     println!(
@@ -65,7 +65,7 @@
 
 /// Requests served in the last seconds of a day, as a share of those that were asked anew: each client's
 /// first try counts, and its later ones stand for it.
-fn served_at_the_end(result: &DayResult, from_s: f64) -> f64 {
+fn served_at_the_end(result: &ScenarioResult, from_s: f64) -> f64 {
     use pintally_audit::{Answer, What};
     use std::collections::{BTreeMap, BTreeSet};
     let from = (from_s * 1e6) as u64;
--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use pintally_audit::What;
-use pintally_scenario::{run_with, Day, DayResult};
+use pintally_scenario::{run_with, Scenario, ScenarioResult};
 
 use crate::by_hand::{until, Nodes, EXE};
 
@@ -23,9 +23,9 @@
         .replace("(engines \"decode\" (count 5)", "(engines \"decode\" (count 6)")
 }
 
-fn play(name: &str, seed: u64, more: &str) -> DayResult {
-    let _turn = crate::TURNS.wait();
-    let day = Day::parse(name, &text(22, seed, more)).expect("a sound day");
+fn play(name: &str, seed: u64, more: &str) -> ScenarioResult {
+    let _turn = crate::TURNS.acquire();
+    let day = Scenario::parse(name, &text(22, seed, more)).expect("a sound day");
     let result = run_with(&day, seed, Path::new(EXE)).expect("the day is played");
     let r = &result.report;
     println!("{name}, seed {seed}: {} requests, {} served, {} refused", r.requests, r.served, r.refused);
@@ -36,7 +36,7 @@
 }
 
 /// The part of attempts, by the second, that went to an engine of another zone than the node's.
-fn far(result: &DayResult) -> BTreeMap<u64, (u64, u64)> {
+fn far(result: &ScenarioResult) -> BTreeMap<u64, (u64, u64)> {
     let What::Figures(figures) = &result.record[0].what else { panic!("figures come first") };
     let zones: BTreeMap<&str, &str> =
         figures.engines.iter().map(|e| (e.engine.as_str(), e.zone.as_str())).collect();
--- a/crates/pintally-cli/tests/fleet/verdicts.rs
+++ b/crates/pintally-cli/tests/fleet/verdicts.rs
@@ -8,7 +8,7 @@
 use pintally::interface::Role;
 use pintally_config::EngineList;
 use pintally_mock_engine::{Fleet, Recorder};
-use pintally_scenario::{Client, Rig, Try};
+use pintally_scenario::{Client, ClientAttempt, Rig};
 
 use crate::by_hand::{entry, until, Nodes, EXE};
 
@@ -58,7 +58,7 @@
     let mut send = |fleet: &Nodes| {
         for node in 0..4 {
             sent += 1;
-            client.attempt(&Try {
+            client.attempt(&ClientAttempt {
                 id: format!("v{sent}"),
                 node: format!("n{node}"),
                 address: fleet.settings[node].listen,
--- a/crates/pintally-cli/tests/platform/guard.rs
+++ b/crates/pintally-cli/tests/platform/guard.rs
@@ -105,7 +105,7 @@
     link.set_ip([127, 0, 2, 98].into());
     let mut child = serve(folder.path(), listen, link);
     let end = Instant::now() + LONG;
-    while pintally_scenario::get(listen, "/v2/health/live").is_none() {
+    while pintally_scenario::http_get(listen, "/v2/health/live").is_none() {
         assert!(Instant::now() < end, "the node does not start");
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/pintally-lab/src/clients.rs
+++ b/crates/pintally-lab/src/clients.rs
@@ -5,7 +5,7 @@
 
 use pintally_emulator::Hash;
 use pintally_host::RequestNumber;
-use pintally_scenario::Draft;
+use pintally_scenario::RequestDraft;
 
 /// One try of a request.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     pub(crate) id: String,
     pub(crate) number: u64,
     pub(crate) tries: u32,
-    pub(crate) draft: Rc<Draft>,
+    pub(crate) draft: Rc<RequestDraft>,
     /// The chain of the prompt's whole blocks.
     pub(crate) chain: Rc<Vec<Hash>>,
     /// Its answer has begun.
--- a/crates/pintally-lab/src/compare.rs
+++ b/crates/pintally-lab/src/compare.rs
@@ -7,7 +7,7 @@
 
 use pintally_audit::{audit, Record, Report};
 use pintally_benchmarks::{Interval, Spread};
-use pintally_scenario::{in_time, requests, with_figures, Day};
+use pintally_scenario::{requests, timely_value_share, with_figures, Scenario};
 
 use crate::policy::Which;
 use crate::world::World;
@@ -28,7 +28,7 @@
 }
 
 /// Plays one day and audits it; also tells how many engines fell over, and how long the playing took.
-fn audited(day: &Day, which: Which, seed: u64) -> Result<(Vec<Record>, Report, u64, Duration), String> {
+fn audited(day: &Scenario, which: Which, seed: u64) -> Result<(Vec<Record>, Report, u64, Duration), String> {
     let begun = Instant::now();
     let (record, engines, fell) = World::new(day, which, seed).play();
     let wall = begun.elapsed();
@@ -39,22 +39,23 @@
 }
 
 /// Plays one day in virtual time; its record, and whether all rules were kept.
-pub fn record(day: &Day, which: Which, seed: u64) -> Result<(Vec<Record>, bool), String> {
+pub fn record(day: &Scenario, which: Which, seed: u64) -> Result<(Vec<Record>, bool), String> {
     let (record, report, ..) = audited(day, which, seed)?;
     Ok((record, report.rules.kept()))
 }
 
 /// Plays one day in virtual time.
-pub fn play(day: &Day, which: Which, seed: u64) -> Result<Played, String> {
+pub fn play(day: &Scenario, which: Which, seed: u64) -> Result<Played, String> {
     let (record, report, fell, wall) = audited(day, which, seed)?;
     let span = record.last().map_or(1.0, |r| r.at as f64 / 1e6).max(1e-9);
     let all = requests(day, &record);
-    let served = all.iter().filter(|o| o.served).filter_map(|o| o.first.map(|f| f - o.at));
+    let served =
+        all.iter().filter(|o| o.served).filter_map(|o| o.first_token_at_us.map(|f| f - o.sent_at_us));
     let mut firsts: Vec<u64> = served.collect();
     firsts.sort_unstable();
     let place = ((firsts.len() as f64 * 0.99) as usize).min(firsts.len().max(1) - 1);
     Ok(Played {
-        in_time: in_time(all.iter()),
+        in_time: timely_value_share(all.iter()),
         p99_ms: firsts.get(place).map_or(f64::NAN, |f| *f as f64 / 1e3),
         broken: report
             .rules
@@ -89,7 +90,7 @@
 }
 
 /// Plays a day under all policies at several loads, over seeds.
-pub fn compare(day: &Day, loads: &[f64], seeds: std::ops::Range<u64>) -> Result<Vec<Compared>, String> {
+pub fn compare(day: &Scenario, loads: &[f64], seeds: std::ops::Range<u64>) -> Result<Vec<Compared>, String> {
     let seeds: Vec<u64> = seeds.collect();
     let mut jobs = Vec::new();
     for load in loads {
@@ -163,7 +164,7 @@
 
 /// Plays a day one after the other, scaled to so many engines and nodes at the same load for each
 /// engine.
-pub fn size(day: &Day, engines: usize, nodes: usize, seeds: u64) -> Result<Size, String> {
+pub fn size(day: &Scenario, engines: usize, nodes: usize, seeds: u64) -> Result<Size, String> {
     let mut day = day.clone();
     let all: usize = day.engines.iter().map(|e| e.count).sum();
     let times = engines as f64 / all.max(1) as f64;
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/script.rs
@@ -1,6 +1,6 @@
 //! Faults of a day as acts in virtual time.
 
-use pintally_scenario::{Day, Fault, FaultKind};
+use pintally_scenario::{Fault, FaultKind, Scenario};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
@@ -52,26 +52,30 @@
 
 /// The acts of a day's faults, in order of time. Engines come with their kinds and cells.
 pub(crate) fn script(
-    day: &Day,
+    day: &Scenario,
     engines: &[(String, Option<String>)],
     rng: &mut ChaCha8Rng,
 ) -> Vec<(u64, Act)> {
     let mut acts = Vec::new();
     for fault in day.faults.iter().filter(|f| supported(f.kind)) {
-        let (from, to) = (fault.at.as_micros() as u64, (fault.at + fault.length).as_micros() as u64);
+        let (from, to) = (fault.start.as_micros() as u64, (fault.start + fault.duration).as_micros() as u64);
         match fault.kind {
-            FaultKind::Burst => acts.extend([(from, Act::Rate(fault.size)), (to, Act::Rate(1.0))]),
+            FaultKind::Burst => acts.extend([(from, Act::Rate(fault.magnitude)), (to, Act::Rate(1.0))]),
             FaultKind::MoveTenant => {
-                let (tenant, cell) =
-                    (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
-                let size_ms = (fault.size * 1e3) as u64;
+                let (tenant, cell) = (
+                    fault.zone_or_tenant.clone().unwrap_or_default(),
+                    fault.cell.clone().unwrap_or_default(),
+                );
+                let size_ms = (fault.magnitude * 1e3) as u64;
                 let third = (to - from) / 3;
                 let over = if size_ms == 0 { third } else { size_ms };
                 acts.push((from, Act::Announce(tenant.clone(), cell, over)));
                 acts.push((from + third, Act::Move(tenant.clone(), false)));
                 acts.push((to, Act::Move(tenant, true)));
             }
-            FaultKind::HotText => acts.extend([(from, Act::Hot(fault.size.min(1.0))), (to, Act::Hot(0.0))]),
+            FaultKind::HotText => {
+                acts.extend([(from, Act::Hot(fault.magnitude.min(1.0))), (to, Act::Hot(0.0))])
+            }
             _ => {
                 for engine in struck(fault, engines, rng) {
                     acts.extend(of_engine(fault, engine, from, to));
@@ -85,11 +89,12 @@
 
 fn struck(fault: &Fault, engines: &[(String, Option<String>)], rng: &mut ChaCha8Rng) -> Vec<usize> {
     let fits = |(kind, cell): &(String, Option<String>)| {
-        fault.of.as_ref().is_none_or(|of| of == kind) && (fault.cell.is_none() || fault.cell == *cell)
+        fault.engine_kind.as_ref().is_none_or(|of| of == kind)
+            && (fault.cell.is_none() || fault.cell == *cell)
     };
     let mut all: Vec<usize> = (0..engines.len()).filter(|n| fits(&engines[*n])).collect();
     all.shuffle(rng);
-    all.truncate((all.len() as f64 * fault.part).round().max(1.0) as usize);
+    all.truncate((all.len() as f64 * fault.fraction).round().max(1.0) as usize);
     all
 }
 
@@ -99,8 +104,8 @@
     match fault.kind {
         FaultKind::Crash => both(Act::Up(engine, false), Act::Up(engine, true)),
         FaultKind::Restart => vec![(from, Act::Up(engine, false)), (from + 100_000, Act::Up(engine, true))],
-        FaultKind::Slow => both(Act::Slow(engine, fault.size.max(1.0)), Act::Slow(engine, 1.0)),
-        FaultKind::SlowLinks => both(Act::Links(engine, fault.size.max(1.0)), Act::Links(engine, 1.0)),
+        FaultKind::Slow => both(Act::Slow(engine, fault.magnitude.max(1.0)), Act::Slow(engine, 1.0)),
+        FaultKind::SlowLinks => both(Act::Links(engine, fault.magnitude.max(1.0)), Act::Links(engine, 1.0)),
         FaultKind::Drain => both(Act::Drain(engine, true), Act::Drain(engine, false)),
         FaultKind::Hang => vec![(from, Act::Pause(engine, to))],
         FaultKind::Forget => vec![(from, Act::Forget(engine))],
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -16,8 +16,10 @@
 use pintally_host::{
     AttemptOrder, Command, EngineEndpoint, FinalAnswer, IncomingRequest, Input, RequestNumber,
 };
-use pintally_mock_engine::{blocks, emulated, freed_by, tokens, EngineSpec, WIRES};
-use pintally_scenario::{specs, Day, Draft, Source};
+use pintally_mock_engine::{
+    audit_freed_by, block_hashes, emulator_spec, token_count, EngineSpec, LINK_RATES,
+};
+use pintally_scenario::{engine_specs, RequestDraft, Scenario, TrafficGenerator};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
@@ -34,7 +36,7 @@
 const UP_AGAIN: Micros = 5_000_000;
 
 /// The settings of one node of a day.
-fn settings(day: &Day, number: usize) -> NodeSettings {
+fn settings(day: &Scenario, number: usize) -> NodeSettings {
     let mut settings = day.node(number);
     settings.cells_file = day.cells.as_ref().map(|_| "in virtual time".to_string());
     settings
@@ -42,7 +44,7 @@
 
 enum Event {
     /// A client sends a request, for the first time or again.
-    AdmissionRequest(u64, u32, Rc<Draft>),
+    AdmissionRequest(u64, u32, Rc<RequestDraft>),
     /// A node learns something.
     Tell(usize, Box<Input>),
     /// An attempt reaches its engine.
@@ -72,7 +74,7 @@
 
 /// A day in virtual time.
 pub struct World<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     now: Micros,
     serial: u64,
     events: BTreeMap<(Micros, u64), Event>,
@@ -92,7 +94,7 @@
     states: HashMap<(usize, String), WorkId>,
     names: HashMap<WorkId, (usize, String)>,
     next_work: WorkId,
-    source: Source,
+    source: TrafficGenerator,
     rate: f64,
     hot: f64,
     cells: Option<CellsFile>,
@@ -105,14 +107,14 @@
 
 impl<'a> World<'a> {
     /// A day with a policy at each node, before its first moment.
-    pub fn new(day: &'a Day, which: Which, seed: u64) -> World<'a> {
-        let mut fleet = Fleet::new(WIRES, seed);
-        let specs = specs(day);
+    pub fn new(day: &'a Scenario, which: Which, seed: u64) -> World<'a> {
+        let mut fleet = Fleet::new(LINK_RATES, seed);
+        let specs = engine_specs(day);
         let zone = |name: &str| day.zones.iter().position(|z| z == name).unwrap_or(0);
         for spec in &specs {
-            let mut own = emulated(spec);
+            let mut own = emulator_spec(spec);
             if let Some(cold) = &mut own.cold {
-                cold.tip_multiple = spec.tip_multiple;
+                cold.tip_multiple = spec.overload_factor;
             }
             fleet.add(own, Place { zone: zone(&spec.zone) as u32, rack: spec.rack as u32 });
         }
@@ -144,7 +146,7 @@
             states: HashMap::new(),
             names: HashMap::new(),
             next_work: 1,
-            source: Source::new(&day.traffic, &day.settings, day.zones.len(), seed),
+            source: TrafficGenerator::new(&day.traffic, &day.settings, day.zones.len(), seed),
             rate: 1.0,
             hot: 0.0,
             cells: day.cells.clone(),
@@ -267,7 +269,7 @@
 
     // ---- clients ----
 
-    fn ask(&mut self, number: u64, tries: u32, draft: Rc<Draft>) {
+    fn ask(&mut self, number: u64, tries: u32, draft: Rc<RequestDraft>) {
         let zones = self.day.zones.len();
         let near: Vec<usize> = (0..self.nodes.len()).filter(|n| n % zones == draft.zone).collect();
         let node = if near.is_empty() {
@@ -285,7 +287,7 @@
             tenant: core.tenants.iter().position(|t| Some(&t.name) == draft.tenant.as_ref()),
             session: Some(draft.session),
             prefix: draft.prefix,
-            prompt_tokens: tokens(&draft.prompt),
+            prompt_tokens: token_count(&draft.prompt),
             prefix_tokens: draft.prefix_tokens,
             max_tokens: Some(draft.max_tokens),
             client_timeout: Some(patience),
@@ -298,7 +300,7 @@
             id: name(number, tries),
             number,
             tries,
-            chain: Rc::new(blocks(&draft.prompt)),
+            chain: Rc::new(block_hashes(&draft.prompt)),
             first: false,
             done: false,
             draft,
@@ -462,7 +464,7 @@
             return;
         };
         for node in 0..self.nodes.len() {
-            let late = self.day.hears_after(node).as_micros() as Micros;
+            let late = self.day.cells_file_delay(node).as_micros() as Micros;
             let input = Input::Cells(Box::new(next.clone()));
             self.at(self.now + late, Event::Tell(node, Box::new(input)));
         }
@@ -470,7 +472,7 @@
     }
 
     fn publish(&mut self) {
-        let notice = self.day.notice.as_micros() as Micros;
+        let notice = self.day.list_delay.as_micros() as Micros;
         (0..self.nodes.len()).for_each(|node| self.list(node, notice));
     }
 
@@ -485,7 +487,7 @@
         let id = self.next_work;
         self.next_work += 1;
         flight.work = Some(id);
-        let (half, prompt) = (order.max_tokens.div_ceil(2), tokens(&one.draft.prompt).max(1));
+        let (half, prompt) = (order.max_tokens.div_ceil(2), token_count(&one.draft.prompt).max(1));
         let answer = half + one.number.wrapping_mul(0x9e37_79b9) % (order.max_tokens - half + 1);
         let work = Work {
             id,
@@ -553,7 +555,7 @@
             Notice::Freed(state, by) => {
                 let Some((engine, name)) = self.names.remove(&state) else { return };
                 self.states.remove(&(engine, name.clone()));
-                let (engine, by) = (self.specs[engine].id.clone(), freed_by(by));
+                let (engine, by) = (self.specs[engine].id.clone(), audit_freed_by(by));
                 self.note(What::Freed { engine, state: name, by });
             }
             Notice::Fell => {
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -2,7 +2,7 @@
 //! they should and nowhere else.
 
 use pintally_lab::*;
-use pintally_scenario::{with_figures, Day};
+use pintally_scenario::{with_figures, Scenario};
 
 const DAY: &str = r#"(day (name "lab") (seed 1) (seconds 20) (settle-seconds 20)
   (zones "a" "b") (racks 4) (nodes 3 (notice-ms 200)) (slack-ms 5)
@@ -27,8 +27,8 @@
   (fault restart (at 5) (part 0.2)) (fault stale-reports (at 2) (for 9) (part 0.5))
   (fault lying-reports (at 12) (for 4) (part 0.3)) (fault hot-text (at 16) (for 3) (size 0.5))"#;
 
-fn day(faults: &str) -> Day {
-    Day::parse("lab", &DAY.replace("FAULTS", faults)).unwrap()
+fn day(faults: &str) -> Scenario {
+    Scenario::parse("lab", &DAY.replace("FAULTS", faults)).unwrap()
 }
 
 #[test]
@@ -129,13 +129,13 @@
             "(notice-ms 200)",
             &format!("(notice-ms 200) (moved {moved} (reports off) (probes no) (writers-read yes))"),
         );
-        let day = Day::parse("moving", &text).unwrap();
+        let day = Scenario::parse("moving", &text).unwrap();
         let (record, kept) = pintally_lab::record(&day, Which::Module, seed).unwrap();
         assert!(kept, "{moved} moved, seed {seed}");
-        let shapes = pintally_scenario::Shapes::of(&day, &record);
+        let shapes = pintally_scenario::ShapeComparison::of(&day, &record);
         assert_eq!(shapes.new.nodes, moved);
         assert!(shapes.evenness() > 0.8, "{moved} moved, seed {seed}: {shapes:?}");
-        let sends = |s: pintally_scenario::Shape| s.sends as f64 / s.asked as f64;
+        let sends = |s: pintally_scenario::ShapeStats| s.sends as f64 / s.asked as f64;
         let even = sends(shapes.old) / sends(shapes.new);
         assert!((0.7..=1.4).contains(&even), "{moved} moved, seed {seed}: {shapes:?}");
     }
--- a/crates/pintally-mock-engine/src/clock.rs
+++ b/crates/pintally-mock-engine/src/clock.rs
@@ -88,7 +88,7 @@
                 Notice::Freed(state, by) => {
                     let Some((number, submitted)) = inner.names.remove(&state) else { continue };
                     inner.states.remove(&(number, submitted.attempt.clone()));
-                    let (engine, state, by) = (submitted.engine, submitted.attempt, freed_by(by));
+                    let (engine, state, by) = (submitted.engine, submitted.attempt, audit_freed_by(by));
                     self.recorder.note(What::Freed { engine, state, by });
                     continue;
                 }
@@ -188,7 +188,7 @@
 }
 
 /// How a state was let go, as the record has it.
-pub fn freed_by(by: emulator::FreedBy) -> FreedBy {
+pub fn audit_freed_by(by: emulator::FreedBy) -> FreedBy {
     match by {
         emulator::FreedBy::Fetched => FreedBy::Fetched,
         emulator::FreedBy::Released => FreedBy::Released,
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -172,8 +172,8 @@
     /// The share of its capacity that it has now.
     pub(crate) fn share(&self, state: &State) -> f64 {
         let Some(started) = state.started else { return 1.0 };
-        let age = started.elapsed().as_secs_f64() / self.spec.warm_after.as_secs_f64().max(1e-9);
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
+        let age = started.elapsed().as_secs_f64() / self.spec.warm_up.as_secs_f64().max(1e-9);
+        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * age).min(1.0)
     }
 
     /// Work has come in, in seconds of full capacity. A cold engine that is sent too much falls over.
@@ -184,7 +184,7 @@
             state.sent.clear();
             return;
         }
-        let window = self.spec.tip_window;
+        let window = self.spec.overload_window;
         state.sent.push_back((now, work, node.to_string()));
         while state.sent.front().is_some_and(|(at, ..)| *at + window < now) {
             state.sent.pop_front();
@@ -192,7 +192,7 @@
         let all: f64 = state.sent.iter().map(|s| s.1).sum();
         let most = state.sent.iter().map(|s| s.1).fold(0.0, f64::max);
         // One piece of work is the slack for chance.
-        if all <= self.spec.tip_multiple * share * window.as_secs_f64() + most {
+        if all <= self.spec.overload_factor * share * window.as_secs_f64() + most {
             return;
         }
         let mut by_node: BTreeMap<String, f64> = BTreeMap::new();
@@ -236,7 +236,7 @@
 }
 
 /// The emulated engine's figures.
-pub fn emulated(spec: &EngineSpec) -> emulator::Spec {
+pub fn emulator_spec(spec: &EngineSpec) -> emulator::Spec {
     let micros = |d: Duration| d.as_micros() as u64;
     emulator::Spec {
         kind: match spec.role {
@@ -251,20 +251,20 @@
         budget: CHUNK + spec.slots as u64,
         cost: emulator::Cost {
             step: if spec.role == Role::Reader { READ_STEP } else { spec.token_gap.as_secs_f64() * 1e6 },
-            read_token: 1e6 / spec.read_per_s.max(1e-9),
+            read_token: 1e6 / spec.read_tokens_per_s.max(1e-9),
             write_token: 0.0,
             context: 0.0,
         },
         cold: Some(emulator::Cold {
-            from: spec.cold_from,
-            warm_after: micros(spec.warm_after),
+            from: spec.initial_capacity,
+            warm_after: micros(spec.warm_up),
             // Falling over is judged here, where it is known which node sent what.
             tip_multiple: f64::INFINITY,
-            tip_window: micros(spec.tip_window),
+            tip_window: micros(spec.overload_window),
         }),
-        state_for: micros(spec.state_for),
-        telling: emulator::Telling { every: micros(spec.report_every), delay: 0, noise: 0.0 },
-        port: spec.link_per_s / 1e6,
+        state_for: micros(spec.state_ttl),
+        telling: emulator::Telling { every: micros(spec.report_interval), delay: 0, noise: 0.0 },
+        port: spec.link_tokens_per_s / 1e6,
         dedup: 0,
     }
 }
--- a/crates/pintally-mock-engine/src/fleet.rs
+++ b/crates/pintally-mock-engine/src/fleet.rs
@@ -12,7 +12,7 @@
 use pintally_emulator::{Place, Wires};
 
 use crate::clock::Clock;
-use crate::engine::emulated;
+use crate::engine::emulator_spec;
 use crate::{Engine, EngineSpec};
 
 /// How often the machine's lateness is looked at; less than this does not count.
@@ -21,7 +21,7 @@
 const LATE_FOR: Duration = Duration::from_secs(3);
 
 /// What joins racks and zones: states weigh one a token, so these are tokens a microsecond.
-pub const WIRES: Wires = Wires { rack: 2.0, zone: 1.0, token_bytes: 1.0 };
+pub const LINK_RATES: Wires = Wires { rack: 2.0, zone: 1.0, token_bytes: 1.0 };
 
 /// A record in the making.
 #[derive(Clone)]
@@ -163,7 +163,7 @@
     /// A fleet without engines.
     pub fn new(recorder: Recorder) -> Arc<Fleet> {
         Arc::new(Fleet {
-            clock: Clock::start(WIRES, 1, recorder.clone()),
+            clock: Clock::start(LINK_RATES, 1, recorder.clone()),
             zones: Mutex::default(),
             recorder,
             engines: RwLock::default(),
@@ -175,9 +175,9 @@
     /// Adds an engine that listens at once; `cold` if it begins as one that has just started.
     pub fn add(self: &Arc<Self>, spec: EngineSpec, cold: bool) -> std::io::Result<Arc<Engine>> {
         let place = Place { zone: self.zone(&spec.zone), rack: spec.rack as u32 };
-        let number = self.clock.add(emulated(&spec), place);
-        let emulated = (self.clock.clone(), number);
-        let engine = Engine::new(Arc::downgrade(self), spec, self.recorder.clone(), emulated)?;
+        let number = self.clock.add(emulator_spec(&spec), place);
+        let emulator_spec = (self.clock.clone(), number);
+        let engine = Engine::new(Arc::downgrade(self), spec, self.recorder.clone(), emulator_spec)?;
         self.engines
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/pintally-mock-engine/src/lib.rs
+++ b/crates/pintally-mock-engine/src/lib.rs
@@ -12,9 +12,9 @@
 mod spec;
 mod text;
 
-pub use clock::freed_by;
-pub use engine::{emulated, Engine};
-pub use fleet::{Fleet, Recorder, WIRES};
+pub use clock::audit_freed_by;
+pub use engine::{emulator_spec, Engine};
+pub use fleet::{Fleet, Recorder, LINK_RATES};
 pub use port::Port;
 pub use spec::{EngineSpec, Faults, ReportAccuracy, Role};
-pub use text::{blocks, tokens};
+pub use text::{block_hashes, token_count};
--- a/crates/pintally-mock-engine/src/serve.rs
+++ b/crates/pintally-mock-engine/src/serve.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::SubmittedWork;
 use crate::engine::{Engine, SLICE};
-use crate::text::{blocks, tokens};
+use crate::text::{block_hashes, token_count};
 
 /// Tokens that go out at once in a stream.
 const CHUNK: u64 = 4;
@@ -208,10 +208,10 @@
         let spec = &self.engine.spec;
         let gap = spec.token_gap.as_secs_f64();
         let answers = answer_tokens(work);
-        let whole = self.emulated(work, answers);
+        let whole = self.emulator_spec(work, answers);
         let kept = self.engine.clock.act(|fleet, _, _| fleet.engine(self.engine.number).kept(&whole));
         let unread = whole.prompt.saturating_sub(kept);
-        let read_cost = unread as f64 / spec.read_per_s;
+        let read_cost = unread as f64 / spec.read_tokens_per_s;
         let write_cost = answers as f64 * gap / spec.slots.max(1) as f64;
         let cost = match work.step {
             Step::Read => read_cost,
@@ -237,13 +237,13 @@
     }
 
     /// A piece of work as the emulator takes it.
-    fn emulated(&self, work: &Work, answers: u64) -> emulator::Work {
+    fn emulator_spec(&self, work: &Work, answers: u64) -> emulator::Work {
         emulator::Work {
             id: 0,
             reads_only: work.step == Step::Read,
             fetches: None,
-            chain: blocks(&work.prompt),
-            prompt: tokens(&work.prompt).max(1),
+            chain: block_hashes(&work.prompt),
+            prompt: token_count(&work.prompt).max(1),
             answer: if work.step == Step::Read { 0 } else { answers },
             key: None,
         }
@@ -343,7 +343,7 @@
 
     /// Tells that a prompt is read and its state waits.
     fn read_done(&mut self, work: &Work, kept: u64) -> Result<(), Gone> {
-        let (engine, prompt) = (self.engine.spec.id.clone(), tokens(&work.prompt));
+        let (engine, prompt) = (self.engine.spec.id.clone(), token_count(&work.prompt));
         self.hear()?;
         let body = json!({
             "object": "text_completion",
@@ -391,7 +391,7 @@
         let usage = json!({
             "choices": [],
             "usage": {
-                "prompt_tokens": tokens(&work.prompt),
+                "prompt_tokens": token_count(&work.prompt),
                 "completion_tokens": answers,
                 "prompt_tokens_details": { "cached_tokens": kept },
             },
--- a/crates/pintally-mock-engine/src/spec.rs
+++ b/crates/pintally-mock-engine/src/spec.rs
@@ -35,23 +35,23 @@
     /// Memory in tokens, kept texts, read states and running answers together.
     pub memory_tokens: u64,
     /// Prompt tokens read in a second.
-    pub read_per_s: f64,
+    pub read_tokens_per_s: f64,
     /// Time between two tokens of an answer.
     pub token_gap: Duration,
     /// Tokens of a state that move in a second inside the rack.
-    pub link_per_s: f64,
+    pub link_tokens_per_s: f64,
     /// Share of its capacity that it starts with.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time until it is warm.
-    pub warm_after: Duration,
+    pub warm_up: Duration,
     /// Sent more than this many times its present capacity it falls over,
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// counted over this time.
-    pub tip_window: Duration,
+    pub overload_window: Duration,
     /// How often its load report is made anew.
-    pub report_every: Duration,
+    pub report_interval: Duration,
     /// A read state that nobody fetches is dropped after this time.
-    pub state_for: Duration,
+    pub state_ttl: Duration,
 }
 
 /// How load reports are made.
--- a/crates/pintally-mock-engine/src/text.rs
+++ b/crates/pintally-mock-engine/src/text.rs
@@ -8,12 +8,12 @@
 pub(crate) const BYTES: usize = 4;
 
 /// The tokens of a text.
-pub fn tokens(text: &str) -> u64 {
+pub fn token_count(text: &str) -> u64 {
     (text.len() as u64).div_ceil(BYTES as u64)
 }
 
 /// The chain of hashes of a text's whole blocks: each stands for the text up to its end.
-pub fn blocks(text: &str) -> Vec<u64> {
+pub fn block_hashes(text: &str) -> Vec<u64> {
     let size = BLOCK as usize * BYTES;
     text.as_bytes()
         .chunks_exact(size)
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -19,7 +19,7 @@
 /// One try of a request.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
-pub struct Try {
+pub struct ClientAttempt {
     /// The client's id, of this try alone.
     pub id: String,
     /// The node that it goes to, and its name in the record.
@@ -67,7 +67,7 @@
 
 impl Client {
     /// Makes one try and waits for its end.
-    pub fn attempt(&self, t: &Try) -> AttemptResult {
+    pub fn attempt(&self, t: &ClientAttempt) -> AttemptResult {
         let Ok(mut stream) = TcpStream::connect_timeout(&t.address, CONNECT) else {
             return AttemptResult::NoNode;
         };
@@ -128,7 +128,7 @@
         AttemptResult::Answered(answer, after)
     }
 
-    fn listen(&self, t: &Try, stream: &mut TcpStream, begin: Instant) -> Heard {
+    fn listen(&self, t: &ClientAttempt, stream: &mut TcpStream, begin: Instant) -> Heard {
         let deadline = begin + t.patience;
         let leaves = t.leaves.map(|after| begin + after);
         let mut reader = ResponseReader::new(64 << 10);
--- a/crates/pintally-scenario/src/cores.rs
+++ b/crates/pintally-scenario/src/cores.rs
@@ -7,36 +7,36 @@
 /// Enough for a day; further ones cost more than they bring.
 const FEW: usize = 4;
 /// Days in one process that are played at once.
-pub(crate) static IN_ONE_PROCESS: Turns = Turns::new(2);
+pub(crate) static IN_ONE_PROCESS: RunSlots = RunSlots::new(2);
 
 /// Places for days that are played at once. Guards against days that take each other's time on a machine
 /// that has little.
-pub struct Turns {
+pub struct RunSlots {
     free: Mutex<usize>,
     freed: Condvar,
 }
 
 /// A place among them, until it is dropped.
-pub struct Turn(&'static Turns);
+pub struct RunSlot(&'static RunSlots);
 
-impl Turns {
+impl RunSlots {
     /// So many places.
-    pub const fn new(places: usize) -> Turns {
-        Turns { free: Mutex::new(places), freed: Condvar::new() }
+    pub const fn new(places: usize) -> RunSlots {
+        RunSlots { free: Mutex::new(places), freed: Condvar::new() }
     }
 
     /// Waits for one.
-    pub fn wait(&'static self) -> Turn {
+    pub fn acquire(&'static self) -> RunSlot {
         let mut free = self.free.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         while *free == 0 {
             free = self.freed.wait(free).unwrap_or_else(std::sync::PoisonError::into_inner);
         }
         *free -= 1;
-        Turn(self)
+        RunSlot(self)
     }
 }
 
-impl Drop for Turn {
+impl Drop for RunSlot {
     fn drop(&mut self) {
         *self.0.free.lock().unwrap_or_else(std::sync::PoisonError::into_inner) += 1;
         self.0.freed.notify_one();
--- a/crates/pintally-scenario/src/engines.rs
+++ b/crates/pintally-scenario/src/engines.rs
@@ -12,10 +12,10 @@
 
 use crate::publish::{entry_of, replace};
 use crate::run::RunError;
-use crate::spec::{Day, EngineGroup};
+use crate::spec::{EngineGroup, Scenario};
 
 /// The figures of all engines with which a day begins.
-pub fn specs(day: &Day) -> Vec<EngineSpec> {
+pub fn engine_specs(day: &Scenario) -> Vec<EngineSpec> {
     let mut specs = Vec::new();
     // Groups of one kind and cell are numbered on: their engines must not share names.
     let mut named: BTreeMap<(&str, Option<&str>), usize> = BTreeMap::new();
@@ -35,7 +35,7 @@
     specs
 }
 
-fn spec(day: &Day, group: &EngineGroup, id: String, rack: u64) -> EngineSpec {
+fn spec(day: &Scenario, group: &EngineGroup, id: String, rack: u64) -> EngineSpec {
     let (core, zones) = (&day.settings.core, &day.zones);
     EngineSpec {
         id,
@@ -52,15 +52,15 @@
         slots: group.slots,
         queue: group.queue,
         memory_tokens: group.memory_tokens,
-        read_per_s: group.read_per_s,
+        read_tokens_per_s: group.read_tokens_per_s,
         token_gap: group.token_gap,
-        link_per_s: group.link_per_s,
-        cold_from: core.slow_start_min_capacity,
-        warm_after: Duration::from_micros(core.slow_start_duration),
-        tip_multiple: core.overload_factor,
-        tip_window: Duration::from_micros(core.overload_window),
-        report_every: group.report_every,
-        state_for: Duration::from_secs(60),
+        link_tokens_per_s: group.link_tokens_per_s,
+        initial_capacity: core.slow_start_min_capacity,
+        warm_up: Duration::from_micros(core.slow_start_duration),
+        overload_factor: core.overload_factor,
+        overload_window: Duration::from_micros(core.overload_window),
+        report_interval: group.report_interval,
+        state_ttl: Duration::from_secs(60),
     }
 }
 
@@ -71,9 +71,9 @@
 
 impl Engines {
     /// Starts them, warm.
-    pub fn start(day: &Day) -> Result<Engines, RunError> {
+    pub fn start(day: &Scenario) -> Result<Engines, RunError> {
         let fleet = Fleet::new(Recorder::off());
-        for spec in specs(day) {
+        for spec in engine_specs(day) {
             let id = spec.id.clone();
             fleet.add(spec, false).map_err(|e| RunError(format!("{id} cannot listen: {e}")))?;
         }
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -110,15 +110,15 @@
     };
     let fault = Fault {
         kind: *kind,
-        at: seconds("at", 0.0)?,
-        length: seconds("for", 5.0)?,
-        part: form.number_or("part", 0.2, 0.0, 1.0)?,
-        of,
+        start: seconds("at", 0.0)?,
+        duration: seconds("for", 5.0)?,
+        fraction: form.number_or("part", 0.2, 0.0, 1.0)?,
+        engine_kind: of,
         cell,
         engines,
-        name: zone.or(tenant),
-        size: form.number_or("size", *size, 0.0, 1e6)?,
-        batch: form.count_or("batch", 1, 1, 10_000)? as usize,
+        zone_or_tenant: zone.or(tenant),
+        magnitude: form.number_or("size", *size, 0.0, 1e6)?,
+        batch_size: form.count_or("batch", 1, 1, 10_000)? as usize,
     };
     form.finish()?;
     Ok(fault)
@@ -140,12 +140,12 @@
         if !fault.engines.is_empty() {
             return fault.engines.iter().cloned().map(Target).collect();
         }
-        let fits = |kind: &str| fault.of.as_deref().is_none_or(|of| of == kind);
+        let fits = |kind: &str| fault.engine_kind.as_deref().is_none_or(|of| of == kind);
         let inside = |cell: &Option<String>| fault.cell.is_none() || fault.cell == *cell;
         let struck = self.engines.iter().filter(|e| fits(&e.1) && inside(&e.2));
         let mut all: Vec<Target> = struck.map(|e| Target(e.0.clone())).collect();
         all.shuffle(rng);
-        let many = (all.len() as f64 * fault.part).round().max(1.0) as usize;
+        let many = (all.len() as f64 * fault.fraction).round().max(1.0) as usize;
         all.truncate(many);
         all
     }
@@ -153,8 +153,8 @@
 
 /// Puts a fault into a script.
 pub(crate) fn stage(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
-    let (from, to) = (fault.at, fault.at + fault.length);
-    let mut pick = |names: &[String]| match &fault.name {
+    let (from, to) = (fault.start, fault.start + fault.duration);
+    let mut pick = |names: &[String]| match &fault.zone_or_tenant {
         Some(name) => name.clone(),
         None if names.is_empty() => String::new(),
         None => names[rng.random_range(0..names.len())].clone(),
@@ -166,7 +166,7 @@
             script.add(to, Act::Cut(zone, false));
         }
         FaultKind::LateList => {
-            script.add(from, Act::ListDelay(Duration::from_secs_f64(fault.size / 1e3)));
+            script.add(from, Act::ListDelay(Duration::from_secs_f64(fault.magnitude / 1e3)));
             script.add(to, Act::ListDelay(Duration::ZERO));
         }
         FaultKind::HeedlessRetries => {
@@ -174,30 +174,30 @@
             script.add(to, Act::Heedless(false));
         }
         FaultKind::LeaveEarly => {
-            script.add(from, Act::LeaveEarly(fault.size.min(1.0)));
+            script.add(from, Act::LeaveEarly(fault.magnitude.min(1.0)));
             script.add(to, Act::LeaveEarly(0.0));
         }
         FaultKind::Burst => {
-            script.add(from, Act::Rate(fault.size));
+            script.add(from, Act::Rate(fault.magnitude));
             script.add(to, Act::Rate(1.0));
         }
         FaultKind::TenantFlood => {
-            let tenant = fault.name.clone().unwrap_or_default();
-            script.add(from, Act::Flood(Some((tenant, fault.size))));
+            let tenant = fault.zone_or_tenant.clone().unwrap_or_default();
+            script.add(from, Act::Flood(Some((tenant, fault.magnitude))));
             script.add(to, Act::Flood(None));
         }
         FaultKind::MoveTenant => {
             let (tenant, to_cell) =
-                (fault.name.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
+                (fault.zone_or_tenant.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
             // Announced, then all sessions go, over a third of the time by default, then it is done.
-            let span = Duration::from_secs_f64(fault.size / 1e3);
-            let over = if span.is_zero() { fault.length / 3 } else { span };
+            let span = Duration::from_secs_f64(fault.magnitude / 1e3);
+            let over = if span.is_zero() { fault.duration / 3 } else { span };
             script.add(from, Act::Move(tenant.clone(), MoveStep::Prepare { to: to_cell, over }));
-            script.add(from + fault.length / 3, Act::Move(tenant.clone(), MoveStep::Both));
+            script.add(from + fault.duration / 3, Act::Move(tenant.clone(), MoveStep::Both));
             script.add(to, Act::Move(tenant, MoveStep::Done));
         }
         FaultKind::HotText => {
-            script.add(from, Act::HotText(fault.size.min(1.0)));
+            script.add(from, Act::HotText(fault.magnitude.min(1.0)));
             script.add(to, Act::HotText(0.0));
         }
         FaultKind::NodeKill => {
@@ -205,18 +205,18 @@
             nodes.shuffle(rng);
             // One node is left to serve, where there is more than one.
             let most = on.nodes.saturating_sub(1).max(1);
-            let many = ((on.nodes as f64 * fault.part).round() as usize).clamp(1, most);
+            let many = ((on.nodes as f64 * fault.fraction).round() as usize).clamp(1, most);
             for node in nodes.into_iter().take(many) {
                 script.add(from, Act::KillNode(node));
                 script.add(to, Act::StartNode(node));
             }
         }
         FaultKind::NodeRoll => {
-            let step = fault.length / on.nodes.max(1) as u32;
+            let step = fault.duration / on.nodes.max(1) as u32;
             for node in 0..on.nodes {
                 let at = from + step * node as u32;
                 script.add(at, Act::KillNode(node));
-                script.add(at + Duration::from_secs_f64(fault.size / 1e3), Act::StartNode(node));
+                script.add(at + Duration::from_secs_f64(fault.magnitude / 1e3), Act::StartNode(node));
             }
         }
         FaultKind::Power => power(fault, on, rng, script),
@@ -236,7 +236,7 @@
         FaultKind::NodePause => {
             let mut nodes: Vec<usize> = (0..on.nodes).collect();
             nodes.shuffle(rng);
-            let many = ((on.nodes as f64 * fault.part).round() as usize).max(1);
+            let many = ((on.nodes as f64 * fault.fraction).round() as usize).max(1);
             for node in nodes.into_iter().take(many) {
                 script.add(from, Act::Pause(node, true));
                 script.add(to, Act::Pause(node, false));
@@ -253,7 +253,7 @@
                 FaultKind::PeerOneWay => (Pairs::OneWay, cut),
                 FaultKind::PeerSide => (Pairs::Side, cut),
                 FaultKind::PeerStall => (Pairs::All, Link { stalled: true, ..Link::default() }),
-                _ => (Pairs::All, Link { loss: fault.size.min(1.0), ..Link::default() }),
+                _ => (Pairs::All, Link { loss: fault.magnitude.min(1.0), ..Link::default() }),
             };
             script.add(from, Act::Link(pairs, link, true));
             script.add(to, Act::Link(pairs, link, false));
@@ -273,27 +273,27 @@
 /// the fault's length; the first `size` nodes, in the order drawn, never do.
 fn power(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
     for node in 0..on.nodes {
-        script.add(fault.at, Act::KillNode(node));
+        script.add(fault.start, Act::KillNode(node));
     }
     let mut nodes: Vec<usize> = (0..on.nodes).collect();
     nodes.shuffle(rng);
-    for node in nodes.into_iter().skip(fault.size as usize) {
-        script.add(fault.at + fault.length.mul_f64(rng.random_range(0.05..1.0)), Act::StartNode(node));
+    for node in nodes.into_iter().skip(fault.magnitude as usize) {
+        script.add(fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0)), Act::StartNode(node));
     }
     for (engine, _, _) in on.engines {
-        script.add(fault.at, Act::PowerOff(Target(engine.clone())));
-        let back = fault.at + fault.length.mul_f64(rng.random_range(0.05..1.0));
+        script.add(fault.start, Act::PowerOff(Target(engine.clone())));
+        let back = fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0));
         script.add(back, Act::Start(Target(engine.clone())));
     }
 }
 
 /// Faults of engines, one by one.
 fn engines(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
-    let (from, to) = (fault.at, fault.at + fault.length);
+    let (from, to) = (fault.start, fault.start + fault.duration);
     let targets = on.draw(fault, rng);
-    let batches = targets.len().div_ceil(fault.batch).max(1) as u32;
+    let batches = targets.len().div_ceil(fault.batch_size).max(1) as u32;
     for (place, target) in targets.into_iter().enumerate() {
-        let turn = from + fault.length / batches * (place / fault.batch) as u32;
+        let turn = from + fault.duration / batches * (place / fault.batch_size) as u32;
         let both = |script: &mut Script, begin: Act, end: Act| {
             script.add(from, begin);
             script.add(to, end);
@@ -308,10 +308,10 @@
             FaultKind::Hang => both(script, Act::Hang(target.clone(), true), Act::Hang(target, false)),
             FaultKind::Silent => both(script, Act::Silent(target.clone(), true), Act::Silent(target, false)),
             FaultKind::Slow => {
-                both(script, Act::Slow(target.clone(), fault.size.max(1.0)), Act::Slow(target, 1.0));
+                both(script, Act::Slow(target.clone(), fault.magnitude.max(1.0)), Act::Slow(target, 1.0));
             }
             FaultKind::SlowConnect => {
-                let delay = Duration::from_secs_f64(fault.size / 1e3);
+                let delay = Duration::from_secs_f64(fault.magnitude / 1e3);
                 both(
                     script,
                     Act::SlowConnect(target.clone(), delay),
@@ -319,10 +319,10 @@
                 );
             }
             FaultKind::SlowLinks => {
-                both(script, Act::Links(target.clone(), fault.size.max(1.0)), Act::Links(target, 1.0));
+                both(script, Act::Links(target.clone(), fault.magnitude.max(1.0)), Act::Links(target, 1.0));
             }
             FaultKind::BadRelease => {
-                let after = Some(Duration::from_secs_f64(fault.size / 1e3));
+                let after = Some(Duration::from_secs_f64(fault.magnitude / 1e3));
                 both(script, Act::FailAfter(target.clone(), after), Act::FailAfter(target, None));
             }
             FaultKind::StaleReports => {
@@ -332,7 +332,7 @@
             FaultKind::Drain => both(script, Act::Drain(target.clone()), Act::Undrain(target)),
             FaultKind::Forget => script.add(turn, Act::Forget(target)),
             FaultKind::Replace => {
-                let drain = Duration::from_secs_f64(fault.size / 1e3);
+                let drain = Duration::from_secs_f64(fault.magnitude / 1e3);
                 script.add(turn, Act::Replace(target.clone()));
                 script.add(turn + drain, Act::Remove(target));
             }
--- a/crates/pintally-scenario/src/lib.rs
+++ b/crates/pintally-scenario/src/lib.rs
@@ -18,15 +18,17 @@
 mod traffic;
 mod worth;
 
-pub use client::{AttemptResult, Client, Try};
-pub use cores::{Turn, Turns};
+pub use client::{AttemptResult, Client, ClientAttempt};
+pub use cores::{RunSlot, RunSlots};
 
-pub use engines::{specs, Engines};
+pub use engines::{engine_specs, Engines};
 pub use from_bench::{from_bench, Converted, Scale};
-pub use moved::{Shape, Shapes};
-pub use process::{get, Process};
+pub use moved::{ShapeComparison, ShapeStats};
+pub use process::{http_get, NodeProcess};
 pub use rig::Rig;
-pub use run::{run, run_steady, run_with, with_figures, DayResult, Launch, RunError, Running};
-pub use spec::{ClassTraffic, Day, EngineGroup, Fault, FaultKind, Traffic, APART, MAX_NODES};
-pub use traffic::{Draft, Source};
-pub use worth::{in_time, requests, One};
+pub use run::{run, run_steady, run_with, with_figures, NodeLauncher, RunError, RunningNode, ScenarioResult};
+pub use spec::{
+    ClassTraffic, EngineGroup, Fault, FaultKind, Scenario, Traffic, CELLS_FILE_SPREAD, MAX_NODES,
+};
+pub use traffic::{RequestDraft, TrafficGenerator};
+pub use worth::{requests, timely_value_share, RequestRecord};
--- a/crates/pintally-scenario/src/moved.rs
+++ b/crates/pintally-scenario/src/moved.rs
@@ -5,12 +5,12 @@
 use pintally_audit::{Record, What};
 use serde::Serialize;
 
-use crate::spec::Day;
+use crate::spec::Scenario;
 use crate::worth::requests;
 
 /// What the nodes of one shape were asked and gave.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Shape {
+pub struct ShapeStats {
     /// Nodes of this shape.
     pub nodes: usize,
     /// Requests that were asked of them,
@@ -23,7 +23,7 @@
     pub sends: u64,
 }
 
-impl Shape {
+impl ShapeStats {
     /// The part of what was asked that was served in time.
     pub fn share(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
@@ -32,20 +32,20 @@
 
 /// What nodes of the old and of the new shape were asked and gave on a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Shapes {
+pub struct ShapeComparison {
     /// Nodes that are still as all were.
-    pub old: Shape,
+    pub old: ShapeStats,
     /// Nodes that have moved.
-    pub new: Shape,
+    pub new: ShapeStats,
 }
 
-impl Shapes {
+impl ShapeComparison {
     /// Counts them out of a day's record.
-    pub fn of(day: &Day, record: &[Record]) -> Shapes {
+    pub fn of(day: &Scenario, record: &[Record]) -> ShapeComparison {
         let moved: HashMap<String, bool> =
             (0..day.nodes).map(|n| (day.node(n).name, day.is_moved(n))).collect();
         let new = |node: &str| moved.get(node).copied().unwrap_or(false);
-        let mut shapes = Shapes::default();
+        let mut shapes = ShapeComparison::default();
         for new in moved.values() {
             shapes.at(*new).nodes += 1;
         }
@@ -63,7 +63,7 @@
         shapes
     }
 
-    fn at(&mut self, new: bool) -> &mut Shape {
+    fn at(&mut self, new: bool) -> &mut ShapeStats {
         if new {
             &mut self.new
         } else {
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -17,15 +17,15 @@
 use tempfile::TempDir;
 use tracing::{debug, warn};
 
-use crate::client::{AttemptResult, Client, Try};
+use crate::client::{AttemptResult, Client, ClientAttempt};
 use crate::engines;
 use crate::faults::{stage, Stage};
 use crate::publish::Publisher;
 use crate::relay::{self, Relays};
-use crate::run::{Launch, RunError, Running};
+use crate::run::{NodeLauncher, RunError, RunningNode};
 use crate::script::{Act, MoveStep, Script, Target};
-use crate::spec::Day;
-use crate::traffic::{Draft, Source};
+use crate::spec::Scenario;
+use crate::traffic::{RequestDraft, TrafficGenerator};
 
 /// The stack of a client's thread.
 const CLIENT_STACK: usize = 160 << 10;
@@ -51,7 +51,7 @@
     settings: Arc<NodeSettings>,
     /// Holds its port while it is down.
     _port: Port,
-    running: Option<Box<dyn Running>>,
+    running: Option<Box<dyn RunningNode>>,
 }
 
 /// What clients' threads see of the nodes.
@@ -81,14 +81,14 @@
 
 /// A day that is played.
 pub(crate) struct Play<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     seed: u64,
-    launch: Launch<'a>,
+    launch: NodeLauncher<'a>,
     fleet: Arc<Fleet>,
     publisher: Publisher,
     nodes: Vec<Place>,
     clients: Arc<Clients>,
-    source: Source,
+    source: TrafficGenerator,
     script: Script,
     begin: Instant,
     list_delay: Duration,
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Play<'a> {
-    pub(crate) fn new(day: &'a Day, seed: u64, launch: Launch<'a>) -> Result<Play<'a>, RunError> {
+    pub(crate) fn new(day: &'a Scenario, seed: u64, launch: NodeLauncher<'a>) -> Result<Play<'a>, RunError> {
         let fail = |what: &str, e: &dyn std::fmt::Display| RunError(format!("{what}: {e}"));
         let folder = tempfile::tempdir().map_err(|e| fail("no folder for the lists", &e))?;
         let recorder = Recorder::default();
@@ -135,7 +135,7 @@
             publisher,
             nodes: Vec::new(),
             clients,
-            source: Source::new(traffic, &day.settings, day.zones.len(), seed),
+            source: TrafficGenerator::new(traffic, &day.settings, day.zones.len(), seed),
             script: Script::default(),
             begin: Instant::now(),
             list_delay: Duration::ZERO,
@@ -169,7 +169,7 @@
     }
 
     fn build_engines(&mut self) -> std::io::Result<()> {
-        for spec in engines::specs(self.day) {
+        for spec in engines::engine_specs(self.day) {
             let id = spec.id.clone();
             let engine = self.fleet.add(spec, false)?;
             self.enter(&engine);
@@ -299,8 +299,12 @@
         let mut next = self.source.gap(1.0);
         let mut number = 0;
         // The flood is drawn apart, so that the other clients send the same with it and without it.
-        let mut flood =
-            Source::new(&self.day.traffic, &self.day.settings, self.day.zones.len(), self.seed ^ 0xf100d);
+        let mut flood = TrafficGenerator::new(
+            &self.day.traffic,
+            &self.day.settings,
+            self.day.zones.len(),
+            self.seed ^ 0xf100d,
+        );
         let mut next_flood = Duration::ZERO;
         while next < self.day.length {
             if let Some((tenant, times)) = self.flood.clone() {
@@ -356,7 +360,7 @@
     /// The list has changed: each node hears of it after the usual notice.
     fn publish(&mut self) {
         let version = self.publisher.seal();
-        let at = self.begin.elapsed() + self.day.notice + self.list_delay;
+        let at = self.begin.elapsed() + self.day.list_delay + self.list_delay;
         (0..self.day.nodes).for_each(|node| self.script.add(at, Act::Write(node, version)));
     }
 
@@ -428,11 +432,11 @@
                 let Some(running) = self.nodes[node].running.take() else { return Ok(()) };
                 self.fleet.recorder.note(What::NodeDown { node: format!("n{node}") });
                 running.kill();
-                self.script.add(self.begin.elapsed() + self.day.front, Act::Front(node, false));
+                self.script.add(self.begin.elapsed() + self.day.front_delay, Act::Front(node, false));
             }
             Act::StartNode(node) => {
                 self.start_node(node)?;
-                self.script.add(self.begin.elapsed() + self.day.front, Act::Front(node, true));
+                self.script.add(self.begin.elapsed() + self.day.front_delay, Act::Front(node, true));
             }
             Act::Front(node, up) => {
                 let up = up && self.nodes[node].running.is_some();
@@ -482,7 +486,7 @@
         let (version, text) = (cells.version, cells.render());
         self.publisher.set_cells(version, text);
         for node in 0..self.day.nodes {
-            let late = self.day.hears_after(node);
+            let late = self.day.cells_file_delay(node);
             self.script.add(self.begin.elapsed() + late, Act::WriteCells(node, version));
         }
     }
@@ -522,7 +526,7 @@
         old.crash();
     }
 
-    fn send(&mut self, number: u64, draft: Draft) {
+    fn send(&mut self, number: u64, draft: RequestDraft) {
         if self.clients.open.fetch_add(1, Ordering::AcqRel) >= MAX_CLIENTS {
             self.clients.open.fetch_sub(1, Ordering::AcqRel);
             warn!("too many clients wait: one is not made");
@@ -556,7 +560,7 @@
 
 impl Clients {
     /// One client's request with all of its tries.
-    fn see_through(&self, number: u64, draft: &Draft) {
+    fn see_through(&self, number: u64, draft: &RequestDraft) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ number.wrapping_mul(0x2545_f491_4f6c_dd1d));
         let mut tries = 0;
         loop {
@@ -566,7 +570,7 @@
             };
             let Some((node, address)) = self.choose(draft.zone, &mut rng) else { return };
             let (whether, when) = draft.leaves;
-            let one = Try {
+            let one = ClientAttempt {
                 id: if tries == 0 { format!("c{number}") } else { format!("c{number}~{tries}") },
                 node,
                 address,
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -12,7 +12,7 @@
 use pintally_config::NodeSettings;
 use rustix::process::{kill_process, Pid, Signal};
 
-use crate::run::Running;
+use crate::run::RunningNode;
 
 /// A process that does not answer in this time after its start has not started.
 const UP_WITHIN: Duration = Duration::from_secs(15);
@@ -20,13 +20,13 @@
 const GRACE: Duration = Duration::from_secs(3);
 
 /// A node that is a process.
-pub struct Process {
+pub struct NodeProcess {
     child: Child,
     address: SocketAddr,
     stop_within: Duration,
 }
 
-impl Process {
+impl NodeProcess {
     /// Starts a node: its settings are written beside its list, `shared` being what all nodes' files
     /// hold alike, and its log goes into a file there.
     pub fn start(
@@ -34,7 +34,7 @@
         settings: &Arc<NodeSettings>,
         shared: &str,
         seed: u64,
-    ) -> Result<Process, String> {
+    ) -> Result<NodeProcess, String> {
         let text = file_of(settings, shared);
         let file = PathBuf::from(&settings.engines_file).with_extension("node");
         let fail = |what: &str, e: &dyn std::fmt::Display| format!("{what} {}: {e}", settings.name);
@@ -51,7 +51,7 @@
             .spawn()
             .map_err(|e| fail("cannot start", &e))?;
         let stop_within = Duration::from_micros(settings.limits.shutdown_timeout) + GRACE;
-        let mut process = Process { child, address: settings.listen, stop_within };
+        let mut process = NodeProcess { child, address: settings.listen, stop_within };
         process.wait_until_up().map_err(|e| {
             let said = fs::read_to_string(file.with_extension("log")).unwrap_or_default();
             fail("no sign of", &format!("{e}; its last word: {}", said.lines().last().unwrap_or("none")))
@@ -61,7 +61,7 @@
 
     fn wait_until_up(&mut self) -> Result<(), String> {
         let by = Instant::now() + UP_WITHIN;
-        while get(self.address, "/v2/health/live").is_none() {
+        while http_get(self.address, "/v2/health/live").is_none() {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Err(format!("it ended with {status}"));
             }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Running for Process {
+impl RunningNode for NodeProcess {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -107,7 +107,7 @@
     }
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         if matches!(self.child.try_wait(), Ok(None)) {
             let _ = self.child.kill();
@@ -155,7 +155,7 @@
 }
 
 /// What a node tells at an endpoint of its own; none if it does not answer with 200 in time.
-pub fn get(node: SocketAddr, path: &str) -> Option<Vec<u8>> {
+pub fn http_get(node: SocketAddr, path: &str) -> Option<Vec<u8>> {
     let wait = Duration::from_secs(1);
     let mut stream = TcpStream::connect_timeout(&node, wait).ok()?;
     stream.set_read_timeout(Some(wait)).ok()?;
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -12,7 +12,7 @@
 use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder};
 use tempfile::TempDir;
 
-use crate::client::{Client, Try};
+use crate::client::{Client, ClientAttempt};
 use crate::publish::Publisher;
 use crate::run::{with_figures, RunError};
 
@@ -82,21 +82,21 @@
             slots: 32,
             queue: 32,
             memory_tokens: 200_000,
-            read_per_s: 20_000.0,
+            read_tokens_per_s: 20_000.0,
             token_gap: Duration::from_millis(2),
-            link_per_s: 1_000_000.0,
-            cold_from: 0.3,
-            warm_after: Duration::from_secs(5),
-            tip_multiple: 2.5,
-            tip_window: Duration::from_secs(2),
-            report_every: Duration::from_millis(50),
-            state_for: Duration::from_secs(60),
+            link_tokens_per_s: 1_000_000.0,
+            initial_capacity: 0.3,
+            warm_up: Duration::from_secs(5),
+            overload_factor: 2.5,
+            overload_window: Duration::from_secs(2),
+            report_interval: Duration::from_millis(50),
+            state_ttl: Duration::from_secs(60),
         }
     }
 
     /// A try with usual figures; the caller changes what matters.
-    pub fn ask(&self, id: &str, class: &str) -> Try {
-        Try {
+    pub fn ask(&self, id: &str, class: &str) -> ClientAttempt {
+        ClientAttempt {
             id: id.to_string(),
             node: "n0".to_string(),
             address: self.address(),
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -12,13 +12,13 @@
 use pintally_kserve_node::Node;
 use serde::Serialize;
 
-use crate::moved::Shapes;
+use crate::moved::ShapeComparison;
 use crate::play::Play;
-use crate::process::Process;
-use crate::spec::Day;
+use crate::process::NodeProcess;
+use crate::spec::Scenario;
 
 /// A node that runs.
-pub trait Running: Send {
+pub trait RunningNode: Send {
     /// Where clients reach it.
     fn address(&self) -> SocketAddr;
     /// Ends it at once, as if its process had died.
@@ -29,7 +29,7 @@
     fn pause(&self, _on: bool) {}
 }
 
-impl Running for Node {
+impl RunningNode for Node {
     fn address(&self) -> SocketAddr {
         Node::address(self)
     }
@@ -44,7 +44,7 @@
 }
 
 /// Starts a node; tests hand in broken ones.
-pub type Launch<'a> = &'a dyn Fn(Arc<NodeSettings>, u64) -> Result<Box<dyn Running>, String>;
+pub type NodeLauncher<'a> = &'a dyn Fn(Arc<NodeSettings>, u64) -> Result<Box<dyn RunningNode>, String>;
 
 /// Why a day could not be played.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
 
 /// What came of a day.
 #[derive(Clone, Debug, Serialize)]
-pub struct DayResult {
+pub struct ScenarioResult {
     /// The day's name.
     pub day: String,
     /// The seed.
@@ -72,7 +72,7 @@
     /// The audit.
     pub report: Report,
     /// What nodes of two shapes got, where some have moved.
-    pub shapes: Option<Shapes>,
+    pub shapes: Option<ShapeComparison>,
     /// Tries that found no node to connect to.
     pub no_node: u64,
     /// Cold engines that fell over, whether or not nodes knew that they were cold.
@@ -82,7 +82,7 @@
     pub record: Vec<Record>,
 }
 
-impl DayResult {
+impl ScenarioResult {
     /// Whether all rules were kept, and requests were made at all.
     pub fn kept(&self) -> bool {
         self.report.rules.kept() && self.report.requests > 0
@@ -113,12 +113,12 @@
 }
 
 /// Plays a day whose nodes are processes of the program at `exe`, or threads where the day wants none.
-pub fn run_with(day: &Day, seed: u64, exe: &Path) -> Result<DayResult, RunError> {
+pub fn run_with(day: &Scenario, seed: u64, exe: &Path) -> Result<ScenarioResult, RunError> {
     if !day.processes {
         return run(day, seed, None);
     }
-    let launch = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn Running>, String> {
-        Process::start(exe, &settings, &day.shared, seed).map(|p| Box::new(p) as Box<dyn Running>)
+    let launch = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn RunningNode>, String> {
+        NodeProcess::start(exe, &settings, &day.shared, seed).map(|p| Box::new(p) as Box<dyn RunningNode>)
     };
     run(day, seed, Some(&launch))
 }
@@ -130,8 +130,12 @@
 
 /// Plays a day, and again if the machine stood still in it: what is served then, and what is caught, says
 /// little of nodes. The last of five plays counts whatever the machine does.
-pub fn run_steady(day: &Day, seed: u64, launch: Option<Launch>) -> Result<DayResult, RunError> {
-    let _turn = crate::cores::IN_ONE_PROCESS.wait();
+pub fn run_steady(
+    day: &Scenario,
+    seed: u64,
+    launch: Option<NodeLauncher>,
+) -> Result<ScenarioResult, RunError> {
+    let _turn = crate::cores::IN_ONE_PROCESS.acquire();
     crate::cores::on_few_cores();
     let mut result = run(day, seed, launch)?;
     for _ in 1..STEADY_PLAYS {
@@ -146,9 +150,9 @@
 }
 
 /// Plays a day with real nodes, or with whatever `launch` starts.
-pub fn run(day: &Day, seed: u64, launch: Option<Launch>) -> Result<DayResult, RunError> {
-    let real = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn Running>, String> {
-        Node::start(settings, seed).map(|n| Box::new(n) as Box<dyn Running>).map_err(|e| e.to_string())
+pub fn run(day: &Scenario, seed: u64, launch: Option<NodeLauncher>) -> Result<ScenarioResult, RunError> {
+    let real = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn RunningNode>, String> {
+        Node::start(settings, seed).map(|n| Box::new(n) as Box<dyn RunningNode>).map_err(|e| e.to_string())
     };
     let mut play = Play::new(day, seed, launch.unwrap_or(&real))?;
     play.play_whole()?;
@@ -161,8 +165,18 @@
     troubles.dedup();
     let fell = record.iter().filter(|r| matches!(r.what, What::Fell { .. })).count();
     let took_s = took.as_secs_f64();
-    let shapes = day.moved.as_ref().map(|_| Shapes::of(day, &record));
-    Ok(DayResult { day: day.name.clone(), seed, took_s, troubles, report, shapes, no_node, fell, record })
+    let shapes = day.moved.as_ref().map(|_| ShapeComparison::of(day, &record));
+    Ok(ScenarioResult {
+        day: day.name.clone(),
+        seed,
+        took_s,
+        troubles,
+        report,
+        shapes,
+        no_node,
+        fell,
+        record,
+    })
 }
 
 /// The record with the figures that the rules go by as its first line; times in microseconds: the
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -15,7 +15,7 @@
 
 /// A scripted day.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Its name.
     pub name: String,
     /// The seed that is used when none is given.
@@ -39,9 +39,9 @@
     /// What node's files share, as it stands in the day's.
     pub shared: String,
     /// Word of the fleet reaches nodes so much later.
-    pub notice: Duration,
+    pub list_delay: Duration,
     /// The front layer goes on sending to a dead node for so long.
-    pub front: Duration,
+    pub front_delay: Duration,
     /// New work may go on for so long after a drain was notified.
     pub drain_grace: Duration,
     /// What the measuring may add to each time.
@@ -70,10 +70,10 @@
     pub slots: usize,
     pub queue: usize,
     pub memory_tokens: u64,
-    pub read_per_s: f64,
+    pub read_tokens_per_s: f64,
     pub token_gap: Duration,
-    pub link_per_s: f64,
-    pub report_every: Duration,
+    pub link_tokens_per_s: f64,
+    pub report_interval: Duration,
 }
 
 /// What clients send.
@@ -173,29 +173,29 @@
     /// What kind.
     pub kind: FaultKind,
     /// When it begins.
-    pub at: Duration,
+    pub start: Duration,
     /// How long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
     /// The share of the engines or nodes that it strikes, drawn from the seed.
-    pub part: f64,
+    pub fraction: f64,
     /// Only engines of this kind, if given.
-    pub of: Option<String>,
+    pub engine_kind: Option<String>,
     /// Only engines of this cell, if given; where a tenant moves, the cell that it moves to.
     pub cell: Option<String>,
     /// These engines and no others, if given.
     pub engines: Vec<String>,
     /// The zone or tenant that it strikes, drawn if not given.
-    pub name: Option<String>,
+    pub zone_or_tenant: Option<String>,
     /// How hard: a factor, a share or milliseconds, by kind.
-    pub size: f64,
+    pub magnitude: f64,
     /// How many at a time, where it goes from one to the next.
-    pub batch: usize,
+    pub batch_size: usize,
 }
 
 /// The last node sees a version of the file of cells so long after the first.
-pub const APART: Duration = Duration::from_secs(5);
+pub const CELLS_FILE_SPREAD: Duration = Duration::from_secs(5);
 
-impl Day {
+impl Scenario {
     /// The settings of one node, without the addresses and files that its surroundings give it.
     pub fn node(&self, number: usize) -> NodeSettings {
         let mut settings = self.settings.clone();
@@ -215,12 +215,12 @@
     }
 
     /// How long after a version of the file of cells was written a node sees it.
-    pub fn hears_after(&self, node: usize) -> Duration {
-        self.notice + APART * node as u32 / self.nodes.saturating_sub(1).max(1) as u32
+    pub fn cells_file_delay(&self, node: usize) -> Duration {
+        self.list_delay + CELLS_FILE_SPREAD * node as u32 / self.nodes.saturating_sub(1).max(1) as u32
     }
 
     /// Reads and checks a day. `file` is used in errors only.
-    pub fn parse(file: &str, text: &str) -> Result<Day, ConfigError> {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only_form("day")?;
         let zones = match root.optional_form("zones")? {
@@ -285,7 +285,7 @@
         if processes && (cells.is_some() || moved.is_some()) {
             return Err(nodes.error("nodes that are processes have no cells and no second shape yet"));
         }
-        let day = Day {
+        let day = Scenario {
             processes,
             disks,
             shared: root.inner_source(&["rules", "limits", "class", "tenant", "kind"]).join("\n  "),
@@ -297,8 +297,8 @@
             racks: root.count_or("racks", 2, 1, 10_000)?,
             nodes: count,
             moved,
-            notice: span(nodes.millis_or("notice-ms", 500.0, 0.0, 60_000.0)?),
-            front: span(nodes.millis_or("front-ms", 1000.0, 0.0, 60_000.0)?),
+            list_delay: span(nodes.millis_or("notice-ms", 500.0, 0.0, 60_000.0)?),
+            front_delay: span(nodes.millis_or("front-ms", 1000.0, 0.0, 60_000.0)?),
             drain_grace: span(root.millis_or("drain-grace-ms", 1000.0, 0.0, 60_000.0)?),
             slack: span(root.millis_or("slack-ms", 100.0, 0.0, 60_000.0)?),
             settings,
@@ -347,10 +347,10 @@
         slots: settings.slots[index].max(1) as usize,
         queue: form.count_or("queue", 32, 0, 1 << 20)? as usize,
         memory_tokens: if engine_kind.memory_tokens > 0 { engine_kind.memory_tokens } else { 200_000 },
-        read_per_s: form.number_or("read-per-s", 15_000.0, 1.0, 1e9)?,
+        read_tokens_per_s: form.number_or("read-per-s", 15_000.0, 1.0, 1e9)?,
         token_gap: span(form.millis_or("token-gap-ms", 20.0, 0.01, 10_000.0)?),
-        link_per_s: form.number_or("link-per-s", 300_000.0, 1.0, 1e9)?,
-        report_every: span(form.millis_or("report-ms", 200.0, 0.0, 60_000.0)?),
+        link_tokens_per_s: form.number_or("link-per-s", 300_000.0, 1.0, 1e9)?,
+        report_interval: span(form.millis_or("report-ms", 200.0, 0.0, 60_000.0)?),
         kind,
     };
     form.finish()?;
--- a/crates/pintally-scenario/src/traffic.rs
+++ b/crates/pintally-scenario/src/traffic.rs
@@ -17,7 +17,7 @@
 /// One request before it has a node.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
-pub struct Draft {
+pub struct RequestDraft {
     pub class: String,
     pub tenant: Option<String>,
     pub zone: usize,
@@ -44,7 +44,7 @@
 }
 
 /// Draws requests.
-pub struct Source {
+pub struct TrafficGenerator {
     traffic: Traffic,
     patience: Vec<Duration>,
     zones: usize,
@@ -54,14 +54,14 @@
     sessions: u64,
 }
 
-impl Source {
+impl TrafficGenerator {
     /// Draws what `traffic` says from a seed, for clients in so many zones.
-    pub fn new(traffic: &Traffic, settings: &NodeSettings, zones: usize, seed: u64) -> Source {
+    pub fn new(traffic: &Traffic, settings: &NodeSettings, zones: usize, seed: u64) -> TrafficGenerator {
         let patience = |c: &ClassTraffic| {
             let index = settings.core.classes.iter().position(|k| k.name == c.name);
             Duration::from_micros(index.map_or(1_000_000, |i| settings.classes[i].default_client_timeout))
         };
-        Source {
+        TrafficGenerator {
             patience: traffic.classes.iter().map(patience).collect(),
             zones,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -82,7 +82,7 @@
     }
 
     /// The next request; `hot` is the share that begins with one text of its own.
-    pub fn draw(&mut self, hot: f64) -> Draft {
+    pub fn draw(&mut self, hot: f64) -> RequestDraft {
         let class = self.pick(&self.traffic.classes.iter().map(|c| c.share).collect::<Vec<_>>());
         let hot = self.rng.random::<f64>() < hot;
         let ready: Vec<usize> = (0..self.open.len()).filter(|&i| self.open[i].class == class).collect();
@@ -100,7 +100,7 @@
         session.text.push_str(&text(self.rng.random(), adds));
         session.turns = session.turns.saturating_sub(1);
         let part = self.rng.random_range(kind.patience.0..=kind.patience.1);
-        let draft = Draft {
+        let draft = RequestDraft {
             class: kind.name.clone(),
             tenant: session.tenant.clone(),
             zone: self.rng.random_range(0..self.zones),
@@ -124,7 +124,7 @@
     }
 
     /// The next request of one tenant.
-    pub fn draw_for(&mut self, tenant: &str) -> Draft {
+    pub fn draw_for(&mut self, tenant: &str) -> RequestDraft {
         let mut draft = self.draw(0.0);
         draft.tenant = Some(tenant.to_string());
         draft.session |= 1 << 40;
--- a/crates/pintally-scenario/src/worth.rs
+++ b/crates/pintally-scenario/src/worth.rs
@@ -4,75 +4,82 @@
 
 use pintally_audit::{Answer, Record, What};
 
-use crate::spec::Day;
+use crate::spec::Scenario;
 
 /// One request as its client saw it; times in microseconds.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
-pub struct One {
+pub struct RequestRecord {
     pub node: String,
     pub tenant: Option<String>,
-    pub at: u64,
-    pub aim: u64,
-    pub worth: f64,
-    pub first: Option<u64>,
+    pub sent_at_us: u64,
+    pub latency_objective_us: u64,
+    pub priority_weight: f64,
+    pub first_token_at_us: Option<u64>,
     pub served: bool,
     /// It is a try again, which asks for nothing new.
-    again: bool,
+    is_retry: bool,
 }
 
-impl One {
+impl RequestRecord {
     /// Whether it is a request of one of some tenants.
-    pub fn of(&self, tenants: &BTreeSet<String>) -> bool {
+    pub fn is_of_any(&self, tenants: &BTreeSet<String>) -> bool {
         self.tenant.as_ref().is_some_and(|t| tenants.contains(t))
     }
 
     /// Whether it was served and began in time.
     pub fn in_time(&self) -> bool {
-        self.served && self.first.is_some_and(|f| f <= self.at + self.aim)
+        self.served
+            && self.first_token_at_us.is_some_and(|at| at <= self.sent_at_us + self.latency_objective_us)
     }
 }
 
 /// The requests of a day, in the order in which they came.
-pub fn requests(day: &Day, record: &[Record]) -> Vec<One> {
-    let mut all: BTreeMap<&str, One> = BTreeMap::new();
+pub fn requests(day: &Scenario, record: &[Record]) -> Vec<RequestRecord> {
+    let mut all: BTreeMap<&str, RequestRecord> = BTreeMap::new();
     for r in record {
         match &r.what {
             What::Asked { request, node, class, tenant, .. } => {
                 let Some(class) = day.settings.core.classes.iter().find(|c| c.name == *class) else {
                     continue;
                 };
-                let (at, aim, worth, again) =
-                    (r.at, class.latency_objective, class.priority_weight, request.contains('~'));
-                let (node, tenant) = (node.clone(), tenant.clone());
-                let one = One { node, tenant, at, aim, worth, first: None, served: false, again };
+                let one = RequestRecord {
+                    node: node.clone(),
+                    tenant: tenant.clone(),
+                    sent_at_us: r.at,
+                    latency_objective_us: class.latency_objective,
+                    priority_weight: class.priority_weight,
+                    first_token_at_us: None,
+                    served: false,
+                    is_retry: request.contains('~'),
+                };
                 all.insert(request, one);
             }
             What::First { request } => {
                 if let Some(one) = all.get_mut(request.as_str()) {
-                    one.first = Some(r.at);
+                    one.first_token_at_us = Some(r.at);
                 }
             }
             What::Answered { request, answer } => {
                 if let Some(one) = all.get_mut(request.as_str()) {
                     one.served = *answer == Answer::Served;
-                    one.first = one.first.or(Some(r.at));
+                    one.first_token_at_us = one.first_token_at_us.or(Some(r.at));
                 }
             }
             _ => {}
         }
     }
-    let mut all: Vec<One> = all.into_values().collect();
-    all.sort_by_key(|o| o.at);
+    let mut all: Vec<RequestRecord> = all.into_values().collect();
+    all.sort_by_key(|o| o.sent_at_us);
     all
 }
 
 /// The share of the worth asked that was served in time. A try again is not another request.
-pub fn in_time<'a>(requests: impl Iterator<Item = &'a One>) -> f64 {
+pub fn timely_value_share<'a>(requests: impl Iterator<Item = &'a RequestRecord>) -> f64 {
     let (mut asked, mut good) = (0.0, 0.0);
     for one in requests {
-        asked += if one.again { 0.0 } else { one.worth };
-        good += if one.in_time() { one.worth } else { 0.0 };
+        asked += if one.is_retry { 0.0 } else { one.priority_weight };
+        good += if one.in_time() { one.priority_weight } else { 0.0 };
     }
     good / f64::max(asked, 1e-9)
 }
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -14,7 +14,7 @@
 use pintally_engine::{completion, release, AttemptReader, Completion, Progress, Step};
 use pintally_http::{chunk, response, response_head, sse_event, RequestReader, LAST_CHUNK};
 use pintally_kserve::{generate_response, stream_end, stream_part, InferenceEndpoint, InferenceRequest};
-use pintally_scenario::{run_steady, Day, Running};
+use pintally_scenario::{run_steady, RunningNode, Scenario};
 use serde_json::Value;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -37,7 +37,7 @@
     dead: Arc<AtomicBool>,
 }
 
-impl Running for BadNode {
+impl RunningNode for BadNode {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -58,7 +58,7 @@
     serial: AtomicU64,
 }
 
-fn launch(fault: Fault, settings: Arc<NodeSettings>) -> Box<dyn Running> {
+fn launch(fault: Fault, settings: Arc<NodeSettings>) -> Box<dyn RunningNode> {
     let listener = TcpListener::bind(settings.listen).unwrap();
     let address = listener.local_addr().unwrap();
     let dead = Arc::new(AtomicBool::new(false));
@@ -251,7 +251,7 @@
   (fault replace (at 1) (for 0.1) (engines "prefill-2") (size 500)))"#;
 
 fn play(fault: Fault) -> Report {
-    let day = Day::parse("broken", DAY).unwrap();
+    let day = Scenario::parse("broken", DAY).unwrap();
     let start = |settings: Arc<NodeSettings>, _seed: u64| Ok(launch(fault, settings));
     let report = run_steady(&day, 11, Some(&start)).unwrap().report;
     assert!(report.requests > 60, "{report:?}");
--- a/crates/pintally-scenario/tests/cells.rs
+++ b/crates/pintally-scenario/tests/cells.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pintally_audit::{Answer, What};
-use pintally_scenario::{run_steady, Day, DayResult};
+use pintally_scenario::{run_steady, Scenario, ScenarioResult};
 
 const DAY: &str = r#"
   (zones "a" "b") (racks 2) (slack-ms 800)
@@ -28,12 +28,12 @@
     (cell "green" (readers 2) (writers 3))
     (tenant "north" (cells "blue")) (tenant "south" (cells "blue")) (tenant "east" (cells "green")))"#;
 
-fn play(name: &str, nodes: usize, fallback: &str, more: &str) -> DayResult {
+fn play(name: &str, nodes: usize, fallback: &str, more: &str) -> ScenarioResult {
     let cells = CELLS.replace("FALLBACK", fallback);
     let text = format!(
         r#"(day (name "{name}") (seconds 8) (settle-seconds 10) (nodes {nodes} (notice-ms 150) (front-ms 300)) {DAY} {cells} {more})"#
     );
-    let day = Day::parse(name, &text).unwrap();
+    let day = Scenario::parse(name, &text).unwrap();
     println!("day {name}, seed 5");
     let result = run_steady(&day, 5, None).unwrap();
     assert!(result.report.rules.kept(), "{:#?}", result.report.rules);
@@ -42,7 +42,7 @@
 }
 
 /// Requests of each tenant that clients sent and that were served.
-fn served(result: &DayResult) -> BTreeMap<String, (u64, u64)> {
+fn served(result: &ScenarioResult) -> BTreeMap<String, (u64, u64)> {
     let mut of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut counts: BTreeMap<String, (u64, u64)> = BTreeMap::new();
     for r in &result.record {
@@ -63,7 +63,7 @@
 }
 
 /// The tenant of each request.
-fn tenants(result: &DayResult) -> BTreeMap<&str, &str> {
+fn tenants(result: &ScenarioResult) -> BTreeMap<&str, &str> {
     let of = result.record.iter().filter_map(|r| match &r.what {
         What::Asked { request, tenant: Some(tenant), .. } => Some((request.as_str(), tenant.as_str())),
         _ => None,
@@ -72,7 +72,7 @@
 }
 
 /// Every attempt of a tenant stays in the cells that it may be in: `allowed` says which at what time.
-fn confined(result: &DayResult, allowed: impl Fn(&str, &str) -> bool) {
+fn confined(result: &ScenarioResult, allowed: impl Fn(&str, &str) -> bool) {
     let mut of: BTreeMap<&str, &str> = BTreeMap::new();
     for r in &result.record {
         match &r.what {
@@ -89,7 +89,7 @@
 }
 
 /// No request is read or written in two cells: it ends where it began.
-fn whole_in_one_cell(result: &DayResult) {
+fn whole_in_one_cell(result: &ScenarioResult) {
     let mut cells: BTreeMap<&str, &str> = BTreeMap::new();
     for r in &result.record {
         if let What::Took { request, engine, .. } = &r.what {
--- a/crates/pintally-scenario/tests/examples.rs
+++ b/crates/pintally-scenario/tests/examples.rs
@@ -2,7 +2,7 @@
 
 use pintally_cells::CellsFile;
 use pintally_config::{EngineList, NodeSettings};
-use pintally_scenario::Day;
+use pintally_scenario::Scenario;
 
 const DAYS: [&str; 7] =
     ["bad-day", "cells-day", "flood-day", "move-day", "power-day", "price-day", "region-day"];
@@ -15,7 +15,7 @@
 #[test]
 fn examples_are_read() {
     for name in DAYS {
-        Day::parse(name, &example(name)).unwrap_or_else(|error| panic!("{error}"));
+        Scenario::parse(name, &example(name)).unwrap_or_else(|error| panic!("{error}"));
     }
     for name in NODES {
         NodeSettings::parse(name, &example(name)).unwrap_or_else(|error| panic!("{error}"));
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 
 use pintally::interface::{EndpointState, Role};
 use pintally_audit::{Answer, Report, Step, What};
-use pintally_scenario::{run_steady, AttemptResult, Day, Rig};
+use pintally_scenario::{run_steady, AttemptResult, Rig, Scenario};
 
 const WAIT: Duration = Duration::from_secs(20);
 
@@ -261,7 +261,7 @@
   (traffic (per-second {rate}) (retries 1) (retry-wait-ms 100)
     (class "hint" (share 40)) (class "keyed" (share 30)) (class "graded-submit" (share 30))))"#
     );
-    let day = Day::parse(name, &text).unwrap();
+    let day = Scenario::parse(name, &text).unwrap();
     for seed in [1, 2] {
         println!("day {name}, seed {seed}");
         let result = run_steady(&day, seed, None).unwrap();
--- a/crates/pintally-scenario/tests/moving.rs
+++ b/crates/pintally-scenario/tests/moving.rs
@@ -1,11 +1,11 @@
 //! A deployment on the move: nodes of the old and of the new shape before the same engines, over sockets. The
 //! rules hold, and neither shape starves the other.
 
-use pintally_scenario::{run_steady, Day, Shapes};
+use pintally_scenario::{run_steady, Scenario, ShapeComparison};
 
 /// The example's day, shorter, with so many of its four nodes moved, more said of their shape, and so many
 /// mixed engines.
-fn day(moved: usize, more: &str, mixed: usize) -> Day {
+fn day(moved: usize, more: &str, mixed: usize) -> Scenario {
     let text = std::fs::read_to_string("../../examples/move-day.sexp").unwrap();
     let faults = text.find("  (fault ").unwrap();
     let text = text[..faults]
@@ -17,7 +17,7 @@
     // Writers die and readers fall silent while both shapes send to them; an engine drains.
     let faults = r#"(fault crash (at 2) (for 4) (part 0.2) (of "decode"))
         (fault silent (at 3) (for 2) (part 0.2) (of "prefill")) (fault drain (at 5) (for 3) (part 0.2)))"#;
-    Day::parse("moving", &(text + faults)).unwrap()
+    Scenario::parse("moving", &(text + faults)).unwrap()
 }
 
 /// Half of the nodes have moved: what goes over the sockets keeps the rules, and each shape serves its clients
@@ -43,7 +43,7 @@
 fn a_shape_that_serves_nobody_is_seen_to_starve() {
     let day = day(2, "(attempts 1)", 0);
     let result = run_steady(&day, 5, None).unwrap();
-    let shapes = Shapes::of(&day, &result.record);
+    let shapes = ShapeComparison::of(&day, &result.record);
     assert!(shapes.new.asked > 50 && shapes.old.share() > 0.7, "{shapes:?}");
     assert!(shapes.evenness() < 0.5, "{shapes:?}");
 }
--- a/crates/pintally-scenario/tests/sizes.rs
+++ b/crates/pintally-scenario/tests/sizes.rs
@@ -1,10 +1,10 @@
 //! Large days: what loads, and what does not and why.
 
-use pintally_scenario::{Day, MAX_NODES};
+use pintally_scenario::{Scenario, MAX_NODES};
 
 const POWER_DAY: &str = include_str!("../../../examples/power-day.sexp");
 
-fn with(nodes: usize, engines: usize, processes: bool) -> Result<Day, String> {
+fn with(nodes: usize, engines: usize, processes: bool) -> Result<Scenario, String> {
     let nodes = format!("(nodes {nodes} (processes {}) ", if processes { "yes" } else { "no" });
     let mut text = POWER_DAY.replace("(nodes 5 (processes yes) ", &nodes);
     if !processes {
@@ -22,7 +22,7 @@
     for count in ["(count 7)", "(count 9)"] {
         text = text.replace(count, &format!("(count {})", engines / 2));
     }
-    Day::parse("day", &text).map_err(|e| e.to_string())
+    Scenario::parse("day", &text).map_err(|e| e.to_string())
 }
 
 /// Guards against caps that other deployments meet: 1,024 nodes and as many engines load, one node more
