--- a/crates/pintally-kserve-node/src/attempt.rs
+++ b/crates/pintally-kserve-node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the request to an engine, what comes back, and the time that it may take.
+//! One attempt: sends the request to an engine, reads the response and enforces the timeouts.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -17,38 +17,39 @@
 use crate::pool::PoolError;
 use crate::request_session::RequestSession;
 use crate::shared::{RequestMessage, Shared};
-use crate::wait::{wait, Interest, Ready};
+use crate::wait::{wait, EngineInterest, Ready};
 
-/// How often the engine's socket is read before the client and messages are looked at again.
+/// Maximum reads from the engine's socket before the client's socket and the messages are checked again.
 const MAX_READS_PER_WAKE: usize = 8;
-/// Bytes that one read takes.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How an attempt has ended.
+/// The result of an attempt that has ended.
 struct AttemptEnd {
     outcome: Outcome,
     cached_tokens: u64,
     load: Option<LoadReport>,
-    /// `kv_transfer_params` of a read.
+    /// The `kv_transfer_params` that a read returned.
     state: Option<Value>,
     /// Whether the connection may be used again.
     reusable: bool,
 }
 
 impl AttemptEnd {
-    /// An end of which nothing but the outcome is known.
-    fn of(outcome: Outcome) -> AttemptEnd {
+    /// An end without a complete response: only the outcome is known.
+    fn from_outcome(outcome: Outcome) -> AttemptEnd {
         AttemptEnd { outcome, cached_tokens: 0, load: None, state: None, reusable: false }
     }
 }
 
 /// The timeouts of an attempt.
 struct Timeouts {
+    /// Deadline of the first token.
     first_token_by: Instant,
-    /// The complete answer has to come by then, if it does not stream.
+    /// Deadline of the complete answer; `None` if the answer streams or the attempt is a read.
     complete_by: Option<Instant>,
-    /// The longest silence inside a running answer.
-    stall: Duration,
+    /// Maximum time between two reads once the answer streams.
+    stall_timeout: Duration,
     last_read: Instant,
 }
 
@@ -57,19 +58,19 @@
         Timeouts {
             first_token_by: started + Duration::from_micros(order.timeout),
             complete_by: order.completion_timeout.map(|micros| started + Duration::from_micros(micros)),
-            stall: Duration::from_micros(shared.settings.limits.stall_timeout),
+            stall_timeout: Duration::from_micros(shared.settings.limits.stall_timeout),
             last_read: started,
         }
     }
 
-    /// When the attempt times out unless something comes before.
+    /// When the attempt times out if no more bytes arrive.
     fn deadline(&self, streaming: bool) -> Instant {
-        let deadline = if streaming { self.last_read + self.stall } else { self.first_token_by };
+        let deadline = if streaming { self.last_read + self.stall_timeout } else { self.first_token_by };
         self.complete_by.map_or(deadline, |complete_by| deadline.min(complete_by))
     }
 }
 
-/// Makes an attempt and notifies the host of its end; of nothing if the node has died.
+/// Runs an attempt and notifies the host of its end, unless the node is killed meanwhile.
 pub(crate) fn run(session: &mut RequestSession, order: AttemptOrder) {
     let started = Instant::now();
     session.attempt = Some(order.attempt);
@@ -95,7 +96,7 @@
     });
 }
 
-/// Takes a connection of the pool for the exchange; `None` if the node has died.
+/// Runs the exchange on a connection of the pool; `None` if the node was killed.
 fn connect_and_exchange(
     session: &mut RequestSession,
     order: &AttemptOrder,
@@ -104,22 +105,22 @@
     let shared = session.shared;
     let timeouts = Timeouts::new(shared, order, started);
     let connect_timeout = shared.settings.limits.connect_timeout.min(order.timeout);
-    match shared.pool.take(order.address, Duration::from_micros(connect_timeout)) {
-        // As many attempts as allowed are in flight there: to this node the engine is overloaded.
-        Err(PoolError::LimitReached) => Some(AttemptEnd::of(Outcome::Overloaded)),
+    match shared.pool.acquire(order.address, Duration::from_micros(connect_timeout)) {
+        // This node already has the maximum number of attempts in flight at the engine: treated as overload.
+        Err(PoolError::LimitReached) => Some(AttemptEnd::from_outcome(Outcome::Overloaded)),
         Err(PoolError::Connect(error)) => {
-            Some(AttemptEnd::of(outcome_of_transport_error(Phase::Connecting, error.kind())))
+            Some(AttemptEnd::from_outcome(outcome_of_transport_error(Phase::Connecting, error.kind())))
         }
         Ok(mut stream) => {
             let end = exchange(session, order, &mut stream, timeouts);
             let reusable = end.as_ref().is_some_and(|end| end.reusable);
-            shared.pool.give_back(order.address, Some(stream).filter(|_| reusable));
+            shared.pool.return_connection(order.address, Some(stream).filter(|_| reusable));
             end
         }
     }
 }
 
-/// The request as it goes to the engine.
+/// Encodes the request for the engine.
 fn encode_request(session: &RequestSession, order: &AttemptOrder) -> Vec<u8> {
     let inference = &session.request.inference;
     completion(&Completion {
@@ -135,7 +136,7 @@
     })
 }
 
-/// Sends the request and follows the answer; `None` if the node has died.
+/// Sends the request and reads the answer; `None` if the node was killed.
 fn exchange(
     session: &mut RequestSession,
     order: &AttemptOrder,
@@ -155,7 +156,7 @@
     };
     loop {
         let Ok(ready) = exchange.wait(session) else {
-            return Some(AttemptEnd::of(Outcome::ConnectionBroken));
+            return Some(AttemptEnd::from_outcome(Outcome::ConnectionBroken));
         };
         if session.shared.is_dead() {
             return None;
@@ -170,35 +171,37 @@
 struct EngineExchange<'a> {
     order: &'a AttemptOrder,
     stream: &'a mut TcpStream,
+    /// Bytes of the request that are not written yet.
     unsent: &'a [u8],
     reader: AttemptReader,
     progress: Vec<Progress>,
     buffer: [u8; READ_BUFFER_BYTES],
-    /// The first token has come.
+    /// Whether the first token has arrived.
     streaming: bool,
     timeouts: Timeouts,
 }
 
 impl EngineExchange<'_> {
     fn wait(&self, session: &RequestSession) -> std::io::Result<Ready> {
-        let interest = if self.unsent.is_empty() { Interest::Read } else { Interest::ReadWrite };
+        let interest = if self.unsent.is_empty() { EngineInterest::Read } else { EngineInterest::ReadWrite };
         let client = (session.client.as_fd(), session.client_interest());
         let engine = (self.stream.as_fd(), interest);
         let deadline = self.timeouts.deadline(self.streaming);
         wait(session.waker, Some(client), Some(engine), Some(deadline))
     }
 
-    /// Goes on with what is ready; how the attempt has ended, if it has.
+    /// Processes the ready sockets and messages. Returns the attempt's end once it has ended.
     fn advance(&mut self, session: &mut RequestSession, ready: Ready) -> Option<AttemptEnd> {
         if ready.client {
-            session.client_has_left();
+            session.notify_client_left();
         }
-        // What streams to nobody ends; what has not begun ends when it is cancelled.
+        // Without a client, an attempt that streams ends at once. One that does not stream yet goes on until
+        // the host cancels it.
         if session.client_left && self.streaming {
-            return Some(AttemptEnd::of(Outcome::Cancelled));
+            return Some(AttemptEnd::from_outcome(Outcome::Cancelled));
         }
         if ready.woken && self.handle_messages(session) {
-            return Some(AttemptEnd::of(Outcome::Cancelled));
+            return Some(AttemptEnd::from_outcome(Outcome::Cancelled));
         }
         if ready.engine_write {
             self.write();
@@ -207,22 +210,22 @@
             self.read();
             self.timeouts.last_read = Instant::now();
         }
-        let end = self.take_progress(session);
+        let end = self.process_progress(session);
         if !session.flush() && self.streaming && end.is_none() {
             let cancelled = session.client_left;
             let outcome = if cancelled { Outcome::Cancelled } else { Outcome::ConnectionBroken };
-            return Some(AttemptEnd::of(outcome));
+            return Some(AttemptEnd::from_outcome(outcome));
         }
         let timed_out = Instant::now() >= self.timeouts.deadline(self.streaming);
-        end.or_else(|| timed_out.then(|| AttemptEnd::of(Outcome::TimedOut)))
+        end.or_else(|| timed_out.then(|| AttemptEnd::from_outcome(Outcome::TimedOut)))
     }
 
-    /// Handles the decision thread's messages; whether this attempt is cancelled.
+    /// Handles the decision thread's messages. Returns whether this attempt is cancelled.
     fn handle_messages(&self, session: &mut RequestSession) -> bool {
         while let Ok(message) = session.messages.try_recv() {
             match message {
                 RequestMessage::Cancel(attempt) if attempt == self.order.attempt => return true,
-                RequestMessage::Answer(answer) => session.finish(answer),
+                RequestMessage::Answer(answer) => session.send_final_answer(answer),
                 RequestMessage::Cancel(_) | RequestMessage::Attempt(_) | RequestMessage::Finished => {}
             }
         }
@@ -236,12 +239,12 @@
         match self.stream.write(self.unsent) {
             Ok(count) => self.unsent = &self.unsent[count..],
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            // The engine may have answered before it closed: reading shows it.
+            // The engine may have answered before it closed the connection: the next read returns the answer.
             Err(_) => self.unsent = &[],
         }
     }
 
-    /// Reads what is there, within bounds, into progress.
+    /// Reads the available bytes, up to [`MAX_READS_PER_WAKE`] buffers, and parses them into `progress`.
     fn read(&mut self) {
         for _ in 0..MAX_READS_PER_WAKE {
             match self.stream.read(&mut self.buffer) {
@@ -268,12 +271,12 @@
         }
     }
 
-    /// Hands text to the session; how the attempt has ended, if it has.
-    fn take_progress(&mut self, session: &mut RequestSession) -> Option<AttemptEnd> {
+    /// Passes new text to the session. Returns the attempt's end once it has ended.
+    fn process_progress(&mut self, session: &mut RequestSession) -> Option<AttemptEnd> {
         let mut end = None;
         for progress in self.progress.drain(..) {
             match progress {
-                // A read has no answer for the client.
+                // A read produces no text for the client.
                 Progress::Text(_) if self.order.step == Step::Read => {}
                 Progress::Text(text) => {
                     if !std::mem::replace(&mut self.streaming, true) {
--- a/crates/pintally-kserve-node/src/background_calls/mod.rs
+++ b/crates/pintally-kserve-node/src/background_calls/mod.rs
@@ -1,10 +1,10 @@
-//! Background calls: health checks, releases and connection probes. Short exchanges with engines that no
-//! client waits for, in one thread that blocks on none of them.
+//! Background calls: health checks, releases and connection probes. These are short exchanges with engines
+//! that no client waits for. One thread makes them all with non-blocking sockets.
 //!
-//! Guards against reservations that stay at engines because their release waits behind calls to engines
-//! that do not answer: each call has a timeout of its own, engines take turns, and one engine has a quarter
-//! of all places at the most. The limit on attempts at an engine does not count for calls, as an engine
-//! full of attempts has reservations to release like any other.
+//! Engines that do not answer must not delay the releases of reservations at other engines. Therefore each
+//! call has a timeout, engines are served round-robin, and at most a quarter of the concurrent calls are for
+//! one engine. The limit on attempts at an engine does not apply to calls, because an engine with the maximum
+//! number of attempts also has reservations to release.
 
 mod exchange;
 mod schedule;
@@ -24,10 +24,10 @@
 use crate::shared::Shared;
 use crate::wait::{wait_for_many, Waker};
 
-use self::exchange::{Completion, Exchange, READ_BUFFER_BYTES};
+use self::exchange::{CallOutcome, Exchange, READ_BUFFER_BYTES};
 use self::schedule::CallSchedule;
 
-/// Calls that may wait in the channel, and again that many for their engine's turn.
+/// Maximum number of calls that wait in the channel, and of those that wait in the schedule.
 const MAX_WAITING_CALLS: usize = 1 << 14;
 
 /// A call to an engine.
@@ -35,10 +35,10 @@
 pub(crate) enum BackgroundCall {
     /// Reads the engine's metrics.
     HealthCheck { engine: EngineId, address: SocketAddr, slots: u64 },
-    /// Releases a reservation, on a connection opened for it if that is asked for.
+    /// Releases a reservation, on a new connection if `new_connection` is set.
     Release { name: RequestId, engine: EngineId, address: SocketAddr, new_connection: bool },
-    /// Whether the engine's machine accepts a connection, for an attempt that is in flight.
-    ConnectionProbe { ticket: RequestNumber, attempt: AttemptNumber, address: SocketAddr },
+    /// Checks whether the engine's machine establishes a new connection, for an attempt that is in flight.
+    ConnectionProbe { request_number: RequestNumber, attempt: AttemptNumber, address: SocketAddr },
 }
 
 impl BackgroundCall {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether an idle connection will do. For a connection probe only a new one proves anything.
+    /// Whether an idle connection may be used. A connection probe needs a new one, because an idle one does
+    /// not show whether the engine's machine is reachable.
     fn reuse(&self) -> Reuse {
         match self {
             BackgroundCall::ConnectionProbe { .. } | BackgroundCall::Release { new_connection: true, .. } => {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The request as it goes out.
+    /// Encodes the request; empty for a connection probe.
     fn encode(&self) -> Vec<u8> {
         match self {
             BackgroundCall::HealthCheck { .. } => health_check(),
@@ -69,39 +70,39 @@
         }
     }
 
-    /// The host's input about a call that has ended, by the answer's status and body if there was one. Of a
-    /// connection probe that failed there is none: where no engine listens, none has the attempt.
+    /// The host's input for a call that has ended, from the status and body of the response if there was one.
+    /// A connection probe that failed gives no input: where no engine listens, none has the attempt.
     fn into_input(self, answer: Option<(u16, &[u8])>) -> Option<Input> {
         match self {
             BackgroundCall::HealthCheck { engine, slots, .. } => {
-                let page = answer.filter(|(status, _)| *status == 200).map(|(_, body)| body);
-                let load = page.and_then(|body| load_from_metrics(&String::from_utf8_lossy(body), slots));
-                Some(Input::HealthChecked(engine, page.is_some(), load))
+                let metrics = answer.filter(|(status, _)| *status == 200).map(|(_, body)| body);
+                let load = metrics.and_then(|body| load_from_metrics(&String::from_utf8_lossy(body), slots));
+                Some(Input::HealthChecked(engine, metrics.is_some(), load))
             }
             BackgroundCall::Release { name, engine, .. } => {
                 let released = answer.is_some_and(|(status, _)| status < 500);
                 Some(Input::Released(name, engine, released))
             }
-            BackgroundCall::ConnectionProbe { ticket, attempt, .. } => {
-                answer.map(|_| Input::DeliveryConfirmed(ticket, attempt))
+            BackgroundCall::ConnectionProbe { request_number, attempt, .. } => {
+                answer.map(|_| Input::DeliveryConfirmed(request_number, attempt))
             }
         }
     }
 }
 
-/// Where the decision thread hands in calls. Dropping it ends the thread of the calls.
+/// The decision thread's sender of calls. Dropping it ends the thread that makes them.
 pub(crate) struct CallSender {
     sender: Option<Sender<BackgroundCall>>,
     waker: Arc<Waker>,
 }
 
-/// Where their thread takes them.
+/// The receiving side of [`CallSender`], for the thread that makes the calls.
 pub(crate) struct CallQueue {
     receiver: Receiver<BackgroundCall>,
     waker: Arc<Waker>,
 }
 
-/// A channel for calls.
+/// Creates a channel for calls.
 ///
 /// # Errors
 ///
@@ -113,7 +114,7 @@
 }
 
 impl CallSender {
-    /// Hands in a call; it comes back if too many wait.
+    /// Sends a call; returns it as the error if too many calls wait.
     pub(crate) fn send(&self, call: BackgroundCall) -> Result<(), BackgroundCall> {
         let Some(sender) = &self.sender else { return Err(call) };
         sender.try_send(call).map_err(crossbeam_channel::TrySendError::into_inner)?;
@@ -124,13 +125,13 @@
 
 impl Drop for CallSender {
     fn drop(&mut self) {
-        // The channel closes before the thread wakes to see it closed.
+        // Closes the channel before the wake-up, so that the thread finds it closed.
         self.sender = None;
         self.waker.wake();
     }
 }
 
-/// Runs calls until the sender is dropped and none is in flight, or the node has died.
+/// Makes calls until the sender is dropped and none is in flight, or the node is killed.
 pub(crate) fn run(shared: &Shared, queue: &CallQueue) {
     let mut thread = CallThread {
         shared,
@@ -151,6 +152,7 @@
     }
 }
 
+/// The state of the thread that makes background calls.
 struct CallThread<'a> {
     shared: &'a Shared,
     schedule: CallSchedule,
@@ -159,7 +161,7 @@
 }
 
 impl CallThread<'_> {
-    /// Takes calls from the channel; whether it is closed and empty.
+    /// Moves calls from the channel to the schedule. Returns whether the channel is closed and empty.
     fn take_calls(&mut self, queue: &CallQueue) -> bool {
         while self.schedule.waiting() < MAX_WAITING_CALLS {
             match queue.receiver.try_recv() {
@@ -171,7 +173,7 @@
         false
     }
 
-    /// Starts calls as long as there are places.
+    /// Starts calls until the maximum number is in flight.
     fn start_calls(&mut self) {
         let timeout = Duration::from_micros(self.shared.settings.limits.background_call_timeout);
         while self.in_flight.len() < self.shared.settings.limits.max_background_calls {
@@ -189,34 +191,34 @@
         }
     }
 
-    /// Goes on with the exchanges whose sockets are ready, and ends those that have timed out.
+    /// Advances the exchanges whose sockets are ready, and ends those that have timed out.
     fn advance(&mut self, ready: &[bool]) {
         let now = Instant::now();
-        // From the back, so that what is removed moves nothing that has yet to be looked at.
+        // In reverse, so that `swap_remove` only moves exchanges that have been processed already.
         for index in (0..self.in_flight.len()).rev() {
             let exchange = &mut self.in_flight[index];
-            let mut completion = None;
+            let mut outcome = None;
             if ready[index] {
-                completion = exchange.advance(&mut self.buffer);
+                outcome = exchange.advance(&mut self.buffer);
             }
             let timed_out = now >= exchange.deadline;
-            if let Some(completion) = completion.or_else(|| timed_out.then_some(Completion::Failed)) {
+            if let Some(outcome) = outcome.or_else(|| timed_out.then_some(CallOutcome::Failed)) {
                 let exchange = self.in_flight.swap_remove(index);
                 self.schedule.finished(exchange.call.address());
-                self.complete(exchange, completion);
+                self.complete(exchange, outcome);
             }
         }
     }
 
     /// Notifies the host of how a call ended, and returns its connection to the pool if it can be used again.
-    fn complete(&self, exchange: Exchange, completion: Completion) {
+    fn complete(&self, exchange: Exchange, outcome: CallOutcome) {
         let address = exchange.call.address();
-        let answer = match completion {
-            Completion::Answered { .. } => Some((exchange.status, &exchange.body[..])),
-            Completion::Failed => None,
+        let answer = match outcome {
+            CallOutcome::Answered { .. } => Some((exchange.status, &exchange.body[..])),
+            CallOutcome::Failed => None,
         };
         self.notify_host(exchange.call, answer);
-        if matches!(completion, Completion::Answered { reusable: true }) {
+        if matches!(outcome, CallOutcome::Answered { reusable: true }) {
             self.shared.pool.add_idle(address, exchange.stream);
         }
     }
--- a/crates/pintally-kserve-node/src/background_calls/schedule.rs
+++ b/crates/pintally-kserve-node/src/background_calls/schedule.rs
@@ -1,82 +1,84 @@
-//! Which call is next: engines take turns, and one engine has a part of the places at the most.
+//! The order of background calls: round-robin over engines, with a limit on concurrent calls to one engine.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
 use super::BackgroundCall;
 
-/// One engine has at most the places divided by this.
-const PLACES_DIVISOR_PER_ENGINE: usize = 4;
+/// The maximum number of calls in flight at one engine is that of all engines divided by this.
+const ENGINE_LIMIT_DIVISOR: usize = 4;
 
-/// Calls of one engine.
+/// Calls to one engine.
 #[derive(Default)]
 struct EngineCalls {
     waiting: VecDeque<BackgroundCall>,
     in_flight: usize,
-    in_turn: bool,
+    /// Whether the engine is in [`CallSchedule::ready_engines`].
+    is_queued: bool,
 }
 
-/// Calls that wait, by engine.
+/// Calls that wait, grouped by engine.
 pub(super) struct CallSchedule {
     engines: HashMap<SocketAddr, EngineCalls>,
-    /// Engines with a call that waits and a free place, in turn.
-    turns: VecDeque<SocketAddr>,
+    /// Engines with a waiting call and fewer calls in flight than allowed, in round-robin order.
+    ready_engines: VecDeque<SocketAddr>,
     waiting: usize,
     max_per_engine: usize,
 }
 
 impl CallSchedule {
-    /// A schedule for so many places.
-    pub(super) fn new(places: usize) -> CallSchedule {
+    /// Creates a schedule for at most `max_in_flight` concurrent calls.
+    pub(super) fn new(max_in_flight: usize) -> CallSchedule {
         CallSchedule {
             engines: HashMap::new(),
-            turns: VecDeque::new(),
+            ready_engines: VecDeque::new(),
             waiting: 0,
-            max_per_engine: places.div_ceil(PLACES_DIVISOR_PER_ENGINE),
+            max_per_engine: max_in_flight.div_ceil(ENGINE_LIMIT_DIVISOR),
         }
     }
 
-    /// Calls that wait.
+    /// The number of calls that wait.
     pub(super) fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Adds a call behind those of its engine.
+    /// Adds a call at the end of its engine's queue.
     pub(super) fn push(&mut self, call: BackgroundCall) {
         let address = call.address();
         self.engines.entry(address).or_default().waiting.push_back(call);
         self.waiting += 1;
-        self.update_turn(address);
+        self.enqueue_if_ready(address);
     }
 
-    /// The next call, which takes a place until it has [finished](CallSchedule::finished).
+    /// Takes the next call, which counts as in flight until [`CallSchedule::finished`].
     pub(super) fn next(&mut self) -> Option<BackgroundCall> {
-        let address = self.turns.pop_front()?;
+        let address = self.ready_engines.pop_front()?;
         let engine = self.engines.get_mut(&address)?;
-        engine.in_turn = false;
+        engine.is_queued = false;
         let call = engine.waiting.pop_front()?;
         engine.in_flight += 1;
         self.waiting -= 1;
-        self.update_turn(address);
+        self.enqueue_if_ready(address);
         Some(call)
     }
 
-    /// A call to this address has ended; its place is free.
+    /// Records that a call to this address has ended.
     pub(super) fn finished(&mut self, address: SocketAddr) {
         if let Some(engine) = self.engines.get_mut(&address) {
             engine.in_flight -= 1;
         }
-        self.update_turn(address);
+        self.enqueue_if_ready(address);
     }
 
-    /// Gives an engine a turn if it has a call and a place, and forgets one that has nothing.
-    fn update_turn(&mut self, address: SocketAddr) {
+    /// Queues an engine if it has a waiting call and may have another one in flight. Removes an engine
+    /// without calls.
+    fn enqueue_if_ready(&mut self, address: SocketAddr) {
         let Some(engine) = self.engines.get_mut(&address) else { return };
         if engine.waiting.is_empty() && engine.in_flight == 0 {
             self.engines.remove(&address);
-        } else if !engine.in_turn && !engine.waiting.is_empty() && engine.in_flight < self.max_per_engine {
-            engine.in_turn = true;
-            self.turns.push_back(address);
+        } else if !engine.is_queued && !engine.waiting.is_empty() && engine.in_flight < self.max_per_engine {
+            engine.is_queued = true;
+            self.ready_engines.push_back(address);
         }
     }
 }
--- a/crates/pintally-kserve-node/src/background_calls/tests.rs
+++ b/crates/pintally-kserve-node/src/background_calls/tests.rs
@@ -1,4 +1,4 @@
-//! Background calls against engines on loopback.
+//! Background calls to engines on loopback.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use super::*;
 use crate::shared::DecisionMessage;
 
-/// The thread of background calls, the inputs that the host gets of it, and its connections.
+/// A running thread of background calls, and the inputs that it sends to the host.
 struct Fixture {
     calls: Option<CallSender>,
     messages: Receiver<DecisionMessage>,
@@ -26,11 +26,11 @@
             (kind "r" (role reader)) (kind "w" (role writer)))"#
         );
         let settings = Arc::new(NodeSettings::parse("test", &text).expect("valid settings"));
-        let (decide, messages) = bounded(1 << 12);
-        let shared = Arc::new(Shared::new(settings, decide));
+        let (decision_sender, messages) = bounded(1 << 12);
+        let shared = Arc::new(Shared::new(settings, decision_sender));
         let (calls, queue) = channel().unwrap();
-        let own = shared.clone();
-        let thread = Some(thread::spawn(move || run(&own, &queue)));
+        let thread_shared = shared.clone();
+        let thread = Some(thread::spawn(move || run(&thread_shared, &queue)));
         Fixture { calls: Some(calls), messages, shared, thread }
     }
 
@@ -39,18 +39,18 @@
         assert!(self.calls.as_ref().is_some_and(|calls| calls.send(call).is_ok()));
     }
 
-    fn release(&self, name: &str, at: SocketAddr) {
+    fn release(&self, name: &str, address: SocketAddr) {
         let call = BackgroundCall::Release {
             name: RequestId(name.into()),
             engine: EngineId(name.into()),
-            address: at,
+            address,
             new_connection: false,
         };
         self.send(call);
     }
 
-    fn probe_connection(&self, ticket: RequestNumber, at: SocketAddr) {
-        self.send(BackgroundCall::ConnectionProbe { ticket, attempt: 0, address: at });
+    fn probe_connection(&self, request_number: RequestNumber, address: SocketAddr) {
+        self.send(BackgroundCall::ConnectionProbe { request_number, attempt: 0, address });
     }
 
     /// The next input for the host, within two seconds.
@@ -74,7 +74,7 @@
 /// An engine that answers every request with 204.
 fn answering_engine() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
@@ -85,26 +85,27 @@
             });
         }
     });
-    at
+    address
 }
 
-/// An engine whose machine accepts connections and whose process never answers.
+/// An engine that never answers: connections are established in the listener's backlog but not accepted.
 fn silent_engine() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// Guards against reservations that stay at engines because releases for silent ones take all places.
+/// Guards against reservations that stay at engines because releases for silent engines occupy all concurrent
+/// calls.
 #[test]
 fn silent_engines_do_not_delay_releases_for_others() {
     let fixture = Fixture::new("(errands 8) (errand-ms 250)");
-    let (silent_listeners, at): (Vec<_>, Vec<_>) = (0..3).map(|_| silent_engine()).unzip();
+    let (silent_listeners, addresses): (Vec<_>, Vec<_>) = (0..3).map(|_| silent_engine()).unzip();
     let answering = answering_engine();
     for n in 0..300 {
-        fixture.release(&format!("silent-{n}"), at[n % at.len()]);
+        fixture.release(&format!("silent-{n}"), addresses[n % addresses.len()]);
     }
-    let from = Instant::now();
+    let started = Instant::now();
     for n in 0..20 {
         fixture.release(&format!("answering-{n}"), answering);
     }
@@ -116,17 +117,18 @@
             other => panic!("{other:?} after {released}"),
         }
     }
-    assert!(from.elapsed() < Duration::from_millis(240), "{:?}", from.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(240), "{:?}", started.elapsed());
     drop(silent_listeners);
     fixture.shared.kill();
 }
 
-/// Guards against a reservation that cannot be released because attempts take all places of its engine.
+/// Guards against a reservation that cannot be released because its engine has the maximum number of attempts
+/// in flight.
 #[test]
 fn release_bypasses_attempt_limit() {
     let fixture = Fixture::new("(streams 1)");
     let answering = answering_engine();
-    let attempt = fixture.shared.pool.take(answering, Duration::from_secs(1)).expect("a place");
+    let attempt = fixture.shared.pool.acquire(answering, Duration::from_secs(1)).expect("a connection");
     fixture.release("x", answering);
     assert!(matches!(fixture.next_input(), Some(Input::Released(_, _, true))));
     drop(attempt);
@@ -135,24 +137,24 @@
 #[test]
 fn connection_probe_confirms_only_reachable_machines() {
     let fixture = Fixture::new("(errand-ms 100)");
-    let (there, at) = silent_engine();
-    fixture.probe_connection(1, at);
+    let (listener, address) = silent_engine();
+    fixture.probe_connection(1, address);
     assert!(matches!(fixture.next_input(), Some(Input::DeliveryConfirmed(1, 0))));
-    drop(there);
-    fixture.probe_connection(2, at);
-    fixture.release("refuses", at);
+    drop(listener);
+    fixture.probe_connection(2, address);
+    fixture.release("refuses", address);
     assert!(matches!(fixture.next_input(), Some(Input::Released(_, _, false))), "no engine is there");
-    // Where the backlog of the listener is full no connection is established.
+    // No connection is established while the listener's backlog is full.
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     full.listen(0).unwrap();
-    let at = full.local_addr().unwrap().as_socket().unwrap();
+    let address = full.local_addr().unwrap().as_socket().unwrap();
     let mut fillers = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_millis(100)) {
+    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
         fillers.push(stream);
     }
-    fixture.probe_connection(3, at);
-    fixture.release("behind", at);
+    fixture.probe_connection(3, address);
+    fixture.release("behind", address);
     assert!(
         matches!(fixture.next_input(), Some(Input::Released(_, _, false))),
         "the connection probe is not answered"
--- a/crates/pintally-kserve-node/src/connection.rs
+++ b/crates/pintally-kserve-node/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: requests in, answers out, one after the other.
+//! One client connection: reads requests and writes their responses, one at a time.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -12,21 +12,24 @@
 use pintally_kserve::{self as kserve, InferenceEndpoint, InferenceRequest, Route, DEADLINE_HEADER};
 use tracing::debug;
 
-use crate::request_session::{self, ClientRequest, Connection};
+use crate::request_session::{self, ClientRequest, ConnectionAction};
 use crate::shared::Shared;
 use crate::status::{self, StatusResponse};
 use crate::wait::{wait, ClientInterest, Waker};
 
-/// What is read from a client after a rejection, so that it sees the rejection before a reset.
+/// Maximum bytes read from a client after a rejection. Unread bytes would reset the connection, and the
+/// client might not see the rejection.
 const MAX_DRAIN_BYTES: usize = 1 << 20;
+/// Maximum time for reading from a client after a rejection.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that one read takes.
+/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// Until the node counts tokens itself it takes so many bytes of a prompt for one.
+/// Estimated bytes per token of a prompt whose length in tokens the client does not state: the node does
+/// not count tokens itself.
 const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A request that is not taken, and why.
+/// The response to a request that could not be read, or for which there is no capacity.
 struct Rejection {
     status: u16,
     message: String,
@@ -41,7 +44,7 @@
         Rejection { status: 408, message: "the request did not come in time".into() }
     }
 
-    /// Whether it is about the node's load and not about the request.
+    /// Whether the request is rejected for the node's load and not because it is invalid.
     fn is_overload(&self) -> bool {
         self.status == 503
     }
@@ -53,14 +56,14 @@
     }
 }
 
-/// Bytes that a connection's request takes of the limit for all bodies; returned when it is dropped.
+/// Bytes that a connection's request has reserved of the limit for all bodies; returned on drop.
 struct BodyCapacity<'a> {
     shared: &'a Shared,
     bytes: usize,
 }
 
 impl BodyCapacity<'_> {
-    /// Takes or returns bytes until it has as many as these.
+    /// Reserves or returns bytes so that exactly `bytes` are reserved.
     fn resize(&mut self, bytes: usize) -> Result<(), Rejection> {
         if bytes > self.bytes && !self.shared.reserve_body_bytes(bytes - self.bytes) {
             return Err(Rejection::no_body_capacity());
@@ -86,7 +89,7 @@
         match next_request(shared, &mut stream, waker, &mut reader, &mut capacity) {
             Ok(Some(request)) => {
                 let connection = serve(shared, &mut stream, waker, &request);
-                if connection == Connection::Close || !request.keep_alive {
+                if connection == ConnectionAction::Close || !request.keep_alive {
                     return;
                 }
             }
@@ -96,7 +99,7 @@
     }
 }
 
-/// The next complete request; `None` if the connection is over.
+/// Reads the next complete request; `None` if the connection is to be closed.
 fn next_request(
     shared: &Shared,
     stream: &mut TcpStream,
@@ -106,7 +109,7 @@
 ) -> Result<Option<Request>, Rejection> {
     let limits = &shared.settings.limits;
     let mut deadline = Instant::now() + Duration::from_micros(limits.idle_timeout);
-    let mut started = false;
+    let mut receiving = false;
     let mut buffer = [0u8; READ_BUFFER_BYTES];
     loop {
         if let Some(request) = reader.next_request()? {
@@ -117,10 +120,10 @@
         if reader.take_expects_continue() && stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").is_err() {
             return Ok(None);
         }
-        if reader.is_partial() && !std::mem::replace(&mut started, true) {
+        if reader.is_partial() && !std::mem::replace(&mut receiving, true) {
             deadline = Instant::now() + Duration::from_micros(limits.receive_timeout);
         }
-        if shared.is_dead() || (shared.is_closing() && !started) {
+        if shared.is_dead() || (shared.is_closing() && !receiving) {
             return Ok(None);
         }
         let interest = Some((stream.as_fd(), ClientInterest::Readable));
@@ -129,7 +132,7 @@
             if Instant::now() < deadline {
                 continue;
             }
-            return if started { Err(Rejection::receive_timeout()) } else { Ok(None) };
+            return if receiving { Err(Rejection::receive_timeout()) } else { Ok(None) };
         }
         match stream.read(&mut buffer) {
             Ok(0) => return Ok(None),
@@ -140,7 +143,7 @@
     }
 }
 
-/// Answers a request that could not be read, and closes the connection.
+/// Writes a rejection and drains the connection, which is then closed.
 fn reject(shared: &Shared, stream: &mut TcpStream, rejection: &Rejection) {
     let overload = rejection.is_overload();
     let counters = &shared.counters;
@@ -152,7 +155,7 @@
 }
 
 /// Serves one request.
-fn serve(shared: &Shared, stream: &mut TcpStream, waker: &Arc<Waker>, request: &Request) -> Connection {
+fn serve(shared: &Shared, stream: &mut TcpStream, waker: &Arc<Waker>, request: &Request) -> ConnectionAction {
     let route = kserve::route(&request.method, &request.target);
     if let Route::Inference(model, endpoint) = &route {
         if *model == shared.settings.model {
@@ -163,17 +166,17 @@
     if response.status >= 400 && response.status != 503 {
         shared.counters.bad_requests.fetch_add(1, Ordering::Relaxed);
     }
-    Connection::after(reply(stream, response.status, &response.body, request.keep_alive))
+    ConnectionAction::after_write(reply(stream, response.status, &response.body, request.keep_alive))
 }
 
-/// The answer of every endpoint but inference.
+/// The response of every endpoint except inference.
 fn respond(shared: &Shared, route: Route) -> StatusResponse {
     let fleet = &shared.fleet;
-    let known = |model: &str| model == shared.settings.model;
+    let is_served = |model: &str| model == shared.settings.model;
     match route {
         Route::Live => StatusResponse::ok("{\"live\":true}"),
         Route::Ready => status::readiness(shared),
-        Route::ModelReady(model) if known(&model) => status::readiness(shared),
+        Route::ModelReady(model) if is_served(&model) => status::readiness(shared),
         Route::Counters => status::counters(shared),
         Route::Membership => {
             status::published(&fleet.membership_status, "this node has no peers in its settings")
@@ -190,7 +193,9 @@
             status::published(&fleet.outlier_status, "this node has no verdicts in its settings")
         }
         Route::ServerMetadata => StatusResponse::ok(kserve::server_metadata(env!("CARGO_PKG_VERSION"))),
-        Route::ModelMetadata(model) if known(&model) => StatusResponse::ok(kserve::model_metadata(&model)),
+        Route::ModelMetadata(model) if is_served(&model) => {
+            StatusResponse::ok(kserve::model_metadata(&model))
+        }
         Route::ModelMetadata(model) | Route::ModelReady(model) | Route::Inference(model, _) => {
             StatusResponse::error(404, &format!("unknown model `{model}`"))
         }
@@ -199,14 +204,14 @@
     }
 }
 
-/// Serves a request for inference.
+/// Serves an inference request.
 fn infer(
     shared: &Shared,
     stream: &mut TcpStream,
     waker: &Arc<Waker>,
     endpoint: InferenceEndpoint,
     request: &Request,
-) -> Connection {
+) -> ConnectionAction {
     let inference =
         match InferenceRequest::parse(endpoint, &request.body, request.headers.get(DEADLINE_HEADER)) {
             Ok(inference) => inference,
@@ -222,17 +227,17 @@
     }
 }
 
-fn bad_request(shared: &Shared, stream: &mut TcpStream, message: &str, keep_alive: bool) -> Connection {
+fn bad_request(shared: &Shared, stream: &mut TcpStream, message: &str, keep_alive: bool) -> ConnectionAction {
     shared.counters.bad_requests.fetch_add(1, Ordering::Relaxed);
-    Connection::after(reply(stream, 400, &kserve::error_body(message, false), keep_alive))
+    ConnectionAction::after_write(reply(stream, 400, &kserve::error_body(message, false), keep_alive))
 }
 
-/// The request as the host takes it; the error says which name is not known.
+/// Converts a request to the host's input; the error names an unknown class or tenant.
 fn incoming_request(
     shared: &Shared,
     endpoint: InferenceEndpoint,
     inference: &InferenceRequest,
-    bytes: usize,
+    body_bytes: usize,
 ) -> Result<IncomingRequest, String> {
     let core = &shared.settings.core;
     let class = match &inference.class {
@@ -251,7 +256,7 @@
     };
     let estimated_tokens = (inference.prompt.len() as u64).div_ceil(PROMPT_BYTES_PER_TOKEN);
     Ok(IncomingRequest {
-        number: shared.next_ticket.fetch_add(1, Ordering::Relaxed),
+        number: shared.next_request_number.fetch_add(1, Ordering::Relaxed),
         name: None,
         class,
         tenant,
@@ -263,12 +268,12 @@
         client_timeout: inference.deadline_ms.map(|ms| ms * MICROS_PER_MILLI),
         streamed: endpoint == InferenceEndpoint::GenerateStream,
         resumed: inference.resumed,
-        bytes,
+        bytes: body_bytes,
         unix_ms: shared.clock.unix_ms(),
     })
 }
 
-/// Writes a complete answer.
+/// Writes a complete response.
 fn reply(stream: &mut TcpStream, status: u16, body: &str, keep_alive: bool) -> io::Result<()> {
     let mut headers = vec![("content-type", "application/json")];
     if !keep_alive {
@@ -277,7 +282,8 @@
     stream.write_all(&response(status, &headers, body.as_bytes()))
 }
 
-/// Reads what the client still sends, within bounds, so that closing does not reset the answer away.
+/// Reads what the client still sends, within limits, because closing a connection with unread bytes would
+/// reset it and could discard the response.
 fn drain(stream: &mut TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.set_read_timeout(Some(DRAIN_TIMEOUT));
--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -1,4 +1,4 @@
-//! The decision thread: the only one that touches the host. It never waits for a socket.
+//! The decision thread: the only thread that accesses the host. It never waits for a socket.
 
 use std::collections::HashMap;
 use std::ops::ControlFlow;
@@ -15,21 +15,21 @@
 use crate::shared::{DecisionMessage, OutgoingZoneReport, RequestMailbox, RequestMessage, Shared};
 use crate::sync::lock;
 
-/// Messages taken in one go before timers are looked at.
+/// Maximum number of messages that are handled before the host's timers are checked again.
 const MAX_BATCH: usize = 256;
-/// How often the status of recovery is refreshed, beside each change of stage.
+/// How often the recovery status is refreshed, in addition to each change of stage.
 const RECOVERY_STATUS_INTERVAL_US: Micros = 20_000;
-/// How often the status of quota and of outlier detection is refreshed.
+/// How often the status documents of quota and outlier detection are refreshed.
 const QUOTA_STATUS_INTERVAL_US: Micros = 200_000;
 
-/// Where commands that are not for a request go.
+/// Channels for the commands that are not for a request's thread.
 pub(crate) struct DecisionOutputs {
     pub(crate) background_calls: CallSender,
-    /// Has the endpoint list looked at again at once.
+    /// Makes the watcher reload the endpoint list at once.
     pub(crate) reload_list: Sender<()>,
-    /// The node has shut down.
+    /// Signals that the host has finished its shutdown.
     pub(crate) stopped: Sender<()>,
-    /// Messages for peers.
+    /// Messages for the fleet thread.
     pub(crate) fleet: FleetSenders,
 }
 
@@ -39,11 +39,11 @@
     host: Host,
     mailboxes: HashMap<RequestNumber, RequestMailbox>,
     outputs: DecisionOutputs,
-    /// Commands of the host that are to be carried out.
+    /// Commands of the host that are not carried out yet.
     commands: Vec<Command>,
 }
 
-/// Runs until it is killed or nobody can send any more.
+/// Runs until the node is killed or all senders of messages are dropped.
 pub(crate) fn run(
     shared: &Shared,
     host: Host,
@@ -55,8 +55,8 @@
     let mut reservations = ReservationRecord::new(shared);
     let mut status = StatusPublisher::default();
     loop {
-        let wake = [thread.host.next_wake(), reservations.due()].into_iter().flatten().min();
-        let message = match wake {
+        let next_wake = [thread.host.next_wake(), reservations.due()].into_iter().flatten().min();
+        let message = match next_wake {
             Some(at) => messages.recv_deadline(shared.clock.instant(at)),
             None => messages.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
@@ -83,7 +83,7 @@
 }
 
 impl DecisionThread<'_> {
-    /// Takes in messages; breaks if the thread is to end.
+    /// Handles messages; breaks on [`DecisionMessage::Kill`].
     fn handle_batch(&mut self, messages: impl Iterator<Item = DecisionMessage>) -> ControlFlow<()> {
         for message in messages {
             match message {
@@ -110,8 +110,8 @@
         self.carry_out();
     }
 
-    /// Carries out all commands. What does not fit is an input to the host at once, which may command
-    /// something else.
+    /// Carries out all commands. Those that fail at once are reported to the host as inputs, which may lead
+    /// to new commands.
     fn carry_out(&mut self) {
         while !self.commands.is_empty() {
             let commands = std::mem::take(&mut self.commands);
@@ -124,24 +124,25 @@
         }
     }
 
-    /// Carries out a command; the host's input about it if it failed at once.
+    /// Carries out a command. Returns the input for the host if the command failed at once.
     fn execute(&mut self, command: Command) -> Option<Input> {
         match command {
             Command::Attempt(order) => return self.start_attempt(order),
-            Command::Cancel(ticket, attempt) => {
-                self.send_to_request(ticket, RequestMessage::Cancel(attempt));
+            Command::Cancel(request_number, attempt) => {
+                self.send_to_request(request_number, RequestMessage::Cancel(attempt));
             }
-            Command::Answer(ticket, answer) => {
-                self.send_to_request(ticket, RequestMessage::Answer(answer));
+            Command::Answer(request_number, answer) => {
+                self.send_to_request(request_number, RequestMessage::Answer(answer));
             }
-            Command::RequestComplete(ticket) => {
-                self.send_to_request(ticket, RequestMessage::Finished);
-                self.mailboxes.remove(&ticket);
+            Command::RequestComplete(request_number) => {
+                self.send_to_request(request_number, RequestMessage::Finished);
+                self.mailboxes.remove(&request_number);
             }
             Command::Release { .. } | Command::HealthCheck(..) | Command::ProbeConnection(..) => {
                 return self.start_background_call(command);
             }
-            // Its releases are one reservation's each and harm no younger one.
+            // Nothing to withdraw: each release call names one reservation, so a late one cannot release a
+            // newer one.
             Command::WithdrawReleases(_) => {}
             Command::ReloadEndpointList => {
                 let _ = self.outputs.reload_list.try_send(());
@@ -168,14 +169,14 @@
         None
     }
 
-    /// Hands an attempt to its request's thread. Where that is gone nothing was sent.
+    /// Passes an attempt to its request's thread. If the thread is gone, the attempt ends as never sent.
     fn start_attempt(&mut self, order: AttemptOrder) -> Option<Input> {
-        let (ticket, attempt) = (order.number, order.attempt);
-        if self.send_to_request(ticket, RequestMessage::Attempt(order)) {
+        let (request_number, attempt) = (order.number, order.attempt);
+        if self.send_to_request(request_number, RequestMessage::Attempt(order)) {
             return None;
         }
         Some(Input::AttemptEnded {
-            number: ticket,
+            number: request_number,
             attempt,
             outcome: Outcome::NeverSent,
             cached_tokens: 0,
@@ -184,8 +185,8 @@
         })
     }
 
-    /// Hands in a background call. Where there are too many of them a health check and a release have
-    /// failed. A connection probe has no answer then: nothing is known of the attempt.
+    /// Queues a background call. If too many calls wait, health checks and releases fail at once. Connection
+    /// probes are dropped, because nothing is known about the attempt.
     fn start_background_call(&mut self, command: Command) -> Option<Input> {
         let call = match command {
             Command::Release { name, engine, address, new_connection } => {
@@ -194,8 +195,8 @@
             Command::HealthCheck(engine, address, slots) => {
                 BackgroundCall::HealthCheck { engine, address, slots }
             }
-            Command::ProbeConnection(ticket, attempt, _, address) => {
-                BackgroundCall::ConnectionProbe { ticket, attempt, address }
+            Command::ProbeConnection(request_number, attempt, _, address) => {
+                BackgroundCall::ConnectionProbe { request_number, attempt, address }
             }
             _ => return None,
         };
@@ -206,27 +207,27 @@
         }
     }
 
-    /// Sends to a request's thread; `false` if it is gone. The mailbox has room for all that a request can
-    /// have open.
-    fn send_to_request(&mut self, ticket: RequestNumber, message: RequestMessage) -> bool {
-        let Some(mailbox) = self.mailboxes.get(&ticket) else { return false };
+    /// Sends a message to a request's thread; `false` if the thread is gone. The mailbox has capacity for all
+    /// messages that a request can have open.
+    fn send_to_request(&mut self, request_number: RequestNumber, message: RequestMessage) -> bool {
+        let Some(mailbox) = self.mailboxes.get(&request_number) else { return false };
         let sent = mailbox.sender.try_send(message).is_ok();
-        // Threads of a node that was killed end before this one does.
+        // Not a fault after a kill: the request threads may end before this one.
         if !sent && !self.shared.is_dead() {
-            warn!(ticket, "request thread is gone: message dropped");
+            warn!(request_number, "request thread is gone: message dropped");
         }
         mailbox.waker.wake();
         sent
     }
 }
 
-/// The reservations that engines would hold if the process ended now, stored for the next start: as often
-/// as the settings say, and only if something may have changed.
+/// Periodically stores the reservations that engines would hold if the process ended now, for the next start.
+/// They are written once per commit interval of the settings, and only if something may have changed.
 struct ReservationRecord {
-    /// `None` without a store and without backup nodes.
+    /// `None` if the node has neither a store nor backup nodes.
     interval: Option<Micros>,
     written_at: Micros,
-    stale: bool,
+    dirty: bool,
 }
 
 impl ReservationRecord {
@@ -235,19 +236,20 @@
         let recovery = shared.settings.recovery.as_ref();
         let recovery =
             recovery.filter(|r| r.store.is_some() || has_peers && r.reservation_takeover_delay > 0);
-        ReservationRecord { interval: recovery.map(|r| r.commit_interval), written_at: 0, stale: true }
+        ReservationRecord { interval: recovery.map(|r| r.commit_interval), written_at: 0, dirty: true }
     }
 
-    /// When it has to be written, if something may have changed.
+    /// When the next write is due; `None` if nothing can have changed.
     fn due(&self) -> Option<Micros> {
-        let interval = self.interval.filter(|_| self.stale)?;
+        let interval = self.interval.filter(|_| self.dirty)?;
         Some(self.written_at.saturating_add(interval))
     }
 
-    /// Writes it if it is due; everything that wakes the decision thread may change it.
+    /// Writes the reservations if that is due. Otherwise marks them dirty, because anything that wakes the
+    /// decision thread may have changed them.
     fn write(&mut self, shared: &Shared, now: Micros, host: &Host) {
         let due = self.due().is_some_and(|due| now >= due);
-        self.stale = !due;
+        self.dirty = !due;
         if due {
             self.written_at = now;
             let reservations = host.reservations_at_exit(MAX_STORED_RESERVATIONS);
@@ -256,43 +258,44 @@
     }
 }
 
-/// Copies of the host's state for status documents and for the fleet thread.
+/// Publishes copies of the host's state for status documents and for the fleet thread.
 #[derive(Default)]
 struct StatusPublisher {
-    recovery_at: Micros,
-    quota_at: Micros,
+    recovery_published_at: Micros,
+    quota_published_at: Micros,
 }
 
 impl StatusPublisher {
-    /// Counters, and cells and moves where they have changed.
+    /// Publishes the counters, and the status of cells, migrations and engines if it has changed.
     fn publish_counters(&self, shared: &Shared, host: &mut Host) {
         *lock(&shared.host_counters) = host.counters();
         if host.take_fleet_change() {
             *lock(&shared.cells) = host.cells_status();
-            *lock(&shared.moves) = host.migration_status(shared.clock.unix_ms());
-            shared.serving.store(host.serving_engines(), Ordering::Relaxed);
+            *lock(&shared.migrations) = host.migration_status(shared.clock.unix_ms());
+            shared.serving_engines.store(host.serving_engines(), Ordering::Relaxed);
         }
     }
 
     fn publish_quota(&mut self, shared: &Shared, now: Micros, host: &Host) {
         let enabled = shared.settings.quotas.is_some() || shared.settings.outlier_detection.is_some();
-        if enabled && now >= self.quota_at + QUOTA_STATUS_INTERVAL_US {
-            self.quota_at = now;
+        if enabled && now >= self.quota_published_at + QUOTA_STATUS_INTERVAL_US {
+            self.quota_published_at = now;
             *lock(&shared.fleet.outlier_status) = host.outlier_status(now);
             *lock(&shared.fleet.limit_status) = host.quota_status(now);
         }
     }
 
-    /// The answer to peers, each time; what only operators and the disk want, once an interval.
+    /// Publishes the answer to peers each time, and the status document and stored service rates once per
+    /// interval or when the stage changes.
     fn publish_recovery(&mut self, shared: &Shared, now: Micros, host: &Host) {
         let Some(answer) = host.recovery_answer(now) else { return };
         let stage = answer.stage;
-        let before = lock(&shared.fleet.recovery_answer).replace(answer);
-        let same_stage = before.is_some_and(|before| before.stage == stage);
-        if same_stage && now < self.recovery_at + RECOVERY_STATUS_INTERVAL_US {
+        let previous = lock(&shared.fleet.recovery_answer).replace(answer);
+        let same_stage = previous.is_some_and(|previous| previous.stage == stage);
+        if same_stage && now < self.recovery_published_at + RECOVERY_STATUS_INTERVAL_US {
             return;
         }
-        self.recovery_at = now;
+        self.recovery_published_at = now;
         *lock(&shared.fleet.recovery_status) = host.recovery_status(now);
         *lock(&shared.fleet.service_rates) = host.service_rates();
     }
--- a/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/fleet/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists between peers: each node gossips the version of its list, and fetches a newer one.
+//! Exchange of endpoint lists between peers: each node gossips the version of its list, and fetches newer
+//! lists.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::atomic::Ordering;
@@ -14,11 +15,12 @@
 use crate::shared::{spawn_small, Shared};
 use crate::sync::lock;
 
-/// Initial value and factor of the 32-bit FNV-1a hash.
+/// Offset basis and prime of the 32-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Version and checksum of a list. Lists of one version may differ where a source was edited in place.
+/// Version and checksum of a list. Lists of the same version can differ if the source was edited without a
+/// new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListIdentity {
     pub(super) version: u64,
@@ -26,7 +28,7 @@
 }
 
 impl ListIdentity {
-    /// The identity as a gossip payload: both numbers little-endian, 12 bytes.
+    /// Encodes the identity as a gossip payload of 12 bytes: both numbers little-endian.
     fn encode(self) -> Vec<u8> {
         let mut payload = self.version.to_le_bytes().to_vec();
         payload.extend(self.checksum.to_le_bytes());
@@ -41,13 +43,13 @@
         })
     }
 
-    /// Whether this list is worth fetching where `own` is in force.
-    fn differs_from(self, own: ListIdentity) -> bool {
+    /// Whether this list is to be fetched by a node whose current list is `own`.
+    fn needs_fetch(self, own: ListIdentity) -> bool {
         self.version > own.version || self.version == own.version && self.checksum != own.checksum
     }
 }
 
-/// The endpoint list in force.
+/// The current endpoint list.
 #[derive(Clone)]
 pub(super) struct EndpointListSnapshot {
     pub(super) identity: ListIdentity,
@@ -67,12 +69,13 @@
 }
 
 impl FleetThread<'_> {
-    /// Version and checksum of the list in force.
+    /// Version and checksum of the current list.
     pub(super) fn own_list(&self) -> Option<ListIdentity> {
         lock(&self.shared.fleet.endpoint_list).as_ref().map(|list| list.identity)
     }
 
-    /// Gossips this node's list, and fetches again what could not be fetched when a peer published it.
+    /// Gossips the identity of this node's list, and retries fetches that failed when a peer published its
+    /// list.
     pub(super) fn exchange_lists(&mut self) {
         if let Some(own) = self.own_list() {
             let _ = self.link.membership.publish(FactTopic::EndpointList.topic(), own.encode());
@@ -82,13 +85,13 @@
         origins.iter().for_each(|origin| self.fetch_newer_list(origin));
     }
 
-    /// Fetches a peer's list if it is newer than this node's, or another of the same version.
+    /// Fetches a peer's list if it is newer than this node's, or differs from it in the same version.
     pub(super) fn fetch_newer_list(&self, origin: &PeerName) {
         let membership = &self.link.membership;
         let fact: Option<&GossipFact> = membership.fact(origin, FactTopic::EndpointList.topic());
         let Some(published) = fact.and_then(|fact| ListIdentity::decode(&fact.payload)) else { return };
         let Some(peer) = membership.member(origin).filter(|member| member.is_alive()) else { return };
-        let wanted = self.own_list().is_none_or(|own| published.differs_from(own));
+        let wanted = self.own_list().is_none_or(|own| published.needs_fetch(own));
         if !wanted || self.shared.fleet.list_fetch_running.swap(true, Ordering::AcqRel) {
             return;
         }
@@ -104,11 +107,11 @@
     }
 }
 
-/// Fetches a peer's list for the thread that watches the list.
+/// Fetches a peer's list and offers it to the watcher.
 fn fetch_list(shared: &Shared, peer: SocketAddr, reload_list: &Sender<()>) {
     let listen = shared.settings.membership.as_ref().map(|membership| membership.listen.ip());
-    let own: IpAddr = listen.unwrap_or(Ipv4Addr::UNSPECIFIED.into());
-    match fetch_document(own, peer, StreamRequest::EndpointList.number()).map(String::from_utf8) {
+    let own_address: IpAddr = listen.unwrap_or(Ipv4Addr::UNSPECIFIED.into());
+    match fetch_document(own_address, peer, StreamRequest::EndpointList.number()).map(String::from_utf8) {
         Ok(Ok(text)) => {
             *lock(&shared.fleet.offered_list) = Some(text);
             let _ = reload_list.try_send(());
--- a/crates/pintally-kserve-node/src/fleet/link.rs
+++ b/crates/pintally-kserve-node/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! The node's sockets towards its peers, and the membership protocol on them.
+//! The node's sockets for its peers, and the membership protocol that runs on them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,22 +17,23 @@
 use crate::shared::Shared;
 use crate::sync::lock;
 
-/// The node's end of the fleet: sockets and membership.
+/// The node's connection to the fleet: sockets and membership.
 pub(crate) struct FleetLink {
     pub(super) udp: DatagramSocket,
     pub(super) membership: Membership,
-    /// Answers stream requests until it is dropped.
+    /// Serves stream requests until it is dropped.
     _stream_server: StreamServer,
+    /// What the store remembers of the previous process.
     pub(super) remembered: RememberedState,
-    /// Where this node's replica takes input, if it runs one.
+    /// Sender of input to this node's replica, if it runs one.
     pub(super) replica: Option<Sender<ReplicaInput>>,
 }
 
-/// Opens the sockets towards peers. `replica` is where this node's replica takes input, if it runs one.
+/// Opens the sockets for peers. `replica` sends input to this node's replica, if it runs one.
 ///
 /// # Errors
 ///
-/// An address that cannot be bound, or settings that the membership protocol rejects.
+/// Fails if the address cannot be bound or the membership protocol rejects the settings.
 pub(crate) fn open(
     shared: &Arc<Shared>,
     settings: &MembershipSettings,
@@ -56,7 +57,7 @@
     })
 }
 
-/// Serves the endpoint list and takes operators' commands.
+/// Serves the endpoint list and operators' commands on TCP streams.
 fn serve_streams(
     shared: &Arc<Shared>,
     listen: SocketAddr,
@@ -97,12 +98,12 @@
 }
 
 impl FleetLink {
-    /// Wakes the fleet thread from its wait for datagrams.
+    /// Creates a waker for the fleet thread while it waits for datagrams.
     pub(crate) fn waker(&self) -> io::Result<Waker> {
         self.udp.waker()
     }
 
-    /// Where peers reach this node.
+    /// The address of this node for peers.
     pub(crate) fn address(&self) -> io::Result<SocketAddr> {
         self.udp.address()
     }
--- a/crates/pintally-kserve-node/src/fleet/mod.rs
+++ b/crates/pintally-kserve-node/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The node among its peers: one thread for membership, gossip and messages between nodes.
+//! The fleet thread: membership, gossip and messages between nodes.
 //!
-//! No other thread waits for it: the decision thread notifies it over bounded channels, and gets its
-//! inputs as messages.
+//! No other thread waits for it. The decision thread sends to it over bounded channels without blocking, and
+//! receives its inputs as messages.
 
 mod endpoint_list;
 mod link;
@@ -46,25 +46,27 @@
     injected_fault, new_recovery, restore_state, start_without_peers, RestoredState, MAX_STORED_RESERVATIONS,
 };
 
-/// An iteration of the thread waits no longer for datagrams, so that other threads' messages go out.
+/// Maximum time that one iteration of the thread waits for datagrams, so that other threads' messages are
+/// sent in time.
 const MAX_RECEIVE_WAIT: Duration = Duration::from_millis(20);
 
-/// Messages of one kind that may wait for the fleet thread. One that does not fit is sent again later.
+/// Maximum number of messages of one kind that wait for the fleet thread. Further ones are dropped and sent
+/// again later.
 const MAX_WAITING_MESSAGES: usize = 64;
 
-/// Where the decision thread hands in messages.
+/// The decision thread's senders of messages to the fleet thread.
 pub(crate) struct FleetSenders {
     /// Numbers of peers to query for recovery.
     pub(crate) peer_queries: Sender<u64>,
-    /// Leases to request.
+    /// Lease requests for the granter.
     pub(crate) lease_requests: Sender<Vec<LeaseRequest>>,
-    /// What this node observes of zones.
+    /// This node's zone reports.
     pub(crate) zone_reports: Sender<OutgoingZoneReport>,
-    /// What this node observed of engines, encoded.
+    /// This node's outlier reports, encoded.
     pub(crate) outlier_reports: Sender<Vec<u8>>,
 }
 
-/// Where the fleet thread takes the decision thread's messages.
+/// The fleet thread's receivers of the decision thread's messages.
 pub(crate) struct FleetInputs {
     peer_queries: Receiver<u64>,
     lease_requests: Receiver<Vec<LeaseRequest>>,
@@ -72,18 +74,18 @@
     outlier_reports: Receiver<Vec<u8>>,
 }
 
-/// Channels from the decision thread to the fleet thread.
+/// Creates the channels from the decision thread to the fleet thread.
 pub(crate) fn channels() -> (FleetSenders, FleetInputs) {
-    let (peer_queries, queried) = bounded(MAX_WAITING_MESSAGES);
-    let (lease_requests, requested) = bounded(MAX_WAITING_MESSAGES);
-    let (zone_reports, zones_reported) = bounded(MAX_WAITING_MESSAGES);
-    let (outlier_reports, outliers_reported) = bounded(MAX_WAITING_MESSAGES);
+    let (peer_queries, query_receiver) = bounded(MAX_WAITING_MESSAGES);
+    let (lease_requests, lease_receiver) = bounded(MAX_WAITING_MESSAGES);
+    let (zone_reports, zone_receiver) = bounded(MAX_WAITING_MESSAGES);
+    let (outlier_reports, outlier_receiver) = bounded(MAX_WAITING_MESSAGES);
     let senders = FleetSenders { peer_queries, lease_requests, zone_reports, outlier_reports };
     let inputs = FleetInputs {
-        peer_queries: queried,
-        lease_requests: requested,
-        zone_reports: zones_reported,
-        outlier_reports: outliers_reported,
+        peer_queries: query_receiver,
+        lease_requests: lease_receiver,
+        zone_reports: zone_receiver,
+        outlier_reports: outlier_receiver,
     };
     (senders, inputs)
 }
@@ -92,9 +94,9 @@
 struct FleetThread<'a> {
     shared: &'a Arc<Shared>,
     link: FleetLink,
-    /// What this node's replica sends, if it runs one.
+    /// Output of this node's replica, if it runs one.
     replica_outputs: Option<Receiver<ReplicaOutput>>,
-    /// Has the endpoint list looked at again at once.
+    /// Makes the watcher reload the endpoint list at once.
     reload_list: Sender<()>,
     failover: Option<FailoverLeader>,
     peer_numbers: PeerNumbers,
@@ -134,7 +136,7 @@
 }
 
 impl FleetThread<'_> {
-    /// Sends what is due and takes in one datagram, or waits for it a while.
+    /// Sends what is due, then receives one datagram or waits for it up to [`MAX_RECEIVE_WAIT`].
     fn run_iteration(&mut self, inputs: &FleetInputs) {
         let now = self.shared.clock.now();
         let mut out = Vec::new();
@@ -172,7 +174,7 @@
         let wake = self.shared.clock.instant(self.link.membership.next_wake());
         let until = wake.min(Instant::now() + MAX_RECEIVE_WAIT);
         match self.link.udp.receive(until) {
-            // Another thread of this node has something to send.
+            // The waker of another thread of this node: it has a message to send.
             Ok(ReceiveEvent::Datagram(_, bytes)) if bytes.is_empty() => {}
             Ok(ReceiveEvent::Datagram(from, bytes)) => {
                 let mut out = Vec::new();
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Guards against a loop that takes a whole processor while the socket fails.
+    /// Pauses after an error, so that the thread does not use a whole processor while the socket fails.
     fn receive_failed(&self, error: &io::Error) {
         warn!(%error, "receive from peers failed");
         std::thread::sleep(MAX_RECEIVE_WAIT);
@@ -247,7 +249,7 @@
             Some(FactTopic::OutlierReport) => self.receive_outlier_report(origin),
             Some(FactTopic::FailoverPlan) => self.receive_failover_plan(origin),
             Some(FactTopic::EngineCleared) => self.receive_cleared_engine(origin),
-            // Looked up when they are needed.
+            // Read from membership when they are needed.
             Some(FactTopic::ServedRate | FactTopic::Leadership) | None => {}
         }
     }
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Hands input to this node's replica; what does not fit is lost like a datagram.
+    /// Sends input to this node's replica; it is dropped, like a lost datagram, if the channel is full.
     fn to_replica(&self, input: ReplicaInput) {
         if let Some(replica) = &self.link.replica {
             let _ = replica.try_send(input);
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Gossips the term in which this node leads the replicas, or that it does not.
+    /// Gossips the term in which this node's replica is the leader, or that it is not the leader.
     fn publish_leadership(&mut self, term: Option<u64>) {
         if let Some(failover) = &mut self.failover {
             failover.set_leadership(self.shared.clock.now(), term);
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Lets peers know that this node shuts down.
+    /// Notifies peers that this node shuts down.
     fn leave(&mut self) {
         let mut out = Vec::new();
         self.link.membership.leave(&mut out);
@@ -311,7 +313,7 @@
     }
 }
 
-/// Whether an event changes which members are alive.
+/// Whether an event changes the set of live members.
 fn changes_live_members(event: &MembershipEvent) -> bool {
     matches!(
         event,
--- a/crates/pintally-kserve-node/src/fleet/operator_commands.rs
+++ b/crates/pintally-kserve-node/src/fleet/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands over a stream: run here, or handed to this node's replica.
+//! Operators' commands received over a stream: run here, or passed to this node's replica.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::shared::Shared;
 use crate::sync::lock;
 
-/// Engines that may be cleared before the fleet thread has notified peers of them.
+/// Maximum number of cleared engines of which the fleet thread has not notified peers yet.
 const MAX_CLEARED_ENGINES: usize = 64;
-/// A command without an answer by then is of unknown effect.
+/// Maximum wait for the answer to a command. After that it is unknown whether the command takes effect.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Runs a command given as JSON and waits for its effect.
+/// Runs a command given as JSON and waits for its answer.
 pub(super) fn execute_command(
     shared: &Shared,
     replica: Option<&Sender<ReplicaInput>>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Has the replicas agree on a command.
+/// Proposes a command to the replicas and waits for their agreement.
 fn propose(replica: Option<&Sender<ReplicaInput>>, command: OperatorCommand) -> CommandAnswer {
     let Some(replica) = replica else { return CommandAnswer::rejected("this node is no keeper") };
     let (sender, receiver) = bounded(1);
--- a/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
+++ b/crates/pintally-kserve-node/src/fleet/recovery_exchange.rs
@@ -1,4 +1,4 @@
-//! Questions and answers of recovery between peers.
+//! Recovery queries and answers between peers.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::FleetThread;
 use crate::sync::lock;
 
-/// Numbers by which recovery knows peers.
+/// The numbers that identify peers in recovery.
 #[derive(Default)]
 pub(super) struct PeerNumbers {
     numbers: BTreeMap<PeerName, u64>,
@@ -19,7 +19,7 @@
 }
 
 impl PeerNumbers {
-    /// A peer's number, which stays the same.
+    /// Returns the number of a peer, assigning one at first use. It never changes.
     fn number(&mut self, name: &PeerName) -> u64 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -36,14 +36,14 @@
 }
 
 impl FleetThread<'_> {
-    /// Asks a peer for its recovery answer.
+    /// Sends a recovery query to a peer.
     pub(super) fn query_peer(&mut self, number: u64, out: &mut Vec<Output>) {
         let Some(name) = self.peer_numbers.name(number) else { return };
         let topic = MessageTopic::RecoveryQuery.topic();
         self.link.membership.send_direct(name, topic, Vec::new(), out);
     }
 
-    /// Answers a peer's query, in whatever stage this node is.
+    /// Answers a peer's recovery query. This node answers in every stage of its own recovery.
     pub(super) fn answer_recovery_query(&mut self, from: &PeerName) {
         let Some(answer) = lock(&self.shared.fleet.recovery_answer).clone() else { return };
         let list = self.own_list().map(|list| (list.version, list.checksum));
@@ -55,19 +55,19 @@
         }
     }
 
-    /// A peer has answered this node's query.
+    /// Passes a peer's recovery answer to the host.
     pub(super) fn receive_recovery_answer(&mut self, from: &PeerName, bytes: &[u8]) {
         let number = self.peer_numbers.number(from);
         let Ok(answer) = serde_json::from_slice::<Answer>(bytes) else { return };
         let own_list = self.own_list().map(|list| (list.version, list.checksum));
-        // A peer in full service goes by the same list: it need not come from its source again.
+        // A serving peer uses the same list: this node need not wait for it to be confirmed by its source.
         if answer.stage == Stage::Serving && answer.list.is_some() && answer.list == own_list {
             self.shared.send_input(Input::EndpointListConfirmed);
         }
         self.shared.send_input(Input::Recovery(recovery::Input::PeerAnswered(number, answer)));
     }
 
-    /// The set of live members has changed: stores their addresses and notifies the host.
+    /// Stores the addresses of the live members and notifies the host, after their set has changed.
     pub(super) fn update_live_members(&mut self) {
         let membership = &self.link.membership;
         let alive: Vec<&Member> = membership.members().filter(|member| member.is_alive()).collect();
@@ -86,8 +86,8 @@
         self.shared.send_input(Input::Recovery(recovery::Input::PeersChanged(nodes, numbers)));
     }
 
-    /// Whether a peer sends to the same engines: where zones have cores of their own, only a peer of this
-    /// node's zone does.
+    /// Whether a peer sends to the same engines as this node. With failover each zone has its own routing
+    /// core, so that only peers in this node's zone do.
     pub(super) fn shares_engines_with(&self, member: &Member) -> bool {
         self.failover.is_none() || *member.zone() == *self.shared.settings.core.zone
     }
--- a/crates/pintally-kserve-node/src/fleet/served_rates.rs
+++ b/crates/pintally-kserve-node/src/fleet/served_rates.rs
@@ -1,4 +1,4 @@
-//! Rates of service: measured, gossiped, and stored for the next start.
+//! Rates of served requests: measured, gossiped, and stored for the next start.
 
 use pintally::interface::Micros;
 use pintally_recovery::Stage;
@@ -7,48 +7,48 @@
 use super::FleetThread;
 use crate::sync::lock;
 
-/// How often rates are measured and stored.
+/// Interval at which rates are measured and stored.
 const MEASURE_INTERVAL_US: Micros = 1_000_000;
-/// The weight of a new second in the mean of the served rate.
+/// Weight of the latest second in the moving average of the served rate.
 const RATE_SMOOTHING: f64 = 0.2;
-/// The fleet's rate decays by this factor a second, so that a fleet that shrank is not taken for what it
-/// was.
+/// The fleet's rate decays by this factor per second, so that a fleet that has shrunk is not expected to
+/// serve its former rate.
 const FLEET_RATE_DECAY: f64 = 0.999;
 
-/// Rates of requests served, by this node and by the fleet.
+/// Rates of requests served by this node and by the fleet.
 pub(super) struct ServedRates {
-    /// Requests a second of the whole fleet, at its recent highest.
-    fleet: f64,
-    /// Requests a second of this node, smoothed.
-    own: f64,
-    /// The host's counter when it was last read.
+    /// Requests per second of the whole fleet: the recent maximum.
+    fleet_rate: f64,
+    /// Requests per second of this node, smoothed.
+    own_rate: f64,
+    /// The host's counter of served requests when it was last read.
     served: u64,
-    next_measurement: Micros,
+    next_measurement_at: Micros,
 }
 
 impl ServedRates {
-    /// Begins with what the store remembers of the fleet's rate.
+    /// Starts with the fleet's rate that the store remembers.
     pub(super) fn new(now: Micros, remembered_fleet_rate: f64) -> ServedRates {
-        let fleet = if remembered_fleet_rate.is_finite() { remembered_fleet_rate } else { 0.0 };
-        ServedRates { fleet, own: 0.0, served: 0, next_measurement: now }
+        let fleet_rate = if remembered_fleet_rate.is_finite() { remembered_fleet_rate } else { 0.0 };
+        ServedRates { fleet_rate, own_rate: 0.0, served: 0, next_measurement_at: now }
     }
 
-    /// Takes in the host's counter, one interval after the last time.
+    /// Updates this node's rate from the host's counter. Called once per interval.
     fn measure(&mut self, served: u64) {
-        let fresh = served.saturating_sub(std::mem::replace(&mut self.served, served));
-        self.own += RATE_SMOOTHING * (fresh as f64 - self.own);
+        let newly_served = served.saturating_sub(std::mem::replace(&mut self.served, served));
+        self.own_rate += RATE_SMOOTHING * (newly_served as f64 - self.own_rate);
     }
 }
 
 impl FleetThread<'_> {
-    /// Once a second: measures rates, exchanges endpoint lists and refreshes the status of members.
+    /// Measures rates, exchanges endpoint lists and refreshes the membership status, once per second.
     pub(super) fn measure_and_store(&mut self, now: Micros) {
-        if now < self.rates.next_measurement {
+        if now < self.rates.next_measurement_at {
             return;
         }
-        self.rates.next_measurement = now + MEASURE_INTERVAL_US;
+        self.rates.next_measurement_at = now + MEASURE_INTERVAL_US;
         self.rates.measure(self.shared.counters().host.served);
-        // A node that still recovers would bring the fleet's rate down to what it admits.
+        // The rate of a recovering node is limited by what it admits and would lower the fleet's rate.
         let stage = lock(&self.shared.fleet.recovery_answer).as_ref().map(|answer| answer.stage);
         if stage.is_none_or(|stage| stage == Stage::Serving) {
             self.publish_and_store_rates();
@@ -58,18 +58,18 @@
     }
 
     fn publish_and_store_rates(&mut self) {
-        let own = self.rates.own.to_bits().to_le_bytes().to_vec();
-        let _ = self.link.membership.publish(FactTopic::ServedRate.topic(), own);
-        let fleet: f64 = self.peer_rates().sum::<f64>() + self.rates.own;
-        self.rates.fleet = fleet.max(self.rates.fleet * FLEET_RATE_DECAY);
+        let own_rate = self.rates.own_rate.to_bits().to_le_bytes().to_vec();
+        let _ = self.link.membership.publish(FactTopic::ServedRate.topic(), own_rate);
+        let fleet_rate: f64 = self.peer_rates().sum::<f64>() + self.rates.own_rate;
+        self.rates.fleet_rate = fleet_rate.max(self.rates.fleet_rate * FLEET_RATE_DECAY);
         let shared = &self.shared.fleet;
-        shared.store_record(RecordKey::FleetRate, self.rates.fleet.to_bits().to_le_bytes().to_vec());
+        shared.store_record(RecordKey::FleetRate, self.rates.fleet_rate.to_bits().to_le_bytes().to_vec());
         let service_rates = *lock(&shared.service_rates);
         let payload = service_rates.iter().flat_map(|rate| rate.to_bits().to_le_bytes()).collect();
         shared.store_record(RecordKey::ServiceRates, payload);
     }
 
-    /// Rates that live peers with the same engines have published.
+    /// The rates published by live peers that share this node's engines.
     fn peer_rates(&self) -> impl Iterator<Item = f64> + '_ {
         let membership = &self.link.membership;
         let counted =
--- a/crates/pintally-kserve-node/src/fleet/shared_state.rs
+++ b/crates/pintally-kserve-node/src/fleet/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the fleet thread and the node's other threads share.
+//! State shared by the fleet thread and the node's other threads.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::AtomicBool;
@@ -15,59 +15,59 @@
 use crate::failover_leader::DryRunRequest;
 use crate::sync::lock;
 
-/// State between the fleet thread and the others, each part behind a lock of its own.
+/// State shared by the fleet thread and the others. Each part has its own lock.
 #[derive(Default)]
 pub(crate) struct FleetShared {
     /// The answer to a peer's recovery query; set by the decision thread.
     pub(crate) recovery_answer: Mutex<Option<Answer>>,
-    /// The stage of recovery, for the status document.
+    /// The recovery status document.
     pub(crate) recovery_status: Mutex<Option<pintally_recovery::Status>>,
-    /// The members that this node knows, for the status document.
+    /// The membership status document.
     pub(crate) membership_status: Mutex<Option<pintally_membership::Status>>,
-    /// The replica's state, if this node runs one.
+    /// The status document of this node's replica, if it runs one.
     pub(crate) consensus_status: Mutex<Option<pintally_consensus::Status>>,
-    /// What this node has granted of each limit while it is the lease granter.
+    /// What this node has granted of each limit; `None` if it is not the lease granter.
     pub(crate) granted_pools: Mutex<Option<Vec<PoolStatus>>>,
     /// This node's allocations of the fleet's limits; set by the decision thread.
     pub(crate) limit_status: Mutex<Option<Vec<LimitStatus>>>,
     /// Health and ejection of engines; set by the decision thread.
     pub(crate) outlier_status: Mutex<Option<pintally_outlier_detection::Status>>,
-    /// Zones, the failover plan and its leader, for the status document.
+    /// The failover status document: zones, the plan, and the planner's status at the leader.
     pub(crate) failover_status: Mutex<Option<serde_json::Value>>,
-    /// What operators have ordered for zones, by the replicated store.
+    /// Operators' orders for zones, by zone, from the replicated store.
     pub(crate) zone_orders: Mutex<BTreeMap<String, String>>,
-    /// A dry run of the failover plan that an operator waits for.
+    /// A dry run of the failover plan that an operator has requested.
     pub(crate) pending_dry_run: Mutex<Option<DryRunRequest>>,
-    /// Engines that operators have cleared at this node and that peers are not notified of yet.
+    /// Engines that operators have cleared at this node, before peers are notified.
     pub(super) cleared_engines: Mutex<Vec<String>>,
-    /// The lease granter, as far as this node knows.
+    /// The name of the lease granter, if this node knows one.
     pub(crate) lease_granter: Mutex<Option<String>>,
-    /// Answers a second of one warm engine of each role; set by the decision thread.
+    /// Answers per second of one warm engine of each role; set by the decision thread.
     pub(crate) service_rates: Mutex<[f64; 3]>,
     /// Reservations that engines would hold if the process ended now; set by the decision thread.
     pub(super) reservations_at_exit: Mutex<Vec<OrphanedReservation>>,
-    /// The endpoint list in force.
+    /// The current endpoint list.
     pub(super) endpoint_list: Mutex<Option<EndpointListSnapshot>>,
-    /// A peer's endpoint list, for the thread that watches the list.
+    /// An endpoint list fetched from a peer, for the watcher.
     pub(super) offered_list: Mutex<Option<String>>,
-    /// A peer's endpoint list is being fetched.
+    /// Whether a peer's endpoint list is being fetched.
     pub(super) list_fetch_running: AtomicBool,
     store: Mutex<Option<Store>>,
 }
 
 impl FleetShared {
-    /// The endpoint list in force from now on: gossiped, served to peers and stored.
+    /// Sets the current endpoint list, which is gossiped, served to peers and stored.
     pub(crate) fn set_endpoint_list(&self, version: u64, text: &str) {
         *lock(&self.endpoint_list) = Some(EndpointListSnapshot::new(version, text));
         self.store_record(RecordKey::EndpointList, text.as_bytes().to_vec());
     }
 
-    /// Takes the endpoint list that a peer has offered, if there is one.
+    /// Takes the endpoint list that was fetched from a peer, if there is one.
     pub(crate) fn take_offered_list(&self) -> Option<String> {
         lock(&self.offered_list).take()
     }
 
-    /// Records are stored in the restored state's store from now on.
+    /// Moves the store out of the restored state; records are stored there from now on.
     pub(crate) fn attach_store(&self, restored: &mut RestoredState) {
         *lock(&self.store) = restored.store.take();
     }
--- a/crates/pintally-kserve-node/src/fleet/startup.rs
+++ b/crates/pintally-kserve-node/src/fleet/startup.rs
@@ -1,4 +1,4 @@
-//! What a start restores of the node's store, and the recovery that begins with it.
+//! Restores a node's state from its store at startup, and creates the recovery that uses it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,28 +15,28 @@
 use super::topics::RecordKey;
 use crate::shared::Shared;
 
-/// The most reservations that are stored for the next start.
+/// Maximum number of reservations stored for the next start.
 pub(crate) const MAX_STORED_RESERVATIONS: usize = 4096;
-/// The most peer addresses that are taken from the store as seeds.
+/// Maximum number of stored peer addresses that are used as seeds.
 const MAX_RESTORED_PEERS: usize = 16;
-/// How long a disk with the injected fault `slow` takes.
+/// Delay of a disk with the injected fault `slow`.
 const SLOW_DISK_DELAY: Duration = Duration::from_secs(3);
 
-/// What a start has restored of the process before.
+/// State of the previous process, restored at startup.
 pub(crate) struct RestoredState {
     pub(super) store: Option<Store>,
     pub(crate) endpoint_list: Option<String>,
-    /// Answers a second of one warm engine of each role.
+    /// Answers per second of one warm engine of each role.
     pub(crate) service_rates: [f64; 3],
-    /// Reservations that the process before may have left at engines.
+    /// Reservations that the previous process may have left at engines.
     pub(crate) orphaned_reservations: Vec<OrphanedReservation>,
     pub(super) remembered: RememberedState,
     pub(super) incarnation: ProcessIncarnation,
-    /// Where peers were.
+    /// Addresses of the peers that the previous process knew as alive.
     pub(super) peer_addresses: Vec<SocketAddr>,
 }
 
-/// Opens the store and reads its records, within the time that the settings give.
+/// Opens the store and reads its records, within the timeout of the settings.
 pub(crate) fn restore_state(settings: &NodeSettings, seed: u64) -> RestoredState {
     let (store, loaded) = match &settings.recovery {
         Some(recovery) => open_store(recovery),
@@ -48,7 +48,7 @@
     let records = StoredRecords(&loaded);
     let mut issues: Vec<String> = loaded.issues.iter().map(ToString::to_string).collect();
     if loaded.is_empty() && store.is_some() {
-        issues.push("there is no record of a life before".into());
+        issues.push("the store has no records of a previous process".into());
     }
     let boot = loaded.latest().boot.max(records.number(RecordKey::Boot).unwrap_or(0)) + 1;
     if let Some(store) = &store {
@@ -66,7 +66,7 @@
     }
 }
 
-/// The records of a store, by key and decoded.
+/// Decodes the records of a store.
 struct StoredRecords<'a>(&'a LoadedRecords);
 
 impl StoredRecords<'_> {
@@ -85,8 +85,8 @@
         self.numbers(key).first().copied()
     }
 
-    /// Stored service rates. Without a record a node takes what the settings give for an engine over all
-    /// nodes.
+    /// The stored service rates. Without a record: the rate of one engine in the settings, divided by the
+    /// number of nodes.
     fn service_rates(&self, settings: &NodeSettings) -> [f64; 3] {
         let per_engine = settings.recovery.as_ref().map_or(0.0, |r| r.requests_per_second_per_engine);
         let mut rates = [per_engine / f64::from(settings.core.node_count.max(1)); 3];
@@ -123,13 +123,13 @@
     (Some(store), loaded)
 }
 
-/// The storage fault that the settings inject, with its seed.
+/// The storage fault that the settings inject, and its seed.
 pub(crate) fn injected_fault(settings: &RecoverySettings) -> Option<(StorageFault, u64)> {
     let (name, seed) = settings.storage_fault.as_ref()?;
     Some((storage_fault(name)?, *seed))
 }
 
-/// A storage fault by its name in settings.
+/// Returns the storage fault of a name in the settings.
 fn storage_fault(name: &str) -> Option<StorageFault> {
     Some(match name {
         "lost-syncs" => StorageFault::LostSyncs,
@@ -144,9 +144,9 @@
     })
 }
 
-/// The recovery that the settings ask for; `None` without `(recovery ...)`.
+/// Creates the recovery that the settings describe; `None` without `(recovery ...)`.
 pub(crate) fn new_recovery(settings: &NodeSettings, now: Micros) -> Option<Recovery> {
-    let own = settings.recovery.as_ref()?;
+    let configured = settings.recovery.as_ref()?;
     let core = &settings.core;
     let classes = core.classes.iter().map(|class| ClassPriority {
         priority_weight: class.priority_weight,
@@ -155,22 +155,22 @@
     let recovery_settings = recovery::Settings {
         expected_nodes: expected_nodes(settings),
         has_peers: settings.membership.is_some(),
-        peers_queried: own.peers_queried,
-        answer_timeout: own.answer_timeout,
-        query_rounds: own.query_rounds,
-        max_slow_start: own.max_slow_start,
+        peers_queried: configured.peers_queried,
+        answer_timeout: configured.answer_timeout,
+        query_rounds: configured.query_rounds,
+        max_slow_start: configured.max_slow_start,
         slow_start_min_capacity: core.slow_start_min_capacity,
         slow_start_duration: core.slow_start_duration,
-        requests_per_second_per_engine: own.requests_per_second_per_engine,
-        uncached_capacity_fraction: own.uncached_capacity_fraction,
+        requests_per_second_per_engine: configured.requests_per_second_per_engine,
+        uncached_capacity_fraction: configured.uncached_capacity_fraction,
         max_retry_after: if core.clients_honour_retry_after { core.max_retry_after } else { 0 },
         classes: classes.collect(),
     };
-    Some(Recovery::new(recovery_settings, now, own.disk_read_timeout))
+    Some(Recovery::new(recovery_settings, now, configured.disk_read_timeout))
 }
 
-/// Nodes that send to the same engines. Where zones have cores of their own, a zone's engines are shared
-/// by the nodes there: as many in each zone, as far as a node can know.
+/// The number of nodes that send to the same engines. With failover only the nodes of a zone share its
+/// engines. A node does not know how many nodes each zone has, and assumes that zones have the same number.
 fn expected_nodes(settings: &NodeSettings) -> usize {
     let nodes = settings.core.node_count.max(1) as usize;
     match &settings.failover {
@@ -179,7 +179,7 @@
     }
 }
 
-/// The start of a node without peers: its recovery has nothing but the store's records.
+/// Starts recovery at a node without peers, from the store's records alone.
 pub(crate) fn start_without_peers(shared: &Shared, restored: &RestoredState) {
     let loaded = recovery::Input::StateLoaded(restored.remembered.clone());
     shared.send_input(Input::Recovery(loaded));
--- a/crates/pintally-kserve-node/src/fleet/tests.rs
+++ b/crates/pintally-kserve-node/src/fleet/tests.rs
@@ -1,4 +1,5 @@
-//! Topic numbers, record keys and hashes: nodes of different builds go by the same ones.
+//! Topic numbers, record keys and hashes must be the same in all builds, because nodes of different builds
+//! exchange them.
 
 use super::endpoint_list::list_checksum;
 use super::topics::{FactTopic, MessageTopic, RecordKey, StreamRequest};
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn list_hash_is_stable() {
+fn list_checksum_is_stable() {
     assert_eq!(list_checksum(""), 0x811c_9dc5);
     assert_eq!(list_checksum("(engines (version 1))"), 890_304_815);
 }
--- a/crates/pintally-kserve-node/src/fleet/topics.rs
+++ b/crates/pintally-kserve-node/src/fleet/topics.rs
@@ -1,10 +1,11 @@
-//! Numbers and keys that nodes of different builds, and restarts of one node, have in common.
+//! Topic numbers and record keys, which are the same in all builds of the node.
 //!
-//! None may change or be given to another purpose: peers send the numbers, and disks hold the keys.
+//! They must not be changed or reused: peers of other builds send the numbers, and stores on disk hold the
+//! keys.
 
 use pintally_membership::Topic;
 
-/// Facts that a node gossips about itself. Peers see the latest of each origin.
+/// Facts that a node gossips. Peers see the latest fact of each topic and origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum FactTopic {
@@ -12,9 +13,9 @@
     ServedRate = 1,
     /// Version and checksum of the node's endpoint list.
     EndpointList = 2,
-    /// The term in which the node leads the replicas; empty if it does not.
+    /// The term in which the node's replica is the leader; empty if it is not.
     Leadership = 3,
-    /// What the node observed of engines.
+    /// The node's outlier report on engines.
     OutlierReport = 4,
     /// An engine whose ejection an operator has cleared at the node.
     EngineCleared = 5,
@@ -32,7 +33,7 @@
         FactTopic::FailoverPlan,
     ];
 
-    /// Its number among peers.
+    /// The number that is sent to peers.
     pub(crate) fn topic(self) -> Topic {
         Topic(self as u8)
     }
@@ -53,11 +54,11 @@
     RecoveryAnswer = 33,
     /// A message of the consensus between replicas.
     Consensus = 34,
-    /// Requests for leases, to the lease granter.
+    /// Lease requests, to the lease granter.
     LeaseRequests = 35,
-    /// Leases granted, to their holder.
+    /// Granted leases, to their holder.
     LeaseGrants = 36,
-    /// What a node observes of zones, to the failover leader.
+    /// A node's zone report, to the failover leader.
     ZoneReport = 37,
     /// The publisher's reservations, to its backup nodes.
     Reservations = 38,
@@ -74,7 +75,7 @@
         MessageTopic::Reservations,
     ];
 
-    /// Its number among peers.
+    /// The number that is sent to peers.
     pub(crate) fn topic(self) -> Topic {
         Topic(self as u8)
     }
@@ -96,7 +97,7 @@
 }
 
 impl StreamRequest {
-    /// Its number among peers.
+    /// The number that is sent to peers.
     pub(crate) fn number(self) -> u8 {
         self as u8
     }
@@ -117,9 +118,9 @@
     FleetRate,
     /// The number of the node's latest start.
     Boot,
-    /// Answers a second of one warm engine of each role.
+    /// Answers per second of one warm engine of each role.
     ServiceRates,
-    /// Addresses of the peers that were alive.
+    /// Addresses of the live peers.
     PeerAddresses,
     /// Reservations that engines would hold if the process ended now.
     ReservationsAtExit,
--- a/crates/pintally-kserve-node/src/fleet/zone_reports.rs
+++ b/crates/pintally-kserve-node/src/fleet/zone_reports.rs
@@ -1,4 +1,4 @@
-//! Zone reports to the failover leader, and its plans to all nodes.
+//! Exchange of zone reports and failover plans: nodes report to the leader, and the leader gossips plans.
 
 use pintally::interface::Micros;
 use pintally_host::Input;
@@ -10,7 +10,7 @@
 use crate::shared::OutgoingZoneReport;
 
 impl FleetThread<'_> {
-    /// Sends what this node observes of zones to the leader, which may be this node.
+    /// Sends this node's zone report to the leader, which may be this node.
     pub(super) fn send_zone_report(
         &mut self,
         now: Micros,
@@ -20,10 +20,10 @@
         let leader = self.leader();
         let Some(failover) = &mut self.failover else { return };
         failover.set_engine_counts(report.engines_per_zone);
-        let own = &self.shared.settings;
+        let settings = &self.shared.settings;
         match leader {
-            Some(leader) if *leader.0 == *own.name => {
-                failover.receive_report(now, &own.name, &own.core.zone, &report.encoded);
+            Some(leader) if *leader.0 == *settings.name => {
+                failover.receive_report(now, &settings.name, &settings.core.zone, &report.encoded);
             }
             Some(leader) => {
                 let topic = MessageTopic::ZoneReport.topic();
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A node reports what it observes of zones.
+    /// Receives a node's zone report.
     pub(super) fn receive_zone_report(&mut self, from: &PeerName, bytes: &[u8]) {
         let Some(member) = self.link.membership.member(from) else { return };
         if let Some(failover) = &mut self.failover {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Makes the next failover plan if it is due and this node leads, and gossips it.
+    /// Makes and gossips the next failover plan, if it is due and this node is the leader.
     pub(super) fn publish_failover_plan(&mut self, now: Micros) {
         let Some(failover) = &mut self.failover else { return };
         let Some(plan) = failover.next_plan(now, self.shared, &self.link.membership) else { return };
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A plan has arrived; the host takes it if it follows the latest one.
+    /// Receives a plan, and passes it to the host if it supersedes the latest one.
     pub(super) fn receive_failover_plan(&mut self, origin: &PeerName) {
         let fact = self.link.membership.fact(origin, FactTopic::FailoverPlan.topic());
         let (Some(fact), Some(failover)) = (fact, &mut self.failover) else { return };
--- a/crates/pintally-kserve-node/src/lib.rs
+++ b/crates/pintally-kserve-node/src/lib.rs
@@ -1,10 +1,10 @@
-//! A node on sockets: it carries out what the host commands, and notifies it of the results.
+//! A KServe node on TCP sockets: it carries out the host's commands and notifies the host of the results.
 //!
-//! One thread decides. Each client connection has a small thread of its own, which also makes the attempts
-//! of its request, one at a time. One thread makes background calls, one watches the files of engines and
-//! cells, one accepts, and a node with peers has one for the fleet and one for its replica. Nobody but the
-//! decision thread touches the host, and that thread never waits for a socket. `docs/node.md` weighs this
-//! against other designs.
+//! The decision thread runs the host: no other thread accesses it, and the decision thread never waits for a
+//! socket. Each client connection has a thread with a small stack, which also makes the attempts of the
+//! connection's requests, one at a time. One more thread each makes background calls, watches the endpoint
+//! list and the cells file, and accepts connections. A node with peers has a fleet thread, and a replica
+//! thread if it runs a replica. `docs/node.md` compares this design with others.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-kserve-node/src/listener.rs
+++ b/crates/pintally-kserve-node/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts client connections, as many as are allowed.
+//! The listener: accepts client connections up to the maximum number.
 
 use std::io::{ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,11 +14,11 @@
 use crate::shared::{spawn_small, Shared};
 use crate::wait::{wait, ClientInterest, Waker};
 
-/// The pause after an accept that failed, as when there are no more file descriptors.
+/// Pause after a failed accept, for example when there are no file descriptors left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts until the node closes. The listener does not block, so that a client that leaves between
-/// readiness and accept holds up nobody.
+/// Accepts connections until the node shuts down. The listening socket is non-blocking, because a blocking
+/// accept would hang if the client disconnects after the socket became ready.
 pub(crate) fn run(shared: &Arc<Shared>, listener: &TcpListener, waker: &Arc<Waker>) {
     let mut connection_number = 0;
     while !shared.is_closing() {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Accepts until no more clients wait.
+/// Accepts connections until none is pending.
 fn accept_all(shared: &Arc<Shared>, listener: &TcpListener, connection_number: &mut u64) {
     loop {
         match listener.accept() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Starts a thread for a connection, or rejects it if there are too many.
+/// Starts a thread for a connection, or rejects the connection if there are too many.
 fn admit(shared: &Arc<Shared>, stream: TcpStream, number: u64) -> std::io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
@@ -63,7 +63,7 @@
     }
     shared.counters.connections.fetch_add(1, Ordering::Relaxed);
     let entry = ConnectionEntry { shared: shared.clone(), number };
-    // Where the thread does not start the entry is dropped with its closure.
+    // If the thread cannot be started, the closure is dropped, and with it the entry.
     spawn_small("client", move || connection::run(&entry.shared, stream, &waker))?;
     Ok(())
 }
@@ -71,11 +71,11 @@
 fn reject(mut stream: &TcpStream) {
     let body = pintally_kserve::error_body("too many connections", true);
     let headers = [("content-type", "application/json"), ("connection", "close")];
-    // One small write into an empty buffer: it does not wait.
+    // A single small write fits into the empty send buffer and does not block.
     let _ = stream.write(&response(503, &headers, body.as_bytes()));
 }
 
-/// An entry in the table of connections, removed however the thread ends.
+/// An entry in the table of connections. Its drop removes it, also when the thread panics.
 struct ConnectionEntry {
     shared: Arc<Shared>,
     number: u64,
--- a/crates/pintally-kserve-node/src/node.rs
+++ b/crates/pintally-kserve-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node as a whole: its threads, how it starts, shuts down, and is killed.
+//! A node: starts its threads, shuts down gracefully, and kills itself.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -21,13 +21,14 @@
 use crate::watcher::{CellsWatcher, EndpointListWatcher};
 use crate::{background_calls, decision_thread, fleet, listener, replica_thread, watcher};
 
-/// Messages that may wait for the decision thread.
+/// Maximum number of messages that wait for the decision thread.
 const MAX_DECISION_MESSAGES: usize = 1 << 16;
-/// Messages that may wait for the replica, and from it; one that does not fit is lost like a datagram.
+/// Maximum number of messages that wait for the replica, and from it. Further ones are dropped, like lost
+/// datagrams.
 const MAX_REPLICA_MESSAGES: usize = 4096;
-/// What a shutdown may take beyond the time in the settings, for threads to end.
+/// Extra time that a shutdown may take beyond the timeout in the settings, so that threads can end.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
-/// Between two looks at whether all connections have closed.
+/// Interval between checks whether all connections have closed.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Why a node could not start.
@@ -37,12 +38,12 @@
     #[error("cannot listen: {0}")]
     Listen(io::Error),
     /// The system has no file descriptor for a waker.
-    #[error("cannot make a waker: {0}")]
+    #[error("cannot create the file descriptor of a waker: {0}")]
     Waker(io::Error),
-    /// The sockets towards peers cannot be opened.
-    #[error("cannot reach for peers: {0}")]
+    /// The sockets for peers cannot be opened.
+    #[error("cannot open the sockets for peers: {0}")]
     Peers(io::Error),
-    /// The system starts no more threads.
+    /// The system cannot start another thread.
     #[error("cannot start a thread: {0}")]
     Thread(io::Error),
 }
@@ -54,25 +55,25 @@
     stopped: Receiver<()>,
     listener_waker: Arc<Waker>,
     threads: Vec<JoinHandle<()>>,
-    /// The watcher runs until this is dropped.
+    /// Keeps the watcher running until it is dropped.
     reload_list: Option<Sender<()>>,
 }
 
 impl Node {
-    /// Starts a node; the seed is for its router and the names of its requests.
+    /// Starts a node. The seed is for its router, for the names of its requests and for its incarnation.
     ///
     /// # Errors
     ///
-    /// A socket that cannot be opened, or a thread that the system does not start.
+    /// Fails if a socket cannot be opened or a thread cannot be started.
     pub fn start(settings: Arc<NodeSettings>, seed: u64) -> Result<Node, StartError> {
         let (listener, address) = bind(settings.listen).map_err(StartError::Listen)?;
-        let (decide, messages) = bounded(MAX_DECISION_MESSAGES);
+        let (decision_sender, messages) = bounded(MAX_DECISION_MESSAGES);
         let (background_calls, call_queue) = background_calls::channel().map_err(StartError::Waker)?;
         let (reload_list, reload_requests) = bounded(1);
         let (stopped_sender, stopped) = bounded(1);
         let mut restored = fleet::restore_state(&settings, seed);
         let settings = with_remembered_rates(settings, &restored);
-        let shared = Arc::new(Shared::new(settings, decide));
+        let shared = Arc::new(Shared::new(settings, decision_sender));
         shared.fleet.attach_store(&mut restored);
         let listener_waker = Arc::new(Waker::new().map_err(StartError::Waker)?);
         let mut node = Node {
@@ -93,27 +94,27 @@
         };
         let (replica, to_replica) = ReplicaChannels::new(&shared.settings).unzip();
         let link = open_link(&shared, &restored, seed, to_replica)?;
-        let own = shared.clone();
-        node.spawn("decision", move || decision_thread::run(&own, host, &messages, outputs))?;
-        let own = shared.clone();
-        node.spawn("calls", move || background_calls::run(&own, &call_queue))?;
-        // What was cached before the last end comes first, then the files as they are now.
+        let thread_shared = shared.clone();
+        node.spawn("decision", move || decision_thread::run(&thread_shared, host, &messages, outputs))?;
+        let thread_shared = shared.clone();
+        node.spawn("calls", move || background_calls::run(&thread_shared, &call_queue))?;
+        // Applies the cached versions of the files first; the watcher then reads the current ones.
         let cells = CellsWatcher::restore(&shared);
         let list = EndpointListWatcher::restore(&shared, restored.endpoint_list.as_deref());
         match link {
             Some(link) => node.start_fleet(link, fleet_receivers, replica, seed, reload_list.clone())?,
             None => fleet::start_without_peers(&shared, &restored),
         }
-        let own = shared.clone();
-        node.spawn("watcher", move || watcher::run(&own, list, cells, &reload_requests))?;
+        let thread_shared = shared.clone();
+        node.spawn("watcher", move || watcher::run(&thread_shared, list, cells, &reload_requests))?;
         node.reload_list = Some(reload_list);
-        let own = shared.clone();
-        node.spawn("listener", move || listener::run(&own, &listener, &listener_waker))?;
+        let thread_shared = shared.clone();
+        node.spawn("listener", move || listener::run(&thread_shared, &listener, &listener_waker))?;
         info!(node = shared.settings.name, %address, "node started");
         Ok(node)
     }
 
-    /// Starts the threads of a node with peers.
+    /// Starts the additional threads of a node with peers.
     fn start_fleet(
         &mut self,
         link: FleetLink,
@@ -140,28 +141,28 @@
         Ok(())
     }
 
-    /// Where it listens for clients.
+    /// The address on which the node listens for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its counters as they are now.
+    /// The current counters.
     pub fn counters(&self) -> NodeCounters {
         self.shared.counters()
     }
 
-    /// Engines that take work, by the node's endpoint list.
+    /// The number of serving engines in the node's endpoint list.
     pub fn serving_engines(&self) -> usize {
-        self.shared.serving.load(Ordering::Relaxed)
+        self.shared.serving_engines.load(Ordering::Relaxed)
     }
 
-    /// Client connections that are open.
+    /// The number of open client connections.
     pub fn open_connections(&self) -> usize {
         self.shared.open_connections()
     }
 
-    /// Shuts down gracefully: takes nothing new, ends requests in flight and releases its reservations at
-    /// engines, within the time that the settings give. Returns the counters at the end.
+    /// Shuts down gracefully: accepts no new requests, completes those in flight and releases its
+    /// reservations at engines, within the timeout of the settings. Returns the final counters.
     pub fn stop(mut self) -> NodeCounters {
         let timeout = Duration::from_micros(self.shared.settings.limits.shutdown_timeout);
         let deadline = Instant::now() + timeout + SHUTDOWN_GRACE;
@@ -169,7 +170,7 @@
         self.listener_waker.wake();
         self.shared.send_input(Input::Stop);
         let _ = self.stopped.recv_deadline(deadline);
-        // The last answers are on their way out of the clients' threads.
+        // The client threads may still be writing the last answers.
         while self.shared.open_connections() > 0 && Instant::now() < deadline {
             std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
@@ -179,7 +180,7 @@
         counters
     }
 
-    /// Ends at once, as if the process had died: nobody gets an answer.
+    /// Ends at once, as if the process had died: requests in flight get no answer.
     pub fn kill(mut self) {
         self.end();
     }
@@ -187,7 +188,7 @@
     fn end(&mut self) {
         self.shared.kill();
         self.listener_waker.wake();
-        let _ = self.shared.decide.send(DecisionMessage::Kill);
+        let _ = self.shared.decision_sender.send(DecisionMessage::Kill);
         self.reload_list = None;
         for thread in self.threads.drain(..) {
             let _ = thread.join();
@@ -203,7 +204,7 @@
     }
 }
 
-/// A listener that does not block, and its address.
+/// Binds a non-blocking listener and returns it with its address.
 fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -211,7 +212,7 @@
     Ok((listener, address))
 }
 
-/// The settings with the service rates that the process before has measured, where the node recovers.
+/// Adds the service rates that the previous process measured to the settings, if the node has recovery.
 fn with_remembered_rates(mut settings: Arc<NodeSettings>, restored: &RestoredState) -> Arc<NodeSettings> {
     if settings.recovery.is_some() {
         Arc::make_mut(&mut settings).core.remembered_service_rates = restored.service_rates;
@@ -230,7 +231,7 @@
         .with_failover(shared.clock.now())
 }
 
-/// The link to peers, where the settings have any.
+/// Opens the link to peers, if the settings have any.
 fn open_link(
     shared: &Arc<Shared>,
     restored: &RestoredState,
@@ -241,7 +242,7 @@
     fleet::open(shared, membership, restored, seed, replica).map(Some).map_err(StartError::Peers)
 }
 
-/// What the replica's thread is started with, where this node runs a replica.
+/// The settings and channels of the replica's thread.
 struct ReplicaChannels {
     settings: ConsensusSettings,
     inputs: Receiver<ReplicaInput>,
@@ -250,7 +251,8 @@
 }
 
 impl ReplicaChannels {
-    /// Channels to and from the replica, and the sender to it; `None` where this node runs none.
+    /// Creates the channels to and from the replica, and the sender to it; `None` if this node runs no
+    /// replica.
     fn new(settings: &NodeSettings) -> Option<(ReplicaChannels, Sender<ReplicaInput>)> {
         let consensus = settings.consensus.clone().filter(|c| c.names.contains(&settings.name))?;
         let (to_replica, inputs) = bounded(MAX_REPLICA_MESSAGES);
--- a/crates/pintally-kserve-node/src/operator_command/mod.rs
+++ b/crates/pintally-kserve-node/src/operator_command/mod.rs
@@ -1,27 +1,27 @@
-//! Commands of operators and their answers: JSON between the command line and a node.
+//! Operators' commands and the answers to them, exchanged as JSON between the command line and a node.
 
 #[cfg(test)]
 pub(crate) mod tests;
 
 use serde::{Deserialize, Serialize};
 
-/// What an operator may command. The spelling of variants is that of the JSON.
+/// An operator's command. Unless renamed, the names of the variants are part of the JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum OperatorCommand {
-    /// Another amount for the limit of this name.
+    /// Sets the amount of the limit with this name.
     Limit(String, f64),
-    /// These replicas from now on: one more or one fewer than before.
+    /// Replaces the set of replicas. The new set has one replica more or one fewer than the old one.
     #[serde(rename = "Keepers")]
     Replicas(Vec<String>),
-    /// Ends the ejection of an engine, whatever was reported of it.
+    /// Ends the ejection of an engine, regardless of outlier reports.
     Clear(String),
     /// Evacuates a zone (`out`), keeps it as it is (`hold`), or returns it to the planner (empty).
     Zone(String, String),
-    /// What the failover plan would be without a zone.
+    /// Returns what the failover plan would be without a zone.
     Rehearse(String),
 }
 
-/// What became of a command.
+/// The answer to a command.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct CommandAnswer {
     done: bool,
@@ -35,7 +35,7 @@
         CommandAnswer { done: true, message: message.into() }
     }
 
-    /// The command has not taken effect, or it is not known whether it has.
+    /// The command has not taken effect, or it is unknown whether it has.
     pub(crate) fn rejected(message: impl Into<String>) -> CommandAnswer {
         CommandAnswer { done: false, message: message.into() }
     }
--- a/crates/pintally-kserve-node/src/operator_command/tests.rs
+++ b/crates/pintally-kserve-node/src/operator_command/tests.rs
@@ -1,18 +1,19 @@
-//! Commands of operators and their answers as bytes: tools and nodes of different builds read each other's.
+//! The encoding of operators' commands and answers must be stable, because tools and nodes of different
+//! builds exchange them.
 
 use super::*;
 
 const GOLDEN: &str = include_str!("../../tests/golden/orders.txt");
 
-/// The bytes that the golden file holds under a name.
+/// Reads the bytes with this name from the golden file.
 fn golden(name: &str) -> Vec<u8> {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     let hex = line.unwrap_or_else(|| panic!("the golden file lacks `{name}`"));
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+    let byte = |start: usize| u8::from_str_radix(&hex[start..start + 2], 16).unwrap();
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Asserts that bytes are those of the golden file.
+/// Asserts that bytes equal those of the golden file.
 #[track_caller]
 pub(crate) fn assert_bytes(name: &str, bytes: &[u8]) {
     assert_eq!(bytes, golden(name), "bytes of {name}");
--- a/crates/pintally-kserve-node/src/pool.rs
+++ b/crates/pintally-kserve-node/src/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to engines: reused between attempts, bounded in number for each engine.
+//! The pool of connections to engines. Connections are reused between attempts, and their number is limited
+//! for each engine.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,17 +12,18 @@
 
 use crate::sync::lock;
 
-/// Idle connections to one engine.
+/// Maximum number of idle connections to one engine.
 const MAX_IDLE_PER_ENGINE: usize = 64;
-/// The least time for a connect: the system takes no shorter one.
+/// Minimum timeout of a connect, so that a shorter one is not passed to the system, which does not support
+/// it.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Connections to one engine.
 #[derive(Default)]
 struct EngineConnections {
-    /// Idle connections, and since when.
+    /// Idle connections, with the time since when they are idle.
     idle: Vec<(TcpStream, Instant)>,
-    /// Attempts in flight.
+    /// The number of connections in use by attempts.
     in_use: usize,
 }
 
@@ -32,7 +34,7 @@
         }
     }
 
-    /// The latest idle connection that is still open; those that are not are closed.
+    /// Takes the most recently used idle connection that is still open. Drops closed ones on the way.
     fn take_idle(&mut self) -> Option<TcpStream> {
         std::iter::from_fn(|| self.idle.pop()).map(|(stream, _)| stream).find(is_open)
     }
@@ -42,51 +44,56 @@
     }
 }
 
-/// Whether an idle connection may be used.
+/// Whether a background call may reuse an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// An idle one if there is one.
+    /// Use an idle connection if there is one.
     Idle,
-    /// Only one that is opened for the purpose.
+    /// Open a new connection.
     Never,
 }
 
 /// A connection for a background call.
 pub(crate) struct CallConnection {
     pub(crate) stream: TcpStream,
-    /// Whether it is established, or about to be.
+    /// Whether the connection is established. If not, the connect is in progress.
     pub(crate) connected: bool,
 }
 
-/// Connections by where engines listen.
+/// The connections to all engines, by address.
 pub(crate) struct Pool {
-    source: Option<IpAddr>,
+    /// The local address from which connections are opened, if the settings name one.
+    source_address: Option<IpAddr>,
     max_streams_per_engine: usize,
     keep_alive: Duration,
     engines: Mutex<HashMap<SocketAddr, EngineConnections>>,
 }
 
-/// Why there is no connection.
+/// Why the pool has no connection for an attempt.
 #[derive(Debug)]
 pub(crate) enum PoolError {
-    /// As many attempts as allowed are in flight at this engine.
+    /// The maximum number of attempts is in flight at the engine.
     LimitReached,
-    /// It could not be established.
+    /// A connection could not be established.
     Connect(io::Error),
 }
 
 impl Pool {
-    pub(crate) fn new(source: Option<IpAddr>, max_streams_per_engine: usize, keep_alive: Duration) -> Pool {
-        Pool { source, max_streams_per_engine, keep_alive, engines: Mutex::default() }
+    pub(crate) fn new(
+        source_address: Option<IpAddr>,
+        max_streams_per_engine: usize,
+        keep_alive: Duration,
+    ) -> Pool {
+        Pool { source_address, max_streams_per_engine, keep_alive, engines: Mutex::default() }
     }
 
     fn with_engine<T>(&self, address: SocketAddr, f: impl FnOnce(&mut EngineConnections) -> T) -> T {
         f(lock(&self.engines).entry(address).or_default())
     }
 
-    /// A connection for an attempt that does not block, idle or new. It counts as in use until it is
-    /// [returned](Pool::give_back).
-    pub(crate) fn take(&self, address: SocketAddr, timeout: Duration) -> Result<TcpStream, PoolError> {
+    /// Returns an idle or new non-blocking connection for an attempt. It counts as in use until
+    /// [`Pool::return_connection`].
+    pub(crate) fn acquire(&self, address: SocketAddr, timeout: Duration) -> Result<TcpStream, PoolError> {
         let idle = self.with_engine(address, |engine| {
             if engine.in_use >= self.max_streams_per_engine {
                 return Err(PoolError::LimitReached);
@@ -116,14 +123,14 @@
 
     fn socket(&self, address: SocketAddr) -> io::Result<Socket> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-        if let Some(source) = self.source {
-            socket.bind(&SocketAddr::new(source, 0).into())?;
+        if let Some(source_address) = self.source_address {
+            socket.bind(&SocketAddr::new(source_address, 0).into())?;
         }
         Ok(socket)
     }
 
-    /// A connection for a background call, beside those of attempts: an idle one, if one may be used, or
-    /// one that is about to be established.
+    /// Returns a connection for a background call: an idle one, if it may be reused, or a new one whose
+    /// connect is in progress. It does not count against the limit on attempts.
     pub(crate) fn connect_for_call(&self, address: SocketAddr, reuse: Reuse) -> io::Result<CallConnection> {
         if reuse == Reuse::Idle {
             if let Some(stream) = self.with_engine(address, EngineConnections::take_idle) {
@@ -142,13 +149,13 @@
         Ok(CallConnection { stream, connected: false })
     }
 
-    /// Adds a background call's connection that may be used again.
+    /// Returns the reusable connection of a background call to the pool.
     pub(crate) fn add_idle(&self, address: SocketAddr, stream: TcpStream) {
         self.with_engine(address, |engine| engine.add_idle(stream));
     }
 
-    /// An attempt has ended; its connection comes back if it may be used again.
-    pub(crate) fn give_back(&self, address: SocketAddr, stream: Option<TcpStream>) {
+    /// Records that an attempt has ended, and takes back its connection if that is reusable.
+    pub(crate) fn return_connection(&self, address: SocketAddr, stream: Option<TcpStream>) {
         self.with_engine(address, |engine| {
             engine.in_use = engine.in_use.saturating_sub(1);
             if let Some(stream) = stream {
@@ -157,7 +164,7 @@
         });
     }
 
-    /// Closes what has been idle too long and forgets engines without connections.
+    /// Closes connections that have been idle for too long, and removes engines without connections.
     pub(crate) fn close_expired(&self) {
         lock(&self.engines).retain(|_, engine| {
             engine.close_expired(self.keep_alive);
@@ -166,8 +173,8 @@
     }
 }
 
-/// Whether an idle connection is still open and silent. Guards against sending into a connection
-/// that the engine has closed, which would leave open whether the request has run.
+/// Whether an idle connection is still open and has no unread bytes. Guards against sending a request on a
+/// connection that the engine has closed, after which it would be unknown whether the request has run.
 fn is_open(stream: &TcpStream) -> bool {
     let peeked = rustix::net::recv(stream, &mut [0u8; 1][..], RecvFlags::PEEK | RecvFlags::DONTWAIT);
     matches!(peeked, Err(rustix::io::Errno::AGAIN))
--- a/crates/pintally-kserve-node/src/replica_thread/commands.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands as writes to the replicated store, and their effect on limits and zones.
+//! Proposes operators' commands as writes to the replicated store, and applies the store to limits and zones.
 
 use std::collections::VecDeque;
 
@@ -10,35 +10,36 @@
 use crate::operator_command::{CommandAnswer, OperatorCommand};
 use crate::sync::lock;
 
-/// Keys of the replicated store: the amount of a limit, and an operator's order for a zone.
+/// Prefixes of keys in the replicated store: amounts of limits, and operators' orders for zones.
 pub(super) const LIMIT_PREFIX: &str = "limit/";
 pub(super) const ZONE_PREFIX: &str = "zone/";
-/// What an operator may order for a zone; the empty order returns it to the planner.
+/// Valid orders for a zone; the empty order returns the zone to the planner.
 const ZONE_ORDERS: [&str; 3] = ["out", "hold", ""];
-/// The largest amount of a limit.
+/// Maximum amount of a limit.
 const MAX_LIMIT_AMOUNT: f64 = 1e9;
-/// Commands that wait for their effect. Beyond them the oldest is no longer waited for.
+/// Maximum number of commands that wait for their effect. A further one displaces the oldest, which is then
+/// not answered.
 const MAX_PENDING_COMMANDS: usize = 64;
 
 /// Commands that wait for their effect, oldest first.
 #[derive(Default)]
 pub(super) struct PendingCommands {
     waiting: VecDeque<(u64, Sender<CommandAnswer>)>,
-    latest: u64,
+    last_number: u64,
 }
 
 impl PendingCommands {
-    /// Adds a command; returns its number.
+    /// Adds a command and returns its number.
     fn add(&mut self, answer: Sender<CommandAnswer>) -> u64 {
-        self.latest += 1;
+        self.last_number += 1;
         if self.waiting.len() >= MAX_PENDING_COMMANDS {
             self.waiting.pop_front();
         }
-        self.waiting.push_back((self.latest, answer));
-        self.latest
+        self.waiting.push_back((self.last_number, answer));
+        self.last_number
     }
 
-    /// Answers a command, if somebody still waits.
+    /// Answers a command, if it still waits.
     pub(super) fn answer(&mut self, number: u64, answer: CommandAnswer) {
         let Some(index) = self.waiting.iter().position(|(waiting, _)| *waiting == number) else { return };
         if let Some((_, sender)) = self.waiting.remove(index) {
@@ -58,7 +59,7 @@
     ) {
         let number = self.commands.add(answer);
         let proposed = match command {
-            // The fleet thread runs these.
+            // Not for replicas: the node that receives these commands runs them itself.
             OperatorCommand::Clear(_) | OperatorCommand::Rehearse(_) => Ok(()),
             OperatorCommand::Zone(zone, order) => self.propose_zone_order(now, number, &zone, order, out),
             OperatorCommand::Replicas(names) => {
@@ -111,7 +112,7 @@
         self.replica.propose(now, number, write, out);
     }
 
-    /// Takes limits and zone orders from the replicated store, which has changed.
+    /// Applies the limits and zone orders of the replicated store after it has changed.
     pub(super) fn apply_store(&mut self) {
         let values = self.replica.store().iter();
         let zone_orders = values.filter_map(|(key, value)| {
--- a/crates/pintally-kserve-node/src/replica_thread/mod.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/mod.rs
@@ -1,5 +1,5 @@
-//! The thread of this node's replica: votes and the log go to disk before anything is sent, and the leader
-//! grants leases of the fleet's limits. No request waits for it.
+//! The thread of this node's replica. Votes and the log are written to disk before anything that depends on
+//! them is sent. The leader also grants leases of the fleet's limits. No request waits for this thread.
 
 mod commands;
 mod state_file;
@@ -23,46 +23,46 @@
 use self::commands::PendingCommands;
 use self::state_file::StateFile;
 
-/// How often the status of the replica and of the lease granter is refreshed.
+/// How often the status documents of the replica and of the lease granter are refreshed.
 const STATUS_INTERVAL_US: Micros = 100_000;
 
-/// One incarnation of a node that holds leases.
+/// A lease holder: one incarnation of a node.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaseHolder {
     /// The node's name.
     pub(crate) name: String,
-    /// What tells its process from others of the same name.
-    pub(crate) mark: u64,
+    /// The nonce of the incarnation, which distinguishes the process from others with the same node name.
+    pub(crate) nonce: u64,
 }
 
-/// To the replica.
+/// An input for the replica.
 pub(crate) enum ReplicaInput {
     /// Another replica's message, encoded.
     Message { from: ReplicaName, bytes: Vec<u8> },
-    /// A holder requests leases.
+    /// A holder's lease requests.
     LeaseRequests { holder: LeaseHolder, requests: Vec<LeaseRequest> },
-    /// An operator's command, and where the answer goes.
+    /// An operator's command, and the sender for its answer.
     Command { command: OperatorCommand, answer: Sender<CommandAnswer> },
 }
 
-/// From the replica, to the fleet thread.
+/// An output of the replica for the fleet thread.
 pub(crate) enum ReplicaOutput {
     /// A message for another replica, encoded.
     Message { to: ReplicaName, bytes: Vec<u8> },
     /// Leases granted to a holder.
     Grants { holder: LeaseHolder, grants: Vec<LeaseGrant> },
-    /// The term in which this replica leads from now on, if it does.
+    /// This replica became the leader in a term, or is no longer the leader (`None`).
     LeadershipChanged { term: Option<u64> },
 }
 
-/// Where the replica's output goes: a channel, and the waker of the thread that reads it.
+/// The sender of the replica's outputs, and the waker of the thread that receives them.
 pub(crate) struct ReplicaOutputs {
     pub(crate) sender: Sender<ReplicaOutput>,
     pub(crate) waker: Waker,
 }
 
 impl ReplicaOutputs {
-    /// Sends; what does not fit is lost like a datagram.
+    /// Sends an output; it is dropped, like a lost datagram, if the channel is full.
     fn send(&self, output: ReplicaOutput) {
         let _ = self.sender.try_send(output);
         self.waker.wake();
@@ -78,9 +78,9 @@
     granter: Option<LeaderGranter>,
     outputs: ReplicaOutputs,
     commands: PendingCommands,
-    /// The term in which the fleet thread knows this replica as leader.
+    /// The term last sent to the fleet thread in [`ReplicaOutput::LeadershipChanged`].
     published_term: Option<u64>,
-    status_at: Micros,
+    status_published_at: Micros,
 }
 
 /// Runs until the node ends.
@@ -102,7 +102,7 @@
         outputs,
         commands: PendingCommands::default(),
         published_term: None,
-        status_at: 0,
+        status_published_at: 0,
     };
     while !shared.is_dead() && !shared.is_closing() {
         let wake = thread.replica.next_wake().min(shared.clock.now() + STATUS_INTERVAL_US);
@@ -145,14 +145,15 @@
         }
         self.carry_out(out);
         self.update_leadership(now);
-        if now >= self.status_at + STATUS_INTERVAL_US {
-            self.status_at = now;
+        if now >= self.status_published_at + STATUS_INTERVAL_US {
+            self.status_published_at = now;
             *lock(&self.shared.fleet.consensus_status) = Some(self.replica.status(now));
             *lock(&self.shared.fleet.granted_pools) = self.granter.as_ref().and_then(LeaderGranter::status);
         }
     }
 
-    /// Starts to grant leases when this replica becomes the leader, and ends when it no longer is.
+    /// Starts granting leases when this replica becomes the leader, and stops when it is no longer the
+    /// leader. Notifies the fleet thread of the change.
     fn update_leadership(&mut self, now: Micros) {
         let leadership = self.replica.leadership(now).filter(|_| self.state_file.is_durable());
         let term = leadership.map(|(term, _)| term);
@@ -171,11 +172,11 @@
     }
 
     fn grant_leases(&mut self, holder: LeaseHolder, requests: &[LeaseRequest]) {
-        // Guards against a process that was paused between its last look at the leadership and this request.
+        // Guards against granting leases after a pause of the process during which the leadership ended.
         let now = self.shared.clock.now();
         self.update_leadership(now);
         let Some(granter) = &mut self.granter else { return };
-        let grants = granter.grant(now, &holder.name, holder.mark, requests);
+        let grants = granter.grant(now, &holder.name, holder.nonce, requests);
         if !grants.is_empty() {
             self.outputs.send(ReplicaOutput::Grants { holder, grants });
         }
@@ -187,9 +188,9 @@
                 self.state_file.set(bytes);
                 continue;
             }
-            // Guards against a vote, or a confirmation, that a loss of power would undo.
+            // Guards against sending a vote or a confirmation that a loss of power would undo.
             if self.state_file.flush() {
-                self.release(output);
+                self.carry_out_durable(output);
             } else if let Output::ProposalApplied(number, _) = output {
                 let message = "this keeper's disk does not take it: ask whether it was made";
                 self.commands.answer(number, CommandAnswer::rejected(message));
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Carries out what rests on durable state only.
-    fn release(&mut self, output: Output) {
+    /// Carries out an output when the state that it depends on is durable.
+    fn carry_out_durable(&mut self, output: Output) {
         match output {
             Output::Save(bytes) => self.state_file.set(bytes),
             Output::Send(to, message) => {
--- a/crates/pintally-kserve-node/src/replica_thread/state_file.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/state_file.rs
@@ -1,4 +1,5 @@
-//! The replica's vote and log on disk. Nothing leaves the replica before what it rests on is durable.
+//! The replica's vote and log on disk. The replica sends a message only when the state that it depends on is
+//! durable.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -11,42 +12,43 @@
 
 /// The key of the replica's record in its store.
 pub(super) const STATE_KEY: &str = "accord";
-/// The replica's folder inside the node's.
-const FOLDER: &str = "keeper";
-/// Between two commits where nobody flushes.
+/// The directory of the replica's store inside that of the node.
+const DIRECTORY: &str = "keeper";
+/// Interval between commits without a flush.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(1);
-/// A disk that takes longer for a vote has failed: the replica sends nothing.
+/// Maximum time for saving the state. If the disk takes longer, it counts as failed and the replica sends
+/// nothing.
 const SAVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A disk that has returned nothing by then is lost. Nobody waits for this thread, so that the time is a
-/// long one. Guards against a disk that is slow at the start and taken for lost: the replica would have no
-/// vote until all others had answered.
+/// Maximum time for loading the state, after which the disk counts as lost. It is long, because no other
+/// thread waits for this one, and because a replica whose disk is slow at startup and counts as lost has no
+/// vote until all other replicas have answered.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where a replica's state is made durable. Without a store everything counts as durable.
+/// Makes a replica's state durable. Without a store everything counts as durable.
 pub(super) struct StateFile {
     store: Option<Store>,
-    /// What is not durable yet: until it is, nothing may be sent.
+    /// State that is not durable yet. Nothing may be sent until it is.
     unsaved: Option<Vec<u8>>,
 }
 
-/// What a start has read.
+/// The state that was loaded at startup.
 pub(super) struct SavedState {
-    /// The state as last saved.
+    /// The last saved state.
     pub(super) bytes: Option<Vec<u8>>,
-    /// Whether the disk showed no harm, so that an absent state was never there.
+    /// Whether the store loaded without issues. If so, missing state was never saved.
     pub(super) clean: bool,
 }
 
 impl StateFile {
-    /// Opens the replica's store, if the settings name a folder, and reads what it has.
+    /// Opens the replica's store, if the settings name a directory, and loads the saved state.
     pub(super) fn open(settings: Option<&RecoverySettings>) -> (StateFile, SavedState) {
-        let named = settings.and_then(|settings| Some((settings, settings.store.as_ref()?)));
-        let Some((settings, folder)) = named else {
+        let configured = settings.and_then(|settings| Some((settings, settings.store.as_ref()?)));
+        let Some((settings, directory)) = configured else {
             let file = StateFile { store: None, unsaved: None };
             return (file, SavedState { bytes: None, clean: false });
         };
         let (store, loaded) = Store::open(&StoreSettings {
-            directory: PathBuf::from(folder).join(FOLDER),
+            directory: PathBuf::from(directory).join(DIRECTORY),
             commit_interval: COMMIT_INTERVAL,
             load_timeout: OPEN_TIMEOUT,
             storage_fault: injected_fault(settings),
@@ -61,17 +63,17 @@
         (StateFile { store: Some(store), unsaved: None }, saved)
     }
 
-    /// The replica's state from now on, to be made durable by [`StateFile::flush`].
+    /// Sets the replica's state, which [`StateFile::flush`] makes durable.
     pub(super) fn set(&mut self, bytes: Vec<u8>) {
         self.unsaved = Some(bytes);
     }
 
-    /// Whether everything is durable that was to be.
+    /// Whether the latest state is durable.
     pub(super) fn is_durable(&self) -> bool {
         self.unsaved.is_none()
     }
 
-    /// Makes the state durable; whether everything is.
+    /// Makes the state durable. Returns whether that succeeded.
     pub(super) fn flush(&mut self) -> bool {
         let (Some(store), Some(bytes)) = (&self.store, &self.unsaved) else {
             self.unsaved = None;
--- a/crates/pintally-kserve-node/src/replica_thread/tests.rs
+++ b/crates/pintally-kserve-node/src/replica_thread/tests.rs
@@ -1,4 +1,5 @@
-//! Keys of the replica's record and of the replicated store: disks and replicas of different builds hold them.
+//! The keys of the replica's record and of the replicated store must be stable, because disks and replicas of
+//! other builds hold them.
 
 use super::commands::{LIMIT_PREFIX, ZONE_PREFIX};
 use super::state_file::STATE_KEY;
--- a/crates/pintally-kserve-node/src/request_session.rs
+++ b/crates/pintally-kserve-node/src/request_session.rs
@@ -1,5 +1,5 @@
-//! One request in its client's thread: messages of the decision thread in, attempts and the one final
-//! answer out.
+//! One request in its client's thread: receives messages of the decision thread, makes attempts and writes
+//! the one final answer.
 
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
@@ -19,40 +19,40 @@
 use crate::shared::{DecisionMessage, RequestMailbox, RequestMessage, Shared};
 use crate::wait::{wait, ClientInterest, Waker};
 
-/// The most messages that a request can have open: an attempt, its cancellation, an answer and the end,
-/// with as many to spare.
+/// Capacity of a request's mailbox: twice the number of messages that can be open at once, which are an
+/// attempt, its cancellation, an answer and the end.
 const MAX_OPEN_MESSAGES: usize = 8;
-/// The longest answer that is collected before it goes out complete.
+/// Maximum length of an answer that is collected and sent at once.
 const MAX_COLLECTED_BYTES: usize = 16 << 20;
-/// Microseconds in the units of `retry-after` and `retry-after-ms`.
+/// Microseconds per unit of `retry-after` and of `retry-after-ms`.
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// What is to be done with a client connection after a request.
+/// What to do with a client connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Connection {
-    /// It may carry the next request.
+pub(crate) enum ConnectionAction {
+    /// Keep it open for the next request.
     KeepAlive,
-    /// It is of no more use.
+    /// Close it.
     Close,
 }
 
-impl Connection {
-    /// After an answer was written, or could not be.
-    pub(crate) fn after(written: io::Result<()>) -> Connection {
-        Connection::usable(written.is_ok())
+impl ConnectionAction {
+    /// Keeps the connection open if the response was written.
+    pub(crate) fn after_write(written: io::Result<()>) -> ConnectionAction {
+        ConnectionAction::keep_alive_if(written.is_ok())
     }
 
-    fn usable(usable: bool) -> Connection {
-        if usable {
-            Connection::KeepAlive
+    fn keep_alive_if(reusable: bool) -> ConnectionAction {
+        if reusable {
+            ConnectionAction::KeepAlive
         } else {
-            Connection::Close
+            ConnectionAction::Close
         }
     }
 }
 
-/// A client's request for inference.
+/// A client's inference request.
 pub(crate) struct ClientRequest {
     pub(crate) inference: InferenceRequest,
     pub(crate) endpoint: InferenceEndpoint,
@@ -60,43 +60,44 @@
     pub(crate) keep_alive: bool,
 }
 
-/// A request in its thread.
+/// The state of a request in its thread.
 pub(crate) struct RequestSession<'a> {
     pub(crate) shared: &'a Shared,
     pub(crate) client: &'a mut TcpStream,
     pub(crate) waker: &'a Waker,
     pub(crate) messages: Receiver<RequestMessage>,
     pub(crate) request: &'a ClientRequest,
-    pub(crate) ticket: RequestNumber,
-    /// The attempt in flight. Where the thread ends before it, the host still learns of its end.
+    pub(crate) request_number: RequestNumber,
+    /// The attempt in flight. If the thread ends before the attempt, the drop reports its end to the host.
     pub(crate) attempt: Option<AttemptNumber>,
-    /// The client has left, and the host is notified.
+    /// Whether the client has left. The host is notified of it unless the request was answered.
     pub(crate) client_left: bool,
     request_id: Option<RequestId>,
+    /// Whether the final answer was sent, or dropped because the client had left.
     answered: bool,
-    /// The host has nothing more for this request.
+    /// Whether the host has finished the request, so that no more messages follow.
     finished: bool,
-    /// The head of a streamed answer has gone out.
+    /// Whether the response head of a streamed answer was sent.
     head_sent: bool,
-    /// Text that has not gone out.
+    /// Text of the answer that is not sent yet.
     unsent_text: String,
 }
 
-/// Serves a request to its end.
+/// Serves a request until the host has finished it.
 pub(crate) fn run(
     shared: &Shared,
     client: &mut TcpStream,
     waker: &Arc<Waker>,
     request: &ClientRequest,
     incoming: IncomingRequest,
-) -> Connection {
+) -> ConnectionAction {
     let (sender, messages) = bounded(MAX_OPEN_MESSAGES);
-    let ticket = incoming.number;
+    let request_number = incoming.number;
     let mailbox = RequestMailbox { sender, waker: waker.clone() };
     if !submit(shared, incoming, mailbox) {
         shared.counters.turned_away.fetch_add(1, Ordering::Relaxed);
         let written = reject(client, None, request.keep_alive);
-        return Connection::usable(written.is_ok() && request.keep_alive);
+        return ConnectionAction::keep_alive_if(written.is_ok() && request.keep_alive);
     }
     let mut session = RequestSession {
         shared,
@@ -104,7 +105,7 @@
         waker,
         messages,
         request,
-        ticket,
+        request_number,
         attempt: None,
         client_left: false,
         request_id: None,
@@ -114,21 +115,21 @@
         unsent_text: String::new(),
     };
     session.serve();
-    Connection::usable(session.finished && request.keep_alive && !session.client_left)
+    ConnectionAction::keep_alive_if(session.finished && request.keep_alive && !session.client_left)
 }
 
-/// Hands a request to the decision thread; `false` if that has too much to do, or the node shuts down. The
-/// last quarter of the channel is for requests that already run.
+/// Passes a request to the decision thread; `false` if its channel is too full or the node shuts down. The
+/// last quarter of the channel is reserved for requests that already run.
 fn submit(shared: &Shared, incoming: IncomingRequest, mailbox: RequestMailbox) -> bool {
-    let capacity = shared.decide.capacity().unwrap_or(usize::MAX);
-    if shared.decide.len() > capacity / 4 * 3 || shared.is_closing() {
+    let capacity = shared.decision_sender.capacity().unwrap_or(usize::MAX);
+    if shared.decision_sender.len() > capacity / 4 * 3 || shared.is_closing() {
         return false;
     }
-    shared.decide.try_send(DecisionMessage::RequestArrived(incoming, mailbox)).is_ok()
+    shared.decision_sender.try_send(DecisionMessage::RequestArrived(incoming, mailbox)).is_ok()
 }
 
 impl RequestSession<'_> {
-    /// Handles messages until the host has nothing more for this request.
+    /// Handles messages until the host has finished the request.
     fn serve(&mut self) {
         while !self.finished && !self.shared.is_dead() {
             match self.messages.try_recv() {
@@ -136,9 +137,9 @@
                     self.request_id.get_or_insert_with(|| order.request.clone());
                     attempt::run(self, order);
                 }
-                Ok(RequestMessage::Answer(answer)) => self.finish(answer),
+                Ok(RequestMessage::Answer(answer)) => self.send_final_answer(answer),
                 Ok(RequestMessage::Finished) => self.finished = true,
-                // The attempt has ended meanwhile.
+                // The attempt has already ended.
                 Ok(RequestMessage::Cancel(_)) => {}
                 Err(TryRecvError::Disconnected) => return,
                 Err(TryRecvError::Empty) => self.wait_for_message(),
@@ -151,18 +152,18 @@
         let interest = if self.answered { ClientInterest::Nothing } else { self.client_interest() };
         match wait(self.waker, Some((self.client.as_fd(), interest)), None, None) {
             Ok(ready) if !ready.client => {}
-            Ok(_) | Err(_) => self.client_has_left(),
+            Ok(_) | Err(_) => self.notify_client_left(),
         }
     }
 
-    /// Notifies the host, once, that the client has left.
-    pub(crate) fn client_has_left(&mut self) {
+    /// Notifies the host that the client has left, at the first call and only if the request is not answered.
+    pub(crate) fn notify_client_left(&mut self) {
         if !std::mem::replace(&mut self.client_left, true) && !self.answered {
-            self.shared.send_input(Input::ClientLeft(self.ticket));
+            self.shared.send_input(Input::ClientLeft(self.request_number));
         }
     }
 
-    /// What is waited for at the client while an attempt is in flight.
+    /// The events to wait for on the client's socket while an attempt is in flight.
     pub(crate) fn client_interest(&self) -> ClientInterest {
         if self.client_left {
             ClientInterest::Nothing
@@ -171,13 +172,13 @@
         }
     }
 
-    /// Adds text of the answer.
+    /// Appends text to the answer.
     pub(crate) fn push_text(&mut self, text: &str) {
         self.unsent_text.push_str(text);
     }
 
-    /// Sends the text that has come in, if the answer streams; `false` if the client does not take it, or
-    /// the answer has grown too long.
+    /// Sends the unsent text if the answer streams. Returns `false` if the client has left, or if a collected
+    /// answer is longer than [`MAX_COLLECTED_BYTES`].
     pub(crate) fn flush(&mut self) -> bool {
         if self.request.endpoint != InferenceEndpoint::GenerateStream {
             return self.unsent_text.len() <= MAX_COLLECTED_BYTES;
@@ -190,12 +191,12 @@
         let mut bytes = self.stream_head();
         bytes.extend(chunk(&sse_event(&part)));
         if self.write(&bytes).is_err() {
-            self.client_has_left();
+            self.notify_client_left();
         }
         !self.client_left
     }
 
-    /// The head of a streamed answer; empty if it has gone out.
+    /// The response head of a streamed answer; empty if it was sent already.
     fn stream_head(&mut self) -> Vec<u8> {
         if std::mem::replace(&mut self.head_sent, true) {
             return Vec::new();
@@ -208,8 +209,8 @@
         response_head(200, &headers)
     }
 
-    /// Gives the one final answer.
-    pub(crate) fn finish(&mut self, answer: FinalAnswer) {
+    /// Sends the final answer; does nothing if one was sent or the client has left.
+    pub(crate) fn send_final_answer(&mut self, answer: FinalAnswer) {
         if std::mem::replace(&mut self.answered, true) || self.client_left {
             return;
         }
@@ -248,7 +249,7 @@
         self.write(&bytes)
     }
 
-    /// Writes an answer that does not stream.
+    /// Writes a response that does not stream.
     fn write_body(&mut self, status: u16, body: &str) -> io::Result<()> {
         let id = self.request_id();
         let mut headers = vec![("content-type", "application/json")];
@@ -261,7 +262,8 @@
         self.write(&response(status, &headers, body.as_bytes()))
     }
 
-    /// Writes all of it within the write timeout, however slowly the client takes it.
+    /// Writes all bytes within the write timeout, which bounds the total time also if the client reads
+    /// slowly.
     fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         let timeout = Duration::from_micros(self.shared.settings.limits.write_timeout);
         let deadline = Instant::now() + timeout;
@@ -280,7 +282,7 @@
         Ok(())
     }
 
-    /// The id that the answer carries: the client's own, or the node's.
+    /// The id in the answer: the one chosen by the client, or else the node's.
     fn answer_id(&self) -> String {
         self.request.inference.id.clone().unwrap_or_else(|| self.request_id())
     }
@@ -291,7 +293,8 @@
     }
 }
 
-/// Guards against a thread that ends without its request: nothing may wait for it for ever.
+/// Guards against a thread that ends before its request, for example by a panic: the host would wait for the
+/// request for ever.
 impl Drop for RequestSession<'_> {
     fn drop(&mut self) {
         if self.finished || self.shared.is_dead() {
@@ -299,7 +302,7 @@
         }
         if let Some(attempt) = self.attempt.take() {
             self.shared.send_input(Input::AttemptEnded {
-                number: self.ticket,
+                number: self.request_number,
                 attempt,
                 outcome: Outcome::ConnectionBroken,
                 cached_tokens: 0,
@@ -307,11 +310,11 @@
                 state: None,
             });
         }
-        self.client_has_left();
+        self.notify_client_left();
     }
 }
 
-/// Rejects a request for overload, with the time after which to retry if there is one.
+/// Writes the rejection of a request for overload, with the time after which to retry if there is one.
 fn reject(client: &mut TcpStream, retry_after: Option<Micros>, keep_alive: bool) -> io::Result<()> {
     let body = kserve::error_body("no room: try again", true);
     let mut head = format!("HTTP/1.1 503 Service Unavailable\r\ncontent-length: {}\r\n", body.len());
--- a/crates/pintally-kserve-node/src/shared.rs
+++ b/crates/pintally-kserve-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the node's threads share: settings, channels, flags and counters.
+//! State that the node's threads share: settings, channels, flags and counters.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -18,46 +18,46 @@
 use crate::sync::lock;
 use crate::wait::Waker;
 
-/// The stack of a thread, small as each connection has one.
+/// Stack size of a thread; small, because each connection has a thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// To the decision thread.
+/// A message to the decision thread.
 pub(crate) enum DecisionMessage {
-    /// For the host.
+    /// An input for the host.
     Host(Input),
-    /// A request, and where its messages go.
+    /// A new request, and the mailbox of its thread.
     RequestArrived(IncomingRequest, RequestMailbox),
-    /// End at once.
+    /// Ends the thread at once.
     Kill,
 }
 
-/// To the thread of a request.
+/// A message to the thread of a request.
 pub(crate) enum RequestMessage {
-    /// Make an attempt.
+    /// Start an attempt.
     Attempt(AttemptOrder),
     /// Cancel an attempt.
     Cancel(AttemptNumber),
-    /// Give the final answer.
+    /// Send the final answer to the client.
     Answer(FinalAnswer),
-    /// Nothing more comes for this request.
+    /// The host has finished the request; no more messages follow.
     Finished,
 }
 
-/// What this node observes of zones, on its way to the failover leader.
+/// This node's zone report for the failover leader.
 pub(crate) struct OutgoingZoneReport {
     /// The report, encoded.
     pub(crate) encoded: Vec<u8>,
-    /// Engines that take work in each zone, by this node's endpoint list.
+    /// Serving engines in each zone, according to this node's endpoint list.
     pub(crate) engines_per_zone: Vec<f64>,
 }
 
-/// Where a request's messages go.
+/// The channel to a request's thread, and the waker of that thread.
 pub(crate) struct RequestMailbox {
     pub(crate) sender: Sender<RequestMessage>,
     pub(crate) waker: Arc<Waker>,
 }
 
-/// Counters of the sockets' side, which the host does not see.
+/// Counters of the node's threads, beside those of the host.
 #[derive(Default)]
 pub(crate) struct SocketCounters {
     pub(crate) connections: AtomicU64,
@@ -69,68 +69,69 @@
     pub(crate) deciding_ns: AtomicU64,
 }
 
-/// What a node has counted: on its sockets and in its host.
+/// The counters of a node: those of its threads and those of its host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeCounters {
     /// Client connections admitted.
     pub connections: u64,
-    /// Client connections rejected because there were too many.
+    /// Client connections rejected because the maximum number was open.
     pub over_limit: u64,
-    /// Requests that were not understood.
+    /// Requests that were invalid, or for an unknown endpoint or model.
     pub bad_requests: u64,
-    /// Requests rejected before the host saw them.
+    /// Requests rejected before they reached the host.
     pub turned_away: u64,
     /// Final answers that could not be written.
     pub unwritten: u64,
-    /// Endpoint lists and cells files that were invalid, or older than the one in force.
+    /// Endpoint lists and cells files that were rejected as invalid or as older than the current version.
     pub lists_refused: u64,
-    /// Time that the decision thread has spent on messages.
+    /// Time that the decision thread has spent on handling messages and timers.
     pub deciding: Duration,
     /// The host's counters.
     pub host: Counters,
 }
 
-/// What all threads of a node share.
+/// State shared by all threads of a node.
 pub(crate) struct Shared {
     pub(crate) settings: Arc<NodeSettings>,
     pub(crate) clock: Clock,
     pub(crate) pool: Pool,
-    pub(crate) decide: Sender<DecisionMessage>,
+    pub(crate) decision_sender: Sender<DecisionMessage>,
     pub(crate) counters: SocketCounters,
     pub(crate) host_counters: Mutex<Counters>,
     /// The status of each cell.
     pub(crate) cells: Mutex<Vec<CellStatus>>,
-    /// Tenants that migrate: the fraction of their sessions that has moved, and whether the rest is held back.
-    pub(crate) moves: Mutex<Vec<(String, f64, bool)>>,
-    /// Engines that take work, by the endpoint list; the node is ready while there are any.
-    pub(crate) serving: AtomicUsize,
-    pub(crate) next_ticket: AtomicU64,
-    /// What the fleet thread and the others share.
+    /// Tenants that migrate between cells: the name, the fraction of sessions that has moved, and whether the
+    /// rest is held back.
+    pub(crate) migrations: Mutex<Vec<(String, f64, bool)>>,
+    /// Serving engines in the endpoint list. The node is ready while there is at least one.
+    pub(crate) serving_engines: AtomicUsize,
+    pub(crate) next_request_number: AtomicU64,
+    /// State shared by the fleet thread and the others.
     pub(crate) fleet: FleetShared,
-    /// Bytes of request bodies in memory, of all connections together.
+    /// Bytes reserved for request bodies by all connections together.
     body_bytes: AtomicUsize,
-    /// The node shuts down: nothing new is taken.
+    /// Whether the node shuts down and accepts no new requests.
     closing: AtomicBool,
-    /// The node is killed: everything ends at once.
+    /// Whether the node is killed; all threads then end at once.
     dead: AtomicBool,
-    /// Wakers of all connection threads.
+    /// Wakers of all connection threads, by connection number.
     connections: Mutex<HashMap<u64, Arc<Waker>>>,
 }
 
 impl Shared {
-    pub(crate) fn new(settings: Arc<NodeSettings>, decide: Sender<DecisionMessage>) -> Shared {
+    pub(crate) fn new(settings: Arc<NodeSettings>, decision_sender: Sender<DecisionMessage>) -> Shared {
         let limits = &settings.limits;
         let keep_alive = Duration::from_micros(limits.keep_alive);
         Shared {
             pool: Pool::new(settings.source, limits.max_streams_per_engine, keep_alive),
             clock: Clock::new(),
-            decide,
+            decision_sender,
             counters: SocketCounters::default(),
             host_counters: Mutex::default(),
             cells: Mutex::default(),
-            moves: Mutex::default(),
-            serving: AtomicUsize::new(0),
-            next_ticket: AtomicU64::new(1),
+            migrations: Mutex::default(),
+            serving_engines: AtomicUsize::new(0),
+            next_request_number: AtomicU64::new(1),
             fleet: FleetShared::default(),
             body_bytes: AtomicUsize::new(0),
             closing: AtomicBool::new(false),
@@ -148,13 +149,13 @@
         self.dead.load(Ordering::Acquire)
     }
 
-    /// Takes nothing new from here on; idle connections close.
+    /// Starts the shutdown: no new requests are accepted, and idle connections close.
     pub(crate) fn close(&self) {
         self.closing.store(true, Ordering::Release);
         self.wake_all();
     }
 
-    /// Ends everything at once.
+    /// Kills the node: all threads end at once.
     pub(crate) fn kill(&self) {
         self.closing.store(true, Ordering::Release);
         self.dead.store(true, Ordering::Release);
@@ -165,7 +166,7 @@
         lock(&self.connections).values().for_each(|w| w.wake());
     }
 
-    /// Reserves bytes of the limit for all bodies; `false` if there are not as many.
+    /// Reserves bytes of the limit for all request bodies; `false` if too few are left.
     pub(crate) fn reserve_body_bytes(&self, bytes: usize) -> bool {
         let reserved = self.body_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         if reserved > self.settings.limits.max_total_body_bytes {
@@ -175,12 +176,12 @@
         true
     }
 
-    /// Returns bytes that were reserved.
+    /// Returns reserved bytes to the limit for all request bodies.
     pub(crate) fn return_body_bytes(&self, bytes: usize) {
         self.body_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Adds a connection to the table; `false` if there are as many as allowed.
+    /// Adds a connection to the table; `false` if the maximum number is open.
     pub(crate) fn add_connection(&self, number: u64, waker: Arc<Waker>) -> bool {
         let mut connections = lock(&self.connections);
         if connections.len() >= self.settings.limits.max_connections {
@@ -195,12 +196,12 @@
         lock(&self.connections).remove(&number);
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub(crate) fn open_connections(&self) -> usize {
         lock(&self.connections).len()
     }
 
-    /// The counters as they are now.
+    /// The current counters.
     pub(crate) fn counters(&self) -> NodeCounters {
         let c = &self.counters;
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -216,10 +217,10 @@
         }
     }
 
-    /// Sends an input to the host. It waits where the channel is full: the decision thread never waits for
-    /// the thread that calls, so the wait ends.
+    /// Sends an input to the host. Blocks while the channel is full. That cannot deadlock, because the
+    /// decision thread never waits for the calling thread.
     pub(crate) fn send_input(&self, input: Input) {
-        let _ = self.decide.send(DecisionMessage::Host(input));
+        let _ = self.decision_sender.send(DecisionMessage::Host(input));
     }
 }
 
--- a/crates/pintally-kserve-node/src/status.rs
+++ b/crates/pintally-kserve-node/src/status.rs
@@ -1,4 +1,5 @@
-//! Status documents and counters as JSON, for operators and tools. Names in them are those that tools read.
+//! Status documents and counters as JSON, for operators and tools. Tools read them, so that the names in them
+//! must not change.
 
 use std::sync::atomic::Ordering;
 use std::sync::Mutex;
@@ -10,9 +11,9 @@
 use crate::shared::Shared;
 use crate::sync::lock;
 
-/// The answer to a status request.
+/// The response to a status request.
 pub(crate) struct StatusResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub(crate) status: u16,
     /// The body, JSON.
     pub(crate) body: String,
@@ -23,22 +24,22 @@
         StatusResponse { status: 200, body: body.into() }
     }
 
-    /// An error that a retry will not mend.
+    /// An error response for a request that a retry cannot help.
     pub(crate) fn error(status: u16, message: &str) -> StatusResponse {
         StatusResponse { status, body: kserve::error_body(message, false) }
     }
 }
 
-/// Whether the node takes requests.
+/// Whether the node accepts requests.
 pub(crate) fn readiness(shared: &Shared) -> StatusResponse {
-    if shared.serving.load(Ordering::Relaxed) > 0 && !shared.is_closing() {
+    if shared.serving_engines.load(Ordering::Relaxed) > 0 && !shared.is_closing() {
         StatusResponse::ok("{\"ready\":true}")
     } else {
         StatusResponse { status: 503, body: "{\"ready\":false}".into() }
     }
 }
 
-/// A document that another thread has published; `absent` is the error where there is none.
+/// Returns a document that another thread has published. `absent` is the error message if there is none.
 pub(crate) fn published<T: Serialize>(document: &Mutex<Option<T>>, absent: &str) -> StatusResponse {
     let document = lock(document);
     match document.as_ref().and_then(|document| serde_json::to_string(document).ok()) {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The fleet's limits: this node's allocations, the lease granter, and what this node has granted.
+/// The status of the fleet's limits: this node's allocations, the lease granter, and this node's grants.
 pub(crate) fn limits(shared: &Shared) -> StatusResponse {
     let limits = lock(&shared.fleet.limit_status);
     let Some(limits) = limits.as_ref() else {
@@ -60,18 +61,18 @@
     StatusResponse::ok(document.to_string())
 }
 
-/// Counters of the node's sockets and of its host, with cells and moves of tenants.
+/// The counters of the node's threads and of its host, and the status of cells and of migrations of tenants.
 pub(crate) fn counters(shared: &Shared) -> StatusResponse {
     let c = shared.counters();
     let h = c.host;
     let document = json!({
-        "cells": cells(shared), "moves": moves(shared),
+        "cells": cells(shared), "moves": migrations(shared),
         "at_the_edge": h.rejected_by_cell, "gave_way": h.preempted_while_queued,
         "connections": c.connections, "open_connections": shared.open_connections(),
         "over_limit": c.over_limit, "bad_requests": c.bad_requests, "turned_away": c.turned_away,
         "unwritten": c.unwritten, "lists_refused": c.lists_refused,
         "deciding_us": c.deciding.as_micros() as u64,
-        "serving_engines": shared.serving.load(Ordering::Relaxed),
+        "serving_engines": shared.serving_engines.load(Ordering::Relaxed),
         "taken": h.accepted, "served": h.served, "refused": h.rejected, "failed": h.failed,
         "cut": h.streams_cut, "left": h.clients_left, "kept_out": h.rejected_during_recovery,
         "limited": h.rejected_over_quota, "retries_limited": h.retries_over_quota,
@@ -95,9 +96,9 @@
     document.collect()
 }
 
-fn moves(shared: &Shared) -> Vec<Value> {
-    let moves = lock(&shared.moves);
-    let document = moves
+fn migrations(shared: &Shared) -> Vec<Value> {
+    let migrations = lock(&shared.migrations);
+    let document = migrations
         .iter()
         .map(|(tenant, share, held_back)| json!({ "tenant": tenant, "share": share, "held": held_back }));
     document.collect()
--- a/crates/pintally-kserve-node/src/wait.rs
+++ b/crates/pintally-kserve-node/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for sockets and for messages of other threads at the same time.
+//! Waiting for sockets and for wake-ups by other threads at the same time.
 
 use std::io;
 use std::net::TcpStream;
@@ -7,11 +7,10 @@
 
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
 
-/// A wait is this much longer than the time left, so that it does not end just before its time again and
-/// again.
+/// Added to the timeout of each poll, so that it does not end just before the deadline repeatedly.
 const WAIT_ROUNDING: Duration = Duration::from_micros(1);
 
-/// Wakes a thread that waits for sockets.
+/// Wakes a thread that waits in [`wait`] or [`wait_for_many`].
 #[derive(Debug)]
 pub(crate) struct Waker(OwnedFd);
 
@@ -22,7 +21,7 @@
 
     /// Wakes the thread, now or when it next waits.
     pub(crate) fn wake(&self) {
-        // It can only fail when the count is full, and then the thread is awake anyway.
+        // The write can only fail if the counter is full, and then the thread is already woken.
         let _ = rustix::io::write(&self.0, &1u64.to_ne_bytes());
     }
 
@@ -31,14 +30,14 @@
     }
 }
 
-/// What is waited for at a client's socket.
+/// The events to wait for on a client's socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientInterest {
-    /// Bytes, or its end.
+    /// The socket has bytes or was closed.
     Readable,
-    /// Only that the client leaves.
+    /// The client has closed its connection.
     HangUp,
-    /// Nothing: it has left.
+    /// None, because the client has left.
     Nothing,
 }
 
@@ -53,45 +52,45 @@
     }
 }
 
-/// What is waited for at an engine's socket.
+/// The events to wait for on an engine's socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Interest {
-    /// Bytes, or its end.
+pub(crate) enum EngineInterest {
+    /// The socket has bytes or was closed.
     Read,
-    /// That it takes bytes.
+    /// The socket accepts bytes.
     Write,
-    /// Both.
+    /// Either of both.
     ReadWrite,
 }
 
-impl Interest {
+impl EngineInterest {
     fn flags(self) -> PollFlags {
         match self {
-            Interest::Read => PollFlags::IN,
-            Interest::Write => PollFlags::OUT,
-            Interest::ReadWrite => PollFlags::IN | PollFlags::OUT,
+            EngineInterest::Read => PollFlags::IN,
+            EngineInterest::Write => PollFlags::OUT,
+            EngineInterest::ReadWrite => PollFlags::IN | PollFlags::OUT,
         }
     }
 }
 
-/// What has happened.
+/// The events that ended a wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Ready {
-    /// The client has sent bytes or has left, as the interest was.
+    /// The client has sent bytes or has left, depending on its [`ClientInterest`].
     pub(crate) client: bool,
-    /// The engine has sent bytes or has closed.
+    /// The engine has sent bytes or has closed the connection.
     pub(crate) engine_read: bool,
-    /// The engine takes bytes.
+    /// The engine's socket accepts bytes.
     pub(crate) engine_write: bool,
-    /// The waker was used.
+    /// The waker has woken the thread.
     pub(crate) woken: bool,
 }
 
-/// Waits until something happens, or until a time.
+/// Waits for the client's socket, the engine's socket or the waker, at most until a time.
 pub(crate) fn wait(
     waker: &Waker,
     client: Option<(BorrowedFd, ClientInterest)>,
-    engine: Option<(BorrowedFd, Interest)>,
+    engine: Option<(BorrowedFd, EngineInterest)>,
     until: Option<Instant>,
 ) -> io::Result<Ready> {
     let client = client.and_then(|(fd, interest)| Some((fd, interest.flags()?)));
@@ -116,11 +115,11 @@
     Ok(ready)
 }
 
-/// Waits until one of several engines' sockets is ready, the waker is used, or until a time; for each socket
-/// whether something has happened at it.
+/// Waits for the sockets of several engines or the waker, at most until a time. Returns for each socket
+/// whether it has an event.
 pub(crate) fn wait_for_many(
     waker: &Waker,
-    engines: &[(&TcpStream, Interest)],
+    engines: &[(&TcpStream, EngineInterest)],
     until: Option<Instant>,
 ) -> io::Result<Vec<bool>> {
     let mut fds = vec![PollFd::new(&waker.0, PollFlags::IN)];
--- a/crates/pintally-kserve-node/src/watcher/cells.rs
+++ b/crates/pintally-kserve-node/src/watcher/cells.rs
@@ -1,4 +1,4 @@
-//! Versions of the cells file on their way to the host.
+//! Applies new versions of the cells file.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -11,14 +11,14 @@
 use super::files::{read, replace_atomically};
 use crate::shared::Shared;
 
-/// The cells file in force.
+/// The current version of the cells file.
 #[derive(Default)]
 pub(crate) struct CellsWatcher {
     version: u64,
 }
 
 impl CellsWatcher {
-    /// Takes the file that was cached before the node's last end, if there is one.
+    /// Applies the file that the previous process cached, if there is one.
     pub(crate) fn restore(shared: &Shared) -> CellsWatcher {
         let mut watcher = CellsWatcher::default();
         let Some(cached) = &shared.settings.cached_cells_file else { return watcher };
@@ -32,7 +32,7 @@
         watcher
     }
 
-    /// Takes a new version and caches it.
+    /// Applies a new version of the file and caches it.
     pub(super) fn update(&mut self, shared: &Shared, path: &str, text: &[u8]) {
         if !self.apply(shared, path, text) {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Hands a version to the host; whether it was valid and not older than the one in force.
+    /// Passes a version to the host. Returns whether it was valid and not older than the current version.
     fn apply(&mut self, shared: &Shared, path: &str, text: &[u8]) -> bool {
         let text = String::from_utf8_lossy(text);
         match CellsFile::parse(path, &text, &shared.settings.core) {
--- a/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
+++ b/crates/pintally-kserve-node/src/watcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Versions of the endpoint list on their way to the host and to peers.
+//! Applies new versions of the endpoint list, and publishes them to peers.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -12,17 +12,17 @@
 use super::files::{read, replace_atomically};
 use crate::shared::Shared;
 
-/// What stands for a file in errors about the list of the node's store.
-const STORED_LIST: &str = "the kept state";
+/// Stands for the file name in messages about the list that was restored from the node's store.
+const STORED_LIST: &str = "the node's store";
 
-/// The endpoint list in force.
+/// The current endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointListWatcher {
     follower: ListFollower,
 }
 
 impl EndpointListWatcher {
-    /// Takes the lists that were cached and stored before the node's last end, if there are any.
+    /// Applies the lists that the previous process cached and stored, if there are any.
     pub(crate) fn restore(shared: &Shared, stored: Option<&str>) -> EndpointListWatcher {
         let mut watcher = EndpointListWatcher::default();
         watcher.restore_cached(shared);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes a list from its source, which confirms the version in force if it is the same.
+    /// Applies a list from its source, and confirms the current version if the source has the same.
     pub(super) fn update_from_source(&mut self, shared: &Shared, path: &str, text: &[u8]) {
         let changed = self.merge_and_apply(shared, path, text);
         let list = EngineList::parse(path, &String::from_utf8_lossy(text)).ok();
@@ -58,32 +58,34 @@
         }
     }
 
-    /// Takes a list from elsewhere.
+    /// Applies a list that is not from its source.
     pub(super) fn update(&mut self, shared: &Shared, name: &str, text: &[u8]) {
         if self.merge_and_apply(shared, name, text) {
             self.publish_and_cache(shared);
         }
     }
 
-    /// Where nodes have peers, a list is merged with the one in force before it is applied.
+    /// Applies a list. If the node has peers, the list is first merged with the current one.
     fn merge_and_apply(&mut self, shared: &Shared, name: &str, text: &[u8]) -> bool {
         let merged = shared.settings.membership.as_ref().and_then(|_| self.merged(name, text));
         self.apply(shared, name, merged.as_deref().unwrap_or(text))
     }
 
-    /// The merge of a list with the one in force, where it is another than the list itself: a drain that any
-    /// node knew is never undone by another text of the same version.
+    /// Merges a list with the current one, so that another text of the same version never undoes a drain that
+    /// any node knew. Returns `None` if the list is to be applied as it is.
     fn merged(&self, name: &str, text: &[u8]) -> Option<Vec<u8>> {
-        let claimed = EngineList::parse(name, &String::from_utf8_lossy(text)).ok()?;
+        let incoming = EngineList::parse(name, &String::from_utf8_lossy(text)).ok()?;
         let current = EngineList::parse(name, &self.follower.render()?).ok()?;
-        match merge_endpoint_lists(Some(&current), &claimed) {
+        match merge_endpoint_lists(Some(&current), &incoming) {
             ListMerge::Merged(list) => Some(list.render().into_bytes()),
-            ListMerge::Unchanged if current.version == claimed.version => Some(current.render().into_bytes()),
+            ListMerge::Unchanged if current.version == incoming.version => {
+                Some(current.render().into_bytes())
+            }
             ListMerge::Unchanged | ListMerge::Replaced(_) => None,
         }
     }
 
-    /// Hands the list in force to peers, and caches it.
+    /// Publishes the current list to peers, and caches it.
     fn publish_and_cache(&self, shared: &Shared) {
         let Some(text) = self.follower.render() else { return };
         if let Some(version) = self.follower.version() {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Hands a list's changes to the host; whether there were any.
+    /// Passes the changes of a list to the host. Returns whether there were any.
     fn apply(&mut self, shared: &Shared, name: &str, text: &[u8]) -> bool {
         let text = String::from_utf8_lossy(text);
         let change = self.follower.apply(name, &text, |ms| shared.clock.at_unix_ms(ms));
--- a/crates/pintally-kserve-node/src/watcher/files.rs
+++ b/crates/pintally-kserve-node/src/watcher/files.rs
@@ -1,4 +1,4 @@
-//! Files that are watched, and files that are replaced atomically.
+//! Reads watched files, and replaces cached files atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -6,7 +6,7 @@
 
 use pintally_config::form::MAX_FILE_BYTES;
 
-/// A watched file: its bytes as last read, and whether it could not be read.
+/// A watched file: its last contents, and whether the last read failed.
 #[derive(Default)]
 pub(super) struct WatchedFile {
     last: Vec<u8>,
@@ -14,7 +14,8 @@
 }
 
 impl WatchedFile {
-    /// The file's bytes if they have changed; an error is returned once until the file can be read again.
+    /// Returns the file's bytes if they have changed. An error is returned only once until the file is
+    /// readable again.
     pub(super) fn read_if_changed(&mut self, path: &str) -> Option<io::Result<Vec<u8>>> {
         match read(path) {
             Ok(bytes) => {
@@ -31,18 +32,19 @@
     }
 }
 
-/// Reads a file up to one byte over the largest that is parsed, so that a larger one is an error there.
+/// Reads a file up to one byte over the maximum size, so that the parser rejects a file that is too large.
 pub(super) fn read(path: &str) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Replaces a file so that a crash at any point leaves the old one or the new one.
+/// Replaces a file atomically: a crash at any point leaves either the old or the new file.
 pub(super) fn replace_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     fs::create_dir_all(folder)?;
-    // Beside the file and under its full name: two files that differ in their extensions must not share it.
+    // In the same directory, with the suffix after the full file name, so that files which differ only in
+    // their extension have different temporary names.
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
     let mut file = File::create(&temporary)?;
--- a/crates/pintally-kserve-node/src/watcher/mod.rs
+++ b/crates/pintally-kserve-node/src/watcher/mod.rs
@@ -1,4 +1,4 @@
-//! The watcher of the endpoint list and of the cells file, which also caches the last valid ones on disk.
+//! Watches the endpoint list and the cells file, and caches their last valid versions on disk.
 
 mod cells;
 mod endpoint_list;
@@ -20,10 +20,10 @@
 pub(crate) use self::cells::CellsWatcher;
 pub(crate) use self::endpoint_list::EndpointListWatcher;
 
-/// What stands for a file in errors about a list that a peer has offered.
+/// Stands for the file name in messages about a list that was fetched from a peer.
 const PEER_LIST: &str = "a peer's list";
 
-/// Watches both files until the channel closes; a message on it has them looked at again at once.
+/// Watches both files until the channel closes. A message on the channel makes it read them again at once.
 pub(crate) fn run(
     shared: &Shared,
     mut list: EndpointListWatcher,
--- a/crates/pintally-kserve-node/src/watcher/tests.rs
+++ b/crates/pintally-kserve-node/src/watcher/tests.rs
@@ -4,8 +4,8 @@
 
 use super::files::replace_atomically;
 
-/// Guards against two files beside each other that take the same temporary name: a scenario's list and the
-/// cached list did, and one of them was gone when it was to be renamed.
+/// Guards against two files in one directory that use the same temporary name. It happened to a scenario's
+/// endpoint list and the cached list: one of the temporary files no longer existed when it was to be renamed.
 #[test]
 fn temporary_name_contains_full_file_name() {
     let folder = std::env::temp_dir().join(format!("pintally-watch-{}", std::process::id()));
--- a/crates/pintally-kserve-node/tests/golden.rs
+++ b/crates/pintally-kserve-node/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The golden file of those parts of the status documents that a healthy fleet does not show: built values as
-//! the node writes them, and every word for a state.
+//! Golden file of the parts of status documents that a healthy fleet does not show: constructed values as the
+//! node serializes them, and the name of every state.
 
 use pintally_failover::ZoneHealth;
 use pintally_membership::MemberState;
@@ -9,12 +9,12 @@
 use serde::Serialize;
 
 fn line(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("it is written") + "\n"
+    serde_json::to_string(value).expect("serializable") + "\n"
 }
 
 #[test]
 fn parts_of_status_documents() {
-    let verdict = EngineStatus {
+    let engine = EngineStatus {
         engine: "s-1".into(),
         fault: Some("fails"),
         scope: Some(FaultScope::Zone("a".into())),
@@ -32,7 +32,7 @@
         holders: vec![("n0".into(), 3.0)],
     };
     let got = [
-        line(&verdict),
+        line(&engine),
         line(&pool),
         line(&[FaultScope::Link, FaultScope::Zone("a".into()), FaultScope::AllNodes]),
         line(&[MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]),
--- a/crates/pintally-kserve/src/lib.rs
+++ b/crates/pintally-kserve/src/lib.rs
@@ -1,5 +1,5 @@
-//! KServe v2 (Open Inference Protocol) over HTTP: which endpoint a request names, requests for
-//! inference, and response bodies. No input or output, no decisions.
+//! Codec of KServe v2 (Open Inference Protocol) messages over HTTP: maps request lines to endpoints, parses
+//! inference requests and writes response bodies. It does no I/O and makes no routing decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-kserve/src/request/mod.rs
+++ b/crates/pintally-kserve/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests for inference, from the JSON of `infer`, `generate` or `generate_stream`.
+//! Parses inference requests from the JSON bodies of `infer`, `generate` and `generate_stream`.
 
 #[cfg(test)]
 mod tests;
@@ -8,56 +8,57 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A header with the milliseconds that the client waits; the shorter of it and the parameter counts.
+/// The header with the client's timeout in milliseconds. The shorter of it and the parameter `deadline_ms`
+/// applies.
 pub const DEADLINE_HEADER: &str = "x-request-timeout-ms";
-/// The longest id, class or tenant name.
+/// Maximum length of an id, class, tenant, session or prefix that is given as text.
 const MAX_NAME_BYTES: usize = 256;
-/// The longest wait that a client may ask for: an hour.
+/// The longest timeout that a client may request: one hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Integers in JSON are below this: larger ones are not exact in every client.
+/// Exclusive upper bound of JSON integers: not every client represents larger ones exactly.
 const INTEGER_LIMIT: u64 = 1 << 53;
-/// Bits of a text's hash that are dropped, so that it is below [`INTEGER_LIMIT`].
-const HASH_SHIFT: u32 = 11;
+/// Low bits dropped from the 64-bit hash of a text, so that the result is below [`INTEGER_LIMIT`].
+const HASH_SHIFT_BITS: u32 = 11;
 
 /// The inference endpoint of a request, which decides the format of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InferenceEndpoint {
     /// Tensors in, tensors out.
     Infer,
-    /// Text in, the complete text out.
+    /// Text in, the complete text out in one response.
     Generate,
-    /// Text in, server-sent events out.
+    /// Text in, a stream of server-sent events out.
     GenerateStream,
 }
 
-/// A request for inference.
+/// A parsed inference request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InferenceRequest {
-    /// The client's own id of the request.
+    /// The request id chosen by the client.
     pub id: Option<String>,
     /// The prompt.
     pub prompt: String,
-    /// The class's name.
+    /// The name of the request class.
     pub class: Option<String>,
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: Option<String>,
-    /// The session, as a number.
+    /// The session: an integer, or the hash of a text.
     pub session: Option<u64>,
-    /// The shared prefix, as a number.
+    /// The shared prefix: an integer, or the hash of a text. `None` also for 0.
     pub prefix: Option<u64>,
-    /// How many tokens of the prompt are the shared prefix.
+    /// Length of the shared prefix in tokens.
     pub prefix_tokens: u64,
-    /// The prompt's length in tokens, if the client knows it.
+    /// Length of the prompt in tokens, if the client states it.
     pub prompt_tokens: Option<u64>,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Option<u64>,
-    /// How long the client waits, in milliseconds.
+    /// The client's timeout in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The client resumes after a broken stream.
+    /// Whether the client resumes a request whose stream broke.
     pub resumed: bool,
 }
 
-/// Why a request is not valid.
+/// The reason why a request is invalid, as sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRequest(pub String);
 
@@ -74,11 +75,11 @@
 }
 
 impl InferenceRequest {
-    /// Reads a body. `header_ms` is the value of [`DEADLINE_HEADER`], if it came.
+    /// Parses a request body. `header_ms` is the value of [`DEADLINE_HEADER`], if the request has it.
     ///
     /// # Errors
     ///
-    /// A body that is not JSON, or a field that is not valid.
+    /// Fails if the body is not a JSON object or a field is invalid.
     pub fn parse(
         endpoint: InferenceEndpoint,
         body: &[u8],
@@ -98,7 +99,7 @@
             Some(_) => return invalid("`parameters` must be an object"),
         };
         request.read_parameters(parameters)?;
-        request.limit_deadline(header_ms)?;
+        request.apply_deadline_header(header_ms)?;
         if request.max_tokens == Some(0) {
             return invalid("`max_tokens` must be at least 1");
         }
@@ -108,8 +109,8 @@
     fn read_parameters(&mut self, parameters: &Map<String, Value>) -> Result<(), InvalidRequest> {
         self.class = optional_name(parameters, "class")?;
         self.tenant = optional_name(parameters, "tenant")?;
-        self.session = optional_key(parameters, "session")?;
-        self.prefix = optional_key(parameters, "prefix")?.filter(|prefix| *prefix != 0);
+        self.session = optional_integer_or_hash(parameters, "session")?;
+        self.prefix = optional_integer_or_hash(parameters, "prefix")?.filter(|prefix| *prefix != 0);
         self.prefix_tokens = optional_integer(parameters, "prefix_tokens")?.unwrap_or(0);
         self.prompt_tokens = optional_integer(parameters, "prompt_tokens")?;
         self.max_tokens = optional_integer(parameters, "max_tokens")?;
@@ -122,13 +123,13 @@
         Ok(())
     }
 
-    /// Takes the header's deadline where it is shorter, and checks the result.
-    fn limit_deadline(&mut self, header_ms: Option<&str>) -> Result<(), InvalidRequest> {
+    /// Replaces the deadline by that of the header if it is shorter, and checks the range of the result.
+    fn apply_deadline_header(&mut self, header_ms: Option<&str>) -> Result<(), InvalidRequest> {
         if let Some(text) = header_ms {
             let Ok(ms) = text.trim().parse::<u64>() else {
                 return invalid(format!("header `{DEADLINE_HEADER}` must be whole milliseconds"));
             };
-            self.deadline_ms = Some(self.deadline_ms.map_or(ms, |own| own.min(ms)));
+            self.deadline_ms = Some(self.deadline_ms.map_or(ms, |parameter_ms| parameter_ms.min(ms)));
         }
         match self.deadline_ms {
             Some(0) => invalid("the deadline is 0 ms"),
@@ -148,7 +149,7 @@
     }
 }
 
-/// A short text; absent and null are the same.
+/// Reads a short text without control characters; `None` if it is absent, null or empty.
 fn optional_name(map: &Map<String, Value>, key: &str) -> Result<Option<String>, InvalidRequest> {
     match map.get(key) {
         None | Some(Value::Null) => Ok(None),
@@ -159,10 +160,12 @@
     }
 }
 
-/// A number, or a text whose hash is one.
-fn optional_key(map: &Map<String, Value>, key: &str) -> Result<Option<u64>, InvalidRequest> {
+/// Reads an integer, or a text that is hashed to one; `None` if it is absent or null.
+fn optional_integer_or_hash(map: &Map<String, Value>, key: &str) -> Result<Option<u64>, InvalidRequest> {
     match map.get(key) {
-        Some(Value::String(s)) if s.len() <= MAX_NAME_BYTES => Ok(Some(xxh3_64(s.as_bytes()) >> HASH_SHIFT)),
+        Some(Value::String(s)) if s.len() <= MAX_NAME_BYTES => {
+            Ok(Some(xxh3_64(s.as_bytes()) >> HASH_SHIFT_BITS))
+        }
         Some(Value::String(_)) => invalid(format!("`{key}` is longer than {MAX_NAME_BYTES} bytes")),
         _ => optional_integer(map, key),
     }
@@ -179,7 +182,7 @@
     }
 }
 
-/// The text of the one BYTES tensor of an `infer` request.
+/// Reads the prompt of an `infer` request, which has exactly one BYTES tensor with one element.
 fn tensor_text(root: &Map<String, Value>) -> Result<String, InvalidRequest> {
     let Some(Value::Array(inputs)) = root.get("inputs") else { return invalid("`inputs` must be a list") };
     let [input] = &inputs[..] else { return invalid("there must be one input, the prompt") };
--- a/crates/pintally-kserve/src/request/tests.rs
+++ b/crates/pintally-kserve/src/request/tests.rs
@@ -1,27 +1,27 @@
-//! Bodies of requests, valid and not.
+//! Parsing of valid and invalid request bodies.
 
 use super::*;
 
 #[test]
 fn shorter_deadline_applies() {
     let body = br#"{"id":"a","text_input":"hi","parameters":{"class":"c","session":"s","deadline_ms":900}}"#;
-    let ask = InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("300")).unwrap();
-    assert_eq!((ask.class.as_deref(), ask.deadline_ms), (Some("c"), Some(300)));
+    let request = InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("300")).unwrap();
+    assert_eq!((request.class.as_deref(), request.deadline_ms), (Some("c"), Some(300)));
     assert_eq!(
-        ask.session,
+        request.session,
         InferenceRequest::parse(InferenceEndpoint::GenerateStream, body, None).unwrap().session
     );
 }
 
 #[test]
-fn infer_accepts_one_text() {
+fn infer_accepts_one_text_tensor() {
     let body = br#"{"inputs":[{"name":"text_input","shape":[1,1],"datatype":"BYTES","data":[["x"]]}]}"#;
     assert_eq!(InferenceRequest::parse(InferenceEndpoint::Infer, body, None).unwrap().prompt, "x");
 }
 
 #[test]
-fn invalid_bodies_name_the_reason() {
-    for (body, why) in [
+fn invalid_body_error_names_reason() {
+    for (body, reason) in [
         ("[", "not JSON"),
         ("[]", "object"),
         ("{}", "text_input"),
@@ -33,6 +33,6 @@
         (r#"{"text_input":"x","parameters":{"class":[]}}"#, "class"),
     ] {
         let error = InferenceRequest::parse(InferenceEndpoint::Generate, body.as_bytes(), None).unwrap_err();
-        assert!(error.0.contains(why), "{body}: {error}");
+        assert!(error.0.contains(reason), "{body}: {error}");
     }
 }
--- a/crates/pintally-kserve/src/route/mod.rs
+++ b/crates/pintally-kserve/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint that a method and a target name.
+//! Maps the method and target of a request to an endpoint.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 
 use crate::InferenceEndpoint;
 
-/// An endpoint.
+/// The endpoint of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// `GET /v2/health/live`
@@ -16,7 +16,8 @@
     Ready,
     /// `GET /v2`
     ServerMetadata,
-    /// `GET /pintally/counters`: this project's own, for operators.
+    /// `GET /pintally/counters`: the node's counters, for operators. Not part of KServe, like all of
+    /// `/pintally`.
     Counters,
     /// `GET /pintally/peers`: the members that the node knows.
     Membership,
@@ -26,7 +27,7 @@
     Limits,
     /// `GET /pintally/regions`: zones, the failover plan and its leader.
     Failover,
-    /// `GET /pintally/verdicts`: outlier detection: health and ejection of engines.
+    /// `GET /pintally/verdicts`: health and ejection of engines by outlier detection.
     OutlierDetection,
     /// `GET /pintally/keepers`: the state of the replica, if this node runs one.
     Consensus,
@@ -36,13 +37,13 @@
     ModelReady(String),
     /// `POST .../infer`, `.../generate` and `.../generate_stream`
     Inference(String, InferenceEndpoint),
-    /// The endpoint is there, but not with this method.
+    /// The endpoint exists but does not support the method.
     MethodNotAllowed,
     /// No such endpoint.
     NotFound,
 }
 
-/// The endpoint of a request line. A version in the path names the same model.
+/// Returns the endpoint of a request line. A version in the path is ignored: all versions are the same model.
 pub fn route(method: &str, target: &str) -> Route {
     let path = target.split(['?', '#']).next().unwrap_or("");
     let decoded: Option<Vec<String>> = path
--- a/crates/pintally-kserve/src/route/tests.rs
+++ b/crates/pintally-kserve/src/route/tests.rs
@@ -1,4 +1,4 @@
-//! Endpoints by method and target.
+//! Mapping of methods and targets to endpoints.
 
 use super::*;
 
--- a/crates/pintally-kserve/tests/golden.rs
+++ b/crates/pintally-kserve/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the answers of the KServe endpoints, and of the error texts for clients.
+//! Golden files of the KServe endpoints' response bodies and of the error texts sent to clients.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn answers() {
-    let answers = [
+fn response_bodies() {
+    let bodies = [
         error_body("what is wrong", true),
         generate_response("m", "a1", "a \"text\""),
         infer_response("m", "a1", "a \"text\""),
@@ -26,20 +26,24 @@
         server_metadata("1.2.3"),
         model_metadata("m"),
     ];
-    assert_golden("answers.jsonl", &(answers.join("\n") + "\n"));
+    assert_golden("answers.jsonl", &(bodies.join("\n") + "\n"));
 }
 
 #[test]
-fn request_values() {
+fn request_fields() {
     let body = br#"{"id":"a1","text_input":"hi","parameters":{"class":"hint","tenant":"north","session":5,
         "prefix":"somewhere","prefix_tokens":100,"prompt_tokens":200,"max_tokens":64,"deadline_ms":900,
         "resumed":true}}"#;
-    let ask = InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("800")).expect("a sound body");
-    assert_eq!((ask.id.as_deref(), ask.prompt.as_str()), (Some("a1"), "hi"));
-    assert_eq!((ask.class.as_deref(), ask.tenant.as_deref()), (Some("hint"), Some("north")));
-    assert_eq!((ask.session, ask.prefix), (Some(5), Some(6_426_401_579_379_495)));
-    assert_eq!((ask.prefix_tokens, ask.prompt_tokens, ask.max_tokens), (100, Some(200), Some(64)));
-    assert_eq!((ask.deadline_ms, ask.resumed), (Some(800), true));
+    let request =
+        InferenceRequest::parse(InferenceEndpoint::Generate, body, Some("800")).expect("a valid body");
+    assert_eq!((request.id.as_deref(), request.prompt.as_str()), (Some("a1"), "hi"));
+    assert_eq!((request.class.as_deref(), request.tenant.as_deref()), (Some("hint"), Some("north")));
+    assert_eq!((request.session, request.prefix), (Some(5), Some(6_426_401_579_379_495)));
+    assert_eq!(
+        (request.prefix_tokens, request.prompt_tokens, request.max_tokens),
+        (100, Some(200), Some(64))
+    );
+    assert_eq!((request.deadline_ms, request.resumed), (Some(800), true));
     assert_eq!(DEADLINE_HEADER, "x-request-timeout-ms");
 }
 
