--- a/crates/pintally-cells/tests/cells.rs
+++ b/crates/pintally-cells/tests/cells.rs
@@ -154,7 +154,7 @@
 fn invalid_files_are_rejected_with_reason() {
     let core = core_settings(&["t", "u", "v"]);
     for (from, to, reason) in [
-        ("(version 3)", "", "lacks `(version"),
+        ("(version 3)", "", "requires `(version"),
         ("(cell \"b\"", "(cell \"a\"", "given twice"),
         ("(writers 2) (fallback", "(writers 0) (fallback", "without writers"),
         ("(fallback \"b\")", "(fallback \"z\")", "no other cell"),
@@ -169,7 +169,7 @@
         ("(step both)", "(step sideways)", "not prepare"),
         ("(step both)", "(step prepare)", "no times"),
         ("(since-unix-ms 5000)", "", "since-unix-ms"),
-        ("(over-ms 1000)", "(over-ms 0)", "outside"),
+        ("(over-ms 1000)", "(over-ms 0)", "must be from"),
     ] {
         assert!(FILE.contains(from), "{from}");
         let error = CellsFile::parse("cells", &FILE.replacen(from, to, 1), &core).expect_err(to);
--- a/crates/pintally-config/src/class.rs
+++ b/crates/pintally-config/src/class.rs
@@ -5,29 +5,29 @@
 use crate::form::Form;
 use crate::{check, ConfigError};
 
-/// What the node needs to know of a class beside what the core does.
+/// The settings of a class that the node uses in addition to those of the core.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// How long its clients wait, in microseconds, where a request does not say.
+    /// How long a client waits if its request gives no timeout, in microseconds.
     pub default_client_timeout: Micros,
-    /// The most tokens of an answer where a request does not say.
+    /// The maximum number of tokens of an answer if the request gives none.
     pub max_tokens: u64,
 }
 
-/// Reads all classes: into the core's settings, and what the node needs beside them in the same order.
+/// Reads all classes into the core's settings; returns their other settings in the same order.
 pub(crate) fn read(root: &Form, core: &mut Settings) -> Result<Vec<ClassSettings>, ConfigError> {
     let mut classes = Vec::new();
     for form in root.forms_named("class")? {
         let (class, settings) = read_form(&form)?;
         if core.classes.iter().any(|other| other.name == class.name) {
-            return Err(form.error(format!("class `{}` is given twice", class.name)));
+            return Err(form.error(format!("`class`: the name `{}` must not be used twice", class.name)));
         }
         check::class(&form, core, &class, &settings)?;
         core.classes.push(class);
         classes.push(settings);
     }
     if classes.is_empty() {
-        return Err(root.error("`pintally` lacks `(class ...)`"));
+        return Err(root.error("`pintally`: requires at least one `(class ...)`"));
     }
     Ok(classes)
 }
@@ -60,7 +60,7 @@
             let scope = idempotency_scope(&effect)?;
             Idempotency::WithKey(scope, effect.millis_or("window-ms", 0.0, 1.0, 86_400_000.0)?)
         }
-        other => return Err(effect.error(format!("`effect` is `{other}`, not safe, keyed or unsafe"))),
+        other => return Err(effect.error(format!("`effect`: must be safe, keyed or unsafe, not `{other}`"))),
     };
     effect.finish()?;
     Ok(idempotency)
@@ -71,6 +71,6 @@
         "all" => Ok(IdempotencyScope::All),
         "zone" => Ok(IdempotencyScope::Zone),
         "rack" => Ok(IdempotencyScope::Rack),
-        other => Err(effect.error(format!("`group` is `{other}`, not all, zone or rack"))),
+        other => Err(effect.error(format!("`effect.group`: must be all, zone or rack, not `{other}`"))),
     }
 }
--- a/crates/pintally-config/src/consensus.rs
+++ b/crates/pintally-config/src/consensus.rs
@@ -1,4 +1,4 @@
-//! The replicas of the fleet's key-value store: `(keepers ...)`. Without it nothing is agreed on.
+//! The replicas of the fleet's key-value store: `(keepers ...)`. Without this form the fleet has no such store.
 
 use std::fmt;
 
@@ -8,26 +8,26 @@
 use crate::form::{millis, quoted, Form};
 use crate::{ConfigError, NodeSettings};
 
-/// A name for the check of settings that no node has yet.
-const ANY_NODE: &str = "x";
+/// The node name with which the settings are checked before the name of the node is known.
+const PLACEHOLDER_NODE: &str = "x";
 
-/// The replicas at the fleet's first start, and their timing. Times in microseconds.
+/// The replicas at the first start of the fleet, and their timing. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsensusSettings {
-    /// Names of the nodes that run replicas.
+    /// The names of the nodes that run replicas.
     pub names: Vec<String>,
-    /// Between two heartbeats of the leader.
+    /// The time between two heartbeats of the leader.
     pub heartbeat_interval: Micros,
-    /// Without a heartbeat for so long a replica becomes a candidate.
+    /// A replica that receives no heartbeat becomes a candidate after this time, or after up to twice this time.
     pub election_timeout: Micros,
-    /// A replica whose disk shows no harm takes its stored vote for the latest after this time.
+    /// After this time a restarted replica with an intact disk trusts its stored vote to be the latest.
     pub vote_recovery_timeout: Micros,
-    /// The most by which the rates of clocks differ, as a fraction.
+    /// The maximum relative difference between the rates of two clocks, as a fraction.
     pub max_clock_drift: f64,
 }
 
 impl fmt::Display for ConsensusSettings {
-    /// The form that reads back as these settings.
+    /// Writes the form from which these settings can be read again.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("(keepers (names")?;
         self.names.iter().try_for_each(|name| write!(f, " {}", quoted(name)))?;
@@ -42,7 +42,7 @@
 }
 
 impl ConsensusSettings {
-    /// The settings of the replica of this node.
+    /// The settings of the replica on the node with this name.
     pub fn replica_settings(&self, name: &str) -> Settings {
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         Settings {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<ConsensusSettings>, ConfigError> {
     root.optional_form("keepers")?.map(|form| read_form(&form)).transpose()
 }
@@ -76,14 +76,16 @@
         max_clock_drift: form.number_or("drift", 0.01, 0.0, 0.2)?,
     };
     form.finish()?;
-    settings.replica_settings(ANY_NODE).check().map_err(|error| form.error(error.to_string()))?;
+    settings.replica_settings(PLACEHOLDER_NODE).check().map_err(|error| form.error(error.to_string()))?;
     Ok(settings)
 }
 
-/// What the form needs of the other settings.
+/// Checks the form against the other settings.
 pub(crate) fn check(root: &Form, settings: &NodeSettings) -> Result<(), ConfigError> {
     if settings.consensus.is_some() && settings.membership.is_none() {
-        return Err(root.error_at("keepers", "keepers need `(peers ...)`: they talk to each other")?);
+        return Err(
+            root.error_at("keepers", "`keepers`: requires `(peers ...)`: the replicas communicate as peers")?
+        );
     }
     Ok(())
 }
--- a/crates/pintally-config/src/endpoint_list.rs
+++ b/crates/pintally-config/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as a file: read completely or not at all, and written the same way.
+//! The file format of the endpoint list. A file with an error is rejected as a whole.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -9,51 +9,51 @@
 use crate::form::{quoted, Document, Form};
 use crate::ConfigError;
 
-/// The largest integer that files hold: numbers are read as floating point, which is exact up to here.
+/// The maximum integer in a file: numbers are read as floating point, which represents integers up to this exactly.
 const MAX_EXACT_INTEGER: u64 = 1 << 52;
-/// The longest id of an engine.
-const MAX_ID_BYTES: usize = 256;
-/// The largest registered weight.
+/// The maximum length of the id of an engine.
+const MAX_ENGINE_ID_BYTES: usize = 256;
+/// The maximum registered weight of an engine.
 const MAX_WEIGHT: f64 = 1e9;
 
 /// An endpoint list with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineList {
-    /// Grows with each change.
+    /// The version, which increases with each change.
     pub version: u64,
     /// The engines, in the file's order.
     pub engines: Vec<EngineEntry>,
 }
 
-/// One engine of a list.
+/// An engine of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEntry {
-    /// Its id: a replaced engine comes with a new one.
+    /// The id; the replacement of an engine has a new id.
     pub id: EngineId,
-    /// Where it listens.
+    /// The address and port on which the engine listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Its kind, as the settings name it.
+    /// The name of the engine kind in the settings.
     pub kind: String,
-    /// The rack whose link it shares.
+    /// The rack, whose network link the engine shares with the other engines of the rack.
     pub rack: u64,
-    /// The cell that it belongs to; without one it is spare.
+    /// The cell; an engine without a cell is a spare.
     pub cell: Option<String>,
-    /// Whether it takes new work.
+    /// Whether the engine accepts new requests.
     pub state: EndpointState,
-    /// Its registered weight.
+    /// The registered weight.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time; `None` if long ago.
+    /// The time of its last start, in milliseconds since the Unix epoch; `None` if unknown or long ago.
     pub started_unix_ms: Option<u64>,
 }
 
 impl EngineList {
-    /// Reads a list. `file` is used in errors only.
+    /// Reads a list. `file` is the name of the file in errors.
     ///
     /// # Errors
     ///
-    /// The first mistake in the text, with its position.
+    /// Fails at the first error, with its position.
     pub fn parse(file: &str, text: &str) -> Result<EngineList, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only_form("engines")?;
@@ -64,7 +64,7 @@
         for form in root.forms_named("engine")? {
             let id = engine_id(&form)?;
             if !seen.insert(id.clone()) {
-                return Err(form.error(format!("engine `{id}` is listed twice")));
+                return Err(form.error(format!("`engine`: the id `{id}` must not be listed twice")));
             }
             list.engines.push(EngineEntry::read(&form, id)?);
             form.finish()?;
@@ -73,26 +73,26 @@
         Ok(list)
     }
 
-    /// The list as a file's text; [`EngineList::parse`] reads it back.
+    /// The text of a file with this list, which [`EngineList::parse`] can read.
     pub fn render(&self) -> String {
         let mut out = format!("(engines (version {})", self.version);
-        for e in &self.engines {
-            let state = state_name(e.state);
+        for entry in &self.engines {
+            let state = state_name(entry.state);
             let _ = write!(
                 out,
                 "\n  (engine {} (address \"{}\") (zone {}) (kind {}) (rack {}) (state {state}) (weight {})",
-                quoted(&e.id.0),
-                e.address,
-                quoted(&e.zone),
-                quoted(&e.kind),
-                e.rack,
-                e.weight
+                quoted(&entry.id.0),
+                entry.address,
+                quoted(&entry.zone),
+                quoted(&entry.kind),
+                entry.rack,
+                entry.weight
             );
-            if let Some(cell) = &e.cell {
+            if let Some(cell) = &entry.cell {
                 let _ = write!(out, " (cell {})", quoted(cell));
             }
-            if let Some(at) = e.started_unix_ms {
-                let _ = write!(out, " (started-unix-ms {at})");
+            if let Some(started_unix_ms) = entry.started_unix_ms {
+                let _ = write!(out, " (started-unix-ms {started_unix_ms})");
             }
             out.push(')');
         }
@@ -102,12 +102,12 @@
 }
 
 impl EngineEntry {
-    /// Reads the form behind the engine's id.
+    /// Reads the keys of the form; `id` has already been read.
     fn read(form: &Form, id: String) -> Result<EngineEntry, ConfigError> {
         let address = form.text_or("address", "")?;
-        let address = address
-            .parse()
-            .map_err(|_| form.error(format!("`address` is `{address}`, not an address and port")))?;
+        let address = address.parse().map_err(|_| {
+            form.error(format!("`engine.address`: must be an address and port, not `{address}`"))
+        })?;
         let state = engine_state(form)?;
         let cell = Some(form.text_or("cell", "")?).filter(|cell| !cell.is_empty());
         let started_unix_ms = form.count_or("started-unix-ms", 0, 0, MAX_EXACT_INTEGER)?;
@@ -124,7 +124,8 @@
         })
     }
 
-    /// The entry as the core takes it; `clock` turns Unix milliseconds into the node's time.
+    /// The entry in the form that the core uses. `clock` converts milliseconds since the Unix epoch to the node's
+    /// time.
     pub fn to_endpoint(&self, clock: impl Fn(u64) -> Micros) -> Endpoint {
         Endpoint {
             engine: self.id.clone(),
@@ -140,8 +141,8 @@
 
 fn engine_id(form: &Form) -> Result<String, ConfigError> {
     let id = form.text()?;
-    if id.is_empty() || id.len() > MAX_ID_BYTES {
-        return Err(form.error(format!("an engine's id must have 1 to {MAX_ID_BYTES} bytes")));
+    if id.is_empty() || id.len() > MAX_ENGINE_ID_BYTES {
+        return Err(form.error(format!("`engine`: the id must have 1 to {MAX_ENGINE_ID_BYTES} bytes")));
     }
     Ok(id)
 }
@@ -151,7 +152,7 @@
         "serving" => Ok(EndpointState::Serving),
         "draining" => Ok(EndpointState::Draining),
         "gone" => Ok(EndpointState::Gone),
-        other => Err(form.error(format!("`state` is `{other}`, not serving, draining or gone"))),
+        other => Err(form.error(format!("`engine.state`: must be serving, draining or gone, not `{other}`"))),
     }
 }
 
--- a/crates/pintally-config/src/error.rs
+++ b/crates/pintally-config/src/error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a file of settings, and where.
+//! Errors in configuration files.
 
 use std::fmt;
 
-/// A mistake in a file: its place, what is wrong, and the rule that it would break, if one.
+/// An error in a configuration file: its position, a message, and the violated rule, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The file's name as the caller gave it.
+    /// The name of the file, as given by the caller.
     pub file: String,
-    /// Line, from 1; 0 if the mistake has no one place.
+    /// The line, counted from 1; 0 if the error has no position.
     pub line: usize,
-    /// Column, from 1.
+    /// The column, counted from 1; 0 if the error has no position.
     pub column: usize,
-    /// What is wrong.
+    /// The invalid field and what is expected of it.
     pub message: String,
-    /// The rule of the service that the setting would break.
+    /// The rule of the service that the setting would violate, if any.
     pub rule: Option<&'static str>,
 }
 
--- a/crates/pintally-config/src/failover.rs
+++ b/crates/pintally-config/src/failover.rs
@@ -1,4 +1,4 @@
-//! Failover between zones: `(regions ...)`. Without it every zone's engines serve everyone.
+//! Failover between zones: `(regions ...)`. Without this form the engines of all zones serve all requests.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 use crate::form::{millis, quoted, Form};
 use crate::{rule, ConfigError, NodeSettings};
 
-/// The highest price of work between two zones.
+/// The maximum price of routing a request between two zones.
 const MAX_PRICE: f64 = 1e6;
-/// Steps in which the work of a zone comes back.
+/// The number of steps of the recovery ramp, in which the requests of a zone return to it.
 const RAMP_STEPS: Micros = 4;
 
-/// Zones, their regions, and requests that may not leave their region.
+/// The settings of failover, and the classes and tenants whose requests may not leave their region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
-    /// The policy of failover, with its zones.
+    /// The settings of the failover policy, with the zones.
     pub policy: Settings,
     /// Classes whose requests may not leave their region.
     pub pinned_classes: Vec<String>,
@@ -25,33 +25,33 @@
 }
 
 impl fmt::Display for FailoverSettings {
-    /// The form that reads back as these settings.
+    /// Writes the form from which these settings can be read again.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let s = &self.policy;
+        let policy = &self.policy;
         write!(
             f,
             "(regions (per-engine-per-s {:?}) (fill {:?}) (floor {:?})",
-            s.requests_per_second_per_engine, s.max_utilization, s.local_reserve
+            policy.requests_per_second_per_engine, policy.max_utilization, policy.local_reserve
         )?;
         write!(
             f,
             " (every-ms {}) (lasts-ms {}) (grace-ms {})",
-            millis(s.plan_interval),
-            millis(s.plan_lifetime),
-            millis(s.failure_grace)
+            millis(policy.plan_interval),
+            millis(policy.plan_lifetime),
+            millis(policy.failure_grace)
         )?;
         write!(
             f,
             " (hold-ms {}) (hold-most-ms {}) (step-ms {})",
-            millis(s.base_hold_down),
-            millis(s.max_hold_down),
-            millis(s.ramp_step)
+            millis(policy.base_hold_down),
+            millis(policy.max_hold_down),
+            millis(policy.ramp_step)
         )?;
-        for zone in &s.zones.zones {
+        for zone in &policy.zones.zones {
             write!(f, " (zone {} {})", quoted(&zone.name), quoted(&zone.region))?;
         }
-        let name = |zone: usize| quoted(&s.zones.zones[zone].name);
-        for (a, b, price) in &s.zones.prices {
+        let name = |zone: usize| quoted(&policy.zones.zones[zone].name);
+        for (a, b, price) in &policy.zones.prices {
             if price.is_finite() {
                 write!(f, " (price {} {} {price:?})", name(*a), name(*b))?;
             } else {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<FailoverSettings>, ConfigError> {
     root.optional_form("regions")?.map(|form| read_form(&form)).transpose()
 }
@@ -76,7 +76,7 @@
     Ok(FailoverSettings { policy, pinned_classes, pinned_tenants })
 }
 
-/// Zones with their regions, and the prices between them. A pair without a way has an infinite price.
+/// Reads the zones with their regions and the prices between them. A `no-way` pair has an infinite price.
 fn zone_map(form: &Form) -> Result<ZoneMap, ConfigError> {
     let mut map = ZoneMap::default();
     for zone in form.forms_named("zone")? {
@@ -97,10 +97,11 @@
     Ok(map)
 }
 
-/// The next value of a form, which must name a zone.
+/// Reads the next value of a form, which must name a zone.
 fn known_zone(map: &ZoneMap, form: &Form) -> Result<usize, ConfigError> {
     let name = form.text()?;
-    map.zone_index(&name).ok_or_else(|| form.error(format!("no zone of a region is named `{name}`")))
+    map.zone_index(&name)
+        .ok_or_else(|| form.error(format!("`regions.{}`: no `zone` is named `{name}`", form.name())))
 }
 
 fn policy(form: &Form, map: ZoneMap) -> Result<Settings, ConfigError> {
@@ -123,7 +124,7 @@
     Ok(policy)
 }
 
-/// The names in all inner forms of a key.
+/// Reads the names in all inner forms with this key.
 fn names(form: &Form, key: &str) -> Result<Vec<String>, ConfigError> {
     let mut names = Vec::new();
     for named in form.forms_named(key)? {
@@ -133,31 +134,42 @@
     Ok(names)
 }
 
-/// What the form needs of the other settings.
-pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
-    let (Some(regions), Some(form)) = (&s.failover, root.optional_form("regions")?) else { return Ok(()) };
-    if s.consensus.is_none() {
-        return Err(form.error("regions need `(keepers ...)`: their leader decides what is given up"));
+/// Checks the form against the other settings.
+pub(crate) fn check(root: &Form, settings: &NodeSettings) -> Result<(), ConfigError> {
+    let (Some(regions), Some(form)) = (&settings.failover, root.optional_form("regions")?) else {
+        return Ok(());
+    };
+    if settings.consensus.is_none() {
+        return Err(
+            form.error("`regions`: requires `(keepers ...)`: the leader of the replicas decides on failover")
+        );
     }
-    if s.cells_file.is_some() {
-        return Err(form.error("regions and cells do not go together yet"));
+    if settings.cells_file.is_some() {
+        return Err(
+            form.error("`regions`: must not be combined with `node.cells`, which is not supported yet")
+        );
     }
-    let unknown = regions.pinned_classes.iter().find(|c| !s.core.classes.iter().any(|k| k.name == **c));
+    let unknown =
+        regions.pinned_classes.iter().find(|c| !settings.core.classes.iter().any(|known| known.name == **c));
     if let Some(class) = unknown {
-        return Err(form.error(format!("no `class` is named `{class}`")));
+        return Err(form.error(format!("`regions.class-stays`: no `class` is named `{class}`")));
     }
-    let unknown = regions.pinned_tenants.iter().find(|t| !s.core.tenants.iter().any(|k| k.name == **t));
+    let unknown =
+        regions.pinned_tenants.iter().find(|t| !settings.core.tenants.iter().any(|known| known.name == **t));
     if let Some(tenant) = unknown {
-        return Err(form.error(format!("no `tenant` is named `{tenant}`")));
+        return Err(form.error(format!("`regions.tenant-stays`: no `tenant` is named `{tenant}`")));
     }
-    let home = &s.core.zone;
+    let home = &settings.core.zone;
     if !home.is_empty() && regions.policy.zones.zone_index(home).is_none() {
-        return Err(form.error(format!("the node's zone `{home}` is in no region")));
+        return Err(
+            form.error(format!("`node.zone`: must be a zone of `regions`, but `{home}` is in no region"))
+        );
     }
-    if RAMP_STEPS * regions.policy.ramp_step < s.core.slow_start_duration {
-        let what =
-            "four times `step-ms` is under `warm-after-ms`: all work would be back before engines are warm";
-        return Err(form.rule_error(rule::COLD_ENGINES_PROTECTED, what));
+    if RAMP_STEPS * regions.policy.ramp_step < settings.core.slow_start_duration {
+        let message =
+            "`regions.step-ms`: must be at least a quarter of `rules.warm-after-ms`: otherwise all \
+                       requests return before engines are warm";
+        return Err(form.rule_error(rule::COLD_ENGINES_PROTECTED, message));
     }
     Ok(())
 }
--- a/crates/pintally-config/src/form/document.rs
+++ b/crates/pintally-config/src/form/document.rs
@@ -1,27 +1,27 @@
-//! The text of a file, parsed into S-expressions.
+//! Parsing of the text of a file into S-expressions.
 
 use lexpr::{Datum, Parser};
 
 use super::Form;
 use crate::ConfigError;
 
-/// The largest file that is read.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
-/// The deepest nesting that is read: the parser recurses.
-const MAX_DEPTH: usize = 64;
+/// The maximum nesting of lists. Deeper nesting could overflow the stack, because the parser is recursive.
+const MAX_NESTING_DEPTH: usize = 64;
 
 /// A parsed file.
 pub struct Document {
     file: String,
-    data: Vec<Datum>,
+    expressions: Vec<Datum>,
 }
 
 impl Document {
-    /// Parses a text; `file` is used in errors only.
+    /// Parses a text. `file` is the name of the file in errors.
     ///
     /// # Errors
     ///
-    /// A text that is too large, nested too deep, or not a sequence of S-expressions.
+    /// Fails if the text is too large, is nested too deeply, or is not a sequence of S-expressions.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
         let error = |line, column, message: String| ConfigError {
             file: file.to_string(),
@@ -34,18 +34,18 @@
             return Err(error(0, 0, format!("the file is larger than {MAX_FILE_BYTES} bytes")));
         }
         if let Some(line) = first_line_too_deep(text) {
-            return Err(error(line, 1, format!("lists are nested more than {MAX_DEPTH} deep")));
+            return Err(error(line, 1, format!("lists are nested more than {MAX_NESTING_DEPTH} deep")));
         }
         let mut parser = Parser::from_str(text);
-        let mut data = Vec::new();
+        let mut expressions = Vec::new();
         loop {
             match parser.next_datum() {
-                Ok(Some(datum)) => data.push(datum),
-                Ok(None) => return Ok(Document { file: file.to_string(), data }),
+                Ok(Some(datum)) => expressions.push(datum),
+                Ok(None) => return Ok(Document { file: file.to_string(), expressions }),
                 Err(parse_error) => {
                     let (line, column) =
                         parse_error.location().map_or((0, 0), |l| (l.line(), l.column() + 1));
-                    // The place is in the error's own fields.
+                    // The position is cut off, because it is stored in fields of the error.
                     let message = parse_error.to_string();
                     let message = message.split(" at line ").next().unwrap_or(&message);
                     return Err(error(line, column, format!("not an S-expression: {message}")));
@@ -54,20 +54,20 @@
         }
     }
 
-    /// All forms at the top of the file.
+    /// All top-level forms of the file.
     ///
     /// # Errors
     ///
-    /// Something at the top that is not a form.
+    /// Fails if a top-level expression is not a form.
     pub fn forms(&self) -> Result<Vec<Form<'_>>, ConfigError> {
-        self.data.iter().map(|datum| Form::read(&self.file, datum.as_ref())).collect()
+        self.expressions.iter().map(|datum| Form::read(&self.file, datum.as_ref())).collect()
     }
 
-    /// The form of a name at the top of the file, which must hold nothing else.
+    /// The only top-level form of the file, which must have this name.
     ///
     /// # Errors
     ///
-    /// Another form, more than one, or none.
+    /// Fails if the file holds no form, more than one form, or a form with another name.
     pub fn only_form(&self, name: &str) -> Result<Form<'_>, ConfigError> {
         let mut forms = self.forms()?;
         if forms.len() == 1 && forms[0].name() == name {
@@ -83,20 +83,20 @@
     }
 }
 
-/// Where the scan of a text for its nesting is.
+/// The lexical state of the scan that measures the nesting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Lexeme {
-    /// Between tokens and in bare words.
+    /// Outside strings and comments.
     Plain,
     /// Inside a string.
     Quoted,
-    /// Inside a string, behind a backslash.
+    /// Inside a string, after a backslash.
     Escaped,
     /// Inside a comment.
     Comment,
 }
 
-/// The first line in which lists are nested too deep, if any.
+/// The first line in which lists are nested too deeply, if any.
 fn first_line_too_deep(text: &str) -> Option<usize> {
     let (mut depth, mut line, mut lexeme) = (0usize, 1, Lexeme::Plain);
     for c in text.chars() {
@@ -120,7 +120,7 @@
             }
             (lexeme, _) => lexeme,
         };
-        if depth > MAX_DEPTH {
+        if depth > MAX_NESTING_DEPTH {
             return Some(line);
         }
     }
--- a/crates/pintally-config/src/form/mod.rs
+++ b/crates/pintally-config/src/form/mod.rs
@@ -1,7 +1,7 @@
-//! Forms of a file: `(name value ... (key value ...) ...)`, read with their positions.
+//! Forms of a file: `(name value ... (key value ...) ...)`, with their positions.
 //!
-//! Every value that is taken is marked; [`Form::finish`] rejects what nobody took, so that a misspelt key is
-//! an error and never silently a default.
+//! A form records which of its values and inner forms have been read. [`Form::finish`] rejects the others, so
+//! that a misspelt key is an error instead of silently leaving the default in force.
 
 mod document;
 
@@ -17,17 +17,17 @@
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// A text as a file spells it, with quotes.
+/// A text as a quoted string of the file format.
 pub fn quoted(text: &str) -> String {
     Value::string(text).to_string()
 }
 
-/// A span in milliseconds, as files spell it.
-pub(crate) fn millis(span: Micros) -> f64 {
-    span as f64 / MICROS_PER_MILLI
+/// A duration in milliseconds, the unit of the file format.
+pub(crate) fn millis(duration: Micros) -> f64 {
+    duration as f64 / MICROS_PER_MILLI
 }
 
-/// Line and column in a file, both from 1.
+/// A line and a column of a file, both counted from 1.
 #[derive(Clone, Copy)]
 struct Position {
     line: usize,
@@ -35,7 +35,7 @@
 }
 
 impl Position {
-    /// Where a datum begins.
+    /// The start of an expression.
     fn of(datum: Ref) -> Position {
         let start = datum.span().start();
         Position { line: start.line(), column: start.column() + 1 }
@@ -46,24 +46,25 @@
     }
 }
 
-/// A list that begins with a name, and which of its parts have been taken.
+/// A list that starts with a name, and a record of which of its parts have been read.
 pub struct Form<'a> {
     file: &'a str,
     name: &'a str,
     position: Position,
-    /// Plain values behind the name, in order.
+    /// The values that are not forms, in order.
     values: Vec<Ref<'a>>,
-    /// How many of them have been taken.
-    values_taken: Cell<usize>,
-    /// Inner forms by name, and whether each was taken.
+    /// The number of values that have been read.
+    values_read: Cell<usize>,
+    /// The inner forms with their names, in order.
     inner: Vec<(&'a str, Ref<'a>)>,
-    inner_taken: RefCell<Vec<bool>>,
+    /// Whether each inner form has been read.
+    inner_read: RefCell<Vec<bool>>,
 }
 
 impl<'a> Form<'a> {
     pub(super) fn read(file: &'a str, datum: Ref<'a>) -> Result<Form<'a>, ConfigError> {
         let position = Position::of(datum);
-        let fail = |what: &str| Err(position.error(file, what.to_string()));
+        let fail = |message: &str| Err(position.error(file, message.to_string()));
         let Some(mut items) = datum.list_iter() else { return fail("expected a form `(name ...)`") };
         let Some(name) = items.next().and_then(|n| n.value().as_symbol()) else {
             return fail("a form must begin with a name");
@@ -73,9 +74,9 @@
             name,
             position,
             values: Vec::new(),
-            values_taken: Cell::new(0),
+            values_read: Cell::new(0),
             inner: Vec::new(),
-            inner_taken: RefCell::default(),
+            inner_read: RefCell::default(),
         };
         for item in items {
             match item.list_iter() {
@@ -88,7 +89,7 @@
                 None => form.values.push(item),
             }
         }
-        form.inner_taken = RefCell::new(vec![false; form.inner.len()]);
+        form.inner_read = RefCell::new(vec![false; form.inner.len()]);
         Ok(form)
     }
 
@@ -98,23 +99,23 @@
     }
 
     /// An error at the position of this form.
-    pub fn error(&self, what: impl Into<String>) -> ConfigError {
-        self.position.error(self.file, what.into())
+    pub fn error(&self, message: impl Into<String>) -> ConfigError {
+        self.position.error(self.file, message.into())
     }
 
-    /// An error at the position of an inner form, or of this one if that is not there.
-    pub(crate) fn error_at(&self, key: &str, what: impl Into<String>) -> Result<ConfigError, ConfigError> {
-        let place = self.optional_form(key)?;
-        Ok(place.as_ref().unwrap_or(self).error(what))
+    /// An error at the position of an inner form, or of this form if there is no such inner form.
+    pub(crate) fn error_at(&self, key: &str, message: impl Into<String>) -> Result<ConfigError, ConfigError> {
+        let inner = self.optional_form(key)?;
+        Ok(inner.as_ref().unwrap_or(self).error(message))
     }
 
-    /// An error at the position of this form that names the rule it guards.
-    pub fn rule_error(&self, rule: &'static str, what: impl Into<String>) -> ConfigError {
-        ConfigError { rule: Some(rule), ..self.error(what) }
+    /// An error at the position of this form, with the rule that the setting would violate.
+    pub fn rule_error(&self, rule: &'static str, message: impl Into<String>) -> ConfigError {
+        ConfigError { rule: Some(rule), ..self.error(message) }
     }
 
-    /// The source of inner forms of these names, for a file of another kind that holds them too. They do not
-    /// count as taken.
+    /// The source text of the inner forms with these names, for use in another file. This does not mark the
+    /// forms as read.
     pub fn inner_source(&self, names: &[&str]) -> Vec<String> {
         self.inner
             .iter()
@@ -123,190 +124,192 @@
             .collect()
     }
 
-    /// The next plain value behind the name.
+    /// The next value that is not a form.
     fn next_value(&self) -> Option<&'a Value> {
-        let value = self.values.get(self.values_taken.get())?;
-        self.values_taken.set(self.values_taken.get() + 1);
+        let value = self.values.get(self.values_read.get())?;
+        self.values_read.set(self.values_read.get() + 1);
         Some(value.value())
     }
 
-    /// The next plain value as text: a string or a bare word.
+    /// The next value as text: a string or an unquoted word.
     ///
     /// # Errors
     ///
-    /// No value is left, or it is a number.
+    /// Fails if no value is left, or if it is neither a string nor a word.
     pub fn text(&self) -> Result<String, ConfigError> {
         match self.next_value() {
             Some(Value::String(s)) => Ok(s.to_string()),
             Some(Value::Symbol(s)) => Ok(s.to_string()),
-            _ => Err(self.error(format!("`{}` needs a text", self.name))),
+            _ => Err(self.error(format!("`{}`: must be a string or a word", self.name))),
         }
     }
 
-    /// The next plain value as text, if there is one.
+    /// The next value as text, if there is one.
     ///
     /// # Errors
     ///
-    /// It is a number.
+    /// Fails if the value is neither a string nor a word.
     pub fn optional_text(&self) -> Result<Option<String>, ConfigError> {
-        if self.values_taken.get() >= self.values.len() {
+        if self.values_read.get() >= self.values.len() {
             return Ok(None);
         }
         self.text().map(Some)
     }
 
-    /// The next plain value as a number inside a range.
+    /// The next value as a number from `min` to `max`.
     ///
     /// # Errors
     ///
-    /// No number, or one outside the range.
+    /// Fails if no value is left, or if it is not a number of the range.
     pub fn number(&self, min: f64, max: f64) -> Result<f64, ConfigError> {
         let number = match self.next_value() {
             Some(Value::Number(n)) => n.as_f64(),
             _ => None,
         };
-        let number = number.ok_or_else(|| self.error(format!("`{}` needs a number", self.name)))?;
+        let number = number.ok_or_else(|| self.error(format!("`{}`: must be a number", self.name)))?;
         if !(min..=max).contains(&number) {
-            return Err(self.error(format!("`{}` is {number}, outside {min} to {max}", self.name)));
+            return Err(self.error(format!("`{}`: must be from {min} to {max}, not {number}", self.name)));
         }
         Ok(number)
     }
 
-    /// The next plain value as a whole number inside a range.
+    /// The next value as a whole number from `min` to `max`.
     ///
     /// # Errors
     ///
-    /// No whole number, or one outside the range.
+    /// Fails if no value is left, or if it is not a whole number of the range.
     pub fn count(&self, min: u64, max: u64) -> Result<u64, ConfigError> {
         let number = self.number(min as f64, max as f64)?;
         if number.fract() != 0.0 {
-            return Err(self.error(format!("`{}` is {number}, not a whole number", self.name)));
+            return Err(self.error(format!("`{}`: must be a whole number, not {number}", self.name)));
         }
         Ok(number as u64)
     }
 
-    /// The next plain value as yes or no.
+    /// The next value as a boolean, written `yes` or `no`.
     ///
     /// # Errors
     ///
-    /// Another value, or none.
+    /// Fails if no value is left, or if it is neither `yes` nor `no`.
     pub fn boolean(&self) -> Result<bool, ConfigError> {
         match self.text()?.as_str() {
             "yes" => Ok(true),
             "no" => Ok(false),
-            other => Err(self.error(format!("`{}` is `{other}`, not yes or no", self.name))),
+            other => Err(self.error(format!("`{}`: must be yes or no, not `{other}`", self.name))),
         }
     }
 
-    /// All inner forms of a name, in order.
+    /// All inner forms with this name, in order.
     ///
     /// # Errors
     ///
-    /// One of them holds something that is not a form.
+    /// Fails if one of them holds a list that is not a form.
     pub fn forms_named(&self, key: &str) -> Result<Vec<Form<'a>>, ConfigError> {
         let mut found = Vec::new();
         for (index, (name, datum)) in self.inner.iter().enumerate() {
             if *name == key {
-                self.inner_taken.borrow_mut()[index] = true;
+                self.inner_read.borrow_mut()[index] = true;
                 found.push(Form::read(self.file, *datum)?);
             }
         }
         Ok(found)
     }
 
-    /// The inner form of a name, if it is there.
+    /// The inner form with this name, if there is one.
     ///
     /// # Errors
     ///
-    /// It is there twice.
+    /// Fails if the form is given more than once.
     pub fn optional_form(&self, key: &str) -> Result<Option<Form<'a>>, ConfigError> {
         let mut found = self.forms_named(key)?;
         match found.len() {
             0 => Ok(None),
             1 => Ok(found.pop()),
-            _ => Err(found[1].error(format!("`{key}` is given twice"))),
+            _ => Err(found[1].error(format!("`{key}`: must not be given twice"))),
         }
     }
 
-    /// The inner form of a name, which must be there.
+    /// The inner form with this name, which is required.
     ///
     /// # Errors
     ///
-    /// It is there twice, or not at all.
+    /// Fails if the form is missing or given more than once.
     pub fn required_form(&self, key: &str) -> Result<Form<'a>, ConfigError> {
-        self.optional_form(key)?.ok_or_else(|| self.error(format!("`{}` lacks `({key} ...)`", self.name)))
+        self.optional_form(key)?.ok_or_else(|| self.error(format!("`{}`: requires `({key} ...)`", self.name)))
     }
 
-    /// The inner key's text, or a default.
+    /// The text of the inner form `key`, or the default if there is no such form.
     ///
     /// # Errors
     ///
-    /// The key is there twice, or holds anything but one text.
+    /// Fails if the form is given more than once or does not hold exactly one string or word.
     pub fn text_or(&self, key: &str, default: &str) -> Result<String, ConfigError> {
         self.inner_value(key, default.to_string(), Form::text)
     }
 
-    /// The inner key's number, or a default.
+    /// The number in the inner form `key`, or the default if there is no such form.
     ///
     /// # Errors
     ///
-    /// The key is there twice, or holds anything but one number of the range.
+    /// Fails if the form is given more than once or does not hold exactly one number of the range.
     pub fn number_or(&self, key: &str, default: f64, min: f64, max: f64) -> Result<f64, ConfigError> {
         self.inner_value(key, default, |f| f.number(min, max))
     }
 
-    /// The inner key's whole number, or a default.
+    /// The whole number in the inner form `key`, or the default if there is no such form.
     ///
     /// # Errors
     ///
-    /// The key is there twice, or holds anything but one whole number of the range.
+    /// Fails if the form is given more than once or does not hold exactly one whole number of the range.
     pub fn count_or(&self, key: &str, default: u64, min: u64, max: u64) -> Result<u64, ConfigError> {
         self.inner_value(key, default, |f| f.count(min, max))
     }
 
-    /// The inner key's yes or no, or a default.
+    /// The boolean in the inner form `key`, or the default if there is no such form.
     ///
     /// # Errors
     ///
-    /// The key is there twice, or holds anything but yes or no.
+    /// Fails if the form is given more than once or does not hold exactly `yes` or `no`.
     pub fn boolean_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
         self.inner_value(key, default, Form::boolean)
     }
 
-    /// The inner key's milliseconds as microseconds, or a default in milliseconds.
+    /// The duration in the inner form `key`, converted from milliseconds to microseconds. The default and the
+    /// range are in milliseconds.
     ///
     /// # Errors
     ///
-    /// The key is there twice, or holds anything but one number of the range.
+    /// Fails if the form is given more than once or does not hold exactly one number of the range.
     pub fn millis_or(&self, key: &str, default: f64, min: f64, max: f64) -> Result<u64, ConfigError> {
         Ok((self.number_or(key, default, min, max)? * MICROS_PER_MILLI).round() as u64)
     }
 
-    /// The value of an inner form that holds nothing else, or a default.
+    /// The value of an inner form that holds nothing else, or the default if there is no such form.
     fn inner_value<T>(
         &self,
         key: &str,
         default: T,
-        take: impl Fn(&Form<'a>) -> Result<T, ConfigError>,
+        read: impl Fn(&Form<'a>) -> Result<T, ConfigError>,
     ) -> Result<T, ConfigError> {
         let Some(form) = self.optional_form(key)? else { return Ok(default) };
-        let value = take(&form)?;
+        let value = read(&form)?;
         form.finish()?;
         Ok(value)
     }
 
-    /// Rejects what nobody has taken.
+    /// Checks that all values and inner forms have been read.
     ///
     /// # Errors
     ///
-    /// A value or an inner form that is left.
+    /// Fails at the first value or inner form that has not been read.
     pub fn finish(&self) -> Result<(), ConfigError> {
-        if self.values_taken.get() < self.values.len() {
-            let position = Position::of(self.values[self.values_taken.get()]);
-            return Err(position.error(self.file, format!("`{}` holds a value too many", self.name)));
+        if self.values_read.get() < self.values.len() {
+            let position = Position::of(self.values[self.values_read.get()]);
+            return Err(position.error(self.file, format!("`{}`: must not hold further values", self.name)));
         }
-        let taken = self.inner_taken.borrow();
-        let Some(((key, datum), _)) = self.inner.iter().zip(taken.iter()).find(|(_, taken)| !**taken) else {
+        let inner_read = self.inner_read.borrow();
+        let Some(((key, datum), _)) = self.inner.iter().zip(inner_read.iter()).find(|(_, read)| !**read)
+        else {
             return Ok(());
         };
         let message = format!("unknown key `{key}` in `{}`", self.name);
--- a/crates/pintally-config/src/lib.rs
+++ b/crates/pintally-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of pintally as S-expressions: types, defaults, and checks that name the rule they guard.
+//! The settings of pintally, written as S-expressions: their types, defaults and validation.
 //!
-//! This package does no input or output: callers hand it the text of a file and its name, and get
-//! values or a [`ConfigError`] with line and column.
+//! This package does no input or output: callers pass the name and the text of a file, and get the settings
+//! or a [`ConfigError`] with the line, the column and the rule of the service that a setting would violate.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-config/src/limits.rs
+++ b/crates/pintally-config/src/limits.rs
@@ -1,48 +1,48 @@
-//! Limits on what clients and engines may use: `(limits ...)`.
+//! Limits on connections, requests and their sizes, and timeouts: `(limits ...)`.
 
 use pintally::interface::Micros;
 
 use crate::form::{Document, Form};
 use crate::ConfigError;
 
-/// Limits on what clients and engines may use. Times in microseconds.
+/// Limits on connections, requests and their sizes, and timeouts. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Client connections at once.
+    /// The maximum number of client connections.
     pub max_connections: usize,
-    /// Requests in flight at once; more are rejected before the host sees them.
+    /// The maximum number of requests in flight; further ones are rejected before they reach the host.
     pub max_open_requests: usize,
-    /// Bytes of a request's head.
+    /// The maximum size of the head of a request.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of the body of a request.
     pub max_body_bytes: usize,
-    /// Bytes of all requests' bodies together; a request that would exceed it is rejected.
+    /// The maximum total size of the bodies of all requests; a request that would exceed it is rejected.
     pub max_total_body_bytes: usize,
-    /// Time for a head and body to come in.
+    /// The time in which the head and body of a request must arrive.
     pub receive_timeout: Micros,
-    /// Time for a client to take what is written to it before it counts as gone.
+    /// The time in which a client must accept written data; after it the client counts as disconnected.
     pub write_timeout: Micros,
-    /// Time after which an idle client connection is closed.
+    /// An idle client connection is closed after this time.
     pub idle_timeout: Micros,
-    /// Time to connect to an engine.
+    /// The time in which a connection to an engine must be established.
     pub connect_timeout: Micros,
-    /// Time after which an idle engine connection is closed.
+    /// An idle connection to an engine is closed after this time.
     pub keep_alive: Micros,
-    /// Attempts at one engine at once from this node.
+    /// The maximum number of attempts in flight from this node to one engine.
     pub max_streams_per_engine: usize,
-    /// Time for a background call: a health check, a release or a connection probe.
+    /// The timeout of a background call: a health check, a release or a connection probe.
     pub background_call_timeout: Micros,
-    /// Background calls in flight at once, each with a connection.
+    /// The maximum number of background calls in flight, each of which uses a connection.
     pub max_background_calls: usize,
-    /// A silence inside a running answer that ends it.
+    /// An answer that receives no data for this long is ended.
     pub stall_timeout: Micros,
-    /// Answers leave this long before the client's time is up.
+    /// An answer is sent at least this long before the client's deadline.
     pub answer_margin: Micros,
-    /// Shutting down takes this long at most.
+    /// The maximum duration of a shutdown.
     pub shutdown_timeout: Micros,
 }
 
-/// Reads the form, or the defaults if it is not there.
+/// Reads the form; returns the defaults if there is none.
 pub(crate) fn read(root: &Form) -> Result<Limits, ConfigError> {
     match root.optional_form("limits")? {
         Some(form) => read_form(&form),
--- a/crates/pintally-config/src/membership.rs
+++ b/crates/pintally-config/src/membership.rs
@@ -1,4 +1,4 @@
-//! The node's peers: `(peers ...)`. Without it a node knows no other.
+//! Membership in a fleet: `(peers ...)`. Without this form a node has no peers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,38 +8,38 @@
 use crate::form::{millis, quoted, Form};
 use crate::ConfigError;
 
-/// The longest name of a fleet.
+/// The maximum length of the name of a fleet.
 const MAX_FLEET_NAME_BYTES: usize = 64;
-/// Dead members are remembered for at least so many comparisons with peers.
-const MIN_REPAIRS_BEFORE_FORGETTING: Micros = 20;
+/// Dead members are remembered for at least this number of anti-entropy exchanges.
+const MIN_RETENTION_EXCHANGES: Micros = 20;
 
-/// The membership protocol between the nodes of a fleet. Times in microseconds.
+/// The settings of the membership protocol between the nodes of a fleet. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet: String,
-    /// Where peers reach this node, over UDP and TCP.
+    /// The address at which peers reach this node over UDP and TCP.
     pub listen: SocketAddr,
-    /// Where some of them are.
+    /// Addresses of some peers, used to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Peers that are reached from here at another address than their own.
+    /// Peers that this node reaches at another address than the one they advertise.
     pub address_overrides: Vec<(String, SocketAddr)>,
-    /// Between two probes of a member.
+    /// The time between two probes.
     pub probe_interval: Micros,
-    /// How long a direct probe waits for its answer.
+    /// The time to wait for the answer to a direct probe.
     pub probe_timeout: Micros,
-    /// Members asked for an indirect probe where a direct one is not answered.
+    /// The number of members that are asked for an indirect probe if a direct one is not answered.
     pub indirect_probes: usize,
-    /// Periods that a suspicion lasts, times the logarithm of the fleet's size.
+    /// A suspicion lasts this number of probe intervals times the logarithm of the size of the fleet.
     pub suspicion_multiplier: f64,
-    /// Between two anti-entropy exchanges with a peer.
+    /// The time between two anti-entropy exchanges with a peer.
     pub anti_entropy_interval: Micros,
     /// How long dead members are remembered.
     pub dead_member_retention: Micros,
 }
 
 impl fmt::Display for MembershipSettings {
-    /// The form that reads back as these settings.
+    /// Writes the form from which these settings can be read again.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "(peers (fleet {}) (listen \"{}\")", quoted(&self.fleet), self.listen)?;
         self.seeds.iter().try_for_each(|seed| write!(f, " (seed \"{seed}\")"))?;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<MembershipSettings>, ConfigError> {
     root.optional_form("peers")?.map(|form| read_form(&form)).transpose()
 }
@@ -65,17 +65,17 @@
 fn read_form(form: &Form) -> Result<MembershipSettings, ConfigError> {
     let mut seeds = Vec::new();
     for seed in form.forms_named("seed")? {
-        seeds.push(address(&seed, &seed.text()?)?);
+        seeds.push(address(&seed, "peers.seed", &seed.text()?)?);
         seed.finish()?;
     }
     let mut address_overrides = Vec::new();
     for peer in form.forms_named("reach")? {
-        address_overrides.push((peer.text()?, address(&peer, &peer.text()?)?));
+        address_overrides.push((peer.text()?, address(&peer, "peers.reach", &peer.text()?)?));
         peer.finish()?;
     }
     let settings = MembershipSettings {
         fleet: form.text_or("fleet", "")?,
-        listen: address(form, &form.text_or("listen", "")?)?,
+        listen: address(form, "peers.listen", &form.text_or("listen", "")?)?,
         seeds,
         address_overrides,
         probe_interval: form.millis_or("period-ms", 500.0, 1.0, 60_000.0)?,
@@ -90,27 +90,28 @@
     Ok(settings)
 }
 
-/// The settings against each other.
+/// Checks that the settings are consistent with each other.
 fn check_form(form: &Form, settings: &MembershipSettings) -> Result<(), ConfigError> {
     if settings.fleet.is_empty() || settings.fleet.len() > MAX_FLEET_NAME_BYTES {
-        return Err(form.error("`fleet` needs a name of 1 to 64 bytes: it keeps fleets apart"));
+        return Err(form.error("`peers.fleet`: must have 1 to 64 bytes: the name distinguishes fleets"));
     }
     if settings.probe_timeout > settings.probe_interval / 2 {
-        return Err(
-            form.error("`answer-ms` is over half of `period-ms`: indirect probes need the other half")
-        );
+        return Err(form.error(
+            "`peers.answer-ms`: must be at most half of `period-ms`: indirect probes need the other half",
+        ));
     }
     if settings.anti_entropy_interval < settings.probe_interval {
-        return Err(form.error("`repair-ms` is under `period-ms`"));
+        return Err(form.error("`peers.repair-ms`: must be at least `period-ms`"));
     }
-    if settings.dead_member_retention < MIN_REPAIRS_BEFORE_FORGETTING * settings.anti_entropy_interval {
-        return Err(
-            form.error("`forget-ms` is under 20 times `repair-ms`: what is forgotten would come back")
-        );
+    if settings.dead_member_retention < MIN_RETENTION_EXCHANGES * settings.anti_entropy_interval {
+        return Err(form.error(
+            "`peers.forget-ms`: must be at least 20 times `repair-ms`: a dead member that is forgotten too \
+             early would be added again",
+        ));
     }
     Ok(())
 }
 
-fn address(form: &Form, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| form.error(format!("`{text}` is not an address and port")))
+fn address(form: &Form, field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| form.error(format!("`{field}`: must be an address and port, not `{text}`")))
 }
--- a/crates/pintally-config/src/node.rs
+++ b/crates/pintally-config/src/node.rs
@@ -1,4 +1,4 @@
-//! The settings of one node, and how they are read from a file.
+//! The settings of one node.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,7 +11,7 @@
     QuotaSettings, RecoverySettings,
 };
 
-/// The longest name of a node.
+/// The maximum length of the name of a node.
 const MAX_NODE_NAME_BYTES: usize = 64;
 
 /// All settings of one node.
@@ -19,50 +19,50 @@
 pub struct NodeSettings {
     /// The node's name, used in request ids and logs.
     pub name: String,
-    /// Where clients connect.
+    /// The address and port on which the node accepts clients.
     pub listen: SocketAddr,
-    /// The address from which it connects to engines; without one the system's choice.
+    /// The local address of connections to engines; chosen by the operating system if `None`.
     pub source: Option<IpAddr>,
-    /// The name of the model that it serves.
+    /// The name of the served model.
     pub model: String,
-    /// The watched file of the endpoint list.
+    /// The path of the endpoint list, which is watched for changes.
     pub engines_file: String,
-    /// How often the file is read, in microseconds.
+    /// The time between two reads of the endpoint list, in microseconds.
     pub engines_poll_interval: Micros,
-    /// Where the last valid list is cached for a restart, if anywhere.
+    /// The file in which the last valid endpoint list is cached for a restart, if any.
     pub cached_list_file: Option<String>,
-    /// The watched cells file; without one all engines serve everyone.
+    /// The path of the cells file, which is watched for changes; without it all engines serve all requests.
     pub cells_file: Option<String>,
-    /// Where the last valid cells file is cached for a restart, if anywhere.
+    /// The file in which the last valid cells file is cached for a restart, if any.
     pub cached_cells_file: Option<String>,
-    /// Membership in a fleet; none where the node knows no other.
+    /// Membership in a fleet; `None` if the node has no peers.
     pub membership: Option<MembershipSettings>,
-    /// Recovery after a start; without it the node takes all requests from the first second.
+    /// Recovery after a start; without it the node admits all requests immediately.
     pub recovery: Option<RecoverySettings>,
-    /// The replicas of the fleet's key-value store; none where nothing is agreed on.
+    /// The replicas of the fleet's key-value store; `None` if the fleet has none.
     pub consensus: Option<ConsensusSettings>,
-    /// Limits that hold for the whole fleet.
+    /// Limits that apply to the whole fleet.
     pub quotas: Option<QuotaSettings>,
-    /// Outlier detection by all nodes together; none where each node detects alone.
+    /// Outlier detection by all nodes together; `None` if each node detects outliers on its own.
     pub outlier_detection: Option<pintally_outlier_detection::Settings>,
-    /// Failover between zones by a common plan; none where all serve everyone.
+    /// Failover between zones by a common plan; `None` if the engines of all zones serve all requests.
     pub failover: Option<FailoverSettings>,
-    /// Limits on what clients and engines may use.
+    /// Limits on connections, requests and their sizes, and timeouts.
     pub limits: Limits,
     /// Settings of the routing core.
     pub core: Settings,
-    /// Further settings of the core's classes, in the same order.
+    /// Further settings of the core's classes, in the order of the core's settings.
     pub classes: Vec<ClassSettings>,
-    /// Slots of one engine of each kind, 0 if not given; in the order of the core's kinds.
+    /// The slots of one engine of each kind, in the order of the core's engine kinds; 0 if not given.
     pub slots: Vec<u64>,
 }
 
 impl NodeSettings {
-    /// Reads and checks a file's text. `file` is used in errors only.
+    /// Reads and checks the text of a file. `file` is the name of the file in errors.
     ///
     /// # Errors
     ///
-    /// The first mistake in the text, with its position and the rule that it would break.
+    /// Fails at the first error, with its position and the rule that the setting would violate.
     pub fn parse(file: &str, text: &str) -> Result<NodeSettings, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only_form("pintally")?;
@@ -71,12 +71,12 @@
         Ok(settings)
     }
 
-    /// Reads the settings of a node out of its own form and a form that holds the rest, which may
-    /// hold more than that.
+    /// Reads the settings of a node from its own form and from the form that holds all other settings. The
+    /// latter may hold further forms, so the caller finishes it.
     ///
     /// # Errors
     ///
-    /// The first mistake in the forms, with its position and the rule that it would break.
+    /// Fails at the first error, with its position and the rule that the setting would violate.
     pub fn read(root: &Form, node: &Form) -> Result<NodeSettings, ConfigError> {
         let name = node_name(node)?;
         let listen = listen_address(node)?;
@@ -123,7 +123,7 @@
         Ok(settings)
     }
 
-    /// The settings against each other, and what some take from others.
+    /// Checks that the settings are consistent with each other, and sets those that are derived from others.
     fn check(&mut self, root: &Form) -> Result<(), ConfigError> {
         check::check(root, self)?;
         recovery::check(root, self)?;
@@ -138,14 +138,16 @@
     let name = node.text_or("name", "node")?;
     let valid_characters = name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
     if name.is_empty() || name.len() > MAX_NODE_NAME_BYTES || !valid_characters {
-        return Err(node.error("`name` must be 1 to 64 letters, digits and dashes"));
+        return Err(node.error("`node.name`: must have 1 to 64 letters, digits and dashes"));
     }
     Ok(name)
 }
 
 fn listen_address(node: &Form) -> Result<SocketAddr, ConfigError> {
     let listen = node.text_or("listen", "127.0.0.1:8080")?;
-    listen.parse().map_err(|_| node.error(format!("`listen` is `{listen}`, not an address and port")))
+    listen
+        .parse()
+        .map_err(|_| node.error(format!("`node.listen`: must be an address and port, not `{listen}`")))
 }
 
 fn source_address(node: &Form) -> Result<Option<IpAddr>, ConfigError> {
@@ -154,10 +156,10 @@
         return Ok(None);
     }
     let address = source.parse();
-    address.map(Some).map_err(|_| node.error(format!("`source` is `{source}`, not an address")))
+    address.map(Some).map_err(|_| node.error(format!("`node.source`: must be an IP address, not `{source}`")))
 }
 
-/// The file of the endpoint list, and how often it is read.
+/// The path of the endpoint list and the time between two reads.
 fn endpoint_list_file(node: &Form) -> Result<(String, Micros), ConfigError> {
     let engines = node.required_form("engines")?;
     let file = engines.text()?;
@@ -175,7 +177,7 @@
     for form in root.forms_named("tenant")? {
         let name = form.text()?;
         if tenants.iter().any(|tenant| tenant.name == name) {
-            return Err(form.error(format!("tenant `{name}` is given twice")));
+            return Err(form.error(format!("`tenant`: the name `{name}` must not be used twice")));
         }
         let quota_per_s = form.number_or("quota-per-s", 0.0, 0.0, 1e9)?;
         form.finish()?;
@@ -184,13 +186,13 @@
     Ok(tenants)
 }
 
-/// Reads the kinds of engines into the core's settings; returns the slots of each.
+/// Reads the engine kinds into the core's settings; returns the slots of each.
 fn engine_kinds(root: &Form, core: &mut Settings) -> Result<Vec<u64>, ConfigError> {
     let mut slots = Vec::new();
     for form in root.forms_named("kind")? {
         let name = form.text()?;
         if core.engine_kinds.iter().any(|kind| kind.name == name) {
-            return Err(form.error(format!("kind `{name}` is given twice")));
+            return Err(form.error(format!("`kind`: the name `{name}` must not be used twice")));
         }
         let role = role(&form)?;
         let memory_tokens = form.count_or("memory-tokens", 0, 0, 1 << 40)?;
@@ -206,6 +208,6 @@
         "reader" => Ok(Role::Reader),
         "writer" => Ok(Role::Writer),
         "mixed" => Ok(Role::Mixed),
-        other => Err(kind.error(format!("`role` is `{other}`, not reader, writer or mixed"))),
+        other => Err(kind.error(format!("`kind.role`: must be reader, writer or mixed, not `{other}`"))),
     }
 }
--- a/crates/pintally-config/src/outlier_detection.rs
+++ b/crates/pintally-config/src/outlier_detection.rs
@@ -1,11 +1,12 @@
-//! Outlier detection by all nodes of a fleet: `(verdicts ...)`. Without it each node detects alone.
+//! Outlier detection by all nodes of a fleet: `(verdicts ...)`. Without this form each node detects outliers on
+//! its own.
 
 use pintally_outlier_detection::Settings;
 
 use crate::form::{millis, Form};
 use crate::{ConfigError, NodeSettings};
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<Settings>, ConfigError> {
     root.optional_form("verdicts")?.map(|form| read_form(&form)).transpose()
 }
@@ -38,7 +39,7 @@
     Ok(settings)
 }
 
-/// The form that reads back as these settings.
+/// The text of the form from which these settings can be read again.
 pub fn outlier_detection_form(s: &Settings) -> String {
     format!(
         "(verdicts (memory-ms {}) (strikes {}) (accusers {}) (rest-ms {}) (rest-most-ms {}) (step-ms {}) \
@@ -54,17 +55,18 @@
     )
 }
 
-/// What the form needs of the other settings.
+/// Checks the form against the other settings.
 pub(crate) fn check(root: &Form, settings: &NodeSettings) -> Result<(), ConfigError> {
     if settings.outlier_detection.is_none() {
         return Ok(());
     }
     if settings.membership.is_none() {
-        let what = "verdicts need `(peers ...)`: nodes tell each other what they saw";
-        return Err(root.error_at("verdicts", what)?);
+        let message = "`verdicts`: requires `(peers ...)`: nodes exchange their reports as peers";
+        return Err(root.error_at("verdicts", message)?);
     }
     if settings.cells_file.is_some() {
-        return Err(root.error_at("verdicts", "verdicts and cells do not go together yet")?);
+        let message = "`verdicts`: must not be combined with `node.cells`, which is not supported yet";
+        return Err(root.error_at("verdicts", message)?);
     }
     Ok(())
 }
--- a/crates/pintally-config/src/quota.rs
+++ b/crates/pintally-config/src/quota.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for the whole fleet: `(shared-limits ...)`.
+//! Limits that apply to the whole fleet: `(shared-limits ...)`.
 
 use std::fmt;
 
@@ -8,21 +8,21 @@
 use crate::form::{millis, quoted, Form};
 use crate::{ConfigError, NodeSettings};
 
-/// The longest name of a limit.
+/// The maximum length of the name of a limit.
 const MAX_LIMIT_NAME_BYTES: usize = 64;
-/// The largest amount of a limit.
+/// The maximum amount of a limit.
 const MAX_LIMIT_AMOUNT: f64 = 1e9;
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Requests that begin, a second.
+    /// Requests started per second.
     Requests,
-    /// Tokens of prompts and of the longest answers, a second.
+    /// Tokens per second, of prompts and of answers at their maximum length.
     Tokens,
-    /// Requests in flight, at once.
+    /// Requests in flight at the same time.
     Streams,
-    /// Retries, a second.
+    /// Retries per second.
     Retries,
 }
 
@@ -34,51 +34,51 @@
         ("retries", QuotaUnit::Retries),
     ];
 
-    /// Its name in settings.
+    /// The name of the unit in settings files.
     pub fn name(self) -> &'static str {
-        QuotaUnit::NAMES.iter().find(|(_, c)| *c == self).map_or("", |(name, _)| name)
+        QuotaUnit::NAMES.iter().find(|(_, unit)| *unit == self).map_or("", |(name, _)| name)
     }
 }
 
-/// One limit of the fleet.
+/// A limit that applies to the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSpec {
-    /// Its name.
+    /// The name of the limit.
     pub name: String,
-    /// The tenant whose requests it counts; without one it counts all.
+    /// The tenant whose requests the limit counts; all requests if `None`.
     pub tenant: Option<String>,
-    /// What it counts.
+    /// What the limit counts.
     pub unit: QuotaUnit,
-    /// Whether the limit or availability gives way where nodes cannot reach each other.
+    /// Whether the limit or availability takes precedence when nodes are disconnected.
     pub enforcement: Enforcement,
     /// The amount for the whole fleet.
     pub limit: f64,
 }
 
 impl QuotaSpec {
-    /// Its id among nodes.
+    /// The id of the limit in messages between nodes.
     pub fn id(&self) -> LimitId {
         LimitId(xxh3_64(self.name.as_bytes()) as u32)
     }
 
-    /// The limit as the lease granter and holders take it.
+    /// The limit in the form that the lease granter and the holders use.
     pub fn limit(&self) -> Limit {
         let kind = if self.unit == QuotaUnit::Streams { LimitKind::Concurrency } else { LimitKind::Rate };
         Limit { kind, enforcement: self.enforcement, amount: self.limit }
     }
 }
 
-/// Limits of the fleet, and how they are allocated to nodes.
+/// The limits of the fleet and the settings for their allocation to nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// How they are allocated.
+    /// The settings for the allocation of the limits to nodes.
     pub allocation: Settings,
     /// The limits.
     pub limits: Vec<QuotaSpec>,
 }
 
 impl fmt::Display for QuotaSettings {
-    /// The form that reads back as these settings.
+    /// Writes the form from which these settings can be read again.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let s = &self.allocation;
         write!(
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<QuotaSettings>, ConfigError> {
     root.optional_form("shared-limits")?.map(|form| read_form(&form)).transpose()
 }
@@ -125,7 +125,7 @@
         let limit = limit(&limit_form)?;
         if let Some(other) = limits.iter().find(|other| other.id() == limit.id()) {
             return Err(limit_form.error(format!(
-                "limits `{}` and `{}` cannot be told apart among nodes: another name is needed",
+                "`limit`: names must have different ids, but `{}` and `{}` have the same: rename one",
                 other.name, limit.name
             )));
         }
@@ -155,7 +155,7 @@
 fn limit(form: &Form) -> Result<QuotaSpec, ConfigError> {
     let name = form.text()?;
     if name.is_empty() || name.len() > MAX_LIMIT_NAME_BYTES {
-        return Err(form.error(format!("a limit's name needs 1 to {MAX_LIMIT_NAME_BYTES} bytes")));
+        return Err(form.error(format!("`limit`: the name must have 1 to {MAX_LIMIT_NAME_BYTES} bytes")));
     }
     let unit = unit(form)?;
     let enforcement = enforcement(form)?;
@@ -172,14 +172,17 @@
     let name = counts_form.text()?;
     counts_form.finish()?;
     let known = QuotaUnit::NAMES.iter().find(|(known, _)| *known == name).map(|(_, unit)| *unit);
-    known.ok_or_else(|| counts_form.error(format!("`{name}` is not requests, tokens, streams or retries")))
+    known.ok_or_else(|| {
+        counts_form
+            .error(format!("`limit.counts`: must be requests, tokens, streams or retries, not `{name}`"))
+    })
 }
 
 fn enforcement(form: &Form) -> Result<Enforcement, ConfigError> {
     match form.text_or("bound", "hard")?.as_str() {
         "hard" => Ok(Enforcement::Hard),
         "soft" => Ok(Enforcement::Soft),
-        other => Err(form.error(format!("`bound` is `{other}`, not hard or soft"))),
+        other => Err(form.error(format!("`limit.bound`: must be hard or soft, not `{other}`"))),
     }
 }
 
@@ -190,19 +193,24 @@
     }
 }
 
-/// Takes the number of nodes, and checks what the form needs of the other settings.
+/// Sets the number of nodes and checks the form against the other settings.
 pub(crate) fn check(root: &Form, settings: &mut NodeSettings) -> Result<(), ConfigError> {
     let Some(quotas) = &mut settings.quotas else { return Ok(()) };
     quotas.allocation.node_count = settings.core.node_count.max(1);
     if settings.consensus.is_none() {
-        return Err(root.error_at("shared-limits", "shared limits need `(keepers ...)`: their leader lends")?);
+        let message =
+            "`shared-limits`: requires `(keepers ...)`: the leader of the replicas grants the leases";
+        return Err(root.error_at("shared-limits", message)?);
     }
     let tenants = &settings.core.tenants;
     for limit in &quotas.limits {
         let Some(tenant) = &limit.tenant else { continue };
         if !tenants.iter().any(|known| known.name == *tenant) {
-            let what = format!("limit `{}`: no `tenant` is named `{tenant}`", limit.name);
-            return Err(root.error_at("shared-limits", what)?);
+            let message = format!(
+                "`limit.tenant`: limit `{}` names `{tenant}`, but no `tenant` has this name",
+                limit.name
+            );
+            return Err(root.error_at("shared-limits", message)?);
         }
     }
     Ok(())
--- a/crates/pintally-config/src/recovery.rs
+++ b/crates/pintally-config/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery after a start: `(recovery ...)`. Without it a node takes all requests from the first second.
+//! Recovery after a start: `(recovery ...)`. Without this form a node admits all requests immediately.
 
 use std::fmt;
 
@@ -7,42 +7,42 @@
 use crate::form::{millis, quoted, Form};
 use crate::{rule, ConfigError, NodeSettings};
 
-/// Storage faults that scenarios and tests inject, by name.
+/// The names of the storage faults that scenarios and tests can inject.
 pub const STORAGE_FAULTS: [&str; 8] =
     ["lost-syncs", "torn-write", "flipped-bit", "older-image", "full", "read-only", "slow", "read-errors"];
 
-/// The longest that a node may serve nothing after its start, with every peer and disk silent.
-const MAX_SILENT_START: Micros = 10_000_000;
+/// The maximum time after a start in which a node serves nothing, if neither the disk nor any peer responds.
+const MAX_SILENT_START_US: Micros = 10_000_000;
 
-/// Recovery of a node after a start. Times in microseconds.
+/// The settings of the recovery of a node after a start. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoverySettings {
-    /// The folder in which it stores its state; without one it stores nothing.
+    /// The directory in which the node stores its state; `None` if it stores nothing.
     pub store: Option<String>,
-    /// Between two commits: what a power loss may cost.
+    /// The time between two commits; a power loss can lose the changes of this time.
     pub commit_interval: Micros,
-    /// How long the start waits for the disk.
+    /// How long the start waits for the stored state to be read.
     pub disk_read_timeout: Micros,
-    /// How long a round of questions to peers waits for answers.
+    /// How long a round of queries to peers waits for answers.
     pub answer_timeout: Micros,
-    /// Rounds of questions to peers.
+    /// The number of query rounds.
     pub query_rounds: u32,
-    /// Peers asked in a round.
+    /// The number of peers queried in a round.
     pub peers_queried: usize,
     /// Slow start ends after this time at the latest.
     pub max_slow_start: Micros,
-    /// Requests a second that a warm engine serves, where nothing is remembered.
+    /// Requests per second that a warm engine serves; used if no node remembers the rate.
     pub requests_per_second_per_engine: f64,
-    /// The fraction of that which it serves without cached prefixes.
+    /// The fraction of its usual requests that an engine serves without cached prefixes.
     pub uncached_capacity_fraction: f64,
-    /// So long after a peer's death two backup nodes release its reservations; 0 for never.
+    /// Two backup nodes release the reservations of a dead peer this long after its death; 0 for never.
     pub reservation_takeover_delay: Micros,
-    /// An injected storage fault, by name and seed: for scenarios and tests only.
+    /// An injected storage fault, with its name and seed; only for scenarios and tests.
     pub storage_fault: Option<(String, u64)>,
 }
 
 impl fmt::Display for RecoverySettings {
-    /// The form that reads back as these settings.
+    /// Writes the form from which these settings can be read again.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Reads the form, if it is there.
+/// Reads the form, if there is one.
 pub(crate) fn read(root: &Form) -> Result<Option<RecoverySettings>, ConfigError> {
     root.optional_form("recovery")?.map(|form| read_form(&form)).transpose()
 }
@@ -97,28 +97,35 @@
     let (name, seed) = (fault.text()?, fault.count_or("seed", 1, 0, 1 << 53)?);
     if !STORAGE_FAULTS.contains(&name.as_str()) {
         let known = STORAGE_FAULTS.join(", ");
-        return Err(fault.error(format!("`{name}` is no kind of lying disk; there are {known}")));
+        return Err(fault.error(format!("`recovery.lying-disk`: must be one of {known}, not `{name}`")));
     }
     fault.finish()?;
     Ok(Some((name, seed)))
 }
 
-/// The settings against those of the router.
-pub(crate) fn check(root: &Form, s: &NodeSettings) -> Result<(), ConfigError> {
-    let Some(recovery) = &s.recovery else { return Ok(()) };
+/// Checks the form against the settings of the router, and the time that a start can take.
+pub(crate) fn check(root: &Form, settings: &NodeSettings) -> Result<(), ConfigError> {
+    let Some(recovery) = &settings.recovery else { return Ok(()) };
     let form = root.optional_form("recovery")?;
-    let breaks = |rule, what: String| match &form {
-        Some(form) => form.rule_error(rule, what),
-        None => root.rule_error(rule, what),
+    let rule_error = |rule, message: String| match &form {
+        Some(form) => form.rule_error(rule, message),
+        None => root.rule_error(rule, message),
     };
-    if recovery.max_slow_start < s.core.slow_start_duration {
-        let what = "`careful-most-ms` is under `warm-after-ms`: all would be let in before engines are warm";
-        return Err(breaks(rule::COLD_ENGINES_PROTECTED, what.into()));
+    if recovery.max_slow_start < settings.core.slow_start_duration {
+        let message =
+            "`recovery.careful-most-ms`: must be at least `rules.warm-after-ms`: otherwise all requests \
+                       are admitted before engines are warm";
+        return Err(rule_error(rule::COLD_ENGINES_PROTECTED, message.into()));
     }
-    let silent = recovery.disk_read_timeout + recovery.answer_timeout * Micros::from(recovery.query_rounds);
-    if silent > MAX_SILENT_START {
-        let what = format!("with every peer and disk silent nothing is served for {} ms", silent / 1000);
-        return Err(breaks(rule::NO_REQUEST_LOST, what));
+    let silent_start =
+        recovery.disk_read_timeout + recovery.answer_timeout * Micros::from(recovery.query_rounds);
+    if silent_start > MAX_SILENT_START_US {
+        let message = format!(
+            "`recovery.read-within-ms`: with `answer-within-ms` times `rounds` must be at most 10000 ms, not {} \
+             ms: nothing is served in this time if neither the disk nor any peer responds",
+            silent_start / 1000
+        );
+        return Err(rule_error(rule::NO_REQUEST_LOST, message));
     }
     Ok(())
 }
--- a/crates/pintally-config/src/router.rs
+++ b/crates/pintally-config/src/router.rs
@@ -1,19 +1,21 @@
-//! Settings of the routing core: `(rules ...)`, and the parts of `(node ...)` that it needs.
+//! The settings of the routing core: `(rules ...)` and some keys of `(node ...)`.
 
 use pintally::interface::{DiscoveryMode, LoadReporting, Settings};
 
 use crate::form::{millis, Document, Form};
 use crate::{check, ConfigError};
 
-/// The most nodes of a fleet.
+/// The maximum number of nodes of a fleet.
 const MAX_NODES: u64 = 100_000;
 
-/// The core's settings, without classes, tenants and kinds.
+/// Reads the core's settings, without classes, tenants and engine kinds.
 pub(crate) fn read(root: &Form, node: &Form) -> Result<Settings, ConfigError> {
     let nodes = node.count_or("of", 1, 1, MAX_NODES)? as u32;
     let number = node.count_or("number", 0, 0, MAX_NODES)? as u32;
     if number >= nodes {
-        return Err(node.error(format!("`number` is {number}, but there are {nodes} nodes, counted from 0")));
+        return Err(node.error(format!(
+            "`node.number`: must be below `node.of` ({nodes}), not {number}: nodes are counted from 0"
+        )));
     }
     let mut settings = defaults(node.text_or("zone", "")?, number, nodes);
     let empty = Document::parse("", "(rules)")?;
@@ -26,12 +28,12 @@
     Ok(settings)
 }
 
-/// The defaults of a node in this zone, by its number among the nodes.
-fn defaults(zone: String, node: u32, nodes: u32) -> Settings {
+/// The default settings of a node, with its zone, its index and the number of nodes.
+fn defaults(zone: String, node_index: u32, node_count: u32) -> Settings {
     Settings {
         zone,
-        node_index: node,
-        node_count: nodes,
+        node_index,
+        node_count,
         classes: Vec::new(),
         tenants: Vec::new(),
         engine_kinds: Vec::new(),
@@ -56,12 +58,12 @@
     }
 }
 
-/// Reads the shape of a deployment into the settings; what the form leaves out stays. The caller finishes the
-/// form, which may hold more.
+/// Reads the keys of a `(rules ...)` form into the settings; a setting whose key is missing keeps its value.
+/// The form may hold further keys, so the caller finishes it.
 ///
 /// # Errors
 ///
-/// A value that is not valid, or values that contradict each other.
+/// Fails if a value is invalid or if values are inconsistent with each other.
 pub fn read_rules(form: &Form, settings: &mut Settings) -> Result<(), ConfigError> {
     settings.load_reporting = load_reporting(form, settings.load_reporting)?;
     settings.use_registered_weights = form.boolean_or("weights", settings.use_registered_weights)?;
@@ -96,6 +98,6 @@
         "inline" => Ok(LoadReporting::Inline),
         "on-probe" => Ok(LoadReporting::OnHealthCheck),
         "off" => Ok(LoadReporting::Off),
-        other => Err(form.error(format!("`reports` is `{other}`, not inline, on-probe or off"))),
+        other => Err(form.error(format!("`reports`: must be inline, on-probe or off, not `{other}`"))),
     }
 }
--- a/crates/pintally-config/tests/fleet_forms.rs
+++ b/crates/pintally-config/tests/fleet_forms.rs
@@ -1,5 +1,5 @@
-//! The forms of what holds for the whole fleet: what is read comes back as it was, and what does not go
-//! together is reported with its position.
+//! The forms of settings for the whole fleet: settings that are written can be read again unchanged, and
+//! inconsistent settings are reported with their position.
 
 use pintally_config::{outlier_detection_form, NodeSettings};
 
@@ -8,7 +8,7 @@
 }
 
 fn error(text: &str) -> String {
-    NodeSettings::parse("x.sexp", text).expect_err("it does not go together").to_string()
+    NodeSettings::parse("x.sexp", text).expect_err("inconsistent settings are rejected").to_string()
 }
 
 #[test]
@@ -31,25 +31,29 @@
     assert_eq!(first.quotas, second.quotas);
     assert_eq!(first.outlier_detection, second.outlier_detection);
     assert_eq!(first.failover, second.failover);
-    assert_eq!(second.quotas.unwrap().allocation.node_count, 6, "floors are for as many nodes as there are");
+    assert_eq!(second.quotas.unwrap().allocation.node_count, 6, "the node count is that of the fleet");
 }
 
 #[test]
-fn contradictions_carry_positions() {
+fn errors_have_positions() {
     let text = example();
-    for (from, to, what) in [
+    for (from, to, expected) in [
         ("(names \"n0\" \"n1\" \"n2\")", "(names \"n0\" \"n0\")", "`names` must name each replica once"),
-        ("(keepers (names \"n0\" \"n1\" \"n2\"))", "", "need `(keepers ...)`"),
+        ("(keepers (names \"n0\" \"n1\" \"n2\"))", "", "`shared-limits`: requires `(keepers ...)`"),
         (
             "(names \"n0\" \"n1\" \"n2\")",
             "(names \"n0\") (beat-ms 500)",
             "`election-ms` must be at least three times `beat-ms`",
         ),
-        ("(counts requests)", "(counts apples)", "not requests, tokens, streams or retries"),
-        ("(counts requests) (most 200)", "(counts requests)", "lacks `(most ...)`"),
+        (
+            "(counts requests)",
+            "(counts apples)",
+            "`limit.counts`: must be requests, tokens, streams or retries",
+        ),
+        ("(counts requests) (most 200)", "(counts requests)", "`limit`: requires `(most ...)`"),
         ("(tenant \"labs\") (counts requests)", "(tenant \"nobody\") (counts requests)", "no `tenant`"),
-        ("\"labs-streams\"", "\"labs-requests\"", "cannot be told apart"),
-        ("(bound soft)", "(bound hardly)", "not hard or soft"),
+        ("\"labs-streams\"", "\"labs-requests\"", "names must have different ids"),
+        ("(bound soft)", "(bound hardly)", "`limit.bound`: must be hard or soft"),
         (
             "(shared-limits",
             "(shared-limits (lease-ms 500)",
@@ -60,7 +64,7 @@
             "(verdicts (rest-ms 9000) (rest-most-ms 100))",
             "`rest-ms` must be above 0 and at most `rest-most-ms`",
         ),
-        ("(zone \"south-1\" \"south\")", "", "no zone of a region is named `south-1`"),
+        ("(zone \"south-1\" \"south\")", "", "no `zone` is named `south-1`"),
         (
             "(zone \"north-2\" \"north\")",
             "(zone \"north-2\" \"north\") (zone \"north-1\" \"south\")",
@@ -70,11 +74,11 @@
         ("(class-stays \"graded-submit\")", "(class-stays \"none\")", "no `class` is named"),
         ("(per-engine-per-s 6)", "(per-engine-per-s 6) (lasts-ms 600)", "renewed three times"),
         ("(per-engine-per-s 6)", "(per-engine-per-s 6) (step-ms 1000)", "before engines are warm"),
-        ("(price \"north-1\"", "(price \"moon\"", "no zone of a region is named `moon`"),
+        ("(price \"north-1\"", "(price \"moon\"", "`regions.price`: no `zone` is named `moon`"),
     ] {
         assert!(text.contains(from), "{from}");
-        let parsed = error(&text.replacen(from, to, 1));
-        assert!(parsed.contains(what), "{from} -> {to}: {parsed}");
-        assert!(parsed.starts_with("x.sexp:"), "{parsed}");
+        let message = error(&text.replacen(from, to, 1));
+        assert!(message.contains(expected), "{from} -> {to}: {message}");
+        assert!(message.starts_with("x.sexp:"), "{message}");
     }
 }
--- a/crates/pintally-config/tests/golden.rs
+++ b/crates/pintally-config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of every settings form: each key and word that operators write is read to the same values,
-//! each default stays, and files that cannot be read are refused in the same words.
+//! Golden files of every form of settings: each key and word is read as the same value, defaults do not change,
+//! and invalid files are rejected with the same messages.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn defaults_of_a_node() {
+fn node_defaults() {
     let s = read("least.sexp");
     assert_eq!((s.name.as_str(), s.listen.to_string().as_str()), ("node", "127.0.0.1:8080"));
     assert_eq!((s.source, s.engines_poll_interval, s.model.as_str()), (None, 100_000, "default"));
@@ -229,7 +229,7 @@
     );
 }
 
-/// The words for disks that lie are settings too.
+/// Each name of a storage fault is accepted by `lying-disk`.
 #[test]
 fn storage_faults() {
     let words = [
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn verdicts_form_values() {
+fn verdicts_form() {
     let v = read("fleet.sexp").outlier_detection.expect("verdicts");
     assert_eq!((v.evidence_retention, v.consecutive_failures, v.min_reporters), (9_000_000, 4, 3));
     assert_eq!((v.base_ejection_time, v.max_ejection_time, v.ramp_step), (2_100_000, 31_000_000, 2_200_000));
@@ -340,7 +340,7 @@
     assert!(regions.pinned_classes.is_empty() && regions.pinned_tenants.is_empty());
 }
 
-/// What the program writes itself reads back under the same words.
+/// The forms that the program writes use the same keys and words.
 #[test]
 fn written_forms() {
     let s = read("fleet.sexp");
@@ -356,8 +356,8 @@
 }
 
 #[test]
-fn list_of_engines() {
-    let list = EngineList::parse("engines.sexp", &golden("engines.sexp")).expect("a sound list");
+fn endpoint_list() {
+    let list = EngineList::parse("engines.sexp", &golden("engines.sexp")).expect("a valid list");
     assert_eq!((list.version, list.engines.len()), (4, 3));
     let [first, second, third] = &list.engines[..] else { panic!("three engines") };
     assert_eq!((&*first.id.0, first.address.to_string().as_str()), ("s-1", "127.0.0.1:3001"));
@@ -372,7 +372,7 @@
     assert_eq!(list.render(), golden("engines_written.sexp"));
 }
 
-/// Each line of the golden file is the error when one piece of a valid file is replaced.
+/// Each line of the golden file is the error for a valid file in which one part is replaced.
 #[test]
 fn error_messages() {
     let cases = [
--- a/crates/pintally-config/tests/golden/fleet.sexp
+++ b/crates/pintally-config/tests/golden/fleet.sexp
@@ -1,4 +1,4 @@
-; Every key of the forms by which nodes act together, none with its default.
+; Every key of the forms of the fleet, none with its default value.
 (pintally
   (node (name "n0") (engines "engines.sexp") (zone "a") (number 0) (of 3))
   (rules (reports off) (retry-after no) (warm-after-ms 8000))
--- a/crates/pintally-config/tests/golden/fleet_defaults.sexp
+++ b/crates/pintally-config/tests/golden/fleet_defaults.sexp
@@ -1,5 +1,5 @@
-; The forms by which nodes act together with as little as each must hold; the default of
-; `step-ms` does not go with that of `warm-after-ms`.
+; The forms of the fleet, each with only its required keys. `warm-after-ms` is set because its default does not
+; go with that of `step-ms`.
 (pintally
   (node (engines "engines.sexp"))
   (class "hint" (effect safe))
--- a/crates/pintally-engine/src/attempt_reader/mod.rs
+++ b/crates/pintally-engine/src/attempt_reader/mod.rs
@@ -1,4 +1,4 @@
-//! The engine's response to an attempt: bytes cut anywhere, turned into progress and an outcome.
+//! Parsing of the engine's response to an attempt, which may be split at any position, into progress and an outcome.
 
 #[cfg(test)]
 mod tests;
@@ -9,52 +9,54 @@
 
 use crate::{extension, load_from_header, outcome_of_status, Step, LOAD_HEADER};
 
-/// The longest head of a response, the longest event of a stream, and the longest body of a read or an error.
+/// The maximum size of the head of a response.
 const MAX_HEAD_BYTES: usize = 32 << 10;
+/// The maximum size of an event of a stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
+/// The maximum size of the body of the response to a read, or of an error response.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What the bytes of a response mean.
+/// The progress of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// The answer starts, or continues, with this text.
+    /// The next part of the text of the answer.
     Text(String),
     /// The attempt has ended.
     Ended {
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Prompt tokens found in the cache.
+        /// The number of prompt tokens found in the prefix cache.
         cached_tokens: u64,
-        /// The engine's load.
+        /// The load report of the engine, if the response contains one.
         load: Option<LoadReport>,
-        /// `kv_transfer_params` of a read.
+        /// The `kv_transfer_params` returned by a read.
         state: Option<Value>,
-        /// The connection may be used again.
+        /// Whether the connection can be reused.
         reusable: bool,
     },
 }
 
-/// Turns the bytes of the response to one attempt into progress.
+/// Parses the response to one attempt into progress.
 pub struct AttemptReader {
     step: Step,
     slots: u64,
     response: ResponseReader,
     sse: SseReader,
     status: u16,
-    /// The engine vouches that nothing ran.
+    /// The engine guarantees that the request did not run.
     not_run: bool,
     load: Option<LoadReport>,
     cached_tokens: u64,
     body: Vec<u8>,
-    /// A choice of the stream has its finish reason.
-    finished: bool,
-    /// The stream's last event has come after that.
+    /// The stream has given a finish reason.
+    has_finish_reason: bool,
+    /// The last event of the stream has been received after the finish reason.
     complete: bool,
     ended: bool,
 }
 
 impl AttemptReader {
-    /// A reader for the response to an attempt from an engine with so many slots (0 if not known).
+    /// A reader for the response to an attempt. `slots` is the number of slots of the engine, 0 if unknown.
     pub fn new(step: Step, slots: u64) -> AttemptReader {
         AttemptReader {
             step,
@@ -66,13 +68,13 @@
             load: None,
             cached_tokens: 0,
             body: Vec::new(),
-            finished: false,
+            has_finish_reason: false,
             complete: false,
             ended: false,
         }
     }
 
-    /// Takes in bytes and appends the progress that they make.
+    /// Parses received bytes and appends the resulting progress to `out`.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Progress>) {
         self.response.push(bytes);
         while !self.ended {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The engine has closed the connection.
+    /// Handles the close of the connection by the engine.
     pub fn closed(&mut self, out: &mut Vec<Progress>) {
         if self.ended {
             return;
@@ -121,7 +123,7 @@
         }
         while let Some(event) = self.sse.next_event() {
             if event == b"[DONE]" {
-                self.complete = self.finished;
+                self.complete = self.has_finish_reason;
                 continue;
             }
             let Ok(json) = serde_json::from_slice::<Value>(&event) else {
@@ -135,7 +137,7 @@
             if let Some(text) = choice["text"].as_str().filter(|t| !t.is_empty()) {
                 out.push(Progress::Text(text.to_string()));
             }
-            self.finished |= choice["finish_reason"].is_string();
+            self.has_finish_reason |= choice["finish_reason"].is_string();
         }
     }
 
@@ -147,7 +149,7 @@
 
     fn finish(&mut self, reusable: bool, out: &mut Vec<Progress>) {
         if self.status == 200 && self.step != Step::Read {
-            // A stream that ends without its last event was cut off, also where the connection ended in order.
+            // A stream without its last event is truncated, even if the HTTP message is complete.
             let outcome = if self.complete { Outcome::Served } else { Outcome::ConnectionBroken };
             return self.end(outcome, None, reusable && self.complete, out);
         }
--- a/crates/pintally-engine/src/attempt_reader/tests.rs
+++ b/crates/pintally-engine/src/attempt_reader/tests.rs
@@ -1,4 +1,4 @@
-//! Responses of engines, complete, cut off and invalid.
+//! Responses of engines: complete, truncated and invalid.
 
 use pintally_http::{chunk, response, response_head, sse_event, LAST_CHUNK};
 
@@ -6,7 +6,7 @@
 
 fn outcome(step: Step, bytes: &[u8], closed: bool) -> (String, Outcome) {
     let (mut reader, mut out) = (AttemptReader::new(step, 0), Vec::new());
-    // One byte at a time: no cut may matter.
+    // Pushes one byte at a time: the result must not depend on how the response is split.
     bytes.iter().for_each(|b| reader.push(&[*b], &mut out));
     if closed {
         reader.closed(&mut out);
@@ -16,10 +16,12 @@
     for progress in out {
         match progress {
             Progress::Text(t) => text.push_str(&t),
-            Progress::Ended { outcome, .. } => assert!(end.replace(outcome).is_none(), "two ends"),
+            Progress::Ended { outcome, .. } => {
+                assert!(end.replace(outcome).is_none(), "the attempt ended twice");
+            }
         }
     }
-    (text, end.expect("no end"))
+    (text, end.expect("the attempt has an end"))
 }
 
 fn stream(events: &[&str]) -> Vec<u8> {
@@ -41,8 +43,8 @@
         outcome(Step::Fetch, &stream(&[text, "[DONE]"]), false),
         ("ab".into(), Outcome::ConnectionBroken)
     );
-    let cut = &stream(&[text, end, "[DONE]"]);
-    assert_eq!(outcome(Step::Fetch, &cut[..cut.len() - 8], true).1, Outcome::ConnectionBroken);
+    let complete = &stream(&[text, end, "[DONE]"]);
+    assert_eq!(outcome(Step::Fetch, &complete[..complete.len() - 8], true).1, Outcome::ConnectionBroken);
 }
 
 #[test]
--- a/crates/pintally-engine/src/lib.rs
+++ b/crates/pintally-engine/src/lib.rs
@@ -1,7 +1,8 @@
-//! The interface of engines: the completion interface that vLLM publishes, as bytes and outcomes.
+//! The protocol of engines: the completion interface published by vLLM. Requests are turned into bytes, and the
+//! bytes of responses into outcomes.
 //!
-//! Prefill and decode are two completions joined by `kv_transfer_params`. What that interface lacks
-//! is in [`extension`]. No input or output, no decisions.
+//! Prefill and decode are two completions, connected by `kv_transfer_params`. Additions to the published
+//! interface are in [`extension`]. This package does no input or output and makes no routing decisions.
 
 #![deny(missing_docs)]
 
--- a/crates/pintally-engine/src/load/mod.rs
+++ b/crates/pintally-engine/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load reports: from the ORCA header of a response, or from the metrics of a health check.
+//! Parsing of load reports from the ORCA header of a response, or from the metrics returned by a health check.
 
 #[cfg(test)]
 mod tests;
@@ -6,37 +6,37 @@
 use pintally::interface::LoadReport;
 use serde_json::Value;
 
-/// The header that carries a load report with a response.
+/// The response header that contains a load report.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// What stands for a value that is no number: no metric is negative.
+/// The value used for a metric that is not a number; negative values are ignored.
 const INVALID: f64 = -1.0;
-/// Names of metrics.
-const RUNNING: &str = "num_requests_running";
-const WAITING: &str = "num_requests_waiting";
-const MEMORY: &str = "kv_cache_usage_perc";
-/// Thousands of prompt tokens that wait; not every engine reports them.
-const BACKLOG: &str = "prompt_tokens_waiting_thousands";
+const RUNNING_METRIC: &str = "num_requests_running";
+const WAITING_METRIC: &str = "num_requests_waiting";
+const MEMORY_METRIC: &str = "kv_cache_usage_perc";
+/// Thousands of waiting prompt tokens; not every engine reports them.
+const BACKLOG_METRIC: &str = "prompt_tokens_waiting_thousands";
 
-/// Sets one metric of a load report, if it is valid; `slots` are an engine's slots, 0 if not known.
+/// Sets one metric of a load report if its value is valid. `slots` is the number of slots of the engine, 0 if
+/// unknown.
 fn set_metric(load: &mut LoadReport, name: &str, value: f64, slots: u64) {
     if !value.is_finite() || value < 0.0 {
         return;
     }
     match name {
-        RUNNING if slots > 0 => load.slots = Some((value / slots as f64).min(1.0)),
-        WAITING => load.queue = Some(value),
-        MEMORY => load.memory = Some(value.min(1.0)),
-        BACKLOG => load.backlog = Some(value),
+        RUNNING_METRIC if slots > 0 => load.slots = Some((value / slots as f64).min(1.0)),
+        WAITING_METRIC => load.queue = Some(value),
+        MEMORY_METRIC => load.memory = Some(value.min(1.0)),
+        BACKLOG_METRIC => load.backlog = Some(value),
         _ => {}
     }
 }
 
-/// The load in a header's value: `JSON {...}` or `TEXT name=value, ...`; `None` if it has no metric.
+/// The load report in a header value: `JSON {...}` or `TEXT name=value, ...`; `None` if it contains no metric.
 pub fn load_from_header(value: &str, slots: u64) -> Option<LoadReport> {
     let mut load = LoadReport::default();
-    let (form, rest) = value.trim().split_once(char::is_whitespace)?;
-    match form.to_ascii_uppercase().as_str() {
+    let (format, rest) = value.trim().split_once(char::is_whitespace)?;
+    match format.to_ascii_uppercase().as_str() {
         "JSON" => {
             let json: Value = serde_json::from_str(rest).ok()?;
             let named = json.get("named_metrics").and_then(Value::as_object);
@@ -55,7 +55,7 @@
     (load != LoadReport::default()).then_some(load)
 }
 
-/// The load in a page of metrics as Prometheus reads them; `None` if it has no metric.
+/// The load report in metrics in the Prometheus text format; `None` if they contain no known metric.
 pub fn load_from_metrics(page: &str, slots: u64) -> Option<LoadReport> {
     let mut load = LoadReport::default();
     for line in page.lines().filter(|line| !line.starts_with('#')) {
--- a/crates/pintally-engine/src/load/tests.rs
+++ b/crates/pintally-engine/src/load/tests.rs
@@ -1,9 +1,9 @@
-//! Load reports in each of their forms.
+//! Load reports in each of their formats.
 
 use super::*;
 
 #[test]
-fn header_forms_and_metrics_page_agree() {
+fn header_formats_and_metrics_agree() {
     let json = r#"JSON {"named_metrics":{"num_requests_running":4,"num_requests_waiting":2,"kv_cache_usage_perc":0.5}}"#;
     let text = "TEXT named_metrics.num_requests_running=4, named_metrics.num_requests_waiting=2, named_metrics.kv_cache_usage_perc=0.5";
     let page = "# TYPE x gauge\nvllm:num_requests_running{model_name=\"m\"} 4.0\nvllm:num_requests_waiting{model_name=\"m\"} 2\nvllm:kv_cache_usage_perc 0.5\n";
--- a/crates/pintally-engine/src/outcome/mod.rs
+++ b/crates/pintally-engine/src/outcome/mod.rs
@@ -1,15 +1,15 @@
-//! The one table from what came back to an [`Outcome`].
+//! The mapping from responses and transport errors to an [`Outcome`].
 //!
-//! | what came back | outcome | may have run |
+//! | event | outcome | may have run |
 //! | --- | --- | --- |
 //! | a complete answer | `Served`, or `Read` for a read | yes |
-//! | 409 of type `no_state` | `NoState` | no |
-//! | 429, or any error on which the engine vouches that nothing ran | `Full` | no |
+//! | status 409 of type `no_state` | `StateNotFound` | no |
+//! | status 429, or any error for which the engine guarantees that the request did not run | `Overloaded` | no |
 //! | any other status | `Error` | yes |
-//! | no connection in time | `Unreachable` | no |
-//! | the connection ended, or not a sound answer, after the first byte went out | `Broken` | yes |
-//! | the time-out ran out | `TimedOut` | yes |
-//! | called off | `Cancelled` | yes |
+//! | no connection was established | `Unreachable` | no |
+//! | the connection ended, or the response was invalid, after the first byte was sent | `ConnectionBroken` | yes |
+//! | the timeout expired after the first byte was sent | `TimedOut` | yes |
+//! | the attempt was cancelled | `Cancelled` | yes |
 
 #[cfg(test)]
 mod tests;
@@ -18,16 +18,17 @@
 
 use pintally::interface::Outcome;
 
-/// How far an attempt had come.
+/// The progress of an attempt when a transport error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No byte of it has been sent.
+    /// No byte of the request has been sent.
     Connecting,
-    /// Some of it may have arrived.
+    /// Part of the request may have arrived at the engine.
     Sent,
 }
 
-/// The outcome of an error response: its type is `no_state`, or the engine vouches that nothing ran.
+/// The outcome of an error response. `no_state` is whether its type is `no_state`; `not_run` is whether the engine
+/// guarantees that the request did not run.
 pub fn outcome_of_status(status: u16, no_state: bool, not_run: bool) -> Outcome {
     match status {
         409 if no_state => Outcome::StateNotFound,
--- a/crates/pintally-engine/src/outcome/tests.rs
+++ b/crates/pintally-engine/src/outcome/tests.rs
@@ -1,10 +1,11 @@
-//! Outcomes of statuses and of transport errors.
+//! Outcomes of status codes and of transport errors.
 
 use super::*;
 
-/// Guards against a retry of a request that is not idempotent on a response that proves nothing.
+/// Guards against the retry of a request that is not idempotent after a response that does not prove that the
+/// request did not run.
 #[test]
-fn only_proof_counts_as_not_run() {
+fn not_run_requires_proof() {
     assert_eq!(outcome_of_status(409, true, false), Outcome::StateNotFound);
     assert_eq!(outcome_of_status(409, false, false), Outcome::Error);
     assert_eq!(outcome_of_status(503, false, false), Outcome::Error);
--- a/crates/pintally-engine/src/request.rs
+++ b/crates/pintally-engine/src/request.rs
@@ -1,45 +1,45 @@
-//! Requests to engines as bytes.
+//! Serialization of requests to engines.
 
 use pintally_http::request;
 use serde_json::{json, Value};
 
 use crate::extension;
 
-/// What an attempt does at its engine.
+/// The part of a request that an attempt performs at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the prompt; the state stays for a fetch.
+    /// Read the prompt; the engine keeps the read state until it is fetched or released.
     Read,
-    /// Fetch the state and answer.
+    /// Fetch the read state and write the answer.
     Fetch,
-    /// Read and answer in one.
+    /// Read the prompt and write the answer at the same engine.
     Both,
 }
 
-/// One attempt as it goes to an engine.
+/// The contents of a completion request for one attempt.
 #[derive(Clone, Debug)]
 pub struct Completion<'a> {
-    /// What the engine is to do.
+    /// The part of the request to perform.
     pub step: Step,
-    /// The model's name.
+    /// The name of the model.
     pub model: &'a str,
-    /// The node's id of the request, the same for all of its attempts.
+    /// The node's id of the request, which is the same for all of its attempts.
     pub id: &'a str,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// The client's id of the request.
+    /// The client's id of the request, sent as [`extension::KEY`].
     pub key: &'a str,
     /// The tenant, if any.
     pub tenant: Option<&'a str>,
     /// The prompt.
     pub prompt: &'a str,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u64,
-    /// `kv_transfer_params` as the reader gave them, for [`Step::Fetch`].
+    /// The `kv_transfer_params` returned by the reader, for [`Step::Fetch`].
     pub state: Option<&'a Value>,
 }
 
-/// An attempt as bytes.
+/// The completion request for an attempt.
 pub fn completion(completion: &Completion) -> Vec<u8> {
     let mut body = json!({ "model": completion.model, "prompt": completion.prompt });
     match completion.step {
@@ -69,14 +69,14 @@
     request("POST", "/v1/completions", &headers, body.to_string().as_bytes())
 }
 
-/// A request to release a read state, as bytes.
+/// A request to release the read state with this id.
 pub fn release(id: &str) -> Vec<u8> {
     let body = json!({ "request_id": id }).to_string();
     let headers = [("host", "engine"), ("content-type", "application/json")];
     request("POST", extension::RELEASE_PATH, &headers, body.as_bytes())
 }
 
-/// A health check, as bytes.
+/// A health check, which requests the metrics of the engine.
 pub fn health_check() -> Vec<u8> {
     request("GET", "/metrics", &[("host", "engine")], b"")
 }
--- a/crates/pintally-engine/tests/golden.rs
+++ b/crates/pintally-engine/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the requests to engines, and the published names that they are made of.
+//! Golden files of the requests to engines, and the names of headers, metrics and error types.
 
 use std::path::Path;
 
@@ -58,9 +58,9 @@
     }
 }
 
-/// The names by which an engine vouches that nothing ran, or that there was no state.
+/// The names by which an engine reports that a request did not run, or that there was no read state.
 #[test]
-fn names_of_errors() {
+fn error_names() {
     let outcome = |answer: &str| {
         let (mut reader, mut progress) = (AttemptReader::new(Step::Fetch, 0), Vec::new());
         reader.push(answer.as_bytes(), &mut progress);
@@ -69,10 +69,10 @@
             other => panic!("no end: {other:?}"),
         }
     };
-    let vouched = "HTTP/1.1 503 Full\r\nx-pintally-not-run: 1\r\ncontent-length: 2\r\n\r\n{}";
-    assert!(matches!(outcome(vouched), Outcome::Overloaded));
-    let unvouched = "HTTP/1.1 500 Failed\r\ncontent-length: 2\r\n\r\n{}";
-    assert!(matches!(outcome(unvouched), Outcome::Error));
+    let not_run = "HTTP/1.1 503 Full\r\nx-pintally-not-run: 1\r\ncontent-length: 2\r\n\r\n{}";
+    assert!(matches!(outcome(not_run), Outcome::Overloaded));
+    let may_have_run = "HTTP/1.1 500 Failed\r\ncontent-length: 2\r\n\r\n{}";
+    assert!(matches!(outcome(may_have_run), Outcome::Error));
     let body = "{\"error\":{\"type\":\"no_state\"}}";
     let no_state = format!("HTTP/1.1 409 Conflict\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     assert!(matches!(outcome(&no_state), Outcome::StateNotFound));
--- a/crates/pintally-http/src/framing.rs
+++ b/crates/pintally-http/src/framing.rs
@@ -1,36 +1,37 @@
-//! The framing of a message's body: by length, in chunks, or to the end of the connection.
+//! The framing of the body of a message: by length, in chunks, or until the end of the connection.
 
 use crate::{Headers, HttpError};
 
-/// The longest line that gives a chunk's size, and the most trailer bytes.
+/// The maximum length of a chunk size line, and the maximum total size of the trailers.
 const MAX_LINE_BYTES: usize = 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// How the rest of a body is framed.
+/// The framing of the remaining body, which is also the state of the parser.
 pub(crate) enum Framing {
-    /// So many bytes are left.
+    /// This number of bytes remains.
     Length(u64),
-    /// A chunk's size line comes next.
+    /// A chunk size line is next.
     ChunkSize,
-    /// So many bytes of the chunk are left.
+    /// This number of bytes of the current chunk remains.
     Chunk(u64),
-    /// The line end behind a chunk comes next.
+    /// The line end after a chunk is next.
     ChunkEnd,
-    /// Trailer lines come until an empty one; so many bytes of them have come.
+    /// Trailer lines follow until an empty line; this number of trailer bytes has been parsed.
     Trailers(usize),
-    /// All bytes until the connection ends.
+    /// The body extends to the end of the connection.
     ToEnd,
     /// The body is complete.
     Done,
 }
 
 impl Framing {
-    /// The framing by the headers; `otherwise` is that of a message without one.
-    pub(crate) fn of(headers: &Headers, otherwise: Framing) -> Result<Framing, HttpError> {
-        let length = headers.length()?;
+    /// The framing given by the headers; `default` applies if they give none.
+    pub(crate) fn from_headers(headers: &Headers, default: Framing) -> Result<Framing, HttpError> {
+        let length = headers.content_length()?;
         let mut codings = headers.0.iter().filter(|(n, _)| n == "transfer-encoding").map(|(_, v)| v.trim());
         if let Some(coding) = codings.next() {
-            // Guards against two readers of one message that see its end in different places.
+            // Guards against request smuggling: two parsers must not see the end of one message at different
+            // positions.
             if !coding.eq_ignore_ascii_case("chunked") || codings.next().is_some() {
                 return Err(if length.is_some() {
                     HttpError::Malformed("a length beside a transfer encoding")
@@ -46,55 +47,55 @@
         Ok(match length {
             Some(0) => Framing::Done,
             Some(length) => Framing::Length(length),
-            None => otherwise,
+            None => default,
         })
     }
 
-    /// Takes what it can from the buffer's start into `out`; returns how many bytes were used up.
-    /// `out` may hold `max_bytes`.
-    pub(crate) fn take(
+    /// Parses as much as possible of the buffer and appends the body to `out`, which may hold at most
+    /// `max_bytes`. Returns the number of consumed bytes.
+    pub(crate) fn decode(
         &mut self,
         buffer: &[u8],
         out: &mut Vec<u8>,
         max_bytes: usize,
     ) -> Result<usize, HttpError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let step = self.step(&buffer[used..], out, max_bytes)?;
-            used += step.used;
-            if step.waits {
-                return Ok(used);
+            let step = self.step(&buffer[consumed..], out, max_bytes)?;
+            consumed += step.consumed;
+            if step.needs_input {
+                return Ok(consumed);
             }
         }
     }
 
-    /// Takes one piece: a part of the body, or one line.
+    /// Parses one element: a part of the body, or one line.
     fn step(&mut self, buffer: &[u8], out: &mut Vec<u8>, max_bytes: usize) -> Result<Step, HttpError> {
         match self {
-            Framing::Done => Ok(Step::WAIT),
+            Framing::Done => Ok(Step::NEEDS_INPUT),
             Framing::ToEnd => {
                 push(out, buffer, max_bytes)?;
-                Ok(Step { used: buffer.len(), waits: true })
+                Ok(Step { consumed: buffer.len(), needs_input: true })
             }
-            Framing::Length(left) | Framing::Chunk(left) => {
-                let part = (*left).min(buffer.len() as u64) as usize;
-                push(out, &buffer[..part], max_bytes)?;
-                *left -= part as u64;
-                let complete = *left == 0;
+            Framing::Length(remaining) | Framing::Chunk(remaining) => {
+                let length = (*remaining).min(buffer.len() as u64) as usize;
+                push(out, &buffer[..length], max_bytes)?;
+                *remaining -= length as u64;
+                let complete = *remaining == 0;
                 if complete {
                     *self = if matches!(self, Framing::Chunk(_)) { Framing::ChunkEnd } else { Framing::Done };
                 }
-                Ok(Step { used: part, waits: !complete })
+                Ok(Step { consumed: length, needs_input: !complete })
             }
             Framing::ChunkSize => {
-                let Some(end) = line_end(buffer)? else { return Ok(Step::WAIT) };
+                let Some(end) = line_end(buffer)? else { return Ok(Step::NEEDS_INPUT) };
                 let size = chunk_size(&buffer[..end])?;
                 *self = if size == 0 { Framing::Trailers(0) } else { Framing::Chunk(size) };
                 Ok(Step::line(end))
             }
             Framing::ChunkEnd => {
                 if buffer.len() < LINE_END.len() {
-                    return Ok(Step::WAIT);
+                    return Ok(Step::NEEDS_INPUT);
                 }
                 if !buffer.starts_with(LINE_END) {
                     return Err(HttpError::Malformed("no line end behind a chunk"));
@@ -103,7 +104,7 @@
                 Ok(Step::line(0))
             }
             Framing::Trailers(seen) => {
-                let Some(end) = line_end(buffer)? else { return Ok(Step::WAIT) };
+                let Some(end) = line_end(buffer)? else { return Ok(Step::NEEDS_INPUT) };
                 *seen += end + LINE_END.len();
                 if *seen > MAX_LINE_BYTES {
                     return Err(HttpError::HeadTooLarge);
@@ -117,29 +118,29 @@
     }
 }
 
-/// What one step over a buffer has done.
+/// The result of parsing one element.
 struct Step {
-    /// Bytes that were used up.
-    used: usize,
-    /// Nothing goes on without more bytes.
-    waits: bool,
+    /// The number of consumed bytes.
+    consumed: usize,
+    /// Nothing more can be parsed without further bytes.
+    needs_input: bool,
 }
 
 impl Step {
-    const WAIT: Step = Step { used: 0, waits: true };
+    const NEEDS_INPUT: Step = Step { consumed: 0, needs_input: true };
 
-    /// A line of this length, and its end.
+    /// The step over a line of this length and its line end.
     fn line(length: usize) -> Step {
-        Step { used: length + LINE_END.len(), waits: false }
+        Step { consumed: length + LINE_END.len(), needs_input: false }
     }
 }
 
-/// The size in a chunk's first line, in front of extensions.
+/// The size in a chunk size line; chunk extensions are ignored.
 fn chunk_size(line: &[u8]) -> Result<u64, HttpError> {
     let line = std::str::from_utf8(line).unwrap_or("");
     let size = line.split(';').next().unwrap_or("").trim();
-    let hex = !size.is_empty() && size.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let size = u64::from_str_radix(size, 16).ok().filter(|_| hex);
+    let is_hex = !size.is_empty() && size.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let size = u64::from_str_radix(size, 16).ok().filter(|_| is_hex);
     size.ok_or(HttpError::Malformed("a chunk's size is no number"))
 }
 
@@ -151,7 +152,7 @@
     Ok(())
 }
 
-/// Where the first line ends, if it is all there.
+/// The position of the first line end, if there is one.
 fn line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     match buffer.windows(LINE_END.len()).take(MAX_LINE_BYTES).position(|bytes| bytes == LINE_END) {
         Some(end) => Ok(Some(end)),
--- a/crates/pintally-http/src/lib.rs
+++ b/crates/pintally-http/src/lib.rs
@@ -1,6 +1,7 @@
-//! HTTP/1.1 messages and server-sent events as state machines: bytes are pushed in, messages come out.
+//! HTTP/1.1 messages and server-sent events as state machines that turn bytes into messages.
 //!
-//! Nothing here reads a socket or a clock, so the same code serves sockets and a simulated network.
+//! This package uses neither sockets nor clocks, so the same code works with sockets and with a simulated
+//! network.
 
 #![deny(missing_docs)]
 
@@ -17,15 +18,15 @@
 
 use std::fmt;
 
-/// The most header lines of a message.
+/// The maximum number of header lines of a message.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// Headers in the order they came, names in lower case.
+/// The headers in the order of the message, with names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
-    /// The first value of a name given in lower case.
+    /// The value of the first header with this name, which must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
@@ -35,14 +36,14 @@
         Headers(parsed.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect())
     }
 
-    /// Whether a comma-separated header holds a token.
-    pub(crate) fn has(&self, name: &str, token: &str) -> bool {
+    /// Whether a header with a comma-separated value contains a token.
+    pub(crate) fn has_token(&self, name: &str, token: &str) -> bool {
         let mut values = self.0.iter().filter(|(n, _)| n == name);
         values.any(|(_, value)| value.split(',').any(|part| part.trim().eq_ignore_ascii_case(token)))
     }
 
-    /// The body's length by these headers; two different lengths, or a length beside chunks, is an error.
-    pub(crate) fn length(&self) -> Result<Option<u64>, HttpError> {
+    /// The length of the body according to `content-length`; two different lengths are an error.
+    pub(crate) fn content_length(&self) -> Result<Option<u64>, HttpError> {
         let mut found = None;
         for (_, value) in self.0.iter().filter(|(n, _)| n == "content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
@@ -57,21 +58,21 @@
     }
 }
 
-/// Why a message is not accepted.
+/// The reason why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// The bytes are not HTTP/1.1.
     Malformed(&'static str),
-    /// The head is longer than allowed.
+    /// The head is larger than allowed.
     HeadTooLarge,
-    /// The body is longer than allowed.
+    /// The body is larger than allowed.
     BodyTooLarge,
-    /// A body encoding that is not served.
+    /// The transfer encoding is not supported.
     Encoding,
 }
 
 impl HttpError {
-    /// The status that a server answers it with.
+    /// The status code with which a server responds to the message.
     pub fn status(&self) -> u16 {
         match self {
             HttpError::Malformed(_) => 400,
@@ -85,7 +86,7 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpError::Malformed(what) => write!(f, "malformed message: {what}"),
+            HttpError::Malformed(reason) => write!(f, "malformed message: {reason}"),
             HttpError::HeadTooLarge => f.write_str("the head is larger than allowed"),
             HttpError::BodyTooLarge => f.write_str("the body is larger than allowed"),
             HttpError::Encoding => f.write_str("this transfer encoding is not served"),
--- a/crates/pintally-http/src/request.rs
+++ b/crates/pintally-http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as a server reads them: complete, within bounds.
+//! Parsing of requests by a server, with size limits.
 
 use crate::framing::Framing;
 use crate::{Headers, HttpError, MAX_HEADERS};
@@ -6,15 +6,15 @@
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method, as it came.
+    /// The method, as sent.
     pub method: String,
-    /// Its target, path and query.
+    /// The request target, with path and query.
     pub target: String,
-    /// Its headers.
+    /// The headers.
     pub headers: Headers,
-    /// Its body, empty if it had none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
-    /// The connection stays open after it.
+    /// Whether the connection stays open after this request.
     pub keep_alive: bool,
 }
 
@@ -23,14 +23,14 @@
     max_head_bytes: usize,
     max_body_bytes: usize,
     buffer: Vec<u8>,
-    /// The request whose body is coming in.
+    /// The request whose body is being received.
     incoming: Option<(Request, Framing)>,
-    /// The client waits for `100 Continue`, and nobody has asked about it yet.
+    /// The client waits for `100 Continue`, which [`RequestReader::take_expects_continue`] has not reported yet.
     expects_continue: bool,
 }
 
 impl RequestReader {
-    /// A reader with bounds for head and body.
+    /// A reader with limits for the sizes of head and body.
     pub fn new(max_head_bytes: usize, max_body_bytes: usize) -> RequestReader {
         RequestReader {
             max_head_bytes,
@@ -41,43 +41,44 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of a request is here.
+    /// Whether part of a request has been received.
     pub fn is_partial(&self) -> bool {
         self.incoming.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes in memory: of the request that comes in, and behind it.
+    /// The number of buffered bytes: of the body that is being received, and not yet parsed.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() + self.incoming.as_ref().map_or(0, |(request, _)| request.body.len())
     }
 
-    /// Bytes that have come and have not been looked at.
+    /// The number of received bytes that have not been parsed.
     pub fn unparsed_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the client waits for `100 Continue`; true once for each request.
+    /// Whether the client waits for `100 Continue`; returns true at most once for each request.
     pub fn take_expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
-    /// The next complete request, if it is here. After an error the connection is of no more use.
+    /// The next request, if it has been received completely. After an error the connection cannot be used any
+    /// more.
     ///
     /// # Errors
     ///
-    /// A message that is not HTTP/1.1, is too large, or has an encoding that is not served.
+    /// Fails if the message is not HTTP/1.1, is too large, or has an unsupported transfer encoding.
     pub fn next_request(&mut self) -> Result<Option<Request>, HttpError> {
         if self.incoming.is_none() && !self.read_head()? {
             return Ok(None);
         }
         let Some((request, framing)) = &mut self.incoming else { return Ok(None) };
-        let used = framing.take(&self.buffer, &mut request.body, self.max_body_bytes)?;
-        self.buffer.drain(..used);
+        let consumed = framing.decode(&self.buffer, &mut request.body, self.max_body_bytes)?;
+        self.buffer.drain(..consumed);
         match framing {
             Framing::Done => Ok(self.incoming.take().map(|(request, _)| request)),
             _ => Ok(None),
@@ -85,8 +86,8 @@
     }
 
     fn read_head(&mut self) -> Result<bool, HttpError> {
-        let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut parsed = httparse::Request::new(&mut space);
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut header_buffer);
         let length = match parsed.parse(&self.buffer) {
             Ok(httparse::Status::Complete(length)) if length <= self.max_head_bytes => length,
             Ok(httparse::Status::Partial) if self.buffer.len() <= self.max_head_bytes => return Ok(false),
@@ -95,8 +96,8 @@
         };
         let headers = Headers::from_parsed(parsed.headers);
         let keep_alive = match parsed.version {
-            Some(1) => !headers.has("connection", "close"),
-            _ => headers.has("connection", "keep-alive"),
+            Some(1) => !headers.has_token("connection", "close"),
+            _ => headers.has_token("connection", "keep-alive"),
         };
         let request = Request {
             method: parsed.method.unwrap_or("").to_string(),
@@ -105,12 +106,12 @@
             body: Vec::new(),
             keep_alive,
         };
-        let framing = Framing::of(&request.headers, Framing::Done)?;
-        if request.headers.length()?.is_some_and(|length| length > self.max_body_bytes as u64) {
+        let framing = Framing::from_headers(&request.headers, Framing::Done)?;
+        if request.headers.content_length()?.is_some_and(|length| length > self.max_body_bytes as u64) {
             return Err(HttpError::BodyTooLarge);
         }
         self.expects_continue =
-            request.headers.has("expect", "100-continue") && !matches!(framing, Framing::Done);
+            request.headers.has_token("expect", "100-continue") && !matches!(framing, Framing::Done);
         self.buffer.drain(..length);
         self.incoming = Some((request, framing));
         Ok(true)
--- a/crates/pintally-http/src/response.rs
+++ b/crates/pintally-http/src/response.rs
@@ -1,9 +1,9 @@
-//! Responses as a client reads them: the head, then the body as it comes.
+//! Parsing of responses by a client: the head, then the parts of the body as they arrive.
 
 use crate::framing::Framing;
 use crate::{Headers, HttpError, MAX_HEADERS};
 
-/// The most body bytes that one call returns.
+/// The maximum number of body bytes that one call returns.
 const MAX_PART_BYTES: usize = 1 << 20;
 
 /// A part of a response.
@@ -11,9 +11,9 @@
 pub enum Part {
     /// The status and headers.
     Head(u16, Headers),
-    /// Some of the body.
+    /// A part of the body.
     Body(Vec<u8>),
-    /// The response is complete; `true` if the connection may be used again.
+    /// The response is complete; `true` if the connection can be reused.
     End(bool),
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl ResponseReader {
-    /// A reader with a bound for the head.
+    /// A reader with a limit for the size of the head.
     pub fn new(max_head_bytes: usize) -> ResponseReader {
         ResponseReader {
             max_head_bytes,
@@ -42,57 +42,58 @@
         }
     }
 
-    /// The same reader, to which a chunk announced as longer than this is an error.
-    pub fn with_max_chunk_bytes(mut self, most: u64) -> ResponseReader {
-        self.max_chunk_bytes = most;
+    /// Sets the maximum size of a chunk; a larger chunk is an error as soon as its size line has been parsed.
+    pub fn with_max_chunk_bytes(mut self, max_chunk_bytes: u64) -> ResponseReader {
+        self.max_chunk_bytes = max_chunk_bytes;
         self
     }
 
-    /// Whether the body comes in chunks, so that its end is known for certain.
+    /// Whether the body is chunked, so that a truncated body can be detected.
     pub fn is_chunked(&self) -> bool {
         self.chunked
     }
 
-    /// Takes in bytes.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether any byte of the response has come.
+    /// Whether any byte of the response has been received.
     pub fn has_started(&self) -> bool {
         self.framing.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes that have come and belong to no part returned so far.
+    /// The number of received bytes that belong to no part returned so far.
     pub fn leftover_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes what has come behind the response: the start of the next one.
+    /// Takes the bytes received after the response, which are the start of the next one.
     pub fn take_leftover(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buffer)
     }
 
-    /// The peer has closed: a body that runs to the end is complete, anything else is cut off.
+    /// Handles the close of the connection by the peer: a body that extends to the end of the connection is now
+    /// complete, any other response is truncated.
     ///
     /// # Errors
     ///
-    /// The response is cut off.
+    /// Fails if the response is truncated.
     pub fn closed(&mut self) -> Result<Part, HttpError> {
         match self.framing {
             Some(Framing::ToEnd) => {
                 self.ended = true;
                 Ok(Part::End(false))
             }
-            _ => Err(HttpError::Malformed("the connection ended inside a response")),
+            _ => Err(HttpError::Malformed("the connection was closed before the end of the response")),
         }
     }
 
-    /// The next part, if it is here.
+    /// The next part, if it has been received.
     ///
     /// # Errors
     ///
-    /// A message that is not HTTP/1.1, is too large, or has an encoding that is not served.
+    /// Fails if the message is not HTTP/1.1, is too large, or has an unsupported transfer encoding.
     pub fn next_part(&mut self) -> Result<Option<Part>, HttpError> {
         if self.ended {
             return Ok(None);
@@ -100,9 +101,9 @@
         let Some(framing) = &mut self.framing else { return self.read_head() };
         let mut body = Vec::new();
         let end = self.buffer.len().min(MAX_PART_BYTES);
-        let used = framing.take(&self.buffer[..end], &mut body, MAX_PART_BYTES)?;
-        self.buffer.drain(..used);
-        if matches!(framing, Framing::Chunk(left) if *left > self.max_chunk_bytes) {
+        let consumed = framing.decode(&self.buffer[..end], &mut body, MAX_PART_BYTES)?;
+        self.buffer.drain(..consumed);
+        if matches!(framing, Framing::Chunk(remaining) if *remaining > self.max_chunk_bytes) {
             return Err(HttpError::BodyTooLarge);
         }
         if !body.is_empty() {
@@ -117,8 +118,8 @@
 
     fn read_head(&mut self) -> Result<Option<Part>, HttpError> {
         loop {
-            let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
-            let mut parsed = httparse::Response::new(&mut space);
+            let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+            let mut parsed = httparse::Response::new(&mut header_buffer);
             let length = match parsed.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(length)) if length <= self.max_head_bytes => length,
                 Ok(httparse::Status::Partial) if self.buffer.len() <= self.max_head_bytes => return Ok(None),
@@ -128,20 +129,21 @@
             let status = parsed.code.unwrap_or(0);
             let headers = Headers::from_parsed(parsed.headers);
             self.keep_alive = match parsed.version {
-                Some(1) => !headers.has("connection", "close"),
-                _ => headers.has("connection", "keep-alive"),
+                Some(1) => !headers.has_token("connection", "close"),
+                _ => headers.has_token("connection", "keep-alive"),
             };
             self.buffer.drain(..length);
             if (100..200).contains(&status) {
                 continue;
             }
-            let empty = matches!(status, 204 | 304);
-            let framing = Framing::of(&headers, if empty { Framing::Done } else { Framing::ToEnd })?;
+            let has_no_body = matches!(status, 204 | 304);
+            let framing =
+                Framing::from_headers(&headers, if has_no_body { Framing::Done } else { Framing::ToEnd })?;
             self.chunked = matches!(framing, Framing::ChunkSize);
             if matches!(framing, Framing::ToEnd) {
                 self.keep_alive = false;
             }
-            self.framing = Some(if empty { Framing::Done } else { framing });
+            self.framing = Some(if has_no_body { Framing::Done } else { framing });
             return Ok(Some(Part::Head(status, headers)));
         }
     }
--- a/crates/pintally-http/src/sse.rs
+++ b/crates/pintally-http/src/sse.rs
@@ -1,28 +1,28 @@
-//! Server-sent events: the `data` of each event, out of a stream of bytes cut anywhere.
+//! Server-sent events: extracts the `data` of each event from a byte stream that may be split at any position.
 
 use crate::HttpError;
 
-/// Turns bytes into the data of events.
+/// Parses the data of events from bytes.
 #[derive(Default)]
 pub struct SseReader {
     buffer: Vec<u8>,
     data: Vec<u8>,
-    /// The event has a data line.
+    /// The current event has a `data` line.
     has_data: bool,
     max_event_bytes: usize,
 }
 
 impl SseReader {
-    /// A reader that holds at most so many bytes of one event.
+    /// A reader that buffers at most this number of bytes.
     pub fn new(max_event_bytes: usize) -> SseReader {
         SseReader { max_event_bytes, ..SseReader::default() }
     }
 
-    /// Takes in bytes.
+    /// Adds received bytes.
     ///
     /// # Errors
     ///
-    /// An event is longer than the bound.
+    /// Fails if more bytes would be buffered than allowed.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         if self.buffer.len() + self.data.len() + bytes.len() > self.max_event_bytes {
             return Err(HttpError::BodyTooLarge);
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// The data of the next complete event.
+    /// The data of the next event, if it has been received completely.
     pub fn next_event(&mut self) -> Option<Vec<u8>> {
         loop {
             let end = self.buffer.iter().position(|b| *b == b'\n')?;
--- a/crates/pintally-http/src/write.rs
+++ b/crates/pintally-http/src/write.rs
@@ -1,11 +1,12 @@
-//! Messages and their parts as bytes.
+//! Serialization of messages and their parts.
 
 use std::fmt::Write;
 
-/// The end of a body in chunks.
+/// The end of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A header line; control characters in a value become spaces, so that no value can add a line.
+/// Appends a header line. Control characters in the value are replaced by spaces, so that a value cannot inject
+/// another header line.
 pub fn header_line(out: &mut String, name: &str, value: &str) {
     let clean: String = value.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
     let _ = write!(out, "{name}: {clean}\r\n");
@@ -31,7 +32,7 @@
     }
 }
 
-/// The head of a response whose body follows in chunks.
+/// The head of a response with a chunked body.
 pub fn response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} {}\r\ntransfer-encoding: chunked\r\n", reason_phrase(status));
     headers.iter().for_each(|(name, value)| header_line(&mut out, name, value));
@@ -39,7 +40,7 @@
     out.into_bytes()
 }
 
-/// A complete response.
+/// A response with its body.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out =
         format!("HTTP/1.1 {status} {}\r\ncontent-length: {}\r\n", reason_phrase(status), body.len());
@@ -50,7 +51,7 @@
     out
 }
 
-/// A complete request.
+/// A request with its body.
 pub fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\ncontent-length: {}\r\n", body.len());
     headers.iter().for_each(|(name, value)| header_line(&mut out, name, value));
@@ -60,7 +61,7 @@
     out
 }
 
-/// One chunk of a body.
+/// A chunk of a body.
 pub fn chunk(data: &[u8]) -> Vec<u8> {
     let mut out = format!("{:x}\r\n", data.len()).into_bytes();
     out.extend_from_slice(data);
@@ -68,7 +69,7 @@
     out
 }
 
-/// One event with its data, which must hold no line end.
+/// A server-sent event; `data` must not contain a line end.
 pub fn sse_event(data: &str) -> Vec<u8> {
     format!("data: {data}\n\n").into_bytes()
 }
--- a/crates/pintally-http/tests/golden.rs
+++ b/crates/pintally-http/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the messages as they are written.
+//! Golden files of the serialized messages and of the error messages.
 
 use std::path::Path;
 
--- a/crates/pintally-validation/src/lib.rs
+++ b/crates/pintally-validation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Validation of settings whose figures depend on each other, shared by the packages of the fleet.
+//! Validation of settings whose values depend on each other, shared by the packages of the fleet.
 
 use std::fmt;
 
-/// A configuration whose figures contradict each other; the text names the violated rule.
+/// Settings whose values are inconsistent with each other; the text names the violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidConfiguration(pub &'static str);
 
@@ -14,11 +14,11 @@
 
 impl std::error::Error for InvalidConfiguration {}
 
-/// Returns an error with this text unless the condition holds.
+/// Returns an error that names the violated rule if `valid` is false.
 ///
 /// # Errors
 ///
-/// [`InvalidConfiguration`] if `valid` is false.
+/// Returns [`InvalidConfiguration`] if `valid` is false.
 pub fn ensure(valid: bool, violated_rule: &'static str) -> Result<(), InvalidConfiguration> {
     if valid {
         Ok(())
