--- a/crates/pintally-config/src/check.rs
+++ b/crates/pintally-config/src/check.rs
@@ -107,7 +107,9 @@
     check_client_timeouts(root, settings)?;
     check_release_deadline(root, settings)?;
     if settings.engines_poll_interval > MAX_POLL_INTERVAL_US {
-        let message = "`node.engines.every-ms`: must be at most 1000 ms, so that a node follows a drain within one second";
+        let message =
+            "`node.engines.every-ms`: must be at most 1000 ms, so that a node follows a drain within \
+                       one second";
         return Err(rule_error(root, "node", "engines", rule::DRAINS_RESPECTED, message.into())?);
     }
     let limits = &settings.limits;
--- a/crates/pintally-config/src/consensus.rs
+++ b/crates/pintally-config/src/consensus.rs
@@ -18,7 +18,8 @@
     pub names: Vec<String>,
     /// The time between two heartbeats of the leader.
     pub heartbeat_interval: Micros,
-    /// A replica that receives no heartbeat becomes a candidate after this time, or after up to twice this time.
+    /// A replica that receives no heartbeat becomes a candidate after a random time between one and two times this
+    /// value.
     pub election_timeout: Micros,
     /// After this time a restarted replica with an intact disk trusts its stored vote to be the latest.
     pub vote_recovery_timeout: Micros,
