--- a/crates/pintally-config/src/rule.rs
+++ b/crates/pintally-config/src/rule.rs
@@ -2,6 +2,6 @@
 
 pub(crate) const NO_REQUEST_LOST: &str = "no request is lost";
 pub(crate) const NO_EFFECT_TWICE: &str = "no effect happens twice";
-pub(crate) const DRAINS_RESPECTED: &str = "drains are respected";
-pub(crate) const COLD_ENGINES_PROTECTED: &str = "cold engines are not overloaded";
-pub(crate) const NO_RESERVATION_LEFT: &str = "no reservation is left behind";
+pub(crate) const DRAINS_RESPECTED: &str = "drains are kept";
+pub(crate) const COLD_ENGINES_PROTECTED: &str = "a cold engine is not pushed over";
+pub(crate) const NO_RESERVATION_LEFT: &str = "nothing is left pinned";
