--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -6,7 +6,7 @@
 use comfy_table::Table;
 use pintally_benchmarks::{moves, price, MeasureError};
 use pintally_lab::fleet::{self, FleetSpec};
-use pintally_lab::{compare, play, record, size, supported, Which};
+use pintally_lab::{compare, is_supported, play, play_at_size, record, PolicyKind};
 use pintally_scenario::Scenario;
 
 use crate::measure::{print_moves, print_prices, MoveOf};
@@ -105,15 +105,15 @@
         What::Policies { day, loads, seeds, json } => {
             let day = load(day)?;
             let found = compare(&day, loads, day.seed..day.seed + seeds).map_err(Failure::failed)?;
-            let broken = found.iter().any(|c| c.broken > 0);
+            let broken = found.iter().any(|c| c.runs_with_violations > 0);
             if *json {
                 for c in &found {
                     let line = serde_json::json!({
-                        "policy": c.which.name(), "load": c.load,
-                        "in_time": [c.in_time.least, c.in_time.median, c.in_time.most],
+                        "policy": c.policy.name(), "load": c.load,
+                        "in_time": [c.timely_share.least, c.timely_share.median, c.timely_share.most],
                         "against_module": [c.against_module.least, c.against_module.mean, c.against_module.most],
                         "p99_ms": [c.p99_ms.least, c.p99_ms.median, c.p99_ms.most],
-                        "runs_with_broken_rules": c.broken, "fell_over": c.fell,
+                        "runs_with_broken_rules": c.runs_with_violations, "fell_over": c.overload_crashes,
                     });
                     println!("{line}");
                 }
@@ -132,18 +132,18 @@
             for c in &found {
                 table.add_row([
                     c.load.to_string(),
-                    c.which.name().to_string(),
-                    c.in_time.to_string(),
+                    c.policy.name().to_string(),
+                    c.timely_share.to_string(),
                     c.against_module.to_string(),
                     c.p99_ms.to_string(),
-                    c.broken.to_string(),
-                    c.fell.to_string(),
+                    c.runs_with_violations.to_string(),
+                    c.overload_crashes.to_string(),
                 ]);
             }
             println!("{table}");
             for c in &found {
-                if let Some(first) = &c.first {
-                    println!("{} at {}: {first}", c.which.name(), c.load);
+                if let Some(first) = &c.first_violation {
+                    println!("{} at {}: {first}", c.policy.name(), c.load);
                 }
             }
             println!("share of the worth asked that was served in time; emulated engines in virtual time");
@@ -152,7 +152,7 @@
         What::Moves { of, rate, seeds } => {
             let mut day = load(&of.day)?;
             day.traffic.per_second *= rate;
-            let own = |day: &Scenario, seed: u64| record(day, Which::Module, seed).map_err(MeasureError);
+            let own = |day: &Scenario, seed: u64| record(day, PolicyKind::Module, seed).map_err(MeasureError);
             let (first, cores) =
                 (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
             let found = moves(&day, &of.tenant, &of.to, first..first + seeds, of.groups, (cores, &own))
@@ -165,8 +165,8 @@
             day.length = seconds.map_or(day.length, Duration::from_secs_f64);
             day.traffic.per_second *= rate;
             let own = |day: &Scenario, seed: u64| {
-                let played = play(day, Which::Module, seed).map_err(MeasureError)?;
-                Ok((played.in_time, played.broken.is_empty()))
+                let played = play(day, PolicyKind::Module, seed).map_err(MeasureError)?;
+                Ok((played.timely_share, played.violations.is_empty()))
             };
             let (first, cores) =
                 (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
@@ -190,16 +190,16 @@
         }
         What::Size { day, engines, nodes, seeds } => {
             let day = load(day)?;
-            let s = size(&day, *engines, *nodes, *seeds).map_err(Failure::failed)?;
+            let s = play_at_size(&day, *engines, *nodes, *seeds).map_err(Failure::failed)?;
             println!(
                 "{} engines, {} nodes, {:.0} requests/s: {} seconds of the day in one of the wall's, on one core; \
                  served in time {}; runs with a broken rule: {}",
-                s.engines, s.nodes, s.per_second, s.speed, s.in_time, s.broken
+                s.engines, s.nodes, s.per_second, s.speed, s.timely_share, s.runs_with_violations
             );
-            if let Some(first) = &s.first {
+            if let Some(first) = &s.first_violation {
                 println!("{first}");
             }
-            Ok(if s.broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if s.runs_with_violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
     }
 }
@@ -208,7 +208,7 @@
 fn load(path: &str) -> Result<Scenario, Failure> {
     let day = Scenario::parse(path, &read(path)?).map_err(Failure::usage)?;
     let mut left: Vec<String> =
-        day.faults.iter().filter(|f| !supported(f.kind)).map(|f| format!("{:?}", f.kind)).collect();
+        day.faults.iter().filter(|f| !is_supported(f.kind)).map(|f| format!("{:?}", f.kind)).collect();
     left.dedup();
     if !left.is_empty() {
         eprintln!("not played in virtual time: {}", left.join(", "));
--- a/crates/pintally-cli/src/soak.rs
+++ b/crates/pintally-cli/src/soak.rs
@@ -62,7 +62,7 @@
             nodes: args.nodes,
             readers: args.readers,
             writers: args.writers,
-            span: Duration::from_secs(args.seconds),
+            client_duration: Duration::from_secs(args.seconds),
             faults_permille: args.faults,
             logs: args.logs.as_ref().map(|folder| folder.join(format!("seed-{seed}"))),
         };
@@ -97,12 +97,12 @@
 fn print_report(seed: u64, report: &Report, troubles: bool) {
     println!(
         "seed {seed}: {} asked, {} served, {} attempts, {} restarts, {} troubles, late {} ms: {} violations",
-        report.asked,
-        report.served,
+        report.requests_sent,
+        report.requests_served,
         report.attempts,
         report.restarts,
         report.faults.len(),
-        report.late.as_millis(),
+        report.max_wake_delay.as_millis(),
         report.violations.len()
     );
     if troubles {
--- a/crates/pintally-cli/tests/soak.rs
+++ b/crates/pintally-cli/tests/soak.rs
@@ -22,22 +22,25 @@
             nodes: 8,
             readers: 3,
             writers: 4,
-            span: Duration::from_secs(5),
+            client_duration: Duration::from_secs(5),
             faults_permille,
             logs: None,
         };
         let report = soak(&options).expect("it can be played");
         println!(
             "seed {seed}: {} asked, {} served, {} restarts, late {} ms; {:?}",
-            report.asked,
-            report.served,
+            report.requests_sent,
+            report.requests_served,
             report.restarts,
-            report.late.as_millis(),
+            report.max_wake_delay.as_millis(),
             report.faults
         );
         let violations: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-        assert!(report.asked > ASKED_MIN && report.served > ASKED_MIN / 2, "seed {seed}: too little to tell");
+        assert!(
+            report.requests_sent > ASKED_MIN && report.requests_served > ASKED_MIN / 2,
+            "seed {seed}: too little to tell"
+        );
         assert!(report.faults.len() >= 5, "seed {seed}: {:?}", report.faults);
     }
 }
--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
 
-use crate::policy::{Policy, Which};
+use crate::policy::{Policy, PolicyKind};
 
 struct Known {
     address: SocketAddr,
@@ -44,7 +44,7 @@
 
 /// A baseline at one node.
 pub struct Baseline {
-    which: Which,
+    policy: PolicyKind,
     settings: Arc<NodeSettings>,
     engines: BTreeMap<EngineId, Known>,
     open: BTreeMap<RequestNumber, Asked>,
@@ -55,9 +55,9 @@
 
 impl Baseline {
     /// A baseline that knows its settings and nothing of the fleet.
-    pub fn new(which: Which, settings: Arc<NodeSettings>, seed: u64) -> Baseline {
+    pub fn new(policy: PolicyKind, settings: Arc<NodeSettings>, seed: u64) -> Baseline {
         Baseline {
-            which,
+            policy,
             settings,
             engines: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -75,8 +75,8 @@
         if able.is_empty() {
             return None;
         }
-        let at = match self.which {
-            Which::LeastLoaded => {
+        let at = match self.policy {
+            PolicyKind::LeastLoaded => {
                 let load = |e: &EngineId| {
                     let k = &self.engines[e];
                     let reported_load = k.load.queue.unwrap_or(0.0) + k.load.slots.unwrap_or(0.0);
@@ -86,7 +86,7 @@
                 let same: Vec<usize> = (0..able.len()).filter(|i| load(able[*i]) <= least).collect();
                 same[self.rng.random_range(0..same.len())]
             }
-            Which::RoundRobin => {
+            PolicyKind::RoundRobin => {
                 self.turn += 1;
                 self.turn % able.len()
             }
--- a/crates/pintally-lab/src/fleet/report.rs
+++ b/crates/pintally-lab/src/fleet/report.rs
@@ -31,9 +31,11 @@
     /// The seed.
     pub seed: u64,
     /// Seconds from the start until all knew all.
-    pub whole_s: f64,
+    #[serde(rename = "whole_s")]
+    pub discovery_complete_s: f64,
     /// Seconds from a death until all others knew of it, over deaths.
-    pub death_known_s: Spread,
+    #[serde(rename = "death_known_s")]
+    pub death_detection_s: Spread,
     /// Living nodes called dead by somebody, an hour of the whole fleet.
     pub false_deaths_per_hour: f64,
     /// Living nodes suspected by somebody, an hour of the whole fleet.
@@ -43,11 +45,15 @@
     /// The same in bytes.
     pub bytes_per_s: f64,
     /// Seconds from a leader's death to the next lead.
-    pub led_again_s: Spread,
+    #[serde(rename = "led_again_s")]
+    pub leader_failover_s: Spread,
     /// Of the limit: the most that all nodes had at one time, as a part of it.
-    pub limit_peak: f64,
+    #[serde(rename = "limit_peak")]
+    pub peak_limit_share: f64,
     /// What was let in in calm, as a part of what one true counter would let in.
-    pub let_in: f64,
+    #[serde(rename = "let_in")]
+    pub admitted_share: f64,
     /// The same where each node has the limit divided by the number of nodes.
-    pub let_in_divided: f64,
+    #[serde(rename = "let_in_divided")]
+    pub admitted_share_divided: f64,
 }
--- a/crates/pintally-lab/src/fleet/world.rs
+++ b/crates/pintally-lab/src/fleet/world.rs
@@ -108,7 +108,7 @@
     while !world.is_whole() && world.now < 300 * SECOND {
         world.run(SECOND / 4);
     }
-    report.whole_s = world.now as f64 / 1e6;
+    report.discovery_complete_s = world.now as f64 / 1e6;
     world.run(20 * SECOND);
     world.counting = true;
     (world.sent, world.false_deaths, world.false_suspicions) = ((0, 0), 0, 0);
@@ -122,8 +122,8 @@
     report.bytes_per_s = world.sent.1 as f64 / span / n;
     report.false_deaths_per_hour = world.false_deaths as f64 / span * 3600.0;
     report.false_suspicions_per_hour = world.false_suspicions as f64 / span * 3600.0;
-    report.let_in = world.admitted / span / spec.limit;
-    report.let_in_divided = world.admitted_divided / span / spec.limit;
+    report.admitted_share = world.admitted / span / spec.limit;
+    report.admitted_share_divided = world.admitted_divided / span / spec.limit;
     let mut led_again = Vec::new();
     for death in 0..spec.deaths {
         let leader = world.leader();
@@ -149,9 +149,9 @@
             world.run(SECOND / 4);
         }
     }
-    report.death_known_s = Spread::of(world.known.clone());
-    report.led_again_s = Spread::of(led_again);
-    report.limit_peak = world.peak / spec.limit;
+    report.death_detection_s = Spread::of(world.known.clone());
+    report.leader_failover_s = Spread::of(led_again);
+    report.peak_limit_share = world.peak / spec.limit;
     report
 }
 
--- a/crates/pintally-lab/src/lib.rs
+++ b/crates/pintally-lab/src/lib.rs
@@ -15,7 +15,7 @@
 mod world;
 
 pub use baseline::Baseline;
-pub use compare::{compare, play, record, size, Compared, Played, Size};
-pub use policy::{Policy, Which};
-pub use script::{supported, Act};
+pub use compare::{compare, play, play_at_size, record, PolicyComparison, ScenarioResult, SizeResult};
+pub use policy::{Policy, PolicyKind};
+pub use script::{is_supported, FaultAction};
 pub use world::World;
--- a/crates/pintally-lab/src/policy.rs
+++ b/crates/pintally-lab/src/policy.rs
@@ -32,9 +32,9 @@
     }
 }
 
-/// Which policy.
+/// Which policy decides at the nodes of a simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Which {
+pub enum PolicyKind {
     /// The module.
     Module,
     /// Any engine that serves.
@@ -45,24 +45,25 @@
     RoundRobin,
 }
 
-impl Which {
+impl PolicyKind {
     /// All of them, the module first.
-    pub const ALL: [Which; 4] = [Which::Module, Which::Random, Which::LeastLoaded, Which::RoundRobin];
+    pub const ALL: [PolicyKind; 4] =
+        [PolicyKind::Module, PolicyKind::Random, PolicyKind::LeastLoaded, PolicyKind::RoundRobin];
 
     /// Its name for people.
     pub fn name(self) -> &'static str {
         match self {
-            Which::Module => "module",
-            Which::Random => "random",
-            Which::LeastLoaded => "least-loaded",
-            Which::RoundRobin => "round-robin",
+            PolicyKind::Module => "module",
+            PolicyKind::Random => "random",
+            PolicyKind::LeastLoaded => "least-loaded",
+            PolicyKind::RoundRobin => "round-robin",
         }
     }
 
     /// One node's policy.
     pub fn build(self, settings: Arc<NodeSettings>, seed: u64) -> Box<dyn Policy> {
         match self {
-            Which::Module => Box::new(Host::new(settings, seed)),
+            PolicyKind::Module => Box::new(Host::new(settings, seed)),
             other => Box::new(Baseline::new(other, settings, seed)),
         }
     }
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/script.rs
@@ -6,33 +6,33 @@
 
 /// One act; engines by their numbers, times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     /// An engine dies, or starts cold.
-    Up(usize, bool),
+    SetRunning(usize, bool),
     /// An engine is so many times slower.
-    Slow(usize, f64),
+    SetSlowdown(usize, f64),
     /// An engine's links are so many times slower.
-    Links(usize, f64),
+    SetLinkSlowdown(usize, f64),
     /// An engine drains, or serves again.
-    Drain(usize, bool),
+    SetDraining(usize, bool),
     /// An engine forgets what it keeps.
-    Forget(usize),
+    ClearCache(usize),
     /// An engine's load reports are as they are, old, or say that it idles.
-    Reports(usize, pintally_emulator::ReportAccuracy),
+    SetReportAccuracy(usize, pintally_emulator::ReportAccuracy),
     /// An engine does nothing for a time.
-    Pause(usize, u64),
+    PauseUntil(usize, u64),
     /// Clients send so many times as much.
-    Rate(f64),
+    SetTrafficRate(f64),
     /// A tenant's move takes a step: announced, into a cell within so many microseconds,
-    Announce(String, String, u64),
+    AnnounceMove(String, String, u64),
     /// begun, or done.
-    Move(String, bool),
+    AdvanceMove(String, bool),
     /// This share of the requests begins with one text.
-    Hot(f64),
+    SetHotTextShare(f64),
 }
 
 /// Whether a kind of fault can be played in virtual time.
-pub fn supported(kind: FaultKind) -> bool {
+pub fn is_supported(kind: FaultKind) -> bool {
     matches!(
         kind,
         FaultKind::Crash
@@ -55,12 +55,15 @@
     day: &Scenario,
     engines: &[(String, Option<String>)],
     rng: &mut ChaCha8Rng,
-) -> Vec<(u64, Act)> {
+) -> Vec<(u64, FaultAction)> {
     let mut acts = Vec::new();
-    for fault in day.faults.iter().filter(|f| supported(f.kind)) {
+    for fault in day.faults.iter().filter(|f| is_supported(f.kind)) {
         let (from, to) = (fault.start.as_micros() as u64, (fault.start + fault.duration).as_micros() as u64);
         match fault.kind {
-            FaultKind::Burst => acts.extend([(from, Act::Rate(fault.magnitude)), (to, Act::Rate(1.0))]),
+            FaultKind::Burst => acts.extend([
+                (from, FaultAction::SetTrafficRate(fault.magnitude)),
+                (to, FaultAction::SetTrafficRate(1.0)),
+            ]),
             FaultKind::MoveTenant => {
                 let (tenant, cell) = (
                     fault.zone_or_tenant.clone().unwrap_or_default(),
@@ -69,13 +72,14 @@
                 let size_ms = (fault.magnitude * 1e3) as u64;
                 let third = (to - from) / 3;
                 let over = if size_ms == 0 { third } else { size_ms };
-                acts.push((from, Act::Announce(tenant.clone(), cell, over)));
-                acts.push((from + third, Act::Move(tenant.clone(), false)));
-                acts.push((to, Act::Move(tenant, true)));
-            }
-            FaultKind::HotText => {
-                acts.extend([(from, Act::Hot(fault.magnitude.min(1.0))), (to, Act::Hot(0.0))])
+                acts.push((from, FaultAction::AnnounceMove(tenant.clone(), cell, over)));
+                acts.push((from + third, FaultAction::AdvanceMove(tenant.clone(), false)));
+                acts.push((to, FaultAction::AdvanceMove(tenant, true)));
             }
+            FaultKind::HotText => acts.extend([
+                (from, FaultAction::SetHotTextShare(fault.magnitude.min(1.0))),
+                (to, FaultAction::SetHotTextShare(0.0)),
+            ]),
             _ => {
                 for engine in struck(fault, engines, rng) {
                     acts.extend(of_engine(fault, engine, from, to));
@@ -98,23 +102,38 @@
     all
 }
 
-fn of_engine(fault: &Fault, engine: usize, from: u64, to: u64) -> Vec<(u64, Act)> {
+fn of_engine(fault: &Fault, engine: usize, from: u64, to: u64) -> Vec<(u64, FaultAction)> {
     use pintally_emulator::ReportAccuracy;
-    let both = |begin: Act, end: Act| vec![(from, begin), (to, end)];
+    let both = |begin: FaultAction, end: FaultAction| vec![(from, begin), (to, end)];
     match fault.kind {
-        FaultKind::Crash => both(Act::Up(engine, false), Act::Up(engine, true)),
-        FaultKind::Restart => vec![(from, Act::Up(engine, false)), (from + 100_000, Act::Up(engine, true))],
-        FaultKind::Slow => both(Act::Slow(engine, fault.magnitude.max(1.0)), Act::Slow(engine, 1.0)),
-        FaultKind::SlowLinks => both(Act::Links(engine, fault.magnitude.max(1.0)), Act::Links(engine, 1.0)),
-        FaultKind::Drain => both(Act::Drain(engine, true), Act::Drain(engine, false)),
-        FaultKind::Hang => vec![(from, Act::Pause(engine, to))],
-        FaultKind::Forget => vec![(from, Act::Forget(engine))],
-        FaultKind::StaleReports => {
-            both(Act::Reports(engine, ReportAccuracy::Stale), Act::Reports(engine, ReportAccuracy::Honest))
+        FaultKind::Crash => {
+            both(FaultAction::SetRunning(engine, false), FaultAction::SetRunning(engine, true))
         }
-        FaultKind::LyingReports => {
-            both(Act::Reports(engine, ReportAccuracy::Idle), Act::Reports(engine, ReportAccuracy::Honest))
+        FaultKind::Restart => vec![
+            (from, FaultAction::SetRunning(engine, false)),
+            (from + 100_000, FaultAction::SetRunning(engine, true)),
+        ],
+        FaultKind::Slow => both(
+            FaultAction::SetSlowdown(engine, fault.magnitude.max(1.0)),
+            FaultAction::SetSlowdown(engine, 1.0),
+        ),
+        FaultKind::SlowLinks => both(
+            FaultAction::SetLinkSlowdown(engine, fault.magnitude.max(1.0)),
+            FaultAction::SetLinkSlowdown(engine, 1.0),
+        ),
+        FaultKind::Drain => {
+            both(FaultAction::SetDraining(engine, true), FaultAction::SetDraining(engine, false))
         }
+        FaultKind::Hang => vec![(from, FaultAction::PauseUntil(engine, to))],
+        FaultKind::Forget => vec![(from, FaultAction::ClearCache(engine))],
+        FaultKind::StaleReports => both(
+            FaultAction::SetReportAccuracy(engine, ReportAccuracy::Stale),
+            FaultAction::SetReportAccuracy(engine, ReportAccuracy::Honest),
+        ),
+        FaultKind::LyingReports => both(
+            FaultAction::SetReportAccuracy(engine, ReportAccuracy::Idle),
+            FaultAction::SetReportAccuracy(engine, ReportAccuracy::Honest),
+        ),
         _ => Vec::new(),
     }
 }
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -25,8 +25,8 @@
 use serde_json::json;
 
 use crate::clients::{name, Tries, Try};
-use crate::policy::{Policy, Which};
-use crate::script::{script, Act};
+use crate::policy::{Policy, PolicyKind};
+use crate::script::{script, FaultAction};
 
 /// What a message takes from one end to the other.
 const HOP: Micros = 100;
@@ -56,7 +56,7 @@
     /// A client's patience is over.
     GiveUp(usize, RequestNumber),
     /// A fault begins or ends.
-    Act(Act),
+    Fault(FaultAction),
 }
 
 /// An attempt under way.
@@ -102,12 +102,12 @@
     record: Vec<Record>,
     out: Vec<Command>,
     said: Vec<(usize, Notice)>,
-    fell: u64,
+    overload_crashes: u64,
 }
 
 impl<'a> World<'a> {
     /// A day with a policy at each node, before its first moment.
-    pub fn new(day: &'a Scenario, which: Which, seed: u64) -> World<'a> {
+    pub fn new(day: &'a Scenario, policy: PolicyKind, seed: u64) -> World<'a> {
         let mut fleet = Fleet::new(LINK_RATES, seed);
         let specs = engine_specs(day);
         let zone = |name: &str| day.zones.iter().position(|z| z == name).unwrap_or(0);
@@ -121,7 +121,7 @@
         let mut nodes: Vec<Box<dyn Policy>> = Vec::new();
         for number in 0..day.nodes {
             let own = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
-            nodes.push(which.build(Arc::new(settings(day, number)), own));
+            nodes.push(policy.build(Arc::new(settings(day, number)), own));
         }
         let index = specs.iter().enumerate().map(|(n, s)| (EngineId(s.id.as_str().into()), n)).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x1ab);
@@ -154,7 +154,7 @@
             record: Vec::new(),
             out: Vec::new(),
             said: Vec::new(),
-            fell: 0,
+            overload_crashes: 0,
             specs,
             day,
         };
@@ -166,7 +166,7 @@
             world.list(node, 0);
         }
         for (at, act) in acts {
-            world.at(at, Event::Act(act));
+            world.at(at, Event::Fault(act));
         }
         world
     }
@@ -225,7 +225,7 @@
             zone: s.zone.clone(),
             rack: s.rack,
         });
-        (self.record, figures.collect(), self.fell)
+        (self.record, figures.collect(), self.overload_crashes)
     }
 
     fn at(&mut self, at: Micros, event: Event) {
@@ -263,7 +263,7 @@
                 self.note(What::Unanswered { request });
                 self.tell(node, Input::ClientLeft(ticket));
             }
-            Event::Act(act) => self.act(act),
+            Event::Fault(act) => self.act(act),
         }
     }
 
@@ -559,10 +559,10 @@
                 self.note(What::Freed { engine, state: name, by });
             }
             Notice::Fell => {
-                self.fell += 1;
+                self.overload_crashes += 1;
                 self.listing[engine] = EndpointState::Gone;
                 self.publish();
-                self.at(self.now + UP_AGAIN, Event::Act(Act::Up(engine, true)));
+                self.at(self.now + UP_AGAIN, Event::Fault(FaultAction::SetRunning(engine, true)));
             }
             Notice::Read(id, kept) => {
                 // A read that was called off may still be done: its state waits until it is let go.
@@ -647,40 +647,40 @@
         self.at(self.now + HOP, Event::Tell(node, Box::new(Input::Released(name, engine, up))));
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: FaultAction) {
         match act {
-            Act::Up(engine, false) => {
+            FaultAction::SetRunning(engine, false) => {
                 self.fleet.crash(self.now, engine, &mut self.said);
                 self.listing[engine] = EndpointState::Gone;
                 self.publish();
             }
-            Act::Up(engine, true) => {
+            FaultAction::SetRunning(engine, true) => {
                 self.fleet.start(self.now, engine, true);
                 (self.listing[engine], self.started[engine]) = (EndpointState::Serving, Some(self.now));
                 self.note(What::Started { engine: self.specs[engine].id.clone() });
                 self.publish();
             }
-            Act::Slow(engine, times) => self.fleet.fault(engine, |f| f.slow = times),
-            Act::Links(engine, times) => self.fleet.slow_port(self.now, engine, times),
-            Act::Pause(engine, until) => self.fleet.fault(engine, |f| f.paused_until = until),
-            Act::Forget(engine) => self.fleet.forget(engine),
-            Act::Reports(engine, how) => self.fleet.fault(engine, |f| f.reports = how),
-            Act::Drain(engine, drains) => {
+            FaultAction::SetSlowdown(engine, times) => self.fleet.fault(engine, |f| f.slow = times),
+            FaultAction::SetLinkSlowdown(engine, times) => self.fleet.slow_port(self.now, engine, times),
+            FaultAction::PauseUntil(engine, until) => self.fleet.fault(engine, |f| f.paused_until = until),
+            FaultAction::ClearCache(engine) => self.fleet.forget(engine),
+            FaultAction::SetReportAccuracy(engine, how) => self.fleet.fault(engine, |f| f.reports = how),
+            FaultAction::SetDraining(engine, drains) => {
                 if self.listing[engine] != EndpointState::Gone {
                     self.listing[engine] =
                         if drains { EndpointState::Draining } else { EndpointState::Serving };
                     self.publish();
                 }
             }
-            Act::Announce(tenant, cell, over) => {
+            FaultAction::AnnounceMove(tenant, cell, over) => {
                 let (to, over_ms) = (vec![cell.as_str().into()], (over / 1000).max(1));
                 self.turn(&tenant, MoveCommand::Begin { to, over_ms });
             }
-            Act::Move(tenant, done) => {
+            FaultAction::AdvanceMove(tenant, done) => {
                 self.turn(&tenant, if done { MoveCommand::Done } else { MoveCommand::Go });
             }
-            Act::Rate(rate) => self.rate = rate,
-            Act::Hot(share) => self.hot = share,
+            FaultAction::SetTrafficRate(rate) => self.rate = rate,
+            FaultAction::SetHotTextShare(share) => self.hot = share,
         }
     }
 }
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -35,7 +35,7 @@
 fn rules_are_kept_on_bad_days_by_the_module() {
     let day = day(FAULTS);
     for seed in 1..6 {
-        let (record, engines, _) = World::new(&day, Which::Module, seed).play();
+        let (record, engines, _) = World::new(&day, PolicyKind::Module, seed).play();
         let times = (day.drain_grace.as_micros() as u64, day.slack.as_micros() as u64);
         let record = with_figures(&day.settings, times, engines, record);
         let report = pintally_audit::audit(&record).unwrap();
@@ -47,11 +47,11 @@
 #[test]
 fn the_same_seed_gives_the_same_record_and_another_does_not() {
     let day = day(FAULTS);
-    let text = |which, seed| format!("{:?}", World::new(&day, which, seed).play().0);
-    for which in Which::ALL {
-        let first = text(which, 7);
-        assert!(first == text(which, 7), "{}", which.name());
-        assert!(first != text(which, 8), "{}", which.name());
+    let text = |policy, seed| format!("{:?}", World::new(&day, policy, seed).play().0);
+    for policy in PolicyKind::ALL {
+        let first = text(policy, 7);
+        assert!(first == text(policy, 7), "{}", policy.name());
+        assert!(first != text(policy, 8), "{}", policy.name());
     }
 }
 
@@ -95,7 +95,7 @@
     }
     // Answers begin, and their first token takes longer than the node waits.
     let day = day("(fault slow (at 4) (for 6) (of \"decode\") (part 0.5) (size 300))");
-    let mut world = World::new(&day, Which::Module, 3);
+    let mut world = World::new(&day, PolicyKind::Module, 3);
     world.replace(|settings, seed| Box::new(Heedless(Host::new(settings, seed))));
     let (record, engines, _) = world.play();
     let record = with_figures(&day.settings, (1_000_000, 5_000), engines, record);
@@ -108,10 +108,10 @@
 #[test]
 fn the_module_serves_more_in_time_than_random_where_reading_is_short() {
     let found = compare(&day(""), &[1.6], 1..7).unwrap();
-    let of = |which| found.iter().find(|c| c.which == which).unwrap();
-    let random = of(Which::Random);
+    let of = |policy| found.iter().find(|c| c.policy == policy).unwrap();
+    let random = of(PolicyKind::Random);
     println!("{found:#?}");
-    assert!(of(Which::Module).broken == 0);
+    assert!(of(PolicyKind::Module).runs_with_violations == 0);
     assert!(random.against_module.most < 0.0, "{random:?}");
 }
 
@@ -130,7 +130,7 @@
             &format!("(notice-ms 200) (moved {moved} (reports off) (probes no) (writers-read yes))"),
         );
         let day = Scenario::parse("moving", &text).unwrap();
-        let (record, kept) = pintally_lab::record(&day, Which::Module, seed).unwrap();
+        let (record, kept) = pintally_lab::record(&day, PolicyKind::Module, seed).unwrap();
         assert!(kept, "{moved} moved, seed {seed}");
         let shapes = pintally_scenario::ShapeComparison::of(&day, &record);
         assert_eq!(shapes.new.nodes, moved);
--- a/crates/pintally-lab/tests/fleet.rs
+++ b/crates/pintally-lab/tests/fleet.rs
@@ -8,10 +8,13 @@
     let report = play(&spec);
     println!("{report:?}");
     assert_eq!(report, play(&spec), "one seed, one fleet");
-    assert!(report.limit_peak <= 1.0 + 1e-6, "a hard limit is never exceeded: {report:?}");
-    assert!(report.let_in > 0.9 && report.let_in > report.let_in_divided, "{report:?}");
-    assert_eq!(report.death_known_s.count, 3, "all deaths are known to all");
-    assert!(report.led_again_s.count > 0 && report.led_again_s.worst < 5.0, "{report:?}");
+    assert!(report.peak_limit_share <= 1.0 + 1e-6, "a hard limit is never exceeded: {report:?}");
+    assert!(
+        report.admitted_share > 0.9 && report.admitted_share > report.admitted_share_divided,
+        "{report:?}"
+    );
+    assert_eq!(report.death_detection_s.count, 3, "all deaths are known to all");
+    assert!(report.leader_failover_s.count > 0 && report.leader_failover_s.worst < 5.0, "{report:?}");
     assert_eq!(report.false_deaths_per_hour, 0.0, "{report:?}");
 }
 
@@ -21,5 +24,5 @@
 fn a_hard_limit_holds_while_the_lead_lapses_and_goes_on() {
     let spec = FleetSpec { nodes: 47, loss: 0.2, calm: 60, deaths: 0, limit: 200.0, seed: 1 };
     let report = play(&spec);
-    assert!(report.limit_peak <= 1.0 + 1e-6, "{report:?}");
+    assert!(report.peak_limit_share <= 1.0 + 1e-6, "{report:?}");
 }
--- a/crates/pintally-soak/src/invariants.rs
+++ b/crates/pintally-soak/src/invariants.rs
@@ -64,14 +64,14 @@
     /// Which.
     pub kind: ViolationKind,
     /// Whose: a request's id, a node.
-    pub whose: String,
+    pub subject: String,
     /// What was seen.
-    pub seen: String,
+    pub details: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}: {}", self.kind, self.whose, self.seen)
+        write!(f, "{:?}: {}: {}", self.kind, self.subject, self.details)
     }
 }
 
@@ -330,8 +330,8 @@
     }
 }
 
-fn violation(kind: ViolationKind, whose: String, seen: String) -> Violation {
-    Violation { kind, whose, seen }
+fn violation(kind: ViolationKind, subject: String, details: String) -> Violation {
+    Violation { kind, subject, details }
 }
 
 #[cfg(test)]
--- a/crates/pintally-soak/src/run.rs
+++ b/crates/pintally-soak/src/run.rs
@@ -47,7 +47,7 @@
     /// How many writers.
     pub writers: usize,
     /// For how long clients ask.
-    pub span: Duration,
+    pub client_duration: Duration,
     /// Of a thousand system calls on sockets so many fail for a moment, at every second node; 0: none.
     pub faults_permille: u32,
     /// Where to keep the nodes' logs, if anywhere.
@@ -58,15 +58,15 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Requests that were sent whole, those that were served whole, and attempts that came to engines.
-    pub asked: usize,
+    pub requests_sent: usize,
     /// Served whole.
-    pub served: usize,
+    pub requests_served: usize,
     /// Attempts at engines.
     pub attempts: usize,
     /// Restarts and kills of nodes.
     pub restarts: usize,
     /// How late threads of this machine were woken at the most.
-    pub late: Duration,
+    pub max_wake_delay: Duration,
     /// The faults that were played, with their times.
     pub faults: Vec<String>,
     /// What was broken.
@@ -153,7 +153,7 @@
     let late = measure_lateness(&record);
     let inspector = inspect(&stage);
     let from = Instant::now();
-    let clients = start_clients(&stage, options, from + options.span);
+    let clients = start_clients(&stage, options, from + options.client_duration);
     play(&stage, options, from);
     clients.into_iter().flatten().for_each(|client| drop(client.join()));
     settle(&stage);
@@ -169,19 +169,20 @@
     Ok(report(&stage, late, launch.timing))
 }
 
-fn report(stage: &Stage, late: Duration, timing: Timing) -> Report {
+fn report(stage: &Stage, max_wake_delay: Duration, timing: Timing) -> Report {
     let books = stage.record.take_books();
     // Threads of nodes are woken as late as those here.
-    let violations = InvariantChecker { books: &books, late: late * 2 + MIN_LATENESS, timing }.verdict();
-    let asked = books.requests.values().filter(|ask| ask.end != RequestOutcome::Unsent).count();
+    let violations =
+        InvariantChecker { books: &books, late: max_wake_delay * 2 + MIN_LATENESS, timing }.verdict();
+    let requests_sent = books.requests.values().filter(|ask| ask.end != RequestOutcome::Unsent).count();
     let whole =
         |end: &RequestOutcome| matches!(end, RequestOutcome::Answered { status: 200, whole: true, .. });
     Report {
-        asked,
-        served: books.requests.values().filter(|ask| whole(&ask.end)).count(),
+        requests_sent,
+        requests_served: books.requests.values().filter(|ask| whole(&ask.end)).count(),
         attempts: books.attempt_started.values().map(Vec::len).sum(),
         restarts: books.incarnations.len().saturating_sub(stage.nodes.len()),
-        late,
+        max_wake_delay,
         faults: books.faults.iter().map(|(at, what)| format!("{:.2} s {what}", at.as_secs_f64())).collect(),
         violations,
     }
@@ -235,7 +236,7 @@
 fn play(stage: &Arc<Stage>, options: &Options, from: Instant) {
     let mut dice = ChaCha8Rng::seed_from_u64(options.seed);
     let mut threads = Vec::new();
-    for InjectedFault { at, what } in draw(&mut dice, options.span) {
+    for InjectedFault { at, what } in draw(&mut dice, options.client_duration) {
         std::thread::sleep((from + at).saturating_duration_since(Instant::now()));
         let now = stage.record.now();
         stage.record.with(|books| books.faults.push((now, format!("{what:?}"))));
