--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! One engine: its state under a lock, its life and death, and the thread that accepts.
+//! One mock engine: its state behind a lock, start and crash, and the thread that accepts connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -11,46 +11,47 @@
 use pintally_emulator as emulator;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
-use crate::clock::Clock;
+use crate::driver::EmulatorDriver;
 use crate::fleet::lock;
 use crate::{serve, EngineSpec, Faults, Fleet, Port, Recorder, ReportAccuracy, Role};
 
-/// Tokens in a block of memory.
-pub(crate) const BLOCK: u64 = 16;
-/// Tokens of prompts that one step may read.
-const CHUNK: u64 = 512;
-/// Microseconds of a step at an engine that only reads, besides its tokens.
-const READ_STEP: f64 = 100.0;
-/// How often threads that wait look whether the engine still lives.
-pub(crate) const SLICE: Duration = Duration::from_millis(20);
+/// Tokens in a KV cache block.
+pub(crate) const BLOCK_TOKENS: u64 = 16;
+/// Prompt tokens that one step may read, beside one token for each slot.
+const PREFILL_CHUNK_TOKENS: u64 = 512;
+/// Fixed cost of a step at an engine that only reads, in microseconds; the tokens read come on top.
+const READER_STEP_US: f64 = 100.0;
+/// How often waiting threads check whether the engine still runs.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A stand-in engine.
+/// A mock engine.
 pub struct Engine {
-    /// Its figures.
+    /// Its capacity, speeds and location.
     pub spec: EngineSpec,
-    /// Where it listens, also after a restart.
+    /// Listening address; the same after each restart.
     pub address: SocketAddr,
-    /// Holds its port while it is down.
+    /// Reserves the port while the engine is down.
     _port: Port,
     pub(crate) fleet: Weak<Fleet>,
     pub(crate) recorder: Recorder,
-    /// Carries the emulated engine, which has this number.
-    pub(crate) clock: Arc<Clock>,
-    pub(crate) number: usize,
+    /// Drives the emulated engine, which is `emulator_index` in its fleet.
+    pub(crate) driver: Arc<EmulatorDriver>,
+    pub(crate) emulator_index: usize,
     state: Mutex<State>,
     pub(crate) changed: Condvar,
 }
 
 pub(crate) struct State {
     pub(crate) up: bool,
-    /// Grows with each start and each end.
-    pub(crate) life: u64,
-    /// When it started cold; `None` if it is long warm.
+    /// Increases with each start and each crash.
+    pub(crate) incarnation: u64,
+    /// When it started cold; `None` if it started warm.
     pub(crate) started: Option<Instant>,
     pub(crate) faults: Faults,
-    pub(crate) deaf: bool,
-    /// What came in while cold, in seconds of full capacity, and from whom.
-    sent: VecDeque<(Instant, f64, String)>,
+    /// Whether nodes may fail to reach it, as last recorded.
+    pub(crate) unreachable: bool,
+    /// Work received while cold: when, how much in seconds of full capacity, and from which node.
+    recent_work: VecDeque<(Instant, f64, String)>,
 }
 
 impl Engine {
@@ -58,145 +59,157 @@
         fleet: Weak<Fleet>,
         spec: EngineSpec,
         recorder: Recorder,
-        (clock, number): (Arc<Clock>, usize),
+        (driver, emulator_index): (Arc<EmulatorDriver>, usize),
     ) -> io::Result<Arc<Engine>> {
         let port = Port::hold()?;
         let address = port.address()?;
         let state = State {
             up: false,
-            life: 0,
+            incarnation: 0,
             started: None,
             faults: Faults::default(),
-            deaf: false,
-            sent: VecDeque::new(),
+            unreachable: false,
+            recent_work: VecDeque::new(),
         };
         let (state, changed) = (Mutex::new(state), Condvar::new());
-        Ok(Arc::new(Engine { spec, address, _port: port, fleet, recorder, clock, number, state, changed }))
+        Ok(Arc::new(Engine {
+            spec,
+            address,
+            _port: port,
+            fleet,
+            recorder,
+            driver,
+            emulator_index,
+            state,
+            changed,
+        }))
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
 
-    /// Waits for a change, a slice of time at the most.
-    pub(crate) fn wait<'a>(&self, state: MutexGuard<'a, State>, most: Duration) -> MutexGuard<'a, State> {
-        let most = most.min(SLICE).max(Duration::from_micros(50));
-        self.changed.wait_timeout(state, most).unwrap_or_else(std::sync::PoisonError::into_inner).0
+    /// Waits for a change, for `max_wait` or `POLL_INTERVAL`, whichever is shorter.
+    pub(crate) fn wait<'a>(&self, state: MutexGuard<'a, State>, max_wait: Duration) -> MutexGuard<'a, State> {
+        let max_wait = max_wait.min(POLL_INTERVAL).max(Duration::from_micros(50));
+        self.changed.wait_timeout(state, max_wait).unwrap_or_else(std::sync::PoisonError::into_inner).0
     }
 
-    /// Starts it; does nothing if it runs.
+    /// Starts the engine, cold or warm; does nothing if it runs.
     pub fn start(self: &Arc<Self>, cold: bool) {
         let mut state = self.lock();
         if state.up {
             return;
         }
         let Ok(listener) = listen(self.address) else {
-            eprintln!("stand-in {}: its port {} is taken", self.spec.id, self.address);
+            eprintln!("mock engine {}: cannot listen on {}", self.spec.id, self.address);
             return;
         };
         state.up = true;
-        state.life += 1;
+        state.incarnation += 1;
         state.started = cold.then(Instant::now);
-        state.sent.clear();
-        self.clock.act(|fleet, now, _| fleet.start(now, self.number, cold));
-        let (own, life) = (self.clone(), state.life);
+        state.recent_work.clear();
+        self.driver.with_fleet(|fleet, now, _| fleet.start(now, self.emulator_index, cold));
+        let (engine, incarnation) = (self.clone(), state.incarnation);
         drop(state);
         if cold {
             self.recorder.note(What::Started { engine: self.spec.id.clone() });
         }
-        let spawned = thread::Builder::new().stack_size(128 << 10).spawn(move || own.accept(&listener, life));
+        let spawned =
+            thread::Builder::new().stack_size(128 << 10).spawn(move || engine.accept(&listener, incarnation));
         if spawned.is_err() {
             self.crash();
         }
     }
 
-    /// Ends it at once: connections are reset, and whatever it held is gone.
+    /// Ends the engine at once: connections are reset, and its read states and cache are lost.
     pub fn crash(&self) {
         let mut state = self.lock();
         state.up = false;
-        state.life += 1;
+        state.incarnation += 1;
         drop(state);
-        self.clock.act(|fleet, now, said| fleet.crash(now, self.number, said));
+        self.driver.with_fleet(|fleet, now, said| fleet.crash(now, self.emulator_index, said));
         self.changed.notify_all();
     }
 
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub fn is_up(&self) -> bool {
         self.lock().up
     }
 
-    /// Changes what is wrong with it.
+    /// Changes the engine's active faults.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         let faults = {
             let mut state = self.lock();
             change(&mut state.faults);
             state.faults.clone()
         };
-        self.clock.act(|fleet, now, _| {
-            fleet.slow_port(now, self.number, faults.links);
-            fleet.fault(self.number, |f| {
-                f.slow = faults.slow;
+        self.driver.with_fleet(|fleet, now, _| {
+            fleet.slow_port(now, self.emulator_index, faults.link_slowdown);
+            fleet.fault(self.emulator_index, |f| {
+                f.slow = faults.slowdown;
                 f.reports = match faults.reports {
                     ReportAccuracy::Honest => emulator::ReportAccuracy::Honest,
                     ReportAccuracy::Stale => emulator::ReportAccuracy::Stale,
-                    ReportAccuracy::Lying => emulator::ReportAccuracy::Idle,
+                    ReportAccuracy::Idle => emulator::ReportAccuracy::Idle,
                 };
             });
         });
         self.changed.notify_all();
-        self.note_deafness();
+        self.record_reachability();
     }
 
-    /// Forgets all kept texts; read states stay.
-    pub fn forget(&self) {
-        self.clock.act(|fleet, _, _| fleet.forget(self.number));
+    /// Clears the prefix cache; read states stay.
+    pub fn clear_cache(&self) {
+        self.driver.with_fleet(|fleet, _, _| fleet.forget(self.emulator_index));
     }
 
-    /// How many read states wait here.
+    /// Number of read states that wait to be fetched or released.
     pub fn states(&self) -> usize {
-        self.clock.act(|fleet, _, _| fleet.engine(self.number).states())
+        self.driver.with_fleet(|fleet, _, _| fleet.engine(self.emulator_index).states())
     }
 
-    /// Notes whether it hears, if that has changed.
-    pub(crate) fn note_deafness(&self) {
-        let cut = self.fleet.upgrade().is_some_and(|f| f.any_cut());
+    /// Records whether nodes may fail to reach the engine, if that has changed.
+    pub(crate) fn record_reachability(&self) {
+        let isolated = self.fleet.upgrade().is_some_and(|f| f.any_zone_isolated());
         let mut state = self.lock();
         let f = &state.faults;
-        let deaf = cut || f.hang || f.silent || !f.connect_delay.is_zero();
-        if std::mem::replace(&mut state.deaf, deaf) != deaf {
+        let unreachable = isolated || f.hang || f.silent || !f.connect_delay.is_zero();
+        if std::mem::replace(&mut state.unreachable, unreachable) != unreachable {
             drop(state);
-            self.recorder.note(What::Deaf { engine: self.spec.id.clone(), deaf });
+            self.recorder.note(What::Deaf { engine: self.spec.id.clone(), deaf: unreachable });
         }
     }
 
-    /// The share of its capacity that it has now.
-    pub(crate) fn share(&self, state: &State) -> f64 {
+    /// Current share of full capacity; below 1 while the engine warms up.
+    pub(crate) fn capacity_share(&self, state: &State) -> f64 {
         let Some(started) = state.started else { return 1.0 };
-        let age = started.elapsed().as_secs_f64() / self.spec.warm_up.as_secs_f64().max(1e-9);
-        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * age).min(1.0)
+        let warm_up_progress = started.elapsed().as_secs_f64() / self.spec.warm_up.as_secs_f64().max(1e-9);
+        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * warm_up_progress).min(1.0)
     }
 
-    /// Work has come in, in seconds of full capacity. A cold engine that is sent too much falls over.
-    pub(crate) fn sent(&self, node: &str, work: f64) {
+    /// Accounts for work from a node, in seconds of full capacity. A cold engine crashes if the work of the
+    /// last `overload_window` exceeds `overload_factor` times its present capacity.
+    pub(crate) fn record_work(&self, node: &str, work: f64) {
         let mut state = self.lock();
-        let (now, share) = (Instant::now(), self.share(&state));
-        if state.started.is_none() || share >= 1.0 {
-            state.sent.clear();
+        let (now, capacity_share) = (Instant::now(), self.capacity_share(&state));
+        if state.started.is_none() || capacity_share >= 1.0 {
+            state.recent_work.clear();
             return;
         }
         let window = self.spec.overload_window;
-        state.sent.push_back((now, work, node.to_string()));
-        while state.sent.front().is_some_and(|(at, ..)| *at + window < now) {
-            state.sent.pop_front();
+        state.recent_work.push_back((now, work, node.to_string()));
+        while state.recent_work.front().is_some_and(|(at, ..)| *at + window < now) {
+            state.recent_work.pop_front();
         }
-        let all: f64 = state.sent.iter().map(|s| s.1).sum();
-        let most = state.sent.iter().map(|s| s.1).fold(0.0, f64::max);
-        // One piece of work is the slack for chance.
-        if all <= self.spec.overload_factor * share * window.as_secs_f64() + most {
+        let total: f64 = state.recent_work.iter().map(|s| s.1).sum();
+        let largest = state.recent_work.iter().map(|s| s.1).fold(0.0, f64::max);
+        // The largest single request is allowed on top, so that one request never counts as overload.
+        if total <= self.spec.overload_factor * capacity_share * window.as_secs_f64() + largest {
             return;
         }
         let mut by_node: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, work, node) in &state.sent {
+        for (_, work, node) in &state.recent_work {
             *by_node.entry(node.clone()).or_default() += work;
         }
         drop(state);
@@ -205,37 +218,37 @@
         self.crash();
     }
 
-    /// Running, waiting, memory share and thousands of tokens to be read, as it reports them.
+    /// The load report: running and waiting requests, memory share, and prompt tokens waiting in thousands.
     pub(crate) fn report(&self) -> [f64; 4] {
-        let report = self.clock.act(|fleet, now, _| fleet.report(now, self.number));
+        let report = self.driver.with_fleet(|fleet, now, _| fleet.report(now, self.emulator_index));
         [report.running, report.waiting, report.memory, report.backlog / 1000.0]
     }
 
-    fn accept(self: &Arc<Self>, listener: &TcpListener, life: u64) {
+    fn accept(self: &Arc<Self>, listener: &TcpListener, incarnation: u64) {
         loop {
-            let slice = Timespec { tv_sec: 0, tv_nsec: SLICE.as_nanos() as i64 };
-            let _ = poll(&mut [PollFd::new(listener, PollFlags::IN)], Some(&slice));
+            let timeout = Timespec { tv_sec: 0, tv_nsec: POLL_INTERVAL.as_nanos() as i64 };
+            let _ = poll(&mut [PollFd::new(listener, PollFlags::IN)], Some(&timeout));
             let delay = {
                 let state = self.lock();
-                if state.life != life {
+                if state.incarnation != incarnation {
                     return;
                 }
                 state.faults.connect_delay
             };
             while let Ok((stream, peer)) = listener.accept() {
-                let own = self.clone();
+                let engine = self.clone();
                 let run = move || {
                     thread::sleep(delay);
-                    serve::connection(&own, stream, peer.ip(), life);
+                    serve::connection(&engine, stream, peer.ip(), incarnation);
                 };
-                // Without a thread the connection closes, as at an engine that is out of them.
+                // If no thread can be started the connection closes, as at an engine out of threads.
                 let _ = thread::Builder::new().stack_size(128 << 10).spawn(run);
             }
         }
     }
 }
 
-/// The emulated engine's figures.
+/// The emulator's settings for an engine.
 pub fn emulator_spec(spec: &EngineSpec) -> emulator::Spec {
     let micros = |d: Duration| d.as_micros() as u64;
     emulator::Spec {
@@ -246,11 +259,11 @@
         },
         slots: spec.slots.max(1),
         queue: spec.queue,
-        blocks: (spec.memory_tokens / BLOCK).max(1),
-        block_tokens: BLOCK,
-        budget: CHUNK + spec.slots as u64,
+        blocks: (spec.memory_tokens / BLOCK_TOKENS).max(1),
+        block_tokens: BLOCK_TOKENS,
+        budget: PREFILL_CHUNK_TOKENS + spec.slots as u64,
         cost: emulator::Cost {
-            step: if spec.role == Role::Reader { READ_STEP } else { spec.token_gap.as_secs_f64() * 1e6 },
+            step: if spec.role == Role::Reader { READER_STEP_US } else { spec.token_gap.as_secs_f64() * 1e6 },
             read_token: 1e6 / spec.read_tokens_per_s.max(1e-9),
             write_token: 0.0,
             context: 0.0,
@@ -258,7 +271,7 @@
         cold: Some(emulator::Cold {
             from: spec.initial_capacity,
             warm_after: micros(spec.warm_up),
-            // Falling over is judged here, where it is known which node sent what.
+            // Overload is judged by `Engine::record_work`, which knows the work that each node sent.
             tip_multiple: f64::INFINITY,
             tip_window: micros(spec.overload_window),
         }),
@@ -269,7 +282,7 @@
     }
 }
 
-/// Listens again on a port that was in use, as after a restart.
+/// Listens with `SO_REUSEADDR`, so that a restart can bind the port again.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/pintally-mock-engine/src/fleet.rs
+++ b/crates/pintally-mock-engine/src/fleet.rs
@@ -1,5 +1,5 @@
-//! All stand-in engines of a run: the record they write, the zones that are cut off, and the nodes
-//! by their addresses.
+//! All mock engines of a run, the record they write, the isolated zones, and the nodes by their source
+//! addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -11,172 +11,183 @@
 
 use pintally_emulator::{Place, Wires};
 
-use crate::clock::Clock;
+use crate::driver::EmulatorDriver;
 use crate::engine::emulator_spec;
 use crate::{Engine, EngineSpec};
 
-/// How often the machine's lateness is looked at; less than this does not count.
-const BEAT: Duration = Duration::from_millis(5);
-/// For so long a lateness is remembered for clients that wait.
-const LATE_FOR: Duration = Duration::from_secs(3);
+/// How often the machine's lateness is measured; a shorter lateness does not count.
+const LATENESS_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a measured lateness extends the timeouts of waiting clients.
+const LATENESS_RETENTION: Duration = Duration::from_secs(3);
 
-/// What joins racks and zones: states weigh one a token, so these are tokens a microsecond.
+/// Link rates between racks and zones. A state counts one byte per token, so the unit is tokens per
+/// microsecond.
 pub const LINK_RATES: Wires = Wires { rack: 2.0, zone: 1.0, token_bytes: 1.0 };
 
-/// A record in the making.
+/// Collects the record of a run; clones share it.
 #[derive(Clone)]
 pub struct Recorder {
     begin: Instant,
-    off: bool,
-    lines: Arc<(Mutex<Vec<Record>>, Condvar)>,
-    late: Arc<Mutex<Late>>,
+    disabled: bool,
+    records: Arc<(Mutex<Vec<Record>>, Condvar)>,
+    lateness: Arc<Mutex<Lateness>>,
 }
 
-/// How late the machine wakes threads.
+/// How late the machine wakes sleeping threads.
 #[derive(Default)]
-struct Late {
-    /// The largest lateness of the last seconds, in microseconds, and when it was.
+struct Lateness {
+    /// Largest lateness within `LATENESS_RETENTION`, in microseconds, and when it was measured.
     largest: Option<(u64, Instant)>,
-    /// When the thread that looks is to be awake again.
+    /// When the measuring thread is due to wake next.
     due: Option<Instant>,
 }
 
-impl Late {
-    /// Guards against clients that wake before the thread that looks, when the machine has stood still:
-    /// what it is late by now counts, though it has noted nothing yet.
-    fn now(&self) -> u64 {
-        let noted = self.largest.filter(|(_, at)| at.elapsed() < LATE_FOR).map_or(0, |(us, _)| us);
+impl Lateness {
+    /// The lateness that applies now, in microseconds. After a stall of the machine a client may wake before
+    /// the measuring thread, so the time by which that thread is overdue counts before it is recorded.
+    fn current_us(&self) -> u64 {
+        let noted = self.largest.filter(|(_, at)| at.elapsed() < LATENESS_RETENTION).map_or(0, |(us, _)| us);
         let due = self.due.map_or(0, |due| due.elapsed().as_micros() as u64);
-        noted.max(if due > BEAT.as_micros() as u64 { due } else { 0 })
+        noted.max(if due > LATENESS_CHECK_INTERVAL.as_micros() as u64 { due } else { 0 })
     }
 }
 
 impl Default for Recorder {
     fn default() -> Recorder {
-        let recorder = Recorder { off: false, ..Recorder::off() };
-        let (lines, late) = (Arc::downgrade(&recorder.lines), Arc::downgrade(&recorder.late));
+        let recorder = Recorder { disabled: false, ..Recorder::disabled() };
+        let (records, lateness) = (Arc::downgrade(&recorder.records), Arc::downgrade(&recorder.lateness));
         let begin = recorder.begin;
-        // Without the thread nothing is excused, which errs on the strict side.
-        let _ = thread::Builder::new().stack_size(64 << 10).spawn(move || heartbeat(begin, &lines, &late));
+        // If the thread cannot start, no lateness is allowed for: the checks are stricter then.
+        let _ = thread::Builder::new()
+            .stack_size(64 << 10)
+            .spawn(move || measure_lateness(begin, &records, &lateness));
         recorder
     }
 }
 
-/// Looks how late the machine wakes a thread, until nobody records any more.
-fn heartbeat(begin: Instant, lines: &Weak<(Mutex<Vec<Record>>, Condvar)>, late: &Weak<Mutex<Late>>) {
+/// Measures how late the machine wakes this thread, until the recorder is dropped.
+fn measure_lateness(
+    begin: Instant,
+    records: &Weak<(Mutex<Vec<Record>>, Condvar)>,
+    lateness: &Weak<Mutex<Lateness>>,
+) {
     loop {
-        let due = Instant::now() + BEAT;
-        match late.upgrade() {
-            Some(late) => lock(&late).due = Some(due),
+        let due = Instant::now() + LATENESS_CHECK_INTERVAL;
+        match lateness.upgrade() {
+            Some(lateness) => lock(&lateness).due = Some(due),
             None => return,
         }
-        thread::sleep(BEAT);
-        let over = due.elapsed();
-        let (Some(lines), Some(late)) = (lines.upgrade(), late.upgrade()) else { return };
-        if over > BEAT {
-            let us = over.as_micros() as u64;
-            let mut lines = lock(&lines.0);
+        thread::sleep(LATENESS_CHECK_INTERVAL);
+        let late_by = due.elapsed();
+        let (Some(records), Some(lateness)) = (records.upgrade(), lateness.upgrade()) else { return };
+        if late_by > LATENESS_CHECK_INTERVAL {
+            let us = late_by.as_micros() as u64;
+            let mut records = lock(&records.0);
             let at = begin.elapsed().as_micros() as u64;
-            lines.push(Record { at, what: What::Late { us } });
-            drop(lines);
-            let mut late = lock(&late);
-            if late.largest.is_none_or(|(most, at)| us >= most || at.elapsed() > LATE_FOR) {
-                late.largest = Some((us, Instant::now()));
+            records.push(Record { at, what: What::Late { us } });
+            drop(records);
+            let mut lateness = lock(&lateness);
+            if lateness.largest.is_none_or(|(largest, at)| us >= largest || at.elapsed() > LATENESS_RETENTION)
+            {
+                lateness.largest = Some((us, Instant::now()));
             }
         }
     }
 }
 
 impl Recorder {
-    /// A recorder that keeps nothing, for engines that run without end.
-    pub fn off() -> Recorder {
-        Recorder { begin: Instant::now(), off: true, lines: Arc::default(), late: Arc::default() }
+    /// A recorder that discards everything, for engines that run indefinitely.
+    pub fn disabled() -> Recorder {
+        Recorder { begin: Instant::now(), disabled: true, records: Arc::default(), lateness: Arc::default() }
     }
 
-    /// What the machine's lateness of the last seconds may add to a time, as the audit counts it.
+    /// The time that the machine's recent lateness may add to a duration, by the audit's rule.
     pub fn lateness(&self) -> Duration {
-        Duration::from_micros(late_allowance(lock(&self.late).now()))
+        Duration::from_micros(late_allowance(lock(&self.lateness).current_us()))
     }
 
-    /// Notes what happens now.
+    /// Adds an event with the current time.
     pub fn note(&self, what: What) {
-        if self.off {
+        if self.disabled {
             return;
         }
-        let mut lines = lock(&self.lines.0);
+        let mut records = lock(&self.records.0);
         let at = self.begin.elapsed().as_micros() as u64;
-        lines.push(Record { at, what });
-        self.lines.1.notify_all();
+        records.push(Record { at, what });
+        self.records.1.notify_all();
     }
 
-    /// Waits until something that was or will be noted fits, for a time at most; returns the first
-    /// that does.
-    pub fn wait_for(&self, most: Duration, fits: impl Fn(&What) -> bool) -> Option<Record> {
-        let by = Instant::now() + most;
-        let mut lines = lock(&self.lines.0);
+    /// Returns the first recorded event that matches, waiting up to `max_wait` for one.
+    pub fn wait_for(&self, max_wait: Duration, matches: impl Fn(&What) -> bool) -> Option<Record> {
+        let deadline = Instant::now() + max_wait;
+        let mut records = lock(&self.records.0);
         let mut seen = 0;
         loop {
-            if let Some(found) = lines[seen..].iter().find(|r| fits(&r.what)) {
+            if let Some(found) = records[seen..].iter().find(|r| matches(&r.what)) {
                 return Some(found.clone());
             }
-            seen = lines.len();
-            let left = by.saturating_duration_since(Instant::now());
+            seen = records.len();
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return None;
             }
-            lines =
-                self.lines.1.wait_timeout(lines, left).unwrap_or_else(std::sync::PoisonError::into_inner).0;
+            records = self
+                .records
+                .1
+                .wait_timeout(records, left)
+                .unwrap_or_else(std::sync::PoisonError::into_inner)
+                .0;
         }
     }
 
-    /// Everything so far, without taking it.
-    pub fn so_far(&self) -> Vec<Record> {
-        lock(&self.lines.0).clone()
+    /// A copy of everything recorded so far.
+    pub fn snapshot(&self) -> Vec<Record> {
+        lock(&self.records.0).clone()
     }
 
-    /// The time now, as the record counts it.
+    /// Microseconds since the record began.
     pub fn now(&self) -> u64 {
         self.begin.elapsed().as_micros() as u64
     }
 
-    /// Everything so far.
+    /// Removes and returns everything recorded so far.
     pub fn take(&self) -> Vec<Record> {
-        std::mem::take(&mut *lock(&self.lines.0))
+        std::mem::take(&mut *lock(&self.records.0))
     }
 }
 
 /// All engines of a run.
 pub struct Fleet {
-    /// Where everything is noted.
+    /// Receives all events.
     pub recorder: Recorder,
-    clock: Arc<Clock>,
-    /// Zones, by the numbers that the emulator knows them by.
+    driver: Arc<EmulatorDriver>,
+    /// Zone names; the index is the emulator's zone number.
     zones: Mutex<Vec<String>>,
     engines: RwLock<BTreeMap<String, Arc<Engine>>>,
-    /// Names and zones of nodes by the address from which they connect.
+    /// Names and zones of nodes by their source address.
     nodes: RwLock<BTreeMap<IpAddr, (String, String)>>,
-    /// Zones that are cut off from the others.
-    cut: RwLock<BTreeSet<String>>,
+    /// Zones that are isolated from all others.
+    isolated: RwLock<BTreeSet<String>>,
 }
 
 impl Fleet {
-    /// A fleet without engines.
+    /// Creates a fleet without engines.
     pub fn new(recorder: Recorder) -> Arc<Fleet> {
         Arc::new(Fleet {
-            clock: Clock::start(LINK_RATES, 1, recorder.clone()),
+            driver: EmulatorDriver::start(LINK_RATES, 1, recorder.clone()),
             zones: Mutex::default(),
             recorder,
             engines: RwLock::default(),
             nodes: RwLock::default(),
-            cut: RwLock::default(),
+            isolated: RwLock::default(),
         })
     }
 
-    /// Adds an engine that listens at once; `cold` if it begins as one that has just started.
+    /// Adds an engine and starts it, cold or warm.
     pub fn add(self: &Arc<Self>, spec: EngineSpec, cold: bool) -> std::io::Result<Arc<Engine>> {
         let place = Place { zone: self.zone(&spec.zone), rack: spec.rack as u32 };
-        let number = self.clock.add(emulator_spec(&spec), place);
-        let emulator_spec = (self.clock.clone(), number);
+        let number = self.driver.add(emulator_spec(&spec), place);
+        let emulator_spec = (self.driver.clone(), number);
         let engine = Engine::new(Arc::downgrade(self), spec, self.recorder.clone(), emulator_spec)?;
         self.engines
             .write()
@@ -186,7 +197,7 @@
         Ok(engine)
     }
 
-    /// The number of a zone.
+    /// The emulator's number of a zone; assigns one to a new zone.
     fn zone(&self, name: &str) -> u32 {
         let mut zones = lock(&self.zones);
         let at = zones.iter().position(|z| z == name).unwrap_or_else(|| {
@@ -206,48 +217,48 @@
         self.engines.read().unwrap_or_else(std::sync::PoisonError::into_inner).values().cloned().collect()
     }
 
-    /// Names the node that connects from an address.
+    /// Registers the name and zone of the node that connects from an address.
     pub fn name_node(&self, address: IpAddr, name: &str, zone: &str) {
         let mut nodes = self.nodes.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         nodes.insert(address, (name.to_string(), zone.to_string()));
     }
 
-    /// The name and zone of the node at an address.
+    /// Name and zone of the node at an address; the address itself if it is not registered.
     pub(crate) fn node(&self, address: IpAddr) -> (String, String) {
         let nodes = self.nodes.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         nodes.get(&address).cloned().unwrap_or_else(|| (address.to_string(), String::new()))
     }
 
-    /// Cuts a zone off from the others, or joins it again.
-    pub fn cut(&self, zone: &str, cut: bool) {
-        let mut zones = self.cut.write().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if cut {
+    /// Isolates a zone from all others, or reconnects it.
+    pub fn set_isolated(&self, zone: &str, isolated: bool) {
+        let mut zones = self.isolated.write().unwrap_or_else(std::sync::PoisonError::into_inner);
+        if isolated {
             zones.insert(zone.to_string())
         } else {
             zones.remove(zone)
         };
         drop(zones);
         let number = self.zone(zone);
-        let times = if cut { f64::INFINITY } else { 1.0 };
-        self.clock.act(|fleet, now, _| fleet.slow_zone(now, number, times));
-        self.engines().iter().for_each(|e| e.note_deafness());
+        let times = if isolated { f64::INFINITY } else { 1.0 };
+        self.driver.with_fleet(|fleet, now, _| fleet.slow_zone(now, number, times));
+        self.engines().iter().for_each(|e| e.record_reachability());
     }
 
-    /// Whether two zones cannot hear each other.
-    pub fn is_cut(&self, a: &str, b: &str) -> bool {
-        let zones = self.cut.read().unwrap_or_else(std::sync::PoisonError::into_inner);
+    /// Whether two zones cannot reach each other.
+    pub fn are_separated(&self, a: &str, b: &str) -> bool {
+        let zones = self.isolated.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         a != b && (zones.contains(a) || zones.contains(b))
     }
 
-    /// Whether anything is cut off now.
-    pub(crate) fn any_cut(&self) -> bool {
-        !self.cut.read().unwrap_or_else(std::sync::PoisonError::into_inner).is_empty()
+    /// Whether any zone is isolated.
+    pub(crate) fn any_zone_isolated(&self) -> bool {
+        !self.isolated.read().unwrap_or_else(std::sync::PoisonError::into_inner).is_empty()
     }
 
-    /// Ends all engines and their threads.
+    /// Stops all engines and their threads.
     pub fn shut_down(&self) {
         self.engines().iter().for_each(|e| e.crash());
-        self.clock.end();
+        self.driver.stop();
     }
 }
 
--- a/crates/pintally-mock-engine/src/lib.rs
+++ b/crates/pintally-mock-engine/src/lib.rs
@@ -1,10 +1,11 @@
-//! Emulated engines behind sockets on loopback: readers, writers and mixed ones that speak the
-//! completion interface, with faults by script, and a record of all that comes to them.
+//! Emulated engines behind sockets on loopback: readers, writers and mixed engines that serve the
+//! completion interface, with scripted faults and a record of every request they receive.
 //!
-//! What an engine does with its work is `pintally-emulator`'s; here are its connections, and the faults
-//! of those. They are simulated servers: their speeds are settings, not measurements of any real engine.
+//! `pintally-emulator` models how an engine schedules and executes work; this crate adds its connections
+//! and their faults. The engines are simulated: their speeds are settings, not measurements of any real
+//! engine.
 
-mod clock;
+mod driver;
 mod engine;
 mod fleet;
 mod port;
@@ -12,7 +13,7 @@
 mod spec;
 mod text;
 
-pub use clock::audit_freed_by;
+pub use driver::audit_freed_by;
 pub use engine::{emulator_spec, Engine};
 pub use fleet::{Fleet, Recorder, LINK_RATES};
 pub use port::Port;
--- a/crates/pintally-mock-engine/src/port.rs
+++ b/crates/pintally-mock-engine/src/port.rs
@@ -1,23 +1,21 @@
-//! A port that stays one's own while nobody listens on it.
+//! A reserved port: no other socket gets it while its owner does not listen.
 //!
-//! Guards against mixed-up runs: a port that is free while its engine or node is down may be given to
-//! somebody else's, in this process or another, and work would come to the wrong place and stand in
-//! the wrong record.
+//! While an engine or node is down, the system could give its free port to another engine or node, in this
+//! process or another. Requests would then reach the wrong server and appear in the wrong record.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
 use socket2::{Domain, Socket, Type};
 
-/// A held port. Listeners on it must allow the reuse of addresses, as those of the standard library
-/// do.
+/// A reserved port. Listeners on it must set `SO_REUSEADDR`, as those of the standard library do.
 #[derive(Debug)]
 pub struct Port {
     held: Socket,
 }
 
 impl Port {
-    /// Holds a port on loopback that nobody else has.
+    /// Reserves a loopback port that no other socket uses.
     pub fn hold() -> io::Result<Port> {
         let held = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         held.set_reuse_address(true)?;
@@ -25,7 +23,7 @@
         Ok(Port { held })
     }
 
-    /// Its address.
+    /// The reserved address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         let none = || io::Error::new(io::ErrorKind::AddrNotAvailable, "not an internet address");
         self.held.local_addr()?.as_socket().ok_or_else(none)
--- a/crates/pintally-mock-engine/src/port/tests.rs
+++ b/crates/pintally-mock-engine/src/port/tests.rs
@@ -1,10 +1,10 @@
-//! A held port stays one's own.
+//! Tests of the module `port`.
 
 use super::*;
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn it_is_refused_while_nobody_listens_and_nobody_else_gets_it() {
+fn reserved_port_refuses_connections_and_is_not_reassigned() {
     let port = Port::hold().unwrap();
     let address = port.address().unwrap();
     assert!(TcpStream::connect(address).is_err());
@@ -14,7 +14,7 @@
         drop((listener.accept().unwrap(), client, listener));
     }
     assert!(TcpStream::connect(address).is_err());
-    // As many others as the system would need to come round to it by chance.
+    // Enough ephemeral ports that the system would assign the reserved one if it could.
     let others: Vec<TcpListener> = (0..2000).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     assert!(others.iter().all(|o| o.local_addr().unwrap() != address));
 }
--- a/crates/pintally-mock-engine/src/spec.rs
+++ b/crates/pintally-mock-engine/src/spec.rs
@@ -1,101 +1,101 @@
-//! What a stand-in engine is, and what is wrong with it at the moment.
+//! Settings of a mock engine and its active faults.
 
 use std::time::Duration;
 
-/// What an engine does.
+/// Which steps an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts.
+    /// Reads prompts (prefill).
     Reader,
-    /// Fetches read states and answers.
+    /// Fetches read states and writes answers (decode).
     Writer,
-    /// Does both.
+    /// Serves both steps.
     Mixed,
 }
 
-/// A stand-in engine's figures.
+/// Settings of a mock engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its id.
+    /// Engine id.
     pub id: String,
-    /// Its kind.
+    /// Engine kind.
     pub kind: String,
-    /// What it does.
+    /// Which steps it serves.
     pub role: Role,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its rack.
+    /// Rack.
     pub rack: u64,
-    /// The cell that the list gives it to; the engine itself knows nothing of it.
+    /// The cell that the endpoint list assigns it to; the engine itself does not use it.
     pub cell: Option<String>,
-    /// Requests at once.
+    /// Requests that run at the same time.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Requests that may queue.
     pub queue: usize,
-    /// Memory in tokens, kept texts, read states and running answers together.
+    /// KV cache size in tokens, shared by cached prefixes, read states and running answers.
     pub memory_tokens: u64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens read per second.
     pub read_tokens_per_s: f64,
     /// Time between two tokens of an answer.
     pub token_gap: Duration,
-    /// Tokens of a state that move in a second inside the rack.
+    /// Tokens of a read state that move per second within the rack.
     pub link_tokens_per_s: f64,
-    /// Share of its capacity that it starts with.
+    /// Share of full capacity right after a cold start.
     pub initial_capacity: f64,
-    /// Time until it is warm.
+    /// Time from a cold start to full capacity.
     pub warm_up: Duration,
-    /// Sent more than this many times its present capacity it falls over,
+    /// A cold engine crashes when it is sent more than this many times its present capacity,
     pub overload_factor: f64,
-    /// counted over this time.
+    /// measured over this window.
     pub overload_window: Duration,
-    /// How often its load report is made anew.
+    /// How often the load report is refreshed.
     pub report_interval: Duration,
-    /// A read state that nobody fetches is dropped after this time.
+    /// A read state that is not fetched is freed after this time.
     pub state_ttl: Duration,
 }
 
-/// How load reports are made.
+/// How accurate load reports are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportAccuracy {
-    /// From the true state, as often as the engine's figures say.
+    /// The true load, refreshed every `report_interval`.
     Honest,
-    /// The last one is repeated.
+    /// The last report is repeated.
     Stale,
-    /// They say that the engine idles.
-    Lying,
+    /// The engine reports that it is idle.
+    Idle,
 }
 
-/// What is wrong with an engine at the moment.
+/// Active faults of an engine.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// This many times slower.
-    pub slow: f64,
-    /// Everything that comes in waits until this is over.
+    /// Work takes this many times as long.
+    pub slowdown: f64,
+    /// Requests wait until this fault ends.
     pub hang: bool,
-    /// Connections are accepted, and nothing is ever answered on them.
+    /// Connections are accepted, but their requests are never answered.
     pub silent: bool,
-    /// Connections are taken up this much later.
+    /// New connections are served only after this delay.
     pub connect_delay: Duration,
-    /// This tenant is turned away.
-    pub full_for: Option<String>,
-    /// Whatever it takes on ends with an error after this time.
+    /// Requests of this tenant are rejected as if the engine were full.
+    pub rejected_tenant: Option<String>,
+    /// Every request ends with an error after this time.
     pub fail_after: Option<Duration>,
-    /// States move this many times slower.
-    pub links: f64,
-    /// How load reports are made.
+    /// Read states take this many times as long to move.
+    pub link_slowdown: f64,
+    /// How accurate load reports are.
     pub reports: ReportAccuracy,
 }
 
 impl Default for Faults {
     fn default() -> Faults {
         Faults {
-            slow: 1.0,
+            slowdown: 1.0,
             hang: false,
             silent: false,
             connect_delay: Duration::ZERO,
-            full_for: None,
+            rejected_tenant: None,
             fail_after: None,
-            links: 1.0,
+            link_slowdown: 1.0,
             reports: ReportAccuracy::Honest,
         }
     }
--- a/crates/pintally-scenario/src/engines.rs
+++ b/crates/pintally-scenario/src/engines.rs
@@ -72,7 +72,7 @@
 impl Engines {
     /// Starts them, warm.
     pub fn start(day: &Scenario) -> Result<Engines, RunError> {
-        let fleet = Fleet::new(Recorder::off());
+        let fleet = Fleet::new(Recorder::disabled());
         for spec in engine_specs(day) {
             let id = spec.id.clone();
             fleet.add(spec, false).map_err(|e| RunError(format!("{id} cannot listen: {e}")))?;
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -385,20 +385,20 @@
             }
             Act::Hang(t, on) => with(self, &t, &|f| f.hang = on),
             Act::Silent(t, on) => with(self, &t, &|f| f.silent = on),
-            Act::Slow(t, factor) => with(self, &t, &|f| f.slow = factor),
+            Act::Slow(t, factor) => with(self, &t, &|f| f.slowdown = factor),
             Act::SlowConnect(t, delay) => with(self, &t, &|f| f.connect_delay = delay),
-            Act::Links(t, factor) => with(self, &t, &|f| f.links = factor),
+            Act::Links(t, factor) => with(self, &t, &|f| f.link_slowdown = factor),
             Act::FailAfter(t, after) => with(self, &t, &|f| f.fail_after = after),
-            Act::FullFor(t, tenant) => with(self, &t, &|f| f.full_for = tenant.clone()),
+            Act::FullFor(t, tenant) => with(self, &t, &|f| f.rejected_tenant = tenant.clone()),
             Act::Stale(t, on) => with(self, &t, &|f| {
                 f.reports = if on { ReportAccuracy::Stale } else { ReportAccuracy::Honest }
             }),
             Act::Lie(t, on) => with(self, &t, &|f| {
-                f.reports = if on { ReportAccuracy::Lying } else { ReportAccuracy::Honest }
+                f.reports = if on { ReportAccuracy::Idle } else { ReportAccuracy::Honest }
             }),
             Act::Forget(target) => {
                 if let Some(engine) = self.engine(&target) {
-                    engine.forget();
+                    engine.clear_cache();
                 }
             }
             Act::Drain(target) | Act::Undrain(target) if self.engine(&target).is_none_or(|e| !e.is_up()) => {}
@@ -406,7 +406,7 @@
             Act::Undrain(target) => self.list(&target, EndpointState::Serving),
             Act::Replace(target) => self.replace(&target)?,
             Act::Remove(target) => self.remove(&target),
-            Act::Cut(zone, cut) => self.fleet.cut(&zone, cut),
+            Act::Cut(zone, cut) => self.fleet.set_isolated(&zone, cut),
             Act::ListDelay(delay) => self.list_delay = delay,
             Act::Write(node, version) => {
                 let written = self.publisher.write(node, version);
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -184,7 +184,7 @@
             &self.settings,
             (1_000_000, 800_000),
             figures.collect(),
-            self.fleet.recorder.so_far(),
+            self.fleet.recorder.snapshot(),
         );
         self.fleet.shut_down();
         drop(self.folder);
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -46,7 +46,7 @@
         ask.streamed = streamed;
         assert_eq!(rig.client.attempt(&ask), AttemptResult::Answered(Answer::Served, None));
     }
-    let record = rig.fleet.recorder.so_far();
+    let record = rig.fleet.recorder.snapshot();
     assert_eq!(record.iter().filter(|r| took(Step::Read)(&r.what)).count(), 2);
     assert_eq!(record.iter().filter(|r| took(Step::Fetch)(&r.what)).count(), 2);
     let report = rig.finish().unwrap();
@@ -67,7 +67,7 @@
     rig.engine(&engine).unwrap().crash();
     let ended = waits.join().unwrap();
     assert!(matches!(ended, AttemptResult::Answered(Answer::Cut | Answer::Failed, _)), "{ended:?}");
-    let runs = rig.fleet.recorder.so_far().iter().filter(|r| took(Step::Fetch)(&r.what)).count();
+    let runs = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Fetch)(&r.what)).count();
     assert_eq!(runs, 1, "it went to a second writer");
     kept(&rig.finish().unwrap());
 }
@@ -77,7 +77,7 @@
 fn an_unsafe_request_whose_writer_dies_before_the_first_token_fails() {
     let rig = rig(1, 2);
     // The state takes seconds to move: the writer dies while it fetches.
-    rig.engine("r0").unwrap().fault(|f| f.links = 20_000.0);
+    rig.engine("r0").unwrap().fault(|f| f.link_slowdown = 20_000.0);
     let ask = rig.ask("g", "graded-submit");
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
@@ -92,7 +92,7 @@
 #[test]
 fn a_reader_that_dies_before_its_state_is_fetched_is_replaced_by_another_read() {
     let rig = rig(2, 1);
-    rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.links = 1000.0));
+    rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.link_slowdown = 1000.0));
     let ask = rig.ask("h", "hint");
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
@@ -100,10 +100,10 @@
     let held =
         rig.fleet.recorder.wait_for(WAIT, |w| matches!(w, What::Held { .. })).expect("nothing was held");
     let What::Held { engine, .. } = held.what else { unreachable!() };
-    rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.links = 1.0));
+    rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.link_slowdown = 1.0));
     rig.engine(&engine).unwrap().crash();
     assert_eq!(waits.join().unwrap(), AttemptResult::Answered(Answer::Served, None));
-    let reads = rig.fleet.recorder.so_far().iter().filter(|r| took(Step::Read)(&r.what)).count();
+    let reads = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Read)(&r.what)).count();
     assert!(reads >= 2, "it was read only once");
     kept(&rig.finish().unwrap());
 }
@@ -235,7 +235,7 @@
         assert_eq!(one.join().unwrap(), AttemptResult::Answered(Answer::Served, None));
     }
     // Every millisecond counts against the drain, not only the grace.
-    let record = rig.fleet.recorder.so_far();
+    let record = rig.fleet.recorder.snapshot();
     let notified = record.iter().find(|r| matches!(&r.what, What::Listed { engine, listing: pintally_audit::Listed::Draining, .. } if engine == "w1"));
     let notified = notified.expect("it was never notified").at;
     let late = record.iter().filter(|r| r.at > notified + 500_000);
