--- a/crates/pintally-audit/src/cold.rs
+++ b/crates/pintally-audit/src/cold.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::index::Index;
-use crate::record::What;
+use crate::record::AuditEvent;
 
 /// The share of the work that has to come from nodes that knew.
 const SHARE: f64 = 2.0 / 3.0;
@@ -15,14 +15,14 @@
     let mut started: BTreeMap<&str, u64> = BTreeMap::new();
     let mut notified: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for r in records {
-        match &r.what {
-            What::Started { engine } => {
+        match &r.event {
+            AuditEvent::EngineStarted { engine } => {
                 started.insert(engine, r.at);
             }
-            What::Listed { node, engine, started: true, .. } => {
+            AuditEvent::EngineListed { node, engine, started: true, .. } => {
                 notified.insert((node, engine), r.at);
             }
-            What::Fell { engine, work } => {
+            AuditEvent::EngineOverloaded { engine, work } => {
                 let since = started.get(engine.as_str()).copied().unwrap_or(0);
                 let all: f64 = work.iter().map(|w| w.1).sum();
                 let knew = |node: &str| notified.get(&(node, engine)).is_some_and(|at| *at >= since);
--- a/crates/pintally-audit/src/drain.rs
+++ b/crates/pintally-audit/src/drain.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use crate::index::Index;
-use crate::record::{Listed, What};
+use crate::record::{AuditEvent, ListingState};
 
 pub(crate) fn check(index: &Index) -> Vec<String> {
     // When each node was last notified that an engine takes no work, as of each time.
-    let mut notified: BTreeMap<(&str, &str), Vec<(u64, Listed)>> = BTreeMap::new();
+    let mut notified: BTreeMap<(&str, &str), Vec<(u64, ListingState)>> = BTreeMap::new();
     for r in index.record {
-        if let What::Listed { node, engine, listing, .. } = &r.what {
+        if let AuditEvent::EngineListed { node, engine, listing, .. } = &r.event {
             notified.entry((node, engine)).or_default().push((r.at, *listing));
         }
     }
@@ -22,7 +22,7 @@
         let mut since = None;
         for (at, listing) in words.iter().filter(|(at, _)| *at <= work.at) {
             since = match listing {
-                Listed::Serving => None,
+                ListingState::Serving => None,
                 _ => since.or(Some(*at)),
             };
         }
--- a/crates/pintally-audit/src/index.rs
+++ b/crates/pintally-audit/src/index.rs
@@ -16,7 +16,7 @@
 ///
 /// Guards against a verdict on the machine: where it stood still for a second, nodes, engines and clients
 /// stood with it, and the whole second is nobody's. The hops behind it are bounded.
-pub fn late_allowance(us: u64) -> u64 {
+pub fn lateness_allowance_us(us: u64) -> u64 {
     us + (us * (LATE_HOPS - 1)).min(MAX_LATE)
 }
 
@@ -50,7 +50,7 @@
 
 /// A record in order.
 pub(crate) struct Index<'a> {
-    pub(crate) figures: &'a Figures,
+    pub(crate) figures: &'a RuleParameters,
     pub(crate) record: &'a [Record],
     pub(crate) tries: BTreeMap<&'a str, Try<'a>>,
     /// In the order in which they came to engines.
@@ -71,8 +71,8 @@
 
 impl<'a> Index<'a> {
     pub(crate) fn new(record: &'a [Record]) -> Result<Index<'a>, RecordError> {
-        let fail = |what: &str| RecordError { line: 0, what: what.to_string() };
-        let Some(Record { what: What::Figures(figures), .. }) = record.first() else {
+        let fail = |message: &str| RecordError { line: 0, message: message.to_string() };
+        let Some(Record { event: AuditEvent::Parameters(figures), .. }) = record.first() else {
             return Err(fail("a record must begin with its figures"));
         };
         let end = record.iter().map(|r| r.at).max().unwrap_or(0);
@@ -94,7 +94,7 @@
         sorted.sort_by_key(|r| r.at);
         // A try exists before anything of it, whichever thread wrote first.
         for r in &sorted {
-            if let What::Asked { request, node, class, patience_us, streamed, .. } = &r.what {
+            if let AuditEvent::RequestSent { request, node, class, patience_us, streamed, .. } = &r.event {
                 let fresh = Try {
                     request,
                     node,
@@ -121,13 +121,13 @@
 
     fn take(&mut self, r: &'a Record, open: &mut BTreeMap<&'a str, usize>) {
         let at = r.at;
-        match &r.what {
-            What::First { request } => self.of(request, |t| t.first = t.first.or(Some(at))),
-            What::Answered { request, answer } => self.of(request, |t| t.answers.push((at, *answer))),
-            What::Extra { request } => self.of(request, |t| t.extra = true),
-            What::Left { request } => self.of(request, |t| t.left = Some(at)),
-            What::Unanswered { request } => self.of(request, |t| t.unanswered = Some(at)),
-            What::Took { engine, node, request, attempt, step, .. } => {
+        match &r.event {
+            AuditEvent::FirstChunk { request } => self.of(request, |t| t.first = t.first.or(Some(at))),
+            AuditEvent::Answered { request, answer } => self.of(request, |t| t.answers.push((at, *answer))),
+            AuditEvent::ExtraAnswer { request } => self.of(request, |t| t.extra = true),
+            AuditEvent::ClientLeft { request } => self.of(request, |t| t.left = Some(at)),
+            AuditEvent::Unanswered { request } => self.of(request, |t| t.unanswered = Some(at)),
+            AuditEvent::AttemptArrived { engine, node, request, attempt, step, .. } => {
                 let step = *step;
                 let (done, turned_away, ran) = (None, false, false);
                 open.insert(attempt, self.works.len());
@@ -135,24 +135,26 @@
                 let work = Work { at, engine, node, request, attempt, step, done, turned_away, ran };
                 self.works.push(work);
             }
-            What::Done { attempt, .. } => self.with(open.get(attempt.as_str()), |w| w.done = Some(at)),
-            What::TurnedAway { attempt, .. } => {
+            AuditEvent::AttemptEnded { attempt, .. } => {
+                self.with(open.get(attempt.as_str()), |w| w.done = Some(at))
+            }
+            AuditEvent::AttemptRejected { attempt, .. } => {
                 self.with(open.get(attempt.as_str()), |w| w.turned_away = true);
             }
-            What::Ran { attempt, .. } => self.with(open.get(attempt.as_str()), |w| w.ran = true),
-            What::Late { us } => {
+            AuditEvent::AttemptRan { attempt, .. } => self.with(open.get(attempt.as_str()), |w| w.ran = true),
+            AuditEvent::MachineLate { us } => {
                 self.late.push((at, *us));
                 self.latest = self.latest.max(*us);
             }
-            What::Stood { node, still: true } => {
+            AuditEvent::NodePaused { node, paused: true } => {
                 self.stood.entry(node).or_default().push((at, self.end));
             }
-            What::Stood { node, still: false } => {
+            AuditEvent::NodePaused { node, paused: false } => {
                 if let Some(last) = self.stood.get_mut(node.as_str()).and_then(|s| s.last_mut()) {
                     last.1 = at;
                 }
             }
-            What::NodeDown { node } => self.downs.entry(node).or_default().push(at),
+            AuditEvent::NodeDown { node } => self.downs.entry(node).or_default().push(at),
             _ => {}
         }
     }
@@ -177,7 +179,7 @@
         // A lateness is noted at its end, and what it was late by lies before.
         let near = self.late[first..].iter().take_while(|(at, _)| at.saturating_sub(self.latest) <= to);
         let near = near.filter(|(at, us)| at.saturating_sub(*us) <= to);
-        self.figures.slack_us + near.map(|(_, us)| late_allowance(*us)).max().unwrap_or(0)
+        self.figures.slack_us + near.map(|(_, us)| lateness_allowance_us(*us)).max().unwrap_or(0)
     }
 
     /// For how long of a span a node's process stood still.
@@ -203,7 +205,7 @@
         self.figures.classes.iter().find(|c| c.name == class).map_or(Idempotency::NotIdempotent, |c| c.effect)
     }
 
-    pub(crate) fn engine(&self, name: &str) -> Option<&EngineFigures> {
+    pub(crate) fn engine(&self, name: &str) -> Option<&EngineLocation> {
         self.figures.engines.iter().find(|e| e.engine == name)
     }
 
--- a/crates/pintally-audit/src/lib.rs
+++ b/crates/pintally-audit/src/lib.rs
@@ -13,11 +13,11 @@
 mod twice;
 
 pub use record::{
-    read_record, Answer, ClassFigures, EngineFigures, Figures, FreedBy, Idempotency, IdempotencyScope,
-    Listed, Record, RecordError, Step, What,
+    read_record, Answer, AuditEvent, ClassParameters, EngineLocation, FreedBy, Idempotency, IdempotencyScope,
+    ListingState, Record, RecordError, RuleParameters, Step,
 };
 
-pub use index::late_allowance;
+pub use index::lateness_allowance_us;
 
 use index::Index;
 use serde::Serialize;
--- a/crates/pintally-audit/src/pinned.rs
+++ b/crates/pintally-audit/src/pinned.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::index::Index;
-use crate::record::What;
+use crate::record::AuditEvent;
 
 type Span = (u64, u64);
 
@@ -16,14 +16,16 @@
     let mut records: Vec<_> = index.record.iter().collect();
     records.sort_by_key(|r| r.at);
     for r in &records {
-        match &r.what {
-            What::Deaf { engine, deaf: true } => deaf.entry(engine).or_default().push((r.at, index.end)),
-            What::Deaf { engine, deaf: false } => {
+        match &r.event {
+            AuditEvent::EngineUnreachable { engine, unreachable: true } => {
+                deaf.entry(engine).or_default().push((r.at, index.end))
+            }
+            AuditEvent::EngineUnreachable { engine, unreachable: false } => {
                 if let Some(last) = deaf.get_mut(engine.as_str()).and_then(|d| d.last_mut()) {
                     last.1 = r.at;
                 }
             }
-            What::ReleaseSeen { engine, state } | What::Freed { engine, state, .. } => {
+            AuditEvent::ReleaseArrived { engine, state } | AuditEvent::StateFreed { engine, state, .. } => {
                 ends.entry((engine, state)).or_insert(r.at);
             }
             _ => {}
@@ -32,7 +34,7 @@
     let within = index.figures.release_within_us;
     let mut found = Vec::new();
     for r in &records {
-        let What::Held { engine, node, request, state } = &r.what else { continue };
+        let AuditEvent::StateHeld { engine, node, request, state } = &r.event else { continue };
         let end = ends.get(&(engine.as_str(), state.as_str())).copied().unwrap_or(index.end);
         // What was read for a node that was killed meanwhile is no longer that node's duty: the time
         // counts from the read's beginning, as it may end just behind the kill.
--- a/crates/pintally-audit/src/record.rs
+++ b/crates/pintally-audit/src/record.rs
@@ -1,30 +1,34 @@
-//! What a record holds: one line of JSON for each thing that happened, with its time.
+//! The format of a record: one JSON object per line for each event, with its time.
 
 use std::fmt;
 use std::io::BufRead;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that happened.
+/// One event with its time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in microseconds from the record's beginning.
+    /// Microseconds since the start of the record.
     pub at: u64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
-    pub what: What,
+    pub event: AuditEvent,
 }
 
-/// What happened. `request` is the client's id of one try, `attempt` the name of one attempt as it
-/// stood in the message, `node` the node that was asked or that sent.
+/// An event seen by a client, an engine, a publisher of engine lists or the test harness.
+///
+/// `request` is the client's ID of one try, `attempt` is the attempt's name as sent in the message, and
+/// `node` is the node that received the request or sent the message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "t", rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum What {
-    /// The first line: the figures that the rules go by.
-    Figures(Figures),
-    /// A client's request has gone out whole.
-    Asked {
+pub enum AuditEvent {
+    /// The parameters of the rules. They are the first line of a record.
+    #[serde(rename = "figures")]
+    Parameters(RuleParameters),
+    /// A client has sent a whole request.
+    #[serde(rename = "asked")]
+    RequestSent {
         request: String,
         node: String,
         class: String,
@@ -33,72 +37,103 @@
         patience_us: u64,
         streamed: bool,
     },
-    /// The first part of a streamed answer has come.
-    First { request: String },
-    /// A final answer has come.
+    /// The first part of a streamed answer has arrived at the client.
+    #[serde(rename = "first")]
+    FirstChunk { request: String },
+    /// A final answer has arrived at the client.
     Answered { request: String, answer: Answer },
-    /// More came after the final answer.
-    Extra { request: String },
-    /// The client has left of its own will.
-    Left { request: String },
-    /// The client's time is up, or the connection ended, without a final answer.
+    /// More data has arrived at the client after the final answer.
+    #[serde(rename = "extra")]
+    ExtraAnswer { request: String },
+    /// The client has abandoned the request.
+    #[serde(rename = "left")]
+    ClientLeft { request: String },
+    /// The client's deadline has passed, or its connection has closed, without a final answer.
     Unanswered { request: String },
-    /// Work has come to an engine, or to a network that did not carry it on (`reached` false).
-    Took { engine: String, node: String, request: String, attempt: String, step: Step, reached: bool },
-    /// The exchange about an attempt is over, whoever ended it.
-    Done { engine: String, attempt: String },
-    /// The engine turned the attempt away: nothing ran.
-    TurnedAway { engine: String, attempt: String },
-    /// The request runs here: its effect happens.
-    Ran { engine: String, request: String, attempt: String },
-    /// A read state waits.
-    Held { engine: String, node: String, request: String, state: String },
-    /// A message to let go of a state has come to the engine or to a network that did not carry it on.
-    ReleaseSeen { engine: String, state: String },
-    /// A read state waits no more.
-    Freed { engine: String, state: String, by: FreedBy },
-    /// The engine has started cold.
-    Started { engine: String },
-    /// The engine was sent too much while cold; the work of the window by node.
-    Fell { engine: String, work: Vec<(String, f64)> },
-    /// The engine hears nothing from here on, or hears again.
-    Deaf { engine: String, deaf: bool },
-    /// A node was notified of an engine.
-    Listed { node: String, engine: String, listing: Listed, started: bool },
-    /// The machine woke a thread so much later than it was to, for want of processors.
-    Late { us: u64 },
+    /// An attempt has arrived at an engine, or at a network that did not forward it (`reached` is false).
+    #[serde(rename = "took")]
+    AttemptArrived {
+        engine: String,
+        node: String,
+        request: String,
+        attempt: String,
+        step: Step,
+        reached: bool,
+    },
+    /// The exchange of an attempt has ended, whichever side ended it.
+    #[serde(rename = "done")]
+    AttemptEnded { engine: String, attempt: String },
+    /// The engine has rejected the attempt without running it.
+    #[serde(rename = "turned_away")]
+    AttemptRejected { engine: String, attempt: String },
+    /// The engine runs the request, so that its effect happens.
+    #[serde(rename = "ran")]
+    AttemptRan { engine: String, request: String, attempt: String },
+    /// An engine holds a read state until it is fetched or released.
+    #[serde(rename = "held")]
+    StateHeld { engine: String, node: String, request: String, state: String },
+    /// A release of a state has arrived at the engine, or at a network that did not forward it.
+    #[serde(rename = "release_seen")]
+    ReleaseArrived { engine: String, state: String },
+    /// An engine no longer holds a read state.
+    #[serde(rename = "freed")]
+    StateFreed { engine: String, state: String, by: FreedBy },
+    /// The engine has started, with cold caches.
+    #[serde(rename = "started")]
+    EngineStarted { engine: String },
+    /// A cold engine has received more work than it can take. `work` is the work of the window by node.
+    #[serde(rename = "fell")]
+    EngineOverloaded { engine: String, work: Vec<(String, f64)> },
+    /// From now on the engine receives no messages, or receives them again.
+    #[serde(rename = "deaf")]
+    EngineUnreachable {
+        engine: String,
+        #[serde(rename = "deaf")]
+        unreachable: bool,
+    },
+    /// A node was notified of an engine's state.
+    #[serde(rename = "listed")]
+    EngineListed { node: String, engine: String, listing: ListingState, started: bool },
+    /// For lack of processor time, the machine woke a thread this much later than scheduled.
+    #[serde(rename = "late")]
+    MachineLate { us: u64 },
     /// A node has started.
     NodeUp { node: String },
-    /// A node's process stands still from here on, or goes on: it can keep no time meanwhile.
-    Stood { node: String, still: bool },
-    /// A node was killed, or got SIGTERM.
+    /// From now on a node's process is paused, or runs again. A paused process cannot meet deadlines.
+    #[serde(rename = "stood")]
+    NodePaused {
+        node: String,
+        #[serde(rename = "still")]
+        paused: bool,
+    },
+    /// A node was killed, or received SIGTERM.
     NodeDown { node: String },
 }
 
-/// The figures that the rules go by.
+/// The parameters of the rules.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Figures {
-    /// New work may go on for so long after a drain was notified.
+pub struct RuleParameters {
+    /// How long a node may still send new work to an engine after it was notified of the engine's drain.
     pub drain_grace_us: u64,
-    /// What is held is taken or let go within this time.
+    /// How soon a held state must be fetched or released.
     pub release_within_us: u64,
-    /// What the measuring itself may add to each time, on a machine that keeps up.
+    /// How much measuring may add to each time on a machine that keeps up.
     pub slack_us: u64,
-    /// The classes.
-    pub classes: Vec<ClassFigures>,
-    /// The engines, those that come later included.
-    pub engines: Vec<EngineFigures>,
+    /// The request classes.
+    pub classes: Vec<ClassParameters>,
+    /// All engines, also those that join later.
+    pub engines: Vec<EngineLocation>,
 }
 
-/// A class as the rules see it.
+/// The properties of a request class that the rules use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct ClassFigures {
+pub struct ClassParameters {
     pub name: String,
     pub effect: Idempotency,
 }
 
-/// What running a request twice would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -111,7 +146,7 @@
     NotIdempotent,
 }
 
-/// The part of the fleet that drops repeats.
+/// The engines among which a repeated idempotency key is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -121,16 +156,16 @@
     Rack,
 }
 
-/// Where an engine stands.
+/// The location of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct EngineFigures {
+pub struct EngineLocation {
     pub engine: String,
     pub zone: String,
     pub rack: u64,
 }
 
-/// A final answer.
+/// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -141,7 +176,7 @@
     Cut,
 }
 
-/// What an attempt is to do.
+/// The work that an attempt asks of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -151,7 +186,7 @@
     Both,
 }
 
-/// How a read state came to wait no more.
+/// Why an engine no longer holds a read state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -162,30 +197,30 @@
     Died,
 }
 
-/// What a list says of an engine.
+/// The state of an engine in an engine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Listed {
+pub enum ListingState {
     Serving,
     Draining,
     Gone,
 }
 
-/// What is wrong with a record.
+/// Why a record cannot be audited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError {
-    /// The line, from 1; 0 if it is no one line's fault.
+    /// The line number, from 1; 0 if the error concerns no single line.
     pub line: usize,
-    /// What is wrong.
-    pub what: String,
+    /// The cause.
+    pub message: String,
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => f.write_str(&self.what),
-            line => write!(f, "line {line}: {}", self.what),
+            0 => f.write_str(&self.message),
+            line => write!(f, "line {line}: {}", self.message),
         }
     }
 }
@@ -196,7 +231,7 @@
 pub fn read_record(reader: impl BufRead) -> Result<Vec<Record>, RecordError> {
     let mut record = Vec::new();
     for (number, line) in reader.lines().enumerate() {
-        let fail = |what: String| RecordError { line: number + 1, what };
+        let fail = |message: String| RecordError { line: number + 1, message };
         let line = line.map_err(|e| fail(e.to_string()))?;
         if !line.trim().is_empty() {
             record.push(serde_json::from_str(&line).map_err(|e| fail(e.to_string()))?);
--- a/crates/pintally-audit/tests/rules.rs
+++ b/crates/pintally-audit/tests/rules.rs
@@ -4,29 +4,29 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn figures() -> What {
-    What::Figures(Figures {
+fn figures() -> AuditEvent {
+    AuditEvent::Parameters(RuleParameters {
         drain_grace_us: SECOND,
         release_within_us: SECOND / 2,
         slack_us: 0,
-        classes: vec![ClassFigures { name: "safe".into(), effect: Idempotency::Idempotent }],
+        classes: vec![ClassParameters { name: "safe".into(), effect: Idempotency::Idempotent }],
         engines: Vec::new(),
     })
 }
 
-fn record(lines: Vec<(u64, What)>) -> Vec<Record> {
-    let mut all = vec![Record { at: 0, what: figures() }];
-    all.extend(lines.into_iter().map(|(at, what)| Record { at, what }));
+fn record(lines: Vec<(u64, AuditEvent)>) -> Vec<Record> {
+    let mut all = vec![Record { at: 0, event: figures() }];
+    all.extend(lines.into_iter().map(|(at, event)| Record { at, event }));
     all
 }
 
-fn read_and_held(held: u64) -> Vec<(u64, What)> {
+fn read_and_held(held: u64) -> Vec<(u64, AuditEvent)> {
     let (engine, node, request) = ("r".to_string(), "n".to_string(), "c".to_string());
     let state = "n-1.0".to_string();
     vec![
         (
             0,
-            What::Asked {
+            AuditEvent::RequestSent {
                 request: request.clone(),
                 node: node.clone(),
                 class: "safe".into(),
@@ -37,7 +37,7 @@
         ),
         (
             1,
-            What::Took {
+            AuditEvent::AttemptArrived {
                 engine: engine.clone(),
                 node: node.clone(),
                 request: request.clone(),
@@ -46,10 +46,18 @@
                 reached: true,
             },
         ),
-        (held, What::Held { engine: engine.clone(), node, request: request.clone(), state: state.clone() }),
-        (held, What::Done { engine: engine.clone(), attempt: state.clone() }),
-        (held + 5 * SECOND, What::Freed { engine, state, by: FreedBy::Expired }),
-        (held + 5 * SECOND, What::Answered { request, answer: Answer::Failed }),
+        (
+            held,
+            AuditEvent::StateHeld {
+                engine: engine.clone(),
+                node,
+                request: request.clone(),
+                state: state.clone(),
+            },
+        ),
+        (held, AuditEvent::AttemptEnded { engine: engine.clone(), attempt: state.clone() }),
+        (held + 5 * SECOND, AuditEvent::StateFreed { engine, state, by: FreedBy::Expired }),
+        (held + 5 * SECOND, AuditEvent::Answered { request, answer: Answer::Failed }),
     ]
 }
 
@@ -64,12 +72,12 @@
 #[test]
 fn a_state_of_a_node_that_was_killed_while_it_was_read_is_not() {
     let mut lines = read_and_held(SECOND);
-    lines.push((SECOND - 1000, What::NodeDown { node: "n".into() }));
+    lines.push((SECOND - 1000, AuditEvent::NodeDown { node: "n".into() }));
     assert!(audit(&record(lines)).unwrap().rules.pinned.is_empty());
     // A death before the read began excuses nothing, nor does that of another node.
     for (at, node) in [(0, "n"), (SECOND, "m")] {
         let mut lines = read_and_held(SECOND);
-        lines.push((at, What::NodeDown { node: node.into() }));
+        lines.push((at, AuditEvent::NodeDown { node: node.into() }));
         assert_eq!(audit(&record(lines)).unwrap().rules.pinned.len(), 1, "{node}");
     }
 }
@@ -78,7 +86,7 @@
 fn a_machine_that_is_late_is_allowed_for_near_to_it_only() {
     let late = |at| {
         let mut lines = read_and_held(SECOND);
-        lines.push((at, What::Late { us: SECOND }));
+        lines.push((at, AuditEvent::MachineLate { us: SECOND }));
         audit(&record(lines)).unwrap().rules.pinned.len()
     };
     // Eight times a second, but two seconds at the most: five seconds are too long all the same.
@@ -86,7 +94,7 @@
     let short = |at| {
         let mut lines = read_and_held(SECOND);
         lines.iter_mut().filter(|l| l.0 > 2 * SECOND).for_each(|l| l.0 = 2 * SECOND);
-        lines.push((at, What::Late { us: SECOND / 10 }));
+        lines.push((at, AuditEvent::MachineLate { us: SECOND / 10 }));
         audit(&record(lines)).unwrap().rules.pinned.len()
     };
     assert_eq!(short(SECOND), 0);
@@ -98,6 +106,6 @@
     assert!(audit(&[]).is_err());
     let mut lines = read_and_held(SECOND);
     lines.push(lines[0].clone());
-    assert!(audit(&record(lines)).unwrap_err().what.contains("asked twice"));
+    assert!(audit(&record(lines)).unwrap_err().message.contains("asked twice"));
     assert!(read_record(&b"{\"at\":1}\n"[..]).unwrap_err().to_string().starts_with("line 1"));
 }
--- a/crates/pintally-audit/tests/stood.rs
+++ b/crates/pintally-audit/tests/stood.rs
@@ -1,31 +1,41 @@
 //! A process that stands still keeps no time, and nothing else is forgiven for it.
 
-use pintally_audit::{audit, Answer, ClassFigures, Figures, Idempotency, Record, What};
+use pintally_audit::{audit, Answer, AuditEvent, ClassParameters, Idempotency, Record, RuleParameters};
 
-fn record(middle: Vec<(u64, What)>) -> Vec<Record> {
-    let figures = Figures {
+fn record(middle: Vec<(u64, AuditEvent)>) -> Vec<Record> {
+    let figures = RuleParameters {
         drain_grace_us: 1_000_000,
         release_within_us: 500_000,
         slack_us: 100_000,
-        classes: vec![ClassFigures { name: "hint".into(), effect: Idempotency::Idempotent }],
+        classes: vec![ClassParameters { name: "hint".into(), effect: Idempotency::Idempotent }],
         engines: Vec::new(),
     };
-    let mut all = vec![Record { at: 0, what: What::Figures(figures) }];
-    all.extend(middle.into_iter().map(|(at, what)| Record { at, what }));
+    let mut all = vec![Record { at: 0, event: AuditEvent::Parameters(figures) }];
+    all.extend(middle.into_iter().map(|(at, event)| Record { at, event }));
     all
 }
 
-fn asked(at: u64) -> (u64, What) {
+fn asked(at: u64) -> (u64, AuditEvent) {
     let (request, node, class) = ("c1".into(), "n0".into(), "hint".into());
-    (at, What::Asked { request, node, class, tenant: None, patience_us: 2_000_000, streamed: false })
+    (
+        at,
+        AuditEvent::RequestSent {
+            request,
+            node,
+            class,
+            tenant: None,
+            patience_us: 2_000_000,
+            streamed: false,
+        },
+    )
 }
 
-fn stood(at: u64, still: bool) -> (u64, What) {
-    (at, What::Stood { node: "n0".into(), still })
+fn stood(at: u64, paused: bool) -> (u64, AuditEvent) {
+    (at, AuditEvent::NodePaused { node: "n0".into(), paused })
 }
 
-fn answered(at: u64) -> (u64, What) {
-    (at, What::Answered { request: "c1".into(), answer: Answer::Served })
+fn answered(at: u64) -> (u64, AuditEvent) {
+    (at, AuditEvent::Answered { request: "c1".into(), answer: Answer::Served })
 }
 
 #[test]
@@ -47,7 +57,7 @@
 fn what_came_late_because_the_whole_machine_stood_still_is_not_lost() {
     let lost = |late: Option<u64>, at| {
         let mut lines = vec![asked(1_000), answered(at)];
-        lines.extend(late.map(|us| (4_900_000, What::Late { us })));
+        lines.extend(late.map(|us| (4_900_000, AuditEvent::MachineLate { us })));
         audit(&record(lines)).unwrap().rules.lost.len()
     };
     // Its deadline is at 2.0 s; the machine stood from 1.9 s to 4.9 s.
--- a/crates/pintally-benchmarks/src/plans.rs
+++ b/crates/pintally-benchmarks/src/plans.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use pintally_placement::{greedy, solve, steps, Group, Problem, Tenant, Unsolved};
+use pintally_placement::{greedy, solve, steps, Group, Problem, SolveError, Tenant};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -92,7 +92,7 @@
         let began = Instant::now();
         let thumb = greedy(&problem);
         thumb_took.push(began.elapsed().as_secs_f64());
-        let thumb_holds = problem.lacks(&thumb).is_empty();
+        let thumb_holds = problem.shortfalls(&thumb).is_empty();
         greedy_planned += usize::from(thumb_holds);
         let began = Instant::now();
         let plan = solve(&problem, seconds);
@@ -105,8 +105,8 @@
                     ratios.push(problem.cost(&thumb) / problem.cost(&plan));
                 }
             }
-            Err(Unsolved::Gave(_)) => gave_up += 1,
-            Err(Unsolved::Bound(_)) => {}
+            Err(SolveError::SolverFailed(_)) => gave_up += 1,
+            Err(SolveError::Infeasible(_)) => {}
         }
     }
     let (seconds, greedy_seconds, ratio) = (Spread::of(took), Spread::of(thumb_took), Spread::of(ratios));
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -9,7 +9,7 @@
 use pintally_cells::{CellsFile, HomeCells};
 use pintally_config::form::Document;
 use pintally_config::{ConfigError, EngineList, NodeSettings};
-use pintally_placement::{greedy, solve, steps, Group, Plan, Problem, Step, Tenant, Unsolved};
+use pintally_placement::{greedy, solve, steps, Group, Plan, Problem, SolveError, Step, Tenant};
 
 use crate::{read, Failure};
 
@@ -148,7 +148,7 @@
     let began = Instant::now();
     let plan = match solve(&problem, args.seconds) {
         Ok(plan) => plan,
-        Err(Unsolved::Bound(found)) => {
+        Err(SolveError::Infeasible(found)) => {
             println!("there is no plan; what binds:");
             found.iter().for_each(|b| println!("  {}", b.describe(&problem)));
             return Ok(ExitCode::FAILURE);
@@ -158,7 +158,7 @@
     let took = began.elapsed();
     print(&problem, &plan);
     let thumb = greedy(&problem);
-    let beside = match problem.lacks(&thumb).len() {
+    let beside = match problem.shortfalls(&thumb).len() {
         0 => format!("a greedy plan costs {}", problem.cost(&thumb)),
         n => format!("a greedy plan leaves {n} constraints unmet"),
     };
--- a/crates/pintally-cli/tests/fleet/limits.rs
+++ b/crates/pintally-cli/tests/fleet/limits.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use pintally_audit::{Answer, What};
+use pintally_audit::{Answer, AuditEvent};
 use pintally_scenario::{RunningNode, ScenarioResult};
 use serde_json::Value;
 
@@ -118,11 +118,11 @@
     let mut asked: BTreeMap<&str, u64> = BTreeMap::new();
     let mut let_in = Vec::new();
     for r in &result.record {
-        match &r.what {
-            What::Asked { request, tenant: Some(tenant), .. } if tenant == "a" => {
+        match &r.event {
+            AuditEvent::RequestSent { request, tenant: Some(tenant), .. } if tenant == "a" => {
                 asked.insert(request, r.at);
             }
-            What::Answered { request, answer: Answer::Served | Answer::Cut } => {
+            AuditEvent::Answered { request, answer: Answer::Served | Answer::Cut } => {
                 let_in.extend(asked.get(request.as_str()));
             }
             _ => {}
--- a/crates/pintally-cli/tests/fleet/main.rs
+++ b/crates/pintally-cli/tests/fleet/main.rs
@@ -66,13 +66,13 @@
 /// Requests served in the last seconds of a day, as a share of those that were asked anew: each client's
 /// first try counts, and its later ones stand for it.
 fn served_at_the_end(result: &ScenarioResult, from_s: f64) -> f64 {
-    use pintally_audit::{Answer, What};
+    use pintally_audit::{Answer, AuditEvent};
     use std::collections::{BTreeMap, BTreeSet};
     let from = (from_s * 1e6) as u64;
     let first = result
         .record
         .iter()
-        .filter(|r| matches!(r.what, What::Asked { .. }))
+        .filter(|r| matches!(r.event, AuditEvent::RequestSent { .. }))
         .map(|r| r.at)
         .min()
         .unwrap_or(0);
@@ -80,11 +80,11 @@
     let mut asked: BTreeMap<String, u64> = BTreeMap::new();
     let mut served = BTreeSet::new();
     for r in &result.record {
-        match &r.what {
-            What::Asked { request, .. } => {
+        match &r.event {
+            AuditEvent::RequestSent { request, .. } => {
                 asked.entry(root(request)).or_insert(r.at);
             }
-            What::Answered { request, answer: Answer::Served } => {
+            AuditEvent::Answered { request, answer: Answer::Served } => {
                 served.insert(root(request));
             }
             _ => {}
--- a/crates/pintally-cli/tests/fleet/regions.rs
+++ b/crates/pintally-cli/tests/fleet/regions.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use pintally_audit::What;
+use pintally_audit::AuditEvent;
 use pintally_scenario::{run_with, Scenario, ScenarioResult};
 
 use crate::by_hand::{until, Nodes, EXE};
@@ -37,15 +37,15 @@
 
 /// The part of attempts, by the second, that went to an engine of another zone than the node's.
 fn far(result: &ScenarioResult) -> BTreeMap<u64, (u64, u64)> {
-    let What::Figures(figures) = &result.record[0].what else { panic!("figures come first") };
+    let AuditEvent::Parameters(figures) = &result.record[0].event else { panic!("figures come first") };
     let zones: BTreeMap<&str, &str> =
         figures.engines.iter().map(|e| (e.engine.as_str(), e.zone.as_str())).collect();
     let home = |node: &str| ["a", "b", "c"][node[1..].parse::<usize>().unwrap_or(0) % 3];
-    let asked = |r: &&pintally_audit::Record| matches!(r.what, What::Asked { .. });
+    let asked = |r: &&pintally_audit::Record| matches!(r.event, AuditEvent::RequestSent { .. });
     let first = result.record.iter().filter(asked).map(|r| r.at).min().unwrap_or(0);
     let mut seconds: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     for r in &result.record {
-        if let What::Took { engine, node, .. } = &r.what {
+        if let AuditEvent::AttemptArrived { engine, node, .. } = &r.event {
             let count = seconds.entry(r.at.saturating_sub(first) / 1_000_000).or_default();
             count.0 += 1;
             count.1 += u64::from(zones.get(engine.as_str()).is_some_and(|z| *z != home(node)));
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -8,7 +8,7 @@
 use pintally::interface::{
     AttemptNumber, Endpoint, EndpointState, EngineId, ListUpdate, LoadReport, Micros, Outcome, RequestId,
 };
-use pintally_audit::{Answer, EngineFigures, Listed as ListedAs, Record, Step as AuditStep, What};
+use pintally_audit::{Answer, AuditEvent, EngineLocation, ListingState, Record, Step as AuditStep};
 use pintally_cells::{CellsFile, MoveCommand};
 use pintally_config::NodeSettings;
 use pintally_emulator::{Fleet, Notice, Place, Refusal, Work, WorkId};
@@ -159,7 +159,7 @@
             day,
         };
         for node in 0..world.nodes.len() {
-            world.note(What::NodeUp { node: format!("n{node}") });
+            world.note(AuditEvent::NodeUp { node: format!("n{node}") });
             if let Some(cells) = &day.cells {
                 world.at(0, Event::Tell(node, Box::new(Input::Cells(Box::new(cells.clone())))));
             }
@@ -179,7 +179,7 @@
     }
 
     /// Plays the day to its end; returns the record, the engines' figures, and how many fell over.
-    pub fn play(mut self) -> (Vec<Record>, Vec<EngineFigures>, u64) {
+    pub fn play(mut self) -> (Vec<Record>, Vec<EngineLocation>, u64) {
         let length = self.day.length.as_micros() as Micros;
         let last = length + self.day.settle.as_micros() as Micros;
         let mut next = self.source.gap(1.0).as_micros() as Micros;
@@ -220,7 +220,7 @@
             }
         }
         self.record.sort_by_key(|r| r.at);
-        let figures = self.specs.iter().map(|s| EngineFigures {
+        let figures = self.specs.iter().map(|s| EngineLocation {
             engine: s.id.clone(),
             zone: s.zone.clone(),
             rack: s.rack,
@@ -233,12 +233,12 @@
         self.events.insert((at, self.serial), event);
     }
 
-    fn note(&mut self, what: What) {
-        self.note_at(self.now, what);
+    fn note(&mut self, event: AuditEvent) {
+        self.note_at(self.now, event);
     }
 
-    fn note_at(&mut self, at: Micros, what: What) {
-        self.record.push(Record { at, what });
+    fn note_at(&mut self, at: Micros, event: AuditEvent) {
+        self.record.push(Record { at, event });
     }
 
     fn happen(&mut self, event: Event) {
@@ -260,7 +260,7 @@
                 }
                 one.done = true;
                 let request = one.id.clone();
-                self.note(What::Unanswered { request });
+                self.note(AuditEvent::Unanswered { request });
                 self.tell(node, Input::ClientLeft(ticket));
             }
             Event::Fault(act) => self.act(act),
@@ -305,7 +305,7 @@
             done: false,
             draft,
         };
-        self.note(What::Asked {
+        self.note(AuditEvent::RequestSent {
             request: one.id.clone(),
             node: format!("n{node}"),
             class: one.draft.class.clone(),
@@ -328,7 +328,7 @@
             FinalAnswer::Failed => Answer::Failed,
             FinalAnswer::StreamCut => Answer::Cut,
         };
-        self.note_at(self.now + HOP, What::Answered { request: one.id, answer: reported });
+        self.note_at(self.now + HOP, AuditEvent::Answered { request: one.id, answer: reported });
         if let FinalAnswer::Rejected(after) = answer {
             let traffic = &self.day.traffic;
             let usual = traffic.retry_wait.as_micros() as Micros;
@@ -444,13 +444,14 @@
         let at = self.now + after;
         for one in &list {
             let listing = match one.endpoint.state {
-                EndpointState::Serving => ListedAs::Serving,
-                EndpointState::Draining => ListedAs::Draining,
-                EndpointState::Gone => ListedAs::Gone,
+                EndpointState::Serving => ListingState::Serving,
+                EndpointState::Draining => ListingState::Draining,
+                EndpointState::Gone => ListingState::Gone,
             };
             let (node, engine) = (format!("n{node}"), one.endpoint.engine.0.to_string());
             let started = one.endpoint.started.is_some();
-            self.record.push(Record { at, what: What::Listed { node, engine, listing, started } });
+            self.record
+                .push(Record { at, event: AuditEvent::EngineListed { node, engine, listing, started } });
         }
         self.at(at, Event::Tell(node, Box::new(Input::EndpointList(ListUpdate::Full, list))));
     }
@@ -505,7 +506,14 @@
             Step::Both => AuditStep::Both,
         };
         let (engine_id, node_name) = (self.specs[engine].id.clone(), format!("n{node}"));
-        self.note(What::Took { engine: engine_id, node: node_name, request, attempt, step, reached: true });
+        self.note(AuditEvent::AttemptArrived {
+            engine: engine_id,
+            node: node_name,
+            request,
+            attempt,
+            step,
+            reached: true,
+        });
         self.works.insert(id, key);
         let source = state.map(|s| s.0 as usize).filter(|_| work.fetches.is_some());
         self.fleet.submit(self.now, engine, work, source, &mut self.said);
@@ -525,7 +533,7 @@
         if let Some(work) = flight.work {
             self.works.remove(&work);
             let (engine, attempt) = (self.specs[flight.engine].id.clone(), flight.name.clone());
-            self.note(What::Done { engine, attempt });
+            self.note(AuditEvent::AttemptEnded { engine, attempt });
         }
         let reported =
             matches!(outcome, Outcome::Read | Outcome::Served | Outcome::Overloaded | Outcome::StateNotFound);
@@ -556,7 +564,7 @@
                 let Some((engine, name)) = self.names.remove(&state) else { return };
                 self.states.remove(&(engine, name.clone()));
                 let (engine, by) = (self.specs[engine].id.clone(), audit_freed_by(by));
-                self.note(What::Freed { engine, state: name, by });
+                self.note(AuditEvent::StateFreed { engine, state: name, by });
             }
             Notice::Fell => {
                 self.overload_crashes += 1;
@@ -575,13 +583,13 @@
                 self.states.insert((engine, state.clone()), id);
                 self.names.insert(id, (engine, state.clone()));
                 let (engine, node) = (self.specs[engine].id.clone(), format!("n{}", key.0));
-                self.note(What::Held { engine, node, request, state });
+                self.note(AuditEvent::StateHeld { engine, node, request, state });
                 self.end(key, Outcome::Read, kept, Some(id), HOP);
             }
             Notice::Began(id) => {
                 let Some(flight) = self.works.get(&id).and_then(|k| self.flights.get(k)) else { return };
                 let (request, attempt) = (flight.request.clone(), flight.name.clone());
-                self.note(What::Ran { engine: self.specs[engine].id.clone(), request, attempt });
+                self.note(AuditEvent::AttemptRan { engine: self.specs[engine].id.clone(), request, attempt });
             }
             Notice::Token(id, 1) => {
                 let Some(&key) = self.works.get(&id) else { return };
@@ -592,7 +600,7 @@
                 let Some(one) = self.tries.get_mut(&(key.0, key.1)).filter(|t| !t.done) else { return };
                 if one.draft.streamed && !std::mem::replace(&mut one.first, true) {
                     let request = one.id.clone();
-                    self.note_at(at, What::First { request });
+                    self.note_at(at, AuditEvent::FirstChunk { request });
                 }
             }
             Notice::Done(id, kept) => {
@@ -631,7 +639,7 @@
     /// An engine says that it has run nothing of an attempt.
     fn turned_away(&mut self, engine: usize, key: Key) {
         let Some(attempt) = self.flights.get(&key).map(|f| f.name.clone()) else { return };
-        self.note(What::TurnedAway { engine: self.specs[engine].id.clone(), attempt });
+        self.note(AuditEvent::AttemptRejected { engine: self.specs[engine].id.clone(), attempt });
     }
 
     fn release(&mut self, node: usize, name: RequestId, engine: EngineId) {
@@ -639,7 +647,7 @@
         let up = self.fleet.engine(number).is_up();
         if up {
             let state = name.0.to_string();
-            self.note(What::ReleaseSeen { engine: engine.0.to_string(), state: state.clone() });
+            self.note(AuditEvent::ReleaseArrived { engine: engine.0.to_string(), state: state.clone() });
             if let Some(work) = self.states.get(&(number, state)).copied() {
                 self.fleet.release(self.now, number, work, &mut self.said);
             }
@@ -657,7 +665,7 @@
             FaultAction::SetRunning(engine, true) => {
                 self.fleet.start(self.now, engine, true);
                 (self.listing[engine], self.started[engine]) = (EndpointState::Serving, Some(self.now));
-                self.note(What::Started { engine: self.specs[engine].id.clone() });
+                self.note(AuditEvent::EngineStarted { engine: self.specs[engine].id.clone() });
                 self.publish();
             }
             FaultAction::SetSlowdown(engine, times) => self.fleet.fault(engine, |f| f.slow = times),
--- a/crates/pintally-mock-engine/src/driver.rs
+++ b/crates/pintally-mock-engine/src/driver.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use pintally_audit::{FreedBy, What};
+use pintally_audit::{AuditEvent, FreedBy};
 use pintally_emulator::{self as emulator, Notice, Work, WorkId};
 
 use crate::fleet::{lock, Recorder};
@@ -92,13 +92,13 @@
                     };
                     shared.state_ids.remove(&(engine_index, submitted.attempt.clone()));
                     let (engine, state, by) = (submitted.engine, submitted.attempt, audit_freed_by(by));
-                    self.recorder.note(What::Freed { engine, state, by });
+                    self.recorder.note(AuditEvent::StateFreed { engine, state, by });
                     continue;
                 }
                 Notice::Read(id, _) => {
                     if let Some((submitted, _)) = shared.subscribers.get(&id) {
                         let t = submitted.clone();
-                        self.recorder.note(What::Held {
+                        self.recorder.note(AuditEvent::StateHeld {
                             engine: t.engine.clone(),
                             node: t.node.clone(),
                             request: t.request.clone(),
@@ -111,7 +111,7 @@
                 Notice::Began(id) => {
                     if let Some((submitted, _)) = shared.subscribers.get(&id) {
                         let t = submitted.clone();
-                        self.recorder.note(What::Ran {
+                        self.recorder.note(AuditEvent::AttemptRan {
                             engine: t.engine,
                             request: t.request,
                             attempt: t.attempt,
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pintally_audit::What;
+use pintally_audit::AuditEvent;
 use pintally_emulator as emulator;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
@@ -113,7 +113,7 @@
         let (engine, incarnation) = (self.clone(), state.incarnation);
         drop(state);
         if cold {
-            self.recorder.note(What::Started { engine: self.spec.id.clone() });
+            self.recorder.note(AuditEvent::EngineStarted { engine: self.spec.id.clone() });
         }
         let spawned =
             thread::Builder::new().stack_size(128 << 10).spawn(move || engine.accept(&listener, incarnation));
@@ -177,7 +177,10 @@
         let unreachable = isolated || f.hang || f.silent || !f.connect_delay.is_zero();
         if std::mem::replace(&mut state.unreachable, unreachable) != unreachable {
             drop(state);
-            self.recorder.note(What::Deaf { engine: self.spec.id.clone(), deaf: unreachable });
+            self.recorder.note(AuditEvent::EngineUnreachable {
+                engine: self.spec.id.clone(),
+                unreachable: unreachable,
+            });
         }
     }
 
@@ -214,7 +217,7 @@
         }
         drop(state);
         let (engine, work) = (self.spec.id.clone(), by_node.into_iter().collect());
-        self.recorder.note(What::Fell { engine, work });
+        self.recorder.note(AuditEvent::EngineOverloaded { engine, work });
         self.crash();
     }
 
--- a/crates/pintally-mock-engine/src/fleet.rs
+++ b/crates/pintally-mock-engine/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pintally_audit::{late_allowance, Record, What};
+use pintally_audit::{lateness_allowance_us, AuditEvent, Record};
 
 use pintally_emulator::{Place, Wires};
 
@@ -84,7 +84,7 @@
             let us = late_by.as_micros() as u64;
             let mut records = lock(&records.0);
             let at = begin.elapsed().as_micros() as u64;
-            records.push(Record { at, what: What::Late { us } });
+            records.push(Record { at, event: AuditEvent::MachineLate { us } });
             drop(records);
             let mut lateness = lock(&lateness);
             if lateness.largest.is_none_or(|(largest, at)| us >= largest || at.elapsed() > LATENESS_RETENTION)
@@ -103,27 +103,27 @@
 
     /// The time that the machine's recent lateness may add to a duration, by the audit's rule.
     pub fn lateness(&self) -> Duration {
-        Duration::from_micros(late_allowance(lock(&self.lateness).current_us()))
+        Duration::from_micros(lateness_allowance_us(lock(&self.lateness).current_us()))
     }
 
     /// Adds an event with the current time.
-    pub fn note(&self, what: What) {
+    pub fn note(&self, event: AuditEvent) {
         if self.disabled {
             return;
         }
         let mut records = lock(&self.records.0);
         let at = self.begin.elapsed().as_micros() as u64;
-        records.push(Record { at, what });
+        records.push(Record { at, event });
         self.records.1.notify_all();
     }
 
     /// Returns the first recorded event that matches, waiting up to `max_wait` for one.
-    pub fn wait_for(&self, max_wait: Duration, matches: impl Fn(&What) -> bool) -> Option<Record> {
+    pub fn wait_for(&self, max_wait: Duration, matches: impl Fn(&AuditEvent) -> bool) -> Option<Record> {
         let deadline = Instant::now() + max_wait;
         let mut records = lock(&self.records.0);
         let mut seen = 0;
         loop {
-            if let Some(found) = records[seen..].iter().find(|r| matches(&r.what)) {
+            if let Some(found) = records[seen..].iter().find(|r| matches(&r.event)) {
                 return Some(found.clone());
             }
             seen = records.len();
--- a/crates/pintally-mock-engine/src/serve.rs
+++ b/crates/pintally-mock-engine/src/serve.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use pintally_audit::{Step, What};
+use pintally_audit::{AuditEvent, Step};
 use pintally_emulator::{self as emulator, Notice, Refusal};
 use pintally_engine::{extension, LOAD_HEADER};
 use pintally_http::{chunk, response, response_head, sse_event, Request, RequestReader, LAST_CHUNK};
@@ -147,7 +147,7 @@
                 let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
                 let name = body["request_id"].as_str().unwrap_or("").to_string();
                 let engine = self.engine.spec.id.clone();
-                self.engine.recorder.note(What::ReleaseSeen { engine, state: name.clone() });
+                self.engine.recorder.note(AuditEvent::ReleaseArrived { engine, state: name.clone() });
                 self.wait_until_reachable()?;
                 self.engine.driver.release(self.engine.emulator_index, &name);
                 self.write(&response(200, &[("content-type", "application/json")], b"{}"))
@@ -192,7 +192,7 @@
 
     fn handle_completion(&mut self, work: &CompletionRequest) -> Result<(), ConnectionClosed> {
         let engine = self.engine.spec.id.clone();
-        self.engine.recorder.note(What::Took {
+        self.engine.recorder.note(AuditEvent::AttemptArrived {
             engine: engine.clone(),
             node: self.node.clone(),
             request: work.key.clone(),
@@ -201,7 +201,7 @@
             reached: !self.is_unreachable(),
         });
         let done = self.wait_until_reachable().and_then(|()| self.serve(work));
-        self.engine.recorder.note(What::Done { engine, attempt: work.attempt.clone() });
+        self.engine.recorder.note(AuditEvent::AttemptEnded { engine, attempt: work.attempt.clone() });
         done
     }
 
@@ -353,7 +353,7 @@
 
     fn reject(&mut self, work: &CompletionRequest, status: u16, kind: &str) -> Result<(), ConnectionClosed> {
         let (engine, attempt) = (self.engine.spec.id.clone(), work.attempt.clone());
-        self.engine.recorder.note(What::TurnedAway { engine, attempt });
+        self.engine.recorder.note(AuditEvent::AttemptRejected { engine, attempt });
         self.respond_error(status, kind, status == 429)
     }
 
--- a/crates/pintally-placement/src/greedy.rs
+++ b/crates/pintally-placement/src/greedy.rs
@@ -4,7 +4,7 @@
 
 /// A plan by rules of thumb; it may lack something.
 pub fn greedy(problem: &Problem) -> Plan {
-    let mut plan = problem.present();
+    let mut plan = problem.current_plan();
     let cells = problem.cells.len();
     // Share of a cell's capacity that its tenants demand, the scarcer of the two.
     let load = |plan: &Plan, cell: usize| {
--- a/crates/pintally-placement/src/lib.rs
+++ b/crates/pintally-placement/src/lib.rs
@@ -9,6 +9,6 @@
 mod steps;
 
 pub use greedy::greedy;
-pub use model::{solve, Unsolved};
-pub use problem::{Binding, Group, Plan, Problem, Tenant};
-pub use steps::{steps, Step, Stuck};
+pub use model::{solve, SolveError};
+pub use problem::{Group, Plan, Problem, Shortfall, Tenant};
+pub use steps::{steps, NoSafeStep, Step};
--- a/crates/pintally-placement/src/model.rs
+++ b/crates/pintally-placement/src/model.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::greedy::greedy;
-use crate::problem::{Binding, Plan, Problem, LEAVING};
+use crate::problem::{Plan, Problem, Shortfall, LEAVING};
 
 /// What one unit of a shortfall costs, against one engine moved.
 const SHORT: f64 = 1000.0;
@@ -20,26 +20,26 @@
 
 /// Why there is no plan.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Unsolved {
+pub enum SolveError {
     /// These constraints cannot all be met.
-    Bound(Vec<Binding>),
+    Infeasible(Vec<Shortfall>),
     /// The solver gave up, for want of time or otherwise.
-    Gave(String),
+    SolverFailed(String),
 }
 
-impl fmt::Display for Unsolved {
+impl fmt::Display for SolveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unsolved::Bound(found) => write!(f, "{} constraints cannot be met", found.len()),
-            Unsolved::Gave(why) => write!(f, "the solver gave up: {why}"),
+            SolveError::Infeasible(found) => write!(f, "{} constraints cannot be met", found.len()),
+            SolveError::SolverFailed(why) => write!(f, "the solver gave up: {why}"),
         }
     }
 }
 
-impl std::error::Error for Unsolved {}
+impl std::error::Error for SolveError {}
 
 /// Solves a problem within so many seconds.
-pub fn solve(problem: &Problem, seconds: f64) -> Result<Plan, Unsolved> {
+pub fn solve(problem: &Problem, seconds: f64) -> Result<Plan, SolveError> {
     let cells = problem.cells.len();
     let mut vars = ProblemVariables::new();
     let mut cost = Expression::from(0.0);
@@ -112,8 +112,11 @@
     for row in rows {
         model.add_constraint(row);
     }
-    let model = model.with_mip_gap(GAP).map_err(|e| Unsolved::Gave(e.to_string()))?.with_time_limit(seconds);
-    let solution = model.solve().map_err(|e| Unsolved::Gave(e.to_string()))?;
+    let model = model
+        .with_mip_gap(GAP)
+        .map_err(|e| SolveError::SolverFailed(e.to_string()))?
+        .with_time_limit(seconds);
+    let solution = model.solve().map_err(|e| SolveError::SolverFailed(e.to_string()))?;
     let whole = |v: &Variable| solution.value(*v).round().max(0.0) as usize;
     let plan = Plan {
         engines: engines.iter().map(|own| own.iter().map(whole).collect()).collect(),
@@ -128,20 +131,20 @@
             .collect(),
     };
     // What is believed is the plan, checked by other means than the solver's.
-    let lacks = problem.lacks(&plan);
-    if !problem.is_lawful(&plan) {
-        return Err(Unsolved::Gave("its solution uses what is not there".into()));
+    let lacks = problem.shortfalls(&plan);
+    if !problem.is_valid(&plan) {
+        return Err(SolveError::SolverFailed("its solution uses what is not there".into()));
     }
     // A solver that ran out of time may hold a worse plan than a rule of thumb does, or none.
     let thumb = greedy(problem);
-    let thumb_holds = problem.is_lawful(&thumb) && problem.lacks(&thumb).is_empty();
+    let thumb_holds = problem.is_valid(&thumb) && problem.shortfalls(&thumb).is_empty();
     match (lacks.is_empty(), thumb_holds) {
         (true, true) if problem.cost(&thumb) < problem.cost(&plan) => Ok(thumb),
         (true, _) => Ok(plan),
         (false, true) => Ok(thumb),
         (false, false) if matches!(solution.status(), SolutionStatus::TimeLimit) => {
-            Err(Unsolved::Gave(format!("no plan within {seconds} s")))
+            Err(SolveError::SolverFailed(format!("no plan within {seconds} s")))
         }
-        (false, false) => Err(Unsolved::Bound(lacks)),
+        (false, false) => Err(SolveError::Infeasible(lacks)),
     }
 }
--- a/crates/pintally-placement/src/problem.rs
+++ b/crates/pintally-placement/src/problem.rs
@@ -69,7 +69,7 @@
 
 /// What a plan lacks.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Binding {
+pub enum Shortfall {
     /// A cell lacks so much reading.
     Reads(usize, f64),
     /// A cell lacks so much writing.
@@ -78,23 +78,23 @@
     Zone(usize, usize, f64),
 }
 
-impl Binding {
+impl Shortfall {
     /// The finding in words.
     pub fn describe<'a>(&'a self, problem: &'a Problem) -> impl fmt::Display + 'a {
-        struct BindingText<'a>(&'a Binding, &'a Problem);
-        impl fmt::Display for BindingText<'_> {
+        struct ShortfallText<'a>(&'a Shortfall, &'a Problem);
+        impl fmt::Display for ShortfallText<'_> {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let cell = |c: usize| self.1.cells.get(c).map_or("?", String::as_str);
                 match self.0 {
-                    Binding::Reads(c, lack) => write!(f, "cell {} lacks {lack:.1} of reading", cell(*c)),
-                    Binding::Writes(c, lack) => write!(f, "cell {} lacks {lack:.1} of writing", cell(*c)),
-                    Binding::Zone(c, z, over) => {
+                    Shortfall::Reads(c, lack) => write!(f, "cell {} lacks {lack:.1} of reading", cell(*c)),
+                    Shortfall::Writes(c, lack) => write!(f, "cell {} lacks {lack:.1} of writing", cell(*c)),
+                    Shortfall::Zone(c, z, over) => {
                         write!(f, "cell {} has {over:.1} too much of its capacity in zone {z}", cell(*c))
                     }
                 }
             }
         }
-        BindingText(self, problem)
+        ShortfallText(self, problem)
     }
 }
 
@@ -107,7 +107,7 @@
 
 impl Problem {
     /// The plan that holds now.
-    pub fn present(&self) -> Plan {
+    pub fn current_plan(&self) -> Plan {
         Plan {
             engines: self.groups.iter().map(|g| g.now.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.now).collect(),
@@ -136,21 +136,21 @@
     }
 
     /// Everything that a plan lacks; nothing if it holds.
-    pub fn lacks(&self, plan: &Plan) -> Vec<Binding> {
+    pub fn shortfalls(&self, plan: &Plan) -> Vec<Shortfall> {
         let mut found = Vec::new();
         for cell in 0..self.cells.len() {
             let ((reads, writes), (r, w)) = (self.capacity(plan, cell), self.demand(plan, cell));
             if r > reads + SMALL {
-                found.push(Binding::Reads(cell, r - reads));
+                found.push(Shortfall::Reads(cell, r - reads));
             }
             if w > writes + SMALL {
-                found.push(Binding::Writes(cell, w - writes));
+                found.push(Shortfall::Writes(cell, w - writes));
             }
             for zone in 0..self.zones() {
                 let (zr, zw) = self.in_zone(plan, cell, zone);
                 let over = (zr - self.zone_share * reads).max(zw - self.zone_share * writes);
                 if over > SMALL {
-                    found.push(Binding::Zone(cell, zone, over));
+                    found.push(Shortfall::Zone(cell, zone, over));
                 }
             }
         }
@@ -174,7 +174,7 @@
     }
 
     /// Whether a plan moves nothing that may not move and uses no engine that is not there.
-    pub fn is_lawful(&self, plan: &Plan) -> bool {
+    pub fn is_valid(&self, plan: &Plan) -> bool {
         let engines =
             self.groups.iter().zip(&plan.engines).all(|(g, n)| n.iter().sum::<usize>() <= g.count());
         let pinned = self.tenants.iter().zip(&plan.tenants).all(|(t, c)| !t.pinned || t.now == *c);
--- a/crates/pintally-placement/src/steps.rs
+++ b/crates/pintally-placement/src/steps.rs
@@ -29,30 +29,30 @@
 
 /// What is left cannot be done safely, one step at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stuck {
+pub struct NoSafeStep {
     /// The steps that could be taken.
     pub taken: Vec<Step>,
     /// How many are left.
-    pub left: usize,
+    pub remaining: usize,
 }
 
-impl fmt::Display for Stuck {
+impl fmt::Display for NoSafeStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "after {} steps the {} left would each leave a cell without its margin",
             self.taken.len(),
-            self.left
+            self.remaining
         )
     }
 }
 
-impl std::error::Error for Stuck {}
+impl std::error::Error for NoSafeStep {}
 
 /// The steps to a plan. A step is safe if no cell lacks more behind it than before it, so that a
 /// fleet that is short already can be mended.
-pub fn steps(problem: &Problem, plan: &Plan) -> Result<Vec<Step>, Stuck> {
-    let mut at = problem.present();
+pub fn steps(problem: &Problem, plan: &Plan) -> Result<Vec<Step>, NoSafeStep> {
+    let mut at = problem.current_plan();
     let mut taken = Vec::new();
     loop {
         let wanted = wanted(problem, &at, plan);
@@ -69,7 +69,7 @@
             take(&mut then, step);
             before.iter().enumerate().all(|(c, had)| lack(&then, c) <= had + crate::problem::SMALL)
         });
-        let Some(step) = safe.copied() else { return Err(Stuck { taken, left: wanted.len() }) };
+        let Some(step) = safe.copied() else { return Err(NoSafeStep { taken, remaining: wanted.len() }) };
         take(&mut at, &step);
         taken.push(step);
     }
--- a/crates/pintally-placement/tests/plans.rs
+++ b/crates/pintally-placement/tests/plans.rs
@@ -44,9 +44,9 @@
 fn an_outgrown_cell_gets_the_fewest_engines_that_do() {
     // 34 and the small one's 4, a fifth more: 45.6 of reading and of writing, where there are 40.
     let problem = outgrown(34.0, 1);
-    assert!(!problem.lacks(&problem.present()).is_empty());
+    assert!(!problem.shortfalls(&problem.current_plan()).is_empty());
     let plan = solve(&problem, 20.0).unwrap();
-    assert_eq!(problem.lacks(&plan), []);
+    assert_eq!(problem.shortfalls(&plan), []);
     // One reader and one writer cost 2; moving the small tenant would cost 3 and not suffice.
     assert_eq!(problem.cost(&plan), 2.0);
     let way = steps(&problem, &plan).unwrap();
@@ -56,8 +56,8 @@
 #[test]
 fn where_there_is_no_plan_it_says_what_binds() {
     let problem = outgrown(200.0, 0);
-    let Err(Unsolved::Bound(found)) = solve(&problem, 20.0) else { panic!("it found a plan") };
-    assert!(found.iter().any(|b| matches!(b, Binding::Reads(0, _))), "{found:?}");
+    let Err(SolveError::Infeasible(found)) = solve(&problem, 20.0) else { panic!("it found a plan") };
+    assert!(found.iter().any(|b| matches!(b, Shortfall::Reads(0, _))), "{found:?}");
     assert!(found[0].describe(&problem).to_string().contains("cell a lacks"));
 }
 
@@ -65,9 +65,9 @@
 fn a_swap_without_room_is_said_to_be_stuck() {
     let mut problem = outgrown(20.0, 0);
     problem.tenants = vec![tenant("x", 33.0, 33.0, 0, false), tenant("y", 33.0, 33.0, 1, false)];
-    let swap = Plan { tenants: vec![1, 0], ..problem.present() };
+    let swap = Plan { tenants: vec![1, 0], ..problem.current_plan() };
     let stuck = steps(&problem, &swap).unwrap_err();
-    assert_eq!((stuck.taken.len(), stuck.left), (0, 2));
+    assert_eq!((stuck.taken.len(), stuck.remaining), (0, 2));
 }
 
 proptest! {
@@ -95,18 +95,18 @@
             tenant_cost: 3.0,
         };
         let thumb = greedy(&problem);
-        prop_assert!(problem.is_lawful(&thumb));
+        prop_assert!(problem.is_valid(&thumb));
         match solve(&problem, 5.0) {
             Ok(plan) => {
-                prop_assert_eq!(problem.lacks(&plan), vec![]);
-                if problem.lacks(&thumb).is_empty() {
+                prop_assert_eq!(problem.shortfalls(&plan), vec![]);
+                if problem.shortfalls(&thumb).is_empty() {
                     prop_assert!(problem.cost(&plan) <= problem.cost(&thumb) * 1.01 + 1e-6);
                 }
                 let way = match steps(&problem, &plan) { Ok(way) => way, Err(stuck) => stuck.taken };
                 prop_assert!(way.len() <= 100);
             }
-            Err(Unsolved::Bound(_)) => prop_assert!(!problem.lacks(&thumb).is_empty(), "greedy found what the model did not"),
-            Err(Unsolved::Gave(why)) => prop_assert!(false, "{}", why),
+            Err(SolveError::Infeasible(_)) => prop_assert!(!problem.shortfalls(&thumb).is_empty(), "greedy found what the model did not"),
+            Err(SolveError::SolverFailed(why)) => prop_assert!(false, "{}", why),
         }
     }
 }
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use pintally_audit::{Answer, What};
+use pintally_audit::{Answer, AuditEvent};
 use pintally_http::{request, Part, ResponseReader, SseReader};
 use pintally_mock_engine::Recorder;
 use serde_json::{json, Value};
@@ -91,7 +91,7 @@
         let target = format!("/v2/models/default/{verb}");
         let bytes = request("POST", &target, &headers, body.to_string().as_bytes());
         let request = t.id.clone();
-        self.recorder.note(What::Asked {
+        self.recorder.note(AuditEvent::RequestSent {
             request: request.clone(),
             node: t.node.clone(),
             class: t.class.clone(),
@@ -111,19 +111,19 @@
             Heard::Stream { whole: true } => (Answer::Served, None),
             Heard::Stream { whole: false } => (Answer::Cut, None),
             Heard::Left => {
-                self.recorder.note(What::Left { request });
+                self.recorder.note(AuditEvent::ClientLeft { request });
                 return AttemptResult::Left;
             }
             Heard::Nothing => {
-                self.recorder.note(What::Unanswered { request });
+                self.recorder.note(AuditEvent::Unanswered { request });
                 return AttemptResult::Unanswered;
             }
         };
-        self.recorder.note(What::Answered { request: request.clone(), answer });
+        self.recorder.note(AuditEvent::Answered { request: request.clone(), answer });
         // Nothing may come behind the final answer.
         let _ = stream.set_read_timeout(Some(LISTEN));
         if matches!(stream.read(&mut [0u8; 64]), Ok(n) if n > 0) {
-            self.recorder.note(What::Extra { request });
+            self.recorder.note(AuditEvent::ExtraAnswer { request });
         }
         AttemptResult::Answered(answer, after)
     }
@@ -149,7 +149,7 @@
                     }
                     Ok(Some(Part::Body(bytes))) => {
                         if streams && !std::mem::replace(&mut first, true) {
-                            self.recorder.note(What::First { request: t.id.clone() });
+                            self.recorder.note(AuditEvent::FirstChunk { request: t.id.clone() });
                         }
                         if sse.push(&bytes).is_err() {
                             return Heard::Nothing;
@@ -161,7 +161,7 @@
                     }
                     Ok(Some(Part::End(_))) if reader.leftover_bytes() > 0 => {
                         // It came together with more: a second answer must not hide behind the first.
-                        self.recorder.note(What::Extra { request: t.id.clone() });
+                        self.recorder.note(AuditEvent::ExtraAnswer { request: t.id.clone() });
                         return match ending {
                             Some(whole) => Heard::Stream { whole },
                             None => Heard::Whole(status, after),
--- a/crates/pintally-scenario/src/moved.rs
+++ b/crates/pintally-scenario/src/moved.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use pintally_audit::{Record, What};
+use pintally_audit::{AuditEvent, Record};
 use serde::Serialize;
 
 use crate::spec::Scenario;
@@ -56,7 +56,7 @@
             shape.in_time += u64::from(one.in_time());
         }
         for record in record {
-            if let What::Took { node, reached: true, .. } = &record.what {
+            if let AuditEvent::AttemptArrived { node, reached: true, .. } = &record.event {
                 shapes.at(new(node)).sends += 1;
             }
         }
--- a/crates/pintally-scenario/src/play.rs
+++ b/crates/pintally-scenario/src/play.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use pintally::interface::EndpointState;
-use pintally_audit::{Answer, EngineFigures, Record, What};
+use pintally_audit::{Answer, AuditEvent, EngineLocation, Record};
 use pintally_cells::{CellsFile, MovePhase, TenantMove};
 use pintally_config::NodeSettings;
 use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder, ReportAccuracy};
@@ -100,7 +100,7 @@
     stand_for: BTreeMap<Target, String>,
     replaced: u64,
     starts: u64,
-    figures: Vec<EngineFigures>,
+    figures: Vec<EngineLocation>,
     /// Between nodes that are processes.
     relays: Option<relay::Running>,
     /// Hold the ports of nodes' links while they are down.
@@ -181,7 +181,7 @@
 
     fn enter(&mut self, engine: &Engine) {
         let (engine, zone, rack) = (engine.spec.id.clone(), engine.spec.zone.clone(), engine.spec.rack);
-        self.figures.push(EngineFigures { engine, zone, rack });
+        self.figures.push(EngineLocation { engine, zone, rack });
     }
 
     /// Where nodes reach each other, if they are to: their own addresses, and a door for each pair.
@@ -263,7 +263,7 @@
         let place = &mut self.nodes[number];
         place.running = Some(running);
         let recorder = &self.fleet.recorder;
-        recorder.note(What::NodeUp { node: format!("n{number}") });
+        recorder.note(AuditEvent::NodeUp { node: format!("n{number}") });
         let mut front = self.clients.front.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if front.nodes.len() <= number {
             front.nodes.push((place.zone, address, true));
@@ -420,7 +420,7 @@
             Act::Pause(node, on) => {
                 if let Some(running) = &self.nodes[node].running {
                     running.pause(on);
-                    self.fleet.recorder.note(What::Stood { node: format!("n{node}"), still: on });
+                    self.fleet.recorder.note(AuditEvent::NodePaused { node: format!("n{node}"), paused: on });
                 }
             }
             Act::Link(pairs, link, on) => {
@@ -430,7 +430,7 @@
             }
             Act::KillNode(node) => {
                 let Some(running) = self.nodes[node].running.take() else { return Ok(()) };
-                self.fleet.recorder.note(What::NodeDown { node: format!("n{node}") });
+                self.fleet.recorder.note(AuditEvent::NodeDown { node: format!("n{node}") });
                 running.kill();
                 self.script.add(self.begin.elapsed() + self.day.front_delay, Act::Front(node, false));
             }
@@ -544,7 +544,7 @@
     }
 
     /// Stops nodes in good order, then engines; returns the record.
-    pub(crate) fn end(mut self) -> ((Vec<EngineFigures>, Vec<Record>), u64, Duration) {
+    pub(crate) fn end(mut self) -> ((Vec<EngineLocation>, Vec<Record>), u64, Duration) {
         let took = self.begin.elapsed();
         for place in &mut self.nodes {
             if let Some(running) = place.running.take() {
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pintally::interface::{EndpointState, EngineId};
-use pintally_audit::{Listed, What};
+use pintally_audit::{AuditEvent, ListingState};
 use pintally_config::{EngineEntry, EngineList};
 use pintally_mock_engine::{Engine, Recorder};
 
@@ -118,13 +118,13 @@
             let old = self.published[node].insert(entry.id.clone(), entry.clone());
             if old.as_ref() != Some(entry) {
                 let listing = match entry.state {
-                    EndpointState::Serving => Listed::Serving,
-                    EndpointState::Draining => Listed::Draining,
-                    EndpointState::Gone => Listed::Gone,
+                    EndpointState::Serving => ListingState::Serving,
+                    EndpointState::Draining => ListingState::Draining,
+                    EndpointState::Gone => ListingState::Gone,
                 };
                 let started = entry.started_unix_ms.is_some()
                     && old.and_then(|o| o.started_unix_ms) != entry.started_unix_ms;
-                self.recorder.note(What::Listed {
+                self.recorder.note(AuditEvent::EngineListed {
                     node: format!("n{node}"),
                     engine: entry.id.0.to_string(),
                     listing,
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pintally::interface::{EndpointState, Role};
-use pintally_audit::{audit, EngineFigures, Report, What};
+use pintally_audit::{audit, AuditEvent, EngineLocation, Report};
 use pintally_config::NodeSettings;
 use pintally_kserve_node::Node;
 use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder};
@@ -149,7 +149,7 @@
     /// Starts the node, where it listened before if it did, and waits until it knows an engine.
     pub fn start_node(&mut self) -> Result<(), RunError> {
         let node = Node::start(self.settings.clone(), 7).map_err(|e| RunError(e.to_string()))?;
-        self.fleet.recorder.note(What::NodeUp { node: "n0".into() });
+        self.fleet.recorder.note(AuditEvent::NodeUp { node: "n0".into() });
         let by = std::time::Instant::now() + Duration::from_secs(10);
         while node.serving_engines() == 0 {
             if std::time::Instant::now() > by {
@@ -164,7 +164,7 @@
     /// Kills the node.
     pub fn kill_node(&mut self) {
         if let Some(node) = self.node.take() {
-            self.fleet.recorder.note(What::NodeDown { node: "n0".into() });
+            self.fleet.recorder.note(AuditEvent::NodeDown { node: "n0".into() });
             node.kill();
         }
     }
@@ -175,7 +175,7 @@
             node.stop();
         }
         let engines = self.fleet.engines();
-        let figures = engines.iter().map(|e| EngineFigures {
+        let figures = engines.iter().map(|e| EngineLocation {
             engine: e.spec.id.clone(),
             zone: e.spec.zone.clone(),
             rack: e.spec.rack,
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 
 use pintally_audit::{
-    audit, ClassFigures, EngineFigures, Figures, Idempotency, IdempotencyScope, Record, Report, What,
+    audit, AuditEvent, ClassParameters, EngineLocation, Idempotency, IdempotencyScope, Record, Report,
+    RuleParameters,
 };
 use pintally_config::NodeSettings;
 use pintally_kserve_node::Node;
@@ -139,7 +140,7 @@
     crate::cores::on_few_cores();
     let mut result = run(day, seed, launch)?;
     for _ in 1..STEADY_PLAYS {
-        let stood = |r: &Record| matches!(r.what, What::Late { us } if us > STOOD_STILL_US);
+        let stood = |r: &Record| matches!(r.event, AuditEvent::MachineLate { us } if us > STOOD_STILL_US);
         if !result.record.iter().any(stood) {
             break;
         }
@@ -163,7 +164,7 @@
     let mut troubles: Vec<&'static str> = day.faults.iter().map(|f| crate::faults::name(f.kind)).collect();
     troubles.sort_unstable();
     troubles.dedup();
-    let fell = record.iter().filter(|r| matches!(r.what, What::Fell { .. })).count();
+    let fell = record.iter().filter(|r| matches!(r.event, AuditEvent::EngineOverloaded { .. })).count();
     let took_s = took.as_secs_f64();
     let shapes = day.moved.as_ref().map(|_| ShapeComparison::of(day, &record));
     Ok(ScenarioResult {
@@ -184,7 +185,7 @@
 pub fn with_figures(
     settings: &NodeSettings,
     (drain_grace_us, slack_us): (u64, u64),
-    engines: Vec<EngineFigures>,
+    engines: Vec<EngineLocation>,
     mut record: Vec<Record>,
 ) -> Vec<Record> {
     use pintally::interface as core;
@@ -202,14 +203,14 @@
     };
     let core = &settings.core;
     let classes =
-        core.classes.iter().map(|c| ClassFigures { name: c.name.clone(), effect: effect(&c.idempotency) });
-    let figures = Figures {
+        core.classes.iter().map(|c| ClassParameters { name: c.name.clone(), effect: effect(&c.idempotency) });
+    let figures = RuleParameters {
         drain_grace_us,
         release_within_us: core.release_deadline,
         slack_us,
         classes: classes.collect(),
         engines,
     };
-    record.insert(0, Record { at: 0, what: What::Figures(figures) });
+    record.insert(0, Record { at: 0, event: AuditEvent::Parameters(figures) });
     record
 }
--- a/crates/pintally-scenario/src/worth.rs
+++ b/crates/pintally-scenario/src/worth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pintally_audit::{Answer, Record, What};
+use pintally_audit::{Answer, AuditEvent, Record};
 
 use crate::spec::Scenario;
 
@@ -38,8 +38,8 @@
 pub fn requests(day: &Scenario, record: &[Record]) -> Vec<RequestRecord> {
     let mut all: BTreeMap<&str, RequestRecord> = BTreeMap::new();
     for r in record {
-        match &r.what {
-            What::Asked { request, node, class, tenant, .. } => {
+        match &r.event {
+            AuditEvent::RequestSent { request, node, class, tenant, .. } => {
                 let Some(class) = day.settings.core.classes.iter().find(|c| c.name == *class) else {
                     continue;
                 };
@@ -55,12 +55,12 @@
                 };
                 all.insert(request, one);
             }
-            What::First { request } => {
+            AuditEvent::FirstChunk { request } => {
                 if let Some(one) = all.get_mut(request.as_str()) {
                     one.first_token_at_us = Some(r.at);
                 }
             }
-            What::Answered { request, answer } => {
+            AuditEvent::Answered { request, answer } => {
                 if let Some(one) = all.get_mut(request.as_str()) {
                     one.served = *answer == Answer::Served;
                     one.first_token_at_us = one.first_token_at_us.or(Some(r.at));
--- a/crates/pintally-scenario/tests/cells.rs
+++ b/crates/pintally-scenario/tests/cells.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pintally_audit::{Answer, What};
+use pintally_audit::{Answer, AuditEvent};
 use pintally_scenario::{run_steady, Scenario, ScenarioResult};
 
 const DAY: &str = r#"
@@ -46,12 +46,12 @@
     let mut of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut counts: BTreeMap<String, (u64, u64)> = BTreeMap::new();
     for r in &result.record {
-        match &r.what {
-            What::Asked { request, tenant: Some(tenant), .. } => {
+        match &r.event {
+            AuditEvent::RequestSent { request, tenant: Some(tenant), .. } => {
                 of.insert(request, tenant);
                 counts.entry(tenant.clone()).or_default().0 += 1;
             }
-            What::Answered { request, answer: Answer::Served } => {
+            AuditEvent::Answered { request, answer: Answer::Served } => {
                 if let Some(tenant) = of.get(request.as_str()) {
                     counts.entry(tenant.to_string()).or_default().1 += 1;
                 }
@@ -64,8 +64,10 @@
 
 /// The tenant of each request.
 fn tenants(result: &ScenarioResult) -> BTreeMap<&str, &str> {
-    let of = result.record.iter().filter_map(|r| match &r.what {
-        What::Asked { request, tenant: Some(tenant), .. } => Some((request.as_str(), tenant.as_str())),
+    let of = result.record.iter().filter_map(|r| match &r.event {
+        AuditEvent::RequestSent { request, tenant: Some(tenant), .. } => {
+            Some((request.as_str(), tenant.as_str()))
+        }
         _ => None,
     });
     of.collect()
@@ -75,11 +77,11 @@
 fn confined(result: &ScenarioResult, allowed: impl Fn(&str, &str) -> bool) {
     let mut of: BTreeMap<&str, &str> = BTreeMap::new();
     for r in &result.record {
-        match &r.what {
-            What::Asked { request, tenant: Some(tenant), .. } => {
+        match &r.event {
+            AuditEvent::RequestSent { request, tenant: Some(tenant), .. } => {
                 of.insert(request, tenant);
             }
-            What::Took { request, engine, .. } => {
+            AuditEvent::AttemptArrived { request, engine, .. } => {
                 let tenant = of.get(request.as_str()).expect("work of nobody");
                 assert!(allowed(tenant, engine), "{tenant} was served by {engine}");
             }
@@ -92,7 +94,7 @@
 fn whole_in_one_cell(result: &ScenarioResult) {
     let mut cells: BTreeMap<&str, &str> = BTreeMap::new();
     for r in &result.record {
-        if let What::Took { request, engine, .. } = &r.what {
+        if let AuditEvent::AttemptArrived { request, engine, .. } = &r.event {
             let cell = if engine.contains("blue") { "blue" } else { "green" };
             let first = cells.entry(request).or_insert(cell);
             assert_eq!(*first, cell, "request {request} went from one cell to the other");
@@ -127,8 +129,10 @@
     whole_in_one_cell(&result);
     let souths = |cell: &str| {
         let of = tenants(&result);
-        let took = result.record.iter().filter(|r| match &r.what {
-            What::Took { request, engine, .. } => of[request.as_str()] == "south" && engine.contains(cell),
+        let took = result.record.iter().filter(|r| match &r.event {
+            AuditEvent::AttemptArrived { request, engine, .. } => {
+                of[request.as_str()] == "south" && engine.contains(cell)
+            }
             _ => false,
         });
         took.map(|r| r.at).collect::<Vec<_>>()
@@ -141,8 +145,8 @@
     let of = tenants(&result);
     let last = green.iter().max().map_or(0, |at| at.saturating_sub(2_000_000));
     let at_first = |cell: &str| {
-        let took = result.record.iter().filter(|r| match &r.what {
-            What::Took { request, engine, node, .. } => {
+        let took = result.record.iter().filter(|r| match &r.event {
+            AuditEvent::AttemptArrived { request, engine, node, .. } => {
                 of[request.as_str()] == "south" && engine.contains(cell) && node == "n0" && r.at > last
             }
             _ => false,
@@ -174,7 +178,7 @@
       (fault crash (at 1.5) (for 4) (cell "blue") (part 0.8))"#;
     let lent = play("loans", 2, "", spare);
     let by_spare = lent.record.iter().filter(|r| {
-        matches!(&r.what, What::Took { engine, .. } if !engine.contains("blue") && !engine.contains("green"))
+        matches!(&r.event, AuditEvent::AttemptArrived { engine, .. } if !engine.contains("blue") && !engine.contains("green"))
     });
     assert!(by_spare.count() > 0, "no spare engine was lent");
 
@@ -184,7 +188,7 @@
     confined(&fallen, |tenant, engine| tenant != "east" || engine.contains("green"));
     let of = tenants(&fallen);
     for r in &fallen.record {
-        if let What::Took { request, engine, .. } = &r.what {
+        if let AuditEvent::AttemptArrived { request, engine, .. } = &r.event {
             strangers += usize::from(of[request.as_str()] != "east" && engine.contains("green"));
         }
     }
@@ -214,15 +218,18 @@
     let (asked, well) = counts["east"];
     assert!(well * 100 >= asked * 95, "east was served {well} of {asked}");
     let of = tenants(&result);
-    let begin = result.record.iter().find(|r| matches!(&r.what, What::Asked { .. })).map_or(0, |r| r.at);
-    let stood_in = result.record.iter().filter(|r| match &r.what {
-        What::Took { request, engine, .. } => of[request.as_str()] != "east" && engine.contains("green"),
+    let begin =
+        result.record.iter().find(|r| matches!(&r.event, AuditEvent::RequestSent { .. })).map_or(0, |r| r.at);
+    let stood_in = result.record.iter().filter(|r| match &r.event {
+        AuditEvent::AttemptArrived { request, engine, .. } => {
+            of[request.as_str()] != "east" && engine.contains("green")
+        }
         _ => false,
     });
     assert!(stood_in.count() > 10, "nobody went to the cell that stands in");
     // Once the cell counts as lost, next to nothing goes into it any more.
-    let tried = result.record.iter().filter(|r| match &r.what {
-        What::Took { engine, .. } => {
+    let tried = result.record.iter().filter(|r| match &r.event {
+        AuditEvent::AttemptArrived { engine, .. } => {
             engine.contains("blue") && r.at > begin + 5_000_000 && r.at < begin + 7_000_000
         }
         _ => false,
--- a/crates/pintally-scenario/tests/door.rs
+++ b/crates/pintally-scenario/tests/door.rs
@@ -197,8 +197,8 @@
     rig.engine("w0").unwrap().fault(|f| f.hang = true);
     let (client, ask) = (rig.client.clone(), rig.ask("held", "hint"));
     let waits = std::thread::spawn(move || client.attempt(&ask));
-    let took = |w: &pintally_audit::What| {
-        matches!(w, pintally_audit::What::Took { step: pintally_audit::Step::Fetch, .. })
+    let took = |w: &pintally_audit::AuditEvent| {
+        matches!(w, pintally_audit::AuditEvent::AttemptArrived { step: pintally_audit::Step::Fetch, .. })
     };
     rig.fleet.recorder.wait_for(Duration::from_secs(10), took).expect("it was never sent");
     let begin = Instant::now();
@@ -216,7 +216,8 @@
     let mut stream = TcpStream::connect(rig.address()).unwrap();
     let body = r#"{"text_input":"x","parameters":{"class":"hint"}}"#;
     stream.write_all(&post("/v2/models/default/generate", body)).unwrap();
-    let took = |w: &pintally_audit::What| matches!(w, pintally_audit::What::Took { .. });
+    let took =
+        |w: &pintally_audit::AuditEvent| matches!(w, pintally_audit::AuditEvent::AttemptArrived { .. });
     rig.fleet.recorder.wait_for(Duration::from_secs(10), took).expect("it was never sent");
     stream.shutdown(Shutdown::Write).unwrap();
     let by = Instant::now() + Duration::from_secs(10);
--- a/crates/pintally-scenario/tests/hard_cases.rs
+++ b/crates/pintally-scenario/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use pintally::interface::{EndpointState, Role};
-use pintally_audit::{Answer, Report, Step, What};
+use pintally_audit::{Answer, AuditEvent, Report, Step};
 use pintally_scenario::{run_steady, AttemptResult, Rig, Scenario};
 
 const WAIT: Duration = Duration::from_secs(20);
@@ -34,8 +34,8 @@
     assert!(report.rules.kept(), "{:#?}", report.rules);
 }
 
-fn took(step: Step) -> impl Fn(&What) -> bool {
-    move |w| matches!(w, What::Took { step: s, .. } if *s == step)
+fn took(step: Step) -> impl Fn(&AuditEvent) -> bool {
+    move |w| matches!(w, AuditEvent::AttemptArrived { step: s, .. } if *s == step)
 }
 
 #[test]
@@ -47,8 +47,8 @@
         assert_eq!(rig.client.attempt(&ask), AttemptResult::Answered(Answer::Served, None));
     }
     let record = rig.fleet.recorder.snapshot();
-    assert_eq!(record.iter().filter(|r| took(Step::Read)(&r.what)).count(), 2);
-    assert_eq!(record.iter().filter(|r| took(Step::Fetch)(&r.what)).count(), 2);
+    assert_eq!(record.iter().filter(|r| took(Step::Read)(&r.event)).count(), 2);
+    assert_eq!(record.iter().filter(|r| took(Step::Fetch)(&r.event)).count(), 2);
     let report = rig.finish().unwrap();
     kept(&report);
     assert_eq!((report.requests, report.served), (2, 2));
@@ -62,12 +62,16 @@
     ask.max_tokens = 2000;
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
-    let ran = rig.fleet.recorder.wait_for(WAIT, |w| matches!(w, What::Ran { .. })).expect("it never ran");
-    let What::Ran { engine, .. } = ran.what else { unreachable!() };
+    let ran = rig
+        .fleet
+        .recorder
+        .wait_for(WAIT, |w| matches!(w, AuditEvent::AttemptRan { .. }))
+        .expect("it never ran");
+    let AuditEvent::AttemptRan { engine, .. } = ran.event else { unreachable!() };
     rig.engine(&engine).unwrap().crash();
     let ended = waits.join().unwrap();
     assert!(matches!(ended, AttemptResult::Answered(Answer::Cut | Answer::Failed, _)), "{ended:?}");
-    let runs = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Fetch)(&r.what)).count();
+    let runs = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Fetch)(&r.event)).count();
     assert_eq!(runs, 1, "it went to a second writer");
     kept(&rig.finish().unwrap());
 }
@@ -82,7 +86,7 @@
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
     let fetch = rig.fleet.recorder.wait_for(WAIT, took(Step::Fetch)).expect("it was never fetched");
-    let What::Took { engine, .. } = fetch.what else { unreachable!() };
+    let AuditEvent::AttemptArrived { engine, .. } = fetch.event else { unreachable!() };
     rig.engine(&engine).unwrap().crash();
     assert_eq!(waits.join().unwrap(), AttemptResult::Answered(Answer::Failed, None));
     kept(&rig.finish().unwrap());
@@ -97,13 +101,16 @@
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
     rig.fleet.recorder.wait_for(WAIT, took(Step::Fetch)).expect("it was never fetched");
-    let held =
-        rig.fleet.recorder.wait_for(WAIT, |w| matches!(w, What::Held { .. })).expect("nothing was held");
-    let What::Held { engine, .. } = held.what else { unreachable!() };
+    let held = rig
+        .fleet
+        .recorder
+        .wait_for(WAIT, |w| matches!(w, AuditEvent::StateHeld { .. }))
+        .expect("nothing was held");
+    let AuditEvent::StateHeld { engine, .. } = held.event else { unreachable!() };
     rig.fleet.engines().iter().for_each(|e| e.fault(|f| f.link_slowdown = 1.0));
     rig.engine(&engine).unwrap().crash();
     assert_eq!(waits.join().unwrap(), AttemptResult::Answered(Answer::Served, None));
-    let reads = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Read)(&r.what)).count();
+    let reads = rig.fleet.recorder.snapshot().iter().filter(|r| took(Step::Read)(&r.event)).count();
     assert!(reads >= 2, "it was read only once");
     kept(&rig.finish().unwrap());
 }
@@ -140,7 +147,7 @@
     ask.leaves = Some(Duration::from_millis(300));
     assert_eq!(rig.client.attempt(&ask), AttemptResult::Left);
     // Freed, not only asked to: the message is seen a moment before the state is gone.
-    let freed = |w: &What| matches!(w, What::Freed { .. });
+    let freed = |w: &AuditEvent| matches!(w, AuditEvent::StateFreed { .. });
     assert!(rig.fleet.recorder.wait_for(WAIT, freed).is_some(), "the state was never let go");
     assert_eq!(rig.engine("r0").unwrap().states(), 0);
     kept(&rig.finish().unwrap());
@@ -154,7 +161,7 @@
     let body = br#"{"text_input":"x","parameters":{"class":"hint","max_tokens":60000,"deadline_ms":6000}}"#;
     let bytes = pintally_http::request("POST", "/v2/models/default/generate_stream", &[], body);
     std::io::Write::write_all(&mut slow, &bytes).unwrap();
-    rig.fleet.recorder.wait_for(WAIT, |w| matches!(w, What::Ran { .. })).expect("it never ran");
+    rig.fleet.recorder.wait_for(WAIT, |w| matches!(w, AuditEvent::AttemptRan { .. })).expect("it never ran");
     for n in 0..20 {
         let begin = Instant::now();
         assert_eq!(
@@ -175,7 +182,7 @@
     let ask = rig.ask("inside", "hint");
     let client = rig.client.clone();
     let waits = thread::spawn(move || client.attempt(&ask));
-    let inside = |w: &What| matches!(w, What::Took { request, step: Step::Fetch, .. } if request == "inside");
+    let inside = |w: &AuditEvent| matches!(w, AuditEvent::AttemptArrived { request, step: Step::Fetch, .. } if request == "inside");
     rig.fleet.recorder.wait_for(WAIT, inside).expect("it was never sent");
     rig.kill_node();
     assert_eq!(waits.join().unwrap(), AttemptResult::Unanswered);
@@ -228,7 +235,7 @@
         .collect();
     rig.fleet
         .recorder
-        .wait_for(WAIT, |w| matches!(w, What::Ran { engine, .. } if engine == "w1"))
+        .wait_for(WAIT, |w| matches!(w, AuditEvent::AttemptRan { engine, .. } if engine == "w1"))
         .expect("w1 idles");
     rig.list("w1", EndpointState::Draining, false).unwrap();
     for one in burst {
@@ -236,10 +243,12 @@
     }
     // Every millisecond counts against the drain, not only the grace.
     let record = rig.fleet.recorder.snapshot();
-    let notified = record.iter().find(|r| matches!(&r.what, What::Listed { engine, listing: pintally_audit::Listed::Draining, .. } if engine == "w1"));
+    let notified = record.iter().find(|r| matches!(&r.event, AuditEvent::EngineListed { engine, listing: pintally_audit::ListingState::Draining, .. } if engine == "w1"));
     let notified = notified.expect("it was never notified").at;
     let late = record.iter().filter(|r| r.at > notified + 500_000);
-    let late = late.filter(|r| matches!(&r.what, What::Took { engine, .. } if engine == "w1")).count();
+    let late = late
+        .filter(|r| matches!(&r.event, AuditEvent::AttemptArrived { engine, .. } if engine == "w1"))
+        .count();
     assert_eq!(late, 0, "{late} attempts came to the drained engine");
     kept(&rig.finish().unwrap());
 }
