--- a/crates/pintally-benchmarks/src/emulator.rs
+++ b/crates/pintally-benchmarks/src/emulator.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use pintally_emulator::{Cost, EngineRole, Fleet, Micros, Notice, Place, Spec, Telling, Wires, Work, WorkId};
+use pintally_emulator::{
+    Cost, EngineRole, Fleet, LoadReporting, Micros, NetworkSpec, Notice, Place, Spec, Work, WorkId,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -50,8 +52,8 @@
         budget: 2048,
         cost: Cost { step: 8000.0, read_token: 40.0, write_token: 60.0, context: 30.0 },
         cold: None,
-        state_for: 10_000_000,
-        telling: Telling { every: 100_000, delay: 100_000, noise: 0.05 },
+        state_ttl: 10_000_000,
+        load_reporting: LoadReporting { every: 100_000, delay: 100_000, noise: 0.05 },
         port: 12_000.0,
         dedup: 0,
     }
@@ -60,8 +62,8 @@
 /// Readers and writers drawn at random: this measures the emulator, not a policy. Returns tokens read
 /// and written, requests that came, and those that were answered whole.
 fn run(engines: usize, per_second: f64, span: Duration, seed: u64) -> (u64, u64, u64) {
-    let wires = Wires { rack: 50_000.0, zone: 100_000.0, token_bytes: 100_000.0 };
-    let mut fleet = Fleet::new(wires, seed);
+    let network = NetworkSpec { rack: 50_000.0, zone: 100_000.0, token_bytes: 100_000.0 };
+    let mut fleet = Fleet::new(network, seed);
     let readers = (engines / 3).max(1);
     for n in 0..engines.max(2) {
         let kind = if n < readers { EngineRole::Reader } else { EngineRole::Writer };
--- a/crates/pintally-cli/src/sim.rs
+++ b/crates/pintally-cli/src/sim.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use comfy_table::Table;
-use pintally_sim::{mutations, play, run, shrink, Plan, Played};
+use pintally_sim::{mutations, play, run, shrink, Plan, RunReport};
 
 use crate::{read, Failure};
 
@@ -61,7 +61,7 @@
         What::Run { from, seeds, threads, most } => {
             let cores = || std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
             let found = run(*from..from.saturating_add(*seeds), threads.unwrap_or_else(cores), None, *most);
-            for (seed, broken) in &found.broken {
+            for (seed, broken) in &found.violations {
                 println!("seed {seed}: {broken}");
             }
             println!(
@@ -70,14 +70,14 @@
                 found.steps,
                 found.asked,
                 found.served,
-                found.broken.len()
+                found.violations.len()
             );
-            Ok(verdict(found.broken.is_empty()))
+            Ok(verdict(found.violations.is_empty()))
         }
-        What::Replay { seed, all } => Ok(tell(&play(&Plan::of(*seed), None), *all)),
+        What::Replay { seed, all } => Ok(tell(&play(&Plan::from_seed(*seed), None), *all)),
         What::Shrink { seed } => {
-            let plan = Plan::of(*seed);
-            let Some(broken) = play(&plan, None).broken else {
+            let plan = Plan::from_seed(*seed);
+            let Some(broken) = play(&plan, None).violation else {
                 return Err(Failure::failed(format!("the day of seed {seed} breaks no rule")));
             };
             let small = shrink(&plan, broken.rule, None);
@@ -115,17 +115,17 @@
     }
 }
 
-fn tell(played: &Played, all: bool) -> ExitCode {
-    if all || played.broken.is_some() {
+fn tell(played: &RunReport, all: bool) -> ExitCode {
+    if all || played.violation.is_some() {
         played.trace.iter().for_each(|line| println!("{line}"));
     }
     println!(
         "{} steps, {} requests, {} served, digest {:016x}",
         played.steps, played.asked, played.served, played.digest
     );
-    match &played.broken {
+    match &played.violation {
         Some(broken) => println!("broken: {broken}"),
         None => println!("all rules kept"),
     }
-    verdict(played.broken.is_none())
+    verdict(played.violation.is_none())
 }
--- a/crates/pintally-emulator/src/engine.rs
+++ b/crates/pintally-emulator/src/engine.rs
@@ -5,9 +5,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::cold::Warmth;
+use crate::cold::WarmUp;
 use crate::faults::Faults;
-use crate::memory::{Hash, Memory};
+use crate::memory::{BlockHash, Memory};
 use crate::notice::{FreedBy, Notice, Refusal};
 use crate::report::{LoadReporter, Report};
 use crate::spec::{EngineRole, Spec};
@@ -26,7 +26,7 @@
     /// The state that it fetches instead of reading.
     pub fetches: Option<WorkId>,
     /// The chain of its prompt's whole blocks.
-    pub chain: Vec<Hash>,
+    pub chain: Vec<BlockHash>,
     /// Tokens of its prompt.
     pub prompt: u64,
     /// Tokens of its answer.
@@ -37,14 +37,14 @@
 
 /// Blocks that one piece of work or one state holds.
 #[derive(Clone, Debug, Default)]
-struct Hold {
+struct BlockHold {
     /// Held blocks of the tree: a chain's beginning.
-    kept: Vec<Hash>,
+    kept: Vec<BlockHash>,
     /// Blocks of its own.
     own: u64,
 }
 
-impl Hold {
+impl BlockHold {
     fn blocks(&self) -> u64 {
         self.kept.len() as u64 + self.own
     }
@@ -52,27 +52,27 @@
 
 /// Work that waits or runs.
 #[derive(Clone, Debug)]
-struct Seq {
+struct Sequence {
     work: Work,
-    hold: Hold,
+    hold: BlockHold,
     /// Tokens whose state is here.
     done: u64,
     /// Tokens that must be here before the next one of the answer can be made.
-    goal: u64,
+    target: u64,
     /// Tokens of the answer that are out.
     out: u64,
     /// Tokens that were found kept at first.
-    found: Option<u64>,
+    cached_tokens: Option<u64>,
     /// The state that it fetches has come: from here on it is made here.
-    here: bool,
+    state_present: bool,
     /// Nobody waits for it any more; it goes when the step that runs is over.
-    gone: bool,
+    cancelled: bool,
 }
 
-impl Seq {
+impl Sequence {
     /// Whether its next token is one of its answer, not of its prompt.
     fn writes(&self) -> bool {
-        self.goal - self.done == 1 && (self.out > 0 || self.here)
+        self.target - self.done == 1 && (self.out > 0 || self.state_present)
     }
 }
 
@@ -90,7 +90,7 @@
 /// A read state that waits.
 #[derive(Clone, Debug)]
 struct State {
-    hold: Hold,
+    hold: BlockHold,
     since: Micros,
     /// A transfer of it is under way: it is not let go before that ends.
     moving: u32,
@@ -111,17 +111,17 @@
     spec: Spec,
     faults: Faults,
     up: bool,
-    warmth: Warmth,
+    warm_up: WarmUp,
     memory: Memory,
-    waiting: VecDeque<Seq>,
+    waiting: VecDeque<Sequence>,
     /// Work whose state is on its way here.
-    fetching: BTreeMap<WorkId, Seq>,
-    running: Vec<Seq>,
+    fetching: BTreeMap<WorkId, Sequence>,
+    running: Vec<Sequence>,
     step: Option<Step>,
     states: BTreeMap<WorkId, State>,
     /// Keys that ran within the window, and in the order in which they came.
-    seen: BTreeSet<u64>,
-    seen_at: VecDeque<(Micros, u64)>,
+    recent_keys: BTreeSet<u64>,
+    key_arrivals: VecDeque<(Micros, u64)>,
     /// A pause held a step back until then.
     held_back: Option<Micros>,
     reporter: LoadReporter,
@@ -141,14 +141,14 @@
             spec,
             faults: Faults::default(),
             up: true,
-            warmth: Warmth::default(),
+            warm_up: WarmUp::default(),
             waiting: VecDeque::new(),
             fetching: BTreeMap::new(),
             running: Vec::new(),
             step: None,
             states: BTreeMap::new(),
-            seen: BTreeSet::new(),
-            seen_at: VecDeque::new(),
+            recent_keys: BTreeSet::new(),
+            key_arrivals: VecDeque::new(),
             held_back: None,
             reporter: LoadReporter::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -199,7 +199,7 @@
         if !std::mem::replace(&mut self.up, false) {
             return;
         }
-        let broken = self.running.drain(..).chain(self.waiting.drain(..)).filter(|s| !s.gone);
+        let broken = self.running.drain(..).chain(self.waiting.drain(..)).filter(|s| !s.cancelled);
         out.extend(broken.map(|s| Notice::Broken(s.work.id)));
         out.extend(std::mem::take(&mut self.fetching).into_keys().map(Notice::Broken));
         out.extend(std::mem::take(&mut self.states).into_keys().map(|id| Notice::Freed(id, FreedBy::Died)));
@@ -212,9 +212,9 @@
     /// Runs from here on: cold, as its figures say, or warm.
     pub fn start(&mut self, now: Micros, cold: bool) {
         self.up = true;
-        self.warmth = Warmth::default();
+        self.warm_up = WarmUp::default();
         if cold {
-            self.warmth.start(now);
+            self.warm_up.start(now);
         }
     }
 
@@ -245,35 +245,35 @@
             return out.push(refuse(Refusal::Full));
         }
         if let Some(key) = work.key.filter(|_| self.spec.dedup > 0 && !work.reads_only) {
-            while self.seen_at.front().is_some_and(|(at, _)| at + self.spec.dedup <= now) {
-                if let Some((_, old)) = self.seen_at.pop_front() {
-                    self.seen.remove(&old);
+            while self.key_arrivals.front().is_some_and(|(at, _)| at + self.spec.dedup <= now) {
+                if let Some((_, old)) = self.key_arrivals.pop_front() {
+                    self.recent_keys.remove(&old);
                 }
             }
-            if !self.seen.insert(key) {
+            if !self.recent_keys.insert(key) {
                 return out.push(refuse(Refusal::Repeat));
             }
-            self.seen_at.push_back((now, key));
+            self.key_arrivals.push_back((now, key));
         }
         let cost = self.estimate(&work);
-        if self.warmth.sent(self.spec.cold.as_ref(), now, cost) {
+        if self.warm_up.sent(self.spec.cold.as_ref(), now, cost) {
             out.push(refuse(Refusal::Down));
-            out.push(Notice::Fell);
+            out.push(Notice::Overloaded);
             return self.crash(out);
         }
-        let goal = work.prompt;
-        let hold = Hold::default();
-        self.waiting.push_back(Seq {
+        let target = work.prompt;
+        let hold = BlockHold::default();
+        self.waiting.push_back(Sequence {
             work,
             hold,
             done: 0,
-            goal,
+            target,
             out: 0,
-            found: None,
-            here: false,
-            gone: false,
+            cached_tokens: None,
+            state_present: false,
+            cancelled: false,
         });
-        self.go_on(now, out);
+        self.advance(now, out);
     }
 
     /// Microseconds of its full speed that work will take.
@@ -292,9 +292,9 @@
         } else if let Some(seq) = self.fetching.remove(&id) {
             self.drop_hold(seq.hold);
         } else if let Some(seq) = self.running.iter_mut().find(|s| s.work.id == id) {
-            seq.gone = true;
+            seq.cancelled = true;
         }
-        self.go_on(now, out);
+        self.advance(now, out);
     }
 
     /// Lets a read state go; one that is on its way somewhere goes afterwards.
@@ -304,7 +304,7 @@
             Some(_) => self.free_state(id, FreedBy::Released, out),
             None => {}
         }
-        self.go_on(now, out);
+        self.advance(now, out);
     }
 
     /// A transfer of a state to elsewhere begins; `false` if it does not wait here.
@@ -326,36 +326,36 @@
             let by = if whole { FreedBy::Fetched } else { FreedBy::Released };
             self.free_state(id, by, out);
         }
-        self.go_on(now, out);
+        self.advance(now, out);
     }
 
     /// The state that work wanted is here, or will not come.
     pub fn arrived(&mut self, now: Micros, id: WorkId, how: Arrival, out: &mut Vec<Notice>) {
         let Some(mut seq) = self.fetching.remove(&id) else { return };
         if how == Arrival::Whole {
-            (seq.done, seq.here) = (seq.goal - 1, true);
+            (seq.done, seq.state_present) = (seq.target - 1, true);
             self.keep(&mut seq);
-            out.push(Notice::Began(id));
+            out.push(Notice::Started(id));
             self.running.push(seq);
         } else {
             self.drop_hold(seq.hold);
             let missing = Notice::Refused(id, Refusal::NoState);
             out.push(if how == Arrival::Missing { missing } else { Notice::Broken(id) });
         }
-        self.go_on(now, out);
+        self.advance(now, out);
     }
 
     /// When [`Engine::tick`] has something to do.
     pub fn next_wake(&self) -> Option<Micros> {
         let step = self.step.as_ref().map(|s| s.until);
         let moving = |s: &&State| s.moving == 0;
-        let expiry = self.states.values().filter(moving).map(|s| s.since + self.spec.state_for).min();
+        let expiry = self.states.values().filter(moving).map(|s| s.since + self.spec.state_ttl).min();
         [step, self.held_back, expiry].into_iter().flatten().min()
     }
 
     /// Does what has come due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Notice>) {
-        let late = |s: &State| s.moving == 0 && now >= s.since + self.spec.state_for;
+        let late = |s: &State| s.moving == 0 && now >= s.since + self.spec.state_ttl;
         let late: Vec<WorkId> = self.states.iter().filter(|(_, s)| late(s)).map(|(id, _)| *id).collect();
         late.into_iter().for_each(|id| self.free_state(id, FreedBy::Expired, out));
         if self.step.as_ref().is_some_and(|s| s.until <= now) {
@@ -369,12 +369,12 @@
     /// What it says of its load.
     pub fn report(&mut self, now: Micros) -> Report {
         let Engine { reporter, spec, faults, rng, .. } = self;
-        reporter.report(&spec.telling, now, faults.reports, || rng.random_range(-1.0..=1.0))
+        reporter.report(&spec.load_reporting, now, faults.reports, || rng.random_range(-1.0..=1.0))
     }
 
     /// Its load as it is.
     pub fn load(&self) -> Report {
-        let unread = |s: &Seq| s.goal.saturating_sub(s.done) as f64;
+        let unread = |s: &Sequence| s.target.saturating_sub(s.done) as f64;
         let all = self.waiting.iter().chain(self.running.iter()).chain(self.fetching.values());
         Report {
             running: (self.running.len() + self.fetching.len()) as f64,
@@ -390,7 +390,7 @@
         let holds = work.chain(self.states.values().map(|s| &s.hold));
         let (own, kept) = holds.fold((0, 0), |(o, k), h| (o + h.own, k + h.kept.len() as u64));
         self.memory.check(own, kept)?;
-        let short = |s: &Seq| s.hold.blocks() < self.blocks_for(s.done);
+        let short = |s: &Sequence| s.hold.blocks() < self.blocks_for(s.done);
         match self.running.iter().find(|s| short(s)) {
             Some(seq) => Err(format!("work {} has more tokens done than blocks for them", seq.work.id)),
             None => Ok(()),
@@ -398,8 +398,8 @@
     }
 
     /// Something has changed between steps.
-    fn go_on(&mut self, now: Micros, out: &mut Vec<Notice>) {
-        self.look(now);
+    fn advance(&mut self, now: Micros, out: &mut Vec<Notice>) {
+        self.record_load(now);
         if self.step.is_none() {
             self.begin_step(now, out);
         }
@@ -428,11 +428,11 @@
             }
         }
         let drawn = if self.faults.noisy > 0.0 { self.rng.random::<f64>() } else { 0.0 };
-        took *= self.faults.factor(now, drawn) / self.warmth.share(self.spec.cold.as_ref(), now).max(1e-3);
+        took *= self.faults.factor(now, drawn) / self.warm_up.share(self.spec.cold.as_ref(), now).max(1e-3);
         let took = (took.round() as u64).max(1);
         self.busy += took;
         self.step = Some(Step { until: now + took, share });
-        self.look(now);
+        self.record_load(now);
     }
 
     /// Work from the queue joins the batch while slots and memory last, in the order in which it came.
@@ -441,28 +441,28 @@
             let Some(front) = self.waiting.front() else { return };
             let found = self.memory.found(&front.work.chain);
             // The last token is read in any case: the answer begins with it.
-            let most = ((front.goal - 1) / self.spec.block_tokens) as usize;
+            let most = ((front.target - 1) / self.spec.block_tokens) as usize;
             let found = found.min(most);
-            let need = self.blocks_for(front.goal) - found as u64;
+            let need = self.blocks_for(front.target) - found as u64;
             // What it would hold of the tree cannot be evicted for its other blocks.
             let Some(mut seq) = self.waiting.pop_front() else { return };
             let kept = seq.work.chain[..found].to_vec();
             self.memory.hold(&kept);
             if !self.memory.take(need) {
-                self.memory.let_go(&kept);
+                self.memory.unhold(&kept);
                 self.waiting.push_front(seq);
                 return;
             }
-            seq.hold = Hold { kept, own: need };
+            seq.hold = BlockHold { kept, own: need };
             seq.done = found as u64 * self.spec.block_tokens;
-            let first = seq.found.is_none();
-            seq.found.get_or_insert(seq.done);
-            if seq.work.fetches.is_some() && !seq.here {
-                out.push(Notice::Wants(seq.work.id, seq.goal - seq.done));
+            let first = seq.cached_tokens.is_none();
+            seq.cached_tokens.get_or_insert(seq.done);
+            if seq.work.fetches.is_some() && !seq.state_present {
+                out.push(Notice::FetchNeeded(seq.work.id, seq.target - seq.done));
                 self.fetching.insert(seq.work.id, seq);
             } else {
                 if first && !seq.work.reads_only {
-                    out.push(Notice::Began(seq.work.id));
+                    out.push(Notice::Started(seq.work.id));
                 }
                 self.running.push(seq);
             }
@@ -477,7 +477,7 @@
             let lacks = self
                 .running
                 .iter()
-                .position(|s| s.done + 1 == s.goal && s.hold.blocks() < self.blocks_for(s.goal));
+                .position(|s| s.done + 1 == s.target && s.hold.blocks() < self.blocks_for(s.target));
             let Some(at) = lacks else { break };
             if self.memory.take(1) {
                 self.running[at].hold.own += 1;
@@ -490,7 +490,7 @@
         for pass in [true, false] {
             for (seq, tokens) in self.running.iter().zip(&mut share) {
                 if seq.writes() == pass && left > 0 {
-                    *tokens = (seq.goal - seq.done).min(left);
+                    *tokens = (seq.target - seq.done).min(left);
                     left -= *tokens;
                 }
             }
@@ -503,7 +503,7 @@
         let Some(mut seq) = self.running.pop() else { return };
         self.preempted += 1;
         self.drop_hold(std::mem::take(&mut seq.hold));
-        if seq.gone {
+        if seq.cancelled {
             return;
         }
         out.push(Notice::Preempted(seq.work.id));
@@ -517,7 +517,7 @@
         let mut still = Vec::with_capacity(self.running.len());
         for (at, mut seq) in std::mem::take(&mut self.running).into_iter().enumerate() {
             let tokens = step.share.get(at).copied().unwrap_or(0);
-            if seq.gone {
+            if seq.cancelled {
                 self.drop_hold(seq.hold);
                 continue;
             }
@@ -528,33 +528,33 @@
             }
             seq.done += tokens;
             self.keep(&mut seq);
-            if seq.done < seq.goal || tokens == 0 {
+            if seq.done < seq.target || tokens == 0 {
                 still.push(seq);
                 continue;
             }
             let id = seq.work.id;
             if seq.work.reads_only {
-                out.push(Notice::Read(id, seq.found.unwrap_or(0)));
+                out.push(Notice::Read(id, seq.cached_tokens.unwrap_or(0)));
                 let state = State { hold: seq.hold, since: now, moving: 0, released: false };
                 self.states.insert(id, state);
                 continue;
             }
             seq.out += 1;
-            seq.goal += 1;
+            seq.target += 1;
             out.push(Notice::Token(id, seq.out));
             if seq.out >= seq.work.answer {
-                out.push(Notice::Done(id, seq.found.unwrap_or(0)));
+                out.push(Notice::Done(id, seq.cached_tokens.unwrap_or(0)));
                 self.drop_hold(seq.hold);
             } else {
                 still.push(seq);
             }
         }
         self.running = still;
-        self.look(now);
+        self.record_load(now);
     }
 
     /// Whole blocks of a prompt that are done join the tree.
-    fn keep(&mut self, seq: &mut Seq) {
+    fn keep(&mut self, seq: &mut Sequence) {
         let whole = (seq.done.min(seq.work.prompt) / self.spec.block_tokens) as usize;
         for at in seq.hold.kept.len()..whole.min(seq.work.chain.len()) {
             let hash = seq.work.chain[at];
@@ -570,15 +570,15 @@
         tokens.div_ceil(self.spec.block_tokens)
     }
 
-    fn drop_hold(&mut self, hold: Hold) {
-        self.memory.let_go(&hold.kept);
+    fn drop_hold(&mut self, hold: BlockHold) {
+        self.memory.unhold(&hold.kept);
         self.memory.give(hold.own);
     }
 
     fn free_state(&mut self, id: WorkId, by: FreedBy, out: &mut Vec<Notice>) {
         let Some(state) = self.states.remove(&id) else { return };
         if self.faults.leaks > 0.0 && self.rng.random::<f64>() < self.faults.leaks {
-            self.memory.let_go(&state.hold.kept);
+            self.memory.unhold(&state.hold.kept);
             self.memory.leak(state.hold.own);
         } else {
             self.drop_hold(state.hold);
@@ -586,8 +586,8 @@
         out.push(Notice::Freed(id, by));
     }
 
-    fn look(&mut self, now: Micros) {
+    fn record_load(&mut self, now: Micros) {
         let load = self.load();
-        self.reporter.look(&self.spec.telling, now, load);
+        self.reporter.record_load(&self.spec.load_reporting, now, load);
     }
 }
--- a/crates/pintally-emulator/src/fleet.rs
+++ b/crates/pintally-emulator/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::engine::{Arrival, Engine, Work, WorkId};
 use crate::links::{FlowId, LinkId, Links};
 use crate::notice::Notice;
-use crate::spec::{Spec, Wires};
+use crate::spec::{NetworkSpec, Spec};
 use crate::Micros;
 
 /// Where an engine stands.
@@ -35,7 +35,7 @@
 pub struct Fleet {
     engines: Vec<Engine>,
     places: Vec<Place>,
-    wires: Wires,
+    network: NetworkSpec,
     links: Links,
     ports: Vec<(LinkId, LinkId)>,
     racks: BTreeMap<Place, (LinkId, LinkId)>,
@@ -54,11 +54,11 @@
 
 impl Fleet {
     /// A fleet without engines.
-    pub fn new(wires: Wires, seed: u64) -> Fleet {
+    pub fn new(network: NetworkSpec, seed: u64) -> Fleet {
         Fleet {
             engines: Vec::new(),
             places: Vec::new(),
-            wires,
+            network,
             links: Links::default(),
             ports: Vec::new(),
             racks: BTreeMap::new(),
@@ -82,13 +82,13 @@
         self.places.push(place);
         self.ports.push((self.links.add(port), self.links.add(port)));
         if !self.racks.contains_key(&place) {
-            let pair = (self.links.add(self.wires.rack), self.links.add(self.wires.rack));
+            let pair = (self.links.add(self.network.rack), self.links.add(self.network.rack));
             self.racks.insert(place, pair);
         }
         for other in 0..number {
             let (a, b) = (self.places[other].zone, place.zone);
             if a != b && !self.zones.contains_key(&(a.min(b), a.max(b))) {
-                let link = self.links.add(self.wires.zone);
+                let link = self.links.add(self.network.zone);
                 self.zones.insert((a.min(b), a.max(b)), link);
             }
         }
@@ -126,7 +126,7 @@
     pub fn slow_zone(&mut self, now: Micros, zone: u32, times: f64) {
         let links: Vec<LinkId> =
             self.zones.iter().filter(|((a, b), _)| *a == zone || *b == zone).map(|(_, l)| *l).collect();
-        links.into_iter().for_each(|l| self.links.set(now, l, self.wires.zone / times.max(1e-9)));
+        links.into_iter().for_each(|l| self.links.set(now, l, self.network.zone / times.max(1e-9)));
     }
 
     /// Makes an engine's port so many times slower.
@@ -233,7 +233,7 @@
         self.notices = notices;
         for notice in said {
             match notice {
-                Notice::Wants(work, tokens) => self.begin_flow(now, number, work, tokens, out),
+                Notice::FetchNeeded(work, tokens) => self.begin_flow(now, number, work, tokens, out),
                 Notice::Refused(work, _) | Notice::Broken(work) => {
                     self.sources.remove(&work);
                     out.push((number, notice));
@@ -265,7 +265,7 @@
         self.rewake(from);
         let chance = self.engines[to].faults().breaks;
         let breaks = chance > 0.0 && self.rng.random::<f64>() < chance;
-        let bytes = tokens as f64 * self.wires.token_bytes * if breaks { 0.5 } else { 1.0 };
+        let bytes = tokens as f64 * self.network.token_bytes * if breaks { 0.5 } else { 1.0 };
         let flow = self.next_flow;
         self.next_flow += 1;
         self.transfers.insert(flow, Transfer { work, state, from, to, breaks });
--- a/crates/pintally-emulator/src/lib.rs
+++ b/crates/pintally-emulator/src/lib.rs
@@ -23,10 +23,10 @@
 pub use faults::{Faults, ReportAccuracy};
 pub use fleet::{Fleet, Place};
 pub use links::{FlowId, LinkId, Links};
-pub use memory::{Hash, Memory};
+pub use memory::{BlockHash, Memory};
 pub use notice::{FreedBy, Notice, Refusal};
 pub use report::Report;
-pub use spec::{Cold, Cost, EngineRole, Spec, Telling, Wires};
+pub use spec::{ColdStart, Cost, EngineRole, LoadReporting, NetworkSpec, Spec};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/crates/pintally-emulator/src/links.rs
+++ b/crates/pintally-emulator/src/links.rs
@@ -11,7 +11,7 @@
 pub type FlowId = u64;
 
 /// What is left this close to zero is done.
-const SMALL: f64 = 1e-6;
+const DONE_BYTES: f64 = 1e-6;
 
 #[derive(Clone, Debug)]
 struct Flow {
@@ -64,7 +64,7 @@
     pub fn finished(&mut self, now: Micros) -> Vec<FlowId> {
         self.advance(now);
         let done: Vec<FlowId> =
-            self.flows.iter().filter(|(_, f)| f.left <= SMALL).map(|(id, _)| *id).collect();
+            self.flows.iter().filter(|(_, f)| f.left <= DONE_BYTES).map(|(id, _)| *id).collect();
         if !done.is_empty() {
             done.iter().for_each(|id| {
                 self.flows.remove(id);
@@ -76,8 +76,8 @@
 
     /// When the next flow is done, if nothing else changes.
     pub fn next(&self) -> Option<Micros> {
-        let ends = self.flows.values().filter(|f| f.rate > 0.0 || f.left <= SMALL);
-        let after = |f: &Flow| if f.left <= SMALL { 0 } else { (f.left / f.rate).ceil() as u64 };
+        let ends = self.flows.values().filter(|f| f.rate > 0.0 || f.left <= DONE_BYTES);
+        let after = |f: &Flow| if f.left <= DONE_BYTES { 0 } else { (f.left / f.rate).ceil() as u64 };
         ends.map(|f| self.at + after(f)).min()
     }
 
--- a/crates/pintally-emulator/src/memory.rs
+++ b/crates/pintally-emulator/src/memory.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Names a block of a prompt: the hash of the text up to its end.
-pub type Hash = u64;
+pub type BlockHash = u64;
 
 #[derive(Clone, Debug)]
 struct Node {
-    parent: Option<Hash>,
+    parent: Option<BlockHash>,
     children: u32,
     holders: u32,
     used: u64,
@@ -25,11 +25,11 @@
     private: u64,
     /// Blocks that nobody will ever give back.
     leaked: u64,
-    nodes: HashMap<Hash, Node>,
+    nodes: HashMap<BlockHash, Node>,
     /// Nodes that nobody holds.
     unheld: u64,
     /// Those among them that no block continues, the longest unused first.
-    idle: BTreeSet<(u64, Hash)>,
+    idle: BTreeSet<(u64, BlockHash)>,
     clock: u64,
 }
 
@@ -63,12 +63,12 @@
     }
 
     /// How many blocks of a chain's beginning are kept.
-    pub fn found(&self, chain: &[Hash]) -> usize {
+    pub fn found(&self, chain: &[BlockHash]) -> usize {
         chain.iter().take_while(|h| self.nodes.contains_key(h)).count()
     }
 
     /// Holds kept blocks: a chain's beginning, as found.
-    pub fn hold(&mut self, chain: &[Hash]) {
+    pub fn hold(&mut self, chain: &[BlockHash]) {
         self.clock += 1;
         for hash in chain {
             let Some(node) = self.nodes.get_mut(hash) else { continue };
@@ -82,7 +82,7 @@
     }
 
     /// Lets go of blocks that are held; they stay until their room is needed.
-    pub fn let_go(&mut self, chain: &[Hash]) {
+    pub fn unhold(&mut self, chain: &[BlockHash]) {
         self.clock += 1;
         for hash in chain {
             let Some(node) = self.nodes.get_mut(hash) else { continue };
@@ -123,7 +123,7 @@
 
     /// One block that work held for itself now holds a whole block of its prompt: it joins the tree,
     /// held. Where another had computed the same meanwhile, that one is held and this one given back.
-    pub fn keep(&mut self, hash: Hash, parent: Option<Hash>) {
+    pub fn keep(&mut self, hash: BlockHash, parent: Option<BlockHash>) {
         self.private -= 1;
         if self.nodes.contains_key(&hash) {
             self.hold(&[hash]);
--- a/crates/pintally-emulator/src/notice.rs
+++ b/crates/pintally-emulator/src/notice.rs
@@ -36,7 +36,7 @@
     /// It was turned away.
     Refused(WorkId, Refusal),
     /// Its answer is being made from here on.
-    Began(WorkId),
+    Started(WorkId),
     /// So many of its answer's tokens are out.
     Token(WorkId, u64),
     /// Its prompt is read and the state waits; so many tokens were found kept.
@@ -44,7 +44,7 @@
     /// Its answer is whole; so many tokens of the prompt were found kept.
     Done(WorkId, u64),
     /// It wants so many tokens of a state that waits elsewhere.
-    Wants(WorkId, u64),
+    FetchNeeded(WorkId, u64),
     /// It had to give up its memory and begins anew with what it has.
     Preempted(WorkId),
     /// It ended with the engine, or with the transfer of its state.
@@ -52,5 +52,5 @@
     /// A read state was let go.
     Freed(WorkId, FreedBy),
     /// The engine was cold and was sent too much: it is down.
-    Fell,
+    Overloaded,
 }
--- a/crates/pintally-emulator/src/report.rs
+++ b/crates/pintally-emulator/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::faults::ReportAccuracy;
-use crate::spec::Telling;
+use crate::spec::LoadReporting;
 use crate::Micros;
 
 /// What an engine says of its load.
@@ -28,14 +28,14 @@
 
 impl LoadReporter {
     /// The state is this from now on.
-    pub(crate) fn look(&mut self, telling: &Telling, now: Micros, state: Report) {
+    pub(crate) fn record_load(&mut self, load_reporting: &LoadReporting, now: Micros, state: Report) {
         // Between two looks only the last state counts.
-        let slot = |at: Micros| at / telling.every.max(1);
+        let slot = |at: Micros| at / load_reporting.every.max(1);
         match self.seen.back_mut() {
             Some(last) if slot(last.0) == slot(now) => *last = (now, state),
             _ => self.seen.push_back((now, state)),
         }
-        let by = slot(now.saturating_sub(telling.delay));
+        let by = slot(now.saturating_sub(load_reporting.delay));
         while self.seen.len() > 1 && slot(self.seen[1].0) < by {
             self.seen.pop_front();
         }
@@ -44,13 +44,13 @@
     /// What it tells; `draw` is from -1 to 1, anew for each figure.
     pub(crate) fn report(
         &mut self,
-        telling: &Telling,
+        load_reporting: &LoadReporting,
         now: Micros,
         how: ReportAccuracy,
         mut draw: impl FnMut() -> f64,
     ) -> Report {
-        let slot = |at: Micros| at / telling.every.max(1);
-        let by = slot(now.saturating_sub(telling.delay));
+        let slot = |at: Micros| at / load_reporting.every.max(1);
+        let by = slot(now.saturating_sub(load_reporting.delay));
         let old = self.seen.iter().rev().find(|(at, _)| slot(*at) < by);
         let true_state = old.map_or(Report::default(), |(_, r)| *r);
         match how {
@@ -59,7 +59,8 @@
             ReportAccuracy::Full => return Report { running: 1e3, waiting: 1e3, memory: 1.0, backlog: 1e6 },
             ReportAccuracy::Honest => {}
         }
-        let mut off = |v: f64| if telling.noise > 0.0 { v * (1.0 + telling.noise * draw()) } else { v };
+        let mut off =
+            |v: f64| if load_reporting.noise > 0.0 { v * (1.0 + load_reporting.noise * draw()) } else { v };
         self.last_report = Report {
             running: off(true_state.running),
             waiting: off(true_state.waiting),
--- a/crates/pintally-emulator/src/spec.rs
+++ b/crates/pintally-emulator/src/spec.rs
@@ -28,20 +28,20 @@
 
 /// How an engine starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// The share of its speed that it has at first.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It has all of it after this time.
     pub warm_after: Micros,
     /// While cold it falls over if more than this many times what it can do
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// is sent to it within this time.
-    pub tip_window: Micros,
+    pub overload_window: Micros,
 }
 
 /// How an engine tells its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Telling {
+pub struct LoadReporting {
     /// It looks at itself so often,
     pub every: Micros,
     /// what it tells is so old,
@@ -52,7 +52,7 @@
 
 /// Bandwidth, in bytes a microsecond, and what a token's state weighs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wires {
+pub struct NetworkSpec {
     /// Of all that leaves or enters a rack.
     pub rack: f64,
     /// Of all between two zones.
@@ -79,11 +79,11 @@
     /// What a step costs.
     pub cost: Cost,
     /// How it starts; it is warm at once without.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
     /// Read states that nobody fetches are let go after this time.
-    pub state_for: Micros,
+    pub state_ttl: Micros,
     /// How it tells its load.
-    pub telling: Telling,
+    pub load_reporting: LoadReporting,
     /// Bandwidth of its port, each way, in bytes a microsecond.
     pub port: f64,
     /// Repeats of a keyed request are dropped within this time; never if 0.
--- a/crates/pintally-emulator/tests/common/mod.rs
+++ b/crates/pintally-emulator/tests/common/mod.rs
@@ -21,19 +21,19 @@
         budget: 512,
         cost: cost(),
         cold: None,
-        state_for: 5_000_000,
-        telling: Telling { every: 100_000, delay: 50_000, noise: 0.0 },
+        state_ttl: 5_000_000,
+        load_reporting: LoadReporting { every: 100_000, delay: 50_000, noise: 0.0 },
         port: 1000.0,
         dedup: 0,
     }
 }
 
-pub fn wires() -> Wires {
-    Wires { rack: 4000.0, zone: 2000.0, token_bytes: 20_000.0 }
+pub fn network() -> NetworkSpec {
+    NetworkSpec { rack: 4000.0, zone: 2000.0, token_bytes: 20_000.0 }
 }
 
 /// The chain of a prompt that begins with a text of its own.
-pub fn chain(text: u64, tokens: u64) -> Vec<Hash> {
+pub fn chain(text: u64, tokens: u64) -> Vec<BlockHash> {
     (0..tokens / BLOCK).map(|b| text << 32 | b).collect()
 }
 
@@ -66,7 +66,7 @@
 
 impl World {
     pub fn new(specs: &[Spec], seed: u64) -> World {
-        let mut fleet = Fleet::new(wires(), seed);
+        let mut fleet = Fleet::new(network(), seed);
         for (n, spec) in specs.iter().enumerate() {
             fleet.add(spec.clone(), Place { zone: n as u32 % 2, rack: n as u32 % 3 });
         }
--- a/crates/pintally-emulator/tests/engines.rs
+++ b/crates/pintally-emulator/tests/engines.rs
@@ -111,7 +111,12 @@
 
 #[test]
 fn a_just_started_engine_in_a_burst_is_slow_and_falls_over_if_too_much_comes() {
-    let cold = Cold { from: 0.2, warm_after: 10_000_000, tip_multiple: 2.0, tip_window: 1_000_000 };
+    let cold = ColdStart {
+        initial_capacity: 0.2,
+        warm_after: 10_000_000,
+        overload_factor: 2.0,
+        overload_window: 1_000_000,
+    };
     let fresh = Spec { cold: Some(cold), blocks: 4000, queue: 64, ..spec(EngineRole::Reader) };
     let play = |reads: u64| {
         let mut w = World::new(std::slice::from_ref(&fresh), 1);
@@ -123,11 +128,11 @@
     };
     // Each is 80 ms of full speed: 0.4 s of it in a second is what twice a fifth allows, and one more.
     let fits = play(6);
-    assert!(fits.at(|n| *n == Notice::Fell).is_none());
+    assert!(fits.at(|n| *n == Notice::Overloaded).is_none());
     let first = fits.at(|n| *n == Notice::Read(0, 0)).unwrap();
     assert!(first > 4 * 96_000, "cold, it read as fast as a warm one: {first}");
     let falls = play(30);
-    assert!(falls.at(|n| *n == Notice::Fell).is_some());
+    assert!(falls.at(|n| *n == Notice::Overloaded).is_some());
     assert!(!falls.fleet.engine(0).is_up());
     // Whatever it held has ended, each piece once.
     let ends = falls.ends();
--- a/crates/pintally-emulator/tests/theory.rs
+++ b/crates/pintally-emulator/tests/theory.rs
@@ -66,7 +66,7 @@
                     times += (now - arrived[id as usize]) as f64;
                     done += 1;
                 }
-                Notice::Token(..) | Notice::Began(_) => {}
+                Notice::Token(..) | Notice::Started(_) => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/pintally-lab/src/clients.rs
+++ b/crates/pintally-lab/src/clients.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pintally_emulator::Hash;
+use pintally_emulator::BlockHash;
 use pintally_host::RequestNumber;
 use pintally_scenario::RequestDraft;
 
@@ -16,7 +16,7 @@
     pub(crate) tries: u32,
     pub(crate) draft: Rc<RequestDraft>,
     /// The chain of the prompt's whole blocks.
-    pub(crate) chain: Rc<Vec<Hash>>,
+    pub(crate) chain: Rc<Vec<BlockHash>>,
     /// Its answer has begun.
     pub(crate) first: bool,
     /// It has its answer, or has given up.
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -114,7 +114,7 @@
         for spec in &specs {
             let mut own = emulator_spec(spec);
             if let Some(cold) = &mut own.cold {
-                cold.tip_multiple = spec.overload_factor;
+                cold.overload_factor = spec.overload_factor;
             }
             fleet.add(own, Place { zone: zone(&spec.zone) as u32, rack: spec.rack as u32 });
         }
@@ -558,7 +558,7 @@
                 let (engine, by) = (self.specs[engine].id.clone(), audit_freed_by(by));
                 self.note(What::Freed { engine, state: name, by });
             }
-            Notice::Fell => {
+            Notice::Overloaded => {
                 self.overload_crashes += 1;
                 self.listing[engine] = EndpointState::Gone;
                 self.publish();
@@ -578,7 +578,7 @@
                 self.note(What::Held { engine, node, request, state });
                 self.end(key, Outcome::Read, kept, Some(id), HOP);
             }
-            Notice::Began(id) => {
+            Notice::Started(id) => {
                 let Some(flight) = self.works.get(&id).and_then(|k| self.flights.get(k)) else { return };
                 let (request, attempt) = (flight.request.clone(), flight.name.clone());
                 self.note(What::Ran { engine: self.specs[engine].id.clone(), request, attempt });
@@ -624,7 +624,7 @@
                     HOP,
                 );
             }
-            Notice::Token(..) | Notice::Wants(..) | Notice::Preempted(_) => {}
+            Notice::Token(..) | Notice::FetchNeeded(..) | Notice::Preempted(_) => {}
         }
     }
 
--- a/crates/pintally-mock-engine/src/driver.rs
+++ b/crates/pintally-mock-engine/src/driver.rs
@@ -45,9 +45,13 @@
 
 impl EmulatorDriver {
     /// Starts the driver with an empty fleet; its thread ends when the last reference is dropped.
-    pub(crate) fn start(wires: emulator::Wires, seed: u64, recorder: Recorder) -> Arc<EmulatorDriver> {
+    pub(crate) fn start(
+        network: emulator::NetworkSpec,
+        seed: u64,
+        recorder: Recorder,
+    ) -> Arc<EmulatorDriver> {
         let shared = DriverState {
-            fleet: emulator::Fleet::new(wires, seed),
+            fleet: emulator::Fleet::new(network, seed),
             next_id: 1,
             subscribers: HashMap::new(),
             state_ids: HashMap::new(),
@@ -108,7 +112,7 @@
                         shared.waiting_states.insert(id, (engine_index, t));
                     }
                 }
-                Notice::Began(id) => {
+                Notice::Started(id) => {
                     if let Some((submitted, _)) = shared.subscribers.get(&id) {
                         let t = submitted.clone();
                         self.recorder.note(What::Ran {
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -268,15 +268,15 @@
             write_token: 0.0,
             context: 0.0,
         },
-        cold: Some(emulator::Cold {
-            from: spec.initial_capacity,
+        cold: Some(emulator::ColdStart {
+            initial_capacity: spec.initial_capacity,
             warm_after: micros(spec.warm_up),
             // Overload is judged by `Engine::record_work`, which knows the work that each node sent.
-            tip_multiple: f64::INFINITY,
-            tip_window: micros(spec.overload_window),
+            overload_factor: f64::INFINITY,
+            overload_window: micros(spec.overload_window),
         }),
-        state_for: micros(spec.state_ttl),
-        telling: emulator::Telling { every: micros(spec.report_interval), delay: 0, noise: 0.0 },
+        state_ttl: micros(spec.state_ttl),
+        load_reporting: emulator::LoadReporting { every: micros(spec.report_interval), delay: 0, noise: 0.0 },
         port: spec.link_tokens_per_s / 1e6,
         dedup: 0,
     }
--- a/crates/pintally-mock-engine/src/fleet.rs
+++ b/crates/pintally-mock-engine/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use pintally_audit::{late_allowance, Record, What};
 
-use pintally_emulator::{Place, Wires};
+use pintally_emulator::{NetworkSpec, Place};
 
 use crate::driver::EmulatorDriver;
 use crate::engine::emulator_spec;
@@ -22,7 +22,7 @@
 
 /// Link rates between racks and zones. A state counts one byte per token, so the unit is tokens per
 /// microsecond.
-pub const LINK_RATES: Wires = Wires { rack: 2.0, zone: 1.0, token_bytes: 1.0 };
+pub const LINK_RATES: NetworkSpec = NetworkSpec { rack: 2.0, zone: 1.0, token_bytes: 1.0 };
 
 /// Collects the record of a run; clones share it.
 #[derive(Clone)]
--- a/crates/pintally-sim/src/check.rs
+++ b/crates/pintally-sim/src/check.rs
@@ -32,7 +32,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// When.
@@ -45,7 +45,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at as f64 / 1e6;
         write!(f, "{:?} at step {}, {at:.3} s: {}", self.rule, self.step, self.what)
@@ -76,7 +76,7 @@
 #[derive(Default)]
 pub(crate) struct Checks {
     pub(crate) known: BTreeMap<Place, Known>,
-    pub(crate) broken: Option<Broken>,
+    pub(crate) violation: Option<Violation>,
     pub(crate) step: u64,
     pub(crate) now: Micros,
     /// Since when something is held for a request with no attempt of it out.
@@ -85,16 +85,16 @@
 
 impl Checks {
     /// Notes a broken rule; the first one counts.
-    pub(crate) fn broke(&mut self, rule: Rule, request: Option<&RequestId>, what: String) {
-        if self.broken.is_none() {
+    pub(crate) fn record_violation(&mut self, rule: Rule, request: Option<&RequestId>, what: String) {
+        if self.violation.is_none() {
             let request = request.map(|r| r.0.to_string());
-            self.broken = Some(Broken { rule, at: self.now, step: self.step, request, what });
+            self.violation = Some(Violation { rule, at: self.now, step: self.step, request, what });
         }
     }
 
     pub(crate) fn answered(&mut self, place: Place) {
         let Some(known) = self.known.get_mut(&place) else {
-            return self.broke(
+            return self.record_violation(
                 Rule::Accounts,
                 None,
                 format!("an answer for ticket {} that nobody asked", place.2),
@@ -103,9 +103,13 @@
         known.answers += 1;
         let (id, answers, late) = (known.id.clone(), known.answers, !known.begun && self.now > known.by);
         if answers > 1 {
-            self.broke(Rule::Lost, Some(&id), format!("request {} was answered more than once", id.0));
+            self.record_violation(
+                Rule::Lost,
+                Some(&id),
+                format!("request {} was answered more than once", id.0),
+            );
         } else if late {
-            self.broke(Rule::Lost, Some(&id), format!("request {} was answered late", id.0));
+            self.record_violation(Rule::Lost, Some(&id), format!("request {} was answered late", id.0));
         }
     }
 
@@ -114,7 +118,7 @@
         let Some(known) = self.known.get(&place) else { return };
         if known.answers == 0 && !known.begun && !known.left && !known.died {
             let id = known.id.clone();
-            self.broke(Rule::Lost, Some(&id), format!("request {} got no answer", id.0));
+            self.record_violation(Rule::Lost, Some(&id), format!("request {} got no answer", id.0));
         }
     }
 
@@ -123,14 +127,18 @@
         known.over += 1;
         let (id, over, answered) = (known.id.clone(), known.over, known.answers > 0 || known.left);
         if over > 1 || !answered {
-            self.broke(Rule::Accounts, Some(&id), format!("request {} was over {over} times", id.0));
+            self.record_violation(
+                Rule::Accounts,
+                Some(&id),
+                format!("request {} was over {over} times", id.0),
+            );
         }
     }
 
     /// An attempt goes out; `open` is another of the same request that is out.
     pub(crate) fn sent(&mut self, place: Place, open: bool) {
         let Some(known) = self.known.get(&place) else {
-            return self.broke(
+            return self.record_violation(
                 Rule::Accounts,
                 None,
                 format!("an attempt for ticket {} that nobody asked", place.2),
@@ -138,10 +146,14 @@
         };
         let (id, done) = (known.id.clone(), known.answers > 0 || known.over > 0);
         if open {
-            self.broke(Rule::Twice, Some(&id), format!("request {} has two attempts out", id.0));
+            self.record_violation(Rule::Twice, Some(&id), format!("request {} has two attempts out", id.0));
         }
         if done {
-            self.broke(Rule::Lost, Some(&id), format!("request {} was sent after its answer", id.0));
+            self.record_violation(
+                Rule::Lost,
+                Some(&id),
+                format!("request {} was sent after its answer", id.0),
+            );
         }
     }
 
@@ -153,14 +165,14 @@
         let (id, class) = (known.id.clone(), known.class);
         match (first, class) {
             (Some(_), 2) => {
-                self.broke(
+                self.record_violation(
                     Rule::Twice,
                     Some(&id),
                     format!("request {} was sent again and may have run", id.0),
                 );
             }
             (Some(at), 1) if self.now > at + window + WINDOW_SLACK => {
-                self.broke(
+                self.record_violation(
                     Rule::Twice,
                     Some(&id),
                     format!("request {} was sent again after its window", id.0),
@@ -188,7 +200,11 @@
             let since = *self.idle.entry(id.clone()).or_insert(self.now);
             if self.now > since + within + HELD_SLACK {
                 let ms = (self.now - since) / MS;
-                self.broke(Rule::Pinned, Some(id), format!("request {} holds a state for {ms} ms", id.0));
+                self.record_violation(
+                    Rule::Pinned,
+                    Some(id),
+                    format!("request {} holds a state for {ms} ms", id.0),
+                );
             }
         }
     }
--- a/crates/pintally-sim/src/clients.rs
+++ b/crates/pintally-sim/src/clients.rs
@@ -6,12 +6,12 @@
 
 use crate::check::{Known, Place};
 use crate::mutation::Mutation;
-use crate::plan::Ask;
+use crate::plan::PlannedRequest;
 use crate::world::{Event, World};
 use crate::MS;
 
 impl World<'_> {
-    pub(crate) fn ask(&mut self, ask: &Ask) {
+    pub(crate) fn ask(&mut self, ask: &PlannedRequest) {
         let all = self.nodes.len();
         let runs = |n: &usize| self.nodes[*n].host.is_some() && !self.nodes[*n].stopping;
         let Some(node) = (0..all).map(|n| (ask.node + n) % all).find(runs) else { return };
--- a/crates/pintally-sim/src/troubles.rs
+++ b/crates/pintally-sim/src/faults.rs
@@ -9,7 +9,7 @@
 use crate::MS;
 
 impl World<'_> {
-    pub(crate) fn trouble(&mut self, number: usize, on: bool) {
+    pub(crate) fn toggle_fault(&mut self, number: usize, on: bool) {
         let trouble = self.plan.troubles[number].clone();
         let (engines, nodes) = (self.engines.len(), self.nodes.len());
         let (engine, node) = (trouble.whom % engines, trouble.whom % nodes);
@@ -64,7 +64,7 @@
                     self.die(engine);
                     // Back as a new start, a second later.
                     self.listed();
-                    self.soon(1_000 * MS, Event::Trouble(number, false));
+                    self.soon(1_000 * MS, Event::FaultToggled(number, false));
                 } else if self.engines[engine].listing == EndpointState::Gone {
                     self.engines[engine].listing = EndpointState::Serving;
                     self.return_of(engine);
--- a/crates/pintally-sim/src/flights.rs
+++ b/crates/pintally-sim/src/flights.rs
@@ -42,7 +42,7 @@
         self.checks.sent(place, open);
         if self.nodes[node].notified[engine] != Some(EndpointState::Serving) {
             let what = format!("request {} goes to e{engine}, which takes nothing new", order.request.0);
-            self.checks.broke(Rule::Drain, Some(&order.request), what);
+            self.checks.record_violation(Rule::Drain, Some(&order.request), what);
         }
         let kept = self.kept(node, engine);
         let flight = self.next;
--- a/crates/pintally-sim/src/lib.rs
+++ b/crates/pintally-sim/src/lib.rs
@@ -13,19 +13,19 @@
 mod check;
 mod clients;
 mod engines;
+mod faults;
 mod flights;
 mod mutation;
 mod nodes;
 mod plan;
 mod search;
-mod troubles;
 mod world;
 
-pub use check::{Broken, Rule};
+pub use check::{Rule, Violation};
 pub use mutation::{Mutation, MUTATIONS};
-pub use plan::{Ask, FaultKind, Frees, Plan, Trouble};
-pub use search::{mutations, run, shrink, Found};
-pub use world::{play, Played};
+pub use plan::{Fault, FaultKind, Frees, Plan, PlannedRequest};
+pub use search::{mutations, run, shrink, SearchSummary};
+pub use world::{play, RunReport};
 
 /// Microseconds since the day began.
 pub type Micros = u64;
--- a/crates/pintally-sim/src/plan.rs
+++ b/crates/pintally-sim/src/plan.rs
@@ -47,7 +47,7 @@
 }
 
 /// All kinds.
-pub const KINDS: [FaultKind; 14] = [
+pub const FAULT_KINDS: [FaultKind; 14] = [
     FaultKind::Vanish,
     FaultKind::Die,
     FaultKind::Hang,
@@ -66,7 +66,8 @@
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+#[serde(expecting = "struct Trouble")]
+pub struct Fault {
     /// Its kind.
     pub kind: FaultKind,
     /// When it begins and ends, in milliseconds.
@@ -83,7 +84,8 @@
 
 /// A request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+#[serde(expecting = "struct Ask")]
+pub struct PlannedRequest {
     /// When, in milliseconds.
     pub at_ms: u64,
     /// The node to which its client goes, if it runs.
@@ -122,14 +124,14 @@
     /// Engines warm up for so long, in milliseconds.
     pub warm_ms: u64,
     /// Requests, by time.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<PlannedRequest>,
     /// Troubles.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 impl Plan {
     /// The day of a seed: some 20 s with two to four nodes and four to twelve engines.
-    pub fn of(seed: u64) -> Plan {
+    pub fn from_seed(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let length = rng.random_range(8_000..24_000);
         let nodes = rng.random_range(2..=4);
@@ -140,7 +142,7 @@
         let mut at = 100.0;
         while at < length as f64 {
             let leaves = rng.random_bool(0.08).then(|| rng.random_range(5..patience));
-            asks.push(Ask {
+            asks.push(PlannedRequest {
                 at_ms: at as u64,
                 node: rng.random_range(0..nodes),
                 class: rng.random_range(0..3),
@@ -165,7 +167,7 @@
             troubles: Vec::new(),
         };
         let mean = rng.random_range(0.5..4.0f64);
-        for kind in KINDS {
+        for kind in FAULT_KINDS {
             if rng.random_bool(0.55) {
                 continue;
             }
@@ -218,10 +220,10 @@
     }
 }
 
-fn trouble(kind: FaultKind, length: u64, rng: &mut impl Rng) -> Trouble {
+fn trouble(kind: FaultKind, length: u64, rng: &mut impl Rng) -> Fault {
     let from_ms = rng.random_range(200..length);
     let longest = if rng.random_bool(0.3) { 8_000 } else { 2_500 };
-    Trouble {
+    Fault {
         kind,
         from_ms,
         to_ms: from_ms + rng.random_range(30..longest),
--- a/crates/pintally-sim/src/search.rs
+++ b/crates/pintally-sim/src/search.rs
@@ -6,14 +6,14 @@
 use std::sync::Mutex;
 use std::thread;
 
-use crate::check::{Broken, Rule};
+use crate::check::{Rule, Violation};
 use crate::mutation::{Mutation, MUTATIONS};
 use crate::plan::Plan;
 use crate::world::play;
 
 /// What many seeds came to.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct SearchSummary {
     #[allow(missing_docs)]
     pub seeds: u64,
     #[allow(missing_docs)]
@@ -23,14 +23,15 @@
     #[allow(missing_docs)]
     pub served: u64,
     /// Seeds that broke a rule, in order.
-    pub broken: Vec<(u64, Broken)>,
+    pub violations: Vec<(u64, Violation)>,
     /// Pairs of step and outcome that were met.
     pub met: BTreeSet<String>,
 }
 
 /// Seeds that it takes to find each broken node, and how it was found; none if it was not among them.
-pub fn mutations(seeds: u64) -> Vec<(Mutation, Option<(u64, Broken)>)> {
-    let first = |m| (1..=seeds).find_map(|seed| Some((seed, play(&Plan::of(seed), Some(m)).broken?)));
+pub fn mutations(seeds: u64) -> Vec<(Mutation, Option<(u64, Violation)>)> {
+    let first =
+        |m| (1..=seeds).find_map(|seed| Some((seed, play(&Plan::from_seed(seed), Some(m)).violation?)));
     thread::scope(|scope| {
         let all: Vec<_> = MUTATIONS.iter().map(|m| (*m, scope.spawn(move || first(*m)))).collect();
         all.into_iter().map(|(m, found)| (m, found.join().unwrap_or_default())).collect()
@@ -38,36 +39,36 @@
 }
 
 /// Plays the days of seeds on so many threads; ends after `most` that break a rule.
-pub fn run(seeds: Range<u64>, threads: usize, mutation: Option<Mutation>, most: usize) -> Found {
+pub fn run(seeds: Range<u64>, threads: usize, mutation: Option<Mutation>, most: usize) -> SearchSummary {
     let next = AtomicU64::new(seeds.start);
-    let found = Mutex::new(Found::default());
+    let found = Mutex::new(SearchSummary::default());
     let lock = || found.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= seeds.end || lock().broken.len() >= most {
+                if seed >= seeds.end || lock().violations.len() >= most {
                     return;
                 }
-                let played = play(&Plan::of(seed), mutation);
+                let played = play(&Plan::from_seed(seed), mutation);
                 let mut found = lock();
                 found.seeds += 1;
                 found.steps += played.steps;
                 found.asked += played.asked;
                 found.served += played.served;
                 found.met.extend(played.met);
-                found.broken.extend(played.broken.map(|b| (seed, b)));
+                found.violations.extend(played.violation.map(|b| (seed, b)));
             });
         }
     });
     let mut found = found.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    found.broken.sort_by_key(|b| b.0);
+    found.violations.sort_by_key(|b| b.0);
     found
 }
 
 /// Cuts a day down while it still breaks the same rule: troubles, requests, engines, nodes.
 pub fn shrink(plan: &Plan, rule: Rule, mutation: Option<Mutation>) -> Plan {
-    let breaks = |p: &Plan| play(p, mutation).broken.is_some_and(|b| b.rule == rule);
+    let breaks = |p: &Plan| play(p, mutation).violation.is_some_and(|b| b.rule == rule);
     let mut plan = plan.clone();
     loop {
         let before = (plan.troubles.len(), plan.asks.len(), plan.readers, plan.writers, plan.nodes);
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -11,10 +11,10 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::check::{Broken, Checks, Place, Rule};
+use crate::check::{Checks, Place, Rule, Violation};
 use crate::engines::Engine;
 use crate::mutation::Mutation;
-use crate::plan::{Ask, Plan, Trouble};
+use crate::plan::{Fault, Plan, PlannedRequest};
 use crate::{Micros, MS};
 
 /// What a message takes from one end to the other.
@@ -43,7 +43,7 @@
 pub(crate) const PROBE_SESSION: u64 = 1_000;
 
 pub(crate) enum Event {
-    Ask(Ask),
+    RequestDue(PlannedRequest),
     TimeIsUp(Place),
     Leave(Place),
     /// A flight's connection comes up, or has not by now.
@@ -66,7 +66,7 @@
     Carried(u64),
     List(usize, u32),
     Look,
-    Trouble(usize, bool),
+    FaultToggled(usize, bool),
     Start(usize),
     Kill(usize, u32),
     Wake(usize),
@@ -130,9 +130,9 @@
 
 /// How a day went.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Played {
+pub struct RunReport {
     /// The first rule that was broken.
-    pub broken: Option<Broken>,
+    pub violation: Option<Violation>,
     #[allow(missing_docs)]
     pub steps: u64,
     #[allow(missing_docs)]
@@ -148,16 +148,16 @@
 }
 
 /// Plays a day, by nodes that may be broken on purpose.
-pub fn play(plan: &Plan, mutation: Option<Mutation>) -> Played {
+pub fn play(plan: &Plan, mutation: Option<Mutation>) -> RunReport {
     let mut world = World::new(plan, mutation);
     world.run();
-    let about = world.checks.broken.as_ref().and_then(|b| b.request.clone());
+    let about = world.checks.violation.as_ref().and_then(|b| b.request.clone());
     let trace = match about {
         Some(id) => world.trace.iter().filter(|l| l.contains(&id) || l.contains('#')).cloned().collect(),
         None => world.trace.iter().cloned().collect(),
     };
-    Played {
-        broken: world.checks.broken,
+    RunReport {
+        violation: world.checks.violation,
         steps: world.checks.step,
         asked: world.asked,
         served: world.served,
@@ -208,7 +208,7 @@
     pub(crate) wakes: Vec<Option<Micros>>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) cuts: Vec<(usize, usize)>,
-    pub(crate) active: Vec<Trouble>,
+    pub(crate) active: Vec<Fault>,
     pub(crate) flights: BTreeMap<u64, Flight>,
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) next: u64,
@@ -268,11 +268,11 @@
         };
         (0..plan.nodes).for_each(|n| world.start(n));
         for ask in &plan.asks {
-            world.at(ask.at_ms * MS, Event::Ask(ask.clone()));
+            world.at(ask.at_ms * MS, Event::RequestDue(ask.clone()));
         }
         for (number, t) in plan.troubles.iter().enumerate() {
-            world.at(t.from_ms * MS, Event::Trouble(number, true));
-            world.at(t.to_ms * MS, Event::Trouble(number, false));
+            world.at(t.from_ms * MS, Event::FaultToggled(number, true));
+            world.at(t.to_ms * MS, Event::FaultToggled(number, false));
         }
         world.at(LOOK, Event::Look);
         world.at(plan.over_ms() * MS + SETTLE, Event::Probing);
@@ -283,7 +283,7 @@
         let end = self.plan.over_ms() * MS + 2 * SETTLE;
         while let Some(entry) = self.events.first_entry() {
             let (at, _) = *entry.key();
-            if at > end || self.checks.broken.is_some() {
+            if at > end || self.checks.violation.is_some() {
                 break;
             }
             let event = entry.remove();
@@ -292,7 +292,7 @@
             self.checks.step += 1;
             self.happen(event);
         }
-        if self.checks.broken.is_none() {
+        if self.checks.violation.is_none() {
             self.at_the_end();
         }
     }
@@ -304,22 +304,26 @@
             let (held, waiting) = (host.open_requests(), host.pending_timers_and_releases().1);
             if held > 0 || waiting > 0 {
                 let what = format!("n{node} keeps {held} requests and {waiting} calls at the end");
-                self.checks.broke(Rule::Accounts, None, what);
+                self.checks.record_violation(Rule::Accounts, None, what);
             }
         }
         let lives: Vec<u32> = self.nodes.iter().map(|n| n.life).collect();
         let left = self.engines.iter().flat_map(|e| &e.held).find(|s| lives[s.owner.0] == s.owner.1).cloned();
         if let Some(state) = left {
             let what = format!("request {} holds a state at the end", state.request.0);
-            self.checks.broke(Rule::Pinned, Some(&state.request), what);
+            self.checks.record_violation(Rule::Pinned, Some(&state.request), what);
         }
         let never = self.checks.known.values().find(|k| k.over == 0 && !k.died).map(|k| k.id.clone());
         if let Some(id) = never {
-            self.checks.broke(Rule::Accounts, Some(&id), format!("request {} was never over", id.0));
+            self.checks.record_violation(
+                Rule::Accounts,
+                Some(&id),
+                format!("request {} was never over", id.0),
+            );
         }
         if self.probes_served < PROBES_SERVED {
             let what = format!("{} of {PROBES} requests were served when all was over", self.probes_served);
-            self.checks.broke(Rule::Service, None, what);
+            self.checks.record_violation(Rule::Service, None, what);
         }
     }
 
@@ -343,7 +347,7 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Ask(ask) => self.ask(&ask),
+            Event::RequestDue(ask) => self.ask(&ask),
             Event::TimeIsUp(place) => self.checks.time_is_up(place),
             Event::Leave(place) => self.leave(place),
             Event::Up(flight) => self.up(flight),
@@ -368,7 +372,7 @@
             }
             Event::List(node, life) => self.list(node, life),
             Event::Look => self.look(),
-            Event::Trouble(number, on) => self.trouble(number, on),
+            Event::FaultToggled(number, on) => self.toggle_fault(number, on),
             Event::Start(node) => {
                 if self.nodes[node].host.is_none() {
                     self.start(node);
@@ -390,7 +394,7 @@
                 let early = (self.plan.warm_ms + 2_000) / 100;
                 self.count_from = self.now + early * 100 * MS;
                 for n in 0..early + PROBES {
-                    let ask = Ask {
+                    let ask = PlannedRequest {
                         at_ms: 0,
                         node: n as usize % self.nodes.len(),
                         class: 0,
@@ -399,7 +403,7 @@
                         patience_ms: 2_000,
                         leaves_ms: None,
                     };
-                    self.soon(n * 100 * MS, Event::Ask(ask));
+                    self.soon(n * 100 * MS, Event::RequestDue(ask));
                 }
             }
         }
--- a/crates/pintally-sim/tests/hard_cases.rs
+++ b/crates/pintally-sim/tests/hard_cases.rs
@@ -1,10 +1,10 @@
 //! Days by hand: the overlaps that are feared most, each with what it must keep.
 
-use pintally_sim::{play, Ask, FaultKind, Frees, Plan, Played, Trouble};
+use pintally_sim::{play, Fault, FaultKind, Frees, Plan, PlannedRequest, RunReport};
 
 /// A day of 8 s with three nodes before four readers and four writers in two zones, 25 requests a second.
-fn day(seed: u64, troubles: Vec<Trouble>) -> Plan {
-    let asks = (0..200u64).map(|n| Ask {
+fn day(seed: u64, troubles: Vec<Fault>) -> Plan {
+    let asks = (0..200u64).map(|n| PlannedRequest {
         at_ms: 100 + n * 40,
         node: n as usize % 3,
         class: n as usize % 3,
@@ -28,12 +28,12 @@
     }
 }
 
-fn trouble(kind: FaultKind, whom: usize, from_ms: u64, to_ms: u64) -> Trouble {
-    Trouble { kind, from_ms, to_ms, whom, zone: 0, part: 1.0 }
+fn trouble(kind: FaultKind, whom: usize, from_ms: u64, to_ms: u64) -> Fault {
+    Fault { kind, from_ms, to_ms, whom, zone: 0, part: 1.0 }
 }
 
 /// Plays it with both release scopes on several seeds; each keeps all rules and serves so much.
-fn kept(name: &str, least: f64, troubles: &[Trouble], change: impl Fn(&mut Plan)) -> Vec<Played> {
+fn kept(name: &str, least: f64, troubles: &[Fault], change: impl Fn(&mut Plan)) -> Vec<RunReport> {
     let play_one = |seed| {
         let mut plan = day(seed, troubles.to_vec());
         change(&mut plan);
@@ -41,7 +41,7 @@
         let played = play(&plan, None);
         let share = played.served as f64 / played.asked as f64;
         println!("{name}, seed {seed}: {} asked, {share:.2} served", played.asked);
-        if let Some(broken) = &played.broken {
+        if let Some(broken) = &played.violation {
             // `pintally sim play` tells the steps of this line.
             panic!("{name}, seed {seed}: {broken}\n{}", serde_json::to_string(&plan).unwrap());
         }
@@ -97,9 +97,9 @@
 /// against calls that go out on new connections alone. (Where all are late no call can be heard in time.)
 #[test]
 fn slow_connections_lost_answers_and_late_lists_cross() {
-    let late = |e| Trouble { part: 0.4, ..trouble(FaultKind::LateConnections, e, 1_000, 6_000) };
+    let late = |e| Fault { part: 0.4, ..trouble(FaultKind::LateConnections, e, 1_000, 6_000) };
     let mut all: Vec<_> = (0..8).map(late).collect();
-    all.extend((0..8).map(|e| Trouble { part: 0.2, ..trouble(FaultKind::LoseAnswers, e, 2_000, 7_000) }));
+    all.extend((0..8).map(|e| Fault { part: 0.2, ..trouble(FaultKind::LoseAnswers, e, 2_000, 7_000) }));
     all.push(trouble(FaultKind::LateLists, 0, 1_500, 4_500));
     all.push(trouble(FaultKind::Drain, 0, 2_000, 3_000));
     all.push(trouble(FaultKind::Drain, 5, 2_500, 3_500));
@@ -120,6 +120,6 @@
 #[test]
 fn a_cut_from_every_engine_ends_in_silence() {
     let mut all: Vec<_> = (0..3).map(|n| trouble(FaultKind::Cut, n, 4_000, 15_000)).collect();
-    all.extend((0..3).map(|n| Trouble { zone: 1, ..trouble(FaultKind::Cut, n, 4_000, 15_000) }));
+    all.extend((0..3).map(|n| Fault { zone: 1, ..trouble(FaultKind::Cut, n, 4_000, 15_000) }));
     kept("cut", 0.4, &all, |plan| plan.asks.retain(|a| a.at_ms < 6_000));
 }
