--- a/crates/pintally-cli/src/audit.rs
+++ b/crates/pintally-cli/src/audit.rs
@@ -1,4 +1,4 @@
-//! `pintally audit`: the five rules over a record.
+//! `pintally audit`: checks the five rules against a record.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -8,12 +8,12 @@
 
 use crate::Failure;
 
-/// Findings that are printed for each rule.
-const PRINTED: usize = 10;
+/// Number of findings that are printed for each rule.
+const MAX_PRINTED_FINDINGS: usize = 10;
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// A record, one line of JSON for each thing that happened.
+    /// A record with one line of JSON for each event.
     record: String,
     /// Print the findings as JSON.
     #[arg(long)]
@@ -33,18 +33,18 @@
     Ok(if report.rules.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// The rules with their findings, for people.
+/// Prints the rules with their findings as text.
 pub(crate) fn print_rules(report: &Report) {
-    for (name, found) in report.rules.each() {
+    for (name, findings) in report.rules.each() {
         println!(
             "{name:>7}: {}",
-            if found.is_empty() { "kept".into() } else { format!("{} broken", found.len()) }
+            if findings.is_empty() { "kept".into() } else { format!("{} broken", findings.len()) }
         );
-        for finding in found.iter().take(PRINTED) {
+        for finding in findings.iter().take(MAX_PRINTED_FINDINGS) {
             println!("         {finding}");
         }
-        if found.len() > PRINTED {
-            println!("         and {} more", found.len() - PRINTED);
+        if findings.len() > MAX_PRINTED_FINDINGS {
+            println!("         and {} more", findings.len() - MAX_PRINTED_FINDINGS);
         }
     }
 }
--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -1,4 +1,4 @@
-//! `pintally cells`: who belongs where, moves step by step, where each cell stands.
+//! `pintally cells`: the tenants of each cell, migrations step by step, the state of each cell.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,84 +21,84 @@
 
 #[derive(clap::Args)]
 struct Files {
-    /// A node's settings: they name tenants and classes.
+    /// A node's settings, which define tenants and classes.
     #[arg(long)]
     config: String,
-    /// The file of cells; the one that the settings name if not given.
+    /// The file of cells; by default the one that the settings name.
     #[arg(long)]
     cells: Option<String>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Print cells, homes and moves.
+    /// Print cells, the tenants of each and migrations.
     Show {
         #[command(flatten)]
         files: Files,
     },
-    /// Take the next step of a tenant's move, as a new version of the file.
+    /// Apply the next step of a tenant's migration as a new version of the file.
     Move {
         #[command(flatten)]
         files: Files,
         /// The tenant.
         tenant: String,
         /// The step.
-        #[arg(value_enum)]
-        turn: Step,
-        /// With `begin`: the cells to which it moves.
+        #[arg(value_enum, value_name = "TURN")]
+        step: MigrationStep,
+        /// With `begin`: the cells to which the tenant moves.
         #[arg(long, value_delimiter = ',')]
         to: Vec<String>,
-        /// With `begin`: milliseconds until all its sessions are over.
+        /// With `begin`: milliseconds until all its sessions have moved.
         #[arg(long, default_value_t = 30_000)]
         over_ms: u64,
-        /// Replace the file; without it the new version is only printed.
+        /// Replace the file; without this flag the new version is only printed.
         #[arg(long)]
         write: bool,
     },
-    /// Plan engines to cells and tenants to cells, and print the safe steps to get there.
+    /// Compute a placement of engines and tenants in cells, and print safe steps towards it.
     Plan {
         #[command(flatten)]
         files: Files,
         #[command(flatten)]
         plan: crate::plan::Args,
     },
-    /// Ask nodes where their cells stand.
+    /// Query nodes for the state of their cells.
     Status {
-        /// Where nodes listen.
+        /// Where nodes listen for clients.
         #[arg(required = true)]
         nodes: Vec<SocketAddr>,
     },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Step {
-    /// Announce it.
+enum MigrationStep {
+    /// Announce the migration.
     Begin,
-    /// Let sessions go over.
+    /// Start to move sessions.
     Go,
-    /// All sessions are over.
+    /// Mark all sessions as moved.
     Done,
-    /// Let them return.
+    /// Move sessions back.
     Back,
-    /// Make it a thing of the past.
+    /// Close the migration and make the target cells the tenant's home.
     Settle,
 }
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
     match &args.command {
         Command::Show { files } => show(files),
-        Command::Move { files, tenant, turn, to, over_ms, write } => {
-            let turn = match turn {
-                Step::Begin => {
+        Command::Move { files, tenant, step, to, over_ms, write } => {
+            let step = match step {
+                MigrationStep::Begin => {
                     let to = to.iter().map(|c| CellName::from(c.as_str())).collect();
                     MoveCommand::Begin { to, over_ms: *over_ms }
                 }
-                Step::Go => MoveCommand::Go,
-                Step::Done => MoveCommand::Done,
-                Step::Back => MoveCommand::Back,
-                Step::Settle => MoveCommand::Settle,
+                MigrationStep::Go => MoveCommand::Go,
+                MigrationStep::Done => MoveCommand::Done,
+                MigrationStep::Back => MoveCommand::Back,
+                MigrationStep::Settle => MoveCommand::Settle,
             };
-            step(files, tenant, turn, *write)
+            apply_step(files, tenant, step, *write)
         }
         Command::Plan { files, plan } => {
             let (settings, cells, _) = load(files)?;
@@ -134,9 +134,9 @@
     let mut table = Table::new();
     table.set_header(["cell", "weight", "readers", "writers", "fallback", "tenants"]);
     for cell in &file.cells {
-        let lives = |t: &&pintally::interface::Tenant| file.home(&t.name).contains(&cell.name);
+        let is_home = |t: &&pintally::interface::Tenant| file.home(&t.name).contains(&cell.name);
         let tenants: Vec<&str> =
-            settings.core.tenants.iter().filter(lives).map(|t| t.name.as_str()).collect();
+            settings.core.tenants.iter().filter(is_home).map(|t| t.name.as_str()).collect();
         table.add_row([
             cell.name.to_string(),
             cell.weight.to_string(),
@@ -147,32 +147,32 @@
         ]);
     }
     println!("{table}");
-    for m in &file.moves {
-        let share = m.moved_share(unix_ms()) * 100.0;
-        let (from, to) = (names(&file.home(&m.tenant)), names(&m.to));
+    for migration in &file.moves {
+        let share = migration.moved_share(unix_ms()) * 100.0;
+        let (from, to) = (names(&file.home(&migration.tenant)), names(&migration.to));
         println!(
-            "{} moves from {from} to {to}: {:?}, {share:.0}% of its sessions are over",
-            m.tenant, m.phase
+            "{} moves from {from} to {to}: {:?}, {share:.0}% of its sessions have moved",
+            migration.tenant, migration.phase
         );
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn step(files: &Files, tenant: &str, turn: MoveCommand, write: bool) -> Result<ExitCode, Failure> {
+fn apply_step(files: &Files, tenant: &str, step: MoveCommand, write: bool) -> Result<ExitCode, Failure> {
     let (settings, file, path) = load(files)?;
     if !settings.core.tenants.iter().any(|t| t.name == tenant) {
         return Err(Failure::usage(format!("no tenant is named `{tenant}` in the settings")));
     }
-    let next = file.apply_move_command(tenant, turn, unix_ms()).map_err(Failure::failed)?.render();
-    // What is written must be what a node takes.
+    let next = file.apply_move_command(tenant, step, unix_ms()).map_err(Failure::failed)?.render();
+    // The written file must be one that nodes accept.
     CellsFile::parse(&path, &next, &settings.core).map_err(Failure::failed)?;
     if !write {
         print!("{next}");
         return Ok(ExitCode::SUCCESS);
     }
-    let mut fresh = Path::new(&path).as_os_str().to_owned();
-    fresh.push(".new");
-    let written = std::fs::write(&fresh, &next).and_then(|()| std::fs::rename(&fresh, &path));
+    let mut new_path = Path::new(&path).as_os_str().to_owned();
+    new_path.push(".new");
+    let written = std::fs::write(&new_path, &next).and_then(|()| std::fs::rename(&new_path, &path));
     written.map_err(|e| Failure::failed(format!("{path}: {e}")))?;
     println!("{path}: version {}", file.version + 1);
     Ok(ExitCode::SUCCESS)
@@ -181,11 +181,11 @@
 fn status(nodes: &[SocketAddr]) -> Result<ExitCode, Failure> {
     let mut table = Table::new();
     table.set_header(["node", "cell", "level", "share of engines", "borrowed", ""]);
-    let mut silent = 0;
+    let mut unreachable = 0;
     for node in nodes {
         let Some(counters) = fetch(*node, "/pintally/counters") else {
-            silent += 1;
-            table.add_row([node.to_string(), "no answer".to_string()]);
+            unreachable += 1;
+            table.add_row([node.to_string(), "no response".to_string()]);
             continue;
         };
         for cell in counters["cells"].as_array().into_iter().flatten() {
@@ -203,13 +203,13 @@
                     .join(", "),
             ]);
         }
-        for one in counters["moves"].as_array().into_iter().flatten() {
-            let tenant = one["tenant"].as_str().unwrap_or("");
-            let over = one["share"].as_f64().unwrap_or(0.0) * 100.0;
-            let held = if one["held"] == true { ", held back" } else { "" };
-            table.add_row([node.to_string(), format!("tenant {tenant}: {over:.0}% over{held}")]);
+        for migration in counters["moves"].as_array().into_iter().flatten() {
+            let tenant = migration["tenant"].as_str().unwrap_or("");
+            let moved_percent = migration["share"].as_f64().unwrap_or(0.0) * 100.0;
+            let held = if migration["held"] == true { ", held back" } else { "" };
+            table.add_row([node.to_string(), format!("tenant {tenant}: {moved_percent:.0}% moved{held}")]);
         }
     }
     println!("{table}");
-    Ok(if silent == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if unreachable == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/pintally-cli/src/day.rs
+++ b/crates/pintally-cli/src/day.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use comfy_table::Table;
-use pintally_scenario::{from_bench, run_with as play, Scale, Scenario, ScenarioResult, ShapeStats};
+use pintally_scenario::{from_bench, run_with as run_scenario, Scale, Scenario, ScenarioResult, ShapeStats};
 
 use crate::audit::print_rules;
 use crate::{read, Failure};
@@ -18,9 +18,9 @@
 
 #[derive(clap::Subcommand)]
 enum Command {
-    /// Play a day: nodes, engines, clients and faults on loopback, audited at the end.
+    /// Run a day with nodes, engines, clients and faults on loopback, and audit its record.
     Run(RunArgs),
-    /// Turn a bench day into a day file, printed; what has no counterpart is listed.
+    /// Convert a bench day to a day file and print it; list the parts that have no counterpart.
     FromBench(FromBenchArgs),
 }
 
@@ -28,13 +28,13 @@
 struct FromBenchArgs {
     /// The bench day, as JSON.
     file: String,
-    /// Scale of engines, nodes and requests a second.
+    /// Scale of the numbers of engines, nodes and requests per second.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
-    /// Scale of tokens, in prompts, answers and memory.
+    /// Scale of the numbers of tokens in prompts, answers and memory.
     #[arg(long, default_value_t = 1.0)]
     token_scale: f64,
-    /// Scale of time, for the day's length and its troubles'.
+    /// Scale of the length of the day and of the times of its faults.
     #[arg(long, default_value_t = 1.0)]
     time_scale: f64,
 }
@@ -43,16 +43,16 @@
 struct RunArgs {
     /// The day's file.
     file: String,
-    /// Another seed than the file's.
+    /// The seed; the file's seed by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// Play so many seeds, one after the other, from the first one on.
+    /// The number of consecutive seeds to run, starting with the first.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Write the record here, for `pintally audit`.
+    /// Write the record to this file, for `pintally audit`.
     #[arg(long)]
     record: Option<String>,
-    /// Print one line of JSON.
+    /// Print one line of JSON for each seed.
     #[arg(long)]
     json: bool,
 }
@@ -66,13 +66,13 @@
 
 fn run_day(args: &RunArgs) -> Result<ExitCode, Failure> {
     let day = Scenario::parse(&args.file, &read(&args.file)?).map_err(Failure::usage)?;
-    let first = args.seed.unwrap_or(day.seed);
-    let mut kept = true;
-    // Nodes that are processes run this very program.
+    let first_seed = args.seed.unwrap_or(day.seed);
+    let mut all_kept = true;
+    // Nodes that run as processes are started from this executable.
     let exe = std::env::current_exe().map_err(Failure::failed)?;
-    for seed in first..first + args.seeds {
-        let result = play(&day, seed, &exe).map_err(Failure::failed)?;
-        kept &= result.kept();
+    for seed in first_seed..first_seed + args.seeds {
+        let result = run_scenario(&day, seed, &exe).map_err(Failure::failed)?;
+        all_kept &= result.kept();
         if let Some(path) = &args.record {
             write_record(path, &result).map_err(|e| Failure::failed(format!("{path}: {e}")))?;
         }
@@ -82,7 +82,7 @@
             print(&result);
         }
     }
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if all_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn convert(args: &FromBenchArgs) -> Result<ExitCode, Failure> {
--- a/crates/pintally-cli/src/fleet/limits.rs
+++ b/crates/pintally-cli/src/fleet/limits.rs
@@ -18,7 +18,7 @@
 
 #[derive(Subcommand)]
 enum LimitsCommand {
-    /// How each limit stands at nodes, and which leases are granted.
+    /// Show the state of each limit at nodes and the granted leases.
     Show {
         /// Where nodes listen for clients.
         #[arg(required = true)]
@@ -27,14 +27,14 @@
         #[arg(long)]
         json: bool,
     },
-    /// Make a limit another one, for the whole fleet.
+    /// Change a limit for the whole fleet.
     Set {
         /// The limit's name.
         name: String,
-        /// How much for the whole fleet.
+        /// The new value of the limit for the whole fleet.
         #[arg(value_name = "MOST")]
         limit: f64,
-        /// Where replicas listen for peers; the leader carries it out.
+        /// Where replicas listen for peers; the leader executes the command.
         #[arg(required = true, value_name = "KEEPERS")]
         replicas: Vec<SocketAddr>,
     },
@@ -43,9 +43,9 @@
 pub(crate) fn run(args: &Limits) -> Result<ExitCode, Failure> {
     match &args.command {
         LimitsCommand::Show { nodes, json } => {
-            let heads =
+            let header =
                 ["node", "limit", "kind", "whole", "has", "floor", "wants", "owes or runs", "age", "refused"];
-            show(nodes, "/pintally/limits", *json, &heads, limit_rows)
+            show(nodes, "/pintally/limits", *json, &header, limit_rows)
         }
         LimitsCommand::Set { name, limit, replicas } => {
             send_command(replicas, &json!({ "Limit": [name, limit] }))
@@ -54,28 +54,29 @@
 }
 
 fn limit_rows(node: SocketAddr, document: &Value) -> Vec<Vec<String>> {
-    let name = format!("{} ({node})", text(&document["node"]));
+    let node_name = format!("{} ({node})", text(&document["node"]));
     let mut rows: Vec<Vec<String>> = Vec::new();
-    for l in document["limits"].as_array().into_iter().flatten() {
-        let age = if l["age_ms"].is_null() { "never told".to_string() } else { seconds(&l["age_ms"]) };
+    for limit in document["limits"].as_array().into_iter().flatten() {
+        let age =
+            if limit["age_ms"].is_null() { "never told".to_string() } else { seconds(&limit["age_ms"]) };
         rows.push(vec![
-            name.clone(),
-            text(&l["name"]),
-            format!("{} {}", text(&l["bound"]), text(&l["counts"])),
-            number(&l["most"]),
-            number(&l["has"]),
-            number(&l["floor"]),
-            number(&l["wants"]),
-            number(&l["in_use"]),
-            if l["leased"] == true { age } else { format!("{age}, lives on its floor") },
-            text(&l["refused"]),
+            node_name.clone(),
+            text(&limit["name"]),
+            format!("{} {}", text(&limit["bound"]), text(&limit["counts"])),
+            number(&limit["most"]),
+            number(&limit["has"]),
+            number(&limit["floor"]),
+            number(&limit["wants"]),
+            number(&limit["in_use"]),
+            if limit["leased"] == true { age } else { format!("{age}, lives on its floor") },
+            text(&limit["refused"]),
         ]);
     }
     for pool in document["lends"].as_array().into_iter().flatten() {
         let holders = pool["holders"].as_array().into_iter().flatten();
         let holders: Vec<String> = holders.map(|h| format!("{} {}", text(&h[0]), number(&h[1]))).collect();
         rows.push(vec![
-            name.clone(),
+            node_name.clone(),
             format!("lent of {}", number(&pool["most"])),
             number(&pool["lent"]),
             holders.join(", "),
--- a/crates/pintally-cli/src/fleet/mod.rs
+++ b/crates/pintally-cli/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Commands on what holds for the whole fleet: quotas, replicas, outlier detection, failover.
+//! Commands on fleet-wide state: quotas, replicas, outlier detection, failover.
 
 pub(crate) mod limits;
 mod operator;
--- a/crates/pintally-cli/src/fleet/outliers.rs
+++ b/crates/pintally-cli/src/fleet/outliers.rs
@@ -18,7 +18,7 @@
 
 #[derive(Subcommand)]
 enum OutliersCommand {
-    /// Which engines are reported or ejected, by whom, and how far the fault reaches.
+    /// Show reported and ejected engines, the nodes that report them, and the scope of the fault.
     Show {
         /// Where nodes listen for clients.
         #[arg(required = true)]
@@ -27,7 +27,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Clear an engine: earlier reports of it do not count any more.
+    /// Clear an engine: earlier reports of it are ignored.
     Clear {
         /// The engine's name.
         engine: String,
@@ -40,9 +40,9 @@
 pub(crate) fn run(args: &Outliers) -> Result<ExitCode, Failure> {
     match &args.command {
         OutliersCommand::Show { nodes, json } => {
-            let heads =
+            let header =
                 ["node", "engine", "what", "reaches", "who says so", "who not", "step", "held back", "for"];
-            show(nodes, "/pintally/verdicts", *json, &heads, engine_rows)
+            show(nodes, "/pintally/verdicts", *json, &header, engine_rows)
         }
         OutliersCommand::Clear { engine, nodes } => send_command(nodes, &json!({ "Clear": engine })),
     }
@@ -51,22 +51,22 @@
 fn engine_rows(node: SocketAddr, document: &Value) -> Vec<Vec<String>> {
     let names = |v: &Value| v.as_array().into_iter().flatten().map(text).collect::<Vec<_>>().join(", ");
     let mut rows: Vec<Vec<String>> = Vec::new();
-    for v in document["engines"].as_array().into_iter().flatten() {
-        let reach = match &v["reach"] {
+    for engine in document["engines"].as_array().into_iter().flatten() {
+        let scope = match &engine["reach"] {
             Value::Object(zone) => format!("zone {}", zone.values().map(text).collect::<String>()),
             Value::Null => String::new(),
             other => text(other).to_lowercase(),
         };
         rows.push(vec![
             node.to_string(),
-            text(&v["engine"]),
-            text(&v["fault"]),
-            reach,
-            names(&v["accusers"]),
-            names(&v["clear"]),
-            text(&v["step"]),
-            if v["held_back"] == true { "yes" } else { "no" }.into(),
-            seconds(&v["for_ms"]),
+            text(&engine["engine"]),
+            text(&engine["fault"]),
+            scope,
+            names(&engine["accusers"]),
+            names(&engine["clear"]),
+            text(&engine["step"]),
+            if engine["held_back"] == true { "yes" } else { "no" }.into(),
+            seconds(&engine["for_ms"]),
         ]);
     }
     let failing_everywhere = names(&document["unsound"]);
@@ -77,7 +77,7 @@
         rows.push(vec![node.to_string(), format!("zone {} cannot reach another zone", text(&cut[0]))]);
     }
     if rows.is_empty() {
-        rows.push(vec![node.to_string(), "nobody accuses an engine".into()]);
+        rows.push(vec![node.to_string(), "no engine is reported".into()]);
     }
     rows
 }
--- a/crates/pintally-cli/src/fleet/replicas.rs
+++ b/crates/pintally-cli/src/fleet/replicas.rs
@@ -18,7 +18,7 @@
 
 #[derive(Subcommand)]
 enum ReplicasCommand {
-    /// The state of each replica: who leads, who votes, who catches up and why.
+    /// Show the state of each replica: leader, voters, replicas that catch up and why.
     Status {
         /// Where nodes listen for clients.
         #[arg(required = true)]
@@ -27,12 +27,12 @@
         #[arg(long)]
         json: bool,
     },
-    /// Make these the replicas: one more, or one fewer, than there are.
+    /// Set the replicas of the store, with one added or one removed.
     Change {
-        /// Names of nodes, with commas between them.
+        /// Names of nodes, separated by commas.
         #[arg(long, value_delimiter = ',', required = true)]
         to: Vec<String>,
-        /// Where replicas listen for peers; the leader carries it out.
+        /// Where replicas listen for peers; the leader executes the command.
         #[arg(required = true, value_name = "KEEPERS")]
         replicas: Vec<SocketAddr>,
     },
@@ -41,9 +41,9 @@
 pub(crate) fn run(args: &Replicas) -> Result<ExitCode, Failure> {
     match &args.command {
         ReplicasCommand::Status { nodes, json } => {
-            let heads =
+            let header =
                 ["node", "keeper", "stands", "term", "leader", "agreed", "keepers", "lead lasts", "why"];
-            show(nodes, "/pintally/keepers", *json, &heads, replica_rows)
+            show(nodes, "/pintally/keepers", *json, &header, replica_rows)
         }
         ReplicasCommand::Change { to, replicas } => send_command(replicas, &json!({ "Keepers": to })),
     }
--- a/crates/pintally-cli/src/fleet/zones.rs
+++ b/crates/pintally-cli/src/fleet/zones.rs
@@ -18,7 +18,7 @@
 
 #[derive(Subcommand)]
 enum ZonesCommand {
-    /// What is known of each zone, how much of it is in use and why, and where its requests go.
+    /// Show the state of each zone, its share in use with the reason, and where its requests go.
     Status {
         /// Where nodes listen for clients.
         #[arg(required = true)]
@@ -29,9 +29,9 @@
     },
     /// Dry run: where requests would go without a zone. Nothing is changed.
     Plan(Zone),
-    /// Evacuate a zone, until it is released.
+    /// Evacuate a zone until it is released.
     Order(Zone),
-    /// Hold a zone as it is, whatever the planner wants.
+    /// Keep a zone in its present state, whatever the planner decides.
     Hold(Zone),
     /// Let the planner decide on a zone again.
     Release(Zone),
@@ -41,7 +41,7 @@
 struct Zone {
     /// The zone.
     zone: String,
-    /// Where replicas listen for peers; the leader carries it out.
+    /// Where replicas listen for peers; the leader executes the command.
     #[arg(required = true, value_name = "KEEPERS")]
     replicas: Vec<SocketAddr>,
 }
@@ -51,10 +51,10 @@
         |zone: &Zone, state: &str| send_command(&zone.replicas, &json!({ "Zone": [zone.zone, state] }));
     match &args.command {
         ZonesCommand::Status { nodes, json } => {
-            let heads = [
+            let header = [
                 "node", "zone", "known", "nodes", "in use", "room", "comes", "takes", "fails", "goes", "why",
             ];
-            show(nodes, "/pintally/regions", *json, &heads, zone_rows)
+            show(nodes, "/pintally/regions", *json, &header, zone_rows)
         }
         ZonesCommand::Plan(zone) => send_command(&zone.replicas, &json!({ "Rehearse": zone.zone })),
         ZonesCommand::Order(zone) => order(zone, "out"),
@@ -64,9 +64,9 @@
 }
 
 fn zone_rows(node: SocketAddr, document: &Value) -> Vec<Vec<String>> {
-    let goes = |row: &Value| -> String {
-        let part = |r: &Value| format!("{} {:.0}%", text(&r[0]), r[1].as_f64().unwrap_or(0.0) * 100.0);
-        row.as_array().into_iter().flatten().map(part).collect::<Vec<_>>().join(", ")
+    let destinations = |row: &Value| -> String {
+        let share = |r: &Value| format!("{} {:.0}%", text(&r[0]), r[1].as_f64().unwrap_or(0.0) * 100.0);
+        row.as_array().into_iter().flatten().map(share).collect::<Vec<_>>().join(", ")
     };
     let name = format!("{} ({node})", text(&document["node"]));
     if let Some(zones) = document["leads"]["zones"].as_array() {
@@ -81,7 +81,7 @@
                 number(&z["offered"]),
                 number(&z["takes"]),
                 format!("{:.0}%", z["failing"].as_f64().unwrap_or(0.0) * 100.0),
-                goes(&document["leads"]["goes"][n]),
+                destinations(&document["leads"]["goes"][n]),
                 text(&z["why"]),
             ]
         };
@@ -89,7 +89,7 @@
     }
     let plan = &document["plan"];
     if plan.is_null() {
-        return vec![vec![name, "no plan has been heard: it serves what is near".into()]];
+        return vec![vec![name, "no plan received: it prefers its own zone".into()]];
     }
     let names = document["names"].as_array().cloned().unwrap_or_default();
     let row = |(n, zone): (usize, &Value)| {
@@ -97,7 +97,7 @@
             vec![name.clone(), text(zone), format!("plan {} of term {}", plan["number"], plan["term"])];
         row.extend(["".to_string(), format!("{:.0}%", plan["open"][n].as_f64().unwrap_or(0.0) / 2.55)]);
         row.extend(["", "", "", ""].map(String::from));
-        row.push(goes(&plan["rows"][n]));
+        row.push(destinations(&plan["rows"][n]));
         row
     };
     names.iter().enumerate().map(row).collect()
--- a/crates/pintally-cli/src/lab.rs
+++ b/crates/pintally-cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `pintally lab`: days in virtual time, policies side by side.
+//! `pintally lab`: runs days in virtual time and compares policies.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,105 +9,105 @@
 use pintally_lab::{compare, is_supported, play, play_at_size, record, PolicyKind};
 use pintally_scenario::Scenario;
 
-use crate::measure::{print_moves, print_prices, MoveOf};
+use crate::measure::{print_moves, print_prices, MigrationArgs};
 use crate::{read, Failure};
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(clap::Subcommand)]
-enum What {
-    /// The module beside random, least-loaded and round-robin, paired by seed.
+enum Command {
+    /// Compare the router's policy with random, least-loaded and round-robin, paired by seed.
     Policies {
-        /// The day; faults that virtual time cannot play are named and left out.
+        /// The day; faults that virtual time does not support are reported and left out.
         day: String,
-        /// Times the day's rate.
+        /// Factors of the day's request rate.
         #[arg(long, value_delimiter = ',', default_values_t = [1.0])]
         loads: Vec<f64>,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 8)]
         seeds: u64,
-        /// One line of JSON for each policy and load.
+        /// Print one line of JSON for each policy and load.
         #[arg(long)]
         json: bool,
     },
-    /// What a tenant's move costs it and its neighbours, at its pace and with all sessions at once.
+    /// Measure the cost of a tenant's migration to itself and its neighbours, gradually and with all sessions at once.
     Moves {
         #[command(flatten)]
-        of: MoveOf,
-        /// Times the day's rate.
+        migration: MigrationArgs,
+        /// Factor of the day's request rate.
         #[arg(long, default_value_t = 1.0)]
         rate: f64,
-        /// Seeds, each played three ways.
+        /// Number of seeds, each run in three variants.
         #[arg(long, default_value_t = 100)]
         seeds: u64,
     },
-    /// The price of cells: one pool against so many cells, with and without lending.
+    /// Measure the cost of cells: one pool compared with each number of cells, with and without lending.
     Price {
-        /// A day with tenants and without cells; its own faults are left out.
+        /// A day with tenants and without cells; its faults are left out.
         day: String,
         /// Numbers of cells.
         #[arg(long, value_delimiter = ',', default_values_t = [2, 4, 8])]
         cells: Vec<usize>,
-        /// Times the day's rate.
+        /// Factor of the day's request rate.
         #[arg(long, default_value_t = 1.0)]
         rate: f64,
-        /// Seconds of each day, rather than the day's own.
+        /// Length of each run in seconds; the day's length by default.
         #[arg(long)]
         seconds: Option<f64>,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
-    /// A whole fleet's membership, replicas and quotas: what a node sends, how soon deaths are known, how far a
-    /// limit is used and never exceeded.
+    /// Simulate a fleet's membership, replicas and quotas: traffic of a node, time until a failure is detected,
+    /// use of a limit, which must never be exceeded.
     Fleet {
-        /// Nodes.
+        /// Numbers of nodes.
         #[arg(long, value_delimiter = ',', default_values_t = [47, 214, 300])]
         nodes: Vec<usize>,
-        /// Parts of datagrams that are lost.
+        /// Shares of datagrams that are lost.
         #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.05, 0.2])]
         loss: Vec<f64>,
-        /// Seconds of calm.
+        /// Seconds without faults.
         #[arg(long, default_value_t = 60)]
         calm: u64,
-        /// Nodes that die, one after the other.
+        /// Number of nodes that fail, one after the other.
         #[arg(long, default_value_t = 6)]
         deaths: usize,
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seeds of each.
+        /// Number of seeds for each combination.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
     },
-    /// How fast a day goes with so many engines and nodes.
+    /// Measure the speed of the simulation with a number of engines and nodes.
     Size {
         /// The day; its engines and its rate are scaled together.
         day: String,
-        /// Engines.
+        /// Number of engines.
         #[arg(long, default_value_t = 110)]
         engines: usize,
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, default_value_t = 47)]
         nodes: usize,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
 }
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
-    match &args.what {
-        What::Policies { day, loads, seeds, json } => {
+    match &args.command {
+        Command::Policies { day, loads, seeds, json } => {
             let day = load(day)?;
-            let found = compare(&day, loads, day.seed..day.seed + seeds).map_err(Failure::failed)?;
-            let broken = found.iter().any(|c| c.runs_with_violations > 0);
+            let results = compare(&day, loads, day.seed..day.seed + seeds).map_err(Failure::failed)?;
+            let broken = results.iter().any(|c| c.runs_with_violations > 0);
             if *json {
-                for c in &found {
+                for c in &results {
                     let line = serde_json::json!({
                         "policy": c.policy.name(), "load": c.load,
                         "in_time": [c.timely_share.least, c.timely_share.median, c.timely_share.most],
@@ -129,7 +129,7 @@
                 "runs with a broken rule",
                 "engines that fell over",
             ]);
-            for c in &found {
+            for c in &results {
                 table.add_row([
                     c.load.to_string(),
                     c.policy.name().to_string(),
@@ -141,7 +141,7 @@
                 ]);
             }
             println!("{table}");
-            for c in &found {
+            for c in &results {
                 if let Some(first) = &c.first_violation {
                     println!("{} at {}: {first}", c.policy.name(), c.load);
                 }
@@ -149,35 +149,44 @@
             println!("share of the worth asked that was served in time; emulated engines in virtual time");
             Ok(if broken { ExitCode::FAILURE } else { ExitCode::SUCCESS })
         }
-        What::Moves { of, rate, seeds } => {
-            let mut day = load(&of.day)?;
+        Command::Moves { migration, rate, seeds } => {
+            let mut day = load(&migration.day)?;
             day.traffic.per_second *= rate;
-            let own = |day: &Scenario, seed: u64| record(day, PolicyKind::Module, seed).map_err(MeasureError);
-            let (first, cores) =
+            let run_seed =
+                |day: &Scenario, seed: u64| record(day, PolicyKind::Module, seed).map_err(MeasureError);
+            let (first_seed, cores) =
                 (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
-            let found = moves(&day, &of.tenant, &of.to, first..first + seeds, of.groups, (cores, &own))
-                .map_err(Failure::failed)?;
-            print_moves(&found);
-            Ok(if found.broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            let results = moves(
+                &day,
+                &migration.tenant,
+                &migration.to,
+                first_seed..first_seed + seeds,
+                migration.groups,
+                (cores, &run_seed),
+            )
+            .map_err(Failure::failed)?;
+            print_moves(&results);
+            Ok(if results.broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
-        What::Price { day, cells, rate, seconds, seeds } => {
+        Command::Price { day, cells, rate, seconds, seeds } => {
             let mut day = load(day)?;
             day.length = seconds.map_or(day.length, Duration::from_secs_f64);
             day.traffic.per_second *= rate;
-            let own = |day: &Scenario, seed: u64| {
+            let run_seed = |day: &Scenario, seed: u64| {
                 let played = play(day, PolicyKind::Module, seed).map_err(MeasureError)?;
                 Ok((played.timely_share, played.violations.is_empty()))
             };
-            let (first, cores) =
+            let (first_seed, cores) =
                 (day.seed, std::thread::available_parallelism().map_or(1, std::num::NonZero::get));
-            let found = price(&day, cells, first..first + seeds, cores, &own).map_err(Failure::failed)?;
-            print_prices(&found);
-            Ok(if found.iter().all(|p| p.kept) { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            let results = price(&day, cells, first_seed..first_seed + seeds, cores, &run_seed)
+                .map_err(Failure::failed)?;
+            print_prices(&results);
+            Ok(if results.iter().all(|p| p.kept) { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
-        What::Fleet { nodes, loss, calm, deaths, seed, seeds } => {
+        Command::Fleet { nodes, loss, calm, deaths, seed, seeds } => {
             for (nodes, loss) in nodes.iter().flat_map(|n| loss.iter().map(move |l| (*n, *l))) {
                 if nodes < 4 || !(0.0..=0.9).contains(&loss) {
-                    return Err(Failure::usage("a fleet has four nodes at least, and loses at most 0.9"));
+                    return Err(Failure::usage("--nodes must be at least 4 and --loss between 0 and 0.9"));
                 }
                 for seed in *seed..seed + seeds {
                     let (calm, deaths) = (*calm, *deaths);
@@ -188,11 +197,11 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        What::Size { day, engines, nodes, seeds } => {
+        Command::Size { day, engines, nodes, seeds } => {
             let day = load(day)?;
             let s = play_at_size(&day, *engines, *nodes, *seeds).map_err(Failure::failed)?;
             println!(
-                "{} engines, {} nodes, {:.0} requests/s: {} seconds of the day in one of the wall's, on one core; \
+                "{} engines, {} nodes, {:.0} requests/s: {} simulated seconds per wall-clock second on one core; \
                  served in time {}; runs with a broken rule: {}",
                 s.engines, s.nodes, s.per_second, s.speed, s.timely_share, s.runs_with_violations
             );
@@ -204,14 +213,14 @@
     }
 }
 
-/// A day, naming what it cannot play in virtual time.
+/// Loads a day and reports the faults that virtual time does not support.
 fn load(path: &str) -> Result<Scenario, Failure> {
     let day = Scenario::parse(path, &read(path)?).map_err(Failure::usage)?;
-    let mut left: Vec<String> =
+    let mut unsupported: Vec<String> =
         day.faults.iter().filter(|f| !is_supported(f.kind)).map(|f| format!("{:?}", f.kind)).collect();
-    left.dedup();
-    if !left.is_empty() {
-        eprintln!("not played in virtual time: {}", left.join(", "));
+    unsupported.dedup();
+    if !unsupported.is_empty() {
+        eprintln!("not played in virtual time: {}", unsupported.join(", "));
     }
     Ok(day)
 }
--- a/crates/pintally-cli/src/main.rs
+++ b/crates/pintally-cli/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line: `pintally` and its subcommands.
 //!
-//! Exit codes: 0 all well, 1 a rule broken or a check failed, 2 bad usage or settings.
+//! Exit codes: 0 for success, 1 for a broken rule or a failed check, 2 for invalid usage or settings.
 
 mod audit;
 mod cells;
@@ -26,10 +26,10 @@
 #[derive(Parser)]
 #[command(name = "pintally", version, about, arg_required_else_help = true)]
 struct Cli {
-    /// How log lines are written, to standard error.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Plain)]
-    log: LogForm,
-    /// What is logged: error, warn, info, debug, or a filter such as `pintally_kserve_node=debug`.
+    /// Format of the log lines, which go to standard error.
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Plain)]
+    log: LogFormat,
+    /// The log level (error, warn, info, debug) or a filter such as `pintally_kserve_node=debug`.
     #[arg(long, global = true, default_value = "warn")]
     log_level: String,
     #[command(subcommand)]
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Plain,
     Json,
 }
@@ -48,11 +48,11 @@
     Serve(serve::Args),
     /// Run one node on the operators' platform until a signal stops it.
     Platform(platform::Args),
-    /// Load settings, a list of engines or a day, and say what is wrong and why.
+    /// Validate a file of settings, a list of engines or a day, and report the first error.
     Check(check::Args),
-    /// Cells: who belongs where, migrations step by step, the state of each cell.
+    /// Cells: the tenants of each cell, migrations step by step, the state of each cell.
     Cells(cells::Args),
-    /// Membership: which nodes of the fleet know of each other.
+    /// Membership: the state of each node's peers.
     Peers(status::Args),
     /// Recovery: the stage of each node after a start.
     Recovery(status::Args),
@@ -64,37 +64,37 @@
     Verdicts(fleet::outliers::Outliers),
     /// The replicas of the fleet's key-value store: show and change them.
     Keepers(fleet::replicas::Replicas),
-    /// Scripted days on loopback.
+    /// Run scripted days on loopback.
     Day(day::Args),
-    /// Run mock engines on loopback and write their list.
+    /// Run mock engines on loopback and write the list of engines.
     Standin(mock_engines::Args),
-    /// Play days in virtual time: policies side by side, large fleets.
+    /// Run days in virtual time: comparisons of policies, large fleets.
     Lab(lab::Args),
-    /// Seeded days of failures that overlap, in virtual time, checked after every step.
+    /// Run seeded days with overlapping failures in virtual time, checking the rules after every step.
     Sim(sim::Args),
-    /// Dozens of real processes on loopback under faults that overlap, judged by invariants.
+    /// Run dozens of real processes on loopback under overlapping faults and check invariants.
     Soak(soak::Args),
-    /// Measure a node beside its baseline, against simulated engines.
+    /// Measure a node against a baseline, with simulated engines.
     Measure(measure::Args),
-    /// Check the five rules over a record.
+    /// Check the five rules against a record.
     Audit(audit::Args),
 }
 
-/// Why a command ends early, and with which exit code.
+/// An error that ends a command, with its exit code.
 struct Failure {
     code: u8,
-    what: String,
+    message: String,
 }
 
 impl Failure {
-    /// Bad usage or settings.
-    fn usage(what: impl ToString) -> Failure {
-        Failure { code: 2, what: what.to_string() }
+    /// Invalid usage or settings.
+    fn usage(message: impl ToString) -> Failure {
+        Failure { code: 2, message: message.to_string() }
     }
 
-    /// Something that was tried did not work.
-    fn failed(what: impl ToString) -> Failure {
-        Failure { code: 1, what: what.to_string() }
+    /// An operation failed.
+    fn failed(message: impl ToString) -> Failure {
+        Failure { code: 1, message: message.to_string() }
     }
 }
 
@@ -104,7 +104,7 @@
         eprintln!("pintally: {e}");
         return ExitCode::from(2);
     }
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Serve(args) => serve::run(&args),
         Command::Platform(args) => platform::run(&args),
         Command::Check(args) => check::run(&args),
@@ -123,16 +123,16 @@
         Command::Measure(args) => measure::run(&args),
         Command::Audit(args) => audit::run(&args),
     };
-    match done {
+    match result {
         Ok(code) => code,
         Err(failure) => {
-            eprintln!("pintally: {}", failure.what);
+            eprintln!("pintally: {}", failure.message);
             ExitCode::from(failure.code)
         }
     }
 }
 
-/// The text of a file.
+/// Reads a file as text.
 fn read(path: &str) -> Result<String, Failure> {
     std::fs::read_to_string(path).map_err(|e| Failure::usage(format!("{path}: {e}")))
 }
--- a/crates/pintally-cli/src/measure/mod.rs
+++ b/crates/pintally-cli/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! `pintally measure`: figures of one node beside its baseline.
+//! `pintally measure`: measures one node against a baseline.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -25,125 +25,125 @@
 
 #[derive(clap::Subcommand)]
 enum Measurement {
-    /// Time to a first token that the node adds, against a client that talks to the engines itself.
+    /// Added time to first token, compared with a client that sends directly to the engines.
     Latency {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 1000.0)]
         rate: f64,
-        /// Pairs of blocks.
+        /// Number of pairs of blocks.
         #[arg(long, default_value_t = 5)]
         blocks: usize,
-        /// Seconds of a block.
+        /// Length of a block in seconds.
         #[arg(long, default_value_t = 4.0)]
         seconds: f64,
     },
     /// The largest rate at which the added p99 stays under 10 ms.
     Rate {
-        /// Rates to be tried, in rising order.
+        /// Rates to try, in ascending order.
         #[arg(long, value_delimiter = ',', default_values_t = [500.0, 1000.0, 1500.0, 2000.0, 3000.0, 4000.0])]
         rates: Vec<f64>,
-        /// Seconds of a block.
+        /// Length of a block in seconds.
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
     },
-    /// The deciding thread's share of time.
+    /// The share of time in which the decision thread is busy.
     Deciding {
-        /// Engines, a third of them readers.
+        /// Numbers of engines, a third of them readers.
         #[arg(long, value_delimiter = ',', default_values_t = [10, 110])]
         engines: Vec<usize>,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 500.0)]
         rate: f64,
     },
-    /// What one tenant's flood costs tenants of other cells, with cells and with one pool.
+    /// The cost of one tenant's flood to tenants of other cells, with cells and with one pool.
     Flood {
-        /// A day with cells; its own faults are left out.
+        /// A day with cells; its faults are left out.
         day: String,
-        /// Who floods.
+        /// The tenant that floods.
         #[arg(long)]
         tenant: String,
-        /// Times its usual share.
+        /// Factor of its usual share.
         #[arg(long, default_value_t = 10.0)]
         times: f64,
-        /// Seeds, each a pair of runs at the same time.
+        /// Number of seeds, each a pair of concurrent runs.
         #[arg(long, default_value_t = 6)]
         seeds: u64,
-        /// Seconds of each run.
+        /// Length of each run in seconds.
         #[arg(long, default_value_t = 12.0)]
         seconds: f64,
-        /// Nodes.
+        /// Numbers of nodes.
         #[arg(long, value_delimiter = ',', default_values_t = [1, 3])]
         nodes: Vec<usize>,
     },
-    /// What a tenant's migration costs it and its neighbours, at its rate and with all sessions at once.
+    /// The cost of a tenant's migration to itself and its neighbours, gradually and with all sessions at once.
     Moves {
         #[command(flatten)]
-        of: MoveOf,
-        /// Seeds, each played three ways at the same time.
+        migration: MigrationArgs,
+        /// Number of seeds, each run concurrently in three variants.
         #[arg(long, default_value_t = 25)]
         seeds: u64,
     },
-    /// The price of cells: one pool against so many cells, with and without lending.
+    /// The cost of cells: one pool compared with each number of cells, with and without lending.
     Price {
-        /// A day with tenants and without cells; its own faults are left out.
+        /// A day with tenants and without cells; its faults are left out.
         day: String,
         /// Numbers of cells.
         #[arg(long, value_delimiter = ',', default_values_t = [2, 4, 8])]
         cells: Vec<usize>,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 4)]
         seeds: u64,
     },
-    /// Plans of generated fleets: the model's against greedy ones.
+    /// Placements of generated fleets: the solver's compared with greedy ones.
     Plans {
-        /// Tenants.
+        /// Numbers of tenants.
         #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 1000])]
         tenants: Vec<usize>,
-        /// Fleets of each size.
+        /// Number of fleets of each size.
         #[arg(long, default_value_t = 5)]
         fleets: usize,
-        /// Hardly more engines than all cells need together, none spare.
+        /// Give the fleet hardly more engines than all cells need together, none spare.
         #[arg(long)]
         tight: bool,
-        /// Seconds that the solver may take for each.
+        /// Time limit of the solver for each fleet, in seconds.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
     },
-    /// What the emulator itself costs, in virtual time and without sockets.
+    /// The cost of the emulator itself, in virtual time and without sockets.
     Emulator {
-        /// Engines, a third of them readers.
+        /// Numbers of engines, a third of them readers.
         #[arg(long, value_delimiter = ',', default_values_t = [10, 110])]
         engines: Vec<usize>,
-        /// Requests a second for each engine.
+        /// Requests per second for each engine.
         #[arg(long, default_value_t = 4.0)]
         each: f64,
-        /// Virtual seconds.
+        /// Length of each run in virtual seconds.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Streams that a node holds open, and the memory of each.
+    /// The number of streams that a node keeps open and the memory of each.
     Streams {
-        /// Streams wanted.
+        /// Number of streams to open.
         #[arg(long, default_value_t = 10_000)]
         count: usize,
     },
 }
 
-/// A migration to be measured.
+/// The migration to measure.
 #[derive(clap::Args)]
-pub(crate) struct MoveOf {
-    /// A day with cells; its own faults are left out.
+pub(crate) struct MigrationArgs {
+    /// A day with cells; its faults are left out.
     pub(crate) day: String,
-    /// The tenant that is migrated,
+    /// The tenant that is migrated.
     #[arg(long)]
     pub(crate) tenant: String,
-    /// and the cell that receives it.
+    /// The cell that receives the tenant.
     #[arg(long)]
     pub(crate) to: String,
-    /// Groups of seeds for the spread.
+    /// Number of groups into which seeds are divided to compute the spread.
     #[arg(long, default_value_t = 5)]
     pub(crate) groups: usize,
 }
@@ -157,7 +157,7 @@
         Measurement::Flood { day, tenant, times, seeds, seconds, nodes } => {
             tenant_flood(day, tenant, *times, *seeds, *seconds, nodes)
         }
-        Measurement::Moves { of, seeds } => migration(of, *seeds),
+        Measurement::Moves { migration, seeds } => migration_cost(migration, *seeds),
         Measurement::Price { day, cells, seeds } => price_of_cells(day, cells, *seeds),
         Measurement::Plans { tenants, fleets, tight, seconds } => {
             placements(tenants, *fleets, *tight, *seconds)
@@ -185,26 +185,26 @@
     Scenario::parse(path, &read(path)?).map_err(Failure::usage)
 }
 
-/// Time to a first token that the node adds.
+/// Measures the time to first token that the node adds.
 fn added_latency_at(rate: f64, blocks: usize, seconds: f64) -> Result<Outcome, Failure> {
     let added = added_latency(rate, blocks, Duration::from_secs_f64(seconds)).map_err(Failure::failed)?;
     print_added(&[added]);
     Ok(Outcome::Measured)
 }
 
-/// The largest rate that is carried, with the steps on the way to it.
+/// Measures the largest rate that the node sustains, with the steps on the way to it.
 fn carried_rate(rates: &[f64], seconds: f64) -> Result<Outcome, Failure> {
     let limit = Duration::from_millis(10);
-    let found = saturation(rates, limit, Duration::from_secs_f64(seconds)).map_err(Failure::failed)?;
-    print_added(&found.steps);
-    match found.carried {
+    let result = saturation(rates, limit, Duration::from_secs_f64(seconds)).map_err(Failure::failed)?;
+    print_added(&result.steps);
+    match result.carried {
         Some(rate) => println!("carried: {rate} requests a second with an added p99 under 10 ms"),
         None => println!("carried: none of these rates"),
     }
     Ok(Outcome::Measured)
 }
 
-/// The share of time of the deciding thread.
+/// Measures the share of time in which the decision thread is busy.
 fn decision_time(engines: &[usize], rate: f64) -> Result<Outcome, Failure> {
     let mut table = Table::new();
     table.set_header(["engines", "requests/s", "share of time", "us for each request"]);
@@ -221,7 +221,7 @@
     Ok(Outcome::Measured)
 }
 
-/// What a flood of one tenant costs tenants of other cells.
+/// Measures the cost of one tenant's flood to tenants of other cells.
 fn tenant_flood(
     day: &str,
     tenant: &str,
@@ -237,16 +237,16 @@
         let mut day = base.clone();
         day.nodes = *node_count;
         day.length = Duration::from_secs_f64(seconds);
-        let first = day.seed;
-        for found in flood(&day, tenant, times, first..first + seeds).map_err(Failure::failed)? {
+        let first_seed = day.seed;
+        for result in flood(&day, tenant, times, first_seed..first_seed + seeds).map_err(Failure::failed)? {
             table.add_row([
                 node_count.to_string(),
-                found.name.to_string(),
-                found.quiet.to_string(),
-                found.flood.to_string(),
-                found.change.to_string(),
-                found.pairs.to_string(),
-                if found.kept { "kept".to_string() } else { "broken".to_string() },
+                result.name.to_string(),
+                result.quiet.to_string(),
+                result.flood.to_string(),
+                result.change.to_string(),
+                result.pairs.to_string(),
+                if result.kept { "kept".to_string() } else { "broken".to_string() },
             ]);
         }
     }
@@ -255,31 +255,39 @@
     Ok(Outcome::Measured)
 }
 
-/// What a migration costs; fails if a run broke a rule.
-fn migration(of: &MoveOf, seeds: u64) -> Result<Outcome, Failure> {
-    let day = parse_day(&of.day)?;
-    let first = day.seed;
-    // Two seeds at a time: six runs, which the machine carries without being late itself.
-    let found = moves(&day, &of.tenant, &of.to, first..first + seeds, of.groups, (2, &recorded))
-        .map_err(Failure::failed)?;
-    print_moves(&found);
-    if found.broken > 0 {
+/// Measures the cost of a migration; fails if a run broke a rule.
+fn migration_cost(migration: &MigrationArgs, seeds: u64) -> Result<Outcome, Failure> {
+    let day = parse_day(&migration.day)?;
+    let first_seed = day.seed;
+    // Two seeds at a time are six runs, which the machine can run without delaying them.
+    let result = moves(
+        &day,
+        &migration.tenant,
+        &migration.to,
+        first_seed..first_seed + seeds,
+        migration.groups,
+        (2, &recorded),
+    )
+    .map_err(Failure::failed)?;
+    print_moves(&result);
+    if result.broken > 0 {
         return Ok(Outcome::RuleBroken);
     }
     Ok(Outcome::Measured)
 }
 
-/// The price of cells.
+/// Measures the cost of cells.
 fn price_of_cells(day: &str, cells: &[usize], seeds: u64) -> Result<Outcome, Failure> {
     let day = parse_day(day)?;
-    let first = day.seed;
-    // Two at a time: more would overload the machine that carries node, engines and clients.
-    let found = price(&day, cells, first..first + seeds, 2, &over_sockets).map_err(Failure::failed)?;
-    print_prices(&found);
+    let first_seed = day.seed;
+    // Two at a time: more would overload the machine, which runs the node, the engines and the clients.
+    let result =
+        price(&day, cells, first_seed..first_seed + seeds, 2, &over_sockets).map_err(Failure::failed)?;
+    print_prices(&result);
     Ok(Outcome::Measured)
 }
 
-/// Placements of generated fleets, by the solver and by the greedy rule.
+/// Compares placements of generated fleets by the solver and by the greedy rule.
 fn placements(tenants: &[usize], fleets: usize, tight: bool, seconds: f64) -> Result<Outcome, Failure> {
     let mut table = Table::new();
     table.set_header([
@@ -313,7 +321,7 @@
     Ok(Outcome::Measured)
 }
 
-/// What the emulator itself costs.
+/// Measures the cost of the emulator itself.
 fn emulator_cost(engines: &[usize], each: f64, seconds: f64, seeds: u64) -> Result<Outcome, Failure> {
     let mut table = Table::new();
     table.set_header(["engines", "requests/s", "virtual s a second", "ns a token", "answered"]);
@@ -332,7 +340,7 @@
     Ok(Outcome::Measured)
 }
 
-/// Streams that a node holds open, and the memory of each.
+/// Measures how many streams a node keeps open and the memory of each.
 fn open_stream_memory(count: usize) -> Result<Outcome, Failure> {
     let program = std::env::current_exe().map_err(Failure::failed)?;
     let folder = tempfile::tempdir().map_err(Failure::failed)?;
--- a/crates/pintally-cli/src/measure/tables.rs
+++ b/crates/pintally-cli/src/measure/tables.rs
@@ -1,23 +1,23 @@
-//! Measurements as tables.
+//! Prints measurements as tables.
 
 use comfy_table::Table;
 use pintally_benchmarks::{Added, Moves, Price, Spread};
 
-/// Migrations as a table.
-pub(crate) fn print_moves(found: &Moves) {
+/// Prints the cost of migrations as a table.
+pub(crate) fn print_moves(result: &Moves) {
     let mut table = Table::new();
     table.set_header(["who", "when", "", "requests", "p50, ms", "p99, ms", "late or not served"]);
-    for p in &found.parts {
+    for p in &result.parts {
         let (p50, p99) = (p.p50_ms.to_string(), p.p99_ms.to_string());
         let (requests, late) = (p.requests.to_string(), p.late.to_string());
         table.add_row([p.who.into(), p.when.into(), p.how.to_string(), requests, p50, p99, late]);
     }
     println!("{table}");
-    println!("{} moves; runs in which a rule was broken: {}", found.moves, found.broken);
+    println!("{} moves; runs in which a rule was broken: {}", result.moves, result.broken);
     println!("first tokens; a request that was not served counts as endless; over groups of seeds");
 }
 
-/// The price of cells as a table.
+/// Prints the cost of cells as a table.
 pub(crate) fn print_prices(prices: &[Price]) {
     let mut table = Table::new();
     table.set_header(["", "served in time", "change against one pool, 95% interval", "rules"]);
@@ -29,7 +29,7 @@
     println!("share of the worth asked that was served in time; each against the pool of the same engines");
 }
 
-/// Added latency as a table: two rows for each step.
+/// Prints added latency as a table with two rows for each step.
 pub(super) fn print_added(steps: &[Added]) {
     let mut table = Table::new();
     table.set_header([
--- a/crates/pintally-cli/src/mock_engines.rs
+++ b/crates/pintally-cli/src/mock_engines.rs
@@ -1,4 +1,4 @@
-//! `pintally standin`: a day's engines by themselves, for a node that runs elsewhere on this machine.
+//! `pintally standin`: runs only the mock engines of a day, for a node in another process on this machine.
 
 use std::process::ExitCode;
 
@@ -10,9 +10,9 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// A day's file; its engines run, nothing else of it does.
+    /// The file of a day, of which only the engines are run.
     file: String,
-    /// Where the list of engines is written.
+    /// The file to which the list of engines is written.
     #[arg(long)]
     list: String,
 }
@@ -22,7 +22,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Failure::failed)?;
     let engines = Engines::start(&day).map_err(Failure::failed)?;
     engines.write_list(&args.list).map_err(|e| Failure::usage(format!("{}: {e}", args.list)))?;
-    eprintln!("pintally: {} stand-in engines run", engines.len());
+    eprintln!("pintally: {} mock engines are running", engines.len());
     signals.forever().next();
     engines.shut_down();
     Ok(ExitCode::SUCCESS)
--- a/crates/pintally-cli/src/plan.rs
+++ b/crates/pintally-cli/src/plan.rs
@@ -1,4 +1,4 @@
-//! `pintally cells plan`: engines to cells and tenants to cells, and the safe steps to get there.
+//! `pintally cells plan`: computes a placement of engines and tenants in cells and safe steps towards it.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -15,24 +15,25 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// The list of engines; the one that the settings name if not given.
+    /// The list of engines; by default the one that the settings name.
     #[arg(long)]
     engines: Option<String>,
-    /// What tenants demand and engines can do: `(demand ...)`.
+    /// The demand of tenants and the capacity of engines: `(demand ...)`.
     #[arg(long)]
     demand: String,
-    /// Seconds that the solver may take.
+    /// Time limit of the solver in seconds.
     #[arg(long, default_value_t = 30.0)]
     seconds: f64,
 }
 
-/// Figures of a `(demand ...)` file.
+/// Contents of a `(demand ...)` file.
 struct Demand {
     margin: f64,
     zone_share: f64,
     tenant_cost: f64,
-    /// Reading and writing of an engine of each kind.
+    /// Read and write capacity of an engine of each kind.
     kinds: BTreeMap<String, (f64, f64)>,
+    /// Read and write demand of each tenant.
     tenants: BTreeMap<String, (f64, f64)>,
 }
 
@@ -40,7 +41,7 @@
     fn parse(file: &str, text: &str, settings: &NodeSettings) -> Result<Demand, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only_form("demand")?;
-        let pair = |form: &pintally_config::form::Form| -> Result<(f64, f64), ConfigError> {
+        let reads_and_writes = |form: &pintally_config::form::Form| -> Result<(f64, f64), ConfigError> {
             Ok((form.number_or("reads", 0.0, 0.0, 1e12)?, form.number_or("writes", 0.0, 0.0, 1e12)?))
         };
         let (mut kinds, mut tenants) = (BTreeMap::new(), BTreeMap::new());
@@ -49,7 +50,7 @@
             if !settings.core.engine_kinds.iter().any(|k| k.name == kind) {
                 return Err(form.error(format!("no kind is named `{kind}` in the settings")));
             }
-            kinds.insert(kind, pair(&form)?);
+            kinds.insert(kind, reads_and_writes(&form)?);
             form.finish()?;
         }
         for form in root.forms_named("tenant")? {
@@ -57,7 +58,7 @@
             if !settings.core.tenants.iter().any(|t| t.name == tenant) {
                 return Err(form.error(format!("no tenant is named `{tenant}` in the settings")));
             }
-            tenants.insert(tenant, pair(&form)?);
+            tenants.insert(tenant, reads_and_writes(&form)?);
             form.finish()?;
         }
         for kind in &settings.core.engine_kinds {
@@ -77,8 +78,8 @@
     }
 }
 
-/// The problem that files pose, and what people should know of it.
-fn pose(file: &CellsFile, list: &EngineList, demand: &Demand) -> (Problem, Vec<String>) {
+/// Builds the placement problem from the files, with notes for the operator.
+fn build_problem(file: &CellsFile, list: &EngineList, demand: &Demand) -> (Problem, Vec<String>) {
     let cells: Vec<String> = file.cells.iter().map(|c| c.name.to_string()).collect();
     let index = |name: &str| cells.iter().position(|c| c == name);
     let mut notes = Vec::new();
@@ -89,7 +90,7 @@
     for engine in list.engines.iter().filter(|e| e.state == EndpointState::Serving) {
         let Some((reads, writes)) = demand.kinds.get(&engine.kind) else {
             notes.push(format!(
-                "engine {} is of the unknown kind `{}` and is left out",
+                "engine {} has the unknown kind `{}` and is left out",
                 engine.id.0, engine.kind
             ));
             continue;
@@ -112,10 +113,13 @@
     let mut tenants = Vec::new();
     for (name, (reads, writes)) in &demand.tenants {
         let home: Vec<usize> = file.home(name).iter().filter_map(|c| index(&c.0)).collect();
-        let chosen = file.tenants.iter().find(|t| t.tenant == *name).map(|t| &t.home);
-        let pinned = matches!(chosen, Some(HomeCells::Pinned(_))) || home.len() > 1;
+        let home_setting = file.tenants.iter().find(|t| t.tenant == *name).map(|t| &t.home);
+        let pinned = matches!(home_setting, Some(HomeCells::Pinned(_))) || home.len() > 1;
         if home.len() > 1 {
-            notes.push(format!("{name} spans {} cells: an even part of it stays in each", home.len()));
+            notes.push(format!(
+                "tenant {name} spans {} cells: an equal part of its demand stays in each",
+                home.len()
+            ));
         }
         let parts = home.len().max(1) as f64;
         for now in home {
@@ -143,29 +147,30 @@
     let path = args.engines.clone().unwrap_or_else(|| settings.engines_file.clone());
     let list = EngineList::parse(&path, &read(&path)?).map_err(Failure::usage)?;
     let demand = Demand::parse(&args.demand, &read(&args.demand)?, settings).map_err(Failure::usage)?;
-    let (problem, notes) = pose(file, &list, &demand);
+    let (problem, notes) = build_problem(file, &list, &demand);
     notes.iter().for_each(|note| eprintln!("pintally: {note}"));
-    let began = Instant::now();
+    let start = Instant::now();
     let plan = match solve(&problem, args.seconds) {
         Ok(plan) => plan,
-        Err(SolveError::Infeasible(found)) => {
-            println!("there is no plan; what binds:");
-            found.iter().for_each(|b| println!("  {}", b.describe(&problem)));
+        Err(SolveError::Infeasible(binding)) => {
+            println!("there is no plan; binding constraints:");
+            binding.iter().for_each(|b| println!("  {}", b.describe(&problem)));
             return Ok(ExitCode::FAILURE);
         }
         Err(error) => return Err(Failure::failed(error)),
     };
-    let took = began.elapsed();
+    let solve_time = start.elapsed();
     print(&problem, &plan);
-    let thumb = greedy(&problem);
-    let beside = match problem.shortfalls(&thumb).len() {
-        0 => format!("a greedy plan costs {}", problem.cost(&thumb)),
+    let greedy_plan = greedy(&problem);
+    let comparison = match problem.shortfalls(&greedy_plan).len() {
+        0 => format!("a greedy plan costs {}", problem.cost(&greedy_plan)),
         n => format!("a greedy plan leaves {n} constraints unmet"),
     };
-    println!("cost {} in {:.2} s; {beside}", problem.cost(&plan), took.as_secs_f64());
+    println!("cost {} in {:.2} s; {comparison}", problem.cost(&plan), solve_time.as_secs_f64());
     match steps(&problem, &plan) {
-        Ok(way) => {
-            way.iter()
+        Ok(safe_steps) => {
+            safe_steps
+                .iter()
                 .enumerate()
                 .for_each(|(n, step)| println!("{:>3}. {}", n + 1, describe(&problem, step)));
             Ok(ExitCode::SUCCESS)
@@ -184,7 +189,7 @@
 
 fn describe(problem: &Problem, step: &Step) -> String {
     let cell = |c: usize| format!("cell {}", problem.cells[c]);
-    let place = |c: Option<usize>| c.map_or("the spare ones".to_string(), cell);
+    let place = |c: Option<usize>| c.map_or("the spare engines".to_string(), cell);
     match step {
         Step::Engine { group, from, to } => {
             format!("one {} from {} to {}", problem.groups[*group].name, place(*from), place(*to))
--- a/crates/pintally-cli/src/serve.rs
+++ b/crates/pintally-cli/src/serve.rs
@@ -16,18 +16,18 @@
     /// The node's settings.
     #[arg(long)]
     config: String,
-    /// Seed of the router's random numbers and of request names; by the clock if not given.
+    /// Seed of the router's random numbers and request ids; taken from the clock by default.
     #[arg(long)]
     seed: Option<u64>,
 }
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
     let settings = NodeSettings::parse(&args.config, &read(&args.config)?).map_err(Failure::usage)?;
-    let clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let clock_ns = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(Failure::failed)?;
-    let node = Node::start(Arc::new(settings), args.seed.unwrap_or(clock)).map_err(Failure::failed)?;
+    let node = Node::start(Arc::new(settings), args.seed.unwrap_or(clock_ns)).map_err(Failure::failed)?;
     eprintln!("pintally: listening on {}", node.address());
-    // The first signal stops in good order, the second ends at once.
+    // The first signal starts a graceful shutdown, the second one exits immediately.
     signals.forever().next();
     std::thread::spawn(move || {
         signals.forever().next();
--- a/crates/pintally-cli/src/sim.rs
+++ b/crates/pintally-cli/src/sim.rs
@@ -1,4 +1,4 @@
-//! `pintally sim`: seeded days of failures that overlap, in virtual time.
+//! `pintally sim`: runs seeded days with overlapping failures in virtual time.
 
 use std::process::ExitCode;
 
@@ -10,55 +10,55 @@
 #[derive(clap::Args)]
 pub(crate) struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(clap::Subcommand)]
-enum What {
-    /// Plays the days of many seeds and names those that break a rule.
+enum Command {
+    /// Run the days of many seeds and print those that break a rule.
     Run {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// How many.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// Threads; as many as there are cores by default.
+        /// Number of threads; the number of cores by default.
         #[arg(long)]
         threads: Option<usize>,
-        /// Ends after so many that break a rule.
+        /// Stop after this many seeds that break a rule.
         #[arg(long, default_value_t = 10)]
         most: usize,
     },
-    /// Plays one seed's day again and says what happened.
+    /// Run the day of one seed again and print its trace.
     Replay {
         /// The seed.
         seed: u64,
-        /// Every step, not only those of the request at stake.
+        /// Print the trace even if no rule is broken.
         #[arg(long)]
         all: bool,
     },
-    /// Cuts the day of a seed that breaks a rule down, and writes it as one line of JSON.
+    /// Reduce the day of a seed that breaks a rule and print it as one line of JSON.
     Shrink {
         /// The seed.
         seed: u64,
     },
-    /// Plays a day that was written down.
+    /// Run a day from a file, as printed by `shrink`.
     Play {
-        /// Its file.
+        /// The file.
         day: String,
     },
-    /// How many seeds it takes to find each node that is broken on purpose.
+    /// Find for each deliberately broken node the first seed that detects it.
     Mutations {
-        /// Seeds at the most.
+        /// Maximum number of seeds.
         #[arg(long, default_value_t = 10_000)]
         seeds: u64,
     },
 }
 
 pub(crate) fn execute(args: &Args) -> Result<ExitCode, Failure> {
-    match &args.what {
-        What::Run { from, seeds, threads, most } => {
+    match &args.command {
+        Command::Run { from, seeds, threads, most } => {
             let cores = || std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
             let found = run(*from..from.saturating_add(*seeds), threads.unwrap_or_else(cores), None, *most);
             for (seed, broken) in &found.violations {
@@ -72,10 +72,10 @@
                 found.served,
                 found.violations.len()
             );
-            Ok(verdict(found.violations.is_empty()))
+            Ok(exit_code(found.violations.is_empty()))
         }
-        What::Replay { seed, all } => Ok(tell(&play(&Plan::from_seed(*seed), None), *all)),
-        What::Shrink { seed } => {
+        Command::Replay { seed, all } => Ok(print_run(&play(&Plan::from_seed(*seed), None), *all)),
+        Command::Shrink { seed } => {
             let plan = Plan::from_seed(*seed);
             let Some(broken) = play(&plan, None).violation else {
                 return Err(Failure::failed(format!("the day of seed {seed} breaks no rule")));
@@ -84,38 +84,38 @@
             println!("{}", serde_json::to_string(&small).map_err(Failure::failed)?);
             Ok(ExitCode::SUCCESS)
         }
-        What::Play { day } => {
+        Command::Play { day } => {
             let plan: Plan =
                 serde_json::from_str(&read(day)?).map_err(|e| Failure::usage(format!("{day}: {e}")))?;
             plan.check().map_err(|e| Failure::usage(format!("{day}: {e}")))?;
-            Ok(tell(&play(&plan, None), true))
+            Ok(print_run(&play(&plan, None), true))
         }
-        What::Mutations { seeds } => {
+        Command::Mutations { seeds } => {
             let mut table = Table::new();
             table.set_header(["broken node", "seed", "found by"]);
             let found = mutations(*seeds);
-            for (mutation, first) in &found {
+            for (mutation, found_by) in &found {
                 let (seed, broken) =
-                    first.as_ref().map_or((String::from("none"), String::new()), |(seed, b)| {
+                    found_by.as_ref().map_or((String::from("none"), String::new()), |(seed, b)| {
                         (seed.to_string(), b.to_string())
                     });
                 table.add_row([format!("{mutation:?}"), seed, broken]);
             }
             println!("{table}");
-            Ok(verdict(found.iter().all(|(_, first)| first.is_some())))
+            Ok(exit_code(found.iter().all(|(_, found_by)| found_by.is_some())))
         }
     }
 }
 
-fn verdict(kept: bool) -> ExitCode {
-    if kept {
+fn exit_code(success: bool) -> ExitCode {
+    if success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn tell(played: &RunReport, all: bool) -> ExitCode {
+fn print_run(played: &RunReport, all: bool) -> ExitCode {
     if all || played.violation.is_some() {
         played.trace.iter().for_each(|line| println!("{line}"));
     }
@@ -127,5 +127,5 @@
         Some(broken) => println!("broken: {broken}"),
         None => println!("all rules kept"),
     }
-    verdict(played.violation.is_none())
+    exit_code(played.violation.is_none())
 }
--- a/crates/pintally-cli/src/soak.rs
+++ b/crates/pintally-cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `pintally soak`: real processes on loopback under troubles that overlap, judged by invariants.
+//! `pintally soak`: runs real processes on loopback under overlapping faults and checks invariants.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 
 use crate::Failure;
 
-/// More processes than this are too many for one machine.
+/// Upper bounds of what one machine can run.
 const NODES_MAX: usize = 300;
 const ENGINES_MAX: usize = 64;
 const SECONDS_MAX: u64 = 3_600;
@@ -19,42 +19,42 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// How many seeds, one after another.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Processes of nodes.
+    /// Number of nodes, each a process.
     #[arg(long, default_value_t = 24)]
     nodes: usize,
-    /// Engines that read.
+    /// Number of readers.
     #[arg(long, default_value_t = 5)]
     readers: usize,
-    /// Engines that write.
+    /// Number of writers.
     #[arg(long, default_value_t = 7)]
     writers: usize,
-    /// For how long clients ask, in seconds.
+    /// How long clients send requests, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Of a thousand system calls on sockets so many fail for a moment, at every second node.
+    /// How many of 1000 system calls on sockets fail temporarily, at every second node.
     #[arg(long, default_value_t = 0)]
     faults: u32,
-    /// Keeps the nodes' logs of runs that broke an invariant in this folder, by seed.
+    /// Keep the nodes' logs of runs that broke an invariant in this folder, by seed.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// The program whose nodes are played; this one by default.
+    /// The executable of the nodes; this one by default.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Tells each trouble that was played.
+    /// Print each fault that was injected.
     #[arg(long)]
     troubles: bool,
 }
 
 pub(crate) fn run(args: &Args) -> Result<ExitCode, Failure> {
-    check(args)?;
+    check_args(args)?;
     let program = match &args.program {
         Some(program) => program.clone(),
         None => std::env::current_exe().map_err(Failure::failed)?,
     };
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     for seed in args.from..args.from.saturating_add(args.seeds) {
         let options = Options {
             program: program.clone(),
@@ -68,28 +68,31 @@
         };
         let report = soak(&options).map_err(|e| Failure::failed(format!("seed {seed}: {e}")))?;
         print_report(seed, &report, args.troubles);
-        broken += u64::from(!report.violations.is_empty());
+        failed_seeds += u64::from(!report.violations.is_empty());
         if let Some(folder) = options.logs.filter(|_| report.violations.is_empty()) {
             let _ = std::fs::remove_dir_all(folder);
         }
     }
-    println!("{broken} of {} seeds broke an invariant", args.seeds);
-    Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    println!("{failed_seeds} of {} seeds broke an invariant", args.seeds);
+    Ok(if failed_seeds == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-fn check(args: &Args) -> Result<(), Failure> {
-    let within = |what: &str, value: u64, max: u64| match value {
-        0 => Err(Failure::usage(format!("{what} must be at least 1"))),
-        _ if value > max => Err(Failure::usage(format!("{what} is {value}, {max} at most"))),
+fn check_args(args: &Args) -> Result<(), Failure> {
+    let check_range = |flag: &str, value: u64, max: u64| match value {
+        0 => Err(Failure::usage(format!("{flag} must be at least 1"))),
+        _ if value > max => Err(Failure::usage(format!("{flag} is {value}, but must be at most {max}"))),
         _ => Ok(()),
     };
-    within("--nodes", args.nodes as u64, NODES_MAX as u64)?;
-    within("--readers", args.readers as u64, ENGINES_MAX as u64)?;
-    within("--writers", args.writers as u64, ENGINES_MAX as u64)?;
-    within("--seconds", args.seconds, SECONDS_MAX)?;
-    within("--seeds", args.seeds, u64::MAX)?;
+    check_range("--nodes", args.nodes as u64, NODES_MAX as u64)?;
+    check_range("--readers", args.readers as u64, ENGINES_MAX as u64)?;
+    check_range("--writers", args.writers as u64, ENGINES_MAX as u64)?;
+    check_range("--seconds", args.seconds, SECONDS_MAX)?;
+    check_range("--seeds", args.seeds, u64::MAX)?;
     if args.faults > 500 {
-        return Err(Failure::usage(format!("--faults is {}, 500 of a thousand at most", args.faults)));
+        return Err(Failure::usage(format!(
+            "--faults is {}, but must be at most 500 (per 1000 calls)",
+            args.faults
+        )));
     }
     Ok(())
 }
@@ -106,7 +109,7 @@
         report.violations.len()
     );
     if troubles {
-        report.faults.iter().for_each(|trouble| println!("  {trouble}"));
+        report.faults.iter().for_each(|fault| println!("  {fault}"));
     }
     let mut kinds: BTreeMap<ViolationKind, usize> = BTreeMap::new();
     report.violations.iter().for_each(|violation| *kinds.entry(violation.kind).or_default() += 1);
--- a/crates/pintally-cli/src/status.rs
+++ b/crates/pintally-cli/src/status.rs
@@ -35,14 +35,14 @@
     Recovery,
 }
 
-/// The document that a node serves at a path, if it does.
+/// Fetches a status document from a node; `None` if there is no valid response.
 pub(crate) fn fetch(node: SocketAddr, path: &str) -> Option<Value> {
     serde_json::from_slice(&pintally_scenario::http_get(node, path)?).ok()
 }
 
-pub(crate) fn run(args: &Args, which: StatusDocument) -> Result<ExitCode, Failure> {
+pub(crate) fn run(args: &Args, document: StatusDocument) -> Result<ExitCode, Failure> {
     let Command::Status { nodes, json } = &args.command;
-    let (path, heads): (_, &[&str]) = match which {
+    let (path, header): (_, &[&str]) = match document {
         StatusDocument::Peers => {
             ("/pintally/peers", &["node", "peer", "zone", "stands", "boot", "for", "doubt"])
         }
@@ -51,11 +51,11 @@
             &["node", "stage", "for", "waits for", "here", "engines", "lets in", "lacks"],
         ),
     };
-    let rows: fn(SocketAddr, &Value) -> Vec<Vec<String>> = match which {
+    let rows: fn(SocketAddr, &Value) -> Vec<Vec<String>> = match document {
         StatusDocument::Peers => peers,
         StatusDocument::Recovery => recovery,
     };
-    show(nodes, path, *json, heads, rows)
+    show(nodes, path, *json, header, rows)
 }
 
 /// Queries all nodes and prints their documents; fails if one does not answer.
@@ -63,12 +63,12 @@
     nodes: &[SocketAddr],
     path: &str,
     json: bool,
-    heads: &[&str],
+    header: &[&str],
     rows: fn(SocketAddr, &Value) -> Vec<Vec<String>>,
 ) -> Result<ExitCode, Failure> {
     let mut table = Table::new();
-    table.set_header(heads.to_vec());
-    let mut unanswered = false;
+    table.set_header(header.to_vec());
+    let mut unreachable = false;
     for node in nodes {
         match fetch(*node, path) {
             Some(document) if json => {
@@ -78,18 +78,18 @@
                 table.add_row(row);
             }),
             None => {
-                unanswered = true;
-                table.add_row([node.to_string(), "no answer, or none of this in its settings".into()]);
+                unreachable = true;
+                table.add_row([node.to_string(), "no response, or not enabled in its settings".into()]);
             }
         }
     }
     if !json {
         println!("{table}");
     }
-    Ok(if unanswered { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    Ok(if unreachable { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// A value as people read it; nothing where there is none.
+/// A value as table text; empty if it is null.
 pub(crate) fn text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -98,23 +98,24 @@
     }
 }
 
-/// A number with two digits behind the point; nothing where there is none.
+/// A number with two decimal places; empty if the value is not a number.
 pub(crate) fn number(value: &Value) -> String {
     value.as_f64().map_or_else(String::new, |n| format!("{:.2}", n + 0.0))
 }
 
-/// Milliseconds as seconds.
+/// Formats milliseconds as seconds.
 pub(crate) fn seconds(value: &Value) -> String {
     format!("{:.1} s", value.as_f64().unwrap_or(0.0) / 1e3)
 }
 
 fn peers(_: SocketAddr, document: &Value) -> Vec<Vec<String>> {
-    let own = if document["stepped_back"] == true { "stepped back: its name is taken" } else { "itself" };
+    let own_state =
+        if document["stepped_back"] == true { "stepped back: its name is taken" } else { "itself" };
     let mut rows = vec![vec![
         text(&document["name"]),
         String::new(),
         String::new(),
-        own.to_string(),
+        own_state.to_string(),
         text(&document["boot"]),
         String::new(),
         text(&document["doubt"]),
