--- a/crates/pintally-cli/tests/fleet/golden.rs
+++ b/crates/pintally-cli/tests/fleet/golden.rs
@@ -6,9 +6,9 @@
 use pintally_scenario::http_get;
 use serde_json::Value;
 
-use crate::by_hand::{until, Nodes};
+use crate::node_processes::{wait_until, NodeProcesses};
 
-const MORE: &str = r#"(keepers (names "n0" "n1" "n2") (beat-ms 60) (election-ms 400) (doubt-ms 1500))
+const FLEET_FORMS: &str = r#"(keepers (names "n0" "n1" "n2") (beat-ms 60) (election-ms 400) (doubt-ms 1500))
   (shared-limits (lease-ms 2000) (every-ms 200) (reserve 0.2) (burst-ms 500)
     (limit "a" (tenant "a") (counts requests) (most 12)))
   (verdicts (memory-ms 4000) (rest-ms 800) (rest-most-ms 6000) (step-ms 500))
@@ -25,7 +25,7 @@
     "/pintally/verdicts",
 ];
 
-/// The names of a document's fields in the order of their bytes, each once.
+/// The field names of a document in order of first appearance.
 fn field_names(document: &str) -> Vec<&str> {
     let mut names = Vec::new();
     let parts: Vec<&str> = document.split('"').collect();
@@ -37,7 +37,7 @@
     names
 }
 
-/// The paths of all fields; elements of a list share one.
+/// The paths of all fields; the elements of a list share one path.
 fn field_paths(value: &Value, path: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => fields.iter().for_each(|(name, inner)| {
@@ -50,7 +50,7 @@
     }
 }
 
-fn is_leader(fleet: &Nodes, node: usize) -> bool {
+fn is_leader(fleet: &NodeProcesses, node: usize) -> bool {
     let regions = fleet.status_document(node, "/pintally/regions");
     let limits = fleet.status_document(node, "/pintally/limits");
     let holds = |list: &Value| list.as_array().is_some_and(|list| !list.is_empty());
@@ -63,13 +63,15 @@
 
 #[test]
 fn status_documents() {
-    let mut fleet = Nodes::with(3, MORE);
+    let mut fleet = NodeProcesses::with(3, FLEET_FORMS);
     fleet.start_all();
-    until("one leads, plans and lends", 20, || (0..3).any(|node| is_leader(&fleet, node)));
-    until("requests are served", 20, || {
+    wait_until("one node is leader with a plan and quotas", 20, || {
+        (0..3).any(|node| is_leader(&fleet, node))
+    });
+    wait_until("requests are served", 20, || {
         (0..3).all(|node| fleet.status_document(node, "/pintally/recovery")["stage"] == "Serving")
     });
-    let leader = (0..3).find(|node| is_leader(&fleet, *node)).expect("one leads");
+    let leader = (0..3).find(|node| is_leader(&fleet, *node)).expect("a leader");
     let mut got = String::new();
     for path in PATHS {
         let document = http_get(fleet.settings[leader].listen, path).expect("a document");
--- a/crates/pintally-cli/tests/fleet/main.rs
+++ b/crates/pintally-cli/tests/fleet/main.rs
@@ -1,25 +1,25 @@
-//! Several processes of the program, and what happens when parts of the fleet fail together: power
-//! losses, links between nodes that are cut or stall, processes that stand still, disks that lie. Each
-//! day is audited against the five rules over what crossed the sockets; its seed is printed.
+//! Fleets of several node processes in which parts fail together: power losses, links between nodes that are cut
+//! or stall, paused processes, disks that lose or corrupt data. Each day is audited against the five rules by the
+//! messages that crossed the sockets. The seed is printed.
 
-mod by_hand;
 mod golden;
-mod limits;
-mod regions;
-mod verdicts;
+mod node_processes;
+mod outlier_detection;
+mod quotas;
+mod zone_failover;
 
 use std::path::Path;
 
 use pintally_scenario::{run_with, RunSlots, Scenario, ScenarioResult};
 
-/// Days at once: each has a handful of processes and hundreds of clients.
-static TURNS: RunSlots = RunSlots::new(3);
+/// Limits the number of concurrent days: each has several processes and hundreds of clients.
+static RUN_SLOTS: RunSlots = RunSlots::new(3);
 
-/// A day of some nodes and nine engines; `more` adds disks and faults.
-fn text(seconds: u32, nodes: usize, seed: u64, more: &str) -> String {
-    // Two tenants, where a day names them, of which the first sends most.
+/// The file of a day with nine engines; `extra_forms` adds settings, disks and faults.
+fn day_text(seconds: u32, nodes: usize, seed: u64, extra_forms: &str) -> String {
+    // If the day defines tenants, there are two, of which the first sends most requests.
     let tenants = "(tenant \"a\" (share 70)) (tenant \"b\" (share 30))";
-    let of = if more.contains("(tenant \"b\")") { tenants } else { "" };
+    let tenant_forms = if extra_forms.contains("(tenant \"b\")") { tenants } else { "" };
     format!(
         r#"(day (name "fleet") (seed {seed}) (seconds {seconds}) (settle-seconds 15) (zones "a" "b") (racks 2)
   (nodes {nodes} (processes yes) (notice-ms 400) (front-ms 600))
@@ -37,19 +37,19 @@
   (kind "decode" (role writer) (slots 48) (memory-tokens 90000))
   (engines "prefill" (count 4) (queue 40) (read-per-s 15000) (link-per-s 300000))
   (engines "decode" (count 5) (queue 24) (token-gap-ms 10))
-  (traffic {of} (per-second 30) (retries 2) (retry-wait-ms 200) (heed 0.8) (streamed 0.8)
+  (traffic {tenant_forms} (per-second 30) (retries 2) (retry-wait-ms 200) (heed 0.8) (streamed 0.8)
     (shared-texts 6) (shared-tokens 200 600)
     (class "hint" (share 70) (turns 1 3) (adds 60 200) (answer 10 30) (shared 0.8))
     (class "mark" (share 30) (turns 1 2) (adds 60 200) (answer 10 30) (shared 0.7)))
-  {more})"#
+  {extra_forms})"#
     )
 }
 
-/// Plays a day with nodes as processes; rules must be kept and no cold engine may fall.
-fn play(name: &str, seconds: u32, nodes: usize, seed: u64, more: &str) -> ScenarioResult {
-    let _turn = TURNS.acquire();
-    let day = Scenario::parse(name, &text(seconds, nodes, seed, more)).expect("a sound day");
-    let result = run_with(&day, seed, Path::new(env!("CARGO_BIN_EXE_pintally"))).expect("the day is played");
+/// Runs a day with nodes as processes; no rule may be broken and no cold engine may fall over.
+fn run_day(name: &str, seconds: u32, nodes: usize, seed: u64, extra_forms: &str) -> ScenarioResult {
+    let _slot = RUN_SLOTS.acquire();
+    let day = Scenario::parse(name, &day_text(seconds, nodes, seed, extra_forms)).expect("a valid day");
+    let result = run_with(&day, seed, Path::new(env!("CARGO_BIN_EXE_pintally"))).expect("the day runs");
     let r = &result.report;
     println!(
         "{name}, seed {seed}: {} requests, {} served, {} refused, {} failed",
@@ -63,9 +63,9 @@
     result
 }
 
-/// Requests served in the last seconds of a day, as a share of those that were asked anew: each client's
-/// first try counts, and its later ones stand for it.
-fn served_at_the_end(result: &ScenarioResult, from_s: f64) -> f64 {
+/// The share of requests sent after `from_s` seconds that were served. A request and its retries count once, with
+/// the time of the first attempt.
+fn served_share_after(result: &ScenarioResult, from_s: f64) -> f64 {
     use pintally_audit::{Answer, AuditEvent};
     use std::collections::{BTreeMap, BTreeSet};
     let from = (from_s * 1e6) as u64;
@@ -96,41 +96,42 @@
 }
 
 #[test]
-fn the_power_fails_at_once_and_comes_back_in_pieces() {
+fn recovers_from_power_loss() {
     for seed in [1, 2] {
-        let result = play("power", 20, 5, seed, "(fault power (at 7) (for 4))");
-        let end = served_at_the_end(&result, 16.5);
+        let result = run_day("power", 20, 5, seed, "(fault power (at 7) (for 4))");
+        let end = served_share_after(&result, 16.5);
         assert!(end > 0.9, "seed {seed}: {end:.2} served at the end");
     }
 }
 
-/// More nodes than a relay for each pair of them allowed (64), cut into halves, a third killed at once, and
-/// packets lost and doubled all the while.
+/// More nodes than the former limit of 64, which came from one relay for each pair of nodes. The fleet is cut into
+/// halves, a third of it is killed at once, and packets are lost and duplicated during both.
 #[test]
-fn seventy_two_processes_fail_together() {
-    let troubles = "(fault peer-cut (at 3) (for 3)) (fault node-kill (at 5) (for 3) (part 0.33)) (fault peer-loss (at 4) (for 6))";
-    let result = play("seventy-two", 14, 72, 21, troubles);
-    let end = served_at_the_end(&result, 11.0);
+fn recovers_with_72_processes_under_combined_faults() {
+    let faults = "(fault peer-cut (at 3) (for 3)) (fault node-kill (at 5) (for 3) (part 0.33)) (fault peer-loss (at 4) (for 6))";
+    let result = run_day("seventy-two", 14, 72, 21, faults);
+    let end = served_share_after(&result, 11.0);
     assert!(end > 0.85, "{end:.2} served at the end");
 }
 
 #[test]
-fn a_second_loss_in_the_middle_of_the_recovery() {
-    let result = play("second-loss", 22, 4, 3, "(fault power (at 6) (for 3)) (fault power (at 10) (for 3))");
-    let end = served_at_the_end(&result, 19.0);
+fn recovers_from_second_power_loss_during_recovery() {
+    let result =
+        run_day("second-loss", 22, 4, 3, "(fault power (at 6) (for 3)) (fault power (at 10) (for 3))");
+    let end = served_share_after(&result, 19.0);
     assert!(end > 0.9, "{end:.2} served at the end");
 }
 
 #[test]
-fn two_of_five_never_return() {
-    let result = play("never-return", 20, 5, 4, "(fault power (at 6) (for 3) (size 2))");
-    let end = served_at_the_end(&result, 16.0);
+fn recovers_without_two_of_five_nodes() {
+    let result = run_day("never-return", 20, 5, 4, "(fault power (at 6) (for 3) (size 2))");
+    let end = served_share_after(&result, 16.0);
     assert!(end > 0.85, "{end:.2} served at the end");
 }
 
 #[test]
-fn one_disk_of_each_lying_kind() {
-    let lies = [
+fn recovers_with_one_disk_of_each_fault_kind() {
+    let disk_faults = [
         "lost-syncs",
         "torn-write",
         "flipped-bit",
@@ -140,63 +141,65 @@
         "slow",
         "read-errors",
     ];
-    let disks: String = lies.iter().enumerate().map(|(n, lie)| format!("(disk {n} \"{lie}\") ")).collect();
-    let more = format!("{disks} (fault power (at 6) (for 3)) (fault power (at 14) (for 2))");
-    let result = play("lying-disks", 25, 8, 5, &more);
-    let end = served_at_the_end(&result, 22.0);
+    let disks: String =
+        disk_faults.iter().enumerate().map(|(n, fault)| format!("(disk {n} \"{fault}\") ")).collect();
+    let extra_forms = format!("{disks} (fault power (at 6) (for 3)) (fault power (at 14) (for 2))");
+    let result = run_day("lying-disks", 25, 8, 5, &extra_forms);
+    let end = served_share_after(&result, 22.0);
     assert!(end > 0.9, "{end:.2} served at the end");
 }
 
 #[test]
-fn all_disks_come_back_older() {
+fn recovers_with_older_disk_images() {
     let disks: String = (0..4).map(|n| format!("(disk {n} \"older-image\") ")).collect();
-    let more = format!("{disks} (fault power (at 5) (for 2)) (fault power (at 12) (for 2))");
-    let result = play("older-disks", 22, 4, 6, &more);
-    let end = served_at_the_end(&result, 19.5);
+    let extra_forms = format!("{disks} (fault power (at 5) (for 2)) (fault power (at 12) (for 2))");
+    let result = run_day("older-disks", 22, 4, 6, &extra_forms);
+    let end = served_share_after(&result, 19.5);
     assert!(end > 0.9, "{end:.2} served at the end");
 }
 
 #[test]
-fn peers_are_cut_into_halves_while_they_recover() {
-    let result = play("halves", 20, 5, 7, "(fault power (at 6) (for 3)) (fault peer-cut (at 6) (for 9))");
-    let end = served_at_the_end(&result, 17.0);
+fn recovers_while_peers_are_partitioned() {
+    let result = run_day("halves", 20, 5, 7, "(fault power (at 6) (for 3)) (fault peer-cut (at 6) (for 9))");
+    let end = served_share_after(&result, 17.0);
     assert!(end > 0.85, "{end:.2} served at the end");
 }
 
 #[test]
-fn links_fail_one_way_and_a_side_of_a_triangle_is_missing() {
-    play("one-way", 18, 4, 8, "(fault power (at 6) (for 3)) (fault peer-one-way (at 5) (for 9))");
-    play("triangle", 18, 3, 9, "(fault power (at 6) (for 3)) (fault peer-side (at 5) (for 9))");
+fn recovers_with_one_way_and_missing_links() {
+    run_day("one-way", 18, 4, 8, "(fault power (at 6) (for 3)) (fault peer-one-way (at 5) (for 9))");
+    run_day("triangle", 18, 3, 9, "(fault power (at 6) (for 3)) (fault peer-side (at 5) (for 9))");
 }
 
-/// Guards against word of ten seconds ago that is taken for news: deaths, lists, answers to questions.
+/// Guards against messages delayed by ten seconds that are taken for current: failures, lists, replies.
 #[test]
-fn links_stall_and_then_deliver_everything() {
-    let result = play("stalls", 24, 4, 10, "(fault power (at 5) (for 3)) (fault peer-stall (at 6) (for 10))");
-    let end = served_at_the_end(&result, 21.0);
+fn recovers_with_stalled_links() {
+    let result =
+        run_day("stalls", 24, 4, 10, "(fault power (at 5) (for 3)) (fault peer-stall (at 6) (for 10))");
+    let end = served_share_after(&result, 21.0);
     assert!(end > 0.9, "{end:.2} served at the end");
 }
 
 #[test]
-fn packets_are_lost_and_doubled_while_the_fleet_recovers() {
-    play("loss", 18, 5, 11, "(fault power (at 6) (for 3)) (fault peer-loss (at 0) (for 18) (size 0.2))");
+fn recovers_with_lost_and_duplicated_packets() {
+    run_day("loss", 18, 5, 11, "(fault power (at 6) (for 3)) (fault peer-loss (at 0) (for 18) (size 0.2))");
 }
 
-/// Half of the engines are other ones when the power is back, while every list file is still the old one:
-/// nodes that go by it meet dead addresses, and the new engines are cold without being listed so.
+/// Half of the engines are replaced during the power loss, while every list file is still the old one: nodes that
+/// use it find dead addresses, and the new engines are cold without being listed as cold.
 #[test]
-fn engines_are_replaced_while_the_power_is_off() {
-    let more = "(fault late-list (at 6) (for 6) (size 3000)) (fault power (at 6) (for 3))
+fn recovers_with_engines_replaced_during_power_loss() {
+    let extra_forms = "(fault late-list (at 6) (for 6) (size 3000)) (fault power (at 6) (for 3))
       (fault replace (at 6.2) (for 0.1) (part 0.5) (batch 9) (size 500))";
-    let result = play("replaced", 20, 4, 13, more);
-    let end = served_at_the_end(&result, 17.0);
+    let result = run_day("replaced", 20, 4, 13, extra_forms);
+    let end = served_share_after(&result, 17.0);
     assert!(end > 0.85, "{end:.2} served at the end");
 }
 
 #[test]
-fn eighty_nodes_worth_of_clients_return_within_a_second() {
+fn recovers_under_burst_of_returning_clients() {
     let result =
-        play("burst", 20, 4, 12, "(fault power (at 6) (for 3)) (fault burst (at 9) (for 1) (size 12))");
-    let end = served_at_the_end(&result, 17.0);
+        run_day("burst", 20, 4, 12, "(fault power (at 6) (for 3)) (fault burst (at 9) (for 1) (size 12))");
+    let end = served_share_after(&result, 17.0);
     assert!(end > 0.85, "{end:.2} served at the end");
 }
--- a/crates/pintally-cli/tests/fleet/node_processes.rs
+++ b/crates/pintally-cli/tests/fleet/node_processes.rs
@@ -1,5 +1,5 @@
-//! Processes started by hand: whom they know, what one of them knew alone, names that are taken twice,
-//! and how soon a node that lacks everything serves.
+//! Individually started node processes: detection of failed and returning peers, propagation of drains, duplicate
+//! node names, release of read states of a lost node, and start-up without store, peers or list of engines.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 
 pub const EXE: &str = env!("CARGO_BIN_EXE_pintally");
 
-/// Some nodes that know each other by their addresses.
-pub struct Nodes {
+/// Node processes that have each other's addresses as seeds.
+pub struct NodeProcesses {
     day: Scenario,
     pub settings: Vec<NodeSettings>,
     pub running: Vec<Option<Box<NodeProcess>>>,
@@ -31,46 +31,47 @@
     _ports: Vec<Port>,
 }
 
-impl Nodes {
-    fn new(nodes: usize) -> Nodes {
-        Nodes::with(nodes, "")
+impl NodeProcesses {
+    fn new(nodes: usize) -> NodeProcesses {
+        NodeProcesses::with(nodes, "")
     }
 
-    /// The same with more forms in the settings.
-    pub fn with(nodes: usize, more: &str) -> Nodes {
-        let text = crate::text(1, nodes, 1, &format!("(tenant \"a\") {more}"));
+    /// Nodes with additional forms in the settings.
+    pub fn with(nodes: usize, extra_forms: &str) -> NodeProcesses {
+        let text = crate::day_text(1, nodes, 1, &format!("(tenant \"a\") {extra_forms}"));
         let day = Scenario::parse("by-hand", &text).unwrap();
         let folder = tempfile::tempdir().unwrap();
         let ports: Vec<Port> = (0..2 * nodes).map(|_| Port::hold().unwrap()).collect();
-        // Links have addresses that nobody binds by chance: a node that was killed finds its own again.
-        let at = |n: usize| {
-            let mut at = ports[n].address().unwrap();
+        // Peer addresses use 127.0.2.x, which no other process binds by chance, so that a killed node can bind its
+        // address again.
+        let address = |n: usize| {
+            let mut address = ports[n].address().unwrap();
             if n >= nodes {
-                at.set_ip([127, 0, 2, (n - nodes) as u8 + 101].into());
+                address.set_ip([127, 0, 2, (n - nodes) as u8 + 101].into());
             }
-            at
+            address
         };
-        let seeds: Vec<SocketAddr> = (0..nodes).map(|n| at(nodes + n)).collect();
+        let seeds: Vec<SocketAddr> = (0..nodes).map(|n| address(nodes + n)).collect();
         let settings = (0..nodes).map(|n| {
             let mut s = day.node(n);
-            s.listen = at(n);
-            s.engines_file = file(folder.path(), n).to_string_lossy().into_owned();
+            s.listen = address(n);
+            s.engines_file = engine_list_path(folder.path(), n).to_string_lossy().into_owned();
             let peers = s.membership.as_mut().unwrap();
-            (peers.listen, peers.seeds) = (at(nodes + n), seeds.clone());
+            (peers.listen, peers.seeds) = (address(nodes + n), seeds.clone());
             let recovery = s.recovery.as_mut().unwrap();
             recovery.store = Some(folder.path().join(format!("state-{n}")).to_string_lossy().into_owned());
             s
         });
         let settings = settings.collect();
         let running = (0..nodes).map(|_| None).collect();
-        Nodes { day, settings, running, folder, starts: 0, _ports: ports }
+        NodeProcesses { day, settings, running, folder, starts: 0, _ports: ports }
     }
 
-    pub fn list(&self, node: usize, list: &EngineList) {
-        fs::write(file(self.folder.path(), node), list.render()).unwrap();
+    pub fn write_engine_list(&self, node: usize, list: &EngineList) {
+        fs::write(engine_list_path(self.folder.path(), node), list.render()).unwrap();
     }
 
-    /// Whether a file of the node's store holds this text.
+    /// Whether a file of the node's store contains the text.
     fn store_contains(&self, node: usize, text: &str) -> bool {
         let folder = self.folder.path().join(format!("state-{node}"));
         let files = fs::read_dir(folder).into_iter().flatten().flatten();
@@ -80,27 +81,27 @@
 
     pub fn start(&mut self, node: usize) {
         let settings = Arc::new(self.settings[node].clone());
-        // Each life has a mark of its own.
+        // Each process gets a seed of its own.
         self.starts += 1;
         let seed = (self.starts * 16 + node as u64) << 11;
         let process = NodeProcess::start(Path::new(EXE), &settings, &self.day.shared, seed).unwrap();
         self.running[node] = Some(Box::new(process));
     }
 
-    /// Starts all of them with one list, and waits until each knows the others.
+    /// Starts all nodes with the same list and waits until each sees the others alive.
     pub fn start_all(&mut self) {
         for node in 0..self.settings.len() {
-            self.list(node, &engines(1, &[EndpointState::Serving; 4]));
+            self.write_engine_list(node, &engine_list(1, &[EndpointState::Serving; 4]));
             self.start(node);
         }
-        until("all know all", 10, || self.is_whole());
+        wait_until("all nodes see each other alive", 10, || self.all_alive());
     }
 
-    /// Whether each sees all others alive.
-    pub fn is_whole(&self) -> bool {
+    /// Whether each node sees all others alive.
+    pub fn all_alive(&self) -> bool {
         let all = 0..self.settings.len();
-        let sees = |n: usize, o: usize| n == o || self.sees(n, &format!("n{o}")) == "Alive";
-        all.clone().all(|n| all.clone().all(|o| sees(n, o)))
+        let sees_alive = |n: usize, o: usize| n == o || self.peer_standing(n, &format!("n{o}")) == "Alive";
+        all.clone().all(|n| all.clone().all(|o| sees_alive(n, o)))
     }
 
     pub fn kill(&mut self, node: usize) {
@@ -115,25 +116,25 @@
             .unwrap_or(Value::Null)
     }
 
-    /// How one node sees another.
-    fn sees(&self, node: usize, other: &str) -> String {
+    /// The state of a peer in the status of a node.
+    fn peer_standing(&self, node: usize, other: &str) -> String {
         let document = self.status_document(node, "/pintally/peers");
         let peers = document["peers"].as_array().cloned().unwrap_or_default();
         let found = peers.iter().find(|p| p["name"] == other);
         found.and_then(|p| p["standing"].as_str()).unwrap_or("unknown").to_string()
     }
 
-    fn serving(&self, node: usize) -> u64 {
+    fn serving_engines(&self, node: usize) -> u64 {
         self.status_document(node, "/pintally/counters")["serving_engines"].as_u64().unwrap_or(0)
     }
 }
 
-fn file(folder: &Path, node: usize) -> PathBuf {
+fn engine_list_path(folder: &Path, node: usize) -> PathBuf {
     folder.join(format!("engines-{node}.sexp"))
 }
 
-/// Waits until something holds.
-pub fn until(what: &str, seconds: u64, holds: impl Fn() -> bool) {
+/// Waits until the condition holds.
+pub fn wait_until(what: &str, seconds: u64, holds: impl Fn() -> bool) {
     let by = Instant::now() + Duration::from_secs(seconds);
     while !holds() {
         assert!(Instant::now() < by, "not within {seconds} s: {what}");
@@ -141,8 +142,8 @@
     }
 }
 
-/// A stand-in as the list has it.
-pub fn entry(engine: &Engine) -> EngineEntry {
+/// The list entry of a mock engine.
+pub fn engine_entry(engine: &Engine) -> EngineEntry {
     EngineEntry {
         id: EngineId(engine.spec.id.as_str().into()),
         address: engine.address,
@@ -156,8 +157,8 @@
     }
 }
 
-fn engines(version: u64, listings: &[EndpointState]) -> EngineList {
-    let entry = |n: usize, listing: EndpointState| EngineEntry {
+fn engine_list(version: u64, listings: &[EndpointState]) -> EngineList {
+    let engine_entry = |n: usize, listing: EndpointState| EngineEntry {
         id: EngineId(format!("e{n}").as_str().into()),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         zone: "a".into(),
@@ -168,104 +169,113 @@
         weight: 1.0,
         started_unix_ms: None,
     };
-    EngineList { version, engines: listings.iter().enumerate().map(|(n, l)| entry(n, *l)).collect() }
+    EngineList { version, engines: listings.iter().enumerate().map(|(n, l)| engine_entry(n, *l)).collect() }
 }
 
 #[test]
-fn they_know_of_deaths_and_returns_and_the_command_line_tells() {
-    let mut fleet = Nodes::new(3);
+fn nodes_detect_peer_failure_and_return() {
+    let mut fleet = NodeProcesses::new(3);
     fleet.start_all();
     fleet.kill(2);
-    until("the death is known", 10, || (0..2).all(|n| fleet.sees(n, "n2") == "Dead"));
+    wait_until("the failure is detected", 10, || (0..2).all(|n| fleet.peer_standing(n, "n2") == "Dead"));
     fleet.start(2);
-    until("it is back", 10, || (0..2).all(|n| fleet.sees(n, "n2") == "Alive"));
+    wait_until("the node is back", 10, || (0..2).all(|n| fleet.peer_standing(n, "n2") == "Alive"));
     let document = fleet.status_document(0, "/pintally/peers");
     let boot =
         document["peers"].as_array().unwrap().iter().find(|p| p["name"] == "n2").unwrap()["boot"].clone();
-    assert_eq!(boot, 2, "its disk has counted its lives: {document}");
+    assert_eq!(boot, 2, "the store counts starts: {document}");
     for command in ["peers", "recovery"] {
-        let at = fleet.settings[0].listen.to_string();
-        let out = Command::new(EXE).args([command, "status", &at]).output().unwrap();
+        let address = fleet.settings[0].listen.to_string();
+        let out = Command::new(EXE).args([command, "status", &address]).output().unwrap();
         let text = String::from_utf8_lossy(&out.stdout);
         assert!(out.status.success(), "{command}: {text}");
         assert!(text.contains(if command == "peers" { "n2" } else { "stage" }), "{text}");
-        let gone = Command::new(EXE).args([command, "status", "127.0.0.1:9", "--json"]).output().unwrap();
-        assert_eq!(gone.status.code(), Some(1), "a silent node shows in the exit code");
+        let unreachable =
+            Command::new(EXE).args([command, "status", "127.0.0.1:9", "--json"]).output().unwrap();
+        assert_eq!(unreachable.status.code(), Some(1), "an unreachable node is reported by the exit code");
     }
 }
 
-/// Guards against a drain that is undone because the one node that knew it died, or because another's
+/// Guards against a drain that is undone because the only node that knew of it died, or because another node's
 /// list file is older.
 #[test]
-fn a_drain_that_one_node_knew_reaches_the_others_and_survives_them() {
+fn drain_survives_node_restarts() {
     use EndpointState::{Draining, Serving};
-    let mut fleet = Nodes::new(3);
-    let old = engines(4, &[Serving; 4]);
-    fleet.list(0, &engines(5, &[Draining, Serving, Serving, Serving]));
-    fleet.list(1, &old);
-    fleet.list(2, &old);
+    let mut fleet = NodeProcesses::new(3);
+    let old = engine_list(4, &[Serving; 4]);
+    fleet.write_engine_list(0, &engine_list(5, &[Draining, Serving, Serving, Serving]));
+    fleet.write_engine_list(1, &old);
+    fleet.write_engine_list(2, &old);
     (0..3).for_each(|n| fleet.start(n));
-    until("all know of the drain", 15, || (0..3).all(|n| fleet.serving(n) == 3));
-    // A commit waits for the disk, which takes longer than a pause of fixed length on a busy machine.
-    until("the list is in each store", 15, || (0..3).all(|n| fleet.store_contains(n, "(version 5)")));
+    wait_until("all nodes know of the drain", 15, || (0..3).all(|n| fleet.serving_engines(n) == 3));
+    // A commit waits for the disk, which on a busy machine can take longer than any fixed pause.
+    wait_until("the list is in each store", 15, || (0..3).all(|n| fleet.store_contains(n, "(version 5)")));
     std::thread::sleep(Duration::from_millis(300));
     (0..3).for_each(|n| fleet.kill(n));
-    // The others return alone, and their files are still the old ones.
+    // The other nodes start without node 0, and their list files are still the old ones.
     fleet.start(1);
-    // The page counts no engine until the decision thread has taken the first list, which a busy machine delays.
-    until("it takes a list", 15, || fleet.serving(1) > 0);
-    assert_eq!(fleet.serving(1), 3, "its disk has kept what it received");
+    // The status counts no engine until the decision thread has applied the first list, which a busy machine delays.
+    wait_until("node 1 applies a list", 15, || fleet.serving_engines(1) > 0);
+    assert_eq!(fleet.serving_engines(1), 3, "the store kept the received drain");
     fs::remove_dir_all(fleet.folder.path().join("state-2")).unwrap();
     fleet.start(2);
-    until("who lost its disk hears of it", 15, || fleet.serving(2) == 3);
-    // The same version with another text: no drain of either is undone.
-    fleet.list(1, &engines(5, &[Serving, Draining, Serving, Serving]));
-    until("both drains hold everywhere", 15, || (1..3).all(|n| fleet.serving(n) == 2));
+    wait_until("the node without a store learns of the drain", 15, || fleet.serving_engines(2) == 3);
+    // A list of the same version with other contents: no drain of either list is undone.
+    fleet.write_engine_list(1, &engine_list(5, &[Serving, Draining, Serving, Serving]));
+    wait_until("both drains hold at both nodes", 15, || (1..3).all(|n| fleet.serving_engines(n) == 2));
 }
 
-/// Guards against a process that was paused and, awake again, mourns everybody.
+/// Guards against a paused process that declares all its peers dead when it continues.
 #[test]
-fn a_process_that_stood_still_is_taken_back_and_harms_nobody() {
-    let mut fleet = Nodes::new(3);
+fn paused_process_rejoins_without_declaring_peers_dead() {
+    let mut fleet = NodeProcesses::new(3);
     fleet.start_all();
     fleet.running[1].as_ref().unwrap().pause(true);
-    until("it is taken for dead", 15, || [0, 2].iter().all(|n| fleet.sees(*n, "n1") == "Dead"));
+    wait_until("it is considered dead", 15, || {
+        [0, 2].iter().all(|n| fleet.peer_standing(*n, "n1") == "Dead")
+    });
     fleet.running[1].as_ref().unwrap().pause(false);
-    until("it is taken back", 15, || fleet.is_whole());
+    wait_until("all nodes are alive again", 15, || fleet.all_alive());
     let counters = fleet.status_document(1, "/pintally/peers")["counters"].clone();
     assert!(counters["paused"].as_u64() >= Some(1), "{counters}");
 }
 
-/// Guards against two processes under one name that take turns in everybody's eyes.
+/// Guards against two processes with the same node name that replace each other at all peers in turns.
 #[test]
-fn a_name_that_is_taken_twice_harms_nobody_else() {
-    let mut fleet = Nodes::new(3);
+fn duplicate_node_name_disturbs_no_other_node() {
+    let mut fleet = NodeProcesses::new(3);
     fleet.start_all();
     let mut twin = fleet.settings[2].clone();
-    let (front, link) = (Port::hold().unwrap(), Port::hold().unwrap());
-    twin.listen = front.address().unwrap();
-    let mut at = link.address().unwrap();
-    at.set_ip([127, 0, 2, 99].into());
-    twin.membership.as_mut().unwrap().listen = at;
+    let (client_port, peer_port) = (Port::hold().unwrap(), Port::hold().unwrap());
+    twin.listen = client_port.address().unwrap();
+    let mut address = peer_port.address().unwrap();
+    address.set_ip([127, 0, 2, 99].into());
+    twin.membership.as_mut().unwrap().listen = address;
     twin.engines_file = fleet.folder.path().join("engines-twin.sexp").to_string_lossy().into_owned();
     twin.recovery.as_mut().unwrap().store = None;
-    fs::write(&twin.engines_file, engines(1, &[EndpointState::Serving; 4]).render()).unwrap();
+    fs::write(&twin.engines_file, engine_list(1, &[EndpointState::Serving; 4]).render()).unwrap();
     let own = Arc::new(twin.clone());
     let second = NodeProcess::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
-    let back = |at: SocketAddr| -> Value {
+    let stepped_back = |address: SocketAddr| -> Value {
         let document: Option<Value> =
-            http_get(at, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
+            http_get(address, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
         document.map_or(Value::Null, |t| t["stepped_back"].clone())
     };
-    until("one of the two steps back", 30, || {
-        [back(twin.listen), back(fleet.settings[2].listen)].iter().filter(|b| **b == true).count() == 1
+    wait_until("one of the two processes steps back", 30, || {
+        [stepped_back(twin.listen), stepped_back(fleet.settings[2].listen)]
+            .iter()
+            .filter(|b| **b == true)
+            .count()
+            == 1
+    });
+    wait_until("the other nodes are alive", 15, || {
+        fleet.peer_standing(0, "n1") == "Alive" && fleet.peer_standing(0, "n2") == "Alive"
     });
-    until("the fleet is whole", 15, || fleet.sees(0, "n1") == "Alive" && fleet.sees(0, "n2") == "Alive");
     Box::new(second).kill();
 }
 
-/// A request that asks at a node, under this number.
-fn ask(node: SocketAddr, n: u32, patience: Duration) -> ClientAttempt {
+/// A request to a node with a numbered id.
+fn request_to_node(node: SocketAddr, n: u32, patience: Duration) -> ClientAttempt {
     ClientAttempt {
         id: format!("c{n}"),
         node: "n0".into(),
@@ -283,38 +293,38 @@
     }
 }
 
-/// Engines whose reader holds states for requests of node 0, which has been killed; and that reader.
-fn states_of_a_killed_node(fleet: &mut Nodes) -> (Arc<Fleet>, Arc<Engine>) {
+/// Kills node 0 while a reader holds read states for its requests; returns the engines and the reader.
+fn kill_node_holding_states(fleet: &mut NodeProcesses) -> (Arc<Fleet>, Arc<Engine>) {
     let recorder = Recorder::default();
-    let stand = Fleet::new(recorder.clone());
-    let reader = stand.add(Rig::spec("r", Role::Reader), false).unwrap();
+    let mock_fleet = Fleet::new(recorder.clone());
+    let reader = mock_fleet.add(Rig::spec("r", Role::Reader), false).unwrap();
     let writers: Vec<_> =
-        (0..4).map(|n| stand.add(Rig::spec(&format!("w{n}"), Role::Writer), false).unwrap()).collect();
-    let engines = [&reader].into_iter().chain(&writers).map(|e| entry(e)).collect();
+        (0..4).map(|n| mock_fleet.add(Rig::spec(&format!("w{n}"), Role::Writer), false).unwrap()).collect();
+    let engines = [&reader].into_iter().chain(&writers).map(|e| engine_entry(e)).collect();
     let list = EngineList { version: 1, engines };
     for node in 0..fleet.settings.len() {
-        fleet.list(node, &list);
+        fleet.write_engine_list(node, &list);
         fleet.start(node);
     }
-    until("all know all", 10, || fleet.is_whole());
-    let at = fleet.settings[0].listen;
+    wait_until("all nodes see each other alive", 10, || fleet.all_alive());
+    let address = fleet.settings[0].listen;
     let served = |n: u32| {
         let client = Client { recorder: recorder.clone() };
         matches!(
-            client.attempt(&ask(at, n, Duration::from_secs(2))),
+            client.attempt(&request_to_node(address, n, Duration::from_secs(2))),
             AttemptResult::Answered(Answer::Served, _)
         )
     };
-    until("it serves", 10, || served(1));
-    // Prompts are read, and no writer says anything any more.
+    wait_until("requests are served", 10, || served(1));
+    // From here on prompts are still read, but writers do not respond.
     writers.iter().for_each(|w| w.fault(|f| f.hang = true));
-    let clients = |over: &Arc<AtomicBool>| -> Vec<_> {
+    let clients = |stopped: &Arc<AtomicBool>| -> Vec<_> {
         (100..106)
             .map(|n| {
-                let (client, over) = (Client { recorder: recorder.clone() }, over.clone());
+                let (client, stopped) = (Client { recorder: recorder.clone() }, stopped.clone());
                 std::thread::spawn(move || {
-                    while !over.load(Ordering::SeqCst) {
-                        client.attempt(&ask(at, n, Duration::from_secs(3)));
+                    while !stopped.load(Ordering::SeqCst) {
+                        client.attempt(&request_to_node(address, n, Duration::from_secs(3)));
                         std::thread::sleep(Duration::from_millis(20));
                     }
                 })
@@ -322,85 +332,89 @@
             .collect()
     };
     let (mut rounds, mut asking) = (0, Vec::new());
-    // A machine that is late may need another round: a state waits for as long as its attempts only.
+    // A read state exists only as long as its attempts, so a slow machine may need another round.
     while rounds == 0 || reader.states() == 0 {
         rounds += 1;
-        assert!(rounds < 6, "no state waits for long enough");
-        let over = Arc::new(AtomicBool::new(false));
-        asking.extend(clients(&over));
-        until("a state waits", 10, || reader.states() > 0);
-        // From here on nothing new is asked, and what waits is kept within a few times of 50 ms.
-        over.store(true, Ordering::SeqCst);
-        until("its name is on the disk", 10, || fleet.store_contains(0, "[\"r\","));
+        assert!(rounds < 6, "no read state is held for long enough");
+        let stopped = Arc::new(AtomicBool::new(false));
+        asking.extend(clients(&stopped));
+        wait_until("the reader holds a read state", 10, || reader.states() > 0);
+        // From here on no request is sent; read states are recorded in the store within a few periods of 50 ms.
+        stopped.store(true, Ordering::SeqCst);
+        wait_until("the reader is recorded in the store", 10, || fleet.store_contains(0, "[\"r\","));
         std::thread::sleep(Duration::from_millis(400));
     }
     fleet.kill(0);
     asking.into_iter().for_each(|c| c.join().unwrap());
-    assert!(reader.states() > 0, "nobody else lets go of it yet");
-    (stand, reader)
+    assert!(reader.states() > 0, "the read states are not released yet");
+    (mock_fleet, reader)
 }
 
-/// Read states of requests that died with their node are let go by its next life, by what its disk has.
+/// Read states of requests whose node was killed are released by its next process from the records of its store.
 #[test]
-fn what_a_killed_node_held_is_let_go_when_it_is_back() {
-    let mut fleet = Nodes::new(1);
-    let (stand, reader) = states_of_a_killed_node(&mut fleet);
+fn restarted_node_releases_states_of_previous_process() {
+    let mut fleet = NodeProcesses::new(1);
+    let (mock_fleet, reader) = kill_node_holding_states(&mut fleet);
     fleet.start(0);
-    until("they are let go", 5, || reader.states() == 0);
-    stand.shut_down();
+    wait_until("the read states are released", 5, || reader.states() == 0);
+    mock_fleet.shut_down();
 }
 
-/// And by its guardians, if it does not come back: they know what it held, though its disk is gone with it.
+/// If the node does not return, its backup nodes release the read states: they have its records, although its store is
+/// lost.
 #[test]
-fn what_a_node_held_that_never_returns_is_let_go_by_its_peers() {
-    let mut fleet = Nodes::new(3);
+fn peers_release_states_of_lost_node() {
+    let mut fleet = NodeProcesses::new(3);
     for settings in &mut fleet.settings {
         settings.recovery.as_mut().unwrap().reservation_takeover_delay = 1_500_000;
     }
-    let (stand, reader) = states_of_a_killed_node(&mut fleet);
-    until("its peers let go of them", 15, || reader.states() == 0);
+    let (mock_fleet, reader) = kill_node_holding_states(&mut fleet);
+    wait_until("backup nodes release the read states", 15, || reader.states() == 0);
     let inherited =
         |n: usize| fleet.status_document(n, "/pintally/counters")["inherited"].as_u64().unwrap_or(0);
-    until("both have taken over what it held", 10, || inherited(1) > 0 && inherited(2) > 0);
-    stand.shut_down();
+    wait_until("both backup nodes have inherited the records", 10, || inherited(1) > 0 && inherited(2) > 0);
+    mock_fleet.shut_down();
 }
 
-/// With every peer, the disk and the kept list missing a node still serves, within the stated time.
+/// Without any peer, store or cached list a node still serves within the documented time.
 #[test]
-fn a_node_that_lacks_everything_serves_in_time() {
+fn node_without_store_peers_or_list_serves_in_time() {
     let recorder = Recorder::default();
-    let stand = Fleet::new(recorder.clone());
+    let mock_fleet = Fleet::new(recorder.clone());
     let mut list = EngineList { version: 1, engines: Vec::new() };
     for (id, role) in [("r", Role::Reader), ("w", Role::Writer)] {
-        let engine = stand.add(Rig::spec(id, role), false).unwrap();
-        list.engines.push(entry(&engine));
+        let engine = mock_fleet.add(Rig::spec(id, role), false).unwrap();
+        list.engines.push(engine_entry(&engine));
     }
-    let mut fleet = Nodes::new(3);
+    let mut fleet = NodeProcesses::new(3);
     let blocked = fleet.folder.path().join("no-folder");
     fs::write(&blocked, "a file").unwrap();
     fleet.settings[0].recovery.as_mut().unwrap().store =
         Some(blocked.join("state").to_string_lossy().into_owned());
-    // Everyone's first list is empty; engines come to it a little later.
-    fleet.list(0, &EngineList { version: 0, engines: Vec::new() });
-    let began = Instant::now();
+    // The first list is empty; the list with engines is written a little later.
+    fleet.write_engine_list(0, &EngineList { version: 0, engines: Vec::new() });
+    let start = Instant::now();
     fleet.start(0);
-    fleet.list(0, &list);
+    fleet.write_engine_list(0, &list);
     let client = Client { recorder };
-    let mut tries = 0;
+    let mut attempts = 0;
     while !matches!(
-        client.attempt(&ask(fleet.settings[0].listen, tries, Duration::from_secs(2))),
+        client.attempt(&request_to_node(fleet.settings[0].listen, attempts, Duration::from_secs(2))),
         AttemptResult::Answered(Answer::Served, _)
     ) {
-        tries += 1;
-        assert!(began.elapsed() < Duration::from_secs(3), "nothing served after {tries} tries");
+        attempts += 1;
+        assert!(start.elapsed() < Duration::from_secs(3), "nothing served after {attempts} attempts");
         std::thread::sleep(Duration::from_millis(20));
     }
     println!(
-        "first request served {:?} after the process was started, at try {}",
-        began.elapsed(),
-        tries + 1
+        "first request served {:?} after the process was started, at attempt {}",
+        start.elapsed(),
+        attempts + 1
     );
     let document = fleet.status_document(0, "/pintally/recovery");
-    assert!(document["lacks"].as_array().is_some_and(|l| !l.is_empty()), "it says what it lacks: {document}");
-    stand.shut_down();
+    assert!(
+        document["lacks"].as_array().is_some_and(|l| !l.is_empty()),
+        "the status names what is missing: {document}"
+    );
+    mock_fleet.shut_down();
 }
--- a/crates/pintally-cli/tests/fleet/outlier_detection.rs
+++ b/crates/pintally-cli/tests/fleet/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Several processes that tell each other what they saw of engines: who is held back, the way back, and
-//! that a cut between nodes, or one node's own trouble, blackens nobody.
+//! Several node processes that share reports of engine failures: ejection, recovery, and that neither a cut between
+//! nodes nor the faults of one node eject a healthy engine.
 
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -10,12 +10,12 @@
 use pintally_mock_engine::{Fleet, Recorder};
 use pintally_scenario::{Client, ClientAttempt, Rig};
 
-use crate::by_hand::{entry, until, Nodes, EXE};
+use crate::node_processes::{engine_entry, wait_until, NodeProcesses, EXE};
 
 const VERDICTS: &str = "(verdicts (memory-ms 4000) (rest-ms 800) (rest-most-ms 6000) (step-ms 500))";
 
-/// Which nodes of `fleet` hold an engine back.
-fn holders(fleet: &Nodes, engine: &str) -> BTreeSet<usize> {
+/// The nodes that currently eject an engine.
+fn ejecting_nodes(fleet: &NodeProcesses, engine: &str) -> BTreeSet<usize> {
     let holds = |n: &usize| {
         let document = fleet.status_document(*n, "/pintally/verdicts");
         let all = document["engines"].as_array().cloned().unwrap_or_default();
@@ -24,15 +24,15 @@
     (0..fleet.settings.len()).filter(holds).collect()
 }
 
-/// How many do.
-fn holding(fleet: &Nodes, engine: &str) -> usize {
-    holders(fleet, engine).len()
+/// The number of nodes that currently eject an engine.
+fn ejecting_node_count(fleet: &NodeProcesses, engine: &str) -> usize {
+    ejecting_nodes(fleet, engine).len()
 }
 
 #[test]
-fn a_dead_engine_is_held_back_by_all_and_comes_back_in_steps() {
+fn dead_engine_is_ejected_by_all_and_readmitted_in_steps() {
     let recorder = Recorder::default();
-    let stand = Fleet::new(recorder.clone());
+    let mock_fleet = Fleet::new(recorder.clone());
     let mut list = EngineList { version: 1, engines: Vec::new() };
     let mut engines = Vec::new();
     for (id, role) in [
@@ -43,19 +43,19 @@
         ("w0", Role::Writer),
         ("w1", Role::Writer),
     ] {
-        let engine = stand.add(Rig::spec(id, role), false).unwrap();
-        list.engines.push(entry(&engine));
+        let engine = mock_fleet.add(Rig::spec(id, role), false).unwrap();
+        list.engines.push(engine_entry(&engine));
         engines.push(engine);
     }
-    let mut fleet = Nodes::with(4, VERDICTS);
+    let mut fleet = NodeProcesses::with(4, VERDICTS);
     for node in 0..4 {
-        fleet.list(node, &list);
+        fleet.write_engine_list(node, &list);
         fleet.start(node);
     }
-    until("all know all", 15, || fleet.is_whole());
+    wait_until("all nodes see each other alive", 15, || fleet.all_alive());
     let client = Client { recorder };
     let mut sent = 0;
-    let mut send = |fleet: &Nodes| {
+    let mut send = |fleet: &NodeProcesses| {
         for node in 0..4 {
             sent += 1;
             client.attempt(&ClientAttempt {
@@ -75,55 +75,57 @@
             });
         }
     };
-    until("requests are served", 20, || fleet.status_document(0, "/pintally/recovery")["stage"] == "Serving");
+    wait_until("requests are served", 20, || {
+        fleet.status_document(0, "/pintally/recovery")["stage"] == "Serving"
+    });
     (0..5).for_each(|_| send(&fleet));
     engines[3].crash();
-    // Each does at some time: soon after all hold it back one of them lets it in again, for its trial, and
-    // nodes are asked one after the other.
-    let all_hold = |fleet: &Nodes, send: &mut dyn FnMut(&Nodes)| {
-        let mut held = BTreeSet::new();
+    // Each node ejects the engine at some time, but not necessarily all at once: soon after the ejection one of them
+    // readmits it for a trial, and the nodes are queried one after the other.
+    let all_nodes_eject = |fleet: &NodeProcesses, send: &mut dyn FnMut(&NodeProcesses)| {
+        let mut ejecting = BTreeSet::new();
         (0..200).any(|_| {
             send(fleet);
-            held.extend(holders(fleet, "r3"));
-            held.len() == 4
+            ejecting.extend(ejecting_nodes(fleet, "r3"));
+            ejecting.len() == 4
         })
     };
-    assert!(all_hold(&fleet, &mut send));
-    assert_eq!(["r0", "r1", "r2"].iter().map(|w| holding(&fleet, w)).sum::<usize>(), 0);
-    let at: Vec<String> = fleet.settings.iter().map(|s| s.listen.to_string()).collect();
-    until("the engine is shown as held back by everyone", 20, || {
-        let out = Command::new(EXE).args(["verdicts", "show"]).args(&at).output().unwrap();
+    assert!(all_nodes_eject(&fleet, &mut send));
+    assert_eq!(["r0", "r1", "r2"].iter().map(|w| ejecting_node_count(&fleet, w)).sum::<usize>(), 0);
+    let client_addresses: Vec<String> = fleet.settings.iter().map(|s| s.listen.to_string()).collect();
+    wait_until("the engine is shown as ejected by all nodes", 20, || {
+        let out = Command::new(EXE).args(["verdicts", "show"]).args(&client_addresses).output().unwrap();
         let text = String::from_utf8_lossy(&out.stdout);
         out.status.success() && text.contains("r3") && text.contains("everyone")
     });
-    // People may call it well: it is held back no more, until it fails again.
-    let link = fleet.settings[0].membership.as_ref().unwrap().listen.to_string();
-    let out = Command::new(EXE).args(["verdicts", "clear", "r3", &link]).output().unwrap();
+    // An operator clears the engine: it is readmitted until it fails again.
+    let peer_address = fleet.settings[0].membership.as_ref().unwrap().listen.to_string();
+    let out = Command::new(EXE).args(["verdicts", "clear", "r3", &peer_address]).output().unwrap();
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    until("it is cleared at all nodes", 10, || holding(&fleet, "r3") == 0);
-    assert!(all_hold(&fleet, &mut send), "it is dead all the same");
+    wait_until("the engine is cleared at all nodes", 10, || ejecting_node_count(&fleet, "r3") == 0);
+    assert!(all_nodes_eject(&fleet, &mut send), "the engine is still dead and is ejected again");
     engines[3].start(false);
-    let mut seen = BTreeSet::new();
+    let mut observed_counts = BTreeSet::new();
     for _ in 0..400 {
         send(&fleet);
-        let holds = holding(&fleet, "r3");
-        seen.insert(holds);
-        if holds == 0 && seen.len() > 1 {
+        let count = ejecting_node_count(&fleet, "r3");
+        observed_counts.insert(count);
+        if count == 0 && observed_counts.len() > 1 {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    println!("nodes that held it back on the way: {seen:?}");
-    assert!(seen.contains(&0), "{seen:?}");
-    assert!(seen.contains(&3), "one node tries it first: {seen:?}");
-    stand.shut_down();
+    println!("counts of ejecting nodes during the recovery: {observed_counts:?}");
+    assert!(observed_counts.contains(&0), "{observed_counts:?}");
+    assert!(observed_counts.contains(&3), "one node readmits it first: {observed_counts:?}");
+    mock_fleet.shut_down();
 }
 
-/// Links between nodes fail, and no engine is sick: all goes on as in calm.
+/// Links between nodes fail but no engine does: requests are served as without faults.
 #[test]
-fn a_cut_between_nodes_blackens_no_engine() {
+fn peer_cut_ejects_no_engine() {
     let result =
-        crate::play("verdicts-cut", 14, 4, 43, &format!("{VERDICTS} (fault peer-cut (at 4) (for 6))"));
-    let end = crate::served_at_the_end(&result, 10.0);
+        crate::run_day("verdicts-cut", 14, 4, 43, &format!("{VERDICTS} (fault peer-cut (at 4) (for 6))"));
+    let end = crate::served_share_after(&result, 10.0);
     assert!(end > 0.9, "{end:.2} served at the end");
 }
--- a/crates/pintally-cli/tests/platform/cancelled_attempts.rs
+++ b/crates/pintally-cli/tests/platform/cancelled_attempts.rs
@@ -1,5 +1,5 @@
-//! What has been given up does not arrive later: attempts and releases that the node has written, and that wait in
-//! the system for an engine which does not read.
+//! Cancelled attempts must not arrive later: attempts that the node has written and that wait in socket buffers for
+//! an engine that does not read.
 
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,13 +8,13 @@
 use serde_json::json;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::stand::*;
+use crate::harness::*;
 
-/// A body that does not fit what an engine's system takes of it unread.
+/// The size of a body that does not fit into the engine's receive buffer.
 const BODY_BYTES: usize = 200 << 10;
 
-/// A listener whose connections take little that is not read.
-fn narrow_listener() -> TcpListener {
+/// A listener whose connections have a small receive buffer.
+fn small_buffer_listener() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -22,27 +22,27 @@
     socket.into()
 }
 
-/// All that comes of a connection up to its end or its reset.
-fn all_that_comes(stream: &mut TcpStream) -> Vec<u8> {
-    let (mut all, mut some) = (Vec::new(), [0; 16 << 10]);
+/// Reads from a connection until its end or reset.
+fn read_until_close(stream: &mut TcpStream) -> Vec<u8> {
+    let (mut bytes, mut buffer) = (Vec::new(), [0; 16 << 10]);
     stream.set_read_timeout(Some(LONG)).unwrap();
     loop {
-        match stream.read(&mut some) {
-            Ok(0) => return all,
-            Ok(count) => all.extend_from_slice(&some[..count]),
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => return all,
-            Err(e) => panic!("the connection stays open: {e}"),
+        match stream.read(&mut buffer) {
+            Ok(0) => return bytes,
+            Ok(count) => bytes.extend_from_slice(&buffer[..count]),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return bytes,
+            Err(e) => panic!("the connection was not closed: {e}"),
         }
     }
 }
 
-/// Guards against an attempt that begins for a client that has left, or beside the one that followed it, because the
-/// close of its connection waits in the system behind its bytes.
+/// Guards against an attempt that starts for a disconnected client, or in parallel with the attempt that replaced it:
+/// a graceful close of the connection would be queued behind the bytes of the request.
 #[test]
-fn an_attempt_that_was_given_up_does_not_arrive_later() {
-    let listener = narrow_listener();
-    let stand = Stand::before(&[("r0", listener.local_addr().unwrap())], 256);
-    let mut client = Client::new(&stand);
+fn cancelled_attempt_does_not_arrive_later() {
+    let listener = small_buffer_listener();
+    let harness = Harness::with_engines(&[("r0", listener.local_addr().unwrap())], 256);
+    let mut client = Client::new(&harness);
     let body = json!({"model": "m", "pad": "x".repeat(BODY_BYTES)}).to_string();
     client.send(
         format!(
@@ -53,11 +53,15 @@
         .as_bytes(),
     );
     let (mut attempt, _) = listener.accept().unwrap();
-    stand.until_believed("it is written", |b| b["engines"][0]["sockets"]["out"] == 1);
+    harness.wait_until_status("the attempt is written", |b| b["engines"][0]["sockets"]["out"] == 1);
     std::thread::sleep(Duration::from_millis(100));
     drop(client);
-    stand.until_believed("it is given up", |b| b["held"] == 0);
-    // The engine's machine is back, and reads what has come.
-    let came = all_that_comes(&mut attempt);
-    assert!(came.len() < BODY_BYTES, "all {} bytes of it came after it had been given up", came.len());
+    harness.wait_until_status("the attempt is cancelled", |b| b["held"] == 0);
+    // The engine reads again and gets what is in the socket buffers.
+    let received = read_until_close(&mut attempt);
+    assert!(
+        received.len() < BODY_BYTES,
+        "all {} bytes arrived after the attempt was cancelled",
+        received.len()
+    );
 }
--- a/crates/pintally-cli/tests/platform/client_disconnects.rs
+++ b/crates/pintally-cli/tests/platform/client_disconnects.rs
@@ -1,150 +1,169 @@
-//! Clients that leave, at every point of a request's life: nothing more is begun for them.
+//! Clients that disconnect at every stage of a request: no further attempt is started for them.
 //!
-//! What has to come to the node at once is brought about by stopping its process: all that happens
-//! meanwhile is there, in the order in which it happened, when it goes on.
+//! Where events must reach the node in the same iteration of its event loop, the test pauses the process: when it
+//! resumes, all events of the pause are present in the order in which they happened.
 
 use std::net::Shutdown;
 
-use crate::stand::*;
-use crate::{at, posts};
+use crate::harness::*;
+use crate::{attempted_engines, requests_for};
 
-/// Requests are served again, in order behind all that had come to the node before.
-fn serve_another(stand: &Stand, id: &str) {
-    let mut client = Client::new(stand);
-    client.ask("safe", id);
-    assert!(client.answer().2, "{id} is served");
+/// Sends a request and waits until it is served, after which the node has handled all earlier events.
+fn serve_another(harness: &Harness, id: &str) {
+    let mut client = Client::new(harness);
+    client.send_request("safe", id);
+    assert!(client.receive_response().2, "{id} is served");
 }
 
-/// A node that has a kept connection to each engine: what it sends there next is written at once.
-fn stand_with_kept_connections() -> Stand {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    serve_another(&stand, "first");
-    std::thread::sleep(crate::SETTLED);
-    stand
+/// A node with an idle connection to each engine, so that its next request to an engine is written immediately.
+fn harness_with_idle_connections() -> Harness {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    serve_another(&harness, "first");
+    std::thread::sleep(crate::CONNECTION_REUSE_DELAY);
+    harness
 }
 
-/// Guards against an attempt for a client whose end stands unread behind its request. A client that ends its
-/// sending has left, whether or not it still reads: `docs/platform.md`.
+/// Guards against an attempt for a client whose end of stream is still unread behind its request. A client that shuts
+/// down its sending side counts as disconnected, whether or not it still reads: see `docs/platform.md`.
 #[test]
-fn a_request_behind_which_the_client_has_left_is_not_sent_on() {
-    let stand = stand_with_kept_connections();
-    let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&stand)).collect();
-    stand.pause();
+fn drops_requests_read_with_client_disconnect() {
+    let harness = harness_with_idle_connections();
+    let mut clients: Vec<Client> = (0..3).map(|_| Client::new(&harness)).collect();
+    harness.pause_process();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&[asked("safe", &format!("a{n}")), asked("safe", &format!("b{n}"))].concat());
+        client.send(
+            &[request_bytes("safe", &format!("a{n}")), request_bytes("safe", &format!("b{n}"))].concat(),
+        );
     }
     clients[0].stream.shutdown(Shutdown::Write).unwrap();
     let mut last = clients.pop().unwrap();
     drop(clients.pop());
-    stand.wake();
-    // The last one stays, and both of its requests are served.
-    assert!(last.answer().2 && last.answer().2);
-    assert!(clients[0].closed());
-    serve_another(&stand, "c");
+    harness.resume_process();
+    // The last client stays connected, and both of its requests are served.
+    assert!(last.receive_response().2 && last.receive_response().2);
+    assert!(clients[0].wait_for_close());
+    serve_another(&harness, "c");
     for id in ["a0", "b0", "a1", "b1"] {
-        assert_eq!(posts(&stand, id), Vec::<String>::new(), "{id}");
+        assert_eq!(attempted_engines(&harness, id), Vec::<String>::new(), "{id}");
     }
-    stand.until_believed("nothing is held", |b| b["held"] == 0 && b["bytes"] == 0);
+    harness.wait_until_status("nothing is held", |b| b["held"] == 0 && b["bytes"] == 0);
 }
 
-/// Guards against a write that begins because the read's answer was looked at before the client's end, which
-/// had come in the same iteration.
+/// Guards against a write that starts because the response to the read is handled before the disconnect of the client
+/// that arrived in the same iteration.
 #[test]
-fn a_client_that_leaves_between_the_stages_gets_no_write() {
-    let stand = stand_with_kept_connections();
-    stand.seen.let_do("r0", &[Does::SaysThen(Vec::new(), read_answer()), Does::reads()]);
-    let mut client = Client::new(&stand);
-    client.ask("safe", "a");
-    stand.seen.until("the read", |came| at(came, "a").contains(&("r0", "POST")));
-    stand.pause();
-    stand.seen.go_on_and_write();
+fn disconnect_between_read_and_write_prevents_write() {
+    let harness = harness_with_idle_connections();
+    harness.mock_engines.script(
+        "r0",
+        &[EngineAction::RespondInTwoParts(Vec::new(), read_response()), EngineAction::read_response()],
+    );
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "a");
+    harness
+        .mock_engines
+        .wait_until("the read", |received| requests_for(received, "a").contains(&("r0", "POST")));
+    harness.pause_process();
+    harness.mock_engines.resume_and_wait();
     drop(client);
-    stand.wake();
-    stand.seen.until("the release", |came| at(came, "a").iter().any(|c| c.1 == "DELETE"));
-    serve_another(&stand, "b");
-    assert_eq!(posts(&stand, "a"), ["r0"]);
-    stand.until_believed("nothing is held", |b| b["held"] == 0);
+    harness.resume_process();
+    harness
+        .mock_engines
+        .wait_until("the release", |received| requests_for(received, "a").iter().any(|c| c.1 == "DELETE"));
+    serve_another(&harness, "b");
+    assert_eq!(attempted_engines(&harness, "a"), ["r0"]);
+    harness.wait_until_status("nothing is held", |b| b["held"] == 0);
 }
 
 #[test]
-fn a_client_that_leaves_while_its_request_waits_gets_no_attempt() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.discovery.until_watched(1);
-    let phase = |phase: &str, listing: &str| {
-        stand.discovery.change(member("r0", stand.engines["r0"], phase));
-        stand.until_believed(phase, |b| is_listed(b, "r0", listing));
+fn disconnect_of_waiting_request_prevents_attempt() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.discovery.wait_for_watches(1);
+    let set_phase = |phase: &str, listing: &str| {
+        harness.discovery.change(member("r0", harness.engines["r0"], phase));
+        harness.wait_until_status(phase, |b| is_listed(b, "r0", listing));
     };
-    // No engine reads: requests wait for one.
-    phase("draining", "Draining");
-    let (mut leaves, mut stays) = (Client::new(&stand), Client::new(&stand));
-    leaves.ask("safe", "a");
-    stays.ask("safe", "b");
-    stand.until_believed("both wait", |b| b["held"] == 2);
-    stand.pause();
-    drop(leaves);
-    stand.discovery.change(member("r0", stand.engines["r0"], "up"));
-    stand.wake();
-    assert!(stays.answer().2);
-    assert_eq!((posts(&stand, "a"), posts(&stand, "b").len()), (vec![], 2));
+    // No reader is available, so requests wait for one.
+    set_phase("draining", "Draining");
+    let (mut leaving, mut staying) = (Client::new(&harness), Client::new(&harness));
+    leaving.send_request("safe", "a");
+    staying.send_request("safe", "b");
+    harness.wait_until_status("both requests wait", |b| b["held"] == 2);
+    harness.pause_process();
+    drop(leaving);
+    harness.discovery.change(member("r0", harness.engines["r0"], "up"));
+    harness.resume_process();
+    assert!(staying.receive_response().2);
+    assert_eq!((attempted_engines(&harness, "a"), attempted_engines(&harness, "b").len()), (vec![], 2));
 }
 
 #[test]
-fn a_client_that_leaves_during_the_first_event_ends_its_stream() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("w0", &[Does::SaysThen(Vec::new(), begun(&[TOKEN])), Does::streams()]);
-    let mut client = Client::new(&stand);
-    client.ask("once", "a");
-    stand.seen.until("the write", |came| at(came, "a").contains(&("w0", "POST")));
-    stand.pause();
-    stand.seen.go_on_and_write();
+fn disconnect_during_first_event_ends_stream() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script(
+        "w0",
+        &[
+            EngineAction::RespondInTwoParts(Vec::new(), open_stream(&[TOKEN])),
+            EngineAction::stream_response(),
+        ],
+    );
+    let mut client = Client::new(&harness);
+    client.send_request("once", "a");
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "a").contains(&("w0", "POST")));
+    harness.pause_process();
+    harness.mock_engines.resume_and_wait();
     drop(client);
-    stand.wake();
-    stand.until_believed("nothing is held", |b| {
+    harness.resume_process();
+    harness.wait_until_status("nothing is held", |b| {
         let engines = b["engines"].as_array().expect("engines");
         b["held"] == 0 && engines.iter().all(|e| e["sockets"]["out"] == 0 && e["believed"]["streams"] == 0)
     });
-    serve_another(&stand, "b");
-    assert_eq!(posts(&stand, "a"), ["r0", "w0"]);
+    serve_another(&harness, "b");
+    assert_eq!(attempted_engines(&harness, "a"), ["r0", "w0"]);
 }
 
-/// Guards against attempts that begin for clients at the end of a long line of clients that all leave.
+/// Guards against attempts that start for the last of many clients that disconnect in the same iteration.
 #[test]
-fn many_clients_that_leave_in_one_iteration_get_no_write() {
-    const MANY: usize = 12;
-    let stand = stand_with_kept_connections();
-    let plan: Vec<Does> = (0..MANY).map(|_| Does::SaysThen(Vec::new(), read_answer())).collect();
-    stand.seen.let_do("r0", &[plan, vec![Does::reads()]].concat());
-    let mut clients: Vec<Client> = (0..MANY).map(|_| Client::new(&stand)).collect();
+fn many_disconnects_in_one_iteration_prevent_writes() {
+    const CLIENTS: usize = 12;
+    let harness = harness_with_idle_connections();
+    let script: Vec<EngineAction> =
+        (0..CLIENTS).map(|_| EngineAction::RespondInTwoParts(Vec::new(), read_response())).collect();
+    harness.mock_engines.script("r0", &[script, vec![EngineAction::read_response()]].concat());
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::new(&harness)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask("safe", &format!("a{n}"));
+        client.send_request("safe", &format!("a{n}"));
     }
-    let read_by =
-        |came: &[Came]| came.iter().filter(|c| c.0 == "r0" && c.1 == "POST" && c.3 != "first").count();
-    stand.seen.until("reads", |came| read_by(came) == MANY);
-    stand.pause();
-    (0..MANY).for_each(|_| stand.seen.go_on_and_write());
+    let read_count = |received: &[ReceivedRequest]| {
+        received.iter().filter(|c| c.0 == "r0" && c.1 == "POST" && c.3 != "first").count()
+    };
+    harness.mock_engines.wait_until("reads", |received| read_count(received) == CLIENTS);
+    harness.pause_process();
+    (0..CLIENTS).for_each(|_| harness.mock_engines.resume_and_wait());
     drop(clients);
-    stand.wake();
-    stand.until_believed("nothing is held", |b| b["held"] == 0);
-    serve_another(&stand, "b");
-    let came = stand.seen.came();
-    let writes = came.iter().filter(|c| c.0 == "w0" && c.1 == "POST" && c.3.starts_with('a')).count();
-    assert_eq!((writes, read_by(&came)), (0, MANY + 1));
+    harness.resume_process();
+    harness.wait_until_status("nothing is held", |b| b["held"] == 0);
+    serve_another(&harness, "b");
+    let received = harness.mock_engines.received();
+    let writes = received.iter().filter(|c| c.0 == "w0" && c.1 == "POST" && c.3.starts_with('a')).count();
+    assert_eq!((writes, read_count(&received)), (0, CLIENTS + 1));
 }
 
-/// Hundreds of requests at once on one connection, and then its end: one was begun, and no other is.
+/// Hundreds of pipelined requests on one connection that then ends: only the first one was started.
 #[test]
-fn a_flood_that_leaves_is_dropped_whole() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("r0", &[Does::Hangs, Does::reads()]);
-    let mut flood = Client::new(&stand);
-    flood.send(&(0..300).flat_map(|n| asked("safe", &format!("f{n}"))).collect::<Vec<u8>>());
-    stand.seen.until("the first read", |came| !at(came, "f0").is_empty());
+fn disconnect_drops_all_pipelined_requests() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script("r0", &[EngineAction::Hang, EngineAction::read_response()]);
+    let mut flood = Client::new(&harness);
+    flood.send(&(0..300).flat_map(|n| request_bytes("safe", &format!("f{n}"))).collect::<Vec<u8>>());
+    harness.mock_engines.wait_until("the first read", |received| !requests_for(received, "f0").is_empty());
     drop(flood);
-    stand.until_believed("nothing is held", |b| b["held"] == 0 && b["bytes"] == 0);
-    serve_another(&stand, "b");
-    let came = stand.seen.came();
-    let begun: std::collections::BTreeSet<&str> =
-        came.iter().filter(|c| c.3.starts_with('f')).map(|c| c.3.as_str()).collect();
-    assert_eq!(begun.into_iter().collect::<Vec<_>>(), ["f0"]);
+    harness.wait_until_status("nothing is held", |b| b["held"] == 0 && b["bytes"] == 0);
+    serve_another(&harness, "b");
+    let received = harness.mock_engines.received();
+    let forwarded: std::collections::BTreeSet<&str> =
+        received.iter().filter(|c| c.3.starts_with('f')).map(|c| c.3.as_str()).collect();
+    assert_eq!(forwarded.into_iter().collect::<Vec<_>>(), ["f0"]);
 }
--- a/crates/pintally-cli/tests/platform/harness.rs
+++ b/crates/pintally-cli/tests/platform/harness.rs
@@ -1,5 +1,5 @@
-//! A small mock of the platform on loopback: scripted engines, discovery that
-//! can be changed, and the node itself as a process.
+//! A small mock of the platform on loopback: scripted engines, a discovery service with a list that tests can change,
+//! and the node itself as a process.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,10 +16,10 @@
 use pintally_mock_engine::Port;
 use serde_json::{json, Value};
 
-/// Nothing is waited for longer than this: a test that gets here has failed.
+/// The longest wait for any condition: a test that waits longer fails.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// Between the bytes of an engine whose answer trickles in.
+/// Time between the bytes of a response that trickles.
 pub const TRICKLE_EVERY: Duration = Duration::from_millis(200);
 
 pub const TOKEN: &[u8] = b"data: {\"choices\":[{\"index\":0}]}\n\n";
@@ -27,223 +27,223 @@
 
 /// What an engine does with a request.
 #[derive(Clone)]
-pub enum Does {
-    /// Answers with these bytes; the connection stays.
-    Says(Vec<u8>),
-    /// The same, and then the connection ends.
-    SaysAndEnds(Vec<u8>),
-    /// The first, and the second when the test lets it go on.
-    SaysThen(Vec<u8>, Vec<u8>),
-    /// Each of these when the test lets it go on.
-    SaysInSteps(Vec<Vec<u8>>),
-    /// The first, and a reset of the connection when the test lets it go on.
-    SaysThenResets(Vec<u8>),
-    /// The first, and then byte after byte, [`TRICKLE_EVERY`] apart, until the connection ends.
-    SaysThenTrickles(Vec<u8>),
-    /// These bytes, each in a packet of its own.
-    SaysByBytes(Vec<u8>),
-    /// Nothing.
-    Hangs,
+pub enum EngineAction {
+    /// Sends these bytes; the connection stays open.
+    Respond(Vec<u8>),
+    /// Sends these bytes and closes the connection.
+    RespondAndClose(Vec<u8>),
+    /// Sends the first part, and the second when the test resumes the engine.
+    RespondInTwoParts(Vec<u8>, Vec<u8>),
+    /// Sends each part when the test resumes the engine.
+    RespondInSteps(Vec<Vec<u8>>),
+    /// Sends these bytes, and resets the connection when the test resumes the engine.
+    RespondAndReset(Vec<u8>),
+    /// Sends these bytes and then single bytes, [`TRICKLE_EVERY`] apart, until the connection is closed.
+    RespondAndTrickle(Vec<u8>),
+    /// Sends these bytes, each in its own packet.
+    RespondByteByByte(Vec<u8>),
+    /// Sends nothing.
+    Hang,
 }
 
-/// The answer to a read.
-pub fn read_answer() -> Vec<u8> {
+/// A successful response to a read.
+pub fn read_response() -> Vec<u8> {
     response(202, &[], b"{\"cached_tokens\":16}")
 }
 
-/// Whether a node believes that an engine is listed so.
-pub fn is_listed(beliefs: &Value, id: &str, listing: &str) -> bool {
-    let all = beliefs["engines"].as_array().expect("engines");
+/// Whether the status shows an engine with this listing.
+pub fn is_listed(status: &Value, id: &str, listing: &str) -> bool {
+    let all = status["engines"].as_array().expect("engines");
     all.iter().any(|e| e["engine"] == id && e["believed"]["listing"] == listing)
 }
 
-impl Does {
-    pub fn reads() -> Does {
-        Does::Says(read_answer())
+impl EngineAction {
+    pub fn read_response() -> EngineAction {
+        EngineAction::Respond(read_response())
     }
 
-    pub fn turns_away(status: u16) -> Does {
-        Does::Says(response(status, &[("X-Turned-Away", "1")], b""))
+    pub fn reject(status: u16) -> EngineAction {
+        EngineAction::Respond(response(status, &[("X-Turned-Away", "1")], b""))
     }
 
-    pub fn streams() -> Does {
-        Does::Says(stream(&[TOKEN, TOKEN, DONE]))
+    pub fn stream_response() -> EngineAction {
+        EngineAction::Respond(complete_stream(&[TOKEN, TOKEN, DONE]))
     }
 }
 
-/// A whole stream of such parts.
-pub fn stream(parts: &[&[u8]]) -> Vec<u8> {
-    [begun(parts), LAST_CHUNK.to_vec()].concat()
+/// A complete response stream with these events.
+pub fn complete_stream(parts: &[&[u8]]) -> Vec<u8> {
+    [open_stream(parts), LAST_CHUNK.to_vec()].concat()
 }
 
-/// A stream of such parts that goes on.
-pub fn begun(parts: &[&[u8]]) -> Vec<u8> {
+/// A response stream with these events that is not ended.
+pub fn open_stream(parts: &[&[u8]]) -> Vec<u8> {
     let mut bytes = response_head(200, &[("content-type", "text/event-stream")]);
     parts.iter().for_each(|p| bytes.extend(chunk(p)));
     bytes
 }
 
-/// What came to an engine: which, method, target, id.
-pub type Came = (String, String, String, String);
+/// A request received by an engine: engine name, method, target, request id.
+pub type ReceivedRequest = (String, String, String, String);
 
-/// What came to engines, and what each does with the next requests.
-type Record = (Vec<Came>, HashMap<String, Vec<Does>>);
+/// The requests that engines received, and the actions of each engine for its next requests.
+type RequestsAndScripts = (Vec<ReceivedRequest>, HashMap<String, Vec<EngineAction>>);
 
-/// What all of the stand-in shares, with word of each change.
+/// State that all mock engines share, with condition variables for its changes.
 #[derive(Default)]
-pub struct Seen {
-    came: Mutex<Record>,
-    going: Mutex<u32>,
-    go: Condvar,
-    word: Condvar,
-    /// The remaining time that attempts stated to their engines, by engine, id and in milliseconds.
-    remaining: Mutex<Vec<(String, String, u64)>>,
-    /// Answers that were let go on and have been written since.
-    written: Mutex<u32>,
+pub struct MockEngines {
+    received: Mutex<RequestsAndScripts>,
+    resume_permits: Mutex<u32>,
+    resumed: Condvar,
+    changed: Condvar,
+    /// The remaining time that attempts stated: engine, request id and milliseconds.
+    stated_remaining: Mutex<Vec<(String, String, u64)>>,
+    /// Number of responses that were written after the test resumed an engine.
+    written_count: Mutex<u32>,
 }
 
-impl Seen {
-    /// What has come so far.
-    pub fn came(&self) -> Vec<Came> {
-        self.came.lock().unwrap().0.clone()
+impl MockEngines {
+    /// The requests received so far.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().unwrap().0.clone()
     }
 
-    /// Waits until what has come satisfies the check.
-    pub fn until(&self, what: &str, check: impl Fn(&[Came]) -> bool) -> Vec<Came> {
+    /// Waits until the received requests satisfy the check.
+    pub fn wait_until(&self, what: &str, check: impl Fn(&[ReceivedRequest]) -> bool) -> Vec<ReceivedRequest> {
         let end = Instant::now() + LONG;
-        let mut came = self.came.lock().unwrap();
-        while !check(&came.0) {
+        let mut received = self.received.lock().unwrap();
+        while !check(&received.0) {
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "{what} never came: {:?}", came.0);
-            came = self.word.wait_timeout(came, left).unwrap().0;
+            assert!(!left.is_zero(), "{what} was not received: {:?}", received.0);
+            received = self.changed.wait_timeout(received, left).unwrap().0;
         }
-        came.0.clone()
+        received.0.clone()
     }
 
     /// The remaining time that an attempt for a request stated to an engine, in milliseconds.
-    pub fn remaining(&self, engine: &str, id: &str) -> Option<u64> {
-        let all = self.remaining.lock().unwrap();
+    pub fn stated_remaining_ms(&self, engine: &str, id: &str) -> Option<u64> {
+        let all = self.stated_remaining.lock().unwrap();
         all.iter().find(|(to, of, _)| to == engine && of == id).map(|(_, _, ms)| *ms)
     }
 
-    /// Lets one engine that waits go on, and waits until what it says then is written.
-    pub fn go_on_and_write(&self) {
-        let before = *self.written.lock().unwrap();
-        self.go_on();
+    /// Resumes one waiting engine, and waits until it has written its response.
+    pub fn resume_and_wait(&self) {
+        let before = *self.written_count.lock().unwrap();
+        self.resume();
         let end = Instant::now() + LONG;
-        let mut written = self.written.lock().unwrap();
-        while *written == before {
+        let mut written_count = self.written_count.lock().unwrap();
+        while *written_count == before {
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "no engine went on");
-            written = self.word.wait_timeout(written, left).unwrap().0;
+            assert!(!left.is_zero(), "no engine resumed");
+            written_count = self.changed.wait_timeout(written_count, left).unwrap().0;
         }
     }
 
-    fn wrote(&self) {
-        *self.written.lock().unwrap() += 1;
-        self.word.notify_all();
+    fn notify_written(&self) {
+        *self.written_count.lock().unwrap() += 1;
+        self.changed.notify_all();
     }
 
-    /// Lets one engine that waits go on.
-    pub fn go_on(&self) {
-        *self.going.lock().unwrap() += 1;
-        self.go.notify_all();
+    /// Resumes one waiting engine.
+    pub fn resume(&self) {
+        *self.resume_permits.lock().unwrap() += 1;
+        self.resumed.notify_all();
     }
 
-    fn wait_to_go_on(&self) {
-        let mut going = self.going.lock().unwrap();
-        while *going == 0 {
-            going = self.go.wait_timeout(going, LONG).unwrap().0;
+    fn wait_for_resume(&self) {
+        let mut resume_permits = self.resume_permits.lock().unwrap();
+        while *resume_permits == 0 {
+            resume_permits = self.resumed.wait_timeout(resume_permits, LONG).unwrap().0;
         }
-        *going -= 1;
+        *resume_permits -= 1;
     }
 
-    /// What the engine does with the next requests (`"w0 releases"`: with calls that release), the last of
-    /// it from then on.
-    pub fn let_do(&self, engine: &str, does: &[Does]) {
-        self.came.lock().unwrap().1.insert(engine.into(), does.to_vec());
+    /// Sets the actions of an engine for its next requests; the last action is repeated. The name `"w0 releases"` sets
+    /// the actions for release calls to `w0`.
+    pub fn script(&self, engine: &str, actions: &[EngineAction]) {
+        self.received.lock().unwrap().1.insert(engine.into(), actions.to_vec());
     }
 
-    fn next(&self, engine: &str, request: &Request) -> Does {
-        let mut came = self.came.lock().unwrap();
+    fn next_action(&self, engine: &str, request: &Request) -> EngineAction {
+        let mut received = self.received.lock().unwrap();
         let id = match request.headers.get("x-txn") {
             Some(id) => id.to_string(),
             None => request.target.rsplit('/').next().unwrap_or("").to_string(),
         };
-        came.0.push((engine.into(), request.method.clone(), request.target.clone(), id));
-        self.word.notify_all();
+        received.0.push((engine.into(), request.method.clone(), request.target.clone(), id));
+        self.changed.notify_all();
         if let Some(ms) = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok()) {
             let id = request.headers.get("x-txn").unwrap_or("").to_string();
-            self.remaining.lock().unwrap().push((engine.into(), id, ms));
+            self.stated_remaining.lock().unwrap().push((engine.into(), id, ms));
         }
         let releases = request.method == "DELETE";
-        let plan_of = if releases { format!("{engine} releases") } else { engine.to_string() };
-        let plan = came.1.entry(plan_of).or_default();
-        match plan.len() {
-            0 if releases => Does::Says(response(204, &[], b"")),
+        let script_key = if releases { format!("{engine} releases") } else { engine.to_string() };
+        let script = received.1.entry(script_key).or_default();
+        match script.len() {
+            0 if releases => EngineAction::Respond(response(204, &[], b"")),
             0 => {
                 if engine.starts_with('r') {
-                    Does::reads()
+                    EngineAction::read_response()
                 } else {
-                    Does::streams()
+                    EngineAction::stream_response()
                 }
             }
-            1 => plan[0].clone(),
-            _ => plan.remove(0),
+            1 => script[0].clone(),
+            _ => script.remove(0),
         }
     }
 }
 
-fn serve_engine(name: String, listener: TcpListener, seen: Arc<Seen>) {
+fn serve_engine(name: String, listener: TcpListener, mock_engines: Arc<MockEngines>) {
     for stream in listener.incoming().flatten() {
-        let (name, seen) = (name.clone(), seen.clone());
+        let (name, mock_engines) = (name.clone(), mock_engines.clone());
         std::thread::spawn(move || {
             let mut stream = stream;
-            let (mut reader, mut some) = (RequestReader::new(1 << 16, 1 << 20), [0; 4096]);
+            let (mut reader, mut buffer) = (RequestReader::new(1 << 16, 1 << 20), [0; 4096]);
             loop {
                 while let Ok(Some(request)) = reader.next_request() {
-                    match seen.next(&name, &request) {
-                        Does::Says(bytes) => drop(stream.write_all(&bytes)),
-                        Does::SaysAndEnds(bytes) => {
+                    match mock_engines.next_action(&name, &request) {
+                        EngineAction::Respond(bytes) => drop(stream.write_all(&bytes)),
+                        EngineAction::RespondAndClose(bytes) => {
                             let _ = stream.write_all(&bytes);
                             return;
                         }
-                        Does::SaysThen(first, second) => {
+                        EngineAction::RespondInTwoParts(first, second) => {
                             let _ = stream.write_all(&first);
-                            seen.wait_to_go_on();
+                            mock_engines.wait_for_resume();
                             let _ = stream.write_all(&second);
-                            seen.wrote();
+                            mock_engines.notify_written();
                         }
-                        Does::SaysInSteps(steps) => {
+                        EngineAction::RespondInSteps(steps) => {
                             for step in steps {
-                                seen.wait_to_go_on();
+                                mock_engines.wait_for_resume();
                                 let _ = stream.write_all(&step);
-                                seen.wrote();
+                                mock_engines.notify_written();
                             }
                         }
-                        Does::SaysThenResets(first) => {
+                        EngineAction::RespondAndReset(first) => {
                             let _ = stream.write_all(&first);
-                            seen.wait_to_go_on();
+                            mock_engines.wait_for_resume();
                             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                             drop(stream);
-                            return seen.wrote();
+                            return mock_engines.notify_written();
                         }
-                        Does::SaysThenTrickles(first) => {
+                        EngineAction::RespondAndTrickle(first) => {
                             let _ = stream.write_all(&first);
                             while stream.write_all(b"x").is_ok() {
                                 std::thread::sleep(TRICKLE_EVERY);
                             }
                             return;
                         }
-                        Does::SaysByBytes(bytes) => {
+                        EngineAction::RespondByteByByte(bytes) => {
                             let _ = stream.set_nodelay(true);
                             bytes.iter().for_each(|byte| drop(stream.write_all(&[*byte])));
                         }
-                        Does::Hangs => {}
+                        EngineAction::Hang => {}
                     }
                 }
-                match stream.read(&mut some) {
-                    Ok(n) if n > 0 => reader.push(&some[..n]),
+                match stream.read(&mut buffer) {
+                    Ok(n) if n > 0 => reader.push(&buffer[..n]),
                     _ => return,
                 }
             }
@@ -251,23 +251,24 @@
     }
 }
 
-/// Discovery: the list, and the watches that are open.
+/// The discovery service: the list of engines and the open watches.
 #[derive(Default)]
 pub struct Discovery {
+    /// The revision, the list entries, and the connections of open watches.
     inner: Mutex<(u64, Vec<Value>, Vec<TcpStream>)>,
-    word: Condvar,
-    /// Watches that are opened now get no answer, as while discovery is down.
+    changed: Condvar,
+    /// New watches get no response, as if discovery were down.
     silent: AtomicBool,
-    /// Watches that came while it was silent.
+    /// Watches that were opened while discovery was silent.
     unanswered: Mutex<Vec<TcpStream>>,
-    /// Bytes of the whole list are written one by one.
-    by_bytes: AtomicBool,
-    /// Watches are answered after so many milliseconds.
-    answers_after_ms: AtomicU64,
+    /// Whether the complete list is written in single bytes.
+    byte_by_byte: AtomicBool,
+    /// Milliseconds until a watch gets its response.
+    answer_delay_ms: AtomicU64,
 }
 
 impl Discovery {
-    /// Serves at a new address, which it returns.
+    /// Starts to serve at a new address and returns the address.
     pub fn serve(self: &Arc<Self>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (address, discovery) = (listener.local_addr().unwrap(), self.clone());
@@ -281,72 +282,72 @@
                 assert!(line.starts_with("GET /discovery/hosts?stream=1"), "{line}");
                 if discovery.silent.load(Ordering::SeqCst) {
                     discovery.unanswered.lock().unwrap().push(stream);
-                    discovery.word.notify_all();
+                    discovery.changed.notify_all();
                     continue;
                 }
-                let slow = discovery.answers_after_ms.load(Ordering::SeqCst);
-                if slow > 0 {
+                let delay_ms = discovery.answer_delay_ms.load(Ordering::SeqCst);
+                if delay_ms > 0 {
                     let discovery = discovery.clone();
                     std::thread::spawn(move || {
-                        std::thread::sleep(Duration::from_millis(slow));
-                        discovery.answer(stream);
+                        std::thread::sleep(Duration::from_millis(delay_ms));
+                        discovery.answer_watch(stream);
                     });
                     continue;
                 }
-                discovery.answer(stream);
+                discovery.answer_watch(stream);
             }
         });
         address
     }
 
-    /// Answers a watch with the whole list.
-    fn answer(&self, mut stream: TcpStream) {
+    /// Answers a watch with the complete list.
+    fn answer_watch(&self, mut stream: TcpStream) {
         let mut inner = self.inner.lock().unwrap();
         let whole = json!({"revision": inner.0, "complete": true, "members": inner.1});
         let answer = [response_head(200, &[]), chunk(format!("{whole}\n").as_bytes())].concat();
-        if self.by_bytes.load(Ordering::SeqCst) {
+        if self.byte_by_byte.load(Ordering::SeqCst) {
             let _ = stream.set_nodelay(true);
             answer.iter().for_each(|byte| drop(stream.write_all(&[*byte])));
         } else {
             let _ = stream.write_all(&answer);
         }
         inner.2.push(stream);
-        self.word.notify_all();
+        self.changed.notify_all();
     }
 
-    /// Watches that are opened from now on are answered after this time.
-    pub fn answer_after(&self, time: Duration) {
-        self.answers_after_ms.store(time.as_millis() as u64, Ordering::SeqCst);
+    /// Delays the response to new watches.
+    pub fn delay_answers(&self, time: Duration) {
+        self.answer_delay_ms.store(time.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Changes one entry and tells all watches.
+    /// Changes one entry and sends it to all open watches.
     pub fn change(&self, member: Value) {
         let mut inner = self.inner.lock().unwrap();
         inner.0 += 1;
         inner.1.retain(|m| m["id"] != member["id"]);
         let line = json!({"revision": inner.0, "complete": false, "members": [member]});
         inner.1.push(member);
-        self.tell(&mut inner.2, &format!("{line}\n"));
+        self.write_to_watches(&mut inner.2, &format!("{line}\n"));
     }
 
-    /// Forgets an entry without a word: lists from here on are whole without it.
-    pub fn forget(&self, id: &str) {
+    /// Removes an entry without sending an update: later complete lists do not contain it.
+    pub fn remove_unannounced(&self, id: &str) {
         let mut inner = self.inner.lock().unwrap();
         inner.0 += 1;
         inner.1.retain(|m| m["id"] != id);
     }
 
-    /// Whether watches that are opened from now on get no answer.
-    pub fn be_silent(&self, silent: bool) {
+    /// Sets whether new watches get no response.
+    pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Lists are written byte by byte from now on.
-    pub fn write_by_bytes(&self) {
-        self.by_bytes.store(true, Ordering::SeqCst);
+    /// Writes complete lists in single bytes from now on.
+    pub fn write_byte_by_byte(&self) {
+        self.byte_by_byte.store(true, Ordering::SeqCst);
     }
 
-    /// Resets all watches that are open.
+    /// Resets the connections of all open watches.
     pub fn reset_watches(&self) {
         for watch in &self.inner.lock().unwrap().2 {
             let _ = socket2::SockRef::from(watch).set_linger(Some(Duration::ZERO));
@@ -354,16 +355,16 @@
         }
     }
 
-    /// Changes one entry without telling the open watches: they miss it.
-    pub fn change_unheard(&self, member: Value) {
+    /// Changes one entry without sending it to the open watches.
+    pub fn change_unannounced(&self, member: Value) {
         let mut inner = self.inner.lock().unwrap();
         inner.0 += 1;
         inner.1.retain(|m| m["id"] != member["id"]);
         inner.1.push(member);
     }
 
-    /// Waits until so many watches have come in all while it was silent.
-    pub fn until_unanswered(&self, times: usize) {
+    /// Waits until this many watches in total have been opened while discovery was silent.
+    pub fn wait_for_unanswered_watches(&self, times: usize) {
         let end = Instant::now() + LONG;
         while self.unanswered.lock().unwrap().len() < times {
             assert!(Instant::now() < end, "no watch was opened");
@@ -371,201 +372,202 @@
         }
     }
 
-    /// Tells all watches something.
-    pub fn say(&self, line: &str) {
-        self.tell(&mut self.inner.lock().unwrap().2, line);
+    /// Sends a line to all open watches.
+    pub fn send_to_watches(&self, line: &str) {
+        self.write_to_watches(&mut self.inner.lock().unwrap().2, line);
     }
 
-    fn tell(&self, watches: &mut Vec<TcpStream>, line: &str) {
+    fn write_to_watches(&self, watches: &mut Vec<TcpStream>, line: &str) {
         watches.retain_mut(|w| w.write_all(&chunk(line.as_bytes())).is_ok());
     }
 
-    /// Waits until so many watches have been opened in all.
-    pub fn until_watched(&self, times: usize) {
+    /// Waits until this many watches in total have been answered.
+    pub fn wait_for_watches(&self, times: usize) {
         let end = Instant::now() + LONG;
         let mut inner = self.inner.lock().unwrap();
         while inner.2.len() < times {
             let left = end.saturating_duration_since(Instant::now());
             assert!(!left.is_zero(), "no watch was opened");
-            inner = self.word.wait_timeout(inner, left).unwrap().0;
+            inner = self.changed.wait_timeout(inner, left).unwrap().0;
         }
     }
 }
 
-/// An entry of the list.
+/// An entry of the list of engines.
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
     let flavor = if id.starts_with('r') { "m1" } else { "m2" };
     json!({"id": id, "host_port": address, "locality": "a", "flavor": flavor, "cell": 1, "phase": phase,
            "size": 1.0, "up_since_ms": 0})
 }
 
-/// Starts engines; those that begin with `r` read.
-pub fn serve_engines<'a>(engines: &[&'a str]) -> (Arc<Seen>, Vec<(&'a str, SocketAddr)>) {
-    let seen = Arc::new(Seen::default());
+/// Starts mock engines; those with names that begin with `r` are readers.
+pub fn serve_engines<'a>(engines: &[&'a str]) -> (Arc<MockEngines>, Vec<(&'a str, SocketAddr)>) {
+    let mock_engines = Arc::new(MockEngines::default());
     let mut addresses = Vec::new();
     for name in engines {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         addresses.push((*name, listener.local_addr().unwrap()));
-        let (name, seen) = (name.to_string(), seen.clone());
-        std::thread::spawn(move || serve_engine(name, listener, seen));
+        let (name, mock_engines) = (name.to_string(), mock_engines.clone());
+        std::thread::spawn(move || serve_engine(name, listener, mock_engines));
     }
-    (seen, addresses)
+    (mock_engines, addresses)
 }
 
-/// A node before engines.
-pub struct Stand {
-    pub seen: Arc<Seen>,
+/// A node process with its engines and discovery service.
+pub struct Harness {
+    pub mock_engines: Arc<MockEngines>,
     pub discovery: Arc<Discovery>,
     pub engines: HashMap<String, SocketAddr>,
-    pub node: SocketAddr,
+    pub node_address: SocketAddr,
     pub config: Value,
-    pub file: PathBuf,
-    /// While this file is there, calls of a node under faults fail.
-    pub faults: PathBuf,
+    pub config_file: PathBuf,
+    /// While this file exists, the selected system calls of a node with injected failures fail.
+    pub faults_file: PathBuf,
     env: Vec<(String, String)>,
     child: Child,
     _dir: tempfile::TempDir,
     _port: Port,
 }
 
-impl Stand {
-    /// Starts engines (those that begin with `r` read), discovery and a node with so many descriptors,
+impl Harness {
+    /// Starts mock engines (readers have names that begin with `r`), discovery and a node with a limit of descriptors,
     /// and waits until the node is ready.
-    pub fn new(engines: &[&str], sockets: usize) -> Stand {
-        let (seen, addresses) = serve_engines(engines);
-        let mut stand = Stand::before(&addresses, sockets);
-        stand.seen = seen;
-        stand
+    pub fn new(engines: &[&str], sockets: usize) -> Harness {
+        let (mock_engines, addresses) = serve_engines(engines);
+        let mut harness = Harness::with_engines(&addresses, sockets);
+        harness.mock_engines = mock_engines;
+        harness
     }
 
-    /// A node before engines that are there already.
-    pub fn before(engines: &[(&str, SocketAddr)], sockets: usize) -> Stand {
-        Stand::configured(engines, sockets, Arc::new(Discovery::default()), |_| {})
+    /// A node with engines that run already.
+    pub fn with_engines(engines: &[(&str, SocketAddr)], sockets: usize) -> Harness {
+        Harness::with_config(engines, sockets, Arc::new(Discovery::default()), |_| {})
     }
 
-    /// The same with such a discovery and with other settings.
-    pub fn configured(
+    /// Like [`Harness::with_engines`] with the given discovery service and changed configuration.
+    pub fn with_config(
         engines: &[(&str, SocketAddr)],
         sockets: usize,
         discovery: Arc<Discovery>,
         change: impl Fn(&mut Value),
-    ) -> Stand {
-        Stand::launched(engines, sockets, discovery, change, &[], false)
+    ) -> Harness {
+        Harness::launch(engines, sockets, discovery, change, &[], false)
     }
 
-    /// The same with one of the node's system calls failing, each time, while the file `faults` is there, as it is at
-    /// the start if `from_start`.
-    pub fn under_faults(engines: &[&str], call: &str, from_start: bool) -> Stand {
-        let (seen, addresses) = serve_engines(engines);
+    /// Like [`Harness::new`] with one kind of system call that always fails while the file `faults_file` exists; with
+    /// `from_start` it exists when the node starts, and the node may not be ready yet.
+    pub fn with_failing_calls(engines: &[&str], call: &str, from_start: bool) -> Harness {
+        let (mock_engines, addresses) = serve_engines(engines);
         let discovery = Arc::new(Discovery::default());
         let env = [("PINTALLY_FAULTS", "1 1000"), ("PINTALLY_FAULTS_ONLY", call)];
-        let mut stand = Stand::launched(&addresses, 256, discovery, |_| {}, &env, from_start);
-        stand.seen = seen;
-        stand
+        let mut harness = Harness::launch(&addresses, 256, discovery, |_| {}, &env, from_start);
+        harness.mock_engines = mock_engines;
+        harness
     }
 
-    /// A node whose machine's wall clock is so many seconds ahead of everyone else's.
-    pub fn with_clock_shifted(engines: &[(&str, SocketAddr)], seconds: i64) -> Stand {
+    /// A node with a wall clock that is ahead of the real clock by this many seconds.
+    pub fn with_clock_shift(engines: &[(&str, SocketAddr)], seconds: i64) -> Harness {
         let shift = seconds.to_string();
         let env = [("PINTALLY_CLOCK_SHIFT", shift.as_str())];
-        Stand::launched(engines, 256, Arc::new(Discovery::default()), |_| {}, &env, false)
+        Harness::launch(engines, 256, Arc::new(Discovery::default()), |_| {}, &env, false)
     }
 
-    fn launched(
+    fn launch(
         engines: &[(&str, SocketAddr)],
         sockets: usize,
         discovery: Arc<Discovery>,
         change: impl Fn(&mut Value),
         faults_env: &[(&str, &str)],
         from_start: bool,
-    ) -> Stand {
-        let seen = Arc::new(Seen::default());
+    ) -> Harness {
+        let mock_engines = Arc::new(MockEngines::default());
         *discovery.inner.lock().unwrap() =
             (1, engines.iter().map(|(name, address)| member(name, *address, "up")).collect(), Vec::new());
         let addresses = engines.iter().map(|(name, address)| (name.to_string(), *address)).collect();
         let at = discovery.serve();
-        // Held until the node has it, and after: another test might be given a port that is merely free.
+        // The port stays reserved while the node runs: another test could be given a port that is only free.
         let port = Port::hold().unwrap();
-        let node = port.address().unwrap();
-        let mut config = configuration(node, at, sockets);
+        let node_address = port.address().unwrap();
+        let mut config = configuration(node_address, at, sockets);
         change(&mut config);
         let dir = tempfile::tempdir().unwrap();
-        let file = dir.path().join("config.json");
-        std::fs::write(&file, config.to_string()).unwrap();
-        let faults = dir.path().join("faults");
+        let config_file = dir.path().join("config.json");
+        std::fs::write(&config_file, config.to_string()).unwrap();
+        let faults_file = dir.path().join("faults");
         let mut env = Vec::new();
         if !faults_env.is_empty() {
-            let library = pintally_soak::fault_layer::build(dir.path()).expect("a compiler for C is there");
+            let library = pintally_soak::fault_layer::build(dir.path()).expect("a C compiler");
             env.push(("LD_PRELOAD".to_string(), library.display().to_string()));
-            env.push(("PINTALLY_FAULTS_WHILE".to_string(), faults.display().to_string()));
+            env.push(("PINTALLY_FAULTS_WHILE".to_string(), faults_file.display().to_string()));
             env.extend(faults_env.iter().map(|(name, value)| (name.to_string(), value.to_string())));
         }
         if from_start {
-            std::fs::write(&faults, "").unwrap();
+            std::fs::write(&faults_file, "").unwrap();
         }
-        let child = start_node(&file, node, &env);
-        let stand = Stand {
-            seen,
+        let child = start_node(&config_file, node_address, &env);
+        let harness = Harness {
+            mock_engines,
             discovery,
             engines: addresses,
-            node,
+            node_address,
             config,
-            file,
-            faults,
+            config_file,
+            faults_file,
             env,
             child,
             _dir: dir,
             _port: port,
         };
         if !from_start {
-            stand.until_ready();
+            harness.wait_until_ready();
         }
-        stand
+        harness
     }
 
-    /// Kills the node and starts it again under its name and address; waits until it is ready.
+    /// Kills the node, starts it again with the same name and address, and waits until it is ready.
     pub fn kill_and_restart(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.child = start_node(&self.file, self.node, &self.env);
-        self.until_ready();
+        self.child = start_node(&self.config_file, self.node_address, &self.env);
+        self.wait_until_ready();
     }
 
-    /// Kills the node and starts it again; these clients' connections are the first that it takes.
+    /// Kills the node and starts it again; the connections of the returned clients are the first that it accepts.
     pub fn restart_with_first_clients(&mut self, many: usize) -> Vec<Client> {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.child = start_node(&self.file, self.node, &self.env);
+        self.child = start_node(&self.config_file, self.node_address, &self.env);
         let end = Instant::now() + LONG;
         let mut clients = Vec::new();
         while clients.len() < many {
-            assert!(Instant::now() < end, "the node never listened");
-            match TcpStream::connect(self.node) {
-                Ok(stream) => clients.push(Client::over(stream)),
+            assert!(Instant::now() < end, "the node does not listen");
+            match TcpStream::connect(self.node_address) {
+                Ok(stream) => clients.push(Client::from_stream(stream)),
                 Err(_) => std::thread::sleep(Duration::from_millis(1)),
             }
         }
         clients
     }
 
-    /// Tells the node to stop; it knows once it refuses a request, here one of that id.
-    pub fn tell_to_stop(&self, id: &str) {
+    /// Sends SIGTERM and a request with this id, whose rejection shows that the node is shutting down.
+    pub fn request_shutdown(&self, id: &str) {
         self.signal("-TERM");
         let mut other = Client::new(self);
-        other.ask("safe", id);
-        assert_eq!(other.answer().0, 503);
+        other.send_request("safe", id);
+        assert_eq!(other.receive_response().0, 503);
     }
 
-    /// Moves discovery to a new address, by a new configuration.
+    /// Moves discovery to a new address by a reload of the configuration.
     pub fn move_discovery(&self) {
         let mut config = self.config.clone();
         config["discovery"] = json!(self.discovery.serve());
-        std::fs::write(&self.file, config.to_string()).unwrap();
+        std::fs::write(&self.config_file, config.to_string()).unwrap();
         self.signal("-HUP");
     }
 
-    /// Stops the node's process until [`Stand::wake`]: what happens meanwhile comes to it all at once.
-    pub fn pause(&self) {
+    /// Pauses the node's process until [`Harness::resume_process`], so that all events of the pause reach the node in
+    /// one iteration.
+    pub fn pause_process(&self) {
         self.signal("-STOP");
         let end = Instant::now() + LONG;
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
@@ -575,20 +577,20 @@
         }
     }
 
-    /// Lets a stopped node go on.
-    pub fn wake(&self) {
+    /// Resumes a paused node.
+    pub fn resume_process(&self) {
         self.signal("-CONT");
     }
 
     /// Waits until the node is ready.
-    pub fn until_ready(&self) {
+    pub fn wait_until_ready(&self) {
         let end = Instant::now() + LONG;
         loop {
-            assert!(Instant::now() < end, "the node never was ready");
-            let up = TcpStream::connect(self.node).is_ok() && {
+            assert!(Instant::now() < end, "the node did not become ready");
+            let up = TcpStream::connect(self.node_address).is_ok() && {
                 let mut client = Client::new(self);
                 client.send(b"GET /up HTTP/1.1\r\n\r\n");
-                client.answer().0 == 200
+                client.receive_response().0 == 200
             };
             if up {
                 return;
@@ -597,57 +599,57 @@
         }
     }
 
-    /// The node's process.
+    /// The id of the node's process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends the node a signal.
+    /// Sends a signal to the node.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
     }
 
-    /// Waits for the node to end by itself.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits until the node exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let end = Instant::now() + LONG;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the node did not end");
+            assert!(Instant::now() < end, "the node did not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What the node believes.
-    pub fn beliefs(&self) -> Value {
+    /// The status document of the node.
+    pub fn status(&self) -> Value {
         let mut client = Client::new(self);
         client.send(b"GET /pintally/beliefs HTTP/1.1\r\n\r\n");
-        serde_json::from_slice(&client.answer().1).expect("a page of JSON")
+        serde_json::from_slice(&client.receive_response().1).expect("a JSON document")
     }
 
-    /// Waits until the node believes something.
-    pub fn until_believed(&self, what: &str, check: impl Fn(&Value) -> bool) {
+    /// Waits until the status document satisfies the check.
+    pub fn wait_until_status(&self, what: &str, check: impl Fn(&Value) -> bool) {
         let end = Instant::now() + LONG;
-        while !check(&self.beliefs()) {
-            assert!(Instant::now() < end, "{what}: {}", self.beliefs());
+        while !check(&self.status()) {
+            assert!(Instant::now() < end, "{what}: {}", self.status());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for Stand {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn start_node(file: &std::path::Path, listen: SocketAddr, env: &[(String, String)]) -> Child {
+fn start_node(config_file: &std::path::Path, listen: SocketAddr, env: &[(String, String)]) -> Child {
     Command::new(env!("CARGO_BIN_EXE_pintally"))
         .args(["--log-level", &std::env::var("PINTALLY_TEST_LOG").unwrap_or("warn".into()), "platform"])
-        .env("BALANCER_CONFIG", file)
+        .env("BALANCER_CONFIG", config_file)
         .env("BALANCER_LISTEN", listen.to_string())
         .envs(env.iter().cloned())
         .stderr(Stdio::inherit())
@@ -671,80 +673,80 @@
     })
 }
 
-/// A client's connection.
+/// The connection of a client.
 pub struct Client {
     pub stream: TcpStream,
-    left: Vec<u8>,
+    unread: Vec<u8>,
 }
 
 impl Client {
-    pub fn new(stand: &Stand) -> Client {
-        Client::over(TcpStream::connect(stand.node).expect("the node listens"))
+    pub fn new(harness: &Harness) -> Client {
+        Client::from_stream(TcpStream::connect(harness.node_address).expect("the node listens"))
     }
 
-    /// A client on a connection that is there already.
-    pub fn over(stream: TcpStream) -> Client {
+    /// A client with an existing connection.
+    pub fn from_stream(stream: TcpStream) -> Client {
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Client { stream, left: Vec::new() }
+        Client { stream, unread: Vec::new() }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the node takes it");
+        self.stream.write_all(bytes).expect("the node reads it");
     }
 
-    /// A request of a class under an id.
-    pub fn ask(&mut self, class: &str, id: &str) {
-        self.send(&asked(class, id));
+    /// Sends a request with a class and an id.
+    pub fn send_request(&mut self, class: &str, id: &str) {
+        self.send(&request_bytes(class, id));
     }
 
-    /// The next answer: its status, its body, whether it was whole.
-    pub fn answer(&mut self) -> (u16, Vec<u8>, bool) {
-        let (mut reader, mut some) = (ResponseReader::new(1 << 16), vec![0; 1 << 16]);
+    /// The next response: its status, its body, and whether it was complete.
+    pub fn receive_response(&mut self) -> (u16, Vec<u8>, bool) {
+        let (mut reader, mut buffer) = (ResponseReader::new(1 << 16), vec![0; 1 << 16]);
         let (mut status, mut body) = (0, Vec::new());
         loop {
-            let left = std::mem::take(&mut self.left);
-            reader.push(&left);
+            let unread = std::mem::take(&mut self.unread);
+            reader.push(&unread);
             loop {
                 match reader.next_part() {
                     Ok(Some(Part::Head(s, _))) => status = s,
                     Ok(Some(Part::Body(b))) => body.extend(b),
                     Ok(Some(Part::End(_))) => {
-                        self.left = reader.take_leftover();
+                        self.unread = reader.take_leftover();
                         return (status, body, true);
                     }
                     Ok(None) => break,
-                    Err(e) => panic!("the node sends no HTTP: {e}"),
+                    Err(e) => panic!("the node sent invalid HTTP: {e}"),
                 }
             }
-            match self.stream.read(&mut some) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return (status, body, false),
-                Ok(n) => self.left = some[..n].to_vec(),
+                Ok(n) => self.unread = buffer[..n].to_vec(),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return (status, body, false),
-                // A read with a timeout is interrupted where the process was stopped and continued.
+                // A read with a timeout is interrupted when this process is stopped and continued.
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                Err(e) => panic!("no answer came: {e}"),
+                Err(e) => panic!("no response was received: {e}"),
             }
         }
     }
 
-    /// Waits until this much of an answer has come; `answer` tells it all the same.
-    pub fn until_begun(&mut self, mark: &[u8]) {
-        let mut some = [0; 4096];
-        while !self.left.windows(mark.len()).any(|w| w == mark) {
-            let n = match self.stream.read(&mut some) {
+    /// Waits until the response contains these bytes; `receive_response` still returns them.
+    pub fn wait_for_bytes(&mut self, mark: &[u8]) {
+        let mut buffer = [0; 4096];
+        while !self.unread.windows(mark.len()).any(|w| w == mark) {
+            let n = match self.stream.read(&mut buffer) {
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => continue,
-                other => other.expect("the answer begins"),
+                other => other.expect("the response begins"),
             };
             assert!(n > 0, "the connection ended");
-            self.left.extend_from_slice(&some[..n]);
+            self.unread.extend_from_slice(&buffer[..n]);
         }
     }
 
-    /// Waits until the node has closed the connection.
-    pub fn closed(&mut self) -> bool {
-        let mut some = [0; 4096];
+    /// Waits until the node closes the connection; false if there is an error instead.
+    pub fn wait_for_close(&mut self) -> bool {
+        let mut buffer = [0; 4096];
         loop {
-            match self.stream.read(&mut some) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(e) => return e.kind() == std::io::ErrorKind::ConnectionReset,
@@ -754,12 +756,12 @@
 }
 
 /// The bytes of a request.
-pub fn asked(class: &str, id: &str) -> Vec<u8> {
-    asked_within(class, id, 6_000)
+pub fn request_bytes(class: &str, id: &str) -> Vec<u8> {
+    request_bytes_with_timeout(class, id, 6_000)
 }
 
-/// The bytes of a request whose client waits for so many milliseconds.
-pub fn asked_within(class: &str, id: &str, ms: u64) -> Vec<u8> {
+/// The bytes of a request whose client waits for this many milliseconds.
+pub fn request_bytes_with_timeout(class: &str, id: &str, ms: u64) -> Vec<u8> {
     let body = "{\"model\":\"m\",\"stream\":true}";
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: s\r\nX-Txn: {id}\r\nX-Lane: {class}\r\nX-Entity: {id}\r\n\
--- a/crates/pintally-cli/tests/platform/shutdown_and_discovery.rs
+++ b/crates/pintally-cli/tests/platform/shutdown_and_discovery.rs
@@ -1,498 +1,542 @@
-//! Ends and changes while something is owed: signals, kills, reloads, and a discovery that fails.
+//! Shutdown, kills, reloads and discovery failures while requests, releases or watches are in progress.
 
 use std::time::{Duration, Instant};
 
 use pintally_http::response;
 use serde_json::{json, Value};
 
-use crate::stand::*;
-use crate::{at, posts};
+use crate::harness::*;
+use crate::{attempted_engines, requests_for};
 
-/// A change counts as notified this long after discovery had it.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// Sooner than a watch that has merely gone silent is opened anew.
-const SOON: Duration = Duration::from_secs(3);
+/// A change counts as notified to the node this long after discovery has it.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// Shorter than the time after which a silent watch is reopened.
+const REOPEN_LIMIT: Duration = Duration::from_secs(3);
 
 // ---- SIGTERM ----
 
 #[test]
-fn a_request_between_prefill_and_decode_at_sigterm_is_served() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("r0", &[Does::SaysThen(Vec::new(), read_answer())]);
-    let mut client = Client::new(&stand);
-    client.ask("once", "a");
-    stand.seen.until("the read", |came| !at(came, "a").is_empty());
-    // The signal and the read's answer come in the same iteration.
-    stand.pause();
-    stand.signal("-TERM");
-    stand.seen.go_on_and_write();
-    stand.wake();
-    assert_eq!(client.answer(), (200, [TOKEN, TOKEN, DONE].concat(), true));
-    assert!(client.closed());
-    assert!(stand.ended().success());
+fn sigterm_between_read_and_write_serves_request() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script("r0", &[EngineAction::RespondInTwoParts(Vec::new(), read_response())]);
+    let mut client = Client::new(&harness);
+    client.send_request("once", "a");
+    harness.mock_engines.wait_until("the read", |received| !requests_for(received, "a").is_empty());
+    // The signal and the response to the read arrive in the same iteration.
+    harness.pause_process();
+    harness.signal("-TERM");
+    harness.mock_engines.resume_and_wait();
+    harness.resume_process();
+    assert_eq!(client.receive_response(), (200, [TOKEN, TOKEN, DONE].concat(), true));
+    assert!(client.wait_for_close());
+    assert!(harness.wait_for_exit().success());
 }
 
-/// A client whose request `a` is answered up to its first event; the rest comes when the test lets it go on.
-fn stream_under_way(stand: &Stand) -> Client {
-    let rest = stream(&[TOKEN, DONE])[begun(&[TOKEN]).len()..].to_vec();
-    stand.seen.let_do("w0", &[Does::SaysThen(begun(&[TOKEN]), rest)]);
-    let mut client = Client::new(stand);
-    client.ask("safe", "a");
-    client.until_begun(TOKEN);
+/// A client whose request `a` has received its first event; the writer sends the rest when the test resumes it.
+fn client_with_open_stream(harness: &Harness) -> Client {
+    let rest = complete_stream(&[TOKEN, DONE])[open_stream(&[TOKEN]).len()..].to_vec();
+    harness.mock_engines.script("w0", &[EngineAction::RespondInTwoParts(open_stream(&[TOKEN]), rest)]);
+    let mut client = Client::new(harness);
+    client.send_request("safe", "a");
+    client.wait_for_bytes(TOKEN);
     client
 }
 
 #[test]
-fn a_stream_in_flight_at_sigterm_is_forwarded_to_its_end() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let mut client = stream_under_way(&stand);
-    stand.tell_to_stop("b");
-    stand.seen.go_on_and_write();
-    assert_eq!(client.answer(), (200, [TOKEN, DONE].concat(), true));
-    assert!(stand.ended().success());
-    assert!(posts(&stand, "b").is_empty());
+fn sigterm_forwards_open_stream_to_its_end() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let mut client = client_with_open_stream(&harness);
+    harness.request_shutdown("b");
+    harness.mock_engines.resume_and_wait();
+    assert_eq!(client.receive_response(), (200, [TOKEN, DONE].concat(), true));
+    assert!(harness.wait_for_exit().success());
+    assert!(attempted_engines(&harness, "b").is_empty());
 }
 
 #[test]
-fn a_request_half_read_at_sigterm_is_rejected_and_not_forwarded() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let mut client = Client::new(&stand);
-    let whole = asked("once", "a");
+fn sigterm_rejects_partially_received_request() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let mut client = Client::new(&harness);
+    let whole = request_bytes("once", "a");
     client.send(&whole[..whole.len() / 2]);
-    let clients = |stand: &Stand| stand.beliefs()["clients"].as_u64();
-    assert_eq!(clients(&stand), Some(2));
-    stand.tell_to_stop("b");
+    let clients = |harness: &Harness| harness.status()["clients"].as_u64();
+    assert_eq!(clients(&harness), Some(2));
+    harness.request_shutdown("b");
     client.send(&whole[whole.len() / 2..]);
-    assert_eq!(client.answer().0, 503);
-    assert!(client.closed());
-    assert!(stand.ended().success());
-    assert!(posts(&stand, "a").is_empty());
+    assert_eq!(client.receive_response().0, 503);
+    assert!(client.wait_for_close());
+    assert!(harness.wait_for_exit().success());
+    assert!(attempted_engines(&harness, "a").is_empty());
 }
 
-/// Requests that were read behind a stream at SIGTERM are each refused, not dropped.
+/// Requests that were read behind a stream before SIGTERM are each rejected, not dropped.
 #[test]
-fn requests_read_behind_a_stream_at_sigterm_are_rejected() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let rest = stream(&[TOKEN, DONE])[begun(&[TOKEN]).len()..].to_vec();
-    stand.seen.let_do("w0", &[Does::SaysThen(begun(&[TOKEN]), rest)]);
-    let mut client = Client::new(&stand);
-    client.send(&[asked("safe", "a"), asked("safe", "b"), asked("once", "c")].concat());
-    client.until_begun(TOKEN);
-    stand.tell_to_stop("d");
-    stand.seen.go_on_and_write();
-    assert!(client.answer().2);
-    assert_eq!((client.answer().0, client.answer().0), (503, 503));
-    assert!(client.closed());
-    assert!(stand.ended().success());
-    assert!(posts(&stand, "b").is_empty() && posts(&stand, "c").is_empty());
+fn sigterm_rejects_requests_pipelined_behind_stream() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let rest = complete_stream(&[TOKEN, DONE])[open_stream(&[TOKEN]).len()..].to_vec();
+    harness.mock_engines.script("w0", &[EngineAction::RespondInTwoParts(open_stream(&[TOKEN]), rest)]);
+    let mut client = Client::new(&harness);
+    client
+        .send(&[request_bytes("safe", "a"), request_bytes("safe", "b"), request_bytes("once", "c")].concat());
+    client.wait_for_bytes(TOKEN);
+    harness.request_shutdown("d");
+    harness.mock_engines.resume_and_wait();
+    assert!(client.receive_response().2);
+    assert_eq!((client.receive_response().0, client.receive_response().0), (503, 503));
+    assert!(client.wait_for_close());
+    assert!(harness.wait_for_exit().success());
+    assert!(attempted_engines(&harness, "b").is_empty() && attempted_engines(&harness, "c").is_empty());
 }
 
-/// A request that comes behind the last answer of a connection, as the node has ended its sending there, is
-/// dropped: its client sends it again elsewhere.
+/// A request that arrives after the last response on a connection, when the node has shut down its sending side, is
+/// dropped: its client retries it elsewhere.
 #[test]
-fn a_request_read_after_the_node_has_shut_a_connection_is_not_sent_on() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let rest = stream(&[TOKEN, DONE])[begun(&[TOKEN]).len()..].to_vec();
-    stand.seen.let_do("w0", &[Does::SaysThen(begun(&[TOKEN]), rest), Does::streams()]);
-    let mut client = Client::new(&stand);
-    client.ask("safe", "a");
-    client.until_begun(TOKEN);
-    stand.tell_to_stop("b");
-    // The stream's end and the next request come in the same iteration, and one more behind the shutdown.
-    stand.pause();
-    stand.seen.go_on_and_write();
-    client.ask("once", "c");
-    stand.wake();
-    assert!(client.answer().2);
-    let _ = std::io::Write::write_all(&mut client.stream, &asked("once", "d"));
-    assert!(client.closed());
-    assert!(stand.ended().success());
-    assert!(posts(&stand, "c").is_empty() && posts(&stand, "d").is_empty());
+fn request_after_node_shutdown_of_connection_is_dropped() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let rest = complete_stream(&[TOKEN, DONE])[open_stream(&[TOKEN]).len()..].to_vec();
+    harness.mock_engines.script(
+        "w0",
+        &[EngineAction::RespondInTwoParts(open_stream(&[TOKEN]), rest), EngineAction::stream_response()],
+    );
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "a");
+    client.wait_for_bytes(TOKEN);
+    harness.request_shutdown("b");
+    // The end of the stream and the next request arrive in the same iteration, and one more after the shutdown.
+    harness.pause_process();
+    harness.mock_engines.resume_and_wait();
+    client.send_request("once", "c");
+    harness.resume_process();
+    assert!(client.receive_response().2);
+    let _ = std::io::Write::write_all(&mut client.stream, &request_bytes("once", "d"));
+    assert!(client.wait_for_close());
+    assert!(harness.wait_for_exit().success());
+    assert!(attempted_engines(&harness, "c").is_empty() && attempted_engines(&harness, "d").is_empty());
 }
 
-/// Guards against a request that is read and dropped behind the end of a stream whose head said that the connection
-/// stays: its client cannot know that it has to send it again. It is refused, or the connection is closed unread, and
-/// then the system resets it as soon as anything comes.
+/// Guards against a request that is read and dropped after a stream whose head announced a keep-alive connection: its
+/// client cannot know that it has to retry. The request is rejected, or the connection is closed without reading it,
+/// and then the system resets the connection as soon as data arrives.
 #[test]
-fn a_request_behind_a_stream_that_was_to_keep_its_connection_is_refused_or_never_read() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let mut client = stream_under_way(&stand);
-    stand.tell_to_stop("b");
-    stand.seen.go_on_and_write();
-    assert!(client.answer().2);
-    let first = std::io::Write::write_all(&mut client.stream, &asked("once", "c"));
-    let (status, _, whole) = client.answer();
+fn request_behind_keep_alive_stream_is_rejected_or_unread() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let mut client = client_with_open_stream(&harness);
+    harness.request_shutdown("b");
+    harness.mock_engines.resume_and_wait();
+    assert!(client.receive_response().2);
+    let first = std::io::Write::write_all(&mut client.stream, &request_bytes("once", "c"));
+    let (status, _, whole) = client.receive_response();
     if !whole {
-        // Where the node reads and drops what comes, this arrives as well.
+        // If the node read and dropped the request, this write would succeed as well.
         let second = first.and_then(|()| std::io::Write::write_all(&mut client.stream, b"more"));
-        assert!(second.is_err(), "it was read, and got no answer");
+        assert!(second.is_err(), "the request was read but not answered");
     } else {
         assert_eq!(status, 503);
     }
-    assert!(stand.ended().success());
-    assert!(posts(&stand, "c").is_empty());
+    assert!(harness.wait_for_exit().success());
+    assert!(attempted_engines(&harness, "c").is_empty());
 }
 
-/// A request on a connection that has rested, in the instant in which the node closes it: either it is
-/// answered, or the connection ends and no engine has seen it.
+/// A request on an idle connection at the moment when the node closes it: either it is answered, or the connection
+/// ends and no engine receives the request.
 #[test]
-fn a_request_that_crosses_the_close_of_a_resting_connection_is_answered_or_never_sent_on() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let mut resting: Vec<Client> = (0..20).map(|_| Client::new(&stand)).collect();
-    for (n, client) in resting.iter_mut().enumerate() {
-        client.ask("safe", &format!("before-{n}"));
-        assert!(client.answer().2);
+fn request_racing_idle_close_is_answered_or_not_forwarded() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let mut idle_clients: Vec<Client> = (0..20).map(|_| Client::new(&harness)).collect();
+    for (n, client) in idle_clients.iter_mut().enumerate() {
+        client.send_request("safe", &format!("before-{n}"));
+        assert!(client.receive_response().2);
     }
-    stand.signal("-TERM");
-    // Half a second later the node closes what rests; requests come all the time.
+    harness.signal("-TERM");
+    // The node closes idle connections half a second later; requests arrive before, during and after.
     let mut crossed = 0;
-    for (n, client) in resting.iter_mut().enumerate() {
+    for (n, client) in idle_clients.iter_mut().enumerate() {
         std::thread::sleep(Duration::from_millis(35));
         let id = format!("a{n}");
-        if std::io::Write::write_all(&mut client.stream, &asked("once", &id)).is_err() {
+        if std::io::Write::write_all(&mut client.stream, &request_bytes("once", &id)).is_err() {
             crossed += 1;
             continue;
         }
-        let (status, _, whole) = client.answer();
+        let (status, _, whole) = client.receive_response();
         if whole {
             assert_eq!(status, 503);
         } else {
             crossed += 1;
         }
-        assert!(posts(&stand, &id).is_empty(), "{id}");
+        assert!(attempted_engines(&harness, &id).is_empty(), "{id}");
     }
-    println!("{crossed} of 20 crossed the close");
-    assert!(stand.ended().success());
+    println!("{crossed} of 20 requests raced with the close");
+    assert!(harness.wait_for_exit().success());
 }
 
 #[test]
-fn a_release_in_flight_at_sigterm_is_retried_until_acknowledged() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("w0", &[Does::Hangs]);
+fn sigterm_retries_release_until_acknowledged() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script("w0", &[EngineAction::Hang]);
     for engine in ["r0", "w0"] {
-        let late = Does::SaysThen(Vec::new(), response(204, &[], b""));
-        stand.seen.let_do(&format!("{engine} releases"), &[late, Does::Says(response(204, &[], b""))]);
+        let late_reply = EngineAction::RespondInTwoParts(Vec::new(), response(204, &[], b""));
+        harness.mock_engines.script(
+            &format!("{engine} releases"),
+            &[late_reply, EngineAction::Respond(response(204, &[], b""))],
+        );
     }
-    let mut client = Client::new(&stand);
-    client.ask("safe", "a");
-    stand.seen.until("the write", |came| at(came, "a").contains(&("w0", "POST")));
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "a");
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "a").contains(&("w0", "POST")));
     drop(client);
-    stand.seen.until("a release", |came| at(came, "a").iter().any(|c| c.1 == "DELETE"));
-    stand.signal("-TERM");
-    // The first calls say nothing; the node goes on calling before it ends.
-    assert!(stand.ended().success());
-    let came = stand.seen.came();
-    assert!(at(&came, "a").iter().filter(|c| c.1 == "DELETE").count() >= 2);
+    harness
+        .mock_engines
+        .wait_until("a release", |received| requests_for(received, "a").iter().any(|c| c.1 == "DELETE"));
+    harness.signal("-TERM");
+    // The first release calls get no response; the node repeats them before it exits.
+    assert!(harness.wait_for_exit().success());
+    let received = harness.mock_engines.received();
+    assert!(requests_for(&received, "a").iter().filter(|c| c.1 == "DELETE").count() >= 2);
 }
 
 // ---- SIGKILL ----
 
 #[test]
-fn a_node_that_was_killed_with_states_held_starts_again_at_once() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("w0", &[Does::Hangs, Does::streams()]);
-    let mut client = Client::new(&stand);
-    client.ask("once", "a");
-    stand.seen.until("the write", |came| at(came, "a").contains(&("w0", "POST")));
+fn node_killed_with_held_states_restarts_quickly() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script("w0", &[EngineAction::Hang, EngineAction::stream_response()]);
+    let mut client = Client::new(&harness);
+    client.send_request("once", "a");
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "a").contains(&("w0", "POST")));
     let since = Instant::now();
-    stand.kill_and_restart();
+    harness.kill_and_restart();
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
-    assert!(client.closed());
-    // The id of what was under way is free again, and nothing of it is done twice by itself.
-    let mut client = Client::new(&stand);
-    client.ask("safe", "b");
-    assert!(client.answer().2);
-    assert_eq!(posts(&stand, "a"), ["r0", "w0"]);
-    assert_eq!(stand.beliefs()["held"], 0);
+    assert!(client.wait_for_close());
+    // Requests are served again, and the request that was in progress is not repeated by the node.
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "b");
+    assert!(client.receive_response().2);
+    assert_eq!(attempted_engines(&harness, "a"), ["r0", "w0"]);
+    assert_eq!(harness.status()["held"], 0);
 }
 
-/// A node that starts while discovery is silent is ready by the list that it had, however long that is.
+/// A node that starts while discovery is silent becomes ready with its cached list, however long the list is.
 #[test]
-fn a_node_is_ready_with_discovery_silent_and_a_thousand_engines() {
+fn node_is_ready_with_silent_discovery_and_1024_engines() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let names: Vec<String> = (0..1_024).map(|n| format!("{}{n}", ["r", "w"][n % 2])).collect();
     let known: Vec<Value> = names.iter().map(|name| member(name, address, "up")).collect();
     let discovery = std::sync::Arc::new(Discovery::default());
-    discovery.be_silent(true);
+    discovery.set_silent(true);
     let since = Instant::now();
-    let stand = Stand::configured(&[], 256, discovery.clone(), |config| {
+    let harness = Harness::with_config(&[], 256, discovery.clone(), |config| {
         config["known"] = json!({"revision": 7, "complete": true, "members": known});
     });
-    assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
-    assert_eq!(stand.beliefs()["engines"].as_array().map(Vec::len), Some(1_024));
-    discovery.until_unanswered(2);
+    assert!(since.elapsed() < NOTIFIED_AFTER, "{:?}", since.elapsed());
+    assert_eq!(harness.status()["engines"].as_array().map(Vec::len), Some(1_024));
+    discovery.wait_for_unanswered_watches(2);
 }
 
-/// Guards against sends by a list that is out of date: a node that was down while an engine drained is notified late,
-/// and clients must not come before.
+/// Guards against attempts based on an outdated list: a node that was down while an engine drained is notified late,
+/// and must not become ready before.
 #[test]
-fn a_node_that_starts_is_ready_when_it_has_heard_of_the_list() {
+fn starting_node_waits_for_current_endpoint_list() {
     const GRACE: Duration = Duration::from_secs(1);
-    let (seen, engines) = serve_engines(&["r0", "w0", "w1"]);
+    let (mock_engines, engines) = serve_engines(&["r0", "w0", "w1"]);
     let discovery = std::sync::Arc::new(Discovery::default());
-    discovery.answer_after(Duration::from_millis(1_500));
-    let listed = [engines[0], engines[2]];
+    discovery.delay_answers(Duration::from_millis(1_500));
+    let listed_engines = [engines[0], engines[2]];
     let known: Vec<Value> = engines.iter().map(|(id, address)| member(id, *address, "up")).collect();
-    let stand = Stand::configured(&listed, 256, discovery, |config| {
+    let harness = Harness::with_config(&listed_engines, 256, discovery, |config| {
         config["known"] = json!({"revision": 1, "complete": true, "members": known});
     });
     std::thread::sleep(GRACE);
-    let mut client = Client::new(&stand);
+    let mut client = Client::new(&harness);
     for n in 0..12 {
-        client.ask("safe", &format!("a{n}"));
-        assert!(client.answer().2, "request {n}");
+        client.send_request("safe", &format!("a{n}"));
+        assert!(client.receive_response().2, "request {n}");
     }
-    let sent_on: Vec<Came> = seen.came().into_iter().filter(|came| came.0 == "w0").collect();
-    assert!(sent_on.is_empty(), "{sent_on:?}");
+    let sent_to_draining: Vec<ReceivedRequest> =
+        mock_engines.received().into_iter().filter(|received| received.0 == "w0").collect();
+    assert!(sent_to_draining.is_empty(), "{sent_to_draining:?}");
 }
 
 // ---- discovery ----
 
-/// Guards against a watch that says nothing any more and a node that waits for it: what it missed counts as
-/// notified six seconds after it fell silent.
+/// Guards against a node that keeps waiting for a silent watch: the changes that it missed count as notified six
+/// seconds after the watch fell silent.
 #[test]
-fn a_silent_watch_is_reopened_before_missed_changes_count_as_notified() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
+fn reopens_silent_watch_before_notification_deadline() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
     let silent_since = Instant::now();
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "draining"));
-    stand.until_believed("the drain", |b| is_listed(b, "w1", "Draining"));
-    assert!(silent_since.elapsed() < TOLD_AFTER, "{:?}", silent_since.elapsed());
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "draining"));
+    harness.wait_until_status("the drain", |b| is_listed(b, "w1", "Draining"));
+    assert!(silent_since.elapsed() < NOTIFIED_AFTER, "{:?}", silent_since.elapsed());
 }
 
-/// The same after a reload and a restart, and while discovery does not answer for a while.
+/// Guards against the same after a reload and a restart, and while discovery does not respond for a while.
 #[test]
-fn watches_are_opened_anew_after_a_reload_a_restart_and_a_silence() {
-    let mut stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
-    stand.discovery.be_silent(true);
-    stand.move_discovery();
-    stand.discovery.until_unanswered(1);
-    // What is asked for while nobody answers is served by the list that holds.
-    let mut client = Client::new(&stand);
-    client.ask("safe", "a");
-    assert!(client.answer().2);
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "draining"));
-    stand.discovery.be_silent(false);
-    let back = Instant::now();
-    stand.until_believed("the drain", |b| is_listed(b, "w1", "Draining"));
-    assert!(back.elapsed() < TOLD_AFTER, "{:?}", back.elapsed());
-    // A new process asks at once.
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "up"));
+fn reopens_watch_after_reload_restart_and_silence() {
+    let mut harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
+    harness.discovery.set_silent(true);
+    harness.move_discovery();
+    harness.discovery.wait_for_unanswered_watches(1);
+    // While discovery does not respond, requests are served with the list in force.
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "a");
+    assert!(client.receive_response().2);
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "draining"));
+    harness.discovery.set_silent(false);
+    let discovery_back = Instant::now();
+    harness.wait_until_status("the drain", |b| is_listed(b, "w1", "Draining"));
+    assert!(discovery_back.elapsed() < NOTIFIED_AFTER, "{:?}", discovery_back.elapsed());
+    // A new process opens a watch immediately.
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "up"));
     let restart = Instant::now();
-    stand.kill_and_restart();
-    stand.until_believed("w1 is up", |b| is_listed(b, "w1", "Serving"));
-    assert!(restart.elapsed() < SOON, "{:?}", restart.elapsed());
+    harness.kill_and_restart();
+    harness.wait_until_status("w1 is up", |b| is_listed(b, "w1", "Serving"));
+    assert!(restart.elapsed() < REOPEN_LIMIT, "{:?}", restart.elapsed());
 }
 
 #[test]
-fn watches_that_are_reset_are_opened_anew_at_once() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
+fn reopens_reset_watch_quickly() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
     for (n, phase) in ["draining", "up", "draining"].into_iter().enumerate() {
-        stand.discovery.until_watched(n + 1);
-        stand.discovery.change_unheard(member("w1", stand.engines["w1"], phase));
+        harness.discovery.wait_for_watches(n + 1);
+        harness.discovery.change_unannounced(member("w1", harness.engines["w1"], phase));
         let reset = Instant::now();
-        stand.discovery.reset_watches();
+        harness.discovery.reset_watches();
         let listing = if phase == "up" { "Serving" } else { "Draining" };
-        stand.until_believed(phase, |b| is_listed(b, "w1", listing));
-        assert!(reset.elapsed() < SOON, "{:?}", reset.elapsed());
+        harness.wait_until_status(phase, |b| is_listed(b, "w1", listing));
+        assert!(reset.elapsed() < REOPEN_LIMIT, "{:?}", reset.elapsed());
     }
 }
 
-/// Guards against the end of the watch being taken for the end of a client: what is waited on goes by numbers,
-/// and those of the listener, signals and the watch are like those of a node's first connections.
-/// Guards against a drain that is heard too late because the watch is opened at growing distances: what discovery has
-/// at its return counts as notified at once, and sends have to stop within the settings' grace of that.
+/// Guards against a drain that is received too late because the watch is reopened with growing delays: the changes that
+/// discovery has when it returns count as notified immediately, and sends have to stop within the grace period of the
+/// settings (`stop_sending_within`) after that.
 #[test]
-fn a_watch_that_was_refused_is_open_soon_after_discovery_is_back() {
+fn reopens_refused_watch_soon_after_discovery_returns() {
     const GRACE_MS: u64 = 250;
     let discovery = std::sync::Arc::new(Discovery::default());
-    let stand = Stand::configured(&[], 256, discovery.clone(), |config| {
+    let harness = Harness::with_config(&[], 256, discovery.clone(), |config| {
         config["settings"]["rules"]["stop_sending_within"] = json!(GRACE_MS as f64 / 1e3);
         config["known"] = json!({"revision": 1, "complete": true,
             "members": [member("r0", "127.0.0.1:9".parse().unwrap(), "up")]});
     });
-    stand.discovery.until_watched(1);
-    // Where discovery is from now on nobody listens, for a while.
-    let held = pintally_mock_engine::Port::hold().unwrap();
-    let address = held.address().unwrap();
-    let mut config = stand.config.clone();
+    harness.discovery.wait_for_watches(1);
+    // At the new address of discovery there is no listener for a while.
+    let unused_port = pintally_mock_engine::Port::hold().unwrap();
+    let address = unused_port.address().unwrap();
+    let mut config = harness.config.clone();
     config["discovery"] = json!(address);
-    std::fs::write(&stand.file, config.to_string()).unwrap();
-    stand.signal("-HUP");
+    std::fs::write(&harness.config_file, config.to_string()).unwrap();
+    harness.signal("-HUP");
     let mut latest = Duration::ZERO;
     for _ in 0..4 {
         std::thread::sleep(Duration::from_millis(2_300));
         let listener = std::net::TcpListener::bind(address).unwrap();
-        let back = Instant::now();
+        let discovery_back = Instant::now();
         drop(listener.accept().unwrap());
-        latest = latest.max(back.elapsed());
+        latest = latest.max(discovery_back.elapsed());
         drop(listener);
     }
-    println!("a watch came {latest:?} after discovery was back at the latest");
+    println!("the slowest watch was opened {latest:?} after discovery returned");
     assert!(latest < Duration::from_millis(GRACE_MS), "{latest:?}");
 }
 
-/// Guards against a node that never hears of the list because discovery takes longer to answer a watch than the node
-/// waits for word on one that is open.
+/// Guards against a node that never receives the list because discovery takes longer to answer a watch than the node
+/// waits for data on an open one.
 #[test]
-fn a_watch_that_is_answered_late_is_heard() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
-    stand.discovery.answer_after(Duration::from_secs(4));
-    stand.discovery.reset_watches();
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "draining"));
+fn applies_list_of_slowly_answered_watch() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
+    harness.discovery.delay_answers(Duration::from_secs(4));
+    harness.discovery.reset_watches();
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "draining"));
     let since = Instant::now();
-    stand.until_believed("the drain", |b| is_listed(b, "w1", "Draining"));
-    println!("heard after {:?}", since.elapsed());
+    harness.wait_until_status("the drain", |b| is_listed(b, "w1", "Draining"));
+    println!("applied after {:?}", since.elapsed());
 }
 
+/// Guards against the end of a watch that is taken for the end of a client: event sources are identified by number, and
+/// those of the listener, the signals and the watch resemble those of a node's first connections.
 #[test]
-fn the_end_of_a_watch_ends_no_clients_connection() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    stand.discovery.until_watched(1);
-    let mut first = stand.restart_with_first_clients(4);
-    stand.discovery.until_watched(2);
-    stand.until_believed("all are there", |b| b["clients"] == 5);
-    stand.discovery.reset_watches();
-    stand.discovery.until_watched(3);
-    for (n, client) in first.iter_mut().enumerate() {
-        client.ask("safe", &format!("a{n}"));
-        assert!(client.answer().2, "client {n}");
+fn watch_reset_keeps_client_connections() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    harness.discovery.wait_for_watches(1);
+    let mut first_clients = harness.restart_with_first_clients(4);
+    harness.discovery.wait_for_watches(2);
+    harness.wait_until_status("all clients are connected", |b| b["clients"] == 5);
+    harness.discovery.reset_watches();
+    harness.discovery.wait_for_watches(3);
+    for (n, client) in first_clients.iter_mut().enumerate() {
+        client.send_request("safe", &format!("a{n}"));
+        assert!(client.receive_response().2, "client {n}");
     }
 }
 
-/// A whole list that does not name an engine, byte by byte: it is gone, and gets nothing from then on.
+/// A complete list, received in single bytes, that does not contain an engine: the engine counts as gone and gets no
+/// more requests.
 #[test]
-fn an_engine_that_a_whole_list_leaves_out_gets_nothing_more() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
-    stand.discovery.write_by_bytes();
-    stand.discovery.forget("w1");
-    stand.discovery.reset_watches();
-    stand.until_believed("it is gone", |b| is_listed(b, "w1", "Gone"));
-    let mut client = Client::new(&stand);
+fn engine_missing_from_complete_list_gets_no_requests() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
+    harness.discovery.write_byte_by_byte();
+    harness.discovery.remove_unannounced("w1");
+    harness.discovery.reset_watches();
+    harness.wait_until_status("w1 is gone", |b| is_listed(b, "w1", "Gone"));
+    let mut client = Client::new(&harness);
     for n in 0..8 {
-        client.ask("safe", &format!("a{n}"));
-        assert!(client.answer().2);
-        assert!(!posts(&stand, &format!("a{n}")).contains(&"w1".to_string()));
+        client.send_request("safe", &format!("a{n}"));
+        assert!(client.receive_response().2);
+        assert!(!attempted_engines(&harness, &format!("a{n}")).contains(&"w1".to_string()));
     }
 }
 
-/// A drain that is notified in the same iteration in which requests come: what the node sends behind it goes
-/// elsewhere.
+/// A drain that is notified in the same iteration in which requests arrive: attempts that the node sends afterwards go
+/// to other engines.
 #[test]
-fn a_drain_received_in_the_iteration_of_a_send_applies_to_the_next_one() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
-    let mut clients: Vec<Client> = (0..12).map(|_| Client::new(&stand)).collect();
-    stand.pause();
+fn drain_in_same_iteration_applies_to_later_sends() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
+    let mut clients: Vec<Client> = (0..12).map(|_| Client::new(&harness)).collect();
+    harness.pause_process();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask("safe", &format!("a{n}"));
+        client.send_request("safe", &format!("a{n}"));
     }
-    stand.discovery.change(member("w1", stand.engines["w1"], "draining"));
-    stand.wake();
-    // Their reads end after the list was taken in, and so do all their fetches begin.
-    clients.iter_mut().for_each(|client| assert!(client.answer().2));
-    let came = stand.seen.came();
-    assert!(came.iter().all(|c| c.0 != "w1"), "{came:?}");
+    harness.discovery.change(member("w1", harness.engines["w1"], "draining"));
+    harness.resume_process();
+    // The reads end after the list was applied, so all fetches start after it.
+    clients.iter_mut().for_each(|client| assert!(client.receive_response().2));
+    let received = harness.mock_engines.received();
+    assert!(received.iter().all(|c| c.0 != "w1"), "{received:?}");
 }
 
-/// Guards against a new configuration that is lost because it cannot be read in the moment of the signal: the file is
-/// missing, or half written, and whole a little later.
+/// Guards against a new configuration that is lost because it cannot be read at the moment of the signal: the file is
+/// missing or partially written, and complete a little later.
 #[test]
-fn a_configuration_that_cannot_be_read_for_a_moment_is_read_soon() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.discovery.until_watched(1);
-    let old = std::fs::read_to_string(&stand.file).unwrap();
-    for broken in [None, Some(&old[..old.len() / 2])] {
-        match broken {
-            None => std::fs::remove_file(&stand.file).unwrap(),
-            Some(half) => std::fs::write(&stand.file, half).unwrap(),
+fn retries_reload_of_unreadable_configuration() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.discovery.wait_for_watches(1);
+    let old = std::fs::read_to_string(&harness.config_file).unwrap();
+    for content in [None, Some(&old[..old.len() / 2])] {
+        match content {
+            None => std::fs::remove_file(&harness.config_file).unwrap(),
+            Some(partial) => std::fs::write(&harness.config_file, partial).unwrap(),
         }
-        stand.signal("-HUP");
+        harness.signal("-HUP");
         std::thread::sleep(Duration::from_millis(300));
         let moved_to = std::sync::Arc::new(Discovery::default());
-        let mut config = stand.config.clone();
+        let mut config = harness.config.clone();
         config["discovery"] = json!(moved_to.serve());
-        std::fs::write(&stand.file, config.to_string()).unwrap();
-        moved_to.until_watched(1);
+        std::fs::write(&harness.config_file, config.to_string()).unwrap();
+        moved_to.wait_for_watches(1);
     }
 }
 
 #[test]
-fn a_reload_with_a_release_and_a_watch_outstanding_loses_neither() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 256);
-    stand.discovery.until_watched(1);
-    stand.seen.let_do("w0", &[Does::Hangs]);
-    stand.seen.let_do("w1", &[Does::Hangs]);
+fn reload_keeps_pending_release_and_watch() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 256);
+    harness.discovery.wait_for_watches(1);
+    harness.mock_engines.script("w0", &[EngineAction::Hang]);
+    harness.mock_engines.script("w1", &[EngineAction::Hang]);
     for engine in ["r0", "w0", "w1"] {
-        stand.seen.let_do(&format!("{engine} releases"), &[Does::Hangs, Does::Says(response(204, &[], b""))]);
+        harness.mock_engines.script(
+            &format!("{engine} releases"),
+            &[EngineAction::Hang, EngineAction::Respond(response(204, &[], b""))],
+        );
     }
-    let mut client = Client::new(&stand);
-    client.ask("once", "a");
-    stand.seen.until("the write", |came| at(came, "a").iter().any(|c| c.0.starts_with('w')));
+    let mut client = Client::new(&harness);
+    client.send_request("once", "a");
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "a").iter().any(|c| c.0.starts_with('w')));
     drop(client);
-    stand.seen.until("a release", |came| at(came, "a").iter().any(|c| c.1 == "DELETE"));
-    stand.discovery.be_silent(true);
-    stand.move_discovery();
-    stand.discovery.until_unanswered(1);
-    stand.seen.until("more calls", |came| at(came, "a").iter().filter(|c| c.1 == "DELETE").count() >= 2);
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "draining"));
-    stand.discovery.be_silent(false);
-    stand.until_believed("the drain", |b| is_listed(b, "w1", "Draining") && b["held"] == 0);
+    harness
+        .mock_engines
+        .wait_until("a release", |received| requests_for(received, "a").iter().any(|c| c.1 == "DELETE"));
+    harness.discovery.set_silent(true);
+    harness.move_discovery();
+    harness.discovery.wait_for_unanswered_watches(1);
+    harness.mock_engines.wait_until("more release calls", |received| {
+        requests_for(received, "a").iter().filter(|c| c.1 == "DELETE").count() >= 2
+    });
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "draining"));
+    harness.discovery.set_silent(false);
+    harness.wait_until_status("the drain", |b| is_listed(b, "w1", "Draining") && b["held"] == 0);
 }
 
 // ---- descriptors ----
 
-/// Idle clients fill the descriptors while discovery is down: engines, releases and the watch get theirs all
-/// the same, and the node recovers.
+/// Idle clients use up the descriptors while discovery is down: connections to engines, releases and the watch still
+/// get descriptors, and the node recovers.
 #[test]
-fn idle_clients_take_no_descriptor_from_engines_releases_and_the_watch() {
-    let stand = Stand::new(&["r0", "w0", "w1"], 64);
-    stand.discovery.until_watched(1);
-    stand.discovery.be_silent(true);
-    stand.discovery.reset_watches();
-    let idle: Vec<Client> = (0..150).map(|_| Client::new(&stand)).collect();
-    stand.discovery.until_unanswered(1);
-    // A request is served, and one whose client leaves is released.
-    let mut client = Client::new(&stand);
-    client.ask("safe", "a");
-    assert!(client.answer().2);
-    stand.seen.let_do("w0", &[Does::Hangs]);
-    stand.seen.let_do("w1", &[Does::Hangs]);
-    client.ask("safe", "b");
-    stand.seen.until("the write", |came| at(came, "b").iter().any(|c| c.0.starts_with('w')));
+fn idle_clients_leave_descriptors_for_engines_and_watch() {
+    let harness = Harness::new(&["r0", "w0", "w1"], 64);
+    harness.discovery.wait_for_watches(1);
+    harness.discovery.set_silent(true);
+    harness.discovery.reset_watches();
+    let idle: Vec<Client> = (0..150).map(|_| Client::new(&harness)).collect();
+    harness.discovery.wait_for_unanswered_watches(1);
+    // A request is served, and the read state of a request whose client disconnects is released.
+    let mut client = Client::new(&harness);
+    client.send_request("safe", "a");
+    assert!(client.receive_response().2);
+    harness.mock_engines.script("w0", &[EngineAction::Hang]);
+    harness.mock_engines.script("w1", &[EngineAction::Hang]);
+    client.send_request("safe", "b");
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "b").iter().any(|c| c.0.starts_with('w')));
     drop(client);
-    stand.seen.until("the release", |came| at(came, "b").iter().any(|c| c.1 == "DELETE"));
-    stand.discovery.change_unheard(member("w1", stand.engines["w1"], "draining"));
-    stand.discovery.be_silent(false);
-    stand.until_believed("the drain", |b| is_listed(b, "w1", "Draining"));
+    harness
+        .mock_engines
+        .wait_until("the release", |received| requests_for(received, "b").iter().any(|c| c.1 == "DELETE"));
+    harness.discovery.change_unannounced(member("w1", harness.engines["w1"], "draining"));
+    harness.discovery.set_silent(false);
+    harness.wait_until_status("the drain", |b| is_listed(b, "w1", "Draining"));
     drop(idle);
-    stand.until_believed("they have gone", |b| b["clients"] == 1 && b["held"] == 0);
+    harness.wait_until_status("the idle clients are gone", |b| b["clients"] == 1 && b["held"] == 0);
 }
 
-// ---- many commands at once ----
+// ---- pipelined requests ----
 
-/// Guards against a request that waited behind another on its connection and is given the time that it had when
-/// it was sent.
+/// Guards against a pipelined request that, after waiting behind another one, is given the time that it had when it was
+/// sent.
 #[test]
-fn a_request_that_waited_behind_another_tells_what_is_left_of_its_time() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("w0", &[Does::SaysThen(Vec::new(), stream(&[TOKEN, DONE])), Does::streams()]);
-    let mut client = Client::new(&stand);
-    client.send(&[asked("once", "a"), asked("once", "b"), asked_within("once", "c", 300)].concat());
-    stand.seen.until("the write", |came| at(came, "a").contains(&("w0", "POST")));
-    let came = Instant::now();
-    let waits = Duration::from_millis(400);
-    std::thread::sleep(waits);
-    stand.seen.go_on_and_write();
-    assert!(client.answer().2 && client.answer().2);
-    let stated = stand.seen.remaining("w0", "b").expect("it was written");
-    println!("{stated} ms stated of 6000 after {:?}", came.elapsed());
-    assert!(stated <= 6_000 - waits.as_millis() as u64, "{stated} ms stated");
-    // The time of the last one was over before its turn came.
-    assert_eq!(client.answer().0, 503);
-    assert!(posts(&stand, "c").is_empty());
+fn pipelined_request_states_its_remaining_time() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script(
+        "w0",
+        &[
+            EngineAction::RespondInTwoParts(Vec::new(), complete_stream(&[TOKEN, DONE])),
+            EngineAction::stream_response(),
+        ],
+    );
+    let mut client = Client::new(&harness);
+    client.send(
+        &[
+            request_bytes("once", "a"),
+            request_bytes("once", "b"),
+            request_bytes_with_timeout("once", "c", 300),
+        ]
+        .concat(),
+    );
+    harness
+        .mock_engines
+        .wait_until("the write", |received| requests_for(received, "a").contains(&("w0", "POST")));
+    let received = Instant::now();
+    let wait = Duration::from_millis(400);
+    std::thread::sleep(wait);
+    harness.mock_engines.resume_and_wait();
+    assert!(client.receive_response().2 && client.receive_response().2);
+    let stated_ms = harness.mock_engines.stated_remaining_ms("w0", "b").expect("the write was received");
+    println!("{stated_ms} ms stated of 6000 after {:?}", received.elapsed());
+    assert!(stated_ms <= 6_000 - wait.as_millis() as u64, "{stated_ms} ms stated");
+    // The deadline of the last request passed while it waited.
+    assert_eq!(client.receive_response().0, 503);
+    assert!(attempted_engines(&harness, "c").is_empty());
 }
--- a/crates/pintally-cli/tests/platform/slow_clients.rs
+++ b/crates/pintally-cli/tests/platform/slow_clients.rs
@@ -1,59 +1,60 @@
-//! Clients that are slow to take their answers, or never take them, while their connections come to be closed.
+//! Clients that read their responses slowly or not at all while their connections are about to be closed.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::stand::*;
+use crate::harness::*;
 
 /// One event of a long stream.
 const EVENT_BYTES: usize = 4 << 10;
-/// A stream that no system's buffers hold.
-const ENDLESS: usize = 24 << 20;
-/// Streams differ by so much in length, from less than the buffers hold on: some end with their last part still
-/// in the node, which holds 32 KiB and what one read brings.
-const STEP: usize = 8 << 10;
-const SHORTER: usize = 48 << 10;
-/// Longer than a connection whose last answer is written is kept for its client to read it.
-const UNREAD_FOR: Duration = Duration::from_millis(1_500);
-/// Longer than a request may take to come.
-const SLOW_FOR: Duration = Duration::from_millis(3_200);
+/// The size of a stream that exceeds all socket buffers.
+const OVERSIZED_STREAM_BYTES: usize = 24 << 20;
+/// The difference in length between streams. The shortest fits into the socket buffers, and some of the longer ones
+/// end while their last part is still in the node, which buffers 32 KiB plus one read.
+const LENGTH_STEP_BYTES: usize = 8 << 10;
+/// How much shorter than the capacity of the socket buffers the shortest stream is.
+const SHORTEST_MARGIN_BYTES: usize = 48 << 10;
+/// Longer than the node keeps a connection open for its client to read a response that is written completely.
+const UNREAD_DURATION: Duration = Duration::from_millis(1_500);
+/// Longer than the time limit for receiving a request.
+const SLOW_REQUEST_DURATION: Duration = Duration::from_millis(3_200);
 
-/// A client that takes little at once.
-fn narrow_client(node: SocketAddr) -> Client {
+/// A client with a small receive buffer.
+fn small_buffer_client(node: SocketAddr) -> Client {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     socket.connect(&node.into()).unwrap();
-    Client::over(socket.into())
+    Client::from_stream(socket.into())
 }
 
-/// A stream of about so many bytes of events.
-fn long_stream(bytes: usize) -> Does {
+/// A stream with about this many bytes of events.
+fn long_stream(bytes: usize) -> EngineAction {
     let event = format!("data: {{\"pad\":\"{}\"}}\n\n", "x".repeat(EVENT_BYTES));
     let parts: Vec<&[u8]> = (0..bytes / EVENT_BYTES).map(|_| event.as_bytes()).collect();
-    Does::Says(stream(&parts))
+    EngineAction::Respond(complete_stream(&parts))
 }
 
-/// How many bytes the system holds between the node and a client that reads nothing: what waits on both sides of
-/// such a connection once that does not grow any more.
-fn held_by_system(stand: &Stand) -> usize {
-    stand.seen.let_do("w0", &[long_stream(ENDLESS)]);
-    let mut client = narrow_client(stand.node);
-    client.ask("safe", "probe");
-    let ports = [stand.node.port(), client.stream.local_addr().unwrap().port()];
-    let (mut held, mut since) = (0, Instant::now());
-    while held == 0 || since.elapsed() < Duration::from_millis(200) {
-        let now = waiting_bytes(ports[0], ports[1]) + waiting_bytes(ports[1], ports[0]);
-        if now != held {
-            (held, since) = (now, Instant::now());
+/// How many bytes the socket buffers hold between the node and a client that reads nothing: the queues on both sides
+/// of such a connection once they stop growing.
+fn socket_buffered_bytes(harness: &Harness) -> usize {
+    harness.mock_engines.script("w0", &[long_stream(OVERSIZED_STREAM_BYTES)]);
+    let mut client = small_buffer_client(harness.node_address);
+    client.send_request("safe", "probe");
+    let ports = [harness.node_address.port(), client.stream.local_addr().unwrap().port()];
+    let (mut buffered, mut since) = (0, Instant::now());
+    while buffered == 0 || since.elapsed() < Duration::from_millis(200) {
+        let current = waiting_bytes(ports[0], ports[1]) + waiting_bytes(ports[1], ports[0]);
+        if current != buffered {
+            (buffered, since) = (current, Instant::now());
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    held
+    buffered
 }
 
-/// Bytes that wait to be acknowledged or to be read on one side of a connection on loopback.
+/// Unacknowledged plus unread bytes on one side of a loopback connection.
 fn waiting_bytes(from: u16, to: u16) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).find(|fields| {
@@ -65,120 +66,123 @@
     queues.map_or(0, |(tx, rx)| number(tx) + number(rx))
 }
 
-/// Clients with streams of growing lengths, none of which is read yet; `close` if they ask for the end of
-/// their connections.
-fn unread_streams(stand: &Stand, many: usize, close: bool) -> Vec<Client> {
-    let shortest = held_by_system(stand).saturating_sub(SHORTER);
+/// Starts streams of increasing length to clients that do not read yet; with `close_connections` the requests ask for
+/// the connections to be closed.
+fn start_unread_streams(harness: &Harness, count: usize, close_connections: bool) -> Vec<Client> {
+    let shortest = socket_buffered_bytes(harness).saturating_sub(SHORTEST_MARGIN_BYTES);
     println!("streams from {} KiB on", shortest >> 10);
-    let streams: Vec<Does> = (0..=many).map(|n| long_stream(shortest + n * STEP)).collect();
-    stand.seen.let_do("w0", &streams);
-    let line = if close { "Connection: close\r\nX-Txn: " } else { "X-Txn: " };
-    let mut clients: Vec<Client> = (0..many).map(|_| narrow_client(stand.node)).collect();
+    let streams: Vec<EngineAction> =
+        (0..=count).map(|n| long_stream(shortest + n * LENGTH_STEP_BYTES)).collect();
+    harness.mock_engines.script("w0", &streams);
+    let headers = if close_connections { "Connection: close\r\nX-Txn: " } else { "X-Txn: " };
+    let mut clients: Vec<Client> = (0..count).map(|_| small_buffer_client(harness.node_address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        let asked = String::from_utf8(asked("safe", &format!("a{n}"))).unwrap();
-        client.send(asked.replacen("X-Txn: ", line, 1).as_bytes());
+        let request = String::from_utf8(request_bytes("safe", &format!("a{n}"))).unwrap();
+        client.send(request.replacen("X-Txn: ", headers, 1).as_bytes());
     }
-    stand.seen.until("all writes", |came| {
-        came.iter().filter(|c| c.0 == "w0" && c.1 == "POST" && c.3 != "probe").count() >= many
+    harness.mock_engines.wait_until("all writes", |received| {
+        received.iter().filter(|c| c.0 == "w0" && c.1 == "POST" && c.3 != "probe").count() >= count
     });
     clients
 }
 
-fn all_are_whole(clients: Vec<Client>) {
-    let whole: Vec<bool> = clients.into_iter().map(|mut client| client.answer().2).collect();
-    assert!(whole.iter().all(|whole| *whole), "streams that were cut off: {whole:?}");
+fn assert_all_complete(clients: Vec<Client>) {
+    let whole: Vec<bool> = clients.into_iter().map(|mut client| client.receive_response().2).collect();
+    assert!(whole.iter().all(|whole| *whole), "some streams were truncated: {whole:?}");
 }
 
-/// Guards against a stream that is cut off by the end of its connection while its last part waits in the node for a
-/// slow client.
+/// Guards against a stream that is truncated by the close of its connection while its last part is buffered in the node
+/// for a slow client.
 #[test]
-fn the_last_part_of_an_answer_is_written_however_slow_its_client_is() {
-    let stand = Stand::new(&["r0", "w0"], 256);
-    let clients = unread_streams(&stand, 24, true);
-    std::thread::sleep(UNREAD_FOR);
-    all_are_whole(clients);
+fn writes_last_part_of_response_to_slow_client() {
+    let harness = Harness::new(&["r0", "w0"], 256);
+    let clients = start_unread_streams(&harness, 24, true);
+    std::thread::sleep(UNREAD_DURATION);
+    assert_all_complete(clients);
 }
 
-/// The same on connections that would have stayed open, at SIGTERM.
+/// Guards against the same truncation on keep-alive connections at SIGTERM.
 #[test]
-fn a_node_that_stops_writes_the_last_part_of_each_answer() {
-    let mut stand = Stand::new(&["r0", "w0"], 256);
-    let clients = unread_streams(&stand, 24, false);
-    std::thread::sleep(UNREAD_FOR / 3);
-    stand.signal("-TERM");
-    std::thread::sleep(UNREAD_FOR);
-    all_are_whole(clients);
-    assert!(stand.ended().success());
+fn sigterm_writes_last_part_of_each_response() {
+    let mut harness = Harness::new(&["r0", "w0"], 256);
+    let clients = start_unread_streams(&harness, 24, false);
+    std::thread::sleep(UNREAD_DURATION / 3);
+    harness.signal("-TERM");
+    std::thread::sleep(UNREAD_DURATION);
+    assert_all_complete(clients);
+    assert!(harness.wait_for_exit().success());
 }
 
-/// Guards against an answer that is dropped half written because its connection is taken for one that ends anyway
-/// when others need a descriptor.
+/// Guards against a partially written response that is dropped because its connection, which is about to close, is
+/// reclaimed when other connections need a descriptor.
 #[test]
-fn no_answer_is_dropped_for_a_descriptor() {
-    let stand = Stand::new(&["r0", "w0"], 64);
-    let clients = unread_streams(&stand, 10, true);
-    std::thread::sleep(UNREAD_FOR / 10);
-    let idle: Vec<Client> = (0..60).map(|_| Client::new(&stand)).collect();
-    std::thread::sleep(UNREAD_FOR / 10);
-    all_are_whole(clients);
+fn keeps_unread_responses_at_descriptor_limit() {
+    let harness = Harness::new(&["r0", "w0"], 64);
+    let clients = start_unread_streams(&harness, 10, true);
+    std::thread::sleep(UNREAD_DURATION / 10);
+    let idle: Vec<Client> = (0..60).map(|_| Client::new(&harness)).collect();
+    std::thread::sleep(UNREAD_DURATION / 10);
+    assert_all_complete(clients);
     drop(idle);
 }
-/// The most memory that a process has had, in bytes.
+/// The peak resident memory of a process in bytes.
 fn peak_memory(pid: u32) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("the system tells it");
+    let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("the peak memory");
     let kilobytes: usize = line.split_whitespace().nth(1).unwrap().parse().unwrap();
     kilobytes << 10
 }
 
-/// Guards against a node that runs out of memory by one client: thousands of requests at once, each with a long
-/// answer, of which it reads nothing for a while.
+/// Guards against a node that runs out of memory because of one client that sends thousands of pipelined requests with
+/// long responses and reads nothing for a while.
 #[test]
-fn answers_that_nobody_reads_take_no_more_memory_than_some() {
+fn unread_responses_use_bounded_memory() {
     const REQUESTS: usize = 4_000;
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.discovery.until_watched(1);
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.discovery.wait_for_watches(1);
     for n in 0..40 {
-        stand.discovery.change(member(&format!("w1{n}"), stand.engines["w0"], "up"));
+        harness.discovery.change(member(&format!("w1{n}"), harness.engines["w0"], "up"));
     }
-    stand.until_believed("all are listed", |b| b["engines"].as_array().is_some_and(|e| e.len() >= 42));
-    let mut client = narrow_client(stand.node);
+    harness.wait_until_status("all are listed", |b| b["engines"].as_array().is_some_and(|e| e.len() >= 42));
+    let mut client = small_buffer_client(harness.node_address);
     let mut writer = client.stream.try_clone().unwrap();
     let sends = std::thread::spawn(move || {
         let all = b"GET /pintally/beliefs HTTP/1.1\r\n\r\n".repeat(REQUESTS);
-        std::io::Write::write_all(&mut writer, &all).expect("the node reads all in the end");
+        std::io::Write::write_all(&mut writer, &all).expect("the node reads all requests eventually");
     });
-    let until = Instant::now() + SLOW_FOR;
+    let until = Instant::now() + SLOW_REQUEST_DURATION;
     while Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let peak = peak_memory(stand.pid());
-    println!("{} MB at most while nothing was read", peak >> 20);
-    assert!(peak < 16 << 20, "{} MB at most, of 32 that the node may have", peak >> 20);
+    let peak = peak_memory(harness.pid());
+    println!("peak memory of {} MB while nothing was read", peak >> 20);
+    assert!(peak < 16 << 20, "peak memory of {} MB; the node may use 32 MB", peak >> 20);
     for n in 0..REQUESTS {
-        let (status, page, whole) = client.answer();
+        let (status, page, whole) = client.receive_response();
         assert!(status == 200 && whole && page.len() > 1_000, "answer {n}");
     }
-    sends.join().expect("all was sent");
-    assert!(peak_memory(stand.pid()) < 16 << 20);
+    sends.join().expect("all requests were sent");
+    assert!(peak_memory(harness.pid()) < 16 << 20);
 }
 
-/// Guards against a node that runs out of memory by clients that take long streams slowly: what it holds for each is
-/// bounded, however fast engines write.
+/// Guards against a node that runs out of memory because of clients that read long streams slowly: its buffer for each
+/// client is bounded, however fast engines write.
 #[test]
-fn streams_that_wait_for_slow_clients_take_no_more_memory_than_some() {
+fn streams_to_slow_clients_use_bounded_memory() {
     const CLIENTS: usize = 60;
-    const STREAM: usize = 4 << 20;
-    let stand = Stand::new(&["r0", "w0"], 256);
-    stand.seen.let_do("w0", &[long_stream(STREAM)]);
-    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| narrow_client(stand.node)).collect();
+    const STREAM_BYTES: usize = 4 << 20;
+    let harness = Harness::new(&["r0", "w0"], 256);
+    harness.mock_engines.script("w0", &[long_stream(STREAM_BYTES)]);
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| small_buffer_client(harness.node_address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask("safe", &format!("a{n}"));
+        client.send_request("safe", &format!("a{n}"));
     }
-    stand.seen.until("all writes", |came| came.iter().filter(|c| c.0 == "w0").count() >= CLIENTS);
-    std::thread::sleep(UNREAD_FOR);
-    let peak = peak_memory(stand.pid());
-    println!("{} MB at most for {CLIENTS} streams that wait", peak >> 20);
-    assert!(peak < 16 << 20, "{} MB at most, of 32 that the node may have", peak >> 20);
-    all_are_whole(clients);
+    harness
+        .mock_engines
+        .wait_until("all writes", |received| received.iter().filter(|c| c.0 == "w0").count() >= CLIENTS);
+    std::thread::sleep(UNREAD_DURATION);
+    let peak = peak_memory(harness.pid());
+    println!("peak memory of {} MB for {CLIENTS} unread streams", peak >> 20);
+    assert!(peak < 16 << 20, "peak memory of {} MB; the node may use 32 MB", peak >> 20);
+    assert_all_complete(clients);
 }
