--- a/crates/pintally-audit/src/drain.rs
+++ b/crates/pintally-audit/src/drain.rs
@@ -1,4 +1,5 @@
-//! Drains are kept: nothing new to an engine later than the grace after a node was notified.
+//! The rule that drains are kept: a node sends an engine nothing new once the grace after the notice of its
+//! drain is over.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 use crate::record::{AuditEvent, ListingState};
 
 pub(crate) fn check(index: &Index) -> Vec<String> {
-    // When each node was last notified that an engine takes no work, as of each time.
+    // The notifications of each node about each engine, in time order.
     let mut notified: BTreeMap<(&str, &str), Vec<(u64, ListingState)>> = BTreeMap::new();
     for r in index.record {
         if let AuditEvent::EngineListed { node, engine, listing, .. } = &r.event {
@@ -14,28 +15,28 @@
         }
     }
     notified.values_mut().for_each(|t| t.sort_by_key(|(at, _)| *at));
-    let grace = index.figures.drain_grace_us;
+    let grace_us = index.parameters.drain_grace_us;
     let mut found = Vec::new();
-    for work in &index.works {
-        let Some(words) = notified.get(&(work.node, work.engine)) else { continue };
-        // The first word against the engine since it last took work, as the node knew it.
+    for attempt in &index.attempts {
+        let Some(notifications) = notified.get(&(attempt.node, attempt.engine)) else { continue };
+        // The first notice that the engine drains or is gone since the node last knew it as serving.
         let mut since = None;
-        for (at, listing) in words.iter().filter(|(at, _)| *at <= work.at) {
+        for (at, listing) in notifications.iter().filter(|(at, _)| *at <= attempt.at) {
             since = match listing {
                 ListingState::Serving => None,
                 _ => since.or(Some(*at)),
             };
         }
         if let Some(since) = since.filter(|since| {
-            let stood = index.stood(work.node, *since, work.at);
-            work.at > since + grace + stood + index.slack(*since, work.at)
+            let paused_us = index.paused_us(attempt.node, *since, attempt.at);
+            attempt.at > since + grace_us + paused_us + index.slack_us(*since, attempt.at)
         }) {
             found.push(format!(
                 "{} sent request {} to {} {} ms after it was told of its drain",
-                work.node,
-                work.request,
-                work.engine,
-                (work.at - since) / 1000
+                attempt.node,
+                attempt.request,
+                attempt.engine,
+                (attempt.at - since) / 1000
             ));
         }
     }
--- a/crates/pintally-audit/src/lib.rs
+++ b/crates/pintally-audit/src/lib.rs
@@ -1,8 +1,8 @@
-//! The five rules over a record of what crossed the sockets.
+//! Checks five rules over a record of what clients and engines saw on their sockets.
 //!
-//! A record is made at the ends: by clients, by engines, and by whoever publishes the lists. A node's
-//! own word counts for nothing. [`audit`] reads a record and says which rules it breaks, with the
-//! requests and engines by name.
+//! Clients, engines, the publisher of the engine lists and the test harness write the record; it uses nothing
+//! that a node reports about itself. [`audit`] reads a record and returns the violations of each rule, with
+//! the names of the requests and engines.
 
 mod cold;
 mod drain;
@@ -22,42 +22,42 @@
 use index::Index;
 use serde::Serialize;
 
-/// The findings of an audit, rule by rule.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// Requests that clients sent and that were taken.
+    /// Requests that clients sent.
     pub requests: u64,
-    /// Of these served,
+    /// Requests whose first final answer was a served one.
     pub served: u64,
-    /// turned away,
+    /// Requests that were rejected.
     pub refused: u64,
-    /// failed or cut off,
+    /// Requests that failed or whose answer was cut off.
     pub failed: u64,
-    /// left by their clients,
+    /// Requests without a final answer that their clients abandoned.
     pub left: u64,
-    /// and held by a node that was killed.
+    /// Requests without a final answer whose node was killed or received SIGTERM.
     pub died: u64,
-    /// Findings against each rule.
+    /// The violations of each rule.
     pub rules: Rules,
 }
 
-/// Findings against each rule, in words.
+/// The violations of each rule, as texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Rules {
-    /// No request is lost.
+    /// Requests that were lost, answered more than once or late, or attempted after their end.
     pub lost: Vec<String>,
-    /// No effect happens twice.
+    /// Requests whose effect happened, or may have happened, more often than their class allows.
     pub twice: Vec<String>,
-    /// Drains are kept.
+    /// Requests sent to draining engines after the grace.
     pub drain: Vec<String>,
-    /// A cold engine is not pushed over.
+    /// Cold engines that were overloaded by nodes that knew of their start.
     pub cold: Vec<String>,
-    /// Nothing is left pinned.
+    /// Read states that were neither fetched nor released in time.
     pub pinned: Vec<String>,
 }
 
 impl Rules {
-    /// The rules by name with their findings.
+    /// The name of each rule with its violations.
     pub fn each(&self) -> [(&'static str, &Vec<String>); 5] {
         [
             ("lost", &self.lost),
@@ -68,7 +68,7 @@
         ]
     }
 
-    /// Whether all are kept.
+    /// Whether no rule is broken.
     pub fn kept(&self) -> bool {
         self.each().iter().all(|(_, found)| found.is_empty())
     }
--- a/crates/pintally-mock-engine/src/engine.rs
+++ b/crates/pintally-mock-engine/src/engine.rs
@@ -177,10 +177,7 @@
         let unreachable = isolated || f.hang || f.silent || !f.connect_delay.is_zero();
         if std::mem::replace(&mut state.unreachable, unreachable) != unreachable {
             drop(state);
-            self.recorder.note(AuditEvent::EngineUnreachable {
-                engine: self.spec.id.clone(),
-                unreachable: unreachable,
-            });
+            self.recorder.note(AuditEvent::EngineUnreachable { engine: self.spec.id.clone(), unreachable });
         }
     }
 
