--- a/crates/pintally-sim/src/check.rs
+++ b/crates/pintally-sim/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules, held against the truth that no node sees, after every step.
+//! The rules, checked after every step against the full state of the simulation, which no node sees.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,40 +8,40 @@
 
 use crate::{Micros, MS};
 
-/// What the protocol's pages allow beside the settings' time for what is held.
+/// Time that the protocol allows for a held state in addition to the configured release time.
 const HELD_SLACK: Micros = 300 * MS;
-/// And beside the window of keyed requests.
+/// Time allowed in addition to the idempotency window of keyed requests.
 const WINDOW_SLACK: Micros = 50 * MS;
 
-/// A rule.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer, before the client gives up, and nothing sent after it.
+    /// Each request gets exactly one final answer before its client's deadline, and no attempt afterwards.
     Lost,
-    /// No effect twice, never two attempts of a request out together.
+    /// No request takes effect twice, and no two attempts of a request are open at the same time.
     Twice,
-    /// Nothing new for an engine that the node was notified is draining or gone.
+    /// A node sends no new work to an engine after it was notified that the engine is draining or gone.
     Drain,
-    /// What is held is fetched or let go in time.
+    /// A held state is fetched or released in time.
     Pinned,
-    /// Each request and each attempt ends once; at the end of a day nothing is left.
+    /// Each request and each attempt ends once, and nothing is left at the end of the run.
     Accounts,
-    /// With all troubles over, service is back.
+    /// Requests are served again once all faults are over.
     Service,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When.
+    /// Virtual time of the violation.
     pub at: Micros,
     /// The step at which it was found.
     pub step: u64,
-    /// The request, if it is one's.
+    /// The affected request, if the violation concerns one.
     pub request: Option<String>,
-    /// In words.
+    /// Description of the violation.
     pub what: String,
 }
 
@@ -52,39 +52,40 @@
     }
 }
 
-/// A request as its client and the engines know it.
-pub(crate) struct Known {
+/// A request as its client and the engines see it.
+pub(crate) struct TrackedRequest {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
     pub(crate) at: Micros,
-    /// By when its client must have a sign of an answer.
+    /// Deadline of the client for the first token or the final answer.
     pub(crate) by: Micros,
     pub(crate) answers: u32,
     pub(crate) over: u32,
-    pub(crate) begun: bool,
-    pub(crate) left: bool,
-    /// Its node has died with it.
-    pub(crate) died: bool,
-    /// Attempts that came whole to an engine that writes, and were not turned away with the node's knowledge.
-    pub(crate) ran: Vec<(u64, Micros)>,
+    pub(crate) answer_begun: bool,
+    pub(crate) client_left: bool,
+    /// The node that handled the request has died.
+    pub(crate) node_died: bool,
+    /// Attempts delivered in full to an engine that writes, with their times; without those that the node
+    /// knows were rejected.
+    pub(crate) deliveries: Vec<(u64, Micros)>,
 }
 
-/// A request's place: its node, that node's life, and its number there.
-pub(crate) type Place = (usize, u32, RequestNumber);
+/// Identifies a request: its node, that node's incarnation, and its number there.
+pub(crate) type RequestKey = (usize, u32, RequestNumber);
 
-/// The truth about requests, and what is broken.
+/// What actually happened to each request, and the first violation.
 #[derive(Default)]
 pub(crate) struct Checks {
-    pub(crate) known: BTreeMap<Place, Known>,
+    pub(crate) requests: BTreeMap<RequestKey, TrackedRequest>,
     pub(crate) violation: Option<Violation>,
     pub(crate) step: u64,
     pub(crate) now: Micros,
-    /// Since when something is held for a request with no attempt of it out.
-    idle: BTreeMap<RequestId, Micros>,
+    /// Time since which an engine holds a state for a request that has no open attempt.
+    idle_since: BTreeMap<RequestId, Micros>,
 }
 
 impl Checks {
-    /// Notes a broken rule; the first one counts.
+    /// Records a violation; only the first one is kept.
     pub(crate) fn record_violation(&mut self, rule: Rule, request: Option<&RequestId>, what: String) {
         if self.violation.is_none() {
             let request = request.map(|r| r.0.to_string());
@@ -92,16 +93,17 @@
         }
     }
 
-    pub(crate) fn answered(&mut self, place: Place) {
-        let Some(known) = self.known.get_mut(&place) else {
+    pub(crate) fn answered(&mut self, key: RequestKey) {
+        let Some(known) = self.requests.get_mut(&key) else {
             return self.record_violation(
                 Rule::Accounts,
                 None,
-                format!("an answer for ticket {} that nobody asked", place.2),
+                format!("an answer for ticket {} that nobody asked", key.2),
             );
         };
         known.answers += 1;
-        let (id, answers, late) = (known.id.clone(), known.answers, !known.begun && self.now > known.by);
+        let (id, answers, late) =
+            (known.id.clone(), known.answers, !known.answer_begun && self.now > known.by);
         if answers > 1 {
             self.record_violation(
                 Rule::Lost,
@@ -113,19 +115,19 @@
         }
     }
 
-    /// A client's time is up.
-    pub(crate) fn time_is_up(&mut self, place: Place) {
-        let Some(known) = self.known.get(&place) else { return };
-        if known.answers == 0 && !known.begun && !known.left && !known.died {
+    /// Handles the deadline of a client.
+    pub(crate) fn client_deadline(&mut self, key: RequestKey) {
+        let Some(known) = self.requests.get(&key) else { return };
+        if known.answers == 0 && !known.answer_begun && !known.client_left && !known.node_died {
             let id = known.id.clone();
             self.record_violation(Rule::Lost, Some(&id), format!("request {} got no answer", id.0));
         }
     }
 
-    pub(crate) fn over(&mut self, place: Place) {
-        let Some(known) = self.known.get_mut(&place) else { return };
+    pub(crate) fn completed(&mut self, key: RequestKey) {
+        let Some(known) = self.requests.get_mut(&key) else { return };
         known.over += 1;
-        let (id, over, answered) = (known.id.clone(), known.over, known.answers > 0 || known.left);
+        let (id, over, answered) = (known.id.clone(), known.over, known.answers > 0 || known.client_left);
         if over > 1 || !answered {
             self.record_violation(
                 Rule::Accounts,
@@ -135,13 +137,13 @@
         }
     }
 
-    /// An attempt goes out; `open` is another of the same request that is out.
-    pub(crate) fn sent(&mut self, place: Place, open: bool) {
-        let Some(known) = self.known.get(&place) else {
+    /// Handles an attempt that is sent; `open` tells whether another attempt of the request is open.
+    pub(crate) fn attempt_sent(&mut self, key: RequestKey, open: bool) {
+        let Some(known) = self.requests.get(&key) else {
             return self.record_violation(
                 Rule::Accounts,
                 None,
-                format!("an attempt for ticket {} that nobody asked", place.2),
+                format!("an attempt for ticket {} that nobody asked", key.2),
             );
         };
         let (id, done) = (known.id.clone(), known.answers > 0 || known.over > 0);
@@ -157,11 +159,11 @@
         }
     }
 
-    /// The last byte of an attempt that may have an effect has come to an engine.
-    pub(crate) fn came(&mut self, place: Place, flight: u64, window: Micros) {
-        let Some(known) = self.known.get_mut(&place) else { return };
-        let first = known.ran.first().map(|r| r.1);
-        known.ran.push((flight, self.now));
+    /// Handles the delivery of an attempt's last byte to an engine, after which it may take effect.
+    pub(crate) fn delivered(&mut self, key: RequestKey, attempt_id: u64, window: Micros) {
+        let Some(known) = self.requests.get_mut(&key) else { return };
+        let first = known.deliveries.first().map(|r| r.1);
+        known.deliveries.push((attempt_id, self.now));
         let (id, class) = (known.id.clone(), known.class);
         match (first, class) {
             (Some(_), 2) => {
@@ -182,22 +184,23 @@
         }
     }
 
-    /// The node knows that this attempt never ran.
-    pub(crate) fn never_ran(&mut self, place: Place, flight: u64) {
-        if let Some(known) = self.known.get_mut(&place) {
-            known.ran.retain(|r| r.0 != flight);
+    /// Removes an attempt that the node knows never ran.
+    pub(crate) fn never_ran(&mut self, key: RequestKey, attempt_id: u64) {
+        if let Some(known) = self.requests.get_mut(&key) {
+            known.deliveries.retain(|r| r.0 != attempt_id);
         }
     }
 
-    /// What is held, for whom, and whether an attempt of it is out at an engine, or no engine could hear a
-    /// call: looked at every few milliseconds.
-    pub(crate) fn held(&mut self, held: &BTreeMap<RequestId, bool>, within: Micros) {
-        self.idle.retain(|id, _| held.get(id) == Some(&false));
+    /// Checks how long states are held; called every few milliseconds. `held` maps each request with a held
+    /// state to `true` if the time does not count: an attempt of the request is open at an engine, or too few
+    /// engines can receive a release call.
+    pub(crate) fn check_held(&mut self, held: &BTreeMap<RequestId, bool>, within: Micros) {
+        self.idle_since.retain(|id, _| held.get(id) == Some(&false));
         for (id, rests) in held {
             if *rests {
                 continue;
             }
-            let since = *self.idle.entry(id.clone()).or_insert(self.now);
+            let since = *self.idle_since.entry(id.clone()).or_insert(self.now);
             if self.now > since + within + HELD_SLACK {
                 let ms = (self.now - since) / MS;
                 self.record_violation(
--- a/crates/pintally-sim/src/engines.rs
+++ b/crates/pintally-sim/src/engines.rs
@@ -1,4 +1,4 @@
-//! The truth about engines: which run, who can reach them, what they hold.
+//! The actual condition of the engines: which run, which can be reached, which states they hold.
 
 use std::collections::BTreeSet;
 
@@ -10,59 +10,59 @@
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     pub(crate) request: RequestId,
-    /// Its own name, where a call frees one state.
+    /// Name of the state, used where a release call frees a single state.
     pub(crate) name: RequestId,
-    /// Whose request it is: node and life.
+    /// Node that sent the request, and that node's incarnation.
     pub(crate) owner: (usize, u32),
 }
 
 /// An engine.
 pub(crate) struct Engine {
-    pub(crate) reads: bool,
+    pub(crate) is_reader: bool,
     pub(crate) zone: usize,
     pub(crate) listing: EndpointState,
     pub(crate) started: Option<Micros>,
-    /// Its process runs; its machine is there; it does its work. Each counts how many troubles say otherwise.
-    pub(crate) dead: u32,
-    pub(crate) away: u32,
-    pub(crate) hung: u32,
-    /// Lives of its process.
-    pub(crate) life: u32,
+    /// Number of active faults that keep the process down, make the machine unreachable or hang the engine.
+    pub(crate) down_faults: u32,
+    pub(crate) unreachable_faults: u32,
+    pub(crate) hang_faults: u32,
+    /// Incremented each time the process ends.
+    pub(crate) incarnation: u32,
     pub(crate) held: Vec<State>,
-    /// Requests that were let go while they were read: their states are not kept.
-    pub(crate) dropped: BTreeSet<RequestId>,
-    /// Flights that have come to it while it hung, and whether it had begun with them.
+    /// Requests that were released while their prompt was read: their states are not kept.
+    pub(crate) released_while_read: BTreeSet<RequestId>,
+    /// Attempts delivered or in work while the engine hangs, and whether their work had begun.
     pub(crate) waiting: Vec<(u64, bool)>,
 }
 
 impl Engine {
-    pub(crate) fn new(reads: bool, zone: usize) -> Engine {
+    pub(crate) fn new(is_reader: bool, zone: usize) -> Engine {
         Engine {
-            reads,
+            is_reader,
             zone,
             listing: EndpointState::Serving,
             started: None,
-            dead: 0,
-            away: 0,
-            hung: 0,
-            life: 0,
+            down_faults: 0,
+            unreachable_faults: 0,
+            hang_faults: 0,
+            incarnation: 0,
             held: Vec::new(),
-            dropped: BTreeSet::new(),
+            released_while_read: BTreeSet::new(),
             waiting: Vec::new(),
         }
     }
 
-    /// Whether it does what comes to it.
-    pub(crate) fn works(&self) -> bool {
-        self.dead == 0 && self.hung == 0
+    /// Whether the engine processes what is delivered to it.
+    pub(crate) fn is_working(&self) -> bool {
+        self.down_faults == 0 && self.hang_faults == 0
     }
 
-    /// Its process is gone, with all that it held.
-    pub(crate) fn die(&mut self) {
-        self.dead += 1;
-        self.life += 1;
+    /// Ends the process; all states are lost.
+    pub(crate) fn crash(&mut self) {
+        self.down_faults += 1;
+        self.incarnation += 1;
         self.held.clear();
-        self.dropped.clear();
+        self.released_while_read.clear();
         self.waiting.clear();
     }
 }
--- a/crates/pintally-sim/src/lib.rs
+++ b/crates/pintally-sim/src/lib.rs
@@ -1,33 +1,34 @@
-//! Days of failures that overlap, in virtual time, drawn from a seed and checked after every step.
+//! Deterministic simulation of overlapping faults in virtual time, drawn from a seed and checked after
+//! every step.
 //!
-//! Nodes are the hosts that run behind sockets ([`pintally_host::Host`]), with their cores. What stands
-//! between them and engines is a model of connections: they come up late or never, fall silent, are reset
-//! under requests, and lose the word of what has ended well. A [`Plan`] says all that happens; it comes from
-//! a seed by swarm choice (each seed switches some kinds of trouble on and skews how often they come), can be
-//! cut down, and is written as one line of JSON that plays the same again.
+//! Each node runs the production host ([`pintally_host::Host`]) with its core. The connections between
+//! nodes and engines are modelled: they are established late or never, stop delivering, are reset while
+//! requests are open, and lose the response of an attempt that succeeded. A [`Plan`] lists all requests and
+//! faults. It is drawn from a seed by swarm testing (each seed enables some kinds of fault and varies how
+//! often they occur), can be shrunk, and serializes to one line of JSON that replays identically.
 //!
-//! Not in it: the bytes on connections, which the nodes' own code reads and writes (tests of several
-//! processes play those), the load of engines, cold engines that fall over, cells and peers.
+//! Not simulated: the bytes on connections, which the nodes' own code reads and writes (the multi-process
+//! tests cover those), the load of engines, cold engines that crash under too much work, cells and peers.
 
-mod calls;
+mod attempts;
 mod check;
 mod clients;
 mod engines;
 mod faults;
-mod flights;
 mod mutation;
 mod nodes;
 mod plan;
+mod releases;
 mod search;
 mod world;
 
 pub use check::{Rule, Violation};
 pub use mutation::{Mutation, MUTATIONS};
-pub use plan::{Fault, FaultKind, Frees, Plan, PlannedRequest};
+pub use plan::{Fault, FaultKind, FreeScope, Plan, PlannedRequest};
 pub use search::{mutations, run, shrink, SearchSummary};
 pub use world::{play, RunReport};
 
-/// Microseconds since the day began.
+/// Microseconds since the start of the simulated run.
 pub type Micros = u64;
 
 pub(crate) const MS: Micros = 1_000;
--- a/crates/pintally-sim/src/mutation.rs
+++ b/crates/pintally-sim/src/mutation.rs
@@ -1,37 +1,37 @@
-//! Nodes that are broken on purpose: proof that the checks find what they are there for.
+//! Deliberately broken nodes, which prove that the checks detect the faults that they exist for.
 
 use serde::{Deserialize, Serialize};
 
-/// What a broken node does.
+/// A deliberate fault in a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mutation {
-    /// Some final answers are given twice.
+    /// Delivers some final answers twice.
     AnswersTwice,
-    /// Some final answers are forgotten.
+    /// Drops some final answers.
     AnswersNever,
-    /// Failures are reported as refused connections, so that what may have run is sent again.
+    /// Reports failures as refused connections, so that a request that may have run is sent again.
     ForgetsThatItRan,
-    /// An attempt whose time is up stays out while the next one goes.
+    /// Leaves a timed-out attempt open while the next one is sent.
     KeepsWhatItGivesUp,
-    /// No call to let go is made.
+    /// Makes no release calls.
     ReleasesNothing,
-    /// Calls to let go are made once and not repeated.
+    /// Makes each release call once and does not retry it.
     ReleasesOnce,
-    /// Calls go to an engine's holder only while it is listed as serving.
+    /// Sends release calls to an engine only while it is listed as serving.
     ReleasesToServingOnly,
-    /// Every connection probe is answered: whatever is sent counts as arrived.
+    /// Answers every connection probe, so that everything sent counts as delivered.
     ConnectionProbesAlwaysAnswered,
-    /// Drains are not heard.
+    /// Ignores that engines drain.
     DeafToDrains,
-    /// One in ten wakes of the timers comes a second late.
+    /// Fires one in ten timers a second late.
     LateTimers,
-    /// The end of some attempts is forgotten.
+    /// Drops the end of some attempts.
     ForgetsEnds,
-    /// Calls to let go go out on kept connections though the host asks for new ones.
+    /// Sends release calls on kept connections although the host asks for new ones.
     CallsOnKeptConnections,
 }
 
-/// All of them.
+/// All mutations.
 pub const MUTATIONS: [Mutation; 12] = [
     Mutation::AnswersTwice,
     Mutation::AnswersNever,
--- a/crates/pintally-sim/src/nodes.rs
+++ b/crates/pintally-sim/src/nodes.rs
@@ -4,125 +4,134 @@
 use pintally_host::{Command, EngineEndpoint, Host, Input, ReleaseScope, RequestNumber};
 use rand::RngExt;
 
-use crate::check::Place;
+use crate::check::RequestKey;
 use crate::mutation::Mutation;
-use crate::plan::{FaultKind, Frees};
-use crate::world::{engine_id, settings, Event, World, HOP, START};
+use crate::plan::{FaultKind, FreeScope};
+use crate::world::{engine_id, settings, Event, World, MESSAGE_DELAY, RESTART_DELAY};
 use crate::MS;
 
 impl World<'_> {
-    pub(crate) fn start(&mut self, number: usize) {
+    pub(crate) fn start_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
-        node.life += 1;
+        node.incarnation += 1;
         let settings = settings(self.plan, number, node.zone);
-        let scope = match self.plan.frees {
-            Frees::State => ReleaseScope::Attempt,
-            Frees::Request => ReleaseScope::Request,
+        let scope = match self.plan.free_scope {
+            FreeScope::State => ReleaseScope::Attempt,
+            FreeScope::Request => ReleaseScope::Request,
         };
-        let seed = self.plan.seed.wrapping_mul(31).wrapping_add(u64::from(node.life) * 64 + number as u64);
+        let seed =
+            self.plan.seed.wrapping_mul(31).wrapping_add(u64::from(node.incarnation) * 64 + number as u64);
         node.host = Some(Host::new(settings, seed).with_release_scope(scope));
         node.notified.iter_mut().for_each(|t| *t = None);
         node.stopping = false;
         node.kept.clear();
-        let life = node.life;
-        self.say(format!("# n{number} starts, life {life}"));
-        self.list(number, life);
+        let incarnation = node.incarnation;
+        self.record(format!("# n{number} starts, life {incarnation}"));
+        self.deliver_endpoint_list(number, incarnation);
     }
 
-    /// The node's process is gone, and its connections with it.
-    pub(crate) fn kill(&mut self, number: usize) {
-        let life = self.nodes[number].life;
+    /// Ends the node's process and its connections.
+    pub(crate) fn kill_node(&mut self, number: usize) {
+        let incarnation = self.nodes[number].incarnation;
         if self.nodes[number].host.take().is_none() {
             return;
         }
-        self.say(format!("# n{number} dies"));
+        self.record(format!("# n{number} dies"));
         self.nodes[number].kept.clear();
         self.wakes[number] = None;
-        for (_, known) in self.checks.known.range_mut((number, life, 0)..=(number, life, RequestNumber::MAX))
+        for (_, known) in self
+            .checks
+            .requests
+            .range_mut((number, incarnation, 0)..=(number, incarnation, RequestNumber::MAX))
         {
-            known.died = true;
+            known.node_died = true;
         }
-        let own = |place: &Place| place.0 == number && place.1 == life;
-        let flights: Vec<u64> =
-            self.flights.iter().filter(|(_, f)| own(&f.place) && !f.closed).map(|(n, _)| *n).collect();
-        for flight in flights {
-            if let Some(f) = self.flights.get_mut(&flight) {
+        let own = |key: &RequestKey| key.0 == number && key.1 == incarnation;
+        let attempts: Vec<u64> =
+            self.attempts.iter().filter(|(_, f)| own(&f.key) && !f.closed).map(|(n, _)| *n).collect();
+        for attempt_id in attempts {
+            if let Some(f) = self.attempts.get_mut(&attempt_id) {
                 f.closed = true;
             }
-            self.soon(HOP, Event::Closed(flight));
+            self.schedule_after(MESSAGE_DELAY, Event::CloseSeen(attempt_id));
         }
-        self.calls.retain(|_, c| c.node != number || c.came);
-        self.soon(START, Event::Start(number));
+        self.release_calls.retain(|_, c| c.node != number || c.delivered);
+        self.schedule_after(RESTART_DELAY, Event::Start(number));
     }
 
-    /// Hands a node an input; one that comes out of a turn waits until that turn is over, as in a node.
-    pub(crate) fn tell(&mut self, node: usize, life: u32, input: Input) {
-        self.pending.push_back((node, life, Some(input)));
-        self.work_off();
+    /// Delivers an input to a node. An input caused while another one is processed waits until that is done,
+    /// as in a real node.
+    pub(crate) fn deliver_input(&mut self, node: usize, incarnation: u32, input: Input) {
+        self.pending.push_back((node, incarnation, Some(input)));
+        self.process_pending();
     }
 
-    pub(crate) fn work_off(&mut self) {
+    pub(crate) fn process_pending(&mut self) {
         if std::mem::replace(&mut self.busy, true) {
             return;
         }
-        while let Some((node, life, input)) = self.pending.pop_front() {
+        while let Some((node, incarnation, input)) = self.pending.pop_front() {
             let own = &mut self.nodes[node];
-            let Some(host) = own.host.as_mut().filter(|_| own.life == life) else { continue };
+            let Some(host) = own.host.as_mut().filter(|_| own.incarnation == incarnation) else { continue };
             let mut out = Vec::new();
             match input {
                 Some(input) => host.handle(self.now, input, &mut out),
                 None => host.tick(self.now, &mut out),
             }
             for command in out {
-                self.command(node, command);
+                self.execute_command(node, command);
             }
-            self.rewake(node);
+            self.schedule_wake(node);
         }
         self.busy = false;
     }
 
-    pub(crate) fn rewake(&mut self, node: usize) {
+    pub(crate) fn schedule_wake(&mut self, node: usize) {
         let Some(next) = self.nodes[node].host.as_ref().and_then(Host::next_wake) else { return };
         let next = next.max(self.now);
         if self.wakes[node].is_none_or(|at| next < at) {
-            let late = self.is(Mutation::LateTimers) && self.rng.random_bool(0.1);
+            let late = self.has_mutation(Mutation::LateTimers) && self.rng.random_bool(0.1);
             let at = if late { next + 1_000 * MS } else { next };
             self.wakes[node] = Some(at);
-            self.at(at, Event::Wake(node));
+            self.schedule_at(at, Event::Wake(node));
         }
     }
 
-    pub(crate) fn is(&self, mutation: Mutation) -> bool {
+    pub(crate) fn has_mutation(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
-    pub(crate) fn command(&mut self, node: usize, command: Command) {
-        let life = self.nodes[node].life;
+    pub(crate) fn execute_command(&mut self, node: usize, command: Command) {
+        let incarnation = self.nodes[node].incarnation;
         match command {
-            Command::Attempt(order) => self.attempt(node, order),
-            Command::Cancel(ticket, attempt) => {
-                if let Some(flight) = self.out((node, life, ticket), attempt) {
-                    self.end(flight, Outcome::Cancelled, false);
+            Command::Attempt(order) => self.start_attempt(node, order),
+            Command::Cancel(number, attempt) => {
+                if let Some(attempt_id) = self.open_attempt((node, incarnation, number), attempt) {
+                    self.end_attempt(attempt_id, Outcome::Cancelled, false);
                 }
             }
-            Command::Answer(ticket, answer) => self.answer((node, life, ticket), answer),
-            Command::RequestComplete(ticket) => self.checks.over((node, life, ticket)),
+            Command::Answer(number, answer) => self.final_answer((node, incarnation, number), answer),
+            Command::RequestComplete(number) => self.checks.completed((node, incarnation, number)),
             Command::Release { name, engine, new_connection, .. } => {
                 self.release(node, name, &engine, new_connection);
             }
-            Command::WithdrawReleases(id) => self.calls.retain(|_, c| c.came || c.node != node || c.id != id),
-            Command::ProbeConnection(ticket, attempt, engine, _) => {
-                self.probe_connection((node, life, ticket), attempt, &engine);
+            Command::WithdrawReleases(id) => {
+                self.release_calls.retain(|_, c| c.delivered || c.node != node || c.id != id);
+            }
+            Command::ProbeConnection(number, attempt, engine, _) => {
+                self.probe_connection((node, incarnation, number), attempt, &engine);
             }
             Command::HealthCheck(engine, ..) => {
-                let n = self.number(&engine);
-                let there = self.reaches(node, n) && self.engines[n].works();
-                self.tell(node, life, Input::HealthChecked(engine, there, None));
+                let n = self.engine_number(&engine);
+                let there = self.can_reach(node, n) && self.engines[n].is_working();
+                self.deliver_input(node, incarnation, Input::HealthChecked(engine, there, None));
+            }
+            Command::ReloadEndpointList => {
+                self.schedule_after(MESSAGE_DELAY, Event::EndpointList(node, incarnation));
             }
-            Command::ReloadEndpointList => self.soon(HOP, Event::List(node, life)),
             Command::Stopped => {
-                // It ends with the iteration that reported so.
-                self.soon(0, Event::Kill(node, life));
+                // The process exits at the end of the event-loop iteration that reported it.
+                self.schedule_after(0, Event::Kill(node, incarnation));
             }
             Command::Log(_)
             | Command::QueryPeer(_)
@@ -133,15 +142,15 @@
         }
     }
 
-    pub(crate) fn list(&mut self, node: usize, life: u32) {
-        if self.nodes[node].life != life || self.nodes[node].host.is_none() {
+    pub(crate) fn deliver_endpoint_list(&mut self, node: usize, incarnation: u32) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].host.is_none() {
             return;
         }
-        let until = self.nodes[node].deaf_until;
+        let until = self.nodes[node].list_delayed_until;
         if self.now < until {
-            return self.at(until, Event::List(node, life));
+            return self.schedule_at(until, Event::EndpointList(node, incarnation));
         }
-        let deaf = self.is(Mutation::DeafToDrains);
+        let deaf = self.has_mutation(Mutation::DeafToDrains);
         let mut members = Vec::new();
         for (n, engine) in self.engines.iter().enumerate() {
             self.nodes[node].notified[n] = Some(engine.listing);
@@ -156,7 +165,7 @@
                 endpoint: Endpoint {
                     engine: engine_id(n),
                     zone: format!("z{}", engine.zone),
-                    kind: if engine.reads { "r" } else { "w" }.into(),
+                    kind: if engine.is_reader { "r" } else { "w" }.into(),
                     rack: 1,
                     state: listing,
                     weight: 1.0,
@@ -167,36 +176,36 @@
                 started_unix_ms: None,
             });
         }
-        self.tell(node, life, Input::EndpointList(ListUpdate::Full, members));
+        self.deliver_input(node, incarnation, Input::EndpointList(ListUpdate::Full, members));
     }
 
-    /// The list has changed: nodes hear of it.
-    pub(crate) fn listed(&mut self) {
+    /// Sends a changed endpoint list to all nodes.
+    pub(crate) fn announce_endpoint_list(&mut self) {
         for node in 0..self.nodes.len() {
-            let (life, after) = (self.nodes[node].life, self.rng.random_range(0..40) * MS);
-            self.soon(HOP + after, Event::List(node, life));
+            let (incarnation, after) = (self.nodes[node].incarnation, self.rng.random_range(0..40) * MS);
+            self.schedule_after(MESSAGE_DELAY + after, Event::EndpointList(node, incarnation));
         }
     }
 
-    pub(crate) fn number(&self, engine: &EngineId) -> usize {
+    pub(crate) fn engine_number(&self, engine: &EngineId) -> usize {
         engine.0.trim_start_matches('e').parse().unwrap_or(0)
     }
 
-    /// Whether what a node sends comes to an engine's machine, and back.
-    pub(crate) fn reaches(&self, node: usize, engine: usize) -> bool {
+    /// Whether a node and an engine's machine can exchange messages.
+    pub(crate) fn can_reach(&self, node: usize, engine: usize) -> bool {
         let e = &self.engines[engine];
-        e.away == 0 && !self.cuts.contains(&(node, e.zone))
+        e.unreachable_faults == 0 && !self.partitions.contains(&(node, e.zone))
     }
 
-    /// Whether a trouble of a kind strikes an engine now, by its part.
-    pub(crate) fn struck(&mut self, kind: FaultKind, engine: usize) -> bool {
+    /// Draws whether an active fault of a kind affects this request, call or connection of an engine.
+    pub(crate) fn fault_strikes(&mut self, kind: FaultKind, engine: usize) -> bool {
         let all = self.engines.len();
-        let part = self
+        let share = self
             .active
             .iter()
-            .filter(|t| t.kind == kind && t.whom % all == engine)
-            .map(|t| t.part)
+            .filter(|t| t.kind == kind && t.target % all == engine)
+            .map(|t| t.share)
             .fold(0.0, f64::max);
-        part > 0.0 && self.rng.random_bool(part)
+        share > 0.0 && self.rng.random_bool(share)
     }
 }
--- a/crates/pintally-sim/src/plan.rs
+++ b/crates/pintally-sim/src/plan.rs
@@ -1,52 +1,53 @@
-//! What happens on a day, drawn from a seed.
+//! The requests and faults of one simulated run, drawn from a seed.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// What one call to let go frees.
+/// The states that one release call frees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Frees {
-    /// One state, at its engine.
+#[serde(expecting = "enum Frees")]
+pub enum FreeScope {
+    /// One state, at the engine that holds it.
     State,
-    /// All of a request, at whatever engine; any engine takes the call.
+    /// All states of a request, at all engines; any engine accepts the call.
     Request,
 }
 
-/// A kind of trouble.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// A machine says nothing more, and nothing reaches it; its engine goes on.
+    /// An engine's machine neither sends nor receives; the engine process continues to run.
     Vanish,
-    /// An engine's process dies and refuses; it is back, empty, at the end.
+    /// An engine's process dies and its port refuses connections; at the end it restarts without states.
     Die,
-    /// An engine takes connections and requests and does nothing until the end.
+    /// An engine accepts connections and requests but does no work until the end.
     Hang,
     /// A node and a zone cannot reach each other.
     Cut,
-    /// Answers of an engine are lost with their connections.
+    /// Connections to an engine break before they deliver a completed response.
     LoseAnswers,
-    /// Connections to an engine come up late, or never.
+    /// Connections to an engine are established late, or never.
     LateConnections,
-    /// An engine drains, leaves the list at the end, and comes back a second later.
+    /// An engine drains, leaves the endpoint list at the end, and returns a second later.
     Drain,
-    /// A node hears of the list only at the end.
+    /// A node receives endpoint lists only at the end.
     LateLists,
-    /// A node gets SIGTERM, and starts again.
+    /// A node receives SIGTERM and restarts.
     Stop,
-    /// A node dies, and starts again at the end.
+    /// A node's process dies and restarts after a fixed delay.
     Kill,
-    /// An engine turns requests away.
+    /// An engine rejects requests as overloaded.
     Full,
     /// An engine fails requests that it may have run.
     Errors,
-    /// An engine hears calls to let go, and its word of that is lost.
+    /// An engine performs release calls, but its responses to them are lost.
     DeafCalls,
-    /// An engine stops in the middle of its streams.
+    /// An engine breaks response streams off.
     BreakStreams,
 }
 
-/// All kinds.
+/// All kinds, in the order in which [`Plan::from_seed`] draws them.
 pub const FAULT_KINDS: [FaultKind; 14] = [
     FaultKind::Vanish,
     FaultKind::Die,
@@ -64,51 +65,54 @@
     FaultKind::BreakStreams,
 ];
 
-/// A trouble.
+/// A fault and its time span.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Trouble")]
 pub struct Fault {
-    /// Its kind.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When it begins and ends, in milliseconds.
+    /// When it begins, in milliseconds.
     pub from_ms: u64,
-    #[allow(missing_docs)]
+    /// When it ends, in milliseconds.
     pub to_ms: u64,
-    /// The engine or node, or the node of a cut; counted round where there are fewer.
-    pub whom: usize,
-    /// The zone of a cut.
+    /// Number of the engine or node (for [`FaultKind::Cut`], the node), modulo how many there are.
+    #[serde(rename = "whom")]
+    pub target: usize,
+    /// The zone of a [`FaultKind::Cut`], modulo how many there are.
     pub zone: usize,
-    /// The part of requests, calls or connections that it strikes.
-    pub part: f64,
+    /// Share of the requests, calls or connections that are affected.
+    #[serde(rename = "part")]
+    pub share: f64,
 }
 
-/// A request.
+/// A client's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Ask")]
 pub struct PlannedRequest {
-    /// When, in milliseconds.
+    /// When the client sends it, in milliseconds.
     pub at_ms: u64,
-    /// The node to which its client goes, if it runs.
+    /// The node that its client prefers; if that node does not run, the next one is taken.
     pub node: usize,
-    /// The class: 0 may be repeated, 1 by its key, 2 never.
+    /// The class: 0 is safe to repeat, 1 is repeated with its idempotency key, 2 must not be repeated.
     pub class: usize,
-    /// Its session.
+    /// Session number.
     pub session: u64,
-    /// Its prompt, in tokens.
+    /// Length of the prompt in tokens.
     pub prompt: u64,
-    /// How long its client waits for the first token, in milliseconds.
+    /// How long the client waits for the first token, in milliseconds.
     pub patience_ms: u64,
-    /// Its client leaves after so long, if it has no token by then.
+    /// The client disconnects after this many milliseconds if it has received no token by then.
     pub leaves_ms: Option<u64>,
 }
 
-/// A day.
+/// All input of one simulated run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Draws what the plan leaves open: how long work takes, which requests a trouble strikes.
+    /// Seeds what the plan leaves open: how long work takes, which requests a fault affects.
     pub seed: u64,
-    /// What one call to let go frees.
-    pub frees: Frees,
+    /// The states that one release call frees.
+    #[serde(rename = "frees")]
+    pub free_scope: FreeScope,
     #[allow(missing_docs)]
     pub nodes: usize,
     #[allow(missing_docs)]
@@ -117,20 +121,22 @@
     pub writers: usize,
     #[allow(missing_docs)]
     pub zones: usize,
-    /// Within which what is held has to be let go, in milliseconds.
+    /// Time within which an unused state must be released, in milliseconds.
     pub release_ms: u64,
-    /// For so long engines drop repeats of a keyed request, in milliseconds.
+    /// Time for which engines drop repeats of a keyed request, in milliseconds.
     pub window_ms: u64,
-    /// Engines warm up for so long, in milliseconds.
+    /// Warm-up time of engines, in milliseconds.
     pub warm_ms: u64,
-    /// Requests, by time.
-    pub asks: Vec<PlannedRequest>,
-    /// Troubles.
-    pub troubles: Vec<Fault>,
+    /// Client requests, ordered by time.
+    #[serde(rename = "asks")]
+    pub requests: Vec<PlannedRequest>,
+    /// Faults.
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// The day of a seed: some 20 s with two to four nodes and four to twelve engines.
+    /// Draws a plan from a seed: some 20 s with two to four nodes and four to twelve engines.
     pub fn from_seed(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let length = rng.random_range(8_000..24_000);
@@ -138,11 +144,11 @@
         let (readers, writers) = (rng.random_range(2..=6), rng.random_range(2..=6));
         let patience = rng.random_range(1_500..8_000);
         let rate = rng.random_range(4.0..40.0f64);
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         let mut at = 100.0;
         while at < length as f64 {
             let leaves = rng.random_bool(0.08).then(|| rng.random_range(5..patience));
-            asks.push(PlannedRequest {
+            requests.push(PlannedRequest {
                 at_ms: at as u64,
                 node: rng.random_range(0..nodes),
                 class: rng.random_range(0..3),
@@ -155,7 +161,7 @@
         }
         let mut plan = Plan {
             seed,
-            frees: if rng.random_bool(0.6) { Frees::Request } else { Frees::State },
+            free_scope: if rng.random_bool(0.6) { FreeScope::Request } else { FreeScope::State },
             nodes,
             readers,
             writers,
@@ -163,8 +169,8 @@
             release_ms: [250, 500, 500, 1000][rng.random_range(0..4)],
             window_ms: [600, 2_000, 5_000][rng.random_range(0..3)],
             warm_ms: [0, 3_000][rng.random_range(0..2)],
-            asks,
-            troubles: Vec::new(),
+            requests,
+            faults: Vec::new(),
         };
         let mean = rng.random_range(0.5..4.0f64);
         for kind in FAULT_KINDS {
@@ -172,13 +178,13 @@
                 continue;
             }
             for _ in 0..rng.random_range(1..=(2.0 * mean) as usize + 1) {
-                plan.troubles.push(trouble(kind, length, &mut rng));
+                plan.faults.push(random_fault(kind, length, &mut rng));
             }
         }
         plan
     }
 
-    /// Whether a day that was written by hand can be played; an error says what is wrong.
+    /// Checks that a hand-written plan can be played; the error names the field that is out of range.
     pub fn check(&self) -> Result<(), String> {
         let within = |what: &str, n: u64, least: u64, most: u64| {
             if (least..=most).contains(&n) {
@@ -194,41 +200,41 @@
         within("release_ms", self.release_ms, 50, 600_000)?;
         within("window_ms", self.window_ms, 1, 600_000)?;
         within("warm_ms", self.warm_ms, 0, 600_000)?;
-        for ask in &self.asks {
-            within("at_ms", ask.at_ms, 0, 3_600_000)?;
-            within("class", ask.class as u64, 0, 2)?;
-            within("patience_ms", ask.patience_ms, 1, 600_000)?;
+        for request in &self.requests {
+            within("at_ms", request.at_ms, 0, 3_600_000)?;
+            within("class", request.class as u64, 0, 2)?;
+            within("patience_ms", request.patience_ms, 1, 600_000)?;
         }
-        for t in &self.troubles {
+        for t in &self.faults {
             within("to_ms", t.to_ms, t.from_ms, 3_600_000)?;
-            if !(0.0..=1.0).contains(&t.part) {
-                return Err(format!("`part` is {}, from 0 to 1 can be played", t.part));
+            if !(0.0..=1.0).contains(&t.share) {
+                return Err(format!("`part` is {}, from 0 to 1 can be played", t.share));
             }
         }
         Ok(())
     }
 
-    /// How long one call to let go may take, in milliseconds.
-    pub(crate) fn errand_ms(&self) -> u64 {
+    /// Timeout of one release call, in milliseconds.
+    pub(crate) fn release_call_timeout_ms(&self) -> u64 {
         (self.release_ms / 4).clamp(50, 500)
     }
 
-    /// When the last trouble is over, in milliseconds.
-    pub fn over_ms(&self) -> u64 {
-        let troubles = self.troubles.iter().map(|t| t.to_ms + 1_000);
-        troubles.chain(self.asks.iter().map(|a| a.at_ms)).max().unwrap_or(0)
+    /// When the last fault has ended (with 1 s added) and the last request has been sent, in milliseconds.
+    pub fn last_event_ms(&self) -> u64 {
+        let faults = self.faults.iter().map(|t| t.to_ms + 1_000);
+        faults.chain(self.requests.iter().map(|a| a.at_ms)).max().unwrap_or(0)
     }
 }
 
-fn trouble(kind: FaultKind, length: u64, rng: &mut impl Rng) -> Fault {
+fn random_fault(kind: FaultKind, length: u64, rng: &mut impl Rng) -> Fault {
     let from_ms = rng.random_range(200..length);
     let longest = if rng.random_bool(0.3) { 8_000 } else { 2_500 };
     Fault {
         kind,
         from_ms,
         to_ms: from_ms + rng.random_range(30..longest),
-        whom: rng.random_range(0..64),
+        target: rng.random_range(0..64),
         zone: rng.random_range(0..8),
-        part: [0.1, 0.4, 1.0][rng.random_range(0..3)],
+        share: [0.1, 0.4, 1.0][rng.random_range(0..3)],
     }
 }
--- a/crates/pintally-sim/src/search.rs
+++ b/crates/pintally-sim/src/search.rs
@@ -1,4 +1,4 @@
-//! Many seeds, and the smallest day that still breaks a rule.
+//! Runs many seeds, and shrinks a plan that breaks a rule.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -11,7 +11,7 @@
 use crate::plan::Plan;
 use crate::world::play;
 
-/// What many seeds came to.
+/// Totals over many seeds.
 #[derive(Clone, Debug, Default)]
 pub struct SearchSummary {
     #[allow(missing_docs)]
@@ -22,13 +22,13 @@
     pub asked: u64,
     #[allow(missing_docs)]
     pub served: u64,
-    /// Seeds that broke a rule, in order.
+    /// Seeds that broke a rule, in ascending order, and their violations.
     pub violations: Vec<(u64, Violation)>,
-    /// Pairs of step and outcome that were met.
-    pub met: BTreeSet<String>,
+    /// Pairs of an attempt's step and outcome that occurred.
+    pub step_outcomes: BTreeSet<String>,
 }
 
-/// Seeds that it takes to find each broken node, and how it was found; none if it was not among them.
+/// For each mutation, the first seed in `1..=seeds` that detects it and the violation; `None` if no seed does.
 pub fn mutations(seeds: u64) -> Vec<(Mutation, Option<(u64, Violation)>)> {
     let first =
         |m| (1..=seeds).find_map(|seed| Some((seed, play(&Plan::from_seed(seed), Some(m)).violation?)));
@@ -38,8 +38,13 @@
     })
 }
 
-/// Plays the days of seeds on so many threads; ends after `most` that break a rule.
-pub fn run(seeds: Range<u64>, threads: usize, mutation: Option<Mutation>, most: usize) -> SearchSummary {
+/// Plays the plans of a range of seeds on `threads` threads; stops once `max_violations` seeds broke a rule.
+pub fn run(
+    seeds: Range<u64>,
+    threads: usize,
+    mutation: Option<Mutation>,
+    max_violations: usize,
+) -> SearchSummary {
     let next = AtomicU64::new(seeds.start);
     let found = Mutex::new(SearchSummary::default());
     let lock = || found.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -47,7 +52,7 @@
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= seeds.end || lock().violations.len() >= most {
+                if seed >= seeds.end || lock().violations.len() >= max_violations {
                     return;
                 }
                 let played = play(&Plan::from_seed(seed), mutation);
@@ -56,7 +61,7 @@
                 found.steps += played.steps;
                 found.asked += played.asked;
                 found.served += played.served;
-                found.met.extend(played.met);
+                found.step_outcomes.extend(played.step_outcomes);
                 found.violations.extend(played.violation.map(|b| (seed, b)));
             });
         }
@@ -66,14 +71,14 @@
     found
 }
 
-/// Cuts a day down while it still breaks the same rule: troubles, requests, engines, nodes.
+/// Removes faults, requests, engines and nodes from a plan as long as it still breaks the same rule.
 pub fn shrink(plan: &Plan, rule: Rule, mutation: Option<Mutation>) -> Plan {
     let breaks = |p: &Plan| play(p, mutation).violation.is_some_and(|b| b.rule == rule);
     let mut plan = plan.clone();
     loop {
-        let before = (plan.troubles.len(), plan.asks.len(), plan.readers, plan.writers, plan.nodes);
-        drop_some(&mut plan, |p| &mut p.troubles, &breaks);
-        drop_some(&mut plan, |p| &mut p.asks, &breaks);
+        let before = (plan.faults.len(), plan.requests.len(), plan.readers, plan.writers, plan.nodes);
+        drop_parts(&mut plan, |p| &mut p.faults, &breaks);
+        drop_parts(&mut plan, |p| &mut p.requests, &breaks);
         for less in
             [|p: &mut Plan| p.readers -= 1, |p: &mut Plan| p.writers -= 1, |p: &mut Plan| p.nodes -= 1]
         {
@@ -86,14 +91,14 @@
                 plan = tried;
             }
         }
-        if before == (plan.troubles.len(), plan.asks.len(), plan.readers, plan.writers, plan.nodes) {
+        if before == (plan.faults.len(), plan.requests.len(), plan.readers, plan.writers, plan.nodes) {
             return plan;
         }
     }
 }
 
-/// Takes out parts of a list, large ones first, as long as the day still breaks.
-fn drop_some<T: Clone>(
+/// Removes parts of a list, large ones first, as long as the plan still breaks the rule.
+fn drop_parts<T: Clone>(
     plan: &mut Plan,
     list: impl Fn(&mut Plan) -> &mut Vec<T>,
     breaks: &impl Fn(&Plan) -> bool,
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -1,4 +1,4 @@
-//! One clock, and everything that it drives: nodes, engines, connections, clients, troubles.
+//! The virtual clock and everything that it drives: nodes, engines, connections, clients, faults.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -11,124 +11,124 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::check::{Checks, Place, Rule, Violation};
+use crate::check::{Checks, RequestKey, Rule, Violation};
 use crate::engines::Engine;
 use crate::mutation::Mutation;
 use crate::plan::{Fault, Plan, PlannedRequest};
 use crate::{Micros, MS};
 
-/// What a message takes from one end to the other.
-pub(crate) const HOP: Micros = 200;
-/// A node waits so long for a connection, as the settings of [`settings`] say.
-pub(crate) const CONNECT: Micros = 250 * MS;
-/// A stream that says nothing for so long has broken.
-pub(crate) const STALL: Micros = 4_600 * MS;
-/// A connection that is not used is kept for so long.
-pub(crate) const KEEP: Micros = 5_000 * MS;
-/// How often it is looked at what is held.
-pub(crate) const LOOK: Micros = 5 * MS;
-/// Grace of a node after SIGTERM.
-pub(crate) const STOP: Micros = 4_000 * MS;
-/// A node is back so long after its end.
-pub(crate) const START: Micros = 300 * MS;
-/// What is left to be done after the last trouble gets so long, then requests show that service is back.
-pub(crate) const SETTLE: Micros = 20_000 * MS;
-/// So many of them, a tenth of a second apart, of which so many at least are served, when engines that came
-/// back have had traffic for as long as they take to warm up, and 2 s.
-pub(crate) const PROBES: u64 = 30;
-pub(crate) const PROBES_SERVED: u32 = 27;
-/// Steps that are remembered in words.
-pub(crate) const TRACE: usize = 100_000;
-/// Sessions of the last requests.
-pub(crate) const PROBE_SESSION: u64 = 1_000;
+/// Time that a message takes from one end to the other.
+pub(crate) const MESSAGE_DELAY: Micros = 200;
+/// How long a node waits for a connection; [`settings`] sets the same value.
+pub(crate) const CONNECT_TIMEOUT: Micros = 250 * MS;
+/// A stream that delivers nothing for this long counts as broken.
+pub(crate) const STALL_TIMEOUT: Micros = 4_600 * MS;
+/// How long an unused connection is kept.
+pub(crate) const KEEP_ALIVE: Micros = 5_000 * MS;
+/// Interval of the check of held states.
+pub(crate) const HELD_CHECK_INTERVAL: Micros = 5 * MS;
+/// Time after SIGTERM at which a node is killed.
+pub(crate) const STOP_GRACE: Micros = 4_000 * MS;
+/// Time from the end of a node's process to its restart.
+pub(crate) const RESTART_DELAY: Micros = 300 * MS;
+/// Time for remaining work after the last fault; then the final requests show that service has recovered.
+pub(crate) const SETTLE_TIME: Micros = 20_000 * MS;
+/// Number of final requests, a tenth of a second apart, and how many of them must be served. They are counted
+/// once restarted engines have had traffic for their warm-up time and 2 s.
+pub(crate) const FINAL_REQUESTS: u64 = 30;
+pub(crate) const MIN_FINAL_SERVED: u32 = 27;
+/// Lines of the trace that are kept.
+pub(crate) const MAX_TRACE_LINES: usize = 100_000;
+/// First session number of the final requests.
+pub(crate) const FIRST_FINAL_SESSION: u64 = 1_000;
 
 pub(crate) enum Event {
     RequestDue(PlannedRequest),
-    TimeIsUp(Place),
-    Leave(Place),
-    /// A flight's connection comes up, or has not by now.
-    Up(u64),
-    NotUp(u64),
-    /// Its last byte comes to the engine; the engine has done with the first part of it, or all.
-    Come(u64),
-    Ready(u64),
-    Done(u64),
-    /// Word of it comes to the node.
-    Word(u64, Word),
+    ClientDeadline(RequestKey),
+    ClientLeaves(RequestKey),
+    /// The connection of an attempt is established, or was not in time.
+    Connected(u64),
+    ConnectTimeout(u64),
+    /// The attempt's last byte reaches the engine; the engine has finished the first part of it, or all.
+    Delivered(u64),
+    FirstPartDone(u64),
+    AnswerDone(u64),
+    /// A message about the attempt reaches the node.
+    MessageReceived(u64, Message),
     TimedOut(u64),
-    /// A stream that has begun has said nothing more.
+    /// A stream that has begun has delivered nothing more.
     Stalled(u64),
     /// The engine sees that the node has closed its connection.
-    Closed(u64),
-    /// A call to let go comes to its engine, or has not been answered.
-    Call(u64),
-    CallOver(u64, bool),
-    Carried(u64),
-    List(usize, u32),
-    Look,
+    CloseSeen(u64),
+    /// A release call reaches its engine; a release call has been answered (`true`) or has failed.
+    ReleaseDelivered(u64),
+    ReleaseEnded(u64, bool),
+    ProbeAnswered(u64),
+    EndpointList(usize, u32),
+    CheckHeld,
     FaultToggled(usize, bool),
     Start(usize),
     Kill(usize, u32),
     Wake(usize),
-    Probing,
+    FinalRequests,
 }
 
 #[derive(Clone, Copy)]
-pub(crate) enum Word {
-    First,
-    End(Outcome),
+pub(crate) enum Message {
+    FirstToken,
+    Ended(Outcome),
 }
 
-/// An attempt under way.
-pub(crate) struct Flight {
-    pub(crate) place: Place,
+/// An attempt that a node has sent.
+pub(crate) struct InFlightAttempt {
+    pub(crate) key: RequestKey,
     pub(crate) id: RequestId,
     pub(crate) attempt: u32,
     pub(crate) engine: usize,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) step: Step,
-    /// The state that it fetches, by its name.
+    /// Name of the state that it fetches.
     pub(crate) fetches: Option<String>,
     pub(crate) kept: bool,
     pub(crate) up: bool,
-    /// The last byte has come to the engine.
-    pub(crate) came: bool,
-    /// What is sent on its connection, either way, is not heard from here on.
+    /// The last byte has reached the engine.
+    pub(crate) delivered: bool,
+    /// The connection no longer delivers in either direction.
     pub(crate) silent: bool,
-    /// The node has done with it.
+    /// The attempt has ended at the node.
     pub(crate) closed: bool,
-    pub(crate) begun: bool,
-    /// A connection probe was answered for it: on a connection opened for it that has fallen silent since, the node
-    /// cannot tell.
-    pub(crate) carried: bool,
+    pub(crate) answer_begun: bool,
+    /// A connection probe was answered for it. If the connection was opened for this attempt and has stopped
+    /// delivering since, the node cannot tell.
+    pub(crate) probe_answered: bool,
 }
 
-/// A call to let go.
-pub(crate) struct Call {
+/// A release call.
+pub(crate) struct ReleaseCall {
     pub(crate) node: usize,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) id: RequestId,
     pub(crate) engine: usize,
     pub(crate) silent: bool,
-    pub(crate) came: bool,
+    pub(crate) delivered: bool,
     pub(crate) over: bool,
 }
 
 pub(crate) struct Node {
     pub(crate) host: Option<Host>,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) zone: usize,
-    pub(crate) tickets: RequestNumber,
+    pub(crate) last_request_number: RequestNumber,
     /// The state of each engine that it was notified of.
     pub(crate) notified: Vec<Option<EndpointState>>,
-    /// Lists wait until then.
-    pub(crate) deaf_until: Micros,
+    /// Endpoint lists are not delivered before this time.
+    pub(crate) list_delayed_until: Micros,
     pub(crate) stopping: bool,
-    /// Connections kept, by engine: since when, and whether each has fallen silent.
+    /// Kept connections by engine: since when each is kept, and whether it has stopped delivering.
     pub(crate) kept: BTreeMap<usize, Vec<(Micros, bool)>>,
 }
 
-/// How a day went.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunReport {
     /// The first rule that was broken.
@@ -139,15 +139,16 @@
     pub asked: u64,
     #[allow(missing_docs)]
     pub served: u64,
-    /// Stands for every step in its order: two plays that agree in it were the same.
+    /// Hash of all trace lines in order; two runs with the same digest took the same steps.
     pub digest: u64,
-    /// Pairs of an attempt's step and outcome that were met.
-    pub met: BTreeSet<String>,
-    /// The last steps in words, and all that concern the request of the broken rule.
+    /// Pairs of an attempt's step and outcome that occurred.
+    pub step_outcomes: BTreeSet<String>,
+    /// The last lines of the trace; after a violation that concerns a request, only the lines of that request
+    /// and of faults.
     pub trace: Vec<String>,
 }
 
-/// Plays a day, by nodes that may be broken on purpose.
+/// Runs a plan, optionally with nodes that are deliberately broken.
 pub fn play(plan: &Plan, mutation: Option<Mutation>) -> RunReport {
     let mut world = World::new(plan, mutation);
     world.run();
@@ -162,14 +163,14 @@
         asked: world.asked,
         served: world.served,
         digest: world.digest.digest(),
-        met: world.met,
+        step_outcomes: world.step_outcomes,
         trace,
     }
 }
 
 pub(crate) fn settings(plan: &Plan, number: usize, zone: usize) -> Arc<NodeSettings> {
-    let background_call = plan.errand_ms();
-    let patience = plan.asks.iter().map(|a| a.patience_ms).max().unwrap_or(2_000).max(2_000);
+    let background_call = plan.release_call_timeout_ms();
+    let patience = plan.requests.iter().map(|a| a.patience_ms).max().unwrap_or(2_000).max(2_000);
     let text = format!(
         r#"(pintally
   (node (name "n{number}") (of {}) (number {number}) (zone "z{zone}") (engines "unused"))
@@ -180,7 +181,7 @@
   (class "once" (effect unsafe) (aim-ms {}) (patience-ms {patience}))
   (kind "r" (role reader) (slots 16)) (kind "w" (role writer) (slots 32)))"#,
         plan.nodes,
-        CONNECT / MS,
+        CONNECT_TIMEOUT / MS,
         plan.warm_ms,
         plan.release_ms,
         patience / 2,
@@ -188,12 +189,12 @@
         patience / 2,
     );
     let mut settings = NodeSettings::parse("sim", &text).expect("the settings of a plan are sound");
-    // Settings of a node by hand want a window over the deadline; other platforms' may be shorter.
+    // A settings file requires a window longer than the deadline; the windows of other platforms may be shorter.
     settings.core.classes[1].idempotency = Idempotency::WithKey(IdempotencyScope::All, plan.window_ms * MS);
     Arc::new(settings)
 }
 
-/// An engine by its number.
+/// Identifier of an engine, from its number.
 pub(crate) fn engine_id(number: usize) -> EngineId {
     EngineId(format!("e{number}").as_str().into())
 }
@@ -207,10 +208,10 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) wakes: Vec<Option<Micros>>,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) cuts: Vec<(usize, usize)>,
+    pub(crate) partitions: Vec<(usize, usize)>,
     pub(crate) active: Vec<Fault>,
-    pub(crate) flights: BTreeMap<u64, Flight>,
-    pub(crate) calls: BTreeMap<u64, Call>,
+    pub(crate) attempts: BTreeMap<u64, InFlightAttempt>,
+    pub(crate) release_calls: BTreeMap<u64, ReleaseCall>,
     pub(crate) next: u64,
     pub(crate) checks: Checks,
     pub(crate) rng: ChaCha8Rng,
@@ -218,11 +219,11 @@
     pub(crate) busy: bool,
     pub(crate) asked: u64,
     pub(crate) served: u64,
-    /// Requests that are asked from then on show that service is back.
-    pub(crate) count_from: Micros,
-    pub(crate) probes_served: u32,
+    /// Requests from this time on count as final requests, which show that service has recovered.
+    pub(crate) final_requests_from: Micros,
+    pub(crate) final_served: u32,
     pub(crate) digest: Xxh3,
-    pub(crate) met: BTreeSet<String>,
+    pub(crate) step_outcomes: BTreeSet<String>,
     pub(crate) trace: VecDeque<String>,
 }
 
@@ -232,11 +233,11 @@
         let engines = (0..plan.readers + plan.writers).map(|n| Engine::new(n < plan.readers, n % zones));
         let nodes = (0..plan.nodes).map(|n| Node {
             host: None,
-            life: 0,
+            incarnation: 0,
             zone: n % zones,
-            tickets: 0,
+            last_request_number: 0,
             notified: vec![None; plan.readers + plan.writers],
-            deaf_until: 0,
+            list_delayed_until: 0,
             stopping: false,
             kept: BTreeMap::new(),
         });
@@ -249,10 +250,10 @@
             wakes: vec![None; plan.nodes],
             nodes: nodes.collect(),
             engines: engines.collect(),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             active: Vec::new(),
-            flights: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            release_calls: BTreeMap::new(),
             next: 0,
             checks: Checks::default(),
             rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x51a1),
@@ -260,27 +261,27 @@
             busy: false,
             asked: 0,
             served: 0,
-            count_from: Micros::MAX,
-            probes_served: 0,
+            final_requests_from: Micros::MAX,
+            final_served: 0,
             digest: Xxh3::new(),
-            met: BTreeSet::new(),
+            step_outcomes: BTreeSet::new(),
             trace: VecDeque::new(),
         };
-        (0..plan.nodes).for_each(|n| world.start(n));
-        for ask in &plan.asks {
-            world.at(ask.at_ms * MS, Event::RequestDue(ask.clone()));
+        (0..plan.nodes).for_each(|n| world.start_node(n));
+        for request in &plan.requests {
+            world.schedule_at(request.at_ms * MS, Event::RequestDue(request.clone()));
         }
-        for (number, t) in plan.troubles.iter().enumerate() {
-            world.at(t.from_ms * MS, Event::FaultToggled(number, true));
-            world.at(t.to_ms * MS, Event::FaultToggled(number, false));
+        for (number, t) in plan.faults.iter().enumerate() {
+            world.schedule_at(t.from_ms * MS, Event::FaultToggled(number, true));
+            world.schedule_at(t.to_ms * MS, Event::FaultToggled(number, false));
         }
-        world.at(LOOK, Event::Look);
-        world.at(plan.over_ms() * MS + SETTLE, Event::Probing);
+        world.schedule_at(HELD_CHECK_INTERVAL, Event::CheckHeld);
+        world.schedule_at(plan.last_event_ms() * MS + SETTLE_TIME, Event::FinalRequests);
         world
     }
 
     fn run(&mut self) {
-        let end = self.plan.over_ms() * MS + 2 * SETTLE;
+        let end = self.plan.last_event_ms() * MS + 2 * SETTLE_TIME;
         while let Some(entry) = self.events.first_entry() {
             let (at, _) = *entry.key();
             if at > end || self.checks.violation.is_some() {
@@ -290,15 +291,15 @@
             self.now = at;
             self.checks.now = at;
             self.checks.step += 1;
-            self.happen(event);
+            self.handle_event(event);
         }
         if self.checks.violation.is_none() {
-            self.at_the_end();
+            self.check_end_state();
         }
     }
 
-    /// Nothing is left of a day that is over.
-    fn at_the_end(&mut self) {
+    /// Checks that nothing is left at the end and that the final requests were served.
+    fn check_end_state(&mut self) {
         for node in 0..self.nodes.len() {
             let Some(host) = &self.nodes[node].host else { continue };
             let (held, waiting) = (host.open_requests(), host.pending_timers_and_releases().1);
@@ -307,13 +308,14 @@
                 self.checks.record_violation(Rule::Accounts, None, what);
             }
         }
-        let lives: Vec<u32> = self.nodes.iter().map(|n| n.life).collect();
-        let left = self.engines.iter().flat_map(|e| &e.held).find(|s| lives[s.owner.0] == s.owner.1).cloned();
+        let incarnations: Vec<u32> = self.nodes.iter().map(|n| n.incarnation).collect();
+        let left =
+            self.engines.iter().flat_map(|e| &e.held).find(|s| incarnations[s.owner.0] == s.owner.1).cloned();
         if let Some(state) = left {
             let what = format!("request {} holds a state at the end", state.request.0);
             self.checks.record_violation(Rule::Pinned, Some(&state.request), what);
         }
-        let never = self.checks.known.values().find(|k| k.over == 0 && !k.died).map(|k| k.id.clone());
+        let never = self.checks.requests.values().find(|k| k.over == 0 && !k.node_died).map(|k| k.id.clone());
         if let Some(id) = never {
             self.checks.record_violation(
                 Rule::Accounts,
@@ -321,89 +323,92 @@
                 format!("request {} was never over", id.0),
             );
         }
-        if self.probes_served < PROBES_SERVED {
-            let what = format!("{} of {PROBES} requests were served when all was over", self.probes_served);
+        if self.final_served < MIN_FINAL_SERVED {
+            let what =
+                format!("{} of {FINAL_REQUESTS} requests were served when all was over", self.final_served);
             self.checks.record_violation(Rule::Service, None, what);
         }
     }
 
-    pub(crate) fn at(&mut self, at: Micros, event: Event) {
+    pub(crate) fn schedule_at(&mut self, at: Micros, event: Event) {
         self.serial += 1;
         self.events.insert((at.max(self.now), self.serial), event);
     }
 
-    pub(crate) fn soon(&mut self, after: Micros, event: Event) {
-        self.at(self.now + after, event);
+    pub(crate) fn schedule_after(&mut self, after: Micros, event: Event) {
+        self.schedule_at(self.now + after, event);
     }
 
-    pub(crate) fn say(&mut self, line: String) {
+    pub(crate) fn record(&mut self, line: String) {
         let line = format!("{:9.3} {line}", self.now as f64 / 1e6);
         self.digest.update(line.as_bytes());
-        if self.trace.len() == TRACE {
+        if self.trace.len() == MAX_TRACE_LINES {
             self.trace.pop_front();
         }
         self.trace.push_back(line);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::RequestDue(ask) => self.ask(&ask),
-            Event::TimeIsUp(place) => self.checks.time_is_up(place),
-            Event::Leave(place) => self.leave(place),
-            Event::Up(flight) => self.up(flight),
-            Event::NotUp(flight) => self.not_up(flight),
-            Event::Come(flight) => self.come(flight),
-            Event::Ready(flight) => self.ready(flight),
-            Event::Done(flight) => self.done(flight),
-            Event::Word(flight, word) => self.word(flight, word),
-            Event::TimedOut(flight) => {
-                let Some(f) = self.flights.get(&flight).filter(|f| !f.closed && !f.begun) else { return };
+            Event::RequestDue(request) => self.start_request(&request),
+            Event::ClientDeadline(key) => self.checks.client_deadline(key),
+            Event::ClientLeaves(key) => self.client_leaves(key),
+            Event::Connected(attempt_id) => self.connected(attempt_id),
+            Event::ConnectTimeout(attempt_id) => self.connect_timed_out(attempt_id),
+            Event::Delivered(attempt_id) => self.delivered(attempt_id),
+            Event::FirstPartDone(attempt_id) => self.first_part_done(attempt_id),
+            Event::AnswerDone(attempt_id) => self.answer_done(attempt_id),
+            Event::MessageReceived(attempt_id, message) => self.receive_message(attempt_id, message),
+            Event::TimedOut(attempt_id) => {
+                let Some(f) = self.attempts.get(&attempt_id).filter(|f| !f.closed && !f.answer_begun) else {
+                    return;
+                };
                 let outcome = if f.up { Outcome::TimedOut } else { Outcome::Unreachable };
-                self.end(flight, outcome, false);
+                self.end_attempt(attempt_id, outcome, false);
             }
-            Event::Stalled(flight) => self.end(flight, Outcome::ConnectionBroken, false),
-            Event::Closed(flight) => self.closed(flight),
-            Event::Call(call) => self.call(call),
-            Event::CallOver(call, heard) => self.call_over(call, heard),
-            Event::Carried(flight) => {
-                let open = self.flights.get(&flight).filter(|f| !f.closed && !f.begun && f.up);
-                let Some((place, attempt)) = open.map(|f| (f.place, f.attempt)) else { return };
-                self.tell(place.0, place.1, Input::DeliveryConfirmed(place.2, attempt));
+            Event::Stalled(attempt_id) => self.end_attempt(attempt_id, Outcome::ConnectionBroken, false),
+            Event::CloseSeen(attempt_id) => self.close_seen(attempt_id),
+            Event::ReleaseDelivered(call) => self.deliver_release(call),
+            Event::ReleaseEnded(call, heard) => self.release_ended(call, heard),
+            Event::ProbeAnswered(attempt_id) => {
+                let open = self.attempts.get(&attempt_id).filter(|f| !f.closed && !f.answer_begun && f.up);
+                let Some((key, attempt)) = open.map(|f| (f.key, f.attempt)) else { return };
+                self.deliver_input(key.0, key.1, Input::DeliveryConfirmed(key.2, attempt));
             }
-            Event::List(node, life) => self.list(node, life),
-            Event::Look => self.look(),
+            Event::EndpointList(node, incarnation) => self.deliver_endpoint_list(node, incarnation),
+            Event::CheckHeld => self.check_held(),
             Event::FaultToggled(number, on) => self.toggle_fault(number, on),
             Event::Start(node) => {
                 if self.nodes[node].host.is_none() {
-                    self.start(node);
+                    self.start_node(node);
                 }
             }
-            Event::Kill(node, life) => {
-                if self.nodes[node].life == life {
-                    self.kill(node);
+            Event::Kill(node, incarnation) => {
+                if self.nodes[node].incarnation == incarnation {
+                    self.kill_node(node);
                 }
             }
             Event::Wake(node) => {
                 if self.wakes[node].is_some_and(|at| at <= self.now) {
                     self.wakes[node] = None;
-                    self.pending.push_back((node, self.nodes[node].life, None));
-                    self.work_off();
+                    self.pending.push_back((node, self.nodes[node].incarnation, None));
+                    self.process_pending();
                 }
             }
-            Event::Probing => {
+            Event::FinalRequests => {
                 let early = (self.plan.warm_ms + 2_000) / 100;
-                self.count_from = self.now + early * 100 * MS;
-                for n in 0..early + PROBES {
-                    let ask = PlannedRequest {
+                self.final_requests_from = self.now + early * 100 * MS;
+                for n in 0..early + FINAL_REQUESTS {
+                    let request = PlannedRequest {
                         at_ms: 0,
                         node: n as usize % self.nodes.len(),
                         class: 0,
-                        session: PROBE_SESSION + n,
+                        session: FIRST_FINAL_SESSION + n,
                         prompt: 400,
                         patience_ms: 2_000,
                         leaves_ms: None,
                     };
-                    self.soon(n * 100 * MS, Event::RequestDue(ask));
+                    self.schedule_after(n * 100 * MS, Event::RequestDue(request));
                 }
             }
         }
