--- a/crates/pintally-emulator/src/engine.rs
+++ b/crates/pintally-emulator/src/engine.rs
@@ -1,4 +1,4 @@
-//! One engine: a queue, a batch that goes step by step, and memory.
+//! One engine: a queue, a batch that runs step by step, and memory.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,40 +13,40 @@
 use crate::spec::{EngineRole, Spec};
 use crate::Micros;
 
-/// Names one piece of work in a whole run.
+/// Identifies one piece of work within a run.
 pub type WorkId = u64;
 
 /// One piece of work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// Its name; the read state of a read goes by it as well.
+    /// Its identifier, which also identifies the read state that it leaves.
     pub id: WorkId,
-    /// It only reads, and leaves a state.
+    /// Whether it only reads its prompt and leaves a read state.
     pub reads_only: bool,
-    /// The state that it fetches instead of reading.
+    /// The read state that it fetches instead of reading its prompt.
     pub fetches: Option<WorkId>,
-    /// The chain of its prompt's whole blocks.
+    /// Hashes of the whole blocks of its prompt, in order.
     pub chain: Vec<BlockHash>,
-    /// Tokens of its prompt.
+    /// Length of its prompt in tokens.
     pub prompt: u64,
-    /// Tokens of its answer.
+    /// Length of its answer in tokens.
     pub answer: u64,
-    /// Whoever sends this again within the window sends a repeat.
+    /// Idempotency key: work with the same key within the deduplication window is refused as a repeat.
     pub key: Option<u64>,
 }
 
 /// Blocks that one piece of work or one state holds.
 #[derive(Clone, Debug, Default)]
 struct BlockHold {
-    /// Held blocks of the tree: a chain's beginning.
+    /// Blocks that it holds in the prefix tree: the first blocks of its chain.
     kept: Vec<BlockHash>,
-    /// Blocks of its own.
-    own: u64,
+    /// Blocks outside the prefix tree that it holds alone.
+    private: u64,
 }
 
 impl BlockHold {
     fn blocks(&self) -> u64 {
-        self.kept.len() as u64 + self.own
+        self.kept.len() as u64 + self.private
     }
 }
 
@@ -55,53 +55,53 @@
 struct Sequence {
     work: Work,
     hold: BlockHold,
-    /// Tokens whose state is here.
+    /// Tokens whose state is in memory.
     done: u64,
-    /// Tokens that must be here before the next one of the answer can be made.
+    /// Tokens whose state must be in memory before the next token of the answer can be generated.
     target: u64,
-    /// Tokens of the answer that are out.
-    out: u64,
-    /// Tokens that were found kept at first.
+    /// Tokens of the answer generated so far.
+    generated: u64,
+    /// Tokens that were found in the prefix tree on the first admission.
     cached_tokens: Option<u64>,
-    /// The state that it fetches has come: from here on it is made here.
+    /// The state that it fetches has arrived; later state is computed by this engine.
     state_present: bool,
-    /// Nobody waits for it any more; it goes when the step that runs is over.
+    /// It was cancelled while it ran; it is removed at the end of the current step.
     cancelled: bool,
 }
 
 impl Sequence {
-    /// Whether its next token is one of its answer, not of its prompt.
+    /// Whether its next token belongs to the answer rather than the prompt.
     fn writes(&self) -> bool {
-        self.target - self.done == 1 && (self.out > 0 || self.state_present)
+        self.target - self.done == 1 && (self.generated > 0 || self.state_present)
     }
 }
 
 /// How a transfer of a state has ended for the work that wanted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// The state is here.
+    /// The state has arrived in full.
     Whole,
-    /// It broke off.
+    /// The transfer broke off.
     Broken,
-    /// There was none any more.
+    /// The state no longer existed.
     Missing,
 }
 
-/// A read state that waits.
+/// A read state that waits to be fetched.
 #[derive(Clone, Debug)]
 struct State {
     hold: BlockHold,
     since: Micros,
-    /// A transfer of it is under way: it is not let go before that ends.
+    /// Number of transfers in progress; the state is not freed before they end.
     moving: u32,
     released: bool,
 }
 
-/// A step that runs.
+/// The step that is running.
 #[derive(Clone, Debug)]
 struct Step {
     until: Micros,
-    /// Tokens that each running piece of work gets done, by its place in the batch.
+    /// Tokens that each running piece of work processes, by its position in the batch.
     share: Vec<u64>,
 }
 
@@ -114,19 +114,19 @@
     warm_up: WarmUp,
     memory: Memory,
     waiting: VecDeque<Sequence>,
-    /// Work whose state is on its way here.
+    /// Work whose read state is being transferred to this engine.
     fetching: BTreeMap<WorkId, Sequence>,
     running: Vec<Sequence>,
     step: Option<Step>,
     states: BTreeMap<WorkId, State>,
-    /// Keys that ran within the window, and in the order in which they came.
+    /// Keys accepted within the deduplication window, and the same in order of arrival.
     recent_keys: BTreeSet<u64>,
     key_arrivals: VecDeque<(Micros, u64)>,
-    /// A pause held a step back until then.
+    /// End of the pause that delays the next step.
     held_back: Option<Micros>,
     reporter: LoadReporter,
     rng: ChaCha8Rng,
-    /// Microseconds of steps so far, and tokens read and written in them.
+    /// Total duration of steps in microseconds, and tokens read and written in them.
     busy: u64,
     read: u64,
     written: u64,
@@ -134,7 +134,7 @@
 }
 
 impl Engine {
-    /// An engine that runs and is warm.
+    /// Creates an engine that runs and is warm.
     pub fn new(spec: Spec, seed: u64) -> Engine {
         Engine {
             memory: Memory::new(spec.blocks),
@@ -159,42 +159,42 @@
         }
     }
 
-    /// Its figures.
+    /// Returns its specification.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// What is wrong with it.
+    /// Returns its active faults.
     pub fn faults(&mut self) -> &mut Faults {
         &mut self.faults
     }
 
-    /// Microseconds of steps, tokens read, tokens written, and answers that had to begin anew, so far.
+    /// Totals so far: microseconds of steps, tokens read, tokens written, and preemptions.
     pub fn totals(&self) -> (u64, u64, u64, u64) {
         (self.busy, self.read, self.written, self.preempted)
     }
 
-    /// Work that waits, fetches or runs.
+    /// Number of pieces of work that wait, fetch or run.
     pub fn held(&self) -> usize {
         self.waiting.len() + self.fetching.len() + self.running.len()
     }
 
-    /// Read states that wait.
+    /// Number of read states that wait to be fetched.
     pub fn states(&self) -> usize {
         self.states.len()
     }
 
-    /// How many tokens of a prompt are kept here.
+    /// Number of tokens of a prompt that are cached.
     pub fn kept(&self, work: &Work) -> u64 {
         self.memory.found(&work.chain) as u64 * self.spec.block_tokens
     }
 
-    /// Dies at once: all work ends, states are gone, nothing is kept.
+    /// Crashes at once: all work ends, and all read states and cached blocks are lost.
     pub fn crash(&mut self, out: &mut Vec<Notice>) {
         if !std::mem::replace(&mut self.up, false) {
             return;
@@ -209,7 +209,7 @@
         self.reporter = LoadReporter::default();
     }
 
-    /// Runs from here on: cold, as its figures say, or warm.
+    /// Starts the engine, either cold as specified or warm.
     pub fn start(&mut self, now: Micros, cold: bool) {
         self.up = true;
         self.warm_up = WarmUp::default();
@@ -218,12 +218,12 @@
         }
     }
 
-    /// Forgets all kept texts that nobody holds.
+    /// Evicts all cached blocks that are not held.
     pub fn forget(&mut self) {
         self.memory.forget();
     }
 
-    /// Takes work on, or turns it away.
+    /// Accepts or refuses work.
     pub fn submit(&mut self, now: Micros, work: Work, out: &mut Vec<Notice>) {
         let refuse = |why| Notice::Refused(work.id, why);
         let fits = match self.spec.kind {
@@ -268,7 +268,7 @@
             hold,
             done: 0,
             target,
-            out: 0,
+            generated: 0,
             cached_tokens: None,
             state_present: false,
             cancelled: false,
@@ -276,7 +276,7 @@
         self.advance(now, out);
     }
 
-    /// Microseconds of its full speed that work will take.
+    /// Estimates the duration of work at full speed, in microseconds.
     fn estimate(&self, work: &Work) -> f64 {
         let cost = &self.spec.cost;
         let unread = work.prompt.saturating_sub(self.kept(work)) as f64;
@@ -285,7 +285,7 @@
         reads + if work.reads_only { 0.0 } else { work.answer as f64 * each }
     }
 
-    /// Nobody waits for work any more. What runs in a step goes when that is over.
+    /// Cancels work. Work in the running step is removed at the end of that step.
     pub fn cancel(&mut self, now: Micros, id: WorkId, out: &mut Vec<Notice>) {
         if let Some(at) = self.waiting.iter().position(|s| s.work.id == id) {
             self.waiting.remove(at);
@@ -297,7 +297,7 @@
         self.advance(now, out);
     }
 
-    /// Lets a read state go; one that is on its way somewhere goes afterwards.
+    /// Releases a read state; one that is being transferred is freed when the transfer ends.
     pub fn release(&mut self, now: Micros, id: WorkId, out: &mut Vec<Notice>) {
         match self.states.get_mut(&id) {
             Some(state) if state.moving > 0 => state.released = true,
@@ -307,7 +307,7 @@
         self.advance(now, out);
     }
 
-    /// A transfer of a state to elsewhere begins; `false` if it does not wait here.
+    /// Begins a transfer of a read state to another engine; `false` if the state is not available.
     pub fn begin_move(&mut self, id: WorkId) -> bool {
         match self.states.get_mut(&id).filter(|s| !s.released) {
             Some(state) => {
@@ -318,7 +318,7 @@
         }
     }
 
-    /// A transfer of a state has ended, whole or not.
+    /// Ends a transfer of a read state; `whole` tells whether it was complete.
     pub fn end_move(&mut self, now: Micros, id: WorkId, whole: bool, out: &mut Vec<Notice>) {
         let Some(state) = self.states.get_mut(&id) else { return };
         state.moving -= 1;
@@ -329,7 +329,7 @@
         self.advance(now, out);
     }
 
-    /// The state that work wanted is here, or will not come.
+    /// Handles the end of the transfer for which work has waited.
     pub fn arrived(&mut self, now: Micros, id: WorkId, how: Arrival, out: &mut Vec<Notice>) {
         let Some(mut seq) = self.fetching.remove(&id) else { return };
         if how == Arrival::Whole {
@@ -345,7 +345,7 @@
         self.advance(now, out);
     }
 
-    /// When [`Engine::tick`] has something to do.
+    /// Time at which [`Engine::tick`] has something to do.
     pub fn next_wake(&self) -> Option<Micros> {
         let step = self.step.as_ref().map(|s| s.until);
         let moving = |s: &&State| s.moving == 0;
@@ -353,7 +353,7 @@
         [step, self.held_back, expiry].into_iter().flatten().min()
     }
 
-    /// Does what has come due.
+    /// Processes everything that is due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Notice>) {
         let late = |s: &State| s.moving == 0 && now >= s.since + self.spec.state_ttl;
         let late: Vec<WorkId> = self.states.iter().filter(|(_, s)| late(s)).map(|(id, _)| *id).collect();
@@ -366,13 +366,13 @@
         }
     }
 
-    /// What it says of its load.
+    /// Returns its load report.
     pub fn report(&mut self, now: Micros) -> Report {
         let Engine { reporter, spec, faults, rng, .. } = self;
         reporter.report(&spec.load_reporting, now, faults.reports, || rng.random_range(-1.0..=1.0))
     }
 
-    /// Its load as it is.
+    /// Returns its actual load.
     pub fn load(&self) -> Report {
         let unread = |s: &Sequence| s.target.saturating_sub(s.done) as f64;
         let all = self.waiting.iter().chain(self.running.iter()).chain(self.fetching.values());
@@ -384,11 +384,11 @@
         }
     }
 
-    /// What of its memory does not add up, if anything.
+    /// Checks that its memory accounting is consistent.
     pub fn check(&self) -> Result<(), String> {
         let work = self.waiting.iter().chain(&self.running).chain(self.fetching.values()).map(|s| &s.hold);
         let holds = work.chain(self.states.values().map(|s| &s.hold));
-        let (own, kept) = holds.fold((0, 0), |(o, k), h| (o + h.own, k + h.kept.len() as u64));
+        let (own, kept) = holds.fold((0, 0), |(o, k), h| (o + h.private, k + h.kept.len() as u64));
         self.memory.check(own, kept)?;
         let short = |s: &Sequence| s.hold.blocks() < self.blocks_for(s.done);
         match self.running.iter().find(|s| short(s)) {
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Something has changed between steps.
+    /// Records a change of load and begins a step if none is running.
     fn advance(&mut self, now: Micros, out: &mut Vec<Notice>) {
         self.record_load(now);
         if self.step.is_none() {
@@ -417,7 +417,7 @@
             return;
         }
         self.admit(out);
-        let Some(share) = self.plan(out) else { return };
+        let Some(share) = self.plan_step(out) else { return };
         let cost = &self.spec.cost;
         let mut took = cost.step;
         for (seq, tokens) in self.running.iter().zip(&share) {
@@ -435,16 +435,16 @@
         self.record_load(now);
     }
 
-    /// Work from the queue joins the batch while slots and memory last, in the order in which it came.
+    /// Admits work from the queue to the batch in order of arrival, while slots and memory last.
     fn admit(&mut self, out: &mut Vec<Notice>) {
         while self.running.len() + self.fetching.len() < self.spec.slots {
             let Some(front) = self.waiting.front() else { return };
             let found = self.memory.found(&front.work.chain);
-            // The last token is read in any case: the answer begins with it.
+            // The last token is always read, because the first token of the answer follows from it.
             let most = ((front.target - 1) / self.spec.block_tokens) as usize;
             let found = found.min(most);
             let need = self.blocks_for(front.target) - found as u64;
-            // What it would hold of the tree cannot be evicted for its other blocks.
+            // The cached blocks are held first so that they cannot be evicted to make room for its other blocks.
             let Some(mut seq) = self.waiting.pop_front() else { return };
             let kept = seq.work.chain[..found].to_vec();
             self.memory.hold(&kept);
@@ -453,7 +453,7 @@
                 self.waiting.push_front(seq);
                 return;
             }
-            seq.hold = BlockHold { kept, own: need };
+            seq.hold = BlockHold { kept, private: need };
             seq.done = found as u64 * self.spec.block_tokens;
             let first = seq.cached_tokens.is_none();
             seq.cached_tokens.get_or_insert(seq.done);
@@ -469,18 +469,18 @@
         }
     }
 
-    /// The tokens that each piece of work gets done in the next step: one for each answer, then chunks
-    /// of prompts while the budget lasts. `None` if there is nothing to do.
-    fn plan(&mut self, out: &mut Vec<Notice>) -> Option<Vec<u64>> {
+    /// Plans the tokens that each piece of work processes in the next step: one for each answer, then
+    /// chunks of prompts while the budget lasts. `None` if there is nothing to do.
+    fn plan_step(&mut self, out: &mut Vec<Notice>) -> Option<Vec<u64>> {
         loop {
-            // An answer that has no block for its next token makes the newest one give way.
+            // If an answer has no block for its next token, the newest piece of work is preempted.
             let lacks = self
                 .running
                 .iter()
                 .position(|s| s.done + 1 == s.target && s.hold.blocks() < self.blocks_for(s.target));
             let Some(at) = lacks else { break };
             if self.memory.take(1) {
-                self.running[at].hold.own += 1;
+                self.running[at].hold.private += 1;
                 continue;
             }
             self.preempt(out);
@@ -498,7 +498,7 @@
         share.iter().any(|t| *t > 0).then_some(share)
     }
 
-    /// The newest piece of work gives up its memory and begins anew, before all that wait.
+    /// Preempts the newest piece of work: it gives up its memory and returns to the front of the queue.
     fn preempt(&mut self, out: &mut Vec<Notice>) {
         let Some(mut seq) = self.running.pop() else { return };
         self.preempted += 1;
@@ -508,7 +508,7 @@
         }
         out.push(Notice::Preempted(seq.work.id));
         seq.done = 0;
-        // Whatever is out need not be made again, but its state must be.
+        // Tokens already generated are not generated again, but their state must be recomputed.
         self.waiting.push_front(seq);
     }
 
@@ -539,10 +539,10 @@
                 self.states.insert(id, state);
                 continue;
             }
-            seq.out += 1;
+            seq.generated += 1;
             seq.target += 1;
-            out.push(Notice::Token(id, seq.out));
-            if seq.out >= seq.work.answer {
+            out.push(Notice::Token(id, seq.generated));
+            if seq.generated >= seq.work.answer {
                 out.push(Notice::Done(id, seq.cached_tokens.unwrap_or(0)));
                 self.drop_hold(seq.hold);
             } else {
@@ -553,14 +553,14 @@
         self.record_load(now);
     }
 
-    /// Whole blocks of a prompt that are done join the tree.
+    /// Adds the whole blocks of a prompt that have been processed to the prefix tree.
     fn keep(&mut self, seq: &mut Sequence) {
         let whole = (seq.done.min(seq.work.prompt) / self.spec.block_tokens) as usize;
         for at in seq.hold.kept.len()..whole.min(seq.work.chain.len()) {
             let hash = seq.work.chain[at];
             self.memory.keep(hash, at.checked_sub(1).map(|p| seq.work.chain[p]));
             seq.hold.kept.push(hash);
-            seq.hold.own -= 1;
+            seq.hold.private -= 1;
         }
     }
 
@@ -572,14 +572,14 @@
 
     fn drop_hold(&mut self, hold: BlockHold) {
         self.memory.unhold(&hold.kept);
-        self.memory.give(hold.own);
+        self.memory.give(hold.private);
     }
 
     fn free_state(&mut self, id: WorkId, by: FreedBy, out: &mut Vec<Notice>) {
         let Some(state) = self.states.remove(&id) else { return };
         if self.faults.leaks > 0.0 && self.rng.random::<f64>() < self.faults.leaks {
             self.memory.unhold(&state.hold.kept);
-            self.memory.leak(state.hold.own);
+            self.memory.leak(state.hold.private);
         } else {
             self.drop_hold(state.hold);
         }
--- a/crates/pintally-emulator/src/faults.rs
+++ b/crates/pintally-emulator/src/faults.rs
@@ -1,37 +1,37 @@
-//! What is wrong with an engine at the moment.
+//! Faults of an engine.
 
 use crate::Micros;
 
-/// How load reports are made.
+/// Accuracy of load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportAccuracy {
-    /// As the engine's figures say.
+    /// Reports follow the engine's specification.
     #[default]
     Honest,
-    /// The last one is repeated.
+    /// The last report is repeated.
     Stale,
-    /// They say that the engine idles.
+    /// Reports claim that the engine is idle.
     Idle,
-    /// They say that it is full.
+    /// Reports claim that the engine is full.
     Full,
 }
 
-/// What is wrong with an engine at the moment.
+/// Active faults of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
     /// Steps take this many times as long.
     pub slow: f64,
-    /// Slower by this share of itself with each second from then on: slow ageing.
+    /// Gradual ageing: from this time on, steps take longer by this share with each second.
     pub ageing: Option<(Micros, f64)>,
-    /// A neighbour takes up to this share of each step besides, drawn anew for each.
+    /// Noisy neighbour: each step takes longer by a share drawn up to this value.
     pub noisy: f64,
     /// No step begins before this time.
     pub paused_until: Micros,
-    /// Share of the read states whose memory is never given back.
+    /// Share of the read states whose private memory is never freed.
     pub leaks: f64,
     /// Share of the transfers to it that break half-way.
     pub breaks: f64,
-    /// How load reports are made.
+    /// Accuracy of load reports.
     pub reports: ReportAccuracy,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Faults {
-    /// How many times as long a step takes that begins now, with a draw from 0 to 1 for the neighbour.
+    /// Factor on the duration of a step that begins now; `drawn` is from 0 to 1, for the noisy neighbour.
     pub(crate) fn factor(&self, now: Micros, drawn: f64) -> f64 {
         let aged = self.ageing.map_or(0.0, |(since, each)| now.saturating_sub(since) as f64 / 1e6 * each);
         self.slow * (1.0 + aged) * (1.0 + self.noisy * drawn)
--- a/crates/pintally-emulator/src/fleet.rs
+++ b/crates/pintally-emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Engines joined by links: read states move from one to the other.
+//! Engines connected by links over which read states are transferred.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,27 +11,27 @@
 use crate::spec::{NetworkSpec, Spec};
 use crate::Micros;
 
-/// Where an engine stands.
+/// Location of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Its zone.
+    /// Zone number.
     pub zone: u32,
-    /// Its rack; racks of two zones are two racks.
+    /// Rack number; the same number in another zone is another rack.
     pub rack: u32,
 }
 
-/// A state on its way.
+/// A transfer of a read state.
 #[derive(Clone, Debug)]
 struct Transfer {
     work: WorkId,
     state: WorkId,
     from: usize,
     to: usize,
-    /// It breaks off when what is left of it is done.
+    /// The transfer breaks off once its (halved) bytes have been sent.
     breaks: bool,
 }
 
-/// Engines, by number, and what joins them.
+/// Engines, by number, and the links between them.
 pub struct Fleet {
     engines: Vec<Engine>,
     places: Vec<Place>,
@@ -40,11 +40,11 @@
     ports: Vec<(LinkId, LinkId)>,
     racks: BTreeMap<Place, (LinkId, LinkId)>,
     zones: BTreeMap<(u32, u32), LinkId>,
-    /// From where the work that fetches is to have its state.
+    /// Engine and read state from which each piece of work is to fetch.
     sources: BTreeMap<WorkId, (usize, WorkId)>,
     transfers: BTreeMap<FlowId, Transfer>,
     next_flow: FlowId,
-    /// When each engine has something to do.
+    /// Times at which engines have something to do.
     wakes: BTreeSet<(Micros, usize)>,
     wake_of: Vec<Option<Micros>>,
     seed: u64,
@@ -53,7 +53,7 @@
 }
 
 impl Fleet {
-    /// A fleet without engines.
+    /// Creates a fleet without engines.
     pub fn new(network: NetworkSpec, seed: u64) -> Fleet {
         Fleet {
             engines: Vec::new(),
@@ -96,52 +96,52 @@
         number
     }
 
-    /// An engine.
+    /// Returns an engine.
     pub fn engine(&self, number: usize) -> &Engine {
         &self.engines[number]
     }
 
-    /// How many engines there are.
+    /// Number of engines.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// States on their way.
+    /// Number of transfers in progress.
     pub fn moving(&self) -> usize {
         self.transfers.len()
     }
 
-    /// Changes what is wrong with an engine.
+    /// Changes the active faults of an engine.
     pub fn fault(&mut self, number: usize, change: impl FnOnce(&mut crate::Faults)) {
         change(self.engines[number].faults());
         self.rewake(number);
     }
 
-    /// Makes a zone's links to all others so many times slower; infinity cuts it off.
+    /// Divides the bandwidth of a zone's links to all other zones by `times`; infinity cuts the zone off.
     pub fn slow_zone(&mut self, now: Micros, zone: u32, times: f64) {
         let links: Vec<LinkId> =
             self.zones.iter().filter(|((a, b), _)| *a == zone || *b == zone).map(|(_, l)| *l).collect();
         links.into_iter().for_each(|l| self.links.set(now, l, self.network.zone / times.max(1e-9)));
     }
 
-    /// Makes an engine's port so many times slower.
+    /// Divides the bandwidth of an engine's port by `times`.
     pub fn slow_port(&mut self, now: Micros, number: usize, times: f64) {
         let (out, into) = self.ports[number];
         let capacity = self.engines[number].spec().port / times.max(1e-9);
         [out, into].into_iter().for_each(|l| self.links.set(now, l, capacity));
     }
 
-    /// What an engine says of its load.
+    /// Returns the load report of an engine.
     pub fn report(&mut self, now: Micros, number: usize) -> crate::Report {
         self.engines[number].report(now)
     }
 
-    /// Gives an engine work; work that fetches names the engine at which its state waits.
+    /// Submits work to an engine. For work that fetches, `source` is the engine that holds the read state.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -153,47 +153,47 @@
         if let (Some(state), Some(source)) = (work.fetches, source) {
             self.sources.insert(work.id, (source, state));
         }
-        self.with(now, number, out, |engine, notices| engine.submit(now, work, notices));
+        self.with_engine(now, number, out, |engine, notices| engine.submit(now, work, notices));
     }
 
-    /// Nobody waits for work any more.
+    /// Cancels work at an engine, with its transfer.
     pub fn cancel(&mut self, now: Micros, number: usize, work: WorkId, out: &mut Vec<(usize, Notice)>) {
         let flow = self.transfers.iter().find(|(_, t)| t.work == work && t.to == number).map(|(f, _)| *f);
         if let Some(flow) = flow {
             self.end_flow(now, flow, None, out);
         }
         self.sources.remove(&work);
-        self.with(now, number, out, |engine, notices| engine.cancel(now, work, notices));
+        self.with_engine(now, number, out, |engine, notices| engine.cancel(now, work, notices));
     }
 
-    /// Lets a read state go.
+    /// Releases a read state at an engine.
     pub fn release(&mut self, now: Micros, number: usize, state: WorkId, out: &mut Vec<(usize, Notice)>) {
-        self.with(now, number, out, |engine, notices| engine.release(now, state, notices));
+        self.with_engine(now, number, out, |engine, notices| engine.release(now, state, notices));
     }
 
-    /// An engine dies; transfers from it and to it end with it.
+    /// Crashes an engine; transfers from it and to it end.
     pub fn crash(&mut self, now: Micros, number: usize, out: &mut Vec<(usize, Notice)>) {
-        self.with(now, number, out, super::engine::Engine::crash);
+        self.with_engine(now, number, out, super::engine::Engine::crash);
     }
 
-    /// An engine runs from here on, cold or warm.
+    /// Starts an engine, cold or warm.
     pub fn start(&mut self, now: Micros, number: usize, cold: bool) {
         self.engines[number].start(now, cold);
         self.rewake(number);
     }
 
-    /// An engine forgets what it keeps.
+    /// Evicts all cached blocks of an engine that are not held.
     pub fn forget(&mut self, number: usize) {
         self.engines[number].forget();
     }
 
-    /// When [`Fleet::tick`] has something to do.
+    /// Time at which [`Fleet::tick`] has something to do.
     pub fn next_wake(&self) -> Option<Micros> {
         let engines = self.wakes.first().map(|w| w.0);
         [engines, self.links.next()].into_iter().flatten().min()
     }
 
-    /// Does what has come due.
+    /// Processes everything that is due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<(usize, Notice)>) {
         loop {
             for flow in self.links.finished(now) {
@@ -201,15 +201,15 @@
                 self.end_flow(now, flow, Some(whole), out);
             }
             let Some((_, number)) = self.wakes.first().copied().filter(|w| w.0 <= now) else { return };
-            self.with(now, number, out, |engine, notices| engine.tick(now, notices));
+            self.with_engine(now, number, out, |engine, notices| engine.tick(now, notices));
             if self.wake_of[number].is_some_and(|w| w <= now) {
-                // An engine that wants to be woken for what it has just not done would spin.
+                // An engine whose wake time has not advanced would otherwise make this loop spin.
                 self.set_wake(number, Some(now + 1));
             }
         }
     }
 
-    /// What does not add up in any engine's memory.
+    /// Checks that the memory accounting of each engine is consistent.
     pub fn check(&self) -> Result<(), String> {
         self.engines
             .iter()
@@ -217,21 +217,21 @@
             .try_for_each(|(n, e)| e.check().map_err(|w| format!("engine {n}: {w}")))
     }
 
-    /// Hands an engine something and sees to what it says.
-    fn with(
+    /// Runs an operation on an engine and processes the notices that it emits.
+    fn with_engine(
         &mut self,
         now: Micros,
         number: usize,
         out: &mut Vec<(usize, Notice)>,
-        what: impl FnOnce(&mut Engine, &mut Vec<Notice>),
+        operation: impl FnOnce(&mut Engine, &mut Vec<Notice>),
     ) {
         let was_up = self.engines[number].is_up();
         let mut notices = std::mem::take(&mut self.notices);
-        what(&mut self.engines[number], &mut notices);
+        operation(&mut self.engines[number], &mut notices);
         self.rewake(number);
-        let said: Vec<Notice> = std::mem::take(&mut notices);
+        let emitted: Vec<Notice> = std::mem::take(&mut notices);
         self.notices = notices;
-        for notice in said {
+        for notice in emitted {
             match notice {
                 Notice::FetchNeeded(work, tokens) => self.begin_flow(now, number, work, tokens, out),
                 Notice::Refused(work, _) | Notice::Broken(work) => {
@@ -260,7 +260,8 @@
         let source =
             self.sources.remove(&work).filter(|(from, state)| self.engines[*from].begin_move(*state));
         let Some((from, state)) = source else {
-            return self.with(now, to, out, |e, notices| e.arrived(now, work, Arrival::Missing, notices));
+            return self
+                .with_engine(now, to, out, |e, notices| e.arrived(now, work, Arrival::Missing, notices));
         };
         self.rewake(from);
         let chance = self.engines[to].faults().breaks;
@@ -273,15 +274,15 @@
         self.links.begin(now, flow, path, bytes);
     }
 
-    /// A transfer is over: whole, broken off, or called off by who wanted it.
+    /// Ends a transfer: complete (`Some(true)`), broken off (`Some(false)`) or cancelled by its work (`None`).
     fn end_flow(&mut self, now: Micros, flow: FlowId, whole: Option<bool>, out: &mut Vec<(usize, Notice)>) {
         let Some(t) = self.transfers.remove(&flow) else { return };
         self.links.cancel(now, flow);
         let done = whole == Some(true);
-        self.with(now, t.from, out, |e, notices| e.end_move(now, t.state, done, notices));
+        self.with_engine(now, t.from, out, |e, notices| e.end_move(now, t.state, done, notices));
         if let Some(whole) = whole {
             let how = if whole { Arrival::Whole } else { Arrival::Broken };
-            self.with(now, t.to, out, |e, notices| e.arrived(now, t.work, how, notices));
+            self.with_engine(now, t.to, out, |e, notices| e.arrived(now, t.work, how, notices));
         }
     }
 
@@ -317,7 +318,7 @@
 }
 
 impl Notice {
-    /// Whether work ends with it.
+    /// The work that this notice ends, if it ends any.
     pub fn ends(&self) -> Option<WorkId> {
         match self {
             Notice::Refused(id, _) | Notice::Read(id, _) | Notice::Done(id, _) | Notice::Broken(id) => {
--- a/crates/pintally-emulator/src/lib.rs
+++ b/crates/pintally-emulator/src/lib.rs
@@ -1,13 +1,13 @@
-//! Serving engines as they behave, without sockets or clock.
+//! Model of serving engines, without sockets or a clock.
 //!
-//! An [`Engine`] batches by iteration: each step decodes one token for every running answer and reads
-//! chunks of prompts within a budget of tokens. Its memory is paged; whole blocks of prompts are kept
-//! in a prefix tree and evicted by age. A [`Fleet`] joins engines by links that move read states, and
-//! share their bandwidth fairly.
+//! An [`Engine`] uses continuous batching: each step decodes one token for every running answer and reads
+//! chunks of prompts within a token budget. Its memory is paged; whole blocks of prompts are cached in a
+//! prefix tree and evicted least recently used first. A [`Fleet`] connects engines by links that transfer
+//! read states and share their bandwidth fairly.
 //!
-//! Time is handed in, everything drawn comes from a seed: the same inputs give the same notices, byte
-//! for byte. Sockets and a virtual clock drive the same code. `docs/emulator.md` says what the model
-//! leaves out.
+//! The caller passes the time and all random draws come from a seed, so the same inputs give the same
+//! notices, byte for byte. Engines behind sockets and simulations with a virtual clock run the same code.
+//! `docs/emulator.md` lists what the model leaves out.
 
 mod cold;
 mod engine;
@@ -28,5 +28,5 @@
 pub use report::Report;
 pub use spec::{ColdStart, Cost, EngineRole, LoadReporting, NetworkSpec, Spec};
 
-/// Microseconds.
+/// Time in microseconds.
 pub type Micros = u64;
--- a/crates/pintally-emulator/src/links.rs
+++ b/crates/pintally-emulator/src/links.rs
@@ -1,16 +1,16 @@
-//! Links whose bandwidth all flows over them share fairly (max-min): no flow can have more without
-//! another that has no more than it having less.
+//! Links whose bandwidth is shared by max-min fairness: the rate of a flow cannot grow without reducing
+//! another flow whose rate is no higher.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// Names a link, by its number.
+/// Number of a link.
 pub type LinkId = usize;
-/// Names a flow.
+/// Identifies a flow.
 pub type FlowId = u64;
 
-/// What is left this close to zero is done.
+/// A flow with no more bytes left than this is done.
 const DONE_BYTES: f64 = 1e-6;
 
 #[derive(Clone, Debug)]
@@ -23,20 +23,20 @@
 /// Links and the flows over them.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
-    /// Bytes a microsecond.
+    /// Capacity of each link in bytes per microsecond.
     capacity: Vec<f64>,
     flows: BTreeMap<FlowId, Flow>,
     at: Micros,
 }
 
 impl Links {
-    /// Adds a link of so many bytes a microsecond.
+    /// Adds a link with a capacity in bytes per microsecond.
     pub fn add(&mut self, capacity: f64) -> LinkId {
         self.capacity.push(capacity);
         self.capacity.len() - 1
     }
 
-    /// Changes a link's capacity; 0 holds everything on it.
+    /// Changes a link's capacity; 0 stops all flows over it.
     pub fn set(&mut self, now: Micros, link: LinkId, capacity: f64) {
         self.advance(now);
         if let Some(own) = self.capacity.get_mut(link) {
@@ -45,14 +45,14 @@
         self.share();
     }
 
-    /// A flow of so many bytes begins.
+    /// Begins a flow of `bytes` bytes.
     pub fn begin(&mut self, now: Micros, id: FlowId, path: Vec<LinkId>, bytes: f64) {
         self.advance(now);
         self.flows.insert(id, Flow { path, left: bytes, rate: 0.0 });
         self.share();
     }
 
-    /// A flow ends before its time.
+    /// Ends a flow early.
     pub fn cancel(&mut self, now: Micros, id: FlowId) {
         self.advance(now);
         if self.flows.remove(&id).is_some() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Flows that are done by now, in the order of their names.
+    /// Removes and returns the flows that are done, in order of their identifiers.
     pub fn finished(&mut self, now: Micros) -> Vec<FlowId> {
         self.advance(now);
         let done: Vec<FlowId> =
@@ -74,24 +74,24 @@
         done
     }
 
-    /// When the next flow is done, if nothing else changes.
+    /// Time at which the next flow is done if nothing else changes.
     pub fn next(&self) -> Option<Micros> {
         let ends = self.flows.values().filter(|f| f.rate > 0.0 || f.left <= DONE_BYTES);
         let after = |f: &Flow| if f.left <= DONE_BYTES { 0 } else { (f.left / f.rate).ceil() as u64 };
         ends.map(|f| self.at + after(f)).min()
     }
 
-    /// The bytes a microsecond that a flow has now.
+    /// Current rate of a flow in bytes per microsecond.
     pub fn rate(&self, id: FlowId) -> Option<f64> {
         self.flows.get(&id).map(|f| f.rate)
     }
 
-    /// Flows under way.
+    /// Number of flows in progress.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no flows.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
@@ -102,7 +102,8 @@
         self.flows.values_mut().for_each(|f| f.left = (f.left - f.rate * passed).max(0.0));
     }
 
-    /// Fills all flows at the same pace; those on the link that is full first stop there.
+    /// Computes the rates by progressive filling: all rates grow together until a link is full, which fixes
+    /// the rates of the flows over it.
     fn share(&mut self) {
         let mut left = self.capacity.clone();
         let mut users = vec![0usize; left.len()];
--- a/crates/pintally-emulator/src/memory.rs
+++ b/crates/pintally-emulator/src/memory.rs
@@ -1,12 +1,12 @@
-//! Paged memory: blocks that work holds for itself, and a prefix tree of blocks that are kept.
+//! Paged memory: private blocks of running work, and a prefix tree of cached blocks.
 //!
-//! A whole block of a prompt is named by the hash of the text up to its end, so equal beginnings share
-//! their blocks. Blocks that nobody holds stay until room is needed; those unused longest go first,
-//! and none goes before the blocks that continue it.
+//! A whole block of a prompt is identified by the hash of the text up to its end, so equal prefixes share
+//! their blocks. Blocks without a holder stay cached until memory is needed. They are evicted least recently
+//! used first, and a block is never evicted before the blocks that continue it.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Names a block of a prompt: the hash of the text up to its end.
+/// Identifies a block of a prompt: the hash of the text up to its end.
 pub type BlockHash = u64;
 
 #[derive(Clone, Debug)]
@@ -21,20 +21,20 @@
 #[derive(Clone, Debug)]
 pub struct Memory {
     blocks: u64,
-    /// Blocks that work holds for itself.
+    /// Blocks that work holds alone, outside the tree.
     private: u64,
-    /// Blocks that nobody will ever give back.
+    /// Blocks that are never freed.
     leaked: u64,
     nodes: HashMap<BlockHash, Node>,
-    /// Nodes that nobody holds.
+    /// Number of nodes without a holder.
     unheld: u64,
-    /// Those among them that no block continues, the longest unused first.
+    /// Nodes without a holder and without children, least recently used first.
     idle: BTreeSet<(u64, BlockHash)>,
     clock: u64,
 }
 
 impl Memory {
-    /// So many blocks, all free.
+    /// Creates a memory whose blocks are all free.
     pub fn new(blocks: u64) -> Memory {
         Memory {
             blocks,
@@ -47,27 +47,27 @@
         }
     }
 
-    /// Blocks in which nothing is.
+    /// Number of free blocks.
     pub fn free(&self) -> u64 {
         self.blocks - self.private - self.leaked - self.nodes.len() as u64
     }
 
-    /// Blocks that can be had: free ones and those that nobody holds.
+    /// Number of blocks that can be allocated: free blocks and cached blocks without a holder.
     pub fn available(&self) -> u64 {
         self.free() + self.unheld
     }
 
-    /// The share of all blocks that somebody holds.
+    /// Share of all blocks that cannot be allocated: held, private or leaked.
     pub fn held_share(&self) -> f64 {
         1.0 - self.available() as f64 / self.blocks.max(1) as f64
     }
 
-    /// How many blocks of a chain's beginning are kept.
+    /// Number of leading blocks of a chain that are cached.
     pub fn found(&self, chain: &[BlockHash]) -> usize {
         chain.iter().take_while(|h| self.nodes.contains_key(h)).count()
     }
 
-    /// Holds kept blocks: a chain's beginning, as found.
+    /// Adds a holder to cached blocks: the leading blocks of a chain, as found.
     pub fn hold(&mut self, chain: &[BlockHash]) {
         self.clock += 1;
         for hash in chain {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Lets go of blocks that are held; they stay until their room is needed.
+    /// Removes a holder from blocks; they stay cached until memory is needed.
     pub fn unhold(&mut self, chain: &[BlockHash]) {
         self.clock += 1;
         for hash in chain {
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Takes blocks for work alone, evicting what must go; `false`, and nothing taken, if there are
-    /// not so many.
+    /// Allocates private blocks, evicting cached ones as needed. Returns `false` and allocates nothing if too
+    /// few are available.
     pub fn take(&mut self, blocks: u64) -> bool {
         if self.available() < blocks {
             return false;
@@ -110,19 +110,19 @@
         true
     }
 
-    /// Gives blocks back.
+    /// Frees private blocks.
     pub fn give(&mut self, blocks: u64) {
         self.private -= blocks;
     }
 
-    /// Blocks that work held for itself are lost for good.
+    /// Leaks private blocks: they are never freed.
     pub fn leak(&mut self, blocks: u64) {
         self.private -= blocks;
         self.leaked += blocks;
     }
 
-    /// One block that work held for itself now holds a whole block of its prompt: it joins the tree,
-    /// held. Where another had computed the same meanwhile, that one is held and this one given back.
+    /// Moves a private block that now contains a whole block of a prompt into the tree, with one holder. If
+    /// the tree already has the same block, that one gets the holder and the private block is freed.
     pub fn keep(&mut self, hash: BlockHash, parent: Option<BlockHash>) {
         self.private -= 1;
         if self.nodes.contains_key(&hash) {
@@ -136,7 +136,7 @@
         self.nodes.insert(hash, Node { parent, children: 0, holders: 1, used: self.clock });
     }
 
-    /// Forgets every kept block that nobody holds.
+    /// Evicts every cached block without a holder.
     pub fn forget(&mut self) {
         while !self.idle.is_empty() {
             self.evict();
@@ -156,8 +156,8 @@
         }
     }
 
-    /// What does not add up, if anything, when work holds so many blocks for itself and so many
-    /// times a kept one.
+    /// Checks the accounting: `private` is the number of private blocks that work has, `held` the total number
+    /// of holds on cached blocks.
     pub fn check(&self, private: u64, held: u64) -> Result<(), String> {
         let own: u64 = self.nodes.values().map(|n| u64::from(n.holders)).sum();
         let unheld = self.nodes.values().filter(|n| n.holders == 0).count() as u64;
--- a/crates/pintally-emulator/src/notice.rs
+++ b/crates/pintally-emulator/src/notice.rs
@@ -1,56 +1,56 @@
-//! What an engine says.
+//! Notices that an engine emits.
 
 use crate::engine::WorkId;
 
-/// Why work was turned away. Nothing of it was done.
+/// Reason for which work was refused; none of it was done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Slots and queue are full.
     Full,
-    /// It could never fit into memory.
+    /// The work can never fit into memory.
     TooLong,
-    /// There is no state to fetch, or the engine does not do this.
+    /// There is no state to fetch, or the work is invalid or does not suit the engine's role.
     NoState,
-    /// It ran before, within the window.
+    /// Work with the same key was accepted within the deduplication window.
     Repeat,
     /// The engine is down.
     Down,
 }
 
-/// How a read state was let go.
+/// Reason for which a read state was freed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreedBy {
-    /// Somebody fetched it.
+    /// It was fetched.
     Fetched,
     /// It was released.
     Released,
-    /// Nobody fetched it for too long.
+    /// It was not fetched in time.
     Expired,
     /// The engine died.
     Died,
 }
 
-/// One thing that has happened to work at an engine.
+/// An event at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// It was turned away.
+    /// Work was refused.
     Refused(WorkId, Refusal),
-    /// Its answer is being made from here on.
+    /// The engine has begun to generate an answer.
     Started(WorkId),
-    /// So many of its answer's tokens are out.
+    /// A token of an answer was generated; with the number of tokens so far.
     Token(WorkId, u64),
-    /// Its prompt is read and the state waits; so many tokens were found kept.
+    /// A prompt was read and its state waits to be fetched; with the number of prompt tokens found cached.
     Read(WorkId, u64),
-    /// Its answer is whole; so many tokens of the prompt were found kept.
+    /// An answer is complete; with the number of prompt tokens found cached.
     Done(WorkId, u64),
-    /// It wants so many tokens of a state that waits elsewhere.
+    /// Work needs this many tokens of the read state that it fetches.
     FetchNeeded(WorkId, u64),
-    /// It had to give up its memory and begins anew with what it has.
+    /// Work gave up its memory and returned to the queue; tokens already generated are kept.
     Preempted(WorkId),
-    /// It ended with the engine, or with the transfer of its state.
+    /// Work ended because the engine crashed or the transfer of its state broke off.
     Broken(WorkId),
-    /// A read state was let go.
+    /// A read state was freed.
     Freed(WorkId, FreedBy),
-    /// The engine was cold and was sent too much: it is down.
+    /// The cold engine was sent too much work and crashed.
     Overloaded,
 }
--- a/crates/pintally-emulator/src/report.rs
+++ b/crates/pintally-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Load reports: late, rounded by noise, or wrong, as configured.
+//! Load reports: delayed, noisy or wrong, as configured.
 
 use std::collections::VecDeque;
 
@@ -6,12 +6,12 @@
 use crate::spec::LoadReporting;
 use crate::Micros;
 
-/// What an engine says of its load.
+/// Load of an engine, as measured or as reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: f64,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: f64,
     /// Share of memory that is held.
     pub memory: f64,
@@ -19,7 +19,7 @@
     pub backlog: f64,
 }
 
-/// Looks at itself so often, and tells what it saw some time ago.
+/// Samples the load at an interval and reports an older sample.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadReporter {
     seen: VecDeque<(Micros, Report)>,
@@ -27,9 +27,9 @@
 }
 
 impl LoadReporter {
-    /// The state is this from now on.
+    /// Records the load that applies from now on.
     pub(crate) fn record_load(&mut self, load_reporting: &LoadReporting, now: Micros, state: Report) {
-        // Between two looks only the last state counts.
+        // Within one sampling interval only the last load counts.
         let slot = |at: Micros| at / load_reporting.every.max(1);
         match self.seen.back_mut() {
             Some(last) if slot(last.0) == slot(now) => *last = (now, state),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What it tells; `draw` is from -1 to 1, anew for each figure.
+    /// Returns the load report; `draw` returns a new value from -1 to 1 for each figure.
     pub(crate) fn report(
         &mut self,
         load_reporting: &LoadReporting,
--- a/crates/pintally-emulator/src/spec.rs
+++ b/crates/pintally-emulator/src/spec.rs
@@ -1,91 +1,92 @@
-//! The figures of an engine.
+//! Specification of an engine and of the network.
 
 use crate::Micros;
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRole {
     /// Reads prompts.
     Reader,
     /// Fetches read states and writes answers.
     Writer,
-    /// Does both.
+    /// Reads prompts and writes answers.
     Mixed,
 }
 
-/// What a step costs, in microseconds. All parts add up.
+/// Duration of a step in microseconds: the sum of all parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// Any step.
+    /// Fixed part of every step.
     pub step: f64,
-    /// Each prompt token read in it.
+    /// For each prompt token read in the step.
     pub read_token: f64,
-    /// Each answer that gets a token in it.
+    /// For each answer that gets a token in the step.
     pub write_token: f64,
-    /// Each thousand tokens of context of those answers.
+    /// For each thousand tokens of context of those answers.
     pub context: f64,
 }
 
-/// How an engine starts.
+/// Behaviour of an engine after a cold start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// The share of its speed that it has at first.
+    /// Share of its full speed at the start.
     pub initial_capacity: f64,
-    /// It has all of it after this time.
+    /// Time after which it has its full speed.
     pub warm_after: Micros,
-    /// While cold it falls over if more than this many times what it can do
+    /// While cold, the engine crashes if the work sent to it within `overload_window` exceeds this many times
+    /// what it can do in that time.
     pub overload_factor: f64,
-    /// is sent to it within this time.
+    /// Time window over which the work sent to a cold engine is summed.
     pub overload_window: Micros,
 }
 
-/// How an engine tells its load.
+/// How an engine reports its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReporting {
-    /// It looks at itself so often,
+    /// Sampling interval of the load.
     pub every: Micros,
-    /// what it tells is so old,
+    /// Age of the reported load.
     pub delay: Micros,
-    /// and each figure is off by up to this share.
+    /// Largest relative error of each reported figure.
     pub noise: f64,
 }
 
-/// Bandwidth, in bytes a microsecond, and what a token's state weighs.
+/// Bandwidth in bytes per microsecond, and the size of a token's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkSpec {
-    /// Of all that leaves or enters a rack.
+    /// Bandwidth of a rack, each way.
     pub rack: f64,
-    /// Of all between two zones.
+    /// Bandwidth between two zones, both directions together.
     pub zone: f64,
-    /// Bytes of one token's state.
+    /// Size of one token's state in bytes.
     pub token_bytes: f64,
 }
 
-/// The figures of one engine.
+/// Specification of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// What it does.
+    /// Role of the engine.
     pub kind: EngineRole,
-    /// Requests that run at once.
+    /// Number of requests that run at once.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Number of requests that may wait.
     pub queue: usize,
-    /// Blocks of memory.
+    /// Memory size in blocks.
     pub blocks: u64,
-    /// Tokens in a block.
+    /// Tokens per block.
     pub block_tokens: u64,
-    /// Tokens that one step may take, read and written together.
+    /// Largest number of tokens that one step processes, read and written together.
     pub budget: u64,
-    /// What a step costs.
+    /// Duration of a step.
     pub cost: Cost,
-    /// How it starts; it is warm at once without.
+    /// Behaviour after a cold start; without it, the engine is warm at once.
     pub cold: Option<ColdStart>,
-    /// Read states that nobody fetches are let go after this time.
+    /// Time after which a read state that is not fetched expires.
     pub state_ttl: Micros,
-    /// How it tells its load.
+    /// How the engine reports its load.
     pub load_reporting: LoadReporting,
-    /// Bandwidth of its port, each way, in bytes a microsecond.
+    /// Bandwidth of its port, each way, in bytes per microsecond.
     pub port: f64,
-    /// Repeats of a keyed request are dropped within this time; never if 0.
+    /// Deduplication window: repeats of a keyed request are refused within this time; 0 disables this.
     pub dedup: Micros,
 }
--- a/crates/pintally-emulator/tests/common/mod.rs
+++ b/crates/pintally-emulator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Figures, chains and a clock for the tests.
+//! Specifications, block chains and a clock for the tests.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     NetworkSpec { rack: 4000.0, zone: 2000.0, token_bytes: 20_000.0 }
 }
 
-/// The chain of a prompt that begins with a text of its own.
+/// Block chain of a prompt; different `text` numbers share no prefix.
 pub fn chain(text: u64, tokens: u64) -> Vec<BlockHash> {
     (0..tokens / BLOCK).map(|b| text << 32 | b).collect()
 }
@@ -57,11 +57,11 @@
     Work { id, reads_only: false, fetches: None, chain: chain(text, prompt), prompt, answer, key: None }
 }
 
-/// A fleet with its clock and all that it has said.
+/// A fleet with its clock and all notices that it has emitted.
 pub struct World {
     pub fleet: Fleet,
     pub now: Micros,
-    pub said: Vec<(Micros, usize, Notice)>,
+    pub notices: Vec<(Micros, usize, Notice)>,
 }
 
 impl World {
@@ -70,27 +70,27 @@
         for (n, spec) in specs.iter().enumerate() {
             fleet.add(spec.clone(), Place { zone: n as u32 % 2, rack: n as u32 % 3 });
         }
-        World { fleet, now: 0, said: Vec::new() }
+        World { fleet, now: 0, notices: Vec::new() }
     }
 
-    fn note(&mut self, out: Vec<(usize, Notice)>) {
-        self.said.extend(out.into_iter().map(|(n, notice)| (self.now, n, notice)));
+    fn record_notices(&mut self, out: Vec<(usize, Notice)>) {
+        self.notices.extend(out.into_iter().map(|(n, notice)| (self.now, n, notice)));
         self.fleet.check().unwrap();
     }
 
     pub fn submit(&mut self, engine: usize, work: Work, source: Option<usize>) {
         let mut out = Vec::new();
         self.fleet.submit(self.now, engine, work, source, &mut out);
-        self.note(out);
+        self.record_notices(out);
     }
 
     pub fn act(&mut self, f: impl FnOnce(&mut Fleet, Micros, &mut Vec<(usize, Notice)>)) {
         let mut out = Vec::new();
         f(&mut self.fleet, self.now, &mut out);
-        self.note(out);
+        self.record_notices(out);
     }
 
-    /// Plays all that is due until a time.
+    /// Processes everything that is due until a time.
     pub fn until(&mut self, end: Micros) {
         while let Some(at) = self.fleet.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
@@ -99,15 +99,15 @@
         self.now = end;
     }
 
-    /// The time of the first notice that fits.
+    /// Time of the first notice that matches.
     pub fn at(&self, fits: impl Fn(&Notice) -> bool) -> Option<Micros> {
-        self.said.iter().find(|(.., n)| fits(n)).map(|s| s.0)
+        self.notices.iter().find(|(.., n)| fits(n)).map(|s| s.0)
     }
 
-    /// How each piece of work ended, and how often.
+    /// The notices that ended each piece of work.
     pub fn ends(&self) -> BTreeMap<WorkId, Vec<Notice>> {
         let mut ends: BTreeMap<WorkId, Vec<Notice>> = BTreeMap::new();
-        for (.., notice) in &self.said {
+        for (.., notice) in &self.notices {
             if let Some(id) = notice.ends() {
                 ends.entry(id).or_default().push(*notice);
             }
@@ -115,8 +115,8 @@
         ends
     }
 
-    /// The record as text.
+    /// All notices as text.
     pub fn record(&self) -> String {
-        self.said.iter().map(|(at, n, notice)| format!("{at} {n} {notice:?}\n")).collect()
+        self.notices.iter().map(|(at, n, notice)| format!("{at} {n} {notice:?}\n")).collect()
     }
 }
--- a/crates/pintally-emulator/tests/engines.rs
+++ b/crates/pintally-emulator/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Engines and their links: what the model promises, and the hard cases.
+//! Engines and their links: the guarantees of the model, and difficult cases.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_prompt_is_read_in_chunks_and_a_known_one_is_not_read_again() {
+fn reads_prompts_in_chunks_and_reuses_cached_blocks() {
     let mut w = World::new(&[spec(EngineRole::Reader)], 1);
     w.submit(0, read(1, 7, 1280), None);
     w.until(1_000_000);
@@ -17,12 +17,12 @@
     assert_eq!(w.at(|n| *n == Notice::Read(1, 0)), Some(3 * 4000 + 1280 * 50));
     w.submit(0, read(2, 7, 1280), None);
     w.until(2_000_000);
-    // All but the last block was kept; that one is read in any case.
+    // All blocks but the last were cached; the last one is always read.
     assert_eq!(w.at(|n| *n == Notice::Read(2, 1264)), Some(1_000_000 + 4000 + 16 * 50));
 }
 
 #[test]
-fn answers_slow_each_other_and_long_contexts_slow_all() {
+fn concurrent_answers_and_long_contexts_slow_steps() {
     let alone = |answers: u64, prompt: u64| {
         let mut w = World::new(&[Spec { budget: 100_000, blocks: 4000, ..spec(EngineRole::Mixed) }], 1);
         (0..answers).for_each(|n| w.submit(0, both(n, n + 1, prompt, 100), None));
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn a_state_moves_from_reader_to_writer_once() {
+fn state_transfers_from_reader_to_writer_once() {
     let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.submit(0, read(1, 7, 320), None);
     w.until(500_000);
     w.submit(1, fetch(2, 1, 7, 320, 5), Some(0));
     w.until(1_000_000);
-    // 320 tokens of 20,000 bytes over the port, the narrowest link of the way: 6,400 us.
+    // 320 tokens of 20,000 bytes over the port, the slowest link of the path: 6,400 us.
     assert_eq!(w.at(|n| *n == Notice::Freed(1, FreedBy::Fetched)), Some(506_400));
     assert_eq!(w.at(|n| *n == Notice::Token(2, 1)), Some(506_400 + 4106));
     assert!(w.at(|n| *n == Notice::Done(2, 0)).is_some());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn repeats_are_dropped_within_the_window_only() {
+fn refuses_repeats_within_the_window_only() {
     let mut w = World::new(&[Spec { dedup: 1_000_000, ..spec(EngineRole::Mixed) }], 1);
     let keyed = |id| Work { key: Some(9), ..both(id, 1, 64, 2) };
     w.submit(0, keyed(1), None);
@@ -68,16 +68,16 @@
 }
 
 #[test]
-fn load_reports_are_as_late_as_configured() {
+fn load_reports_are_delayed_as_configured() {
     let mut w = World::new(&[Spec { slots: 2, ..spec(EngineRole::Mixed) }], 1);
     w.until(1_000_000);
     (0..6).for_each(|n| w.submit(0, both(n, n + 1, 64, 400), None));
-    // The first began a step at once; the second joins when that is over.
+    // The first piece of work began a step at once; the second joins when that step ends.
     assert_eq!(w.fleet.engine(0).load().waiting, 5.0);
     assert_eq!(w.fleet.report(w.now, 0).waiting, 0.0);
     w.until(1_090_000);
     assert_eq!(w.fleet.engine(0).load().waiting, 4.0);
-    // It looks every 100 ms and tells what is 50 ms old: from 1,150,000 on.
+    // The load is sampled every 100 ms and reported 50 ms late: from 1,150,000 on.
     assert_eq!(w.fleet.report(1_149_999, 0).waiting, 0.0);
     assert_eq!(w.fleet.report(1_150_000, 0).waiting, 4.0);
     for (how, waiting) in [(ReportAccuracy::Idle, 0.0), (ReportAccuracy::Full, 1e3)] {
@@ -86,12 +86,12 @@
     }
 }
 
-// ---- the hard cases ----
+// ---- difficult cases ----
 
-/// The text of a waiting answer is kept when it comes, and evicted before its turn: it has its state
-/// moved whole, and is answered.
+/// The prompt of a waiting answer is cached when it arrives and evicted before it is admitted. The whole state
+/// must then be transferred, and the answer completes.
 #[test]
-fn a_kept_text_evicted_while_a_decode_waits_for_its_state() {
+fn cached_prompt_evicted_while_writer_waits_for_state() {
     let small = Spec { slots: 1, blocks: 60, ..spec(EngineRole::Mixed) };
     let mut w = World::new(&[spec(EngineRole::Reader), small], 1);
     w.submit(1, both(1, 7, 320, 1), None);
@@ -99,7 +99,7 @@
     w.until(500_000);
     let waits = fetch(3, 2, 7, 320, 4);
     assert_eq!(w.fleet.engine(1).kept(&waits), 320);
-    // A long answer takes the slot and, bit by bit, nearly all memory.
+    // A long answer takes the slot and gradually nearly all memory.
     w.submit(1, both(4, 8, 480, 400), None);
     w.submit(1, waits.clone(), Some(0));
     w.until(1_500_000);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_just_started_engine_in_a_burst_is_slow_and_falls_over_if_too_much_comes() {
+fn cold_engine_is_slow_and_crashes_when_overloaded() {
     let cold = ColdStart {
         initial_capacity: 0.2,
         warm_after: 10_000_000,
@@ -126,7 +126,8 @@
         w.until(20_000_000);
         w
     };
-    // Each is 80 ms of full speed: 0.4 s of it in a second is what twice a fifth allows, and one more.
+    // Each read takes 80 ms at full speed. Twice a fifth of full speed allows 0.4 s of work in a second, and
+    // one more read is tolerated.
     let fits = play(6);
     assert!(fits.at(|n| *n == Notice::Overloaded).is_none());
     let first = fits.at(|n| *n == Notice::Read(0, 0)).unwrap();
@@ -134,27 +135,27 @@
     let falls = play(30);
     assert!(falls.at(|n| *n == Notice::Overloaded).is_some());
     assert!(!falls.fleet.engine(0).is_up());
-    // Whatever it held has ended, each piece once.
+    // All work that it had has ended, each piece once.
     let ends = falls.ends();
     assert!(ends.len() == 30 && ends.values().all(|e| e.len() == 1));
 }
 
 #[test]
-fn memory_full_of_states_that_nobody_fetches_comes_back_when_they_expire() {
+fn expired_states_free_memory() {
     let mut w = World::new(&[Spec { blocks: 100, ..spec(EngineRole::Reader) }], 1);
     (0..5).for_each(|n| w.submit(0, read(n, n + 1, 320), None));
     w.until(1_000_000);
     assert_eq!(w.fleet.engine(0).states(), 5);
     assert!(w.fleet.engine(0).load().memory > 0.99);
-    // The next one waits, however long, as long as they wait.
+    // The next read waits as long as the states stay in memory.
     w.submit(0, read(9, 99, 320), None);
     w.until(4_900_000);
     assert!(!w.ends().contains_key(&9));
     w.until(6_000_000);
     assert!(matches!(w.ends()[&9][..], [Notice::Read(..)]));
-    let expired = w.said.iter().filter(|(.., n)| matches!(n, Notice::Freed(_, FreedBy::Expired)));
+    let expired = w.notices.iter().filter(|(.., n)| matches!(n, Notice::Freed(_, FreedBy::Expired)));
     assert_eq!(expired.count(), 5);
-    // A leak is for good.
+    // Leaked memory is never freed.
     let mut leaky = World::new(&[Spec { blocks: 100, ..spec(EngineRole::Reader) }], 1);
     leaky.fleet.fault(0, |f| f.leaks = 1.0);
     (0..5).for_each(|n| leaky.submit(0, read(n, n + 1, 330), None));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_transfer_whose_reader_dies_halfway_ends_its_work_and_leaves_nothing() {
+fn reader_crash_during_transfer_ends_its_work() {
     let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.submit(0, read(1, 7, 3200), None);
     w.until(1_000_000);
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_transfer_that_breaks_halfway_leaves_the_state_where_it_was() {
+fn broken_transfer_leaves_state_at_reader() {
     let mut w = World::new(&[spec(EngineRole::Reader), spec(EngineRole::Writer)], 1);
     w.fleet.fault(1, |f| f.breaks = 1.0);
     w.submit(0, read(1, 7, 320), None);
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_pause_holds_everything_and_ageing_slows_it() {
+fn pause_delays_and_ageing_slows_steps() {
     let mut w = World::new(&[spec(EngineRole::Mixed)], 1);
     w.fleet.fault(0, |f| f.paused_until = 700_000);
     w.submit(0, both(1, 1, 64, 2), None);
@@ -207,16 +208,16 @@
     assert_eq!(w.at(|n| *n == Notice::Token(2, 1)), Some(4_000_000 + 2 * (4000 + 64 * 50)));
 }
 
-/// Three answers that outgrow memory together: the newest gives way, and all are whole in the end.
+/// Three answers outgrow memory together: the newest is preempted, and all complete in the end.
 #[test]
-fn the_newest_answer_gives_way_and_is_made_again_without_repeating_a_token() {
+fn preempted_answer_resumes_without_repeating_tokens() {
     let mut w = World::new(&[Spec { blocks: 60, ..spec(EngineRole::Mixed) }], 1);
     (0..3).for_each(|n| w.submit(0, both(n, n + 1, 160, 400), None));
     w.until(30_000_000);
-    assert!(w.said.iter().any(|(.., n)| matches!(n, Notice::Preempted(_))));
+    assert!(w.notices.iter().any(|(.., n)| matches!(n, Notice::Preempted(_))));
     for id in 0..3 {
         let tokens: Vec<u64> = w
-            .said
+            .notices
             .iter()
             .filter_map(|(.., n)| match n {
                 Notice::Token(of, count) if *of == id => Some(*count),
@@ -231,7 +232,7 @@
 // ---- links ----
 
 #[test]
-fn flows_share_fairly_and_what_one_cannot_use_the_others_have() {
+fn flows_share_links_max_min_fairly() {
     let mut links = Links::default();
     let (narrow, wide) = (links.add(10.0), links.add(100.0));
     links.begin(0, 1, vec![narrow, wide], 1000.0);
@@ -251,8 +252,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 80, ..ProptestConfig::default() })]
 
-    /// No link carries more than it can, and every flow is held back by a link that is full and on
-    /// which none has more than it.
+    /// No link exceeds its capacity, and every flow is limited by a full link on which no other flow has a
+    /// higher rate.
     #[test]
     fn shares_are_max_min(capacities in prop::collection::vec(1u32..100, 3..7), paths in prop::collection::vec(prop::collection::btree_set(0usize..6, 1..4), 1..12)) {
         let mut links = Links::default();
@@ -280,25 +281,25 @@
         }
     }
 
-    /// Whatever comes, is called off, dies or breaks: memory adds up after every step (the world checks
-    /// it), each piece of work ends at most once, and nothing is left when all is over. The same again
-    /// gives the same record.
+    /// For any sequence of submissions, cancellations, crashes and broken transfers: memory accounting is
+    /// consistent after every step (checked by `World`), each piece of work ends at most once, and nothing is
+    /// left at the end. The same sequence again gives the same record.
     #[test]
-    fn any_history_adds_up(seed in any::<u64>(), steps in prop::collection::vec((0u8..12, 0u64..6, 1u64..500, 0u64..300_000), 1..120)) {
+    fn any_sequence_keeps_accounting_consistent(seed in any::<u64>(), steps in prop::collection::vec((0u8..12, 0u64..6, 1u64..500, 0u64..300_000), 1..120)) {
         let play = || {
             let small = |kind| Spec { blocks: 80, slots: 3, queue: 4, dedup: 2_000_000, ..spec(kind) };
             let mut w = World::new(&[small(EngineRole::Reader), small(EngineRole::Writer), small(EngineRole::Mixed), small(EngineRole::Mixed)], seed);
             w.fleet.fault(1, |f| f.breaks = 0.3);
             w.fleet.fault(2, |f| f.noisy = 0.5);
             let mut id = 0;
-            let mut called_off = Vec::new();
+            let mut cancelled = Vec::new();
             for (what, text, size, passes) in &steps {
                 id += 1;
                 let at = (*size % 4) as usize;
                 match what {
                     0..=2 => w.submit(if *what == 0 { 0 } else { 3 }, read(id, *text, *size), None),
                     3..=5 => {
-                        let read = w.said.iter().rev().find_map(|(_, n, notice)| match notice {
+                        let read = w.notices.iter().rev().find_map(|(_, n, notice)| match notice {
                             Notice::Read(state, _) => Some((*state, *n)),
                             _ => None,
                         });
@@ -309,7 +310,7 @@
                     8 => {
                         let target = id.saturating_sub(*size % 5 + 1);
                         (0..4).for_each(|n| w.act(|f, now, out| f.cancel(now, n, target, out)));
-                        called_off.push(target);
+                        cancelled.push(target);
                     }
                     9 => {
                         w.act(|f, now, out| f.crash(now, at, out));
@@ -327,15 +328,15 @@
             }
             let until = w.now + 600_000_000;
             w.until(until);
-            (w, id, called_off)
+            (w, id, cancelled)
         };
-        let (w, _, called_off) = play();
+        let (w, _, cancelled) = play();
         let mut sent: BTreeMap<WorkId, u64> = BTreeMap::new();
         w.ends().iter().for_each(|(id, ends)| { sent.insert(*id, ends.len() as u64); });
         prop_assert!(sent.values().all(|n| *n == 1), "{:?}", w.ends());
         for (n, (what, ..)) in steps.iter().enumerate() {
             let id = n as u64 + 1;
-            if *what <= 7 && !called_off.contains(&id) {
+            if *what <= 7 && !cancelled.contains(&id) {
                 prop_assert!(sent.contains_key(&id), "work {} never ended", id);
             }
         }
--- a/crates/pintally-emulator/tests/theory.rs
+++ b/crates/pintally-emulator/tests/theory.rs
@@ -1,8 +1,8 @@
-//! The emulator against queueing theory, where it is set up to be a known queue.
+//! Compares the emulator with queueing theory, in configurations that form a known queue.
 //!
-//! One token a step, steps of a fixed time and prompts of one token make an engine with so many slots
-//! a queue with so many servers: service takes as many steps as the answer has tokens. Arrivals are
-//! Poisson. Each figure comes from runs of several seeds; its 99% interval must hold the theory's.
+//! With one token per step, steps of fixed duration and prompts of one token, an engine with k slots is a
+//! queue with k servers: service takes as many steps as the answer has tokens. Arrivals are Poisson. Each
+//! figure comes from runs of several seeds; its 99% confidence interval must contain the theoretical value.
 
 mod common;
 
@@ -15,11 +15,11 @@
 
 const STEP: u64 = 1000;
 
-/// What one run saw, times in seconds.
-struct Seen {
+/// Measurements of one run, times in seconds.
+struct Measurements {
     /// Mean time in the queue.
     wait: f64,
-    /// Mean time in all, arrivals a second, and mean number inside.
+    /// Mean time in the system, arrivals per second, and mean number in the system.
     time: f64,
     rate: f64,
     inside: f64,
@@ -32,7 +32,7 @@
     tokens: impl Fn(&mut ChaCha8Rng) -> u64,
     jobs: u64,
     seed: u64,
-) -> Seen {
+) -> Measurements {
     let cost = Cost { step: STEP as f64, read_token: 0.0, write_token: 0.0, context: 0.0 };
     let queue =
         Spec { slots, queue: 1 << 20, blocks: 1 << 20, budget: 1 << 20, cost, ..spec(EngineRole::Mixed) };
@@ -72,10 +72,15 @@
         }
     }
     let (jobs, span) = (jobs as f64, last as f64);
-    Seen { wait: waits / jobs / 1e6, time: times / jobs / 1e6, rate: jobs / span * 1e6, inside: area / span }
+    Measurements {
+        wait: waits / jobs / 1e6,
+        time: times / jobs / 1e6,
+        rate: jobs / span * 1e6,
+        inside: area / span,
+    }
 }
 
-/// Means over seeds, with the 99% interval.
+/// Mean over seeds, with its 99% confidence interval.
 fn interval(values: &[f64]) -> (f64, f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n;
@@ -85,8 +90,8 @@
     (mean, mean - half, mean + half)
 }
 
-/// Plays seeds, checks Little's law on each, and the wait against theory's, within `bias` seconds.
-fn holds(
+/// Runs several seeds, checks Little's law on each, and the mean wait against theory, within `bias` seconds.
+fn assert_wait_matches(
     name: &str,
     slots: usize,
     load: f64,
@@ -95,7 +100,8 @@
     bias: f64,
     tokens: impl Fn(&mut ChaCha8Rng) -> u64 + Copy,
 ) {
-    let runs: Vec<Seen> = (0..8).map(|seed| play(slots, load, mean, tokens, 6000, seed + 11)).collect();
+    let runs: Vec<Measurements> =
+        (0..8).map(|seed| play(slots, load, mean, tokens, 6000, seed + 11)).collect();
     for r in &runs {
         let little = r.rate * r.time;
         assert!((r.inside - little).abs() < 1e-6 * little, "{name}: {} inside, {little} by Little", r.inside);
@@ -106,14 +112,14 @@
         least - bias <= theory && theory <= most + bias,
         "{name} at {load}: {wait} ({least} to {most}), theory {theory}"
     );
-    // An interval that holds anything says nothing.
+    // An interval that is too wide would contain any value.
     assert!(most - least < 0.5 * theory + bias, "{name} at {load}: the interval is too wide");
 }
 
-/// Erlang's C: the share of arrivals that wait, with so many servers.
+/// Erlang C formula: the share of arrivals that wait.
 fn erlang_c(servers: usize, load: f64) -> f64 {
     let offered = load * servers as f64;
-    // Erlang's B by its recursion, then C from it.
+    // Erlang B by its recursion, then Erlang C from it.
     let blocked = (1..=servers).fold(1.0, |b, n| offered * b / (n as f64 + offered * b));
     blocked / (1.0 - load * (1.0 - blocked))
 }
@@ -125,39 +131,40 @@
 }
 
 #[test]
-fn fixed_service_waits_as_in_an_md1_queue() {
+fn fixed_service_matches_md1_queue() {
     for load in [0.3, 0.6, 0.8] {
         let service = MEAN * STEP as f64 / 1e6;
         let theory = load * service / (2.0 * (1.0 - load));
-        holds("M/D/1", 1, load, MEAN, theory, 0.0, |_| MEAN as u64);
+        assert_wait_matches("M/D/1", 1, load, MEAN, theory, 0.0, |_| MEAN as u64);
     }
 }
 
 #[test]
-fn geometric_service_waits_as_in_an_mm1_queue() {
+fn geometric_service_matches_mm1_queue() {
     for load in [0.3, 0.6, 0.8] {
         let service = MEAN * STEP as f64 / 1e6;
-        // The geometric is the exponential in steps; its second moment is known (Pollaczek-Khinchine).
+        // The geometric distribution is the exponential one in steps; its second moment is known, so the
+        // Pollaczek-Khinchine formula applies.
         let second = service * service * (2.0 - 1.0 / MEAN);
         let theory = load / service * second / (2.0 * (1.0 - load));
         let exponential = load * service / (1.0 - load);
         assert!((theory / exponential - 1.0).abs() < 0.03);
-        holds("M/M/1", 1, load, MEAN, theory, 0.0, geometric);
+        assert_wait_matches("M/M/1", 1, load, MEAN, theory, 0.0, geometric);
     }
 }
 
 #[test]
-fn several_slots_wait_as_several_servers() {
+fn several_slots_match_several_servers() {
     for (servers, load) in [(2, 0.6), (4, 0.8), (8, 0.85)] {
         let service = MEAN * STEP as f64 / 1e6;
         let exponential = erlang_c(servers, load) * service / (servers as f64 * (1.0 - load));
-        // Arrivals join at the next step: up to one step, half of it in the mean, that theory lacks.
+        // Arrivals join at the next step, which adds up to one step, half a step on average, that theory lacks.
         let bias = STEP as f64 / 1e6;
-        holds("M/M/k", servers, load, MEAN, exponential, bias, geometric);
-        // Any service: scaled by its variation, as Lee and Longton have it; an approximation.
+        assert_wait_matches("M/M/k", servers, load, MEAN, exponential, bias, geometric);
+        // General service times: scaled by their variation, the approximation by Lee and Longton.
         let uniform = |rng: &mut ChaCha8Rng| rng.random_range(1..=39);
         let (mean, second) = (20.0, (1..=39).map(|n| (n * n) as f64).sum::<f64>() / 39.0);
         let scaled = exponential * (second / (mean * mean)) / 2.0;
-        holds("M/G/k", servers, load, MEAN, scaled, bias + 0.1 * scaled, uniform);
+        assert_wait_matches("M/G/k", servers, load, MEAN, scaled, bias + 0.1 * scaled, uniform);
     }
 }
