--- a/crates/pintally-cli/tests/platform/slow_clients.rs
+++ b/crates/pintally-cli/tests/platform/slow_clients.rs
@@ -87,7 +87,14 @@
 }
 
 fn assert_all_complete(clients: Vec<Client>) {
-    let whole: Vec<bool> = clients.into_iter().map(|mut client| client.receive_response().2).collect();
+    // All clients read at the same time: read one after the other on a busy machine, the last ones would take nothing
+    // for longer than the node's write timeout of 10 s, and the node may close their connections then.
+    let readers: Vec<_> = clients
+        .into_iter()
+        .map(|mut client| std::thread::spawn(move || client.receive_response().2))
+        .collect();
+    let whole: Vec<bool> =
+        readers.into_iter().map(|reader| reader.join().expect("the response is read")).collect();
     assert!(whole.iter().all(|whole| *whole), "some streams were truncated: {whole:?}");
 }
 
