--- a/crates/pintally-cli/tests/fleet/node_processes.rs
+++ b/crates/pintally-cli/tests/fleet/node_processes.rs
@@ -84,7 +84,7 @@
         // Each process gets a seed of its own.
         self.starts += 1;
         let seed = (self.starts * 16 + node as u64) << 11;
-        let process = NodeProcess::start(Path::new(EXE), &settings, &self.day.shared, seed).unwrap();
+        let process = NodeProcess::start(Path::new(EXE), &settings, &self.day.shared_settings, seed).unwrap();
         self.running[node] = Some(Box::new(process));
     }
 
@@ -255,7 +255,7 @@
     twin.recovery.as_mut().unwrap().store = None;
     fs::write(&twin.engines_file, engine_list(1, &[EndpointState::Serving; 4]).render()).unwrap();
     let own = Arc::new(twin.clone());
-    let second = NodeProcess::start(Path::new(EXE), &own, &fleet.day.shared, 77 << 11).unwrap();
+    let second = NodeProcess::start(Path::new(EXE), &own, &fleet.day.shared_settings, 77 << 11).unwrap();
     let stepped_back = |address: SocketAddr| -> Value {
         let document: Option<Value> =
             http_get(address, "/pintally/peers").and_then(|b| serde_json::from_slice(&b).ok());
@@ -289,7 +289,7 @@
         max_tokens: 4,
         patience,
         streamed: true,
-        leaves: None,
+        leaves_after: None,
     }
 }
 
--- a/crates/pintally-cli/tests/fleet/outlier_detection.rs
+++ b/crates/pintally-cli/tests/fleet/outlier_detection.rs
@@ -71,7 +71,7 @@
                 max_tokens: 3,
                 patience: Duration::from_secs(2),
                 streamed: true,
-                leaves: None,
+                leaves_after: None,
             });
         }
     };
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -182,7 +182,7 @@
     pub fn play(mut self) -> (Vec<Record>, Vec<EngineLocation>, u64) {
         let length = self.day.length.as_micros() as Micros;
         let last = length + self.day.settle.as_micros() as Micros;
-        let mut next = self.source.gap(1.0).as_micros() as Micros;
+        let mut next = self.source.next_interval(1.0).as_micros() as Micros;
         let mut number = 0;
         loop {
             let arrival = Some(next).filter(|at| *at < length);
@@ -199,8 +199,8 @@
             self.now = self.now.max(at);
             if arrival == Some(at) {
                 number += 1;
-                let draft = Rc::new(self.source.draw(self.hot));
-                next += (self.source.gap(self.rate).as_micros() as Micros).max(1);
+                let draft = Rc::new(self.source.next_request(self.hot));
+                next += (self.source.next_interval(self.rate).as_micros() as Micros).max(1);
                 self.ask(number, 0, draft);
             } else if self.fleet.next_wake().is_some_and(|w| w <= at) {
                 self.fleet.tick(self.now, &mut self.said);
@@ -332,7 +332,7 @@
         if let FinalAnswer::Rejected(after) = answer {
             let traffic = &self.day.traffic;
             let usual = traffic.retry_wait.as_micros() as Micros;
-            let wait = after.filter(|_| one.draft.heeds).unwrap_or(usual);
+            let wait = after.filter(|_| one.draft.obeys_retry_after).unwrap_or(usual);
             if one.tries < traffic.retries {
                 self.at(self.now + HOP + wait, Event::AdmissionRequest(one.number, one.tries + 1, one.draft));
             }
--- a/crates/pintally-scenario/src/client.rs
+++ b/crates/pintally-scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! A client: one try over a socket of its own, recorded at this end.
+//! A client that makes one attempt per connection and records what it observes.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,20 +9,20 @@
 use pintally_mock_engine::Recorder;
 use serde_json::{json, Value};
 
-/// Time to connect: longer than any node takes that lives.
-const CONNECT: Duration = Duration::from_millis(1000);
-/// A running stream that is silent for so long counts as dead.
-const SILENCE: Duration = Duration::from_secs(60);
-/// After the final answer it listens so long for more than that.
-const LISTEN: Duration = Duration::from_millis(50);
+/// Connect timeout; longer than a running node ever takes.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// A stream that delivers nothing for this time counts as dead.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the client reads on after the final answer, to detect extra data.
+const EXTRA_DATA_WAIT: Duration = Duration::from_millis(50);
 
-/// One try of a request.
+/// One attempt of a client's request.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct ClientAttempt {
-    /// The client's id, of this try alone.
+    /// The request id, unique to this attempt.
     pub id: String,
-    /// The node that it goes to, and its name in the record.
+    /// Name of the target node, as recorded.
     pub node: String,
     pub address: SocketAddr,
     pub class: String,
@@ -34,172 +34,173 @@
     pub max_tokens: u64,
     pub patience: Duration,
     pub streamed: bool,
-    /// It leaves of its own will after this time, if it has no answer by then.
-    pub leaves: Option<Duration>,
+    /// The client disconnects after this time if no answer has begun.
+    pub leaves_after: Option<Duration>,
 }
 
-/// How a try has ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// No connection could be had: nobody has taken it.
+    /// The connection failed, so no node received the request.
     NoNode,
-    /// A final answer, and the time to come back that it names.
+    /// A final answer, and its retry-after time if it names one.
     Answered(Answer, Option<Duration>),
-    /// It left of its own will.
+    /// The client disconnected early, as `leaves_after` demands.
     Left,
-    /// Its time was up, or the connection ended without an answer.
+    /// The deadline passed, or the connection ended without an answer.
     Unanswered,
 }
 
-/// Makes tries and notes what comes of them.
+/// Makes attempts and records their outcomes.
 #[derive(Clone)]
 pub struct Client {
-    /// Where it notes.
+    /// Receives the client's events.
     pub recorder: Recorder,
 }
 
-enum Heard {
-    Whole(u16, Option<Duration>),
-    Stream { whole: bool },
+enum Received {
+    Complete(u16, Option<Duration>),
+    Stream { finished: bool },
     Left,
-    Nothing,
+    NoAnswer,
 }
 
 impl Client {
-    /// Makes one try and waits for its end.
-    pub fn attempt(&self, t: &ClientAttempt) -> AttemptResult {
-        let Ok(mut stream) = TcpStream::connect_timeout(&t.address, CONNECT) else {
+    /// Makes one attempt and waits for its end.
+    pub fn attempt(&self, attempt: &ClientAttempt) -> AttemptResult {
+        let Ok(mut stream) = TcpStream::connect_timeout(&attempt.address, CONNECT_TIMEOUT) else {
             return AttemptResult::NoNode;
         };
         let _ = stream.set_nodelay(true);
-        let deadline_ms = t.patience.as_millis() as u64;
+        let deadline_ms = attempt.patience.as_millis() as u64;
         let body = json!({
-            "id": t.id,
-            "text_input": t.prompt,
+            "id": attempt.id,
+            "text_input": attempt.prompt,
             "parameters": {
-                "class": t.class,
-                "tenant": t.tenant,
-                "session": t.session,
-                "prefix": t.prefix,
-                "prefix_tokens": t.prefix_tokens,
-                "max_tokens": t.max_tokens,
+                "class": attempt.class,
+                "tenant": attempt.tenant,
+                "session": attempt.session,
+                "prefix": attempt.prefix,
+                "prefix_tokens": attempt.prefix_tokens,
+                "max_tokens": attempt.max_tokens,
                 "deadline_ms": deadline_ms,
             },
         });
-        let verb = if t.streamed { "generate_stream" } else { "generate" };
+        let verb = if attempt.streamed { "generate_stream" } else { "generate" };
         let headers = [("host", "node"), ("content-type", "application/json"), ("connection", "close")];
         let target = format!("/v2/models/default/{verb}");
         let bytes = request("POST", &target, &headers, body.to_string().as_bytes());
-        let request = t.id.clone();
+        let request = attempt.id.clone();
         self.recorder.note(AuditEvent::RequestSent {
             request: request.clone(),
-            node: t.node.clone(),
-            class: t.class.clone(),
-            tenant: t.tenant.clone(),
+            node: attempt.node.clone(),
+            class: attempt.class.clone(),
+            tenant: attempt.tenant.clone(),
             patience_us: deadline_ms * 1000,
-            streamed: t.streamed,
+            streamed: attempt.streamed,
         });
-        let begin = Instant::now();
-        let heard = match stream.write_all(&bytes) {
-            Ok(()) => self.listen(t, &mut stream, begin),
-            Err(_) => Heard::Nothing,
+        let started_at = Instant::now();
+        let received = match stream.write_all(&bytes) {
+            Ok(()) => self.receive(attempt, &mut stream, started_at),
+            Err(_) => Received::NoAnswer,
         };
-        let (answer, after) = match heard {
-            Heard::Whole(200, _) => (Answer::Served, None),
-            Heard::Whole(503, after) => (Answer::Refused, after),
-            Heard::Whole(..) => (Answer::Failed, None),
-            Heard::Stream { whole: true } => (Answer::Served, None),
-            Heard::Stream { whole: false } => (Answer::Cut, None),
-            Heard::Left => {
+        let (answer, retry_after) = match received {
+            Received::Complete(200, _) => (Answer::Served, None),
+            Received::Complete(503, retry_after) => (Answer::Refused, retry_after),
+            Received::Complete(..) => (Answer::Failed, None),
+            Received::Stream { finished: true } => (Answer::Served, None),
+            Received::Stream { finished: false } => (Answer::Cut, None),
+            Received::Left => {
                 self.recorder.note(AuditEvent::ClientLeft { request });
                 return AttemptResult::Left;
             }
-            Heard::Nothing => {
+            Received::NoAnswer => {
                 self.recorder.note(AuditEvent::Unanswered { request });
                 return AttemptResult::Unanswered;
             }
         };
         self.recorder.note(AuditEvent::Answered { request: request.clone(), answer });
-        // Nothing may come behind the final answer.
-        let _ = stream.set_read_timeout(Some(LISTEN));
+        // No data may follow the final answer.
+        let _ = stream.set_read_timeout(Some(EXTRA_DATA_WAIT));
         if matches!(stream.read(&mut [0u8; 64]), Ok(n) if n > 0) {
             self.recorder.note(AuditEvent::ExtraAnswer { request });
         }
-        AttemptResult::Answered(answer, after)
+        AttemptResult::Answered(answer, retry_after)
     }
 
-    fn listen(&self, t: &ClientAttempt, stream: &mut TcpStream, begin: Instant) -> Heard {
-        let deadline = begin + t.patience;
-        let leaves = t.leaves.map(|after| begin + after);
+    fn receive(&self, attempt: &ClientAttempt, stream: &mut TcpStream, started_at: Instant) -> Received {
+        let deadline = started_at + attempt.patience;
+        let leave_at = attempt.leaves_after.map(|delay| started_at + delay);
         let mut reader = ResponseReader::new(64 << 10);
         let mut sse = SseReader::new(4 << 20);
-        let (mut status, mut after, mut first) = (0, None, false);
-        let (mut streams, mut ending) = (false, None);
+        let (mut status, mut retry_after, mut first_seen) = (0, None, false);
+        let (mut is_stream, mut finished) = (false, None);
         let mut buffer = [0u8; 16 << 10];
         loop {
             loop {
                 match reader.next_part() {
-                    Err(_) => return Heard::Nothing,
+                    Err(_) => return Received::NoAnswer,
                     Ok(None) => break,
                     Ok(Some(Part::Head(s, headers))) => {
                         status = s;
-                        streams = headers.get("content-type") == Some("text/event-stream");
+                        is_stream = headers.get("content-type") == Some("text/event-stream");
                         let ms = headers.get("retry-after-ms").and_then(|v| v.parse().ok());
-                        after = ms.map(Duration::from_millis);
+                        retry_after = ms.map(Duration::from_millis);
                     }
                     Ok(Some(Part::Body(bytes))) => {
-                        if streams && !std::mem::replace(&mut first, true) {
-                            self.recorder.note(AuditEvent::FirstChunk { request: t.id.clone() });
+                        if is_stream && !std::mem::replace(&mut first_seen, true) {
+                            self.recorder.note(AuditEvent::FirstChunk { request: attempt.id.clone() });
                         }
                         if sse.push(&bytes).is_err() {
-                            return Heard::Nothing;
+                            return Received::NoAnswer;
                         }
                         while let Some(event) = sse.next_event() {
                             let event: Value = serde_json::from_slice(&event).unwrap_or_default();
-                            ending = event["finished"].as_bool().or(ending);
+                            finished = event["finished"].as_bool().or(finished);
                         }
                     }
                     Ok(Some(Part::End(_))) if reader.leftover_bytes() > 0 => {
-                        // It came together with more: a second answer must not hide behind the first.
-                        self.recorder.note(AuditEvent::ExtraAnswer { request: t.id.clone() });
-                        return match ending {
-                            Some(whole) => Heard::Stream { whole },
-                            None => Heard::Whole(status, after),
+                        // Extra data arrived in the same read as the end of the answer. It is recorded, because it
+                        // may be a second answer.
+                        self.recorder.note(AuditEvent::ExtraAnswer { request: attempt.id.clone() });
+                        return match finished {
+                            Some(finished) => Received::Stream { finished },
+                            None => Received::Complete(status, retry_after),
                         };
                     }
-                    Ok(Some(Part::End(_))) if streams => {
-                        return match ending {
-                            Some(whole) => Heard::Stream { whole },
-                            None => Heard::Nothing,
+                    Ok(Some(Part::End(_))) if is_stream => {
+                        return match finished {
+                            Some(finished) => Received::Stream { finished },
+                            None => Received::NoAnswer,
                         }
                     }
-                    Ok(Some(Part::End(_))) => return Heard::Whole(status, after),
+                    Ok(Some(Part::End(_))) => return Received::Complete(status, retry_after),
                 }
             }
             let now = Instant::now();
-            let mut until = if first && t.streamed { now + SILENCE } else { deadline };
-            if let Some(leaves) = leaves.filter(|_| !first) {
-                if now >= leaves {
-                    return Heard::Left;
+            let mut until = if first_seen && attempt.streamed { now + STREAM_IDLE_TIMEOUT } else { deadline };
+            if let Some(leave_at) = leave_at.filter(|_| !first_seen) {
+                if now >= leave_at {
+                    return Received::Left;
                 }
-                until = until.min(leaves);
+                until = until.min(leave_at);
             }
-            let mut left = until.saturating_duration_since(now);
-            if left.is_zero() {
-                // A machine that is late delays the answer as it delays the client: the audit judges
-                // by the time at which it came.
-                left = (until + self.recorder.lateness()).saturating_duration_since(now);
-                if left.is_zero() {
-                    return Heard::Nothing;
+            let mut remaining = until.saturating_duration_since(now);
+            if remaining.is_zero() {
+                // A stalled machine delays the answer as much as the client, so the client waits longer; the
+                // audit judges by the time at which the answer arrived.
+                remaining = (until + self.recorder.lateness()).saturating_duration_since(now);
+                if remaining.is_zero() {
+                    return Received::NoAnswer;
                 }
             }
-            let _ = stream.set_read_timeout(Some(left));
+            let _ = stream.set_read_timeout(Some(remaining));
             match stream.read(&mut buffer) {
-                Ok(0) => return Heard::Nothing,
+                Ok(0) => return Received::NoAnswer,
                 Ok(n) => reader.push(&buffer[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Heard::Nothing,
+                Err(_) => return Received::NoAnswer,
             }
         }
     }
--- a/crates/pintally-scenario/src/engines.rs
+++ b/crates/pintally-scenario/src/engines.rs
@@ -1,4 +1,4 @@
-//! A day's engines: their figures, and the engines by themselves without nodes, clients or faults.
+//! The mock engines of a scenario: their settings, and running them alone, without nodes, clients or faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,44 +8,44 @@
 
 use pintally::interface::{EndpointState, Role};
 use pintally_config::EngineList;
-use pintally_mock_engine::{self as standin, EngineSpec, Fleet, Recorder};
+use pintally_mock_engine::{self as mock_engine, EngineSpec, Fleet, Recorder};
 
 use crate::publish::{entry_of, replace};
 use crate::run::RunError;
 use crate::spec::{EngineGroup, Scenario};
 
-/// The figures of all engines with which a day begins.
-pub fn engine_specs(day: &Scenario) -> Vec<EngineSpec> {
+/// Settings of all engines that a scenario starts with.
+pub fn engine_specs(scenario: &Scenario) -> Vec<EngineSpec> {
     let mut specs = Vec::new();
-    // Groups of one kind and cell are numbered on: their engines must not share names.
-    let mut named: BTreeMap<(&str, Option<&str>), usize> = BTreeMap::new();
-    for group in &day.engines {
+    // Numbering continues across groups of the same kind and cell, so that engine ids are unique.
+    let mut next_numbers: BTreeMap<(&str, Option<&str>), usize> = BTreeMap::new();
+    for group in &scenario.engines {
         for _ in 0..group.count {
-            let next = named.entry((&group.kind, group.cell.as_deref())).or_default();
-            let place = *next;
+            let next = next_numbers.entry((&group.kind, group.cell.as_deref())).or_default();
+            let number = *next;
             *next += 1;
-            let rack = specs.len() as u64 % day.racks;
+            let rack = specs.len() as u64 % scenario.racks;
             let id = match &group.cell {
-                None => format!("{}-{place}", group.kind),
-                Some(cell) => format!("{}-{cell}-{place}", group.kind),
+                None => format!("{}-{number}", group.kind),
+                Some(cell) => format!("{}-{cell}-{number}", group.kind),
             };
-            specs.push(spec(day, group, id, rack));
+            specs.push(spec(scenario, group, id, rack));
         }
     }
     specs
 }
 
-fn spec(day: &Scenario, group: &EngineGroup, id: String, rack: u64) -> EngineSpec {
-    let (core, zones) = (&day.settings.core, &day.zones);
+fn spec(scenario: &Scenario, group: &EngineGroup, id: String, rack: u64) -> EngineSpec {
+    let (core, zones) = (&scenario.settings.core, &scenario.zones);
     EngineSpec {
         id,
         kind: group.kind.clone(),
         role: match group.role {
-            Role::Reader => standin::Role::Reader,
-            Role::Writer => standin::Role::Writer,
-            Role::Mixed => standin::Role::Mixed,
+            Role::Reader => mock_engine::Role::Reader,
+            Role::Writer => mock_engine::Role::Writer,
+            Role::Mixed => mock_engine::Role::Mixed,
         },
-        // A rack stands in one zone.
+        // Each rack lies in one zone.
         zone: zones[rack as usize % zones.len()].clone(),
         rack,
         cell: group.cell.clone(),
@@ -64,40 +64,40 @@
     }
 }
 
-/// The engines of a day, running by themselves. Nothing is recorded.
+/// The engines of a scenario, running alone. Nothing is recorded.
 pub struct Engines {
     fleet: Arc<Fleet>,
 }
 
 impl Engines {
-    /// Starts them, warm.
-    pub fn start(day: &Scenario) -> Result<Engines, RunError> {
+    /// Starts all engines warm.
+    pub fn start(scenario: &Scenario) -> Result<Engines, RunError> {
         let fleet = Fleet::new(Recorder::disabled());
-        for spec in engine_specs(day) {
+        for spec in engine_specs(scenario) {
             let id = spec.id.clone();
             fleet.add(spec, false).map_err(|e| RunError(format!("{id} cannot listen: {e}")))?;
         }
         Ok(Engines { fleet })
     }
 
-    /// Writes the list of engines for a node to watch.
+    /// Writes the endpoint list, as a node watches it.
     pub fn write_list(&self, path: &str) -> io::Result<()> {
         let engines = self.fleet.engines();
         let entries = engines.iter().map(|e| entry_of(e, EndpointState::Serving, None)).collect();
         replace(Path::new(path), &EngineList { version: 1, engines: entries }.render())
     }
 
-    /// How many there are.
+    /// Number of engines.
     pub fn len(&self) -> usize {
         self.fleet.engines().len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Ends them.
+    /// Stops all engines.
     pub fn shut_down(&self) {
         self.fleet.shut_down();
     }
--- a/crates/pintally-scenario/src/faults.rs
+++ b/crates/pintally-scenario/src/faults.rs
@@ -1,4 +1,5 @@
-//! The kinds of trouble: their names in a file, their defaults, and what they become in a script.
+//! The kinds of faults: their names in scenario files, their default magnitudes, and the scripted actions
+//! that they expand to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::script::{Act, Link, MoveStep, Pairs, Script, Target};
+use crate::script::{Action, Link, LinkSet, MoveStep, Script, Target};
 use crate::spec::{Fault, FaultKind};
 
-/// Name, kind, and the usual size.
+/// Name in scenario files, kind, and default magnitude.
 const KINDS: [(&str, FaultKind, f64); 33] = [
     ("crash", FaultKind::Crash, 0.0),
     ("restart", FaultKind::Restart, 0.0),
@@ -50,12 +51,12 @@
     ("peer-loss", FaultKind::PeerLoss, 0.2),
 ];
 
-/// The name of a kind.
-pub(crate) fn name(kind: FaultKind) -> &'static str {
+/// The name of a kind in scenario files.
+pub(crate) fn kind_name(kind: FaultKind) -> &'static str {
     KINDS.iter().find(|k| k.1 == kind).map_or("", |k| k.0)
 }
 
-/// Reads one `(fault ...)`.
+/// Parses one `(fault ...)` form.
 pub(crate) fn parse(
     form: &Form,
     zones: &[String],
@@ -63,9 +64,11 @@
     cells: Option<&CellsFile>,
 ) -> Result<Fault, ConfigError> {
     let kind = form.text()?;
-    let Some((_, kind, size)) = KINDS.iter().find(|k| k.0 == kind) else {
+    let Some((_, kind, default_magnitude)) = KINDS.iter().find(|k| k.0 == kind) else {
         let names: Vec<&str> = KINDS.iter().map(|k| k.0).collect();
-        return Err(form.error(format!("unknown kind of fault `{kind}`; there are {}", names.join(", "))));
+        return Err(
+            form.error(format!("unknown kind of fault `{kind}`; expected one of {}", names.join(", ")))
+        );
     };
     let mut engines = Vec::new();
     if let Some(inner) = form.optional_form("engines")? {
@@ -100,10 +103,10 @@
         return Err(form.error("`tenant-flood` needs a `tenant`"));
     }
     if *kind == FaultKind::FullForTenant && settings.core.tenants.is_empty() {
-        return Err(form.error("`full-for-tenant` needs a `tenant` in the day"));
+        return Err(form.error("`full-for-tenant` needs a `tenant` in the scenario"));
     }
     if *kind == FaultKind::ZoneCut && zones.len() < 2 {
-        return Err(form.error("`zone-cut` needs two zones"));
+        return Err(form.error("`zone-cut` needs at least two zones"));
     }
     let seconds = |key: &str, default: f64| -> Result<Duration, ConfigError> {
         Ok(Duration::from_secs_f64(form.number_or(key, default, 0.0, 86_400.0)?))
@@ -117,129 +120,130 @@
         cell,
         engines,
         zone_or_tenant: zone.or(tenant),
-        magnitude: form.number_or("size", *size, 0.0, 1e6)?,
+        magnitude: form.number_or("size", *default_magnitude, 0.0, 1e6)?,
         batch_size: form.count_or("batch", 1, 1, 10_000)? as usize,
     };
     form.finish()?;
     Ok(fault)
 }
 
-/// What a fault can strike.
-pub(crate) struct Stage<'a> {
-    /// Engines with their kinds and cells.
+/// AuditEvent the faults of a scenario can affect.
+pub(crate) struct FaultScope<'a> {
+    /// Engine ids with their kinds and cells.
     pub(crate) engines: &'a [(String, String, Option<String>)],
-    /// In which zone each engine stands.
-    pub(crate) places: &'a BTreeMap<String, String>,
+    /// Zone of each engine.
+    pub(crate) engine_zones: &'a BTreeMap<String, String>,
     pub(crate) nodes: usize,
     pub(crate) zones: &'a [String],
     pub(crate) tenants: &'a [String],
 }
 
-impl Stage<'_> {
-    fn draw(&self, fault: &Fault, rng: &mut ChaCha8Rng) -> Vec<Target> {
+impl FaultScope<'_> {
+    fn choose_engines(&self, fault: &Fault, rng: &mut ChaCha8Rng) -> Vec<Target> {
         if !fault.engines.is_empty() {
             return fault.engines.iter().cloned().map(Target).collect();
         }
-        let fits = |kind: &str| fault.engine_kind.as_deref().is_none_or(|of| of == kind);
-        let inside = |cell: &Option<String>| fault.cell.is_none() || fault.cell == *cell;
-        let struck = self.engines.iter().filter(|e| fits(&e.1) && inside(&e.2));
-        let mut all: Vec<Target> = struck.map(|e| Target(e.0.clone())).collect();
+        let of_kind = |kind: &str| fault.engine_kind.as_deref().is_none_or(|of| of == kind);
+        let in_cell = |cell: &Option<String>| fault.cell.is_none() || fault.cell == *cell;
+        let eligible = self.engines.iter().filter(|e| of_kind(&e.1) && in_cell(&e.2));
+        let mut all: Vec<Target> = eligible.map(|e| Target(e.0.clone())).collect();
         all.shuffle(rng);
-        let many = (all.len() as f64 * fault.fraction).round().max(1.0) as usize;
-        all.truncate(many);
+        let count = (all.len() as f64 * fault.fraction).round().max(1.0) as usize;
+        all.truncate(count);
         all
     }
 }
 
-/// Puts a fault into a script.
-pub(crate) fn stage(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
-    let (from, to) = (fault.start, fault.start + fault.duration);
-    let mut pick = |names: &[String]| match &fault.zone_or_tenant {
+/// Adds the actions of a fault to a script.
+pub(crate) fn schedule(fault: &Fault, scope: &FaultScope, rng: &mut ChaCha8Rng, script: &mut Script) {
+    let (start, end) = (fault.start, fault.start + fault.duration);
+    let mut pick_or_default = |names: &[String]| match &fault.zone_or_tenant {
         Some(name) => name.clone(),
         None if names.is_empty() => String::new(),
         None => names[rng.random_range(0..names.len())].clone(),
     };
     match fault.kind {
         FaultKind::ZoneCut => {
-            let zone = pick(on.zones);
-            script.add(from, Act::Cut(zone.clone(), true));
-            script.add(to, Act::Cut(zone, false));
+            let zone = pick_or_default(scope.zones);
+            script.add(start, Action::Cut(zone.clone(), true));
+            script.add(end, Action::Cut(zone, false));
         }
         FaultKind::LateList => {
-            script.add(from, Act::ListDelay(Duration::from_secs_f64(fault.magnitude / 1e3)));
-            script.add(to, Act::ListDelay(Duration::ZERO));
+            script.add(start, Action::ListDelay(Duration::from_secs_f64(fault.magnitude / 1e3)));
+            script.add(end, Action::ListDelay(Duration::ZERO));
         }
         FaultKind::HeedlessRetries => {
-            script.add(from, Act::Heedless(true));
-            script.add(to, Act::Heedless(false));
+            script.add(start, Action::Heedless(true));
+            script.add(end, Action::Heedless(false));
         }
         FaultKind::LeaveEarly => {
-            script.add(from, Act::LeaveEarly(fault.magnitude.min(1.0)));
-            script.add(to, Act::LeaveEarly(0.0));
+            script.add(start, Action::LeaveEarly(fault.magnitude.min(1.0)));
+            script.add(end, Action::LeaveEarly(0.0));
         }
         FaultKind::Burst => {
-            script.add(from, Act::Rate(fault.magnitude));
-            script.add(to, Act::Rate(1.0));
+            script.add(start, Action::Rate(fault.magnitude));
+            script.add(end, Action::Rate(1.0));
         }
         FaultKind::TenantFlood => {
             let tenant = fault.zone_or_tenant.clone().unwrap_or_default();
-            script.add(from, Act::Flood(Some((tenant, fault.magnitude))));
-            script.add(to, Act::Flood(None));
+            script.add(start, Action::Flood(Some((tenant, fault.magnitude))));
+            script.add(end, Action::Flood(None));
         }
         FaultKind::MoveTenant => {
             let (tenant, to_cell) =
                 (fault.zone_or_tenant.clone().unwrap_or_default(), fault.cell.clone().unwrap_or_default());
-            // Announced, then all sessions go, over a third of the time by default, then it is done.
+            // The move is announced at the start. After a third of the duration the sessions begin to move, by
+            // default over a third of the duration. The move is completed at the end.
             let span = Duration::from_secs_f64(fault.magnitude / 1e3);
             let over = if span.is_zero() { fault.duration / 3 } else { span };
-            script.add(from, Act::Move(tenant.clone(), MoveStep::Prepare { to: to_cell, over }));
-            script.add(from + fault.duration / 3, Act::Move(tenant.clone(), MoveStep::Both));
-            script.add(to, Act::Move(tenant, MoveStep::Done));
+            script.add(start, Action::Move(tenant.clone(), MoveStep::Prepare { to: to_cell, over }));
+            script.add(start + fault.duration / 3, Action::Move(tenant.clone(), MoveStep::Both));
+            script.add(end, Action::Move(tenant, MoveStep::Done));
         }
         FaultKind::HotText => {
-            script.add(from, Act::HotText(fault.magnitude.min(1.0)));
-            script.add(to, Act::HotText(0.0));
+            script.add(start, Action::HotText(fault.magnitude.min(1.0)));
+            script.add(end, Action::HotText(0.0));
         }
         FaultKind::NodeKill => {
-            let mut nodes: Vec<usize> = (0..on.nodes).collect();
+            let mut nodes: Vec<usize> = (0..scope.nodes).collect();
             nodes.shuffle(rng);
-            // One node is left to serve, where there is more than one.
-            let most = on.nodes.saturating_sub(1).max(1);
-            let many = ((on.nodes as f64 * fault.fraction).round() as usize).clamp(1, most);
-            for node in nodes.into_iter().take(many) {
-                script.add(from, Act::KillNode(node));
-                script.add(to, Act::StartNode(node));
+            // At least one node is left running if there is more than one.
+            let most = scope.nodes.saturating_sub(1).max(1);
+            let count = ((scope.nodes as f64 * fault.fraction).round() as usize).clamp(1, most);
+            for node in nodes.into_iter().take(count) {
+                script.add(start, Action::KillNode(node));
+                script.add(end, Action::StartNode(node));
             }
         }
         FaultKind::NodeRoll => {
-            let step = fault.duration / on.nodes.max(1) as u32;
-            for node in 0..on.nodes {
-                let at = from + step * node as u32;
-                script.add(at, Act::KillNode(node));
-                script.add(at + Duration::from_secs_f64(fault.magnitude / 1e3), Act::StartNode(node));
+            let step = fault.duration / scope.nodes.max(1) as u32;
+            for node in 0..scope.nodes {
+                let at = start + step * node as u32;
+                script.add(at, Action::KillNode(node));
+                script.add(at + Duration::from_secs_f64(fault.magnitude / 1e3), Action::StartNode(node));
             }
         }
-        FaultKind::Power => power(fault, on, rng, script),
+        FaultKind::Power => schedule_power_loss(fault, scope, rng, script),
         FaultKind::ZonePower | FaultKind::ZoneDark => {
-            let zone = pick(on.zones);
-            let number = on.zones.iter().position(|z| *z == zone);
-            let nodes = if fault.kind == FaultKind::ZonePower { on.nodes } else { 0 };
-            for node in (0..nodes).filter(|n| Some(n % on.zones.len()) == number) {
-                script.add(from, Act::KillNode(node));
-                script.add(to, Act::StartNode(node));
+            let zone = pick_or_default(scope.zones);
+            let number = scope.zones.iter().position(|z| *z == zone);
+            let nodes = if fault.kind == FaultKind::ZonePower { scope.nodes } else { 0 };
+            for node in (0..nodes).filter(|n| Some(n % scope.zones.len()) == number) {
+                script.add(start, Action::KillNode(node));
+                script.add(end, Action::StartNode(node));
             }
-            for (engine, _) in on.places.iter().filter(|(_, at)| **at == zone) {
-                script.add(from, Act::PowerOff(Target(engine.clone())));
-                script.add(to, Act::Start(Target(engine.clone())));
+            for (engine, _) in scope.engine_zones.iter().filter(|(_, at)| **at == zone) {
+                script.add(start, Action::PowerOff(Target(engine.clone())));
+                script.add(end, Action::Start(Target(engine.clone())));
             }
         }
         FaultKind::NodePause => {
-            let mut nodes: Vec<usize> = (0..on.nodes).collect();
+            let mut nodes: Vec<usize> = (0..scope.nodes).collect();
             nodes.shuffle(rng);
-            let many = ((on.nodes as f64 * fault.fraction).round() as usize).max(1);
-            for node in nodes.into_iter().take(many) {
-                script.add(from, Act::Pause(node, true));
-                script.add(to, Act::Pause(node, false));
+            let count = ((scope.nodes as f64 * fault.fraction).round() as usize).max(1);
+            for node in nodes.into_iter().take(count) {
+                script.add(start, Action::Pause(node, true));
+                script.add(end, Action::Pause(node, false));
             }
         }
         FaultKind::PeerCut
@@ -248,93 +252,106 @@
         | FaultKind::PeerStall
         | FaultKind::PeerLoss => {
             let cut = Link { cut: true, ..Link::default() };
-            let (pairs, link) = match fault.kind {
-                FaultKind::PeerCut => (Pairs::Across, cut),
-                FaultKind::PeerOneWay => (Pairs::OneWay, cut),
-                FaultKind::PeerSide => (Pairs::Side, cut),
-                FaultKind::PeerStall => (Pairs::All, Link { stalled: true, ..Link::default() }),
-                _ => (Pairs::All, Link { loss: fault.magnitude.min(1.0), ..Link::default() }),
+            let (links, link) = match fault.kind {
+                FaultKind::PeerCut => (LinkSet::Across, cut),
+                FaultKind::PeerOneWay => (LinkSet::OneWay, cut),
+                FaultKind::PeerSide => (LinkSet::Side, cut),
+                FaultKind::PeerStall => (LinkSet::All, Link { stalled: true, ..Link::default() }),
+                _ => (LinkSet::All, Link { loss: fault.magnitude.min(1.0), ..Link::default() }),
             };
-            script.add(from, Act::Link(pairs, link, true));
-            script.add(to, Act::Link(pairs, link, false));
+            script.add(start, Action::Link(links, link, true));
+            script.add(end, Action::Link(links, link, false));
         }
         FaultKind::FullForTenant => {
-            let tenant = pick(on.tenants);
-            for target in on.draw(fault, rng) {
-                script.add(from, Act::FullFor(target.clone(), Some(tenant.clone())));
-                script.add(to, Act::FullFor(target, None));
+            let tenant = pick_or_default(scope.tenants);
+            for target in scope.choose_engines(fault, rng) {
+                script.add(start, Action::FullFor(target.clone(), Some(tenant.clone())));
+                script.add(end, Action::FullFor(target, None));
             }
         }
-        _ => engines(fault, on, rng, script),
+        _ => schedule_engine_faults(fault, scope, rng, script),
     }
 }
 
-/// The power fails for every node and engine at once, and each comes back at a time of its own within
-/// the fault's length; the first `size` nodes, in the order drawn, never do.
-fn power(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
-    for node in 0..on.nodes {
-        script.add(fault.start, Act::KillNode(node));
+/// All nodes and engines lose power at once. Each returns at a random time within the fault's duration,
+/// except the first `magnitude` nodes in the drawn order, which never return.
+fn schedule_power_loss(fault: &Fault, scope: &FaultScope, rng: &mut ChaCha8Rng, script: &mut Script) {
+    for node in 0..scope.nodes {
+        script.add(fault.start, Action::KillNode(node));
     }
-    let mut nodes: Vec<usize> = (0..on.nodes).collect();
+    let mut nodes: Vec<usize> = (0..scope.nodes).collect();
     nodes.shuffle(rng);
     for node in nodes.into_iter().skip(fault.magnitude as usize) {
-        script.add(fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0)), Act::StartNode(node));
+        script
+            .add(fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0)), Action::StartNode(node));
     }
-    for (engine, _, _) in on.engines {
-        script.add(fault.start, Act::PowerOff(Target(engine.clone())));
-        let back = fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0));
-        script.add(back, Act::Start(Target(engine.clone())));
+    for (engine, _, _) in scope.engines {
+        script.add(fault.start, Action::PowerOff(Target(engine.clone())));
+        let restart_at = fault.start + fault.duration.mul_f64(rng.random_range(0.05..1.0));
+        script.add(restart_at, Action::Start(Target(engine.clone())));
     }
 }
 
-/// Faults of engines, one by one.
-fn engines(fault: &Fault, on: &Stage, rng: &mut ChaCha8Rng, script: &mut Script) {
-    let (from, to) = (fault.start, fault.start + fault.duration);
-    let targets = on.draw(fault, rng);
+/// Adds the actions of a fault that affects engines one by one.
+fn schedule_engine_faults(fault: &Fault, scope: &FaultScope, rng: &mut ChaCha8Rng, script: &mut Script) {
+    let (start, end) = (fault.start, fault.start + fault.duration);
+    let targets = scope.choose_engines(fault, rng);
     let batches = targets.len().div_ceil(fault.batch_size).max(1) as u32;
-    for (place, target) in targets.into_iter().enumerate() {
-        let turn = from + fault.duration / batches * (place / fault.batch_size) as u32;
-        let both = |script: &mut Script, begin: Act, end: Act| {
-            script.add(from, begin);
-            script.add(to, end);
+    for (index, target) in targets.into_iter().enumerate() {
+        let batch_start = start + fault.duration / batches * (index / fault.batch_size) as u32;
+        let both = |script: &mut Script, begin_action: Action, end_action: Action| {
+            script.add(start, begin_action);
+            script.add(end, end_action);
         };
         match fault.kind {
-            FaultKind::Crash => both(script, Act::Crash(target.clone()), Act::Start(target)),
+            FaultKind::Crash => both(script, Action::Crash(target.clone()), Action::Start(target)),
             FaultKind::Restart => {
-                // Down for a moment only: most nodes hear of it when it is back.
-                script.add(turn, Act::Crash(target.clone()));
-                script.add(turn + Duration::from_millis(100), Act::Start(target));
+                // Down for 100 ms only, so most nodes learn of the restart after the engine is back.
+                script.add(batch_start, Action::Crash(target.clone()));
+                script.add(batch_start + Duration::from_millis(100), Action::Start(target));
+            }
+            FaultKind::Hang => both(script, Action::Hang(target.clone(), true), Action::Hang(target, false)),
+            FaultKind::Silent => {
+                both(script, Action::Silent(target.clone(), true), Action::Silent(target, false));
             }
-            FaultKind::Hang => both(script, Act::Hang(target.clone(), true), Act::Hang(target, false)),
-            FaultKind::Silent => both(script, Act::Silent(target.clone(), true), Act::Silent(target, false)),
             FaultKind::Slow => {
-                both(script, Act::Slow(target.clone(), fault.magnitude.max(1.0)), Act::Slow(target, 1.0));
+                both(
+                    script,
+                    Action::Slow(target.clone(), fault.magnitude.max(1.0)),
+                    Action::Slow(target, 1.0),
+                );
             }
             FaultKind::SlowConnect => {
                 let delay = Duration::from_secs_f64(fault.magnitude / 1e3);
                 both(
                     script,
-                    Act::SlowConnect(target.clone(), delay),
-                    Act::SlowConnect(target, Duration::ZERO),
+                    Action::SlowConnect(target.clone(), delay),
+                    Action::SlowConnect(target, Duration::ZERO),
                 );
             }
             FaultKind::SlowLinks => {
-                both(script, Act::Links(target.clone(), fault.magnitude.max(1.0)), Act::Links(target, 1.0));
+                both(
+                    script,
+                    Action::Links(target.clone(), fault.magnitude.max(1.0)),
+                    Action::Links(target, 1.0),
+                );
             }
             FaultKind::BadRelease => {
                 let after = Some(Duration::from_secs_f64(fault.magnitude / 1e3));
-                both(script, Act::FailAfter(target.clone(), after), Act::FailAfter(target, None));
+                both(script, Action::FailAfter(target.clone(), after), Action::FailAfter(target, None));
             }
             FaultKind::StaleReports => {
-                both(script, Act::Stale(target.clone(), true), Act::Stale(target, false));
+                both(script, Action::Stale(target.clone(), true), Action::Stale(target, false));
+            }
+            FaultKind::LyingReports => {
+                both(script, Action::Lie(target.clone(), true), Action::Lie(target, false));
             }
-            FaultKind::LyingReports => both(script, Act::Lie(target.clone(), true), Act::Lie(target, false)),
-            FaultKind::Drain => both(script, Act::Drain(target.clone()), Act::Undrain(target)),
-            FaultKind::Forget => script.add(turn, Act::Forget(target)),
+            FaultKind::Drain => both(script, Action::Drain(target.clone()), Action::Undrain(target)),
+            FaultKind::Forget => script.add(batch_start, Action::Forget(target)),
             FaultKind::Replace => {
                 let drain = Duration::from_secs_f64(fault.magnitude / 1e3);
-                script.add(turn, Act::Replace(target.clone()));
-                script.add(turn + drain, Act::Remove(target));
+                script.add(batch_start, Action::Replace(target.clone()));
+                script.add(batch_start + drain, Action::Remove(target));
             }
             _ => {}
         }
--- a/crates/pintally-scenario/src/process.rs
+++ b/crates/pintally-scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own: started by the command line's `serve`, killed, paused, stopped.
+//! Nodes that run as separate processes, started with `pintally serve`.
 
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -14,33 +14,33 @@
 
 use crate::run::RunningNode;
 
-/// A process that does not answer in this time after its start has not started.
-const UP_WITHIN: Duration = Duration::from_secs(15);
-/// And one that has not ended in this time after SIGTERM, beside its own time, is killed.
-const GRACE: Duration = Duration::from_secs(3);
+/// A process must answer its health endpoint within this time after its start.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after SIGTERM, on top of the node's own shutdown timeout, after which the process is killed.
+const STOP_GRACE: Duration = Duration::from_secs(3);
 
-/// A node that is a process.
+/// A node that runs as a process.
 pub struct NodeProcess {
     child: Child,
     address: SocketAddr,
-    stop_within: Duration,
+    stop_timeout: Duration,
 }
 
 impl NodeProcess {
-    /// Starts a node: its settings are written beside its list, `shared` being what all nodes' files
-    /// hold alike, and its log goes into a file there.
+    /// Starts a node. Its settings file and log file are written next to its endpoint list; `shared` is the
+    /// part of the settings file that all nodes have in common.
     pub fn start(
         exe: &Path,
         settings: &Arc<NodeSettings>,
         shared: &str,
         seed: u64,
     ) -> Result<NodeProcess, String> {
-        let text = file_of(settings, shared);
+        let text = settings_file(settings, shared);
         let file = PathBuf::from(&settings.engines_file).with_extension("node");
         let fail = |what: &str, e: &dyn std::fmt::Display| format!("{what} {}: {e}", settings.name);
         fs::write(&file, text).map_err(|e| fail("cannot write the settings of", &e))?;
         let log = File::options().create(true).append(true).open(file.with_extension("log"));
-        let log = log.map_err(|e| fail("no log for", &e))?;
+        let log = log.map_err(|e| fail("cannot open the log of", &e))?;
         let child = Command::new(exe)
             .args(["--log-level", "info", "serve", "--config"])
             .arg(&file)
@@ -50,23 +50,26 @@
             .stderr(log)
             .spawn()
             .map_err(|e| fail("cannot start", &e))?;
-        let stop_within = Duration::from_micros(settings.limits.shutdown_timeout) + GRACE;
-        let mut process = NodeProcess { child, address: settings.listen, stop_within };
+        let stop_timeout = Duration::from_micros(settings.limits.shutdown_timeout) + STOP_GRACE;
+        let mut process = NodeProcess { child, address: settings.listen, stop_timeout };
         process.wait_until_up().map_err(|e| {
-            let said = fs::read_to_string(file.with_extension("log")).unwrap_or_default();
-            fail("no sign of", &format!("{e}; its last word: {}", said.lines().last().unwrap_or("none")))
+            let log_text = fs::read_to_string(file.with_extension("log")).unwrap_or_default();
+            fail(
+                "no answer from",
+                &format!("{e}; last log line: {}", log_text.lines().last().unwrap_or("none")),
+            )
         })?;
         Ok(process)
     }
 
     fn wait_until_up(&mut self) -> Result<(), String> {
-        let by = Instant::now() + UP_WITHIN;
+        let deadline = Instant::now() + START_TIMEOUT;
         while http_get(self.address, "/v2/health/live").is_none() {
             if let Ok(Some(status)) = self.child.try_wait() {
-                return Err(format!("it ended with {status}"));
+                return Err(format!("the process ended with {status}"));
             }
-            if Instant::now() > by {
-                return Err("it does not answer".into());
+            if Instant::now() > deadline {
+                return Err("the process does not answer".into());
             }
             thread::sleep(Duration::from_millis(2));
         }
@@ -93,17 +96,17 @@
     fn stop(mut self: Box<Self>) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
-        let by = Instant::now() + self.stop_within;
+        let deadline = Instant::now() + self.stop_timeout;
         while matches!(self.child.try_wait(), Ok(None)) {
-            if Instant::now() > by {
+            if Instant::now() > deadline {
                 return self.kill();
             }
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn pause(&self, on: bool) {
-        self.signal(if on { Signal::STOP } else { Signal::CONT });
+    fn pause(&self, paused: bool) {
+        self.signal(if paused { Signal::STOP } else { Signal::CONT });
     }
 }
 
@@ -116,37 +119,37 @@
     }
 }
 
-/// The file of a node's settings.
-fn file_of(s: &NodeSettings, shared: &str) -> String {
+/// Renders the settings file of a node.
+fn settings_file(settings: &NodeSettings, shared: &str) -> String {
     use pintally_config::form::quoted;
-    let core = &s.core;
+    let core = &settings.core;
     let mut text = format!(
         "(pintally\n  (node (name {}) (listen \"{}\") (model {}) (zone {}) (number {}) (of {})\n        \
          (engines {} (every-ms {}))",
-        quoted(&s.name),
-        s.listen,
-        quoted(&s.model),
+        quoted(&settings.name),
+        settings.listen,
+        quoted(&settings.model),
         quoted(&core.zone),
         core.node_index,
         core.node_count,
-        quoted(&s.engines_file),
-        s.engines_poll_interval as f64 / 1e3
+        quoted(&settings.engines_file),
+        settings.engines_poll_interval as f64 / 1e3
     );
-    if let Some(source) = s.source {
+    if let Some(source) = settings.source {
         text += &format!(" (source \"{source}\")");
     }
-    if let Some(kept) = &s.cached_list_file {
+    if let Some(kept) = &settings.cached_list_file {
         text += &format!(" (kept-list {})", quoted(kept));
     }
     text += ")\n  ";
     text += shared;
     let forms = [
-        s.membership.as_ref().map(ToString::to_string),
-        s.recovery.as_ref().map(ToString::to_string),
-        s.consensus.as_ref().map(ToString::to_string),
-        s.quotas.as_ref().map(ToString::to_string),
-        s.failover.as_ref().map(ToString::to_string),
-        s.outlier_detection.as_ref().map(pintally_config::outlier_detection_form),
+        settings.membership.as_ref().map(ToString::to_string),
+        settings.recovery.as_ref().map(ToString::to_string),
+        settings.consensus.as_ref().map(ToString::to_string),
+        settings.quotas.as_ref().map(ToString::to_string),
+        settings.failover.as_ref().map(ToString::to_string),
+        settings.outlier_detection.as_ref().map(pintally_config::outlier_detection_form),
     ];
     for form in forms {
         text += &form.map(|f| format!("\n  {f}")).unwrap_or_default();
@@ -154,7 +157,7 @@
     text + ")\n"
 }
 
-/// What a node tells at an endpoint of its own; none if it does not answer with 200 in time.
+/// Body of a node's HTTP endpoint; `None` unless it answers with status 200, each step within one second.
 pub fn http_get(node: SocketAddr, path: &str) -> Option<Vec<u8>> {
     let wait = Duration::from_secs(1);
     let mut stream = TcpStream::connect_timeout(&node, wait).ok()?;
--- a/crates/pintally-scenario/src/publish.rs
+++ b/crates/pintally-scenario/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes the list of engines: one file for each node, written whole, as late as the day says.
+//! Publishes the endpoint list and the cells file: one file of each per node, replaced atomically.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,7 +11,7 @@
 use pintally_config::{EngineEntry, EngineList};
 use pintally_mock_engine::{Engine, Recorder};
 
-/// Replaces a file as a whole: whoever reads it sees the old one or the new one.
+/// Replaces a file atomically: a reader sees either the old or the new content.
 pub(crate) fn replace(file: &Path, text: &str) -> io::Result<()> {
     let mut fresh = file.as_os_str().to_owned();
     fresh.push(".new");
@@ -19,7 +19,7 @@
     fs::rename(fresh, file)
 }
 
-/// What a list says of an engine.
+/// The endpoint list entry of an engine.
 pub(crate) fn entry_of(engine: &Engine, listing: EndpointState, started_unix_ms: Option<u64>) -> EngineEntry {
     EngineEntry {
         id: EngineId(engine.spec.id.as_str().into()),
@@ -34,18 +34,18 @@
     }
 }
 
-/// The true list, its past versions, and where it goes.
+/// The current endpoint list, its versions not yet written everywhere, and the files it is written to.
 pub(crate) struct Publisher {
     folder: PathBuf,
     recorder: Recorder,
     entries: BTreeMap<EngineId, EngineEntry>,
-    /// Versions that are still to be written for some node.
+    /// Versions that some node has not received.
     versions: BTreeMap<u64, Vec<EngineEntry>>,
     version: u64,
-    /// What was last published to each node.
+    /// Entries last published to each node.
     published: Vec<BTreeMap<EngineId, EngineEntry>>,
     written: Vec<u64>,
-    /// Texts of the file of cells by version, and the last that each node has.
+    /// Texts of the cells file by version; `cells_written` is the last version that each node has.
     cells: BTreeMap<u64, String>,
     cells_written: Vec<u64>,
 }
@@ -65,22 +65,22 @@
         }
     }
 
-    /// The file that a node watches.
-    pub(crate) fn file(&self, node: usize) -> PathBuf {
+    /// The endpoint list that a node watches.
+    pub(crate) fn list_file(&self, node: usize) -> PathBuf {
         self.folder.join(format!("engines-{node}.sexp"))
     }
 
-    /// The file of cells that a node watches.
+    /// The cells file that a node watches.
     pub(crate) fn cells_file(&self, node: usize) -> PathBuf {
         self.folder.join(format!("cells-{node}.sexp"))
     }
 
-    /// Enters a version of the file of cells.
+    /// Adds a version of the cells file.
     pub(crate) fn set_cells(&mut self, version: u64, text: String) {
         self.cells.insert(version, text);
     }
 
-    /// Writes a version of the file of cells for a node, unless a younger one stands there.
+    /// Writes a version of the cells file for a node, unless the node has the same or a newer one.
     pub(crate) fn write_cells(&mut self, node: usize, version: u64) -> io::Result<()> {
         if version <= self.cells_written[node] {
             return Ok(());
@@ -90,30 +90,30 @@
         replace(&self.cells_file(node), text)
     }
 
-    /// Enters an engine, or changes what the list says of it.
-    pub(crate) fn set(&mut self, engine: &Engine, listing: EndpointState, started: bool) {
+    /// Adds or changes an engine's entry; `started` sets its start time to now.
+    pub(crate) fn set_entry(&mut self, engine: &Engine, listing: EndpointState, started: bool) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let id = EngineId(engine.spec.id.as_str().into());
         let old = self.entries.get(&id).and_then(|e| e.started_unix_ms);
         self.entries.insert(id, entry_of(engine, listing, if started { Some(unix) } else { old }));
     }
 
-    /// Makes a version of the list as it is now.
-    pub(crate) fn seal(&mut self) -> u64 {
+    /// Saves the current list as a new version.
+    pub(crate) fn new_version(&mut self) -> u64 {
         self.version += 1;
         self.versions.insert(self.version, self.entries.values().cloned().collect());
         self.version
     }
 
-    /// Writes a version for a node, unless a younger one stands there.
-    pub(crate) fn write(&mut self, node: usize, version: u64) -> io::Result<()> {
+    /// Writes a version of the list for a node, unless the node has the same or a newer one.
+    pub(crate) fn write_list(&mut self, node: usize, version: u64) -> io::Result<()> {
         if version <= self.written[node] {
             return Ok(());
         }
         let Some(engines) = self.versions.get(&version).cloned() else { return Ok(()) };
         self.written[node] = version;
         let list = EngineList { version, engines };
-        // Changes count as published from the moment of writing on, not from that of the rename.
+        // Changes are recorded before the file is renamed, so they count as published from this moment.
         for entry in &list.engines {
             let old = self.published[node].insert(entry.id.clone(), entry.clone());
             if old.as_ref() != Some(entry) {
@@ -132,7 +132,7 @@
                 });
             }
         }
-        replace(&self.file(node), &list.render())?;
+        replace(&self.list_file(node), &list.render())?;
         let least = self.written.iter().min().copied().unwrap_or(0);
         self.versions.retain(|v, _| *v >= least);
         Ok(())
--- a/crates/pintally-scenario/src/worth.rs
+++ b/crates/pintally-scenario/src/request_records.rs
@@ -1,4 +1,4 @@
-//! What became of each request of a day: when it came, when its answer began, what it was worth.
+//! Outcome of each request of a run: when it was sent, when its answer began, and its weight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use crate::spec::Scenario;
 
-/// One request as its client saw it; times in microseconds.
+/// One attempt of a request as its client saw it.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct RequestRecord {
@@ -17,30 +17,30 @@
     pub priority_weight: f64,
     pub first_token_at_us: Option<u64>,
     pub served: bool,
-    /// It is a try again, which asks for nothing new.
+    /// A retry, which is not counted as a new request.
     is_retry: bool,
 }
 
 impl RequestRecord {
-    /// Whether it is a request of one of some tenants.
+    /// Whether the request belongs to one of `tenants`.
     pub fn is_of_any(&self, tenants: &BTreeSet<String>) -> bool {
         self.tenant.as_ref().is_some_and(|t| tenants.contains(t))
     }
 
-    /// Whether it was served and began in time.
+    /// Whether it was served and its answer began within the latency objective.
     pub fn in_time(&self) -> bool {
         self.served
             && self.first_token_at_us.is_some_and(|at| at <= self.sent_at_us + self.latency_objective_us)
     }
 }
 
-/// The requests of a day, in the order in which they came.
-pub fn requests(day: &Scenario, record: &[Record]) -> Vec<RequestRecord> {
+/// The requests of a run, in the order in which they were sent.
+pub fn requests(scenario: &Scenario, record: &[Record]) -> Vec<RequestRecord> {
     let mut all: BTreeMap<&str, RequestRecord> = BTreeMap::new();
     for r in record {
         match &r.event {
             AuditEvent::RequestSent { request, node, class, tenant, .. } => {
-                let Some(class) = day.settings.core.classes.iter().find(|c| c.name == *class) else {
+                let Some(class) = scenario.settings.core.classes.iter().find(|c| c.name == *class) else {
                     continue;
                 };
                 let one = RequestRecord {
@@ -74,12 +74,12 @@
     all
 }
 
-/// The share of the worth asked that was served in time. A try again is not another request.
+/// Share of the requested weight that was served in time. Retries add to the served weight only.
 pub fn timely_value_share<'a>(requests: impl Iterator<Item = &'a RequestRecord>) -> f64 {
-    let (mut asked, mut good) = (0.0, 0.0);
+    let (mut requested, mut timely) = (0.0, 0.0);
     for one in requests {
-        asked += if one.is_retry { 0.0 } else { one.priority_weight };
-        good += if one.in_time() { one.priority_weight } else { 0.0 };
+        requested += if one.is_retry { 0.0 } else { one.priority_weight };
+        timely += if one.in_time() { one.priority_weight } else { 0.0 };
     }
-    good / f64::max(asked, 1e-9)
+    timely / f64::max(requested, 1e-9)
 }
--- a/crates/pintally-scenario/src/rig.rs
+++ b/crates/pintally-scenario/src/rig.rs
@@ -1,4 +1,4 @@
-//! A small rig: one node, a few stand-in engines, and tries made by hand. For tests and measurements.
+//! A small rig for tests and measurements: one node, a few mock engines, and attempts made one by one.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -9,54 +9,54 @@
 use pintally_audit::{audit, AuditEvent, EngineLocation, Report};
 use pintally_config::NodeSettings;
 use pintally_kserve_node::Node;
-use pintally_mock_engine::{self as standin, Engine, EngineSpec, Fleet, Port, Recorder};
+use pintally_mock_engine::{self as mock_engine, Engine, EngineSpec, Fleet, Port, Recorder};
 use tempfile::TempDir;
 
 use crate::client::{Client, ClientAttempt};
 use crate::publish::Publisher;
 use crate::run::{with_figures, RunError};
 
-/// The address from which the rig's node connects.
-const NODE_AT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1));
+/// Source address of the rig's node.
+const NODE_SOURCE: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1));
 
 /// One node and its engines.
 pub struct Rig {
-    /// The engines, and the record that they write.
+    /// The engines and the shared record.
     pub fleet: Arc<Fleet>,
-    /// Makes tries.
+    /// Makes attempts.
     pub client: Client,
     settings: Arc<NodeSettings>,
     node: Option<Node>,
     publisher: Publisher,
     address: SocketAddr,
-    /// Holds the node's port while it is down.
+    /// Reserves the node's port while the node is down.
     _port: Port,
     folder: TempDir,
 }
 
 impl Rig {
-    /// Builds engines and a node. `settings` is a file's text; its own `node` form gives the name and
-    /// whatever else is not the rig's.
+    /// Starts engines and a node. `settings` is the text of a settings file; the rig replaces the listening
+    /// address, the source address and the list files in it.
     pub fn new(settings: &str, engines: Vec<EngineSpec>) -> Result<Rig, RunError> {
-        crate::cores::on_few_cores();
+        crate::cpus::limit_cpus();
         let fail = |e: &dyn std::fmt::Display| RunError(e.to_string());
         let mut settings = NodeSettings::parse("rig", settings).map_err(|e| fail(&e))?;
         let folder = tempfile::tempdir().map_err(|e| fail(&e))?;
         let recorder = Recorder::default();
         let fleet = Fleet::new(recorder.clone());
-        fleet.name_node(NODE_AT, "n0", "a");
+        fleet.name_node(NODE_SOURCE, "n0", "a");
         let mut publisher = Publisher::new(folder.path(), 1, recorder.clone());
         for spec in engines {
             let engine = fleet.add(spec, false).map_err(|e| fail(&e))?;
-            publisher.set(&engine, EndpointState::Serving, false);
+            publisher.set_entry(&engine, EndpointState::Serving, false);
         }
-        let held = Port::hold().and_then(|p| Ok((p.address()?, p)));
-        let (address, port) = held.map_err(|e| fail(&e))?;
+        let reserved = Port::hold().and_then(|p| Ok((p.address()?, p)));
+        let (address, port) = reserved.map_err(|e| fail(&e))?;
         settings.listen = address;
-        settings.source = Some(NODE_AT);
-        settings.engines_file = publisher.file(0).to_string_lossy().into_owned();
+        settings.source = Some(NODE_SOURCE);
+        settings.engines_file = publisher.list_file(0).to_string_lossy().into_owned();
         settings.cached_list_file =
-            Some(publisher.file(0).with_extension("kept").to_string_lossy().into_owned());
+            Some(publisher.list_file(0).with_extension("kept").to_string_lossy().into_owned());
         let client = Client { recorder };
         let (settings, node) = (Arc::new(settings), None);
         let mut rig = Rig { fleet, client, settings, node, publisher, address, _port: port, folder };
@@ -65,12 +65,12 @@
         Ok(rig)
     }
 
-    /// An engine with usual figures.
+    /// Default settings of an engine.
     pub fn spec(id: &str, role: Role) -> EngineSpec {
         let (kind, role) = match role {
-            Role::Reader => ("prefill", standin::Role::Reader),
-            Role::Writer => ("decode", standin::Role::Writer),
-            Role::Mixed => ("mixed", standin::Role::Mixed),
+            Role::Reader => ("prefill", mock_engine::Role::Reader),
+            Role::Writer => ("decode", mock_engine::Role::Writer),
+            Role::Mixed => ("mixed", mock_engine::Role::Mixed),
         };
         EngineSpec {
             id: id.to_string(),
@@ -94,8 +94,8 @@
         }
     }
 
-    /// A try with usual figures; the caller changes what matters.
-    pub fn ask(&self, id: &str, class: &str) -> ClientAttempt {
+    /// An attempt with default values, which the caller may change.
+    pub fn new_attempt(&self, id: &str, class: &str) -> ClientAttempt {
         ClientAttempt {
             id: id.to_string(),
             node: "n0".to_string(),
@@ -109,51 +109,51 @@
             max_tokens: 16,
             patience: Duration::from_secs(4),
             streamed: true,
-            leaves: None,
+            leaves_after: None,
         }
     }
 
-    /// Where the node listens.
+    /// The node's listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The node, if one runs.
+    /// The node, if it runs.
     pub fn node(&self) -> Option<&Node> {
         self.node.as_ref()
     }
 
-    /// An engine by its id.
+    /// Returns an engine by its id.
     pub fn engine(&self, id: &str) -> Result<Arc<Engine>, RunError> {
         self.fleet.engine(id).ok_or_else(|| RunError(format!("no engine `{id}`")))
     }
 
-    /// The file of the list that the node watches.
+    /// The endpoint list file that the node watches.
     pub fn list_file(&self) -> PathBuf {
-        self.publisher.file(0)
+        self.publisher.list_file(0)
     }
 
-    /// Changes what the list says of an engine, and writes it.
+    /// Changes an engine's state in the endpoint list and writes the list.
     pub fn list(&mut self, id: &str, listing: EndpointState, started: bool) -> Result<(), RunError> {
         let engine = self.engine(id)?;
-        self.publisher.set(&engine, listing, started);
+        self.publisher.set_entry(&engine, listing, started);
         self.publish()
     }
 
-    /// Writes the list as it is.
+    /// Writes the current list as a new version.
     pub fn publish(&mut self) -> Result<(), RunError> {
-        let version = self.publisher.seal();
-        self.publisher.write(0, version).map_err(|e| RunError(e.to_string()))
+        let version = self.publisher.new_version();
+        self.publisher.write_list(0, version).map_err(|e| RunError(e.to_string()))
     }
 
-    /// Starts the node, where it listened before if it did, and waits until it knows an engine.
+    /// Starts the node, always on the same address, and waits until it has a serving engine.
     pub fn start_node(&mut self) -> Result<(), RunError> {
         let node = Node::start(self.settings.clone(), 7).map_err(|e| RunError(e.to_string()))?;
         self.fleet.recorder.note(AuditEvent::NodeUp { node: "n0".into() });
-        let by = std::time::Instant::now() + Duration::from_secs(10);
+        let deadline = std::time::Instant::now() + Duration::from_secs(10);
         while node.serving_engines() == 0 {
-            if std::time::Instant::now() > by {
-                return Err(RunError("the node has taken in no list".into()));
+            if std::time::Instant::now() > deadline {
+                return Err(RunError("the node has not loaded the endpoint list".into()));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Stops the node in good order, and audits what was recorded.
+    /// Shuts the node down gracefully and audits the record.
     pub fn finish(mut self) -> Result<Report, RunError> {
         if let Some(node) = self.node.take() {
             node.stop();
--- a/crates/pintally-scenario/src/run.rs
+++ b/crates/pintally-scenario/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a day: builds nodes, engines and clients, carries out the script, audits the record.
+//! Runs a scenario: starts nodes, engines and clients, applies the scripted faults, and audits the record.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use pintally_kserve_node::Node;
 use serde::Serialize;
 
-use crate::moved::ShapeComparison;
-use crate::play::Play;
+use crate::migration::ShapeComparison;
 use crate::process::NodeProcess;
+use crate::runner::Runner;
 use crate::spec::Scenario;
 
-/// A node that runs.
+/// A running node.
 pub trait RunningNode: Send {
-    /// Where clients reach it.
+    /// The address at which clients reach it.
     fn address(&self) -> SocketAddr;
-    /// Ends it at once, as if its process had died.
+    /// Ends it at once, as if its process had been killed.
     fn kill(self: Box<Self>);
-    /// Ends it in good order.
+    /// Shuts it down gracefully.
     fn stop(self: Box<Self>);
-    /// Lets it stand still, or go on; a node that is no process cannot.
+    /// Pauses or resumes it; only a node that is a process supports this.
     fn pause(&self, _on: bool) {}
 }
 
@@ -44,10 +44,10 @@
     }
 }
 
-/// Starts a node; tests hand in broken ones.
+/// Starts a node from its settings and a seed; tests pass launchers of faulty nodes.
 pub type NodeLauncher<'a> = &'a dyn Fn(Arc<NodeSettings>, u64) -> Result<Box<dyn RunningNode>, String>;
 
-/// Why a day could not be played.
+/// Why a scenario could not be run.
 #[derive(Debug)]
 pub struct RunError(pub String);
 
@@ -59,24 +59,24 @@
 
 impl std::error::Error for RunError {}
 
-/// What came of a day.
+/// Result of one run of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScenarioResult {
-    /// The day's name.
+    /// The scenario's name.
     pub day: String,
     /// The seed.
     pub seed: u64,
-    /// How long it took, in seconds.
+    /// Duration of the run in seconds.
     pub took_s: f64,
-    /// Kinds of trouble that were played.
+    /// Kinds of faults in the scenario.
     pub troubles: Vec<&'static str>,
-    /// The audit.
+    /// The audit report.
     pub report: Report,
-    /// What nodes of two shapes got, where some have moved.
+    /// Statistics of the nodes by shape, if the scenario migrates some of them.
     pub shapes: Option<ShapeComparison>,
-    /// Tries that found no node to connect to.
+    /// Attempts that could not connect to a node.
     pub no_node: u64,
-    /// Cold engines that fell over, whether or not nodes knew that they were cold.
+    /// Cold engines that crashed from overload, whether or not the nodes knew that they were cold.
     pub fell: usize,
     /// The record.
     #[serde(skip)]
@@ -84,12 +84,12 @@
 }
 
 impl ScenarioResult {
-    /// Whether all rules were kept, and requests were made at all.
+    /// Whether all rules held and at least one request was made.
     pub fn kept(&self) -> bool {
         self.report.rules.kept() && self.report.requests > 0
     }
 
-    /// The line that machines read.
+    /// The summary as JSON, for scripts.
     pub fn summary(&self) -> serde_json::Value {
         let rules: serde_json::Map<String, serde_json::Value> = self
             .report
@@ -113,62 +113,66 @@
     }
 }
 
-/// Plays a day whose nodes are processes of the program at `exe`, or threads where the day wants none.
-pub fn run_with(day: &Scenario, seed: u64, exe: &Path) -> Result<ScenarioResult, RunError> {
-    if !day.processes {
-        return run(day, seed, None);
+/// Runs a scenario with nodes that are processes of the program at `exe`, or threads if the scenario does not
+/// ask for processes.
+pub fn run_with(scenario: &Scenario, seed: u64, exe: &Path) -> Result<ScenarioResult, RunError> {
+    if !scenario.processes {
+        return run(scenario, seed, None);
     }
     let launch = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn RunningNode>, String> {
-        NodeProcess::start(exe, &settings, &day.shared, seed).map(|p| Box::new(p) as Box<dyn RunningNode>)
+        NodeProcess::start(exe, &settings, &scenario.shared_settings, seed)
+            .map(|p| Box::new(p) as Box<dyn RunningNode>)
     };
-    run(day, seed, Some(&launch))
+    run(scenario, seed, Some(&launch))
 }
 
-/// A lateness from which on the machine counts as having stood still: a day hangs on times like these.
-const STOOD_STILL_US: u64 = 250_000;
-/// Plays of one day, until the machine holds through one.
-const STEADY_PLAYS: u32 = 5;
+/// A lateness above which the machine counts as stalled: the results of a run depend on delays of this size.
+const STALL_THRESHOLD_US: u64 = 250_000;
+/// Most runs of one scenario to get one without a stall of the machine.
+const MAX_STEADY_RUNS: u32 = 5;
 
-/// Plays a day, and again if the machine stood still in it: what is served then, and what is caught, says
-/// little of nodes. The last of five plays counts whatever the machine does.
+/// Runs a scenario, and repeats it if the machine stalled: the results of such a run say little about the
+/// nodes. The fifth run counts even if the machine stalled.
 pub fn run_steady(
-    day: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     launch: Option<NodeLauncher>,
 ) -> Result<ScenarioResult, RunError> {
-    let _turn = crate::cores::IN_ONE_PROCESS.acquire();
-    crate::cores::on_few_cores();
-    let mut result = run(day, seed, launch)?;
-    for _ in 1..STEADY_PLAYS {
-        let stood = |r: &Record| matches!(r.event, AuditEvent::MachineLate { us } if us > STOOD_STILL_US);
-        if !result.record.iter().any(stood) {
+    let _slot = crate::cpus::RUN_SLOTS.acquire();
+    crate::cpus::limit_cpus();
+    let mut result = run(scenario, seed, launch)?;
+    for _ in 1..MAX_STEADY_RUNS {
+        let is_stall =
+            |r: &Record| matches!(r.event, AuditEvent::MachineLate { us } if us > STALL_THRESHOLD_US);
+        if !result.record.iter().any(is_stall) {
             break;
         }
-        println!("the machine stood still: day {} is played again", day.name);
-        result = run(day, seed, launch)?;
+        println!("the machine stalled: scenario {} is run again", scenario.name);
+        result = run(scenario, seed, launch)?;
     }
     Ok(result)
 }
 
-/// Plays a day with real nodes, or with whatever `launch` starts.
-pub fn run(day: &Scenario, seed: u64, launch: Option<NodeLauncher>) -> Result<ScenarioResult, RunError> {
-    let real = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn RunningNode>, String> {
+/// Runs a scenario with real nodes, or with those that `launch` starts.
+pub fn run(scenario: &Scenario, seed: u64, launch: Option<NodeLauncher>) -> Result<ScenarioResult, RunError> {
+    let launch_node = |settings: Arc<NodeSettings>, seed: u64| -> Result<Box<dyn RunningNode>, String> {
         Node::start(settings, seed).map(|n| Box::new(n) as Box<dyn RunningNode>).map_err(|e| e.to_string())
     };
-    let mut play = Play::new(day, seed, launch.unwrap_or(&real))?;
-    play.play_whole()?;
-    let ((engines, record), no_node, took) = play.end();
-    let times = (day.drain_grace.as_micros() as u64, day.slack.as_micros() as u64);
-    let record = with_figures(&day.settings, times, engines, record);
+    let mut runner = Runner::new(scenario, seed, launch.unwrap_or(&launch_node))?;
+    runner.run()?;
+    let ((engines, record), no_node, took) = runner.finish();
+    let tolerances_us = (scenario.drain_grace.as_micros() as u64, scenario.slack.as_micros() as u64);
+    let record = with_figures(&scenario.settings, tolerances_us, engines, record);
     let report = audit(&record).map_err(|e| RunError(format!("the record cannot be audited: {e}")))?;
-    let mut troubles: Vec<&'static str> = day.faults.iter().map(|f| crate::faults::name(f.kind)).collect();
+    let mut troubles: Vec<&'static str> =
+        scenario.faults.iter().map(|f| crate::faults::kind_name(f.kind)).collect();
     troubles.sort_unstable();
     troubles.dedup();
     let fell = record.iter().filter(|r| matches!(r.event, AuditEvent::EngineOverloaded { .. })).count();
     let took_s = took.as_secs_f64();
-    let shapes = day.moved.as_ref().map(|_| ShapeComparison::of(day, &record));
+    let shapes = scenario.migrated.as_ref().map(|_| ShapeComparison::of(scenario, &record));
     Ok(ScenarioResult {
-        day: day.name.clone(),
+        day: scenario.name.clone(),
         seed,
         took_s,
         troubles,
@@ -180,8 +184,8 @@
     })
 }
 
-/// The record with the figures that the rules go by as its first line; times in microseconds: the
-/// grace after a drain was notified, and what the measuring may add.
+/// Inserts the figures that the audit's rules need as the first record. The pair holds, in microseconds, the
+/// grace period after a drain is announced and the tolerance for measurement delays.
 pub fn with_figures(
     settings: &NodeSettings,
     (drain_grace_us, slack_us): (u64, u64),
@@ -189,7 +193,7 @@
     mut record: Vec<Record>,
 ) -> Vec<Record> {
     use pintally::interface as core;
-    let effect = |e: &core::Idempotency| match e {
+    let idempotency = |e: &core::Idempotency| match e {
         core::Idempotency::Idempotent => Idempotency::Idempotent,
         core::Idempotency::NotIdempotent => Idempotency::NotIdempotent,
         core::Idempotency::WithKey(group, window_us) => Idempotency::WithKey {
@@ -202,8 +206,10 @@
         },
     };
     let core = &settings.core;
-    let classes =
-        core.classes.iter().map(|c| ClassParameters { name: c.name.clone(), effect: effect(&c.idempotency) });
+    let classes = core
+        .classes
+        .iter()
+        .map(|c| ClassParameters { name: c.name.clone(), effect: idempotency(&c.idempotency) });
     let figures = RuleParameters {
         drain_grace_us,
         release_within_us: core.release_deadline,
--- a/crates/pintally-scenario/src/script.rs
+++ b/crates/pintally-scenario/src/script.rs
@@ -1,15 +1,15 @@
-//! What happens when: single acts in order of time.
+//! The script of a run: actions in order of time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An engine by the name that it had at the day's beginning; whatever replaced it stands for it.
+/// An engine by its id at the start of the run; the name then refers to any engine that replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Target(pub(crate) String);
 
-/// One act.
+/// One action. Its `Debug` text is logged.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum Action {
     Crash(Target),
     Start(Target),
     Hang(Target, bool),
@@ -17,7 +17,7 @@
     Slow(Target, f64),
     SlowConnect(Target, Duration),
     Links(Target, f64),
-    /// Whatever an engine takes on ends with an error after this time, or no more.
+    /// Every request at an engine ends with an error after this time; `None` ends the fault.
     FailAfter(Target, Option<Duration>),
     Stale(Target, bool),
     Lie(Target, bool),
@@ -35,62 +35,62 @@
     LeaveEarly(f64),
     Rate(f64),
     HotText(f64),
-    /// A tenant sends this many times as much, all of it heedlessly, or no more.
+    /// A tenant sends this many times its usual rate, ignoring retry-after times; `None` ends the flood.
     Flood(Option<(String, f64)>),
-    /// A tenant's move takes its next step.
+    /// A tenant's move advances to its next step.
     Move(String, MoveStep),
-    /// The file of cells as it was at a version is written for a node.
+    /// Writes a version of the cells file for a node.
     WriteCells(usize, u64),
-    /// The list as it is now is written for a node.
+    /// Writes a version of the endpoint list for a node.
     Write(usize, u64),
-    /// An engine dies without the list telling of it.
+    /// An engine crashes without an update of the endpoint list.
     PowerOff(Target),
-    /// A node's process stands still, or goes on.
+    /// Pauses or resumes a node's process.
     Pause(usize, bool),
-    /// Something is done to some links between nodes from now on, or not any more.
-    Link(Pairs, Link, bool),
-    /// A node that was killed is seen to be gone by the front, or seen to be back.
+    /// Activates or ends a fault on a set of links between nodes.
+    Link(LinkSet, Link, bool),
+    /// The front layer notices that a killed node is down, or that it is up again.
     Front(usize, bool),
 }
 
-/// Links between nodes, each from one to another.
+/// A set of directed links between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pairs {
-    /// All of them.
+pub(crate) enum LinkSet {
+    /// All links.
     All,
-    /// Those between the first half of the nodes and the others, both ways.
+    /// Links between the first half of the nodes and the others, in both directions.
     Across,
-    /// Those from the first half to the others.
+    /// Links from the first half of the nodes to the others.
     OneWay,
-    /// Those between the first two.
+    /// Links between the first two nodes, in both directions.
     Side,
 }
 
-impl Pairs {
-    /// Whether the link from one node to another is one of them, among so many nodes.
-    pub(crate) fn hold(self, nodes: usize, from: usize, to: usize) -> bool {
+impl LinkSet {
+    /// Whether the set contains the link from one node to another, given the number of nodes.
+    pub(crate) fn contains(self, nodes: usize, from: usize, to: usize) -> bool {
         let half = nodes / 2;
         match self {
-            Pairs::All => from != to,
-            Pairs::Across => (from < half) != (to < half),
-            Pairs::OneWay => from < half && to >= half,
-            Pairs::Side => from + to == 1,
+            LinkSet::All => from != to,
+            LinkSet::Across => (from < half) != (to < half),
+            LinkSet::OneWay => from < half && to >= half,
+            LinkSet::Side => from + to == 1,
         }
     }
 }
 
-/// How a link between two nodes is.
+/// Faults of a link between two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Link {
-    /// Nothing passes.
+    /// Nothing passes; datagrams are dropped.
     pub(crate) cut: bool,
-    /// What comes waits, and is delivered when this ends.
+    /// Datagrams are held back and delivered when the fault ends.
     pub(crate) stalled: bool,
-    /// This share of the datagrams is lost, and as many are doubled.
+    /// Share of the datagrams that is lost; of the others the same share is duplicated.
     pub(crate) loss: f64,
 }
 
-/// A step of a tenant's move.
+/// A step of a tenant's move between cells.
 #[derive(Clone, Debug)]
 pub(crate) enum MoveStep {
     Prepare { to: String, over: Duration },
@@ -98,27 +98,27 @@
     Done,
 }
 
-/// Acts by time; those of the same time in the order in which they were added.
+/// Actions by time; actions due at the same time keep the order in which they were added.
 #[derive(Default)]
 pub(crate) struct Script {
-    acts: BTreeMap<(Duration, u64), Act>,
+    actions: BTreeMap<(Duration, u64), Action>,
     serial: u64,
 }
 
 impl Script {
-    pub(crate) fn add(&mut self, at: Duration, act: Act) {
+    pub(crate) fn add(&mut self, at: Duration, action: Action) {
         self.serial += 1;
-        self.acts.insert((at, self.serial), act);
+        self.actions.insert((at, self.serial), action);
     }
 
-    /// When the next act is due.
+    /// When the next action is due.
     pub(crate) fn next(&self) -> Option<Duration> {
-        self.acts.keys().next().map(|k| k.0)
+        self.actions.keys().next().map(|k| k.0)
     }
 
-    /// The next act that is due.
-    pub(crate) fn pop(&mut self, now: Duration) -> Option<Act> {
-        let entry = self.acts.first_entry().filter(|e| e.key().0 <= now)?;
+    /// Removes and returns the next action that is due.
+    pub(crate) fn pop(&mut self, now: Duration) -> Option<Action> {
+        let entry = self.actions.first_entry().filter(|e| e.key().0 <= now)?;
         Some(entry.remove())
     }
 }
--- a/crates/pintally-scenario/src/spec.rs
+++ b/crates/pintally-scenario/src/spec.rs
@@ -1,4 +1,4 @@
-//! A day as its file says it.
+//! A scenario as its file describes it. The form in the file is named `day`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,53 +8,53 @@
 use pintally_config::form::{Document, Form};
 use pintally_config::{read_rules, ConfigError, NodeSettings, STORAGE_FAULTS};
 
-use crate::faults;
+use crate::faults::parse as parse_fault;
 
-/// The most nodes of a day on one machine.
+/// Most nodes of a scenario on one machine.
 pub const MAX_NODES: usize = 1024;
 
-/// A scripted day.
+/// A scripted run of a fleet.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The seed that is used when none is given.
+    /// Seed used if the command line gives none.
     pub seed: u64,
-    /// How long clients come.
+    /// How long clients send requests.
     pub length: Duration,
-    /// How long the day may go on after the last client has come.
+    /// How long the run may continue after `length`, until the last request ends.
     pub settle: Duration,
-    /// The zones.
+    /// Zone names.
     pub zones: Vec<String>,
-    /// Racks over all zones.
+    /// Number of racks over all zones.
     pub racks: u64,
-    /// Nodes, spread over the zones in turn.
+    /// Number of nodes, assigned to the zones in turn.
     pub nodes: usize,
-    /// The last of the nodes run in another shape already: how many, and the settings of the core there.
-    pub moved: Option<(usize, Settings)>,
-    /// Each node is a process of its own, with a relay on every link between two of them.
+    /// Nodes already migrated to another shape: how many of the last ones, and the core settings they use.
+    pub migrated: Option<(usize, Settings)>,
+    /// Whether each node runs as its own process, with a relay on every link between nodes.
     pub processes: bool,
-    /// Disks that lie, by node.
-    pub disks: BTreeMap<usize, String>,
-    /// What node's files share, as it stands in the day's.
-    pub shared: String,
-    /// Word of the fleet reaches nodes so much later.
+    /// Injected storage faults, by node.
+    pub storage_faults: BTreeMap<usize, String>,
+    /// Source text of the settings that all nodes have in common.
+    pub shared_settings: String,
+    /// Delay after which a change of the endpoint list reaches the nodes.
     pub list_delay: Duration,
-    /// The front layer goes on sending to a dead node for so long.
+    /// Delay after which the front layer notices that a node went down or came up.
     pub front_delay: Duration,
-    /// New work may go on for so long after a drain was notified.
+    /// Time for which new work is allowed after a drain is announced.
     pub drain_grace: Duration,
-    /// What the measuring may add to each time.
+    /// Tolerance for measurement delays, added to each time limit.
     pub slack: Duration,
-    /// The settings that all nodes share; name, number, zone and addresses are the runner's.
+    /// Settings that all nodes have in common; the runner sets name, number, zone and addresses.
     pub settings: NodeSettings,
-    /// The cells with which the day begins, if the fleet is divided.
+    /// The cells at the start, if the fleet is divided into cells.
     pub cells: Option<CellsFile>,
-    /// The engines.
+    /// Groups of engines.
     pub engines: Vec<EngineGroup>,
-    /// What clients send.
+    /// The clients' traffic.
     pub traffic: Traffic,
-    /// The troubles, in the order of the file.
+    /// Faults, in the order of the file.
     pub faults: Vec<Fault>,
 }
 
@@ -63,7 +63,7 @@
 #[allow(missing_docs)]
 pub struct EngineGroup {
     pub kind: String,
-    /// The cell that the list gives them to.
+    /// The cell that the endpoint list assigns them to.
     pub cell: Option<String>,
     pub role: Role,
     pub count: usize,
@@ -76,59 +76,59 @@
     pub report_interval: Duration,
 }
 
-/// What clients send.
+/// The clients' traffic.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Clients try again so often by themselves.
+    /// Most retries of a client.
     pub retries: u32,
-    /// They wait so long before it where no time is given.
+    /// Wait before a retry if the answer gives no retry-after time.
     pub retry_wait: Duration,
-    /// Share of the clients that heed a time to come back.
-    pub heed: f64,
-    /// Share of the requests whose answers stream.
-    pub streamed: f64,
-    /// How many shared beginnings there are, by falling popularity.
-    pub shared: u64,
-    /// Each tenant has so many of its own, rather than all of them the same.
-    pub own_texts: bool,
-    /// Tokens of a shared beginning.
+    /// Share of the clients that obey a retry-after time.
+    pub obey_retry_after_share: f64,
+    /// Share of the requests with streamed answers.
+    pub streamed_share: f64,
+    /// Number of shared prefixes, of falling popularity.
+    pub shared_texts: u64,
+    /// Whether each tenant has its own shared prefixes instead of all tenants using the same.
+    pub texts_per_tenant: bool,
+    /// Least and most tokens of a shared prefix.
     pub shared_tokens: (u64, u64),
-    /// The classes.
+    /// Traffic of each class.
     pub classes: Vec<ClassTraffic>,
-    /// Each tenant's part of the requests.
+    /// Relative share of the requests of each tenant.
     pub tenants: Vec<(String, f64)>,
 }
 
 impl Traffic {
-    /// A tenant's part of the requests, from 0 to 1.
+    /// A tenant's share of the requests, from 0 to 1.
     pub fn share_of(&self, tenant: &str) -> f64 {
         let all: f64 = self.tenants.iter().map(|t| t.1).sum();
         self.tenants.iter().find(|t| t.0 == tenant).map_or(0.0, |t| t.1 / all.max(f64::MIN_POSITIVE))
     }
 }
 
-/// The requests of one class.
+/// Traffic of one class; pairs are the least and most.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct ClassTraffic {
     pub name: String,
-    /// Its part of the requests.
+    /// Relative share of the requests.
     pub share: f64,
     /// Turns of a session.
     pub turns: (u64, u64),
-    /// Tokens that each turn adds.
-    pub adds: (u64, u64),
-    /// The most tokens of an answer.
-    pub answer: (u64, u64),
-    /// Share of the sessions that begin with a shared text.
-    pub shared: f64,
-    /// Clients wait this part of the class's patience, drawn between the two.
-    pub patience: (f64, f64),
+    /// Tokens that each turn adds to the prompt.
+    pub added_tokens: (u64, u64),
+    /// The requested limit of answer tokens.
+    pub answer_tokens: (u64, u64),
+    /// Share of the sessions that begin with a shared prefix.
+    pub shared_text_share: f64,
+    /// Clients wait for this share of the class's patience.
+    pub patience_share: (f64, f64),
 }
 
-/// A kind of trouble.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum FaultKind {
@@ -167,39 +167,39 @@
     PeerLoss,
 }
 
-/// One trouble of a day.
+/// One fault of a scenario.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// What kind.
+    /// Kind.
     pub kind: FaultKind,
     /// When it begins.
     pub start: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// The share of the engines or nodes that it strikes, drawn from the seed.
+    /// Share of the engines or nodes that are affected; which ones is drawn from the seed.
     pub fraction: f64,
-    /// Only engines of this kind, if given.
+    /// Restricts the fault to engines of this kind.
     pub engine_kind: Option<String>,
-    /// Only engines of this cell, if given; where a tenant moves, the cell that it moves to.
+    /// Restricts the fault to engines of this cell; for `move-tenant`, the cell that the tenant moves to.
     pub cell: Option<String>,
-    /// These engines and no others, if given.
+    /// Exactly these engines, if not empty.
     pub engines: Vec<String>,
-    /// The zone or tenant that it strikes, drawn if not given.
+    /// The affected zone or tenant; drawn from the seed if not given.
     pub zone_or_tenant: Option<String>,
-    /// How hard: a factor, a share or milliseconds, by kind.
+    /// Severity: a factor, a share, a count or milliseconds, depending on the kind.
     pub magnitude: f64,
-    /// How many at a time, where it goes from one to the next.
+    /// Engines affected at a time by faults that proceed in batches.
     pub batch_size: usize,
 }
 
-/// The last node sees a version of the file of cells so long after the first.
+/// Time from the first to the last node that sees a version of the cells file.
 pub const CELLS_FILE_SPREAD: Duration = Duration::from_secs(5);
 
 impl Scenario {
-    /// The settings of one node, without the addresses and files that its surroundings give it.
+    /// Settings of one node, without addresses and files, which the runner sets.
     pub fn node(&self, number: usize) -> NodeSettings {
         let mut settings = self.settings.clone();
-        if let Some((_, core)) = self.moved.as_ref().filter(|_| self.is_moved(number)) {
+        if let Some((_, core)) = self.migrated.as_ref().filter(|_| self.is_migrated(number)) {
             settings.core = core.clone();
         }
         settings.name = format!("n{number}");
@@ -209,17 +209,17 @@
         settings
     }
 
-    /// Whether a node runs in the shape to which the day moves.
-    pub fn is_moved(&self, number: usize) -> bool {
-        self.moved.as_ref().is_some_and(|(many, _)| number + many >= self.nodes)
+    /// Whether a node runs in the new shape.
+    pub fn is_migrated(&self, number: usize) -> bool {
+        self.migrated.as_ref().is_some_and(|(count, _)| number + count >= self.nodes)
     }
 
-    /// How long after a version of the file of cells was written a node sees it.
+    /// Delay after which a node sees a new version of the cells file.
     pub fn cells_file_delay(&self, node: usize) -> Duration {
         self.list_delay + CELLS_FILE_SPREAD * node as u32 / self.nodes.saturating_sub(1).max(1) as u32
     }
 
-    /// Reads and checks a day. `file` is used in errors only.
+    /// Parses and validates a scenario. `file` is used in errors only.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ConfigError> {
         let document = Document::parse(file, text)?;
         let root = document.only_form("day")?;
@@ -235,60 +235,62 @@
             }
         };
         if zones.is_empty() {
-            return Err(root.error("a day needs a zone"));
+            return Err(root.error("`zones` must name at least one zone"));
         }
         let nodes = root.required_form("nodes")?;
         let count = nodes.count(1, MAX_NODES as u64)? as usize;
-        let own = Document::parse("", "(node (engines \"\"))")?;
+        let placeholder = Document::parse("", "(node (engines \"\"))")?;
         let cells_form = root.optional_form("cells")?;
-        let settings = NodeSettings::read(&root, &own.only_form("node")?)?;
-        let moved = match nodes.optional_form("moved")? {
+        let settings = NodeSettings::read(&root, &placeholder.only_form("node")?)?;
+        let migrated = match nodes.optional_form("moved")? {
             None => None,
             Some(form) => {
                 let mut core = settings.core.clone();
-                let many = form.count(0, count as u64)? as usize;
+                let migrated_count = form.count(0, count as u64)? as usize;
                 read_rules(&form, &mut core)?;
                 form.finish()?;
-                Some((many, core))
+                Some((migrated_count, core))
             }
         };
-        let span = |ms: u64| Duration::from_micros(ms);
+        let micros = |us: u64| Duration::from_micros(us);
         let cells = cells_form.map(|form| CellsFile::read(&form, &settings.core)).transpose()?;
         let mut engines = Vec::new();
         for form in root.forms_named("engines")? {
-            engines.push(engines_of(&form, &settings, cells.as_ref())?);
+            engines.push(parse_engine_group(&form, &settings, cells.as_ref())?);
         }
         if engines.is_empty() {
-            return Err(root.error("a day needs `(engines ...)`"));
+            return Err(root.error("`day` needs at least one `(engines ...)`"));
         }
-        let traffic = traffic_of(&root.required_form("traffic")?, &settings)?;
-        let mut list = Vec::new();
+        let traffic = parse_traffic(&root.required_form("traffic")?, &settings)?;
+        let mut faults = Vec::new();
         for form in root.forms_named("fault")? {
-            list.push(faults::parse(&form, &zones, &settings, cells.as_ref())?);
+            faults.push(parse_fault(&form, &zones, &settings, cells.as_ref())?);
         }
-        let mut disks = BTreeMap::new();
+        let mut storage_faults = BTreeMap::new();
         for form in root.forms_named("disk")? {
             let (node, storage_fault) = (form.count(0, count as u64 - 1)? as usize, form.text()?);
             form.finish()?;
             if !STORAGE_FAULTS.contains(&storage_fault.as_str()) {
                 return Err(form.error(format!(
-                    "`{storage_fault}` is no kind of lying disk; there are {}",
+                    "unknown kind of disk fault `{storage_fault}`; expected one of {}",
                     STORAGE_FAULTS.join(", ")
                 )));
             }
-            disks.insert(node, storage_fault);
+            storage_faults.insert(node, storage_fault);
         }
         let processes = nodes.boolean_or("processes", false)?;
-        if !processes && (settings.membership.is_some() || !disks.is_empty()) {
-            return Err(nodes.error("peers and disks need `(processes yes)`: each node is a process then"));
+        if !processes && (settings.membership.is_some() || !storage_faults.is_empty()) {
+            return Err(
+                nodes.error("`peers` and `disk` need `(processes yes)`, which runs each node as a process")
+            );
         }
-        if processes && (cells.is_some() || moved.is_some()) {
-            return Err(nodes.error("nodes that are processes have no cells and no second shape yet"));
+        if processes && (cells.is_some() || migrated.is_some()) {
+            return Err(nodes.error("`(processes yes)` does not support `cells` or `moved`"));
         }
-        let day = Scenario {
+        let scenario = Scenario {
             processes,
-            disks,
-            shared: root.inner_source(&["rules", "limits", "class", "tenant", "kind"]).join("\n  "),
+            storage_faults,
+            shared_settings: root.inner_source(&["rules", "limits", "class", "tenant", "kind"]).join("\n  "),
             name: root.text_or("name", "day")?,
             seed: root.count_or("seed", 1, 0, 1 << 53)?,
             length: Duration::from_secs_f64(root.number_or("seconds", 30.0, 0.1, 86_400.0)?),
@@ -296,20 +298,20 @@
             zones,
             racks: root.count_or("racks", 2, 1, 10_000)?,
             nodes: count,
-            moved,
-            list_delay: span(nodes.millis_or("notice-ms", 500.0, 0.0, 60_000.0)?),
-            front_delay: span(nodes.millis_or("front-ms", 1000.0, 0.0, 60_000.0)?),
-            drain_grace: span(root.millis_or("drain-grace-ms", 1000.0, 0.0, 60_000.0)?),
-            slack: span(root.millis_or("slack-ms", 100.0, 0.0, 60_000.0)?),
+            migrated,
+            list_delay: micros(nodes.millis_or("notice-ms", 500.0, 0.0, 60_000.0)?),
+            front_delay: micros(nodes.millis_or("front-ms", 1000.0, 0.0, 60_000.0)?),
+            drain_grace: micros(root.millis_or("drain-grace-ms", 1000.0, 0.0, 60_000.0)?),
+            slack: micros(root.millis_or("slack-ms", 100.0, 0.0, 60_000.0)?),
             settings,
             cells,
             engines,
             traffic,
-            faults: list,
+            faults,
         };
         nodes.finish()?;
         root.finish()?;
-        Ok(day)
+        Ok(scenario)
     }
 }
 
@@ -318,12 +320,14 @@
     let (least, largest) = (inner.count(0, most)?, inner.count(0, most)?);
     inner.finish()?;
     if least > largest {
-        return Err(inner.error(format!("`{key}` goes from {least} down to {largest}")));
+        return Err(
+            inner.error(format!("`{key}` has a lower bound of {least}, above its upper bound of {largest}"))
+        );
     }
     Ok((least, largest))
 }
 
-fn engines_of(
+fn parse_engine_group(
     form: &Form,
     settings: &NodeSettings,
     cells: Option<&CellsFile>,
@@ -339,7 +343,7 @@
         }
     }
     let engine_kind = &settings.core.engine_kinds[index];
-    let span = |us: u64| Duration::from_micros(us);
+    let micros = |us: u64| Duration::from_micros(us);
     let group = EngineGroup {
         cell,
         role: engine_kind.role,
@@ -348,16 +352,16 @@
         queue: form.count_or("queue", 32, 0, 1 << 20)? as usize,
         memory_tokens: if engine_kind.memory_tokens > 0 { engine_kind.memory_tokens } else { 200_000 },
         read_tokens_per_s: form.number_or("read-per-s", 15_000.0, 1.0, 1e9)?,
-        token_gap: span(form.millis_or("token-gap-ms", 20.0, 0.01, 10_000.0)?),
+        token_gap: micros(form.millis_or("token-gap-ms", 20.0, 0.01, 10_000.0)?),
         link_tokens_per_s: form.number_or("link-per-s", 300_000.0, 1.0, 1e9)?,
-        report_interval: span(form.millis_or("report-ms", 200.0, 0.0, 60_000.0)?),
+        report_interval: micros(form.millis_or("report-ms", 200.0, 0.0, 60_000.0)?),
         kind,
     };
     form.finish()?;
     Ok(group)
 }
 
-fn traffic_of(form: &Form, settings: &NodeSettings) -> Result<Traffic, ConfigError> {
+fn parse_traffic(form: &Form, settings: &NodeSettings) -> Result<Traffic, ConfigError> {
     let mut classes = Vec::new();
     for inner in form.forms_named("class")? {
         let name = inner.text()?;
@@ -369,19 +373,19 @@
             name,
             share: inner.number_or("share", 1.0, 0.0, 1e6)?,
             turns: range(&inner, "turns", (1, 4), 1000)?,
-            adds: range(&inner, "adds", (50, 200), 1 << 20)?,
-            answer: range(&inner, "answer", (20, 60), 1 << 16)?,
-            shared: inner.number_or("shared", 0.8, 0.0, 1.0)?,
-            patience: (least as f64 / 100.0, most as f64 / 100.0),
+            added_tokens: range(&inner, "adds", (50, 200), 1 << 20)?,
+            answer_tokens: range(&inner, "answer", (20, 60), 1 << 16)?,
+            shared_text_share: inner.number_or("shared", 0.8, 0.0, 1.0)?,
+            patience_share: (least as f64 / 100.0, most as f64 / 100.0),
         };
-        if class.answer.0 == 0 || class.turns.0 == 0 || least == 0 {
-            return Err(inner.error("`answer`, `turns` and `patience-percent` begin at 1"));
+        if class.answer_tokens.0 == 0 || class.turns.0 == 0 || least == 0 {
+            return Err(inner.error("`answer`, `turns` and `patience-percent` must be at least 1"));
         }
         inner.finish()?;
         classes.push(class);
     }
     if classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-        return Err(form.error("`traffic` needs a class with a share over 0"));
+        return Err(form.error("`traffic` needs a `class` with a `share` above 0"));
     }
     let mut tenants: BTreeMap<String, f64> = BTreeMap::new();
     for inner in form.forms_named("tenant")? {
@@ -396,10 +400,10 @@
         per_second: form.number_or("per-second", 50.0, 0.01, 100_000.0)?,
         retries: form.count_or("retries", 1, 0, 100)? as u32,
         retry_wait: Duration::from_micros(form.millis_or("retry-wait-ms", 200.0, 0.0, 600_000.0)?),
-        heed: form.number_or("heed", 0.7, 0.0, 1.0)?,
-        streamed: form.number_or("streamed", 0.8, 0.0, 1.0)?,
-        shared: form.count_or("shared-texts", 12, 1, 1 << 20)?,
-        own_texts: form.count_or("own-texts", 0, 0, 1)? == 1,
+        obey_retry_after_share: form.number_or("heed", 0.7, 0.0, 1.0)?,
+        streamed_share: form.number_or("streamed", 0.8, 0.0, 1.0)?,
+        shared_texts: form.count_or("shared-texts", 12, 1, 1 << 20)?,
+        texts_per_tenant: form.count_or("own-texts", 0, 0, 1)? == 1,
         shared_tokens: range(form, "shared-tokens", (200, 800), 1 << 20)?,
         classes,
         tenants: tenants.into_iter().filter(|(_, share)| *share > 0.0).collect(),
--- a/crates/pintally-scenario/src/traffic.rs
+++ b/crates/pintally-scenario/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What clients send and when: drawn from the seed, in sessions whose prompts grow.
+//! Generates the clients' requests from a seed, in sessions whose prompts grow with each turn.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 use crate::spec::{ClassTraffic, Traffic};
 
-/// Bytes that stand for one token, at clients and engines alike.
-const BYTES: u64 = 4;
-/// Sessions between turns; beyond it the oldest is given up.
-const MAX_OPEN: usize = 4096;
+/// Bytes that count as one token, for clients as for engines.
+const BYTES_PER_TOKEN: u64 = 4;
+/// Sessions kept between turns; beyond this number the oldest is dropped.
+const MAX_OPEN_SESSIONS: usize = 4096;
 
-/// One request before it has a node.
+/// One request, before a node is chosen for it.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct RequestDraft {
@@ -28,9 +28,10 @@
     pub max_tokens: u64,
     pub patience: Duration,
     pub streamed: bool,
-    pub heeds: bool,
-    /// Where in its patience it leaves, should clients leave early, and whether it is one of those.
-    pub leaves: (f64, f64),
+    pub obeys_retry_after: bool,
+    /// Two draws from 0 to 1 for early leaving: the client leaves early if the first is below the share of
+    /// clients that do, after the part of its patience that the second gives.
+    pub early_leave: (f64, f64),
 }
 
 struct Session {
@@ -43,7 +44,7 @@
     turns: u64,
 }
 
-/// Draws requests.
+/// Generates requests from a seed.
 pub struct TrafficGenerator {
     traffic: Traffic,
     patience: Vec<Duration>,
@@ -55,7 +56,7 @@
 }
 
 impl TrafficGenerator {
-    /// Draws what `traffic` says from a seed, for clients in so many zones.
+    /// Creates a generator of `traffic` for clients in `zones` zones.
     pub fn new(traffic: &Traffic, settings: &NodeSettings, zones: usize, seed: u64) -> TrafficGenerator {
         let patience = |c: &ClassTraffic| {
             let index = settings.core.classes.iter().position(|k| k.name == c.name);
@@ -65,8 +66,8 @@
             patience: traffic.classes.iter().map(patience).collect(),
             zones,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            // Popularity falls as the rank grows, as of texts everywhere.
-            popularity: Zipf::new(traffic.shared as f64, 1.0)
+            // The popularity of shared texts follows Zipf's law.
+            popularity: Zipf::new(traffic.shared_texts as f64, 1.0)
                 .unwrap_or_else(|_| Zipf::new(1.0, 1.0).expect("one text")),
             open: Vec::new(),
             sessions: 0,
@@ -74,78 +75,86 @@
         }
     }
 
-    /// The time until the next request, at a multiple of the usual rate.
-    pub fn gap(&mut self, rate: f64) -> Duration {
+    /// Time until the next request, at `rate` times the usual rate.
+    pub fn next_interval(&mut self, rate: f64) -> Duration {
         let per_second = (self.traffic.per_second * rate).max(1e-3);
-        let gap = Exp::new(per_second).map_or(1.0, |e| e.sample(&mut self.rng));
-        Duration::from_secs_f64(gap.min(60.0))
+        let gap_s = Exp::new(per_second).map_or(1.0, |e| e.sample(&mut self.rng));
+        Duration::from_secs_f64(gap_s.min(60.0))
     }
 
-    /// The next request; `hot` is the share that begins with one text of its own.
-    pub fn draw(&mut self, hot: f64) -> RequestDraft {
-        let class = self.pick(&self.traffic.classes.iter().map(|c| c.share).collect::<Vec<_>>());
-        let hot = self.rng.random::<f64>() < hot;
-        let ready: Vec<usize> = (0..self.open.len()).filter(|&i| self.open[i].class == class).collect();
+    /// Next request; `hot_text_share` of the requests begin with one common text.
+    pub fn next_request(&mut self, hot_text_share: f64) -> RequestDraft {
+        let class = self.pick_weighted(&self.traffic.classes.iter().map(|c| c.share).collect::<Vec<_>>());
+        let is_hot = self.rng.random::<f64>() < hot_text_share;
+        let open_of_class: Vec<usize> =
+            (0..self.open.len()).filter(|&i| self.open[i].class == class).collect();
         let turns = self.traffic.classes[class].turns;
-        let mean = (turns.0 + turns.1) as f64 / 2.0;
-        let goes_on = !hot && !ready.is_empty() && self.rng.random::<f64>() < 1.0 - 1.0 / mean;
-        let mut session = if goes_on {
-            let at = ready[self.rng.random_range(0..ready.len())];
+        let mean_turns = (turns.0 + turns.1) as f64 / 2.0;
+        let continues =
+            !is_hot && !open_of_class.is_empty() && self.rng.random::<f64>() < 1.0 - 1.0 / mean_turns;
+        let mut session = if continues {
+            let at = open_of_class[self.rng.random_range(0..open_of_class.len())];
             self.open.swap_remove(at)
         } else {
-            self.begin(class, hot)
+            self.new_session(class, is_hot)
         };
-        let kind = self.traffic.classes[class].clone();
-        let adds = self.rng.random_range(kind.adds.0..=kind.adds.1);
-        session.text.push_str(&text(self.rng.random(), adds));
+        let class_traffic = self.traffic.classes[class].clone();
+        let added_tokens = self.rng.random_range(class_traffic.added_tokens.0..=class_traffic.added_tokens.1);
+        session.text.push_str(&text(self.rng.random(), added_tokens));
         session.turns = session.turns.saturating_sub(1);
-        let part = self.rng.random_range(kind.patience.0..=kind.patience.1);
+        let patience_share =
+            self.rng.random_range(class_traffic.patience_share.0..=class_traffic.patience_share.1);
         let draft = RequestDraft {
-            class: kind.name.clone(),
+            class: class_traffic.name.clone(),
             tenant: session.tenant.clone(),
             zone: self.rng.random_range(0..self.zones),
             session: session.id,
             prefix: session.prefix,
             prefix_tokens: session.prefix_tokens,
             prompt: session.text.clone(),
-            max_tokens: self.rng.random_range(kind.answer.0..=kind.answer.1),
-            patience: self.patience[class].mul_f64(part),
-            streamed: self.rng.random::<f64>() < self.traffic.streamed,
-            heeds: self.rng.random::<f64>() < self.traffic.heed,
-            leaves: (self.rng.random(), self.rng.random()),
+            max_tokens: self.rng.random_range(class_traffic.answer_tokens.0..=class_traffic.answer_tokens.1),
+            patience: self.patience[class].mul_f64(patience_share),
+            streamed: self.rng.random::<f64>() < self.traffic.streamed_share,
+            obeys_retry_after: self.rng.random::<f64>() < self.traffic.obey_retry_after_share,
+            early_leave: (self.rng.random(), self.rng.random()),
         };
         if session.turns > 0 {
             self.open.push(session);
-            if self.open.len() > MAX_OPEN {
+            if self.open.len() > MAX_OPEN_SESSIONS {
                 self.open.remove(0);
             }
         }
         draft
     }
 
-    /// The next request of one tenant.
-    pub fn draw_for(&mut self, tenant: &str) -> RequestDraft {
-        let mut draft = self.draw(0.0);
+    /// Next request, assigned to one tenant.
+    pub fn next_request_of(&mut self, tenant: &str) -> RequestDraft {
+        let mut draft = self.next_request(0.0);
         draft.tenant = Some(tenant.to_string());
         draft.session |= 1 << 40;
         draft
     }
 
-    fn begin(&mut self, class: usize, hot: bool) -> Session {
-        let kind = &self.traffic.classes[class];
-        let (turns, shared) = (kind.turns, kind.shared);
-        let prefix = match hot {
+    fn new_session(&mut self, class: usize, is_hot: bool) -> Session {
+        let class_traffic = &self.traffic.classes[class];
+        let (turns, shared_text_share) = (class_traffic.turns, class_traffic.shared_text_share);
+        let prefix = match is_hot {
             true => Some(1 << 20),
-            false if self.rng.random::<f64>() < shared => Some(self.popularity.sample(&mut self.rng) as u64),
+            false if self.rng.random::<f64>() < shared_text_share => {
+                Some(self.popularity.sample(&mut self.rng) as u64)
+            }
             false => None,
         };
-        let (least, most) = self.traffic.shared_tokens;
+        let (min_tokens, max_tokens) = self.traffic.shared_tokens;
         let tenants: Vec<f64> = self.traffic.tenants.iter().map(|t| t.1).collect();
-        let place = if tenants.is_empty() { None } else { Some(self.pick(&tenants)) };
-        let own = place.filter(|_| self.traffic.own_texts && !hot).map_or(0, |p| (p as u64 + 1) << 24);
-        let prefix = prefix.map(|p| p | own);
-        let prefix_tokens = prefix.map_or(0, |p| ChaCha8Rng::seed_from_u64(p).random_range(least..=most));
-        let tenant = place.map(|p| self.traffic.tenants[p].0.clone());
+        let tenant_index = if tenants.is_empty() { None } else { Some(self.pick_weighted(&tenants)) };
+        let tenant_bits = tenant_index
+            .filter(|_| self.traffic.texts_per_tenant && !is_hot)
+            .map_or(0, |p| (p as u64 + 1) << 24);
+        let prefix = prefix.map(|p| p | tenant_bits);
+        let prefix_tokens =
+            prefix.map_or(0, |p| ChaCha8Rng::seed_from_u64(p).random_range(min_tokens..=max_tokens));
+        let tenant = tenant_index.map(|p| self.traffic.tenants[p].0.clone());
         self.sessions += 1;
         Session {
             class,
@@ -158,11 +167,11 @@
         }
     }
 
-    fn pick(&mut self, shares: &[f64]) -> usize {
-        let mut left = self.rng.random::<f64>() * shares.iter().sum::<f64>();
+    fn pick_weighted(&mut self, shares: &[f64]) -> usize {
+        let mut remaining = self.rng.random::<f64>() * shares.iter().sum::<f64>();
         for (index, share) in shares.iter().enumerate() {
-            left -= share;
-            if left < 0.0 {
+            remaining -= share;
+            if remaining < 0.0 {
                 return index;
             }
         }
@@ -170,10 +179,16 @@
     }
 }
 
-/// A text of so many tokens: the same for the same number.
-fn text(of: u64, tokens: u64) -> String {
-    let mut rng = ChaCha8Rng::seed_from_u64(of);
-    (0..tokens * BYTES)
-        .map(|i| if i % BYTES == BYTES - 1 { ' ' } else { char::from(b'a' + rng.random_range(0..26u8)) })
+/// A text of `tokens` tokens, derived from `seed`.
+fn text(seed: u64, tokens: u64) -> String {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    (0..tokens * BYTES_PER_TOKEN)
+        .map(|i| {
+            if i % BYTES_PER_TOKEN == BYTES_PER_TOKEN - 1 {
+                ' '
+            } else {
+                char::from(b'a' + rng.random_range(0..26u8))
+            }
+        })
         .collect()
 }
--- a/crates/pintally-scenario/tests/broken_nodes.rs
+++ b/crates/pintally-scenario/tests/broken_nodes.rs
@@ -1,5 +1,5 @@
-//! Every audit can fail: deliberately broken nodes play a small day, and each is caught by the rule
-//! that it breaks. The same node without a fault keeps all rules on the same day.
+//! Each rule of the audit can fail: deliberately broken nodes run a small scenario, and each breaks exactly the
+//! rule that its fault violates, or at least that rule. The same node without a fault keeps all rules.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -31,13 +31,13 @@
     ForgetsStates,
 }
 
-/// A node that is no node: the first engines of the list serve, one request a thread.
-struct BadNode {
+/// A minimal node: it uses the first engines of the list, with one thread per request.
+struct BrokenNode {
     address: SocketAddr,
     dead: Arc<AtomicBool>,
 }
 
-impl RunningNode for BadNode {
+impl RunningNode for BrokenNode {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -52,7 +52,7 @@
     }
 }
 
-struct BadWork {
+struct BrokenNodeServer {
     settings: Arc<NodeSettings>,
     fault: Fault,
     serial: AtomicU64,
@@ -62,7 +62,8 @@
     let listener = TcpListener::bind(settings.listen).unwrap();
     let address = listener.local_addr().unwrap();
     let dead = Arc::new(AtomicBool::new(false));
-    let (flag, shared) = (dead.clone(), Arc::new(BadWork { settings, fault, serial: AtomicU64::new(0) }));
+    let (flag, shared) =
+        (dead.clone(), Arc::new(BrokenNodeServer { settings, fault, serial: AtomicU64::new(0) }));
     thread::spawn(move || {
         for client in listener.incoming().map_while(Result::ok) {
             if flag.load(Ordering::Acquire) {
@@ -72,16 +73,16 @@
             thread::spawn(move || shared.serve(client));
         }
     });
-    Box::new(BadNode { address, dead })
+    Box::new(BrokenNode { address, dead })
 }
 
-impl BadWork {
+impl BrokenNodeServer {
     fn engines(&self) -> Vec<EngineEntry> {
         let text = std::fs::read_to_string(&self.settings.engines_file).unwrap_or_default();
         EngineList::parse("", &text).map(|l| l.engines).unwrap_or_default()
     }
 
-    /// The first engine of a kind that takes work; the fault may prefer others.
+    /// The first serving engine of a kind, unless the fault prefers another one.
     fn pick(&self, kind: &str) -> Option<EngineEntry> {
         let mut all: Vec<EngineEntry> = self.engines().into_iter().filter(|e| e.kind == kind).collect();
         if self.fault == Fault::SendsToDrained {
@@ -93,7 +94,7 @@
         let cold = all.iter().position(|e| e.started_unix_ms.is_some());
         match cold.filter(|_| self.fault == Fault::RushesCold) {
             Some(at) => Some(all.swap_remove(at)),
-            // Honest nodes leave cold engines alone altogether.
+            // Without that fault, cold engines are not used at all.
             None => all.into_iter().find(|e| e.started_unix_ms.is_none()),
         }
     }
@@ -175,12 +176,12 @@
         if self.fault == Fault::AnswersLate && every_fifth {
             thread::sleep(Duration::from_millis(ask.deadline_ms.unwrap_or(0) + 2500));
         }
-        let Some((outcome, text)) = self.whole(&ask, &id, 0) else {
+        let Some((outcome, text)) = self.read_and_write(&ask, &id, 0) else {
             let _ = client.write_all(&response(502, &[], b"{}"));
             return;
         };
         if self.fault == Fault::RunsUnsafeTwice && ask.class.as_deref() == Some("graded-submit") {
-            self.whole(&ask, &id, 10);
+            self.read_and_write(&ask, &id, 10);
         }
         if self.fault == Fault::RefusesWhatRan && ask.class.as_deref() == Some("graded-submit") {
             let _ = client.write_all(&response(503, &[], b"{}"));
@@ -206,12 +207,13 @@
         }
         if self.fault == Fault::SendsAfterTheEnd && every_fifth {
             thread::sleep(Duration::from_millis(2500));
-            self.whole(&ask, &format!("{id}-again"), 0);
+            self.read_and_write(&ask, &format!("{id}-again"), 0);
         }
     }
 
-    /// Read and write; whatever state is left is let go, but for the fault that forgets.
-    fn whole(&self, ask: &InferenceRequest, id: &str, n: u32) -> Option<(Outcome, String)> {
+    /// Reads and writes a request; releases the read state if it is not fetched, unless the fault is to
+    /// forget it.
+    fn read_and_write(&self, ask: &InferenceRequest, id: &str, n: u32) -> Option<(Outcome, String)> {
         let reader = self.pick("prefill")?;
         let (outcome, _, state) = self.attempt(ask, id, n, Step::Read, &reader, None)?;
         if outcome != Outcome::Read {
@@ -235,7 +237,7 @@
     }
 }
 
-const DAY: &str = r#"(day (name "broken") (seconds 4) (settle-seconds 12) (slack-ms 400)
+const SCENARIO: &str = r#"(day (name "broken") (seconds 4) (settle-seconds 12) (slack-ms 400)
   (nodes 1 (notice-ms 50)) (racks 1) (drain-grace-ms 300)
   (rules (warm-after-ms 60000) (tip-window-ms 1000) (cold-from 0.1) (tip-multiple 1))
   (class "hint" (effect safe) (aim-ms 1000) (patience-ms 2500))
@@ -250,51 +252,51 @@
   (fault drain (at 0.5) (for 60) (engines "decode-1"))
   (fault replace (at 1) (for 0.1) (engines "prefill-2") (size 500)))"#;
 
-fn play(fault: Fault) -> Report {
-    let day = Scenario::parse("broken", DAY).unwrap();
+fn run(fault: Fault) -> Report {
+    let scenario = Scenario::parse("broken", SCENARIO).unwrap();
     let start = |settings: Arc<NodeSettings>, _seed: u64| Ok(launch(fault, settings));
-    let report = run_steady(&day, 11, Some(&start)).unwrap().report;
+    let report = run_steady(&scenario, 11, Some(&start)).unwrap().report;
     assert!(report.requests > 60, "{report:?}");
     report
 }
 
-/// The rules that a broken node breaks, by name.
-fn broken(fault: Fault) -> Vec<&'static str> {
-    let report = play(fault);
+/// Names of the rules that a node with this fault breaks.
+fn broken_rules(fault: Fault) -> Vec<&'static str> {
+    let report = run(fault);
     report.rules.each().iter().filter(|(_, found)| !found.is_empty()).map(|(name, _)| *name).collect()
 }
 
 #[test]
-fn the_same_node_without_a_fault_keeps_all_rules() {
-    let report = play(Fault::None);
+fn node_without_fault_keeps_all_rules() {
+    let report = run(Fault::None);
     assert!(report.rules.kept(), "{:#?}", report.rules);
     assert_eq!(report.served, report.requests);
 }
 
 #[test]
-fn lost_requests_are_caught() {
+fn lost_requests_are_detected() {
     for fault in [Fault::NeverAnswers, Fault::AnswersTwice, Fault::AnswersLate, Fault::SendsAfterTheEnd] {
-        assert!(broken(fault).contains(&"lost"), "{fault:?}");
+        assert!(broken_rules(fault).contains(&"lost"), "{fault:?}");
     }
 }
 
 #[test]
-fn effects_that_happen_twice_are_caught() {
-    assert_eq!(broken(Fault::RunsUnsafeTwice), ["twice"]);
-    assert_eq!(broken(Fault::RefusesWhatRan), ["twice"]);
+fn repeated_effects_are_detected() {
+    assert_eq!(broken_rules(Fault::RunsUnsafeTwice), ["twice"]);
+    assert_eq!(broken_rules(Fault::RefusesWhatRan), ["twice"]);
 }
 
 #[test]
-fn work_for_a_drained_engine_is_caught() {
-    assert_eq!(broken(Fault::SendsToDrained), ["drain"]);
+fn work_for_a_drained_engine_is_detected() {
+    assert_eq!(broken_rules(Fault::SendsToDrained), ["drain"]);
 }
 
 #[test]
-fn a_cold_engine_pushed_over_is_caught() {
-    assert!(broken(Fault::RushesCold).contains(&"cold"));
+fn overload_of_a_cold_engine_is_detected() {
+    assert!(broken_rules(Fault::RushesCold).contains(&"cold"));
 }
 
 #[test]
-fn states_that_are_forgotten_are_caught() {
-    assert_eq!(broken(Fault::ForgetsStates), ["pinned"]);
+fn unreleased_states_are_detected() {
+    assert_eq!(broken_rules(Fault::ForgetsStates), ["pinned"]);
 }
--- a/crates/pintally-scenario/tests/door.rs
+++ b/crates/pintally-scenario/tests/client_interface.rs
@@ -1,4 +1,5 @@
-//! The door of a node: whatever a client sends gets a clear answer, holds nobody, and loses nothing.
+//! The client interface of a node: every message gets a clear answer, blocks no other client, and leaks no
+//! resources.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -20,8 +21,8 @@
     Rig::new(SETTINGS, vec![Rig::spec("r0", Role::Reader), Rig::spec("w0", Role::Writer)]).unwrap()
 }
 
-/// Sends bytes and returns the status line and body of whatever comes back.
-fn talk(rig: &Rig, bytes: &[u8]) -> (u16, String) {
+/// Sends bytes and returns the status and the text of the answer.
+fn exchange(rig: &Rig, bytes: &[u8]) -> (u16, String) {
     let mut stream = TcpStream::connect(rig.address()).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let _ = stream.write_all(bytes);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn each_bad_message_gets_its_own_answer() {
+fn each_bad_request_gets_its_own_error() {
     let rig = rig();
     let generate = "/v2/models/default/generate";
     let long = "x".repeat(70_000);
@@ -77,22 +78,25 @@
         (post("/v2", "{}"), 405, "method"),
         (pintally_http::request("GET", generate, &[], b""), 405, "method"),
     ];
-    for (bytes, status, why) in &cases {
-        let (got, text) = talk(&rig, bytes);
+    for (bytes, status, reason) in &cases {
+        let (got, text) = exchange(&rig, bytes);
         assert_eq!(got, *status, "{}: {text}", String::from_utf8_lossy(&bytes[..bytes.len().min(80)]));
-        assert!(text.contains(why), "{text}");
+        assert!(text.contains(reason), "{text}");
     }
     let counters = rig.node().unwrap().counters();
     assert_eq!(counters.bad_requests, cases.len() as u64);
     assert_eq!(counters.host.accepted, 0, "a bad message reached the host");
-    // And the node serves on.
-    assert_eq!(rig.client.attempt(&rig.ask("good", "hint")), AttemptResult::Answered(Answer::Served, None));
+    // The node still serves.
+    assert_eq!(
+        rig.client.attempt(&rig.new_attempt("good", "hint")),
+        AttemptResult::Answered(Answer::Served, None)
+    );
 }
 
 #[test]
-fn health_and_metadata() {
+fn health_and_metadata_endpoints_answer() {
     let rig = rig();
-    let get = |target: &str| talk(&rig, &pintally_http::request("GET", target, &[("host", "n")], b""));
+    let get = |target: &str| exchange(&rig, &pintally_http::request("GET", target, &[("host", "n")], b""));
     assert_eq!(get("/v2/health/live").0, 200);
     assert_eq!(get("/v2/health/ready").0, 200);
     assert_eq!(get("/v2/models/default/ready").0, 200);
@@ -101,73 +105,73 @@
     assert!(get("/v2/models/default/versions/1").1.contains("text_input"));
 }
 
-/// Guards against connections that never say what they want.
+/// Guards against connections that never complete a request.
 #[test]
-fn a_message_that_does_not_come_in_time_is_answered_and_closed() {
+fn incomplete_request_times_out_with_408() {
     let rig = rig();
     for part in
         ["POST /v2/models/default/generate HTTP/1.1\r\n", "POST /x HTTP/1.1\r\ncontent-length: 9\r\n\r\nabc"]
     {
         let begin = Instant::now();
-        assert_eq!(talk(&rig, part.as_bytes()).0, 408);
+        assert_eq!(exchange(&rig, part.as_bytes()).0, 408);
         assert!(begin.elapsed() >= Duration::from_millis(390), "{:?}", begin.elapsed());
     }
 }
 
-/// Guards against more connections than there is room for, and a place that is never given back.
+/// Guards against connections above the limit, and against slots that are not freed.
 #[test]
-fn connections_over_the_limit_are_turned_away_and_their_places_come_back() {
+fn connections_over_the_limit_are_refused_and_slots_freed() {
     let rig = rig();
     let full = |rig: &Rig| rig.node().unwrap().open_connections() == 40;
     let held: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(rig.address()).unwrap()).collect();
-    let by = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !full(&rig) {
-        assert!(Instant::now() < by);
+        assert!(Instant::now() < deadline);
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(talk(&rig, b"GET /v2 HTTP/1.1\r\n\r\n").0, 503);
+    assert_eq!(exchange(&rig, b"GET /v2 HTTP/1.1\r\n\r\n").0, 503);
     drop(held);
     while rig.node().unwrap().open_connections() > 0 {
-        assert!(Instant::now() < by, "places did not come back");
+        assert!(Instant::now() < deadline, "connection slots were not freed");
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(talk(&rig, b"GET /v2 HTTP/1.1\r\n\r\n").0, 200);
+    assert_eq!(exchange(&rig, b"GET /v2 HTTP/1.1\r\n\r\n").0, 200);
     assert_eq!(rig.node().unwrap().counters().over_limit, 1);
 }
 
-/// Guards against bodies that fill the memory together though each is small enough.
+/// Guards against bodies that exhaust memory together although each is below its own limit.
 #[test]
-fn bodies_over_their_common_bound_are_turned_away_and_the_room_comes_back() {
+fn bodies_over_the_shared_limit_are_refused_and_space_freed() {
     let rig = rig();
     let half = "x".repeat(60_000);
     let head = format!("POST /v2/models/default/generate HTTP/1.1\r\ncontent-length: 65000\r\n\r\n{half}");
     let mut first = TcpStream::connect(rig.address()).unwrap();
     first.write_all(head.as_bytes()).unwrap();
-    let by = Instant::now() + Duration::from_secs(10);
-    // The first body's room is taken as it comes in: from then on a second one does not fit.
+    let deadline = Instant::now() + Duration::from_secs(10);
+    // Space for the first body is reserved while it arrives; from then on a second body does not fit.
     loop {
-        let (status, text) = talk(&rig, head.as_bytes());
+        let (status, text) = exchange(&rig, head.as_bytes());
         if status == 503 {
             assert!(text.contains("room") && text.contains("\"retry_is_harmless\":true"), "{text}");
             break;
         }
-        assert!(Instant::now() < by, "both bodies were taken: {status}");
+        assert!(Instant::now() < deadline, "both bodies were taken: {status}");
         first = TcpStream::connect(rig.address()).unwrap();
         first.write_all(head.as_bytes()).unwrap();
     }
     drop(first);
     while rig.node().unwrap().open_connections() > 0 {
-        assert!(Instant::now() < by, "the first connection stays");
+        assert!(Instant::now() < deadline, "the first connection was not closed");
         std::thread::sleep(Duration::from_millis(2));
     }
-    // A machine that stands still for longer than `receive-ms` makes one of them late.
+    // A machine that stalls for longer than `receive-ms` can make a request time out, so it is repeated.
     let whole = post("/v2/models/default/generate", &format!("{{\"text_input\":\"{half}\"}}"));
-    while talk(&rig, &whole).0 != 200 {
-        assert!(Instant::now() < by, "the room did not come back");
+    while exchange(&rig, &whole).0 != 200 {
+        assert!(Instant::now() < deadline, "the space for bodies was not freed");
     }
 }
 
-/// Several requests on one connection, sent at once, are answered in order.
+/// Pipelined requests on one connection are answered in order.
 #[test]
 fn requests_on_one_connection_are_answered_in_order() {
     let rig = rig();
@@ -179,8 +183,8 @@
     stream.write_all(&bytes).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
-    let places: Vec<_> = ["first", "second", "live"].iter().map(|w| text.find(w).expect(&text)).collect();
-    assert!(places.is_sorted(), "{text}");
+    let positions: Vec<_> = ["first", "second", "live"].iter().map(|w| text.find(w).expect(&text)).collect();
+    assert!(positions.is_sorted(), "{text}");
     assert!(text.contains("\"outputs\""), "{text}");
 }
 
@@ -190,27 +194,27 @@
     )
 }
 
-/// Stops in good order: what is held is ended, what comes is refused, states are let go.
+/// A graceful stop ends the waiting requests within its time limit and releases their read states.
 #[test]
-fn stopping_ends_what_is_held_within_its_bound() {
+fn graceful_stop_ends_waiting_requests_in_time() {
     let rig = rig();
     rig.engine("w0").unwrap().fault(|f| f.hang = true);
-    let (client, ask) = (rig.client.clone(), rig.ask("held", "hint"));
-    let waits = std::thread::spawn(move || client.attempt(&ask));
-    let took = |w: &pintally_audit::AuditEvent| {
+    let (client, attempt) = (rig.client.clone(), rig.new_attempt("held", "hint"));
+    let waiting = std::thread::spawn(move || client.attempt(&attempt));
+    let is_fetch = |w: &pintally_audit::AuditEvent| {
         matches!(w, pintally_audit::AuditEvent::AttemptArrived { step: pintally_audit::Step::Fetch, .. })
     };
-    rig.fleet.recorder.wait_for(Duration::from_secs(10), took).expect("it was never sent");
+    rig.fleet.recorder.wait_for(Duration::from_secs(10), is_fetch).expect("it was never sent");
     let begin = Instant::now();
     let report = rig.finish().unwrap();
     assert!(begin.elapsed() < Duration::from_secs(5), "{:?}", begin.elapsed());
-    assert!(matches!(waits.join().unwrap(), AttemptResult::Answered(Answer::Failed | Answer::Refused, _)));
+    assert!(matches!(waiting.join().unwrap(), AttemptResult::Answered(Answer::Failed | Answer::Refused, _)));
     assert!(report.rules.kept(), "{:#?}", report.rules);
 }
 
-/// A client that shuts its sending side behind its request counts as one that leaves.
+/// A client that shuts down its sending side after the request counts as disconnected.
 #[test]
-fn a_half_closed_client_counts_as_gone() {
+fn half_closed_client_counts_as_disconnected() {
     let rig = rig();
     rig.engine("w0").unwrap().fault(|f| f.hang = true);
     let mut stream = TcpStream::connect(rig.address()).unwrap();
@@ -220,9 +224,9 @@
         |w: &pintally_audit::AuditEvent| matches!(w, pintally_audit::AuditEvent::AttemptArrived { .. });
     rig.fleet.recorder.wait_for(Duration::from_secs(10), took).expect("it was never sent");
     stream.shutdown(Shutdown::Write).unwrap();
-    let by = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while rig.node().unwrap().counters().host.clients_left == 0 {
-        assert!(Instant::now() < by, "the node never saw it leave");
+        assert!(Instant::now() < deadline, "the node never saw it leave");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/pintally-scenario/tests/examples.rs
+++ b/crates/pintally-scenario/tests/examples.rs
@@ -1,10 +1,10 @@
-//! The files of `examples/` are read by the parsers that their first words name.
+//! The files of `examples/` parse with the parser for their first word.
 
 use pintally_cells::CellsFile;
 use pintally_config::{EngineList, NodeSettings};
 use pintally_scenario::Scenario;
 
-const DAYS: [&str; 7] =
+const SCENARIOS: [&str; 7] =
     ["bad-day", "cells-day", "flood-day", "move-day", "power-day", "price-day", "region-day"];
 const NODES: [&str; 3] = ["node", "node-silent", "regions"];
 
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn examples_are_read() {
-    for name in DAYS {
+fn examples_parse() {
+    for name in SCENARIOS {
         Scenario::parse(name, &example(name)).unwrap_or_else(|error| panic!("{error}"));
     }
     for name in NODES {
@@ -26,7 +26,7 @@
     CellsFile::parse("cells", &example("cells"), &node.core).expect("sound cells");
 }
 
-/// A new example belongs into one of the lists above; `demand` is read by the command line's own package.
+/// Each example must be in one of the lists above; `demand` is parsed by a test of the CLI package.
 #[test]
 fn all_examples_are_listed() {
     let mut found: Vec<String> = std::fs::read_dir("../../examples")
@@ -35,7 +35,7 @@
         .filter_map(|path| path.file_stem().map(|name| name.to_string_lossy().into_owned()))
         .collect();
     found.sort();
-    let mut listed = [&DAYS[..], &NODES, &["engines", "cells", "demand"]].concat();
+    let mut listed = [&SCENARIOS[..], &NODES, &["engines", "cells", "demand"]].concat();
     listed.sort();
     assert_eq!(found, listed);
 }
