--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -80,7 +80,7 @@
     Done,
     /// Move sessions back.
     Back,
-    /// Close the migration and make the target cells the tenant's home.
+    /// Close the migration; after `done` the target cells become the home of the tenant.
     Settle,
 }
 
