--- a/crates/pintally-placement/src/lib.rs
+++ b/crates/pintally-placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plans of cells: which engines and tenants go where, and by which safe steps.
+//! Plans of cells: assigns engines and tenants to cells, and orders the moves into safe steps.
 //!
-//! A plan is made by hand, now and then, by a command: nodes do not carry the solver. The greedy plan
-//! stands beside it as the baseline.
+//! An operator makes a plan occasionally with a command, so nodes do not contain the solver. The greedy plan
+//! is the baseline for comparison.
 
 mod greedy;
 mod model;
--- a/crates/pintally-placement/src/problem.rs
+++ b/crates/pintally-placement/src/problem.rs
@@ -1,85 +1,85 @@
-//! What is to be planned, and what a plan is worth.
+//! The planning problem, and the validity, shortfalls and cost of a plan.
 
 use std::fmt;
 
-/// Engines that are alike: one kind in one zone and rack.
+/// Identical engines: one kind in one zone and rack.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// A name for people.
+    /// A name to display.
     pub name: String,
-    /// The zone.
+    /// The number of the zone.
     pub zone: usize,
-    /// Reading that one of them does, in any unit that demand is given in.
+    /// Read capacity of one engine, in the unit of the tenants' demand.
     pub reads: f64,
-    /// Writing that one of them does.
+    /// Write capacity of one engine, in the unit of the tenants' demand.
     pub writes: f64,
-    /// How many of them each cell has now.
+    /// The current number of engines in each cell.
     pub now: Vec<usize>,
-    /// How many are spare now.
+    /// The current number of engines in no cell.
     pub spare: usize,
 }
 
 impl Group {
-    /// How many there are.
+    /// The number of all engines of the group.
     pub fn count(&self) -> usize {
         self.now.iter().sum::<usize>() + self.spare
     }
 }
 
-/// A tenant and what it demands.
+/// A tenant and its demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// A name to display.
     pub name: String,
-    /// Reading that it demands.
+    /// Read demand.
     pub reads: f64,
-    /// Writing that it demands.
+    /// Write demand.
     pub writes: f64,
-    /// Its cell now.
+    /// The index of its current cell.
     pub now: usize,
-    /// It must stay there.
+    /// Whether it must stay in its current cell.
     pub pinned: bool,
 }
 
-/// A fleet to be planned.
+/// A fleet to plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// The cells' names.
+    /// The names of the cells.
     pub cells: Vec<String>,
     /// The engines.
     pub groups: Vec<Group>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Capacity over demand that each cell is to have: 0.2 for a fifth more.
+    /// The capacity that each cell must have above its demand, as a share of the demand: 0.2 for a fifth more.
     pub margin: f64,
-    /// The largest part of a cell's reading or writing that may stand in one zone.
+    /// The maximum share of a cell's read or write capacity that may be in one zone.
     pub zone_share: f64,
-    /// What moving a tenant costs, in engines moved.
+    /// The cost of moving a tenant, in engine moves.
     pub tenant_cost: f64,
 }
 
-/// Where everything goes.
+/// An assignment of engines and tenants to cells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Engines of each group in each cell.
+    /// The number of engines of each group in each cell.
     pub engines: Vec<Vec<usize>>,
     /// The cell of each tenant.
     pub tenants: Vec<usize>,
 }
 
-/// What a plan lacks.
+/// A constraint that a plan does not meet, and by how much.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shortfall {
-    /// A cell lacks so much reading.
+    /// A cell (by index) lacks this much read capacity.
     Reads(usize, f64),
-    /// A cell lacks so much writing.
+    /// A cell (by index) lacks this much write capacity.
     Writes(usize, f64),
-    /// So much of a cell's capacity is over its part in one zone.
+    /// A cell (first index) has this much more of its capacity in a zone (second number) than `zone_share` allows.
     Zone(usize, usize, f64),
 }
 
 impl Shortfall {
-    /// The finding in words.
+    /// Describes the shortfall with the name of the cell.
     pub fn describe<'a>(&'a self, problem: &'a Problem) -> impl fmt::Display + 'a {
         struct ShortfallText<'a>(&'a Shortfall, &'a Problem);
         impl fmt::Display for ShortfallText<'_> {
@@ -98,15 +98,15 @@
     }
 }
 
-/// What an engine costs that leaves a cell, against one that comes into one: a spare engine is used
-/// before another cell's, and none is taken away for nothing.
-pub(crate) const LEAVING: f64 = 0.5;
+/// The cost of removing an engine from a cell, relative to adding one. It makes plans use spare engines before
+/// those of other cells, and keeps them from removing engines without need.
+pub(crate) const REMOVAL_COST: f64 = 0.5;
 
-/// What is less than this is rounding.
-pub(crate) const SMALL: f64 = 1e-6;
+/// Smaller differences are rounding errors.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Problem {
-    /// The plan that holds now.
+    /// The current assignment.
     pub fn current_plan(&self) -> Plan {
         Plan {
             engines: self.groups.iter().map(|g| g.now.clone()).collect(),
@@ -114,12 +114,12 @@
         }
     }
 
-    /// The zones, by number.
-    pub(crate) fn zones(&self) -> usize {
+    /// The number of zones.
+    pub(crate) fn zone_count(&self) -> usize {
         self.groups.iter().map(|g| g.zone + 1).max().unwrap_or(0)
     }
 
-    /// Reading and writing that a cell has under a plan.
+    /// Read and write capacity of a cell under a plan.
     pub fn capacity(&self, plan: &Plan, cell: usize) -> (f64, f64) {
         let each = self.groups.iter().zip(&plan.engines);
         each.fold((0.0, 0.0), |(r, w), (g, n)| {
@@ -128,28 +128,28 @@
         })
     }
 
-    /// Reading and writing that a cell's tenants demand, with the margin.
+    /// Read and write demand of a cell's tenants under a plan, with the margin.
     pub fn demand(&self, plan: &Plan, cell: usize) -> (f64, f64) {
         let own = self.tenants.iter().zip(&plan.tenants).filter(|(_, c)| **c == cell);
         let sum = own.fold((0.0, 0.0), |(r, w), (t, _)| (r + t.reads, w + t.writes));
         (sum.0 * (1.0 + self.margin), sum.1 * (1.0 + self.margin))
     }
 
-    /// Everything that a plan lacks; nothing if it holds.
+    /// All constraints that a plan does not meet; empty if it meets all.
     pub fn shortfalls(&self, plan: &Plan) -> Vec<Shortfall> {
         let mut found = Vec::new();
         for cell in 0..self.cells.len() {
             let ((reads, writes), (r, w)) = (self.capacity(plan, cell), self.demand(plan, cell));
-            if r > reads + SMALL {
+            if r > reads + ROUNDING_TOLERANCE {
                 found.push(Shortfall::Reads(cell, r - reads));
             }
-            if w > writes + SMALL {
+            if w > writes + ROUNDING_TOLERANCE {
                 found.push(Shortfall::Writes(cell, w - writes));
             }
-            for zone in 0..self.zones() {
-                let (zr, zw) = self.in_zone(plan, cell, zone);
+            for zone in 0..self.zone_count() {
+                let (zr, zw) = self.zone_capacity(plan, cell, zone);
                 let over = (zr - self.zone_share * reads).max(zw - self.zone_share * writes);
-                if over > SMALL {
+                if over > ROUNDING_TOLERANCE {
                     found.push(Shortfall::Zone(cell, zone, over));
                 }
             }
@@ -157,23 +157,26 @@
         found
     }
 
-    fn in_zone(&self, plan: &Plan, cell: usize, zone: usize) -> (f64, f64) {
-        let there = self.groups.iter().zip(&plan.engines).filter(|(g, _)| g.zone == zone);
-        there.fold((0.0, 0.0), |(r, w), (g, n)| (r + g.reads * n[cell] as f64, w + g.writes * n[cell] as f64))
+    fn zone_capacity(&self, plan: &Plan, cell: usize, zone: usize) -> (f64, f64) {
+        let in_zone = self.groups.iter().zip(&plan.engines).filter(|(g, _)| g.zone == zone);
+        in_zone
+            .fold((0.0, 0.0), |(r, w), (g, n)| (r + g.reads * n[cell] as f64, w + g.writes * n[cell] as f64))
     }
 
-    /// What a plan costs against the present: engines that come into cells and, for half as much, leave
-    /// them, and tenants that move.
+    /// The cost of getting from the current plan to another: engines added to cells, engines removed from cells
+    /// at half the cost, and tenants moved.
     pub fn cost(&self, plan: &Plan) -> f64 {
         let each = self.groups.iter().zip(&plan.engines).flat_map(|(g, n)| g.now.iter().zip(n));
         let engines: f64 = each
-            .map(|(now, then)| then.saturating_sub(*now) as f64 + now.saturating_sub(*then) as f64 * LEAVING)
+            .map(|(now, then)| {
+                then.saturating_sub(*now) as f64 + now.saturating_sub(*then) as f64 * REMOVAL_COST
+            })
             .sum();
         let moved = self.tenants.iter().zip(&plan.tenants).filter(|(t, c)| t.now != **c).count();
         engines + moved as f64 * self.tenant_cost
     }
 
-    /// Whether a plan moves nothing that may not move and uses no engine that is not there.
+    /// Whether a plan keeps pinned tenants in place and uses only engines and cells that exist.
     pub fn is_valid(&self, plan: &Plan) -> bool {
         let engines =
             self.groups.iter().zip(&plan.engines).all(|(g, n)| n.iter().sum::<usize>() <= g.count());
--- a/crates/pintally-placement/src/steps.rs
+++ b/crates/pintally-placement/src/steps.rs
@@ -1,38 +1,39 @@
-//! From the present plan to another by steps after each of which every cell can still do its work.
+//! Orders the moves from the current plan to another so that no step makes a cell's capacity fall further short of
+//! its demand.
 
 use std::fmt;
 
 use crate::problem::{Plan, Problem};
 
-/// One step.
+/// A step moves one engine or one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// An engine of a group goes from a cell, or from the spare ones, to a cell, or to the spare ones.
+    /// Moves an engine of a group between cells, or between a cell and the spare engines.
     Engine {
-        /// The group.
+        /// The index of the group.
         group: usize,
-        /// Where from; the spare ones if none.
+        /// The cell that loses the engine; `None` for the spare engines.
         from: Option<usize>,
-        /// Where to; the spare ones if none.
+        /// The cell that gains the engine; `None` for the spare engines.
         to: Option<usize>,
     },
-    /// A tenant goes from one cell to another.
+    /// Moves a tenant from one cell to another.
     Tenant {
-        /// The tenant.
+        /// The index of the tenant.
         tenant: usize,
-        /// Where from.
+        /// The cell that it leaves.
         from: usize,
-        /// Where to.
+        /// The cell that it moves to.
         to: usize,
     },
 }
 
-/// What is left cannot be done safely, one step at a time.
+/// No remaining step is safe.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NoSafeStep {
-    /// The steps that could be taken.
+    /// The safe steps before it.
     pub taken: Vec<Step>,
-    /// How many are left.
+    /// The number of remaining steps, none of which is safe.
     pub remaining: usize,
 }
 
@@ -49,36 +50,39 @@
 
 impl std::error::Error for NoSafeStep {}
 
-/// The steps to a plan. A step is safe if no cell lacks more behind it than before it, so that a
-/// fleet that is short already can be mended.
+/// Returns the steps to a plan. A step is safe if no cell lacks more capacity after it than before, so that a
+/// fleet that already lacks capacity can be repaired.
 pub fn steps(problem: &Problem, plan: &Plan) -> Result<Vec<Step>, NoSafeStep> {
-    let mut at = problem.current_plan();
+    let mut current = problem.current_plan();
     let mut taken = Vec::new();
     loop {
-        let wanted = wanted(problem, &at, plan);
-        if wanted.is_empty() {
+        let remaining = remaining_steps(problem, &current, plan);
+        if remaining.is_empty() {
             return Ok(taken);
         }
         let lack = |plan: &Plan, cell: usize| {
             let ((reads, writes), (r, w)) = (problem.capacity(plan, cell), problem.demand(plan, cell));
             (r - reads).max(0.0) + (w - writes).max(0.0)
         };
-        let before: Vec<f64> = (0..problem.cells.len()).map(|c| lack(&at, c)).collect();
-        let safe = wanted.iter().find(|step| {
-            let mut then = at.clone();
-            take(&mut then, step);
-            before.iter().enumerate().all(|(c, had)| lack(&then, c) <= had + crate::problem::SMALL)
+        let before: Vec<f64> = (0..problem.cells.len()).map(|c| lack(&current, c)).collect();
+        let safe = remaining.iter().find(|step| {
+            let mut next = current.clone();
+            apply(&mut next, step);
+            before
+                .iter()
+                .enumerate()
+                .all(|(c, lacked)| lack(&next, c) <= lacked + crate::problem::ROUNDING_TOLERANCE)
         });
-        let Some(step) = safe.copied() else { return Err(NoSafeStep { taken, remaining: wanted.len() }) };
-        take(&mut at, &step);
+        let Some(step) = safe.copied() else { return Err(NoSafeStep { taken, remaining: remaining.len() }) };
+        apply(&mut current, &step);
         taken.push(step);
     }
 }
 
-/// All steps that are left, those that add before those that take away.
-fn wanted(problem: &Problem, at: &Plan, plan: &Plan) -> Vec<Step> {
+/// All remaining steps: those that add an engine to a cell, then moves of tenants, then those that make an engine spare.
+fn remaining_steps(problem: &Problem, current: &Plan, plan: &Plan) -> Vec<Step> {
     let mut all = Vec::new();
-    for (group, (have, want)) in at.engines.iter().zip(&plan.engines).enumerate() {
+    for (group, (have, want)) in current.engines.iter().zip(&plan.engines).enumerate() {
         let spare = problem.groups[group].count() - have.iter().sum::<usize>();
         let lacking = (0..have.len()).filter(|c| have[*c] < want[*c]);
         for to in lacking {
@@ -88,12 +92,12 @@
             }
         }
     }
-    for (tenant, (have, want)) in at.tenants.iter().zip(&plan.tenants).enumerate() {
+    for (tenant, (have, want)) in current.tenants.iter().zip(&plan.tenants).enumerate() {
         if have != want {
             all.push(Step::Tenant { tenant, from: *have, to: *want });
         }
     }
-    for (group, (have, want)) in at.engines.iter().zip(&plan.engines).enumerate() {
+    for (group, (have, want)) in current.engines.iter().zip(&plan.engines).enumerate() {
         let lacks = (0..have.len()).any(|c| have[c] < want[c]);
         for from in (0..have.len()).filter(|c| have[*c] > want[*c] && !lacks) {
             all.push(Step::Engine { group, from: Some(from), to: None });
@@ -102,8 +106,8 @@
     all
 }
 
-/// Takes a step.
-pub(crate) fn take(plan: &mut Plan, step: &Step) {
+/// Applies a step to a plan.
+pub(crate) fn apply(plan: &mut Plan, step: &Step) {
     match *step {
         Step::Engine { group, from, to } => {
             if let Some(from) = from {
--- a/crates/pintally-placement/tests/plans.rs
+++ b/crates/pintally-placement/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans hold, cost no more than greedy ones, and are reached by safe steps.
+//! Plans meet their constraints, cost no more than greedy plans, and are reached by safe steps.
 
 use pintally_placement::*;
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
     Tenant { name: name.into(), reads, writes, now, pinned }
 }
 
-/// Two cells over two zones, each with room; a tenant has outgrown its cell.
-fn outgrown(demand: f64, spare: usize) -> Problem {
+/// Two cells over two zones. With a demand of 20 for the tenant `big` both cells have enough capacity.
+fn two_cells(demand: f64, spare: usize) -> Problem {
     Problem {
         cells: vec!["a".into(), "b".into()],
         groups: vec![
@@ -33,51 +33,52 @@
 }
 
 #[test]
-fn what_holds_already_stays_as_it_is() {
-    let problem = outgrown(20.0, 1);
+fn sufficient_plan_is_kept() {
+    let problem = two_cells(20.0, 1);
     let plan = solve(&problem, 20.0).unwrap();
     assert_eq!(problem.cost(&plan), 0.0);
     assert_eq!(steps(&problem, &plan).unwrap(), []);
 }
 
 #[test]
-fn an_outgrown_cell_gets_the_fewest_engines_that_do() {
-    // 34 and the small one's 4, a fifth more: 45.6 of reading and of writing, where there are 40.
-    let problem = outgrown(34.0, 1);
+fn overloaded_cell_gets_fewest_engines() {
+    // Demand of 34 and 4 with a margin of a fifth is 45.6 for reads and for writes; the capacity is 40.
+    let problem = two_cells(34.0, 1);
     assert!(!problem.shortfalls(&problem.current_plan()).is_empty());
     let plan = solve(&problem, 20.0).unwrap();
     assert_eq!(problem.shortfalls(&plan), []);
-    // One reader and one writer cost 2; moving the small tenant would cost 3 and not suffice.
+    // One reader and one writer cost 2; moving the small tenant would cost 3 and not be enough.
     assert_eq!(problem.cost(&plan), 2.0);
-    let way = steps(&problem, &plan).unwrap();
-    assert_eq!(way.len(), 2);
+    let path = steps(&problem, &plan).unwrap();
+    assert_eq!(path.len(), 2);
 }
 
 #[test]
-fn where_there_is_no_plan_it_says_what_binds() {
-    let problem = outgrown(200.0, 0);
-    let Err(SolveError::Infeasible(found)) = solve(&problem, 20.0) else { panic!("it found a plan") };
+fn infeasible_problem_reports_shortfalls() {
+    let problem = two_cells(200.0, 0);
+    let Err(SolveError::Infeasible(found)) = solve(&problem, 20.0) else {
+        panic!("the problem has no plan, but the solver returned one")
+    };
     assert!(found.iter().any(|b| matches!(b, Shortfall::Reads(0, _))), "{found:?}");
     assert!(found[0].describe(&problem).to_string().contains("cell a lacks"));
 }
 
 #[test]
-fn a_swap_without_room_is_said_to_be_stuck() {
-    let mut problem = outgrown(20.0, 0);
+fn swap_without_room_has_no_safe_step() {
+    let mut problem = two_cells(20.0, 0);
     problem.tenants = vec![tenant("x", 33.0, 33.0, 0, false), tenant("y", 33.0, 33.0, 1, false)];
     let swap = Plan { tenants: vec![1, 0], ..problem.current_plan() };
-    let stuck = steps(&problem, &swap).unwrap_err();
-    assert_eq!((stuck.taken.len(), stuck.remaining), (0, 2));
+    let no_safe_step = steps(&problem, &swap).unwrap_err();
+    assert_eq!((no_safe_step.taken.len(), no_safe_step.remaining), (0, 2));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Over generated fleets: a plan holds by other means than the solver's, costs no more than a
-    /// greedy one that holds (but for the gap that is allowed), and each of its steps leaves no cell
-    /// worse off than it was.
+    /// For generated fleets, a plan meets its constraints when checked independently of the solver, costs no more
+    /// than a greedy plan that meets them (apart from the solver's allowed gap), and is reached by at most 100 steps.
     #[test]
-    fn plans_of_generated_fleets(
+    fn generated_fleets_get_valid_plans(
         counts in prop::collection::vec((0usize..4, 0usize..4, 0usize..3), 4),
         demands in prop::collection::vec((1.0f64..12.0, 1.0f64..12.0, 0usize..2, any::<bool>()), 1..7),
     ) {
@@ -94,19 +95,19 @@
             zone_share: 1.0,
             tenant_cost: 3.0,
         };
-        let thumb = greedy(&problem);
-        prop_assert!(problem.is_valid(&thumb));
+        let greedy_plan = greedy(&problem);
+        prop_assert!(problem.is_valid(&greedy_plan));
         match solve(&problem, 5.0) {
             Ok(plan) => {
                 prop_assert_eq!(problem.shortfalls(&plan), vec![]);
-                if problem.shortfalls(&thumb).is_empty() {
-                    prop_assert!(problem.cost(&plan) <= problem.cost(&thumb) * 1.01 + 1e-6);
+                if problem.shortfalls(&greedy_plan).is_empty() {
+                    prop_assert!(problem.cost(&plan) <= problem.cost(&greedy_plan) * 1.01 + 1e-6);
                 }
-                let way = match steps(&problem, &plan) { Ok(way) => way, Err(stuck) => stuck.taken };
-                prop_assert!(way.len() <= 100);
+                let path = match steps(&problem, &plan) { Ok(path) => path, Err(no_safe_step) => no_safe_step.taken };
+                prop_assert!(path.len() <= 100);
             }
-            Err(SolveError::Infeasible(_)) => prop_assert!(!problem.shortfalls(&thumb).is_empty(), "greedy found what the model did not"),
-            Err(SolveError::SolverFailed(why)) => prop_assert!(false, "{}", why),
+            Err(SolveError::Infeasible(_)) => prop_assert!(!problem.shortfalls(&greedy_plan).is_empty(), "the greedy plan meets constraints that the solver could not meet"),
+            Err(SolveError::SolverFailed(reason)) => prop_assert!(false, "{}", reason),
         }
     }
 }
