--- a/crates/pintally-benchmarks/src/flood.rs
+++ b/crates/pintally-benchmarks/src/flood.rs
@@ -1,8 +1,8 @@
-//! What one tenant's flood costs the tenants of other cells: with cells, and with the same fleet as
-//! one pool.
+//! Measures what a flood of requests from one tenant costs the tenants of other cells, with cells and with the same
+//! fleet as one pool.
 //!
-//! Each seed is a pair of runs, with the flood and without, that are played at the same time on the
-//! same machine, so that what the machine does strikes both.
+//! Each seed is a pair of runs, with and without the flood. Both run at the same time on the same machine, so that
+//! disturbances of the machine affect both.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -25,7 +25,7 @@
 }
 
 impl Interval {
-    /// The interval of some differences; without two of them it says nothing and is infinite.
+    /// The interval of some differences; infinite with fewer than two of them.
     pub fn of(values: &[f64]) -> Interval {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n.max(1.0);
@@ -45,38 +45,38 @@
     }
 }
 
-/// What a flood costs the others.
+/// The cost of a flood for the tenants of other cells.
 #[derive(Clone, Debug)]
 pub struct Flood {
     /// With cells, or as one pool.
     pub name: &'static str,
-    /// Share of the others' worth that was served in time without the flood,
+    /// Share of the value of their requests that was served in time without the flood.
     pub quiet: Spread,
-    /// and with it.
+    /// The same share with the flood.
     pub flood: Spread,
-    /// The change, pair by pair, as a share of what was served without it.
+    /// The relative change of the share through the flood, pair by pair.
     pub change: Interval,
     /// Pairs of runs.
     pub pairs: usize,
-    /// All rules were kept in all runs.
+    /// Whether no run broke a rule.
     pub kept: bool,
 }
 
-/// Measures a flood over some seeds, with the day's cells and without.
+/// Measures a flood over some seeds, with and without the cells of the scenario.
 pub fn flood(
     day: &Scenario,
     tenant: &str,
     times: f64,
     seeds: Range<u64>,
 ) -> Result<Vec<Flood>, MeasureError> {
-    let Some(cells) = &day.cells else { return Err(error("the day has no cells")) };
-    let own: BTreeSet<_> = cells.home(tenant).into_iter().collect();
+    let Some(cells) = &day.cells else { return Err(error("the scenario has no cells")) };
+    let home_cells: BTreeSet<_> = cells.home(tenant).into_iter().collect();
     let others: BTreeSet<String> = day
         .traffic
         .tenants
         .iter()
         .map(|(name, _)| name.clone())
-        .filter(|name| cells.home(name).iter().all(|c| !own.contains(c)))
+        .filter(|name| cells.home(name).iter().all(|c| !home_cells.contains(c)))
         .collect();
     if others.is_empty() {
         return Err(error(format!("all tenants share a cell with `{tenant}`")));
@@ -96,7 +96,7 @@
         magnitude: times,
         batch_size: 1,
     });
-    let mut found = Vec::new();
+    let mut results = Vec::new();
     for (name, divided) in [("cells", true), ("one pool", false)] {
         let (mut quiet, mut flooded) = (quiet.clone(), flooded.clone());
         if !divided {
@@ -105,30 +105,32 @@
                 day.engines.iter_mut().for_each(|e| e.cell = None);
             }
         }
-        let (mut without, mut with, mut kept) = (Vec::new(), Vec::new(), true);
+        let (mut quiet_shares, mut flood_shares, mut kept) = (Vec::new(), Vec::new(), true);
         for seed in seeds.clone() {
             let (a, b) = thread::scope(|scope| {
                 let other = scope.spawn(|| run(&flooded, seed, None));
                 (run(&quiet, seed, None), other.join())
             });
-            let b = b.map_err(|_| error("a run ended by a panic"))?;
+            let b = b.map_err(|_| error("a run panicked"))?;
             let (a, b) = (a.map_err(error)?, b.map_err(error)?);
             kept &= a.kept() && b.kept();
-            without
+            quiet_shares
                 .push(timely_value_share(requests(day, &a.record).iter().filter(|r| r.is_of_any(&others))));
-            with.push(timely_value_share(requests(day, &b.record).iter().filter(|r| r.is_of_any(&others))));
+            flood_shares
+                .push(timely_value_share(requests(day, &b.record).iter().filter(|r| r.is_of_any(&others))));
         }
-        let changes: Vec<f64> = without.iter().zip(&with).map(|(a, b)| b / a.max(1e-9) - 1.0).collect();
-        found.push(Flood {
+        let changes: Vec<f64> =
+            quiet_shares.iter().zip(&flood_shares).map(|(a, b)| b / a.max(1e-9) - 1.0).collect();
+        results.push(Flood {
             name,
-            quiet: Spread::of(without),
-            flood: Spread::of(with),
+            quiet: Spread::of(quiet_shares),
+            flood: Spread::of(flood_shares),
             change: Interval::of(&changes),
             pairs: changes.len(),
             kept,
         });
     }
-    Ok(found)
+    Ok(results)
 }
 
 #[cfg(test)]
--- a/crates/pintally-benchmarks/src/lib.rs
+++ b/crates/pintally-benchmarks/src/lib.rs
@@ -1,9 +1,9 @@
-//! Measurements of one node, each beside a baseline in the same run, against simulated engines.
+//! Measurements of one node against simulated engines, each with a baseline in the same run.
 //!
-//! The baseline of latency is a client that talks to the same stand-ins directly: it reads at a
-//! reader and fetches at a writer itself, as the node would. Blocks of both alternate, so that a
-//! machine that drifts drifts for both. Latency counts from the time at which a request was to be
-//! sent, so that a stall hides nothing.
+//! The baseline of latency is a client that talks to the same mock engines directly: like the node, it sends a
+//! read to a reader and a fetch to a writer. Blocks of both alternate, so that drift of the machine affects
+//! both. Latency counts from the time at which a request was due to be sent, so that the results include delays
+//! from stalls.
 
 mod added;
 mod emulator;
@@ -13,7 +13,7 @@
 mod plans;
 mod price;
 mod report;
-mod stage;
+mod rig;
 mod streams;
 
 pub use added::{added_latency, deciding, saturation, Added, Deciding, Saturation};
--- a/crates/pintally-benchmarks/src/load.rs
+++ b/crates/pintally-benchmarks/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests go out when they are due, whatever became of those before.
+//! Open-loop load: each request is sent when it is due, whether or not earlier requests are answered.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,40 +15,41 @@
 
 use crate::report::Stats;
 
-/// Threads that carry requests.
+/// Threads that send requests.
 const WORKERS: usize = 128;
 /// A request that takes longer counts as failed.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whom requests go to.
+/// The destination of requests.
 #[derive(Clone, Debug)]
-pub(crate) enum Goal {
-    /// The node.
+pub(crate) enum Target {
+    /// Through the node.
     Node(SocketAddr),
-    /// A reader and a writer, drawn in turn.
+    /// Directly to readers and writers, each chosen in turn.
     Direct(Vec<SocketAddr>, Vec<SocketAddr>),
 }
 
-/// A histogram that holds every latency up to a minute. One that grows by itself must not be used with
-/// saturating records: it files whatever is beyond its first 2,047 under its least value, so that a
-/// node that is late looks like the fastest.
-fn latencies() -> Histogram<u64> {
+/// A histogram for latencies up to one minute, in microseconds. An auto-resizing histogram must not be used with
+/// `saturating_record`: it records values above its initial 2,047 as its minimum, so a slow node would look
+/// like the fastest.
+fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are in order")
 }
 
-/// Sends so many requests a second for a time and takes the time to each first token.
-pub(crate) fn drive(goal: &Goal, per_second: f64, span: Duration, first: u64) -> Stats {
-    let histogram = Mutex::new(latencies());
-    let (failed, late) = (AtomicU64::new(0), AtomicU64::new(0));
-    let (sender, queue) = bounded::<(u64, Instant)>(1 << 16);
+/// Sends requests at a rate for a time span and measures the time to each first token. Request numbers start
+/// at `first`.
+pub(crate) fn drive(target: &Target, per_second: f64, span: Duration, first: u64) -> Stats {
+    let histogram = Mutex::new(new_histogram());
+    let (failed, max_delay_us) = (AtomicU64::new(0), AtomicU64::new(0));
+    let (queue_sender, queue) = bounded::<(u64, Instant)>(1 << 16);
     thread::scope(|scope| {
         for _ in 0..WORKERS {
             let (queue, histogram, failed) = (queue.clone(), &histogram, &failed);
             let run = move || {
-                let mut carrier = Carrier::default();
-                let mut own = latencies();
+                let mut client = RequestSender::default();
+                let mut own = new_histogram();
                 for (number, due) in queue {
-                    match carrier.carry(goal, number) {
+                    match client.send(target, number) {
                         Some(at) => own.saturating_record(at.duration_since(due).as_micros() as u64),
                         None => {
                             failed.fetch_add(1, Ordering::Relaxed);
@@ -66,31 +67,31 @@
             if let Some(left) = due.checked_duration_since(Instant::now()) {
                 thread::sleep(left);
             }
-            late.fetch_max(due.elapsed().as_micros() as u64, Ordering::Relaxed);
-            if sender.try_send((first + number, due)).is_err() {
+            max_delay_us.fetch_max(due.elapsed().as_micros() as u64, Ordering::Relaxed);
+            if queue_sender.try_send((first + number, due)).is_err() {
                 failed.fetch_add(1, Ordering::Relaxed);
             }
         }
-        drop(sender);
+        drop(queue_sender);
     });
     let histogram = histogram.into_inner().unwrap_or_else(|e| e.into_inner());
-    Stats::of(&histogram, failed.into_inner(), late.into_inner())
+    Stats::of(&histogram, failed.into_inner(), max_delay_us.into_inner())
 }
 
-/// One worker's connections.
+/// Sends the requests of one worker over its idle connections.
 #[derive(Default)]
-struct Carrier {
-    open: std::collections::HashMap<SocketAddr, TcpStream>,
+struct RequestSender {
+    idle: std::collections::HashMap<SocketAddr, TcpStream>,
 }
 
-impl Carrier {
-    /// Makes one request; the time at which its first token came.
-    fn carry(&mut self, goal: &Goal, number: u64) -> Option<Instant> {
+impl RequestSender {
+    /// Sends one request and returns the arrival time of its first token.
+    fn send(&mut self, target: &Target, number: u64) -> Option<Instant> {
         let id = format!("m{number}");
         let prompt = format!("{id} ").repeat(20);
-        match goal {
-            Goal::Node(address) => self.through_node(*address, &id, &prompt),
-            Goal::Direct(readers, writers) => {
+        match target {
+            Target::Node(address) => self.through_node(*address, &id, &prompt),
+            Target::Direct(readers, writers) => {
                 let reader = readers[number as usize % readers.len()];
                 let writer = writers[number as usize % writers.len()];
                 self.direct(reader, writer, &id, &prompt)
@@ -98,13 +99,13 @@
         }
     }
 
-    fn take(&mut self, address: SocketAddr) -> Option<TcpStream> {
-        match self.open.remove(&address) {
+    fn connection(&mut self, address: SocketAddr) -> Option<TcpStream> {
+        match self.idle.remove(&address) {
             Some(stream) => Some(stream),
             None => {
-                let stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
+                let stream = TcpStream::connect_timeout(&address, REQUEST_TIMEOUT).ok()?;
                 stream.set_nodelay(true).ok()?;
-                stream.set_read_timeout(Some(PATIENCE)).ok()?;
+                stream.set_read_timeout(Some(REQUEST_TIMEOUT)).ok()?;
                 Some(stream)
             }
         }
@@ -116,21 +117,21 @@
             "parameters": { "class": "hint", "max_tokens": 2, "session": id },
         });
         let headers = [("host", "n"), ("content-type", "application/json")];
-        let target = "/v2/models/default/generate_stream";
-        let bytes = request("POST", target, &headers, body.to_string().as_bytes());
-        let mut stream = self.take(address)?;
+        let path = "/v2/models/default/generate_stream";
+        let bytes = request("POST", path, &headers, body.to_string().as_bytes());
+        let mut stream = self.connection(address)?;
         stream.write_all(&bytes).ok()?;
-        let (mut reader, mut buffer, mut first, mut good) =
+        let (mut reader, mut buffer, mut first, mut succeeded) =
             (ResponseReader::new(16 << 10), [0u8; 8192], None, false);
         loop {
             match reader.next_part().ok()? {
-                Some(Part::Head(status, _)) => good = status == 200,
+                Some(Part::Head(status, _)) => succeeded = status == 200,
                 Some(Part::Body(_)) => first = first.or(Some(Instant::now())),
                 Some(Part::End(reusable)) => {
                     if reusable {
-                        self.open.insert(address, stream);
+                        self.idle.insert(address, stream);
                     }
-                    return first.filter(|_| good);
+                    return first.filter(|_| succeeded);
                 }
                 None => {
                     let n = stream.read(&mut buffer).ok().filter(|n| *n > 0)?;
@@ -147,7 +148,8 @@
         first
     }
 
-    /// One exchange with an engine: when its first token came, and what fetches its state.
+    /// Makes one attempt at an engine. Returns the arrival time of its first token and the parameters that fetch its
+    /// state.
     fn attempt(
         &mut self,
         address: SocketAddr,
@@ -160,7 +162,7 @@
         let (model, key, tenant, max_tokens) = ("default", id, None, 2);
         let bytes =
             completion(&Completion { step, model, id, attempt, key, tenant, prompt, max_tokens, state });
-        let mut stream = self.take(address)?;
+        let mut stream = self.connection(address)?;
         stream.write_all(&bytes).ok()?;
         let (mut reader, mut buffer) = (AttemptReader::new(step, 0), [0u8; 8192]);
         let (mut first, mut out) = (None, Vec::new());
@@ -172,13 +174,13 @@
                     Progress::Text(_) => first = first.or(Some(Instant::now())),
                     Progress::Ended { outcome, state, reusable, .. } => {
                         if reusable {
-                            self.open.insert(address, stream);
+                            self.idle.insert(address, stream);
                         }
-                        let good = matches!(
+                        let succeeded = matches!(
                             outcome,
                             pintally::interface::Outcome::Read | pintally::interface::Outcome::Served
                         );
-                        return good.then_some((first, state));
+                        return succeeded.then_some((first, state));
                     }
                 }
             }
--- a/crates/pintally-benchmarks/src/moves.rs
+++ b/crates/pintally-benchmarks/src/moves.rs
@@ -1,7 +1,8 @@
-//! What a tenant's move costs it and its neighbours: first tokens before, during and after.
+//! Measures what the move of a tenant to another cell costs the tenant and its neighbours: the time to the first
+//! token before, during and after the move.
 //!
-//! Each seed is played without the move, with it at its pace, and with all sessions at once, on the
-//! same machine at the same time.
+//! Each seed is played without the move, with sessions moving gradually, and with all sessions moving at once; the
+//! three runs take place at the same time on the same machine.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -15,50 +16,51 @@
 use crate::report::Spread;
 use crate::{error, MeasureError};
 
-/// First tokens of some tenants in one part of the day, over groups of seeds.
+/// Times to the first token of some tenants in one part of the run, over groups of seeds.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Without the move, at its pace, or at once.
+    /// Without the move, with a gradual move, or with a move at once.
     pub how: &'static str,
-    /// The tenant that moves, its neighbours at home, or those where it goes.
+    /// The tenant that moves, its neighbours in the old cell, or its neighbours in the new cell.
     pub who: &'static str,
-    /// Before, during or after.
+    /// Before, during or after the move.
     pub when: &'static str,
-    /// Requests in all.
+    /// Number of requests.
     pub requests: usize,
-    /// Milliseconds to the first token, of each group of seeds.
+    /// Median of the milliseconds to the first token, over groups of seeds.
     pub p50_ms: Spread,
-    /// The same, 99th percentile.
+    /// 99th percentile of the milliseconds to the first token, over groups of seeds.
     pub p99_ms: Spread,
     /// Requests that were late or not served.
     pub late: usize,
 }
 
-/// What came of some seeded moves.
+/// The results of moves over seeds.
 #[derive(Clone, Debug)]
 pub struct Moves {
-    /// By manner, tenants and part of the day.
+    /// The results by kind of move, tenants and part of the run.
     pub parts: Vec<Part>,
-    /// Moves played.
+    /// Number of moves played.
     pub moves: usize,
-    /// Runs in which a rule was broken.
+    /// Number of runs that broke a rule.
     pub broken: usize,
 }
 
-/// What a player of a day gives: its record, and whether all rules were kept.
+/// The record of a run, and whether it kept all rules.
 pub type Recorded = Result<(Vec<Record>, bool), MeasureError>;
 
-/// Plays a day with a seed.
+/// Plays a scenario with a seed.
 pub type Recorder<'a> = &'a (dyn Fn(&Scenario, u64) -> Recorded + Sync);
 
-/// Plays a day over sockets.
+/// Plays a scenario over sockets.
 pub fn recorded(day: &Scenario, seed: u64) -> Recorded {
     let result = run(day, seed, None).map_err(error)?;
     let kept = result.kept();
     Ok((result.record, kept))
 }
 
-/// Plays moves over some seeds, in groups for the spread; so many seeds at the same time.
+/// Plays moves over some seeds, which are divided into groups to measure the spread. `at_once` seeds run at the same
+/// time.
 pub fn moves(
     day: &Scenario,
     tenant: &str,
@@ -67,29 +69,30 @@
     groups: usize,
     (at_once, play): (usize, Recorder),
 ) -> Result<Moves, MeasureError> {
-    let Some(cells) = &day.cells else { return Err(error("the day has no cells")) };
+    let Some(cells) = &day.cells else { return Err(error("the scenario has no cells")) };
     let home: BTreeSet<CellName> = cells.home(tenant).into_iter().collect();
-    let goal = CellName::from(to);
-    if home.contains(&goal) {
-        return Err(error(format!("tenant `{tenant}` is in cell `{to}` already")));
+    let target = CellName::from(to);
+    if home.contains(&target) {
+        return Err(error(format!("tenant `{tenant}` is already in cell `{to}`")));
     }
-    let others = |inside: &dyn Fn(&CellName) -> bool| -> BTreeSet<String> {
+    let tenants_of = |inside: &dyn Fn(&CellName) -> bool| -> BTreeSet<String> {
         let names = day.traffic.tenants.iter().map(|(name, _)| name.clone());
         names.filter(|n| n != tenant && cells.home(n).iter().any(inside)).collect()
     };
-    let people: [(&'static str, BTreeSet<String>); 3] = [
+    let tenant_groups: [(&'static str, BTreeSet<String>); 3] = [
         ("the one that moves", BTreeSet::from([tenant.to_string()])),
-        ("neighbours at home", others(&|c| home.contains(c))),
-        ("neighbours over there", others(&|c| *c == goal)),
+        ("neighbours at home", tenants_of(&|c| home.contains(c))),
+        ("neighbours over there", tenants_of(&|c| *c == target)),
     ];
-    // Prepared after an eighth of the day, before which caches fill; a quarter of it after that sessions begin to go.
+    // The move starts after an eighth of the run, in which caches fill. Sessions begin to move a third of the fault's
+    // duration later, about a fifth of the run.
     let (from, length) = (day.length / 8, day.length * 5 / 8);
     let (begin, over) = (from + length / 3, length / 3);
-    let settled = begin + over + CELLS_FILE_SPREAD + day.list_delay;
-    if settled + Duration::from_secs(1) > day.length {
-        return Err(error("the day is too short: nothing would be left after the move"));
+    let settled_at = begin + over + CELLS_FILE_SPREAD + day.list_delay;
+    if settled_at + Duration::from_secs(1) > day.length {
+        return Err(error("the scenario is too short: it must last at least 1 s longer than the move"));
     }
-    let with = |over: Duration| {
+    let with_move = |over: Duration| {
         let mut day = day.clone();
         day.faults = vec![Fault {
             kind: FaultKind::MoveTenant,
@@ -107,33 +110,38 @@
     };
     let mut quiet = day.clone();
     quiet.faults.clear();
-    let arms = [("no move", quiet), ("at its pace", with(over)), ("at once", with(Duration::from_millis(1)))];
-    let mut heard: Vec<Vec<Vec<RequestRecord>>> = vec![Vec::new(); arms.len()];
+    let arms = [
+        ("no move", quiet),
+        ("at its pace", with_move(over)),
+        ("at once", with_move(Duration::from_millis(1))),
+    ];
+    let mut requests_by_arm: Vec<Vec<Vec<RequestRecord>>> = vec![Vec::new(); arms.len()];
     let mut broken = 0;
     let all: Vec<u64> = seeds.collect();
-    for pair in all.chunks(at_once.max(1)) {
+    for chunk in all.chunks(at_once.max(1)) {
         let results: Vec<(usize, Recorded)> = thread::scope(|scope| {
             let mut runs = Vec::new();
-            for seed in pair {
+            for seed in chunk {
                 for (arm, (_, day)) in arms.iter().enumerate() {
                     runs.push((arm, scope.spawn(move || play(day, *seed))));
                 }
             }
-            let panicked = || Err(error("a run ended by a panic"));
+            let panicked = || Err(error("a run panicked"));
             runs.into_iter().map(|(arm, r)| (arm, r.join().unwrap_or_else(|_| panicked()))).collect()
         });
         for (arm, result) in results {
             let (record, kept) = result?;
             broken += usize::from(!kept);
-            heard[arm].push(requests(&arms[arm].1, &record));
+            requests_by_arm[arm].push(requests(&arms[arm].1, &record));
         }
     }
-    let whens = [("before", from, begin), ("during", begin, settled), ("after", settled, day.length * 2)];
+    let periods =
+        [("before", from, begin), ("during", begin, settled_at), ("after", settled_at, day.length * 2)];
     let mut parts = Vec::new();
-    for (who, tenants) in &people {
-        for (when, from, to) in whens {
+    for (who, tenants) in &tenant_groups {
+        for (when, from, to) in periods {
             for (arm, (how, _)) in arms.iter().enumerate() {
-                parts.push(part((how, who, when), tenants, (from, to), &heard[arm], groups));
+                parts.push(part((how, who, when), tenants, (from, to), &requests_by_arm[arm], groups));
             }
         }
     }
@@ -149,28 +157,30 @@
 ) -> Part {
     let (mut p50, mut p99, mut count, mut late) = (Vec::new(), Vec::new(), 0, 0);
     for group in seeds.chunks(seeds.len().div_ceil(groups.max(1)).max(1)) {
-        let mut firsts = Vec::new();
+        let mut waits_ms = Vec::new();
         for run in group {
-            // Days begin with their first request.
+            // Time counts from the first request of the run.
             let begin = run.first().map_or(0, |o| o.sent_at_us);
             let inside = |o: &&RequestRecord| {
                 let at = Duration::from_micros(o.sent_at_us.saturating_sub(begin));
                 o.is_of_any(tenants) && at >= from && at < to
             };
-            for one in run.iter().filter(inside) {
+            for request in run.iter().filter(inside) {
                 count += 1;
-                late += usize::from(!one.in_time());
-                // Who was not served waited for ever.
-                firsts.push(
-                    one.first_token_at_us
-                        .filter(|_| one.served)
-                        .map_or(f64::INFINITY, |f| (f - one.sent_at_us) as f64 / 1e3),
+                late += usize::from(!request.in_time());
+                // A request that was not served counts as an infinite wait.
+                waits_ms.push(
+                    request
+                        .first_token_at_us
+                        .filter(|_| request.served)
+                        .map_or(f64::INFINITY, |f| (f - request.sent_at_us) as f64 / 1e3),
                 );
             }
         }
-        firsts.sort_by(f64::total_cmp);
-        let at =
-            |q: f64| firsts.get(((firsts.len() as f64 * q) as usize).min(firsts.len().max(1) - 1)).copied();
+        waits_ms.sort_by(f64::total_cmp);
+        let at = |q: f64| {
+            waits_ms.get(((waits_ms.len() as f64 * q) as usize).min(waits_ms.len().max(1) - 1)).copied()
+        };
         p50.extend(at(0.5));
         p99.extend(at(0.99));
     }
--- a/crates/pintally-benchmarks/src/plans.rs
+++ b/crates/pintally-benchmarks/src/plans.rs
@@ -1,4 +1,4 @@
-//! Plans of generated fleets: how far a greedy plan is from the model's, and how long each takes.
+//! Plans of generated fleets: compares the cost of greedy plans with that of the solver's, and the time of both.
 
 use std::time::Instant;
 
@@ -8,31 +8,34 @@
 
 use crate::report::Spread;
 
-/// Plans for so many tenants, over seeds.
+/// Results for one number of tenants, over seeds.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct Plans {
     pub tenants: usize,
     pub cells: usize,
     pub fleets: usize,
-    /// Fleets for which there is a plan, for which the solver gave up, and for which greedy found one.
+    /// Fleets for which the solver found a plan.
     pub planned: usize,
+    /// Fleets for which the solver gave up.
     pub gave_up: usize,
+    /// Fleets for which the greedy plan has no shortfalls.
     pub greedy_planned: usize,
-    /// Seconds of the solver and of greedy.
+    /// Run time of the solver in seconds.
     pub seconds: Spread,
+    /// Run time of the greedy planner in seconds.
     pub greedy_seconds: Spread,
-    /// Greedy's cost over the model's, where both found a plan that costs something.
+    /// Cost of the greedy plan divided by the solver's, where both found a plan and the solver's has a cost.
     pub ratio: Spread,
     /// Plans that can be reached by safe steps.
     pub reachable: usize,
 }
 
-/// How much a fleet has over what its tenants demand with the margin, when it is tight.
-const TIGHT: f64 = 1.04;
+/// The capacity of a tight fleet, as a multiple of its tenants' demand with the margin.
+const TIGHT_CAPACITY_RATIO: f64 = 1.04;
 
-/// A fleet whose demand has drifted from the plan that it was given. A tight one has hardly more
-/// engines than all cells need together, none spare, and more of each cell's in one zone.
+/// Generates a fleet whose demand has drifted since it was planned. A tight fleet has hardly more engines than all
+/// cells need together, has no spare engines, and spreads the engines of each cell unevenly over the zones.
 fn fleet(tenants: usize, cells: usize, tight: bool, rng: &mut ChaCha8Rng) -> Problem {
     let (mut all, mut demand) = (Vec::new(), vec![(0.0, 0.0); cells]);
     for i in 0..tenants {
@@ -52,13 +55,13 @@
             let name = format!("{}-{zone}", if reader { "readers" } else { "writers" });
             if tight {
                 let of = |d: &(f64, f64)| if reader { d.0 } else { d.1 };
-                let needed = demand.iter().map(of).sum::<f64>() * 1.2 * TIGHT / each / 2.0;
+                let needed = demand.iter().map(of).sum::<f64>() * 1.2 * TIGHT_CAPACITY_RATIO / each / 2.0;
                 let drifted: Vec<f64> = demand.iter().map(|d| of(d) * rng.random_range(0.5..1.5)).collect();
-                let now = parts(needed.ceil() as usize, &drifted);
+                let now = apportion(needed.ceil() as usize, &drifted);
                 groups.push(Group { name, zone, reads, writes, now, spare: 0 });
                 continue;
             }
-            // What each cell has fits the demand of some time ago, give or take a fifth.
+            // Each cell has the engines for an earlier demand, between 0.75 and 1.35 times the current one.
             let now = demand.iter().map(|(r, w)| {
                 let need = if reader { *r } else { *w } * 1.2 * rng.random_range(0.75..1.35);
                 (need / each / 2.0).ceil() as usize
@@ -70,46 +73,46 @@
     Problem { cells, groups, tenants: all, margin: 0.2, zone_share: 0.7, tenant_cost: 3.0 }
 }
 
-/// Divides so many by weights, the largest remainders first.
-fn parts(many: usize, weights: &[f64]) -> Vec<usize> {
+/// Divides a total by weights, by the method of largest remainders.
+fn apportion(total: usize, weights: &[f64]) -> Vec<usize> {
     let sum: f64 = weights.iter().sum::<f64>().max(1e-9);
-    let exact: Vec<f64> = weights.iter().map(|w| many as f64 * w / sum).collect();
+    let exact: Vec<f64> = weights.iter().map(|w| total as f64 * w / sum).collect();
     let mut parts: Vec<usize> = exact.iter().map(|e| *e as usize).collect();
     let mut order: Vec<usize> = (0..parts.len()).collect();
     order.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()));
-    let left = many - parts.iter().sum::<usize>();
+    let left = total - parts.iter().sum::<usize>();
     order.into_iter().cycle().take(left).for_each(|i| parts[i] += 1);
     parts
 }
 
-/// Measures plans for so many tenants over seeds; the solver may take so many seconds for each.
-pub fn plans(tenants: usize, fleets: usize, tight: bool, seconds: f64) -> Plans {
+/// Measures plans for generated fleets, one per seed; the solver may take `time_limit_s` seconds for each.
+pub fn plans(tenants: usize, fleets: usize, tight: bool, time_limit_s: f64) -> Plans {
     let cells = (tenants / 10).clamp(2, 8);
     let (mut planned, mut gave_up, mut greedy_planned, mut reachable) = (0, 0, 0, 0);
-    let (mut took, mut thumb_took, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut took, mut greedy_took, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     for seed in 0..fleets as u64 {
         let problem = fleet(tenants, cells, tight, &mut ChaCha8Rng::seed_from_u64(seed));
         let began = Instant::now();
-        let thumb = greedy(&problem);
-        thumb_took.push(began.elapsed().as_secs_f64());
-        let thumb_holds = problem.shortfalls(&thumb).is_empty();
-        greedy_planned += usize::from(thumb_holds);
+        let greedy_plan = greedy(&problem);
+        greedy_took.push(began.elapsed().as_secs_f64());
+        let greedy_is_feasible = problem.shortfalls(&greedy_plan).is_empty();
+        greedy_planned += usize::from(greedy_is_feasible);
         let began = Instant::now();
-        let plan = solve(&problem, seconds);
+        let plan = solve(&problem, time_limit_s);
         took.push(began.elapsed().as_secs_f64());
         match plan {
             Ok(plan) => {
                 planned += 1;
                 reachable += usize::from(steps(&problem, &plan).is_ok());
-                if thumb_holds && problem.cost(&plan) > 0.0 {
-                    ratios.push(problem.cost(&thumb) / problem.cost(&plan));
+                if greedy_is_feasible && problem.cost(&plan) > 0.0 {
+                    ratios.push(problem.cost(&greedy_plan) / problem.cost(&plan));
                 }
             }
             Err(SolveError::SolverFailed(_)) => gave_up += 1,
             Err(SolveError::Infeasible(_)) => {}
         }
     }
-    let (seconds, greedy_seconds, ratio) = (Spread::of(took), Spread::of(thumb_took), Spread::of(ratios));
+    let (seconds, greedy_seconds, ratio) = (Spread::of(took), Spread::of(greedy_took), Spread::of(ratios));
     Plans {
         tenants,
         cells,
--- a/crates/pintally-benchmarks/src/plans/tests.rs
+++ b/crates/pintally-benchmarks/src/plans/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn parts_add_up_and_follow_weights() {
-    assert_eq!(parts(10, &[1.0, 2.0, 2.0]), [2, 4, 4]);
-    assert_eq!(parts(7, &[1.0, 1.0, 1.0]).iter().sum::<usize>(), 7);
+fn apportioned_parts_add_up_and_follow_weights() {
+    assert_eq!(apportion(10, &[1.0, 2.0, 2.0]), [2, 4, 4]);
+    assert_eq!(apportion(7, &[1.0, 1.0, 1.0]).iter().sum::<usize>(), 7);
 }
--- a/crates/pintally-benchmarks/src/report.rs
+++ b/crates/pintally-benchmarks/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of one block, and their spread over blocks.
+//! Statistics of one block, and their spread over blocks.
 
 use hdrhistogram::Histogram;
 
@@ -7,13 +7,13 @@
 pub struct Stats {
     /// Requests that were answered.
     pub answered: u64,
-    /// Requests that were not, or not well.
+    /// Requests that were not answered or that failed.
     pub failed: u64,
     /// Median of the time to the first token.
     pub p50: f64,
-    /// The same, 99th percentile.
+    /// 99th percentile of the time to the first token.
     pub p99: f64,
-    /// The largest lateness of the load tool itself.
+    /// The maximum delay with which the load generator itself sent a request.
     pub own_lateness: f64,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The least, the median and the largest of some values.
+/// The minimum, median and maximum of some values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[allow(missing_docs)]
 pub struct Spread {
--- a/crates/pintally-benchmarks/src/stage.rs
+++ b/crates/pintally-benchmarks/src/rig.rs
@@ -1,4 +1,4 @@
-//! The rig that measurements share: fast engines, so that what is seen is the node.
+//! The test setup that measurements share: engines so fast that the node dominates the measured times.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use pintally_mock_engine::EngineSpec;
 use pintally_scenario::Rig;
 
-use crate::load::Goal;
+use crate::load::Target;
 use crate::{error, MeasureError};
 
 const SETTINGS: &str = r#"(pintally
@@ -17,8 +17,8 @@
   (kind "prefill" (role reader) (slots 512) (memory-tokens 50000000))
   (kind "decode" (role writer) (slots 2048) (memory-tokens 50000000)))"#;
 
-/// A node with so many engines, a third of them readers.
-pub(crate) fn stage(engines: usize) -> Result<Rig, MeasureError> {
+/// Starts a node with this many engines, a third of them readers.
+pub(crate) fn start_rig(engines: usize) -> Result<Rig, MeasureError> {
     let readers = (engines / 3).max(1);
     let spec = |i: usize| {
         let (id, role) =
@@ -36,11 +36,11 @@
     Rig::new(SETTINGS, (0..engines).map(spec).collect()).map_err(error)
 }
 
-/// The node, and the engines themselves.
-pub(crate) fn goals(rig: &Rig) -> (Goal, Goal) {
+/// The target that sends requests through the node, and the one that sends them directly to the engines.
+pub(crate) fn targets(rig: &Rig) -> (Target, Target) {
     let engines = rig.fleet.engines();
-    let of = |kind: &str| -> Vec<SocketAddr> {
+    let addresses = |kind: &str| -> Vec<SocketAddr> {
         engines.iter().filter(|e| e.spec.kind == kind).map(|e| e.address).collect()
     };
-    (Goal::Node(rig.address()), Goal::Direct(of("prefill"), of("decode")))
+    (Target::Node(rig.address()), Target::Direct(addresses("prefill"), addresses("decode")))
 }
--- a/crates/pintally-benchmarks/src/streams.rs
+++ b/crates/pintally-benchmarks/src/streams.rs
@@ -1,6 +1,6 @@
-//! Streams that one node holds open, and the memory that each costs.
+//! Measures how many streams one node can hold open, and the memory that each takes.
 //!
-//! The node runs as a process of its own, so that its memory is its own.
+//! The node runs in a separate process, so that its memory can be measured alone.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -14,18 +14,18 @@
 
 use crate::{error, MeasureError};
 
-/// What was reached.
+/// The result of the measurement.
 #[derive(Clone, Debug)]
 pub struct Streams {
-    /// Streams that were asked for.
+    /// Streams that were to be opened.
     pub wanted: usize,
     /// Streams that were open at the same time.
     pub open: usize,
-    /// Resident memory of the node before the first, in KiB.
+    /// Resident memory of the node before the first stream, in KiB.
     pub before_kib: u64,
-    /// And with all of them open.
+    /// Resident memory of the node with all streams open, in KiB.
     pub with_kib: u64,
-    /// Open files that the system allows a process.
+    /// The limit of open files of the node's process.
     pub files_most: u64,
 }
 
@@ -36,9 +36,10 @@
     }
 }
 
-/// Streams that are opened at a time, and how many may fail before no more are tried.
-const GROUP: usize = 200;
-const MAX_MISSES: usize = 400;
+/// Streams that are opened at a time.
+const GROUP_SIZE: usize = 200;
+/// The measurement stops after this many failed streams.
+const MAX_FAILED_STREAMS: usize = 400;
 
 struct Process(Child);
 
@@ -49,8 +50,7 @@
     }
 }
 
-/// Opens streams through a node until as many are open as wanted or no more can be had. `program` is
-/// this project's own binary.
+/// Opens streams through a node until the wanted number is open or too many fail. `program` is the `pintally` binary.
 pub fn open_streams(program: &Path, wanted: usize, folder: &Path) -> Result<Streams, MeasureError> {
     let list = folder.join("engines.sexp");
     let engines = folder.join("engines-day.sexp");
@@ -75,21 +75,21 @@
     fs::write(&config, text).map_err(error)?;
     let node = start(&["serve".as_ref(), "--config".as_ref(), config.as_os_str()])?;
     wait_until(Duration::from_secs(10), || ready(address))?;
-    let before_kib = resident(node.0.id())?;
+    let before_kib = resident_kib(node.0.id())?;
     let mut open = Vec::new();
-    let mut misses = 0;
-    while open.len() < wanted && misses < MAX_MISSES {
-        // In small groups: a node turns away what it cannot start in time.
-        let group = GROUP.min(wanted - open.len());
-        let asked: Vec<Option<TcpStream>> = (0..group).map(|i| stream(address, open.len() + i)).collect();
-        let began: Vec<TcpStream> = asked.into_iter().flatten().filter(has_begun).collect();
-        misses += group - began.len();
+    let mut failed = 0;
+    while open.len() < wanted && failed < MAX_FAILED_STREAMS {
+        // Opens small groups, as a node rejects requests that it cannot start in time.
+        let group = GROUP_SIZE.min(wanted - open.len());
+        let sent: Vec<Option<TcpStream>> = (0..group).map(|i| stream(address, open.len() + i)).collect();
+        let began: Vec<TcpStream> = sent.into_iter().flatten().filter(has_begun).collect();
+        failed += group - began.len();
         open.extend(began);
     }
-    // All of them still run: none has ended while the others were opened.
-    let running = open.iter().filter(|s| still_runs(s)).count();
-    let with_kib = resident(node.0.id())?;
-    let files_most = limit_of_files(node.0.id());
+    // Counts only streams that did not end while the others were opened.
+    let running = open.iter().filter(|s| is_open(s)).count();
+    let with_kib = resident_kib(node.0.id())?;
+    let files_most = open_file_limit(node.0.id());
     Ok(Streams { wanted, open: running, before_kib, with_kib, files_most })
 }
 
@@ -101,7 +101,7 @@
   (kind "prefill" (role reader) (slots 512) (memory-tokens 50000000))
   (kind "decode" (role writer) (slots 30000) (memory-tokens 500000000)))"#;
 
-/// Answers of 400 tokens, two seconds apart: streams stay open until the measurement is over.
+/// Answers have 400 tokens with a `token-gap-ms` of 1000, so that streams stay open until the end of the measurement.
 const DAY: &str = r#"(day (nodes 1)
   (class "hint" (effect safe))
   (kind "prefill" (role reader) (slots 512) (memory-tokens 50000000))
@@ -123,15 +123,15 @@
     Some(stream)
 }
 
-/// Whether a stream begins within its time.
+/// Whether the response to a stream begins within 20 s.
 fn has_begun(stream: &TcpStream) -> bool {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(20)));
     let mut head = [0u8; 12];
     matches!((&*stream).read(&mut head), Ok(12) if head == *b"HTTP/1.1 200")
 }
 
-/// Whether a stream that has begun has not ended.
-fn still_runs(stream: &TcpStream) -> bool {
+/// Whether a stream that has begun is still open.
+fn is_open(stream: &TcpStream) -> bool {
     let mut buffer = [0u8; 4096];
     let _ = stream.set_nonblocking(true);
     loop {
@@ -147,16 +147,16 @@
 fn ready(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) else { return false };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-    let asked = stream.write_all(b"GET /v2/health/ready HTTP/1.1\r\nconnection: close\r\n\r\n");
+    let sent = stream.write_all(b"GET /v2/health/ready HTTP/1.1\r\nconnection: close\r\n\r\n");
     let mut text = String::new();
-    asked.is_ok() && stream.read_to_string(&mut text).is_ok() && text.contains(" 200 ")
+    sent.is_ok() && stream.read_to_string(&mut text).is_ok() && text.contains(" 200 ")
 }
 
-fn wait_until(most: Duration, mut done: impl FnMut() -> bool) -> Result<(), MeasureError> {
-    let by = Instant::now() + most;
+fn wait_until(max_wait: Duration, mut done: impl FnMut() -> bool) -> Result<(), MeasureError> {
+    let deadline = Instant::now() + max_wait;
     while !done() {
-        if Instant::now() > by {
-            return Err(error("a process of the measurement did not start"));
+        if Instant::now() > deadline {
+            return Err(error("a process of the measurement did not become ready in time"));
         }
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -164,14 +164,14 @@
 }
 
 /// Resident memory of a process in KiB.
-fn resident(pid: u32) -> Result<u64, MeasureError> {
+fn resident_kib(pid: u32) -> Result<u64, MeasureError> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).map_err(error)?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kib = line.and_then(|l| l.trim().split(' ').next()).and_then(|n| n.parse().ok());
-    kib.ok_or_else(|| error("the system does not tell the node's memory"))
+    kib.ok_or_else(|| error("cannot read VmRSS of the node from /proc"))
 }
 
-fn limit_of_files(pid: u32) -> u64 {
+fn open_file_limit(pid: u32) -> u64 {
     let limits = fs::read_to_string(format!("/proc/{pid}/limits")).unwrap_or_default();
     let line = limits.lines().find(|l| l.starts_with("Max open files"));
     line.and_then(|l| l.split_whitespace().nth(3)).and_then(|n| n.parse().ok()).unwrap_or(0)
