--- a/crates/pintally-lab/src/baseline.rs
+++ b/crates/pintally-lab/src/baseline.rs
@@ -1,8 +1,8 @@
-//! Baselines: textbook policies with the least that makes them keep the rules.
+//! Baselines: textbook load-balancing policies, with the minimum of logic that keeps the audited rules.
 //!
-//! They know the list of engines, what they themselves have under way, and the last load that each
-//! engine reported. They retry elsewhere where nothing can have run, and for classes that may run
-//! twice; they have no memory of who keeps what, and no bounds of their own.
+//! A baseline knows the endpoint list, its own attempts in flight, and the last load report of each
+//! engine. It retries on another engine if the attempt cannot have run, or if the class is idempotent.
+//! It doesn't track which engine caches which prefix, and it has no admission limits of its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,114 +21,124 @@
 
 use crate::policy::{Policy, PolicyKind};
 
-struct Known {
+/// What a baseline knows of an engine.
+struct EngineState {
     address: SocketAddr,
     role: Role,
     listing: EndpointState,
-    open: u64,
+    open_attempts: u64,
     load: LoadReport,
 }
 
-struct Asked {
+/// A request without a final answer, or with an attempt that has not ended.
+struct OpenRequest {
     id: RequestId,
-    safe: bool,
+    idempotent: bool,
     streamed: bool,
     max_tokens: u64,
-    by: Micros,
+    deadline: Micros,
     attempts: AttemptNumber,
-    /// The attempt that is out, at which engine, what it does, and whether its answer has begun.
-    out: Option<(AttemptNumber, EngineId, Step, bool)>,
+    /// The attempt in flight: its number, its engine, its step, and whether its first token has arrived.
+    in_flight: Option<(AttemptNumber, EngineId, Step, bool)>,
+    /// The read state: the attempt that produced it, the engine that holds it, and its handle.
     state: Option<(AttemptNumber, EngineId, Arc<Value>)>,
-    over: bool,
+    /// The request has its final answer, or its client has left.
+    closed: bool,
 }
 
-/// A baseline at one node.
+/// A baseline policy of one node.
 pub struct Baseline {
     policy: PolicyKind,
     settings: Arc<NodeSettings>,
-    engines: BTreeMap<EngineId, Known>,
-    open: BTreeMap<RequestNumber, Asked>,
-    due: BTreeSet<(Micros, RequestNumber)>,
-    turn: usize,
+    engines: BTreeMap<EngineId, EngineState>,
+    open: BTreeMap<RequestNumber, OpenRequest>,
+    deadlines: BTreeSet<(Micros, RequestNumber)>,
+    round_robin_position: usize,
     rng: ChaCha8Rng,
 }
 
 impl Baseline {
-    /// A baseline that knows its settings and nothing of the fleet.
+    /// Creates a baseline with its settings and an empty endpoint list.
     pub fn new(policy: PolicyKind, settings: Arc<NodeSettings>, seed: u64) -> Baseline {
         Baseline {
             policy,
             settings,
             engines: BTreeMap::new(),
             open: BTreeMap::new(),
-            due: BTreeSet::new(),
-            turn: 0,
+            deadlines: BTreeSet::new(),
+            round_robin_position: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// An engine that does a role, or both.
-    fn pick(&mut self, role: Role) -> Option<EngineId> {
-        let does =
-            |k: &Known| k.listing == EndpointState::Serving && (k.role == role || k.role == Role::Mixed);
-        let able: Vec<&EngineId> = self.engines.iter().filter(|(_, k)| does(k)).map(|(e, _)| e).collect();
-        if able.is_empty() {
+    /// Selects a serving engine that has the role or is mixed.
+    fn select_engine(&mut self, role: Role) -> Option<EngineId> {
+        let is_eligible = |k: &EngineState| {
+            k.listing == EndpointState::Serving && (k.role == role || k.role == Role::Mixed)
+        };
+        let eligible: Vec<&EngineId> =
+            self.engines.iter().filter(|(_, k)| is_eligible(k)).map(|(e, _)| e).collect();
+        if eligible.is_empty() {
             return None;
         }
-        let at = match self.policy {
+        let index = match self.policy {
             PolicyKind::LeastLoaded => {
                 let load = |e: &EngineId| {
                     let k = &self.engines[e];
                     let reported_load = k.load.queue.unwrap_or(0.0) + k.load.slots.unwrap_or(0.0);
-                    k.open as f64 + reported_load
+                    k.open_attempts as f64 + reported_load
                 };
-                let least = able.iter().map(|e| load(e)).fold(f64::INFINITY, f64::min);
-                let same: Vec<usize> = (0..able.len()).filter(|i| load(able[*i]) <= least).collect();
-                same[self.rng.random_range(0..same.len())]
+                let least = eligible.iter().map(|e| load(e)).fold(f64::INFINITY, f64::min);
+                let least_loaded: Vec<usize> =
+                    (0..eligible.len()).filter(|i| load(eligible[*i]) <= least).collect();
+                least_loaded[self.rng.random_range(0..least_loaded.len())]
             }
             PolicyKind::RoundRobin => {
-                self.turn += 1;
-                self.turn % able.len()
+                self.round_robin_position += 1;
+                self.round_robin_position % eligible.len()
             }
-            _ => self.rng.random_range(0..able.len()),
+            _ => self.rng.random_range(0..eligible.len()),
         };
-        Some(able[at].clone())
+        Some(eligible[index].clone())
     }
 
-    fn arrived(&mut self, now: Micros, a: IncomingRequest, out: &mut Vec<Command>) {
-        let class = a.class.and_then(|c| self.settings.classes.get(c));
-        let usual = class.map_or(1_000_000, |c| c.default_client_timeout);
+    fn handle_request(&mut self, now: Micros, request: IncomingRequest, out: &mut Vec<Command>) {
+        let class = request.class.and_then(|c| self.settings.classes.get(c));
+        let class_timeout = class.map_or(1_000_000, |c| c.default_client_timeout);
         let margin = self.settings.limits.answer_margin;
-        let left = a.client_timeout.map_or(usual, |own| own.min(usual)).saturating_sub(margin);
-        let safe = a.class.and_then(|c| self.settings.core.classes.get(c));
-        let asked = Asked {
-            id: RequestId(format!("{}-{}", self.settings.name, a.number).into()),
-            safe: safe.is_some_and(|c| c.idempotency == Idempotency::Idempotent),
-            streamed: a.streamed,
-            max_tokens: a.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
-            by: now + left,
+        let left = request
+            .client_timeout
+            .map_or(class_timeout, |timeout| timeout.min(class_timeout))
+            .saturating_sub(margin);
+        let core_class = request.class.and_then(|c| self.settings.core.classes.get(c));
+        let open_request = OpenRequest {
+            id: RequestId(format!("{}-{}", self.settings.name, request.number).into()),
+            idempotent: core_class.is_some_and(|c| c.idempotency == Idempotency::Idempotent),
+            streamed: request.streamed,
+            max_tokens: request.max_tokens.or(class.map(|c| c.max_tokens)).unwrap_or(256),
+            deadline: now + left,
             attempts: 0,
-            out: None,
+            in_flight: None,
             state: None,
-            over: false,
+            closed: false,
         };
-        self.due.insert((asked.by, a.number));
-        self.open.insert(a.number, asked);
-        self.go_on(now, a.number, out);
+        self.deadlines.insert((open_request.deadline, request.number));
+        self.open.insert(request.number, open_request);
+        self.next_attempt(now, request.number, out);
     }
 
-    /// The next attempt of a request, or its end.
-    fn go_on(&mut self, now: Micros, ticket: RequestNumber, out: &mut Vec<Command>) {
-        let Some(asked) = self.open.get(&ticket) else { return };
-        let fetches = asked.state.is_some();
-        let most = self.settings.core.max_attempts;
-        if asked.attempts >= most || now >= asked.by {
-            return self.answer(ticket, FinalAnswer::Rejected(None), out);
+    /// Starts the next attempt of a request, or rejects it if no attempt is possible.
+    fn next_attempt(&mut self, now: Micros, number: RequestNumber, out: &mut Vec<Command>) {
+        let Some(request) = self.open.get(&number) else { return };
+        let fetches = request.state.is_some();
+        let max_attempts = self.settings.core.max_attempts;
+        if request.attempts >= max_attempts || now >= request.deadline {
+            return self.answer(number, FinalAnswer::Rejected(None), out);
         }
-        let Some(engine) = self.pick(if fetches { Role::Writer } else { Role::Reader }) else {
-            return self.answer(ticket, FinalAnswer::Rejected(None), out);
+        let Some(engine) = self.select_engine(if fetches { Role::Writer } else { Role::Reader }) else {
+            return self.answer(number, FinalAnswer::Rejected(None), out);
         };
-        let (Some(asked), Some(known)) = (self.open.get_mut(&ticket), self.engines.get_mut(&engine)) else {
+        let (Some(request), Some(known)) = (self.open.get_mut(&number), self.engines.get_mut(&engine)) else {
             return;
         };
         let step = match (fetches, known.role) {
@@ -136,44 +146,45 @@
             (false, Role::Reader) => Step::Read,
             (false, _) => Step::Both,
         };
-        known.open += 1;
-        let attempt = asked.attempts;
-        asked.attempts += 1;
-        asked.out = Some((attempt, engine.clone(), step, false));
-        let left = asked.by - now;
+        known.open_attempts += 1;
+        let attempt = request.attempts;
+        request.attempts += 1;
+        request.in_flight = Some((attempt, engine.clone(), step, false));
+        let left = request.deadline - now;
         out.push(Command::Attempt(AttemptOrder {
-            number: ticket,
-            request: asked.id.clone(),
+            number,
+            request: request.id.clone(),
             attempt,
             cell: Default::default(),
             engine,
             address: known.address,
             step,
-            state: asked.state.as_ref().map(|s| s.2.clone()),
+            state: request.state.as_ref().map(|s| s.2.clone()),
             slots: 0,
-            max_tokens: asked.max_tokens,
+            max_tokens: request.max_tokens,
             timeout: left,
-            completion_timeout: (!asked.streamed && step != Step::Read).then_some(left),
+            completion_timeout: (!request.streamed && step != Step::Read).then_some(left),
         }));
     }
 
-    fn answer(&mut self, ticket: RequestNumber, answer: FinalAnswer, out: &mut Vec<Command>) {
-        let Some(asked) = self.open.get_mut(&ticket) else { return };
-        if !std::mem::replace(&mut asked.over, true) {
-            self.due.remove(&(asked.by, ticket));
-            out.push(Command::Answer(ticket, answer));
+    fn answer(&mut self, number: RequestNumber, answer: FinalAnswer, out: &mut Vec<Command>) {
+        let Some(request) = self.open.get_mut(&number) else { return };
+        if !std::mem::replace(&mut request.closed, true) {
+            self.deadlines.remove(&(request.deadline, number));
+            out.push(Command::Answer(number, answer));
         }
-        self.settle(ticket, out);
+        self.complete_if_done(number, out);
     }
 
-    fn settle(&mut self, ticket: RequestNumber, out: &mut Vec<Command>) {
-        if !self.open.get(&ticket).is_some_and(|a| a.over && a.out.is_none()) {
+    /// Completes a closed request once no attempt is in flight, and releases its state.
+    fn complete_if_done(&mut self, number: RequestNumber, out: &mut Vec<Command>) {
+        if !self.open.get(&number).is_some_and(|a| a.closed && a.in_flight.is_none()) {
             return;
         }
-        let Some(asked) = self.open.remove(&ticket) else { return };
-        out.push(Command::RequestComplete(ticket));
-        if let Some((attempt, engine, _)) = asked.state {
-            self.release(&asked.id, attempt, engine, out);
+        let Some(request) = self.open.remove(&number) else { return };
+        out.push(Command::RequestComplete(number));
+        if let Some((attempt, engine, _)) = request.state {
+            self.release(&request.id, attempt, engine, out);
         }
     }
 
@@ -184,43 +195,46 @@
         }
     }
 
-    fn ended(
+    fn handle_attempt_end(
         &mut self,
         now: Micros,
-        (ticket, attempt): (RequestNumber, AttemptNumber),
+        (number, attempt): (RequestNumber, AttemptNumber),
         outcome: Outcome,
         state: Option<Arc<Value>>,
         out: &mut Vec<Command>,
     ) {
-        let Some(asked) = self.open.get_mut(&ticket) else { return };
-        let Some((_, engine, step, started)) = asked.out.take_if(|o| o.0 == attempt) else { return };
+        let Some(request) = self.open.get_mut(&number) else { return };
+        let Some((_, engine, step, started)) = request.in_flight.take_if(|o| o.0 == attempt) else { return };
         if let Some(known) = self.engines.get_mut(&engine) {
-            known.open = known.open.saturating_sub(1);
+            known.open_attempts = known.open_attempts.saturating_sub(1);
         }
         let read = step == Step::Read;
         if let (Outcome::Read, Some(state)) = (outcome, state) {
-            asked.state = Some((attempt, engine, state));
+            request.state = Some((attempt, engine, state));
         } else if read && !matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NeverSent)
         {
-            let id = asked.id.clone();
+            let id = request.id.clone();
             self.release(&id, attempt, engine, out);
         } else if matches!(outcome, Outcome::Served | Outcome::StateNotFound) {
-            asked.state = None;
+            request.state = None;
         }
-        let Some(asked) = self.open.get(&ticket) else { return };
-        if asked.over {
-            return self.settle(ticket, out);
+        let Some(request) = self.open.get(&number) else { return };
+        if request.closed {
+            return self.complete_if_done(number, out);
         }
-        let unsure = matches!(
+        let may_have_run = matches!(
             outcome,
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectionBroken | Outcome::Cancelled
         );
         match outcome {
-            Outcome::Served => self.answer(ticket, FinalAnswer::Served, out),
-            _ if started => self.answer(ticket, FinalAnswer::StreamCut, out),
-            // A read has no effect; an answer that may have begun has, unless it may run twice.
-            _ if unsure && !read && !asked.safe => self.answer(ticket, FinalAnswer::Failed, out),
-            _ => self.go_on(now, ticket, out),
+            Outcome::Served => self.answer(number, FinalAnswer::Served, out),
+            _ if started => self.answer(number, FinalAnswer::StreamCut, out),
+            // A read has no side effect and can be retried. A write that may have run cannot, unless the class is
+            // idempotent.
+            _ if may_have_run && !read && !request.idempotent => {
+                self.answer(number, FinalAnswer::Failed, out);
+            }
+            _ => self.next_attempt(now, number, out),
         }
     }
 }
@@ -228,52 +242,52 @@
 impl Policy for Baseline {
     fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
-            Input::EndpointList(form, list) => {
-                if form == ListUpdate::Full {
+            Input::EndpointList(update, list) => {
+                if update == ListUpdate::Full {
                     self.engines.values_mut().for_each(|k| k.listing = EndpointState::Gone);
                 }
-                for one in list {
+                for entry in list {
                     let kinds = &self.settings.core.engine_kinds;
-                    let Some(kind) = kinds.iter().find(|k| k.name == one.endpoint.kind) else { continue };
-                    let known = self.engines.entry(one.endpoint.engine.clone()).or_insert(Known {
-                        address: one.address,
+                    let Some(kind) = kinds.iter().find(|k| k.name == entry.endpoint.kind) else { continue };
+                    let known = self.engines.entry(entry.endpoint.engine.clone()).or_insert(EngineState {
+                        address: entry.address,
                         role: kind.role,
-                        listing: one.endpoint.state,
-                        open: 0,
+                        listing: entry.endpoint.state,
+                        open_attempts: 0,
                         load: LoadReport::default(),
                     });
-                    known.listing = one.endpoint.state;
+                    known.listing = entry.endpoint.state;
                 }
             }
-            Input::RequestArrived(arrival) => self.arrived(now, arrival, out),
-            Input::FirstToken(ticket, attempt) => {
-                let asked = self.open.get_mut(&ticket);
-                let begun = asked.and_then(|a| {
-                    let own = a.out.as_mut().filter(|o| o.0 == attempt)?;
-                    own.3 = true;
-                    // A state that was fetched is not held any more.
+            Input::RequestArrived(arrival) => self.handle_request(now, arrival, out),
+            Input::FirstToken(number, attempt) => {
+                let request = self.open.get_mut(&number);
+                let stream_deadline = request.and_then(|a| {
+                    let in_flight = a.in_flight.as_mut().filter(|o| o.0 == attempt)?;
+                    in_flight.3 = true;
+                    // The reader no longer holds a state that has been fetched.
                     a.state = None;
-                    a.streamed.then_some(a.by)
+                    a.streamed.then_some(a.deadline)
                 });
-                if let Some(by) = begun {
-                    self.due.remove(&(by, ticket));
+                if let Some(deadline) = stream_deadline {
+                    self.deadlines.remove(&(deadline, number));
                 }
             }
-            Input::AttemptEnded { number: ticket, attempt, outcome, load, state, .. } => {
-                let engine = self.open.get(&ticket).and_then(|a| a.out.as_ref()).map(|o| o.1.clone());
+            Input::AttemptEnded { number, attempt, outcome, load, state, .. } => {
+                let engine = self.open.get(&number).and_then(|a| a.in_flight.as_ref()).map(|o| o.1.clone());
                 if let (Some(load), Some(known)) = (load, engine.and_then(|e| self.engines.get_mut(&e))) {
                     known.load = load;
                 }
-                self.ended(now, (ticket, attempt), outcome, state, out);
+                self.handle_attempt_end(now, (number, attempt), outcome, state, out);
             }
-            Input::ClientLeft(ticket) => {
-                let Some(asked) = self.open.get_mut(&ticket) else { return };
-                asked.over = true;
-                self.due.remove(&(asked.by, ticket));
-                if let Some((attempt, ..)) = asked.out {
-                    out.push(Command::Cancel(ticket, attempt));
+            Input::ClientLeft(number) => {
+                let Some(request) = self.open.get_mut(&number) else { return };
+                request.closed = true;
+                self.deadlines.remove(&(request.deadline, number));
+                if let Some((attempt, ..)) = request.in_flight {
+                    out.push(Command::Cancel(number, attempt));
                 }
-                self.settle(ticket, out);
+                self.complete_if_done(number, out);
             }
             Input::HealthChecked(engine, _, load) => {
                 if let (Some(load), Some(known)) = (load, self.engines.get_mut(&engine)) {
@@ -296,18 +310,18 @@
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Command>) {
-        while let Some((_, ticket)) = self.due.first().copied().filter(|d| d.0 <= now) {
-            self.due.pop_first();
-            let attempt = self.open.get(&ticket).and_then(|a| a.out.as_ref()).map(|o| (o.0, o.3));
+        while let Some((_, number)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
+            self.deadlines.pop_first();
+            let attempt = self.open.get(&number).and_then(|a| a.in_flight.as_ref()).map(|o| (o.0, o.3));
             let started = attempt.is_some_and(|a| a.1);
             if let Some((attempt, _)) = attempt {
-                out.push(Command::Cancel(ticket, attempt));
+                out.push(Command::Cancel(number, attempt));
             }
-            self.answer(ticket, if started { FinalAnswer::StreamCut } else { FinalAnswer::Failed }, out);
+            self.answer(number, if started { FinalAnswer::StreamCut } else { FinalAnswer::Failed }, out);
         }
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        self.due.first().map(|d| d.0)
+        self.deadlines.first().map(|d| d.0)
     }
 }
--- a/crates/pintally-lab/src/clients.rs
+++ b/crates/pintally-lab/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients in virtual time: what each has asked, of which node, and what it has heard.
+//! Simulated clients: the requests they have sent, to which node, and the answers they have received.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,29 +7,31 @@
 use pintally_host::RequestNumber;
 use pintally_scenario::RequestDraft;
 
-/// One try of a request.
+/// One try of a client request: the first, or a retry after a rejection.
 #[derive(Clone, Debug)]
 pub(crate) struct Try {
-    /// Its name in the record.
+    /// The request id in the record.
     pub(crate) id: String,
-    pub(crate) number: u64,
-    pub(crate) tries: u32,
+    /// The number of the client request, shared by all of its tries.
+    pub(crate) request_number: u64,
+    /// How many retries came before: 0 for the first try.
+    pub(crate) retry: u32,
     pub(crate) draft: Rc<RequestDraft>,
-    /// The chain of the prompt's whole blocks.
-    pub(crate) chain: Rc<Vec<BlockHash>>,
-    /// Its answer has begun.
-    pub(crate) first: bool,
-    /// It has its answer, or has given up.
+    /// The hash chain of the prompt's complete blocks.
+    pub(crate) block_hashes: Rc<Vec<BlockHash>>,
+    /// The client has received the first token.
+    pub(crate) first_token_received: bool,
+    /// The client has received the final answer, or has given up.
     pub(crate) done: bool,
 }
 
-/// All tries that nodes still have, by node and ticket.
+/// All tries that a node has not completed yet, by node and by the node's request number.
 pub(crate) type Tries = BTreeMap<(usize, RequestNumber), Try>;
 
-/// The name of a try in the record.
-pub(crate) fn name(number: u64, tries: u32) -> String {
-    match tries {
-        0 => format!("c{number}"),
-        _ => format!("c{number}~{tries}"),
+/// The request id of a try in the record.
+pub(crate) fn request_id(request_number: u64, retry: u32) -> String {
+    match retry {
+        0 => format!("c{request_number}"),
+        _ => format!("c{request_number}~{retry}"),
     }
 }
--- a/crates/pintally-lab/src/script.rs
+++ b/crates/pintally-lab/src/fault_schedule.rs
@@ -1,37 +1,37 @@
-//! Faults of a day as acts in virtual time.
+//! Translates a scenario's faults into timed actions of the simulation.
 
 use pintally_scenario::{Fault, FaultKind, Scenario};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// One act; engines by their numbers, times in microseconds.
+/// One action of a fault. Engines are given by their index, times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// An engine dies, or starts cold.
+    /// Crashes an engine (`false`), or starts it with an empty cache (`true`).
     SetRunning(usize, bool),
-    /// An engine is so many times slower.
+    /// Makes an engine slower by this factor.
     SetSlowdown(usize, f64),
-    /// An engine's links are so many times slower.
+    /// Makes an engine's network links slower by this factor.
     SetLinkSlowdown(usize, f64),
-    /// An engine drains, or serves again.
+    /// Lists an engine as draining (`true`), or as serving again (`false`).
     SetDraining(usize, bool),
-    /// An engine forgets what it keeps.
+    /// Clears an engine's prefix cache.
     ClearCache(usize),
-    /// An engine's load reports are as they are, old, or say that it idles.
+    /// Makes an engine's load reports correct, stale, or always idle.
     SetReportAccuracy(usize, pintally_emulator::ReportAccuracy),
-    /// An engine does nothing for a time.
+    /// Makes an engine do no work until this time.
     PauseUntil(usize, u64),
-    /// Clients send so many times as much.
+    /// Multiplies the clients' request rate by this factor.
     SetTrafficRate(f64),
-    /// A tenant's move takes a step: announced, into a cell within so many microseconds,
+    /// Announces that a tenant moves into a cell, and the time in microseconds over which its sessions move.
     AnnounceMove(String, String, u64),
-    /// begun, or done.
+    /// Starts an announced move of a tenant (`false`), or completes it (`true`).
     AdvanceMove(String, bool),
-    /// This share of the requests begins with one text.
+    /// Makes this share of the requests begin with the same text.
     SetHotTextShare(f64),
 }
 
-/// Whether a kind of fault can be played in virtual time.
+/// Whether the simulation can play a kind of fault.
 pub fn is_supported(kind: FaultKind) -> bool {
     matches!(
         kind,
@@ -50,17 +50,17 @@
     )
 }
 
-/// The acts of a day's faults, in order of time. Engines come with their kinds and cells.
-pub(crate) fn script(
-    day: &Scenario,
+/// The actions of a scenario's faults, ordered by time. Each engine is given by its kind and cell.
+pub(crate) fn schedule_faults(
+    scenario: &Scenario,
     engines: &[(String, Option<String>)],
     rng: &mut ChaCha8Rng,
 ) -> Vec<(u64, FaultAction)> {
-    let mut acts = Vec::new();
-    for fault in day.faults.iter().filter(|f| is_supported(f.kind)) {
+    let mut actions = Vec::new();
+    for fault in scenario.faults.iter().filter(|f| is_supported(f.kind)) {
         let (from, to) = (fault.start.as_micros() as u64, (fault.start + fault.duration).as_micros() as u64);
         match fault.kind {
-            FaultKind::Burst => acts.extend([
+            FaultKind::Burst => actions.extend([
                 (from, FaultAction::SetTrafficRate(fault.magnitude)),
                 (to, FaultAction::SetTrafficRate(1.0)),
             ]),
@@ -69,68 +69,69 @@
                     fault.zone_or_tenant.clone().unwrap_or_default(),
                     fault.cell.clone().unwrap_or_default(),
                 );
-                let size_ms = (fault.magnitude * 1e3) as u64;
+                let magnitude_us = (fault.magnitude * 1e3) as u64;
                 let third = (to - from) / 3;
-                let over = if size_ms == 0 { third } else { size_ms };
-                acts.push((from, FaultAction::AnnounceMove(tenant.clone(), cell, over)));
-                acts.push((from + third, FaultAction::AdvanceMove(tenant.clone(), false)));
-                acts.push((to, FaultAction::AdvanceMove(tenant, true)));
+                let over_us = if magnitude_us == 0 { third } else { magnitude_us };
+                actions.push((from, FaultAction::AnnounceMove(tenant.clone(), cell, over_us)));
+                actions.push((from + third, FaultAction::AdvanceMove(tenant.clone(), false)));
+                actions.push((to, FaultAction::AdvanceMove(tenant, true)));
             }
-            FaultKind::HotText => acts.extend([
+            FaultKind::HotText => actions.extend([
                 (from, FaultAction::SetHotTextShare(fault.magnitude.min(1.0))),
                 (to, FaultAction::SetHotTextShare(0.0)),
             ]),
             _ => {
-                for engine in struck(fault, engines, rng) {
-                    acts.extend(of_engine(fault, engine, from, to));
+                for engine in affected_engines(fault, engines, rng) {
+                    actions.extend(engine_actions(fault, engine, from, to));
                 }
             }
         }
     }
-    acts.sort_by_key(|a| a.0);
-    acts
+    actions.sort_by_key(|action| action.0);
+    actions
 }
 
-fn struck(fault: &Fault, engines: &[(String, Option<String>)], rng: &mut ChaCha8Rng) -> Vec<usize> {
-    let fits = |(kind, cell): &(String, Option<String>)| {
+/// The engines that a fault hits: a random share of those of its kind and cell, and at least one.
+fn affected_engines(fault: &Fault, engines: &[(String, Option<String>)], rng: &mut ChaCha8Rng) -> Vec<usize> {
+    let matches_fault = |(kind, cell): &(String, Option<String>)| {
         fault.engine_kind.as_ref().is_none_or(|of| of == kind)
             && (fault.cell.is_none() || fault.cell == *cell)
     };
-    let mut all: Vec<usize> = (0..engines.len()).filter(|n| fits(&engines[*n])).collect();
-    all.shuffle(rng);
-    all.truncate((all.len() as f64 * fault.fraction).round().max(1.0) as usize);
-    all
+    let mut candidates: Vec<usize> = (0..engines.len()).filter(|n| matches_fault(&engines[*n])).collect();
+    candidates.shuffle(rng);
+    candidates.truncate((candidates.len() as f64 * fault.fraction).round().max(1.0) as usize);
+    candidates
 }
 
-fn of_engine(fault: &Fault, engine: usize, from: u64, to: u64) -> Vec<(u64, FaultAction)> {
+fn engine_actions(fault: &Fault, engine: usize, from: u64, to: u64) -> Vec<(u64, FaultAction)> {
     use pintally_emulator::ReportAccuracy;
-    let both = |begin: FaultAction, end: FaultAction| vec![(from, begin), (to, end)];
+    let for_duration = |start: FaultAction, end: FaultAction| vec![(from, start), (to, end)];
     match fault.kind {
         FaultKind::Crash => {
-            both(FaultAction::SetRunning(engine, false), FaultAction::SetRunning(engine, true))
+            for_duration(FaultAction::SetRunning(engine, false), FaultAction::SetRunning(engine, true))
         }
         FaultKind::Restart => vec![
             (from, FaultAction::SetRunning(engine, false)),
             (from + 100_000, FaultAction::SetRunning(engine, true)),
         ],
-        FaultKind::Slow => both(
+        FaultKind::Slow => for_duration(
             FaultAction::SetSlowdown(engine, fault.magnitude.max(1.0)),
             FaultAction::SetSlowdown(engine, 1.0),
         ),
-        FaultKind::SlowLinks => both(
+        FaultKind::SlowLinks => for_duration(
             FaultAction::SetLinkSlowdown(engine, fault.magnitude.max(1.0)),
             FaultAction::SetLinkSlowdown(engine, 1.0),
         ),
         FaultKind::Drain => {
-            both(FaultAction::SetDraining(engine, true), FaultAction::SetDraining(engine, false))
+            for_duration(FaultAction::SetDraining(engine, true), FaultAction::SetDraining(engine, false))
         }
         FaultKind::Hang => vec![(from, FaultAction::PauseUntil(engine, to))],
         FaultKind::Forget => vec![(from, FaultAction::ClearCache(engine))],
-        FaultKind::StaleReports => both(
+        FaultKind::StaleReports => for_duration(
             FaultAction::SetReportAccuracy(engine, ReportAccuracy::Stale),
             FaultAction::SetReportAccuracy(engine, ReportAccuracy::Honest),
         ),
-        FaultKind::LyingReports => both(
+        FaultKind::LyingReports => for_duration(
             FaultAction::SetReportAccuracy(engine, ReportAccuracy::Idle),
             FaultAction::SetReportAccuracy(engine, ReportAccuracy::Honest),
         ),
--- a/crates/pintally-lab/src/fleet/mod.rs
+++ b/crates/pintally-lab/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Whole fleets in virtual time: membership, replicas, quota granter and holders as they are, on a network that is
-//! made up. Nothing of a node is rebuilt here but the wires between its parts.
+//! Simulation of a fleet's coordination: the production code of membership, consensus replicas, quota granter and
+//! quota holders on a simulated network. Only the glue between these parts of a node is written anew here.
 
 mod report;
 mod world;
--- a/crates/pintally-lab/src/fleet/report.rs
+++ b/crates/pintally-lab/src/fleet/report.rs
@@ -1,59 +1,59 @@
-//! What came of a fleet in virtual time.
+//! The results of a fleet simulation.
 
 use serde::Serialize;
 
-/// A figure over many: how it lies.
+/// The distribution of a measured value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// The middle one.
+    /// The median.
     pub median: f64,
-    /// The greatest.
+    /// The maximum.
     pub worst: f64,
-    /// How many.
+    /// The number of samples.
     pub count: usize,
 }
 
 impl Spread {
-    pub(crate) fn of(mut all: Vec<f64>) -> Spread {
-        all.sort_by(f64::total_cmp);
-        let median = all.get(all.len() / 2).copied().unwrap_or(0.0);
-        Spread { median, worst: all.last().copied().unwrap_or(0.0), count: all.len() }
+    pub(crate) fn of(mut samples: Vec<f64>) -> Spread {
+        samples.sort_by(f64::total_cmp);
+        let median = samples.get(samples.len() / 2).copied().unwrap_or(0.0);
+        Spread { median, worst: samples.last().copied().unwrap_or(0.0), count: samples.len() }
     }
 }
 
-/// What came of a fleet in virtual time.
+/// The results of a fleet simulation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetReport {
     /// Nodes.
     pub nodes: usize,
-    /// The part of datagrams that was lost.
+    /// The share of datagrams that was lost.
     pub loss: f64,
     /// The seed.
     pub seed: u64,
-    /// Seconds from the start until all knew all.
+    /// Seconds from the start until each node knew all nodes.
     #[serde(rename = "whole_s")]
     pub discovery_complete_s: f64,
-    /// Seconds from a death until all others knew of it, over deaths.
+    /// Seconds from a node's death until all living nodes knew of it, over all deaths.
     #[serde(rename = "death_known_s")]
     pub death_detection_s: Spread,
-    /// Living nodes called dead by somebody, an hour of the whole fleet.
+    /// How often a node declared a living node dead, per hour over the whole fleet.
     pub false_deaths_per_hour: f64,
-    /// Living nodes suspected by somebody, an hour of the whole fleet.
+    /// How often a node suspected a living node, per hour over the whole fleet.
     pub false_suspicions_per_hour: f64,
-    /// Datagrams and bytes that a node sends a second, in calm.
+    /// Datagrams that a node sends per second in the quiet phase.
     pub datagrams_per_s: f64,
-    /// The same in bytes.
+    /// Bytes that a node sends per second in the quiet phase.
     pub bytes_per_s: f64,
-    /// Seconds from a leader's death to the next lead.
+    /// Seconds from a leader's death until a new leader is in place.
     #[serde(rename = "led_again_s")]
     pub leader_failover_s: Spread,
-    /// Of the limit: the most that all nodes had at one time, as a part of it.
+    /// The maximum sum of all nodes' allocations at one time, as a share of the limit.
     #[serde(rename = "limit_peak")]
     pub peak_limit_share: f64,
-    /// What was let in in calm, as a part of what one true counter would let in.
+    /// Admitted requests in the quiet phase, as a share of what one central counter would admit.
     #[serde(rename = "let_in")]
     pub admitted_share: f64,
-    /// The same where each node has the limit divided by the number of nodes.
+    /// The same share if each node enforces the limit divided by the number of nodes.
     #[serde(rename = "let_in_divided")]
     pub admitted_share_divided: f64,
 }
--- a/crates/pintally-lab/src/lib.rs
+++ b/crates/pintally-lab/src/lib.rs
@@ -1,21 +1,21 @@
-//! Days in virtual time: the same hosts that run behind sockets, emulated engines, and clients, with
-//! nothing between them but delays.
+//! Discrete-event simulation of scenarios (`day` files): the hosts that nodes run in production, emulated
+//! engines and clients, connected by fixed delays in place of sockets.
 //!
-//! A [`World`] has one clock, which jumps from one thing that is due to the next. Everything drawn
-//! comes from the seed, so a day plays the same every time. Nodes decide by a [`Policy`]: the module
-//! inside its host, or a baseline to compare it with. The record is of the same kind as that of a day
-//! over sockets and is audited by the same rules.
+//! A [`World`] has one virtual clock, which jumps from one event to the next. All random numbers come from
+//! the seed, so the same scenario and seed give the same result. Each node decides with a [`Policy`]: the
+//! router module inside its host, or a baseline for comparison. The record has the same format as that of
+//! a scenario over sockets and is audited by the same rules.
 
 mod baseline;
 mod clients;
 mod compare;
+mod fault_schedule;
 pub mod fleet;
 mod policy;
-mod script;
 mod world;
 
 pub use baseline::Baseline;
 pub use compare::{compare, play, play_at_size, record, PolicyComparison, ScenarioResult, SizeResult};
+pub use fault_schedule::{is_supported, FaultAction};
 pub use policy::{Policy, PolicyKind};
-pub use script::{is_supported, FaultAction};
 pub use world::World;
--- a/crates/pintally-lab/src/policy.rs
+++ b/crates/pintally-lab/src/policy.rs
@@ -1,4 +1,4 @@
-//! What decides at a node: the module inside its host, or a baseline.
+//! The policy of a simulated node: the router module inside its host, or a baseline.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 
 use crate::baseline::Baseline;
 
-/// Takes in what a node learns and says what is to be done, as [`Host`] does.
+/// Turns a node's inputs into commands, with the same interface as [`Host`].
 pub trait Policy: Send {
-    /// Takes in one input.
+    /// Handles one input and appends the resulting commands to `out`.
     fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>);
-    /// Does what has come due.
+    /// Handles all timers that are due at `now`.
     fn tick(&mut self, now: Micros, out: &mut Vec<Command>);
-    /// When there is something to do.
+    /// The time of the next timer, if any.
     fn next_wake(&self) -> Option<Micros>;
 }
 
@@ -35,22 +35,22 @@
 /// Which policy decides at the nodes of a simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// The module.
+    /// The router module inside its host.
     Module,
-    /// Any engine that serves.
+    /// A uniformly random engine among those that are listed as serving.
     Random,
-    /// The one that has least to do, as far as the node knows.
+    /// The engine with the lowest load, by the node's own open attempts and the engine's last load report.
     LeastLoaded,
-    /// One after the other.
+    /// All engines in turn.
     RoundRobin,
 }
 
 impl PolicyKind {
-    /// All of them, the module first.
+    /// All policies. The module comes first, as the comparison takes it as the reference.
     pub const ALL: [PolicyKind; 4] =
         [PolicyKind::Module, PolicyKind::Random, PolicyKind::LeastLoaded, PolicyKind::RoundRobin];
 
-    /// Its name for people.
+    /// The name in reports.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Module => "module",
@@ -60,7 +60,7 @@
         }
     }
 
-    /// One node's policy.
+    /// Builds the policy of one node.
     pub fn build(self, settings: Arc<NodeSettings>, seed: u64) -> Box<dyn Policy> {
         match self {
             PolicyKind::Module => Box::new(Host::new(settings, seed)),
--- a/crates/pintally-lab/tests/days.rs
+++ b/crates/pintally-lab/tests/days.rs
@@ -1,5 +1,5 @@
-//! Days in virtual time: the rules are kept, the same seed gives the same record, policies differ where
-//! they should and nowhere else.
+//! Scenario simulations: the rules are kept, the same seed gives the same record, and the module serves more
+//! than the random baseline where prefix caching matters.
 
 use pintally_lab::*;
 use pintally_scenario::{with_figures, Scenario};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn rules_are_kept_on_bad_days_by_the_module() {
+fn module_keeps_rules_under_faults() {
     let day = day(FAULTS);
     for seed in 1..6 {
         let (record, engines, _) = World::new(&day, PolicyKind::Module, seed).play();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_record_and_another_does_not() {
+fn record_depends_only_on_seed() {
     let day = day(FAULTS);
     let text = |policy, seed| format!("{:?}", World::new(&day, policy, seed).play().0);
     for policy in PolicyKind::ALL {
@@ -55,15 +55,15 @@
     }
 }
 
-/// An audit that could not fail would say nothing: a policy that sends an unsafe request again after
-/// it may have run is found out.
+/// An audit that cannot fail proves nothing. This test checks that the audit finds a policy that retries an unsafe
+/// request after an attempt that may have run.
 #[test]
-fn a_policy_that_breaks_a_rule_is_found_out() {
+fn audit_finds_policy_that_retries_unsafe_requests() {
     use pintally::interface::Outcome;
     use pintally_host::{Command, Host, Input};
-    /// Tells its host that whatever broke off was never sent.
-    struct Heedless(Host);
-    impl Policy for Heedless {
+    /// Reports each broken or timed-out attempt to its host as never sent.
+    struct ReportsNeverSent(Host);
+    impl Policy for ReportsNeverSent {
         fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Command>) {
             let input = match input {
                 Input::AttemptEnded {
@@ -93,20 +93,20 @@
             self.0.next_wake()
         }
     }
-    // Answers begin, and their first token takes longer than the node waits.
+    // Engines start the answers, but the first token comes later than the node's timeout.
     let day = day("(fault slow (at 4) (for 6) (of \"decode\") (part 0.5) (size 300))");
     let mut world = World::new(&day, PolicyKind::Module, 3);
-    world.replace(|settings, seed| Box::new(Heedless(Host::new(settings, seed))));
+    world.replace_policies(|settings, seed| Box::new(ReportsNeverSent(Host::new(settings, seed))));
     let (record, engines, _) = world.play();
     let record = with_figures(&day.settings, (1_000_000, 5_000), engines, record);
     let report = pintally_audit::audit(&record).unwrap();
     assert!(!report.rules.twice.is_empty(), "{report:?}");
 }
 
-/// Kept texts are worth something where readers are short: the module must not fall behind policies
-/// that do not know of them.
+/// Prefix caching saves prefill work where reader capacity is short, so the module must serve more in time than a
+/// policy that ignores cached prefixes.
 #[test]
-fn the_module_serves_more_in_time_than_random_where_reading_is_short() {
+fn module_beats_random_when_readers_are_short() {
     let found = compare(&day(""), &[1.6], 1..7).unwrap();
     let of = |policy| found.iter().find(|c| c.policy == policy).unwrap();
     let random = of(PolicyKind::Random);
@@ -115,10 +115,10 @@
     assert!(random.against_module.most < 0.0, "{random:?}");
 }
 
-/// Nodes of the old and of the new shape before the same engines, more work than those can do, in virtual time:
-/// the rules hold for every number of moved nodes, and neither shape takes the other's part.
+/// Nodes with the old and the new configuration share the same overloaded engines: for each number of moved nodes
+/// the rules hold, and neither group takes the other's share of the capacity.
 #[test]
-fn nodes_on_the_move_share_overloaded_engines_evenly() {
+fn moved_and_old_nodes_share_engines_evenly() {
     let base = DAY
         .replace("FAULTS", "")
         .replace("(nodes 3 ", "(nodes 6 ")
--- a/crates/pintally-soak/src/client.rs
+++ b/crates/pintally-soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients of a run: patient ones and such that leave, rest, write or read slowly, have little time, or are bad.
+//! Clients of a run: well-behaved ones, and ones that disconnect, idle, write or read slowly, have short timeouts, or
+//! send malformed data.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,35 +10,35 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::record::{BadClient, Class, ClientRequest, Record, RequestOutcome};
+use crate::record::{BadClient, Class, ClientRequest, RequestOutcome, SharedRecord};
 
-/// So much longer it keeps its connection, to see what comes late.
+/// A client keeps its connection for this long after its timeout, to record late answers.
 const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
-/// A stream that has begun ends within this time.
+/// A client closes a stream that has not ended after this time.
 const MAX_STREAM_DURATION: Duration = Duration::from_secs(12);
-/// A bad client is owed an error or the end of its connection within this time.
+/// How long a client waits for an error or the end of its connection after it sent malformed data.
 const MALFORMED_ANSWER_TIMEOUT: Duration = Duration::from_millis(4_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// What a client is like.
+/// The behaviour of a client. The `Debug` text is part of its request ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClientBehavior {
-    /// Keeps its connection and asks again and again.
+    /// Sends all requests on one connection.
     KeepAlive,
-    /// Opens a connection for each request.
+    /// Opens a new connection for each request.
     NewConnection,
-    /// Leaves after a while, whether answered or not.
+    /// Closes its connection after a random time, whether answered or not.
     Disconnects,
-    /// Writes its requests in pieces.
+    /// Writes its requests in small pieces with pauses.
     WritesSlowly,
-    /// Takes its answers in pieces.
+    /// Reads its answers in small pieces with pauses.
     ReadsSlowly,
-    /// Rests on its connection for about as long as the node keeps one.
+    /// Idles between requests for about as long as the node keeps an idle connection open.
     Idles,
-    /// Has very little time.
+    /// Has a very short timeout.
     ShortTimeout,
-    /// Sends what no request is, or part of one, and stays.
+    /// Sends malformed or incomplete requests, and keeps the connection open.
     Malformed,
 }
 
@@ -58,176 +59,181 @@
 pub(crate) struct Client {
     pub(crate) node: usize,
     pub(crate) address: SocketAddr,
-    pub(crate) manner: ClientBehavior,
-    /// Begins the ids of its requests.
+    pub(crate) behavior: ClientBehavior,
+    /// The prefix of its request ids.
     pub(crate) name: String,
     pub(crate) seed: u64,
-    pub(crate) record: Arc<Record>,
+    pub(crate) record: Arc<SharedRecord>,
     pub(crate) until: Instant,
-    /// How long it waits for a first token.
+    /// How long it waits for the first token.
     pub(crate) client_timeout: Duration,
 }
 
-/// A connection and how many requests it has carried.
+/// A connection, and the number of requests sent on it.
 struct Connection {
     stream: TcpStream,
-    carried: u64,
+    requests: u64,
 }
 
 impl Client {
-    /// Asks until its time is up.
+    /// Sends requests until the end of the run.
     pub(crate) fn run(self) {
-        let mut dice = ChaCha8Rng::seed_from_u64(self.seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut connection = None;
         let mut number = 0;
         while Instant::now() < self.until {
-            if self.manner == ClientBehavior::Malformed {
-                self.send_malformed(&mut dice);
-                pause(&mut dice, 100, 900);
+            if self.behavior == ClientBehavior::Malformed {
+                self.send_malformed(&mut rng);
+                pause(&mut rng, 100, 900);
                 continue;
             }
-            let open = connection.take().or_else(|| self.connect());
-            let Some(open) = open else {
-                pause(&mut dice, 20, 60);
+            let current = connection.take().or_else(|| self.connect());
+            let Some(current) = current else {
+                pause(&mut rng, 20, 60);
                 continue;
             };
             number += 1;
             let id = format!("{}-{number}", self.name);
-            connection = self.send_request(open, &id, &mut dice);
-            match self.manner {
+            connection = self.send_request(current, &id, &mut rng);
+            match self.behavior {
                 ClientBehavior::NewConnection | ClientBehavior::Disconnects => connection = None,
-                // About as long as the node keeps a resting connection, or has one when it is sent SIGTERM.
-                ClientBehavior::Idles => pause(&mut dice, 300, 1_500),
+                // About as long as the node keeps an idle connection, so that requests meet its close by timeout or after
+                // SIGTERM.
+                ClientBehavior::Idles => pause(&mut rng, 300, 1_500),
                 _ => {}
             }
-            pause(&mut dice, 10, 120);
+            pause(&mut rng, 10, 120);
         }
     }
 
     fn connect(&self) -> Option<Connection> {
         let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).ok()?;
         let _ = stream.set_nodelay(true);
-        if self.manner == ClientBehavior::ReadsSlowly {
+        if self.behavior == ClientBehavior::ReadsSlowly {
             let _ = socket2::SockRef::from(&stream).set_recv_buffer_size(2 << 10);
         }
-        Some(Connection { stream, carried: 0 })
+        Some(Connection { stream, requests: 0 })
     }
 
-    /// Sends a request and takes in its answer; the connection, if it can carry another one.
-    fn send_request(&self, mut open: Connection, id: &str, dice: &mut ChaCha8Rng) -> Option<Connection> {
-        let class = Class::ALL[[0, 0, 1, 2][dice.random_range(0..4)]];
-        let client_timeout = match self.manner {
-            ClientBehavior::ShortTimeout => Duration::from_millis(dice.random_range(1..220)),
+    /// Sends a request and reads its answer. Returns the connection if it can be reused.
+    fn send_request(&self, mut connection: Connection, id: &str, rng: &mut ChaCha8Rng) -> Option<Connection> {
+        let class = Class::ALL[[0, 0, 1, 2][rng.random_range(0..4)]];
+        let client_timeout = match self.behavior {
+            ClientBehavior::ShortTimeout => Duration::from_millis(rng.random_range(1..220)),
             _ => self.client_timeout,
         };
-        let bytes = request(id, class, client_timeout, dice.random_range(0..40) == 0);
-        let sent = self.send(&mut open.stream, &bytes, dice);
-        let ask = ClientRequest {
+        let bytes = request(id, class, client_timeout, rng.random_range(0..40) == 0);
+        let sent = self.send(&mut connection.stream, &bytes, rng);
+        let request = ClientRequest {
             class,
             node: self.node,
             sent: self.record.now(),
             client_timeout,
-            on_new_connection: open.carried == 0,
+            on_new_connection: connection.requests == 0,
             resent: false,
             left: None,
             end: if sent { RequestOutcome::Open } else { RequestOutcome::Unsent },
-            prompt_reader: self.manner != ClientBehavior::ReadsSlowly,
+            prompt_reader: self.behavior != ClientBehavior::ReadsSlowly,
             most_held_back: Duration::ZERO,
         };
-        self.record.with(|books| books.requests.insert(id.into(), ask));
+        self.record.with(|record| record.requests.insert(id.into(), request));
         if !sent {
             return None;
         }
-        let leaves = (self.manner == ClientBehavior::Disconnects)
-            .then(|| Duration::from_millis(dice.random_range(1..500)));
-        let keeps = self.read_answer(&mut open, id, client_timeout, leaves, dice);
-        open.carried += 1;
-        let end = self.record.with(|books| books.requests.get(id).map(|ask| ask.end));
-        // A request that has crossed the end of a resting connection is sent once more, on a new one.
-        if matches!(end, Some(RequestOutcome::Dropped { .. })) && open.carried > 1 && leaves.is_none() {
-            drop(open);
-            return self.connect().and_then(|again| self.retry(again, id, &bytes, client_timeout, dice));
+        let leave_after = (self.behavior == ClientBehavior::Disconnects)
+            .then(|| Duration::from_millis(rng.random_range(1..500)));
+        let reusable = self.read_answer(&mut connection, id, client_timeout, leave_after, rng);
+        connection.requests += 1;
+        let end = self.record.with(|record| record.requests.get(id).map(|request| request.end));
+        // The node may close an idle connection while a request is on its way. Such a request is sent again on a new
+        // connection.
+        if matches!(end, Some(RequestOutcome::Dropped { .. }))
+            && connection.requests > 1
+            && leave_after.is_none()
+        {
+            drop(connection);
+            return self.connect().and_then(|new| self.retry(new, id, &bytes, client_timeout, rng));
         }
-        keeps.then_some(open)
+        reusable.then_some(connection)
     }
 
-    /// Sends the same request once more.
+    /// Sends the same request a second time.
     fn retry(
         &self,
-        mut open: Connection,
+        mut connection: Connection,
         id: &str,
         bytes: &[u8],
         client_timeout: Duration,
-        dice: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
     ) -> Option<Connection> {
-        let sent = open.stream.write_all(bytes).is_ok();
-        self.record.with(|books| {
-            if let Some(ask) = books.requests.get_mut(id) {
-                ask.resent = true;
-                ask.on_new_connection = true;
-                ask.sent = self.record.now();
-                ask.end = if sent { RequestOutcome::Open } else { RequestOutcome::Unsent };
+        let sent = connection.stream.write_all(bytes).is_ok();
+        self.record.with(|record| {
+            if let Some(request) = record.requests.get_mut(id) {
+                request.resent = true;
+                request.on_new_connection = true;
+                request.sent = self.record.now();
+                request.end = if sent { RequestOutcome::Open } else { RequestOutcome::Unsent };
             }
         });
-        let keeps = sent && self.read_answer(&mut open, id, client_timeout, None, dice);
-        open.carried += 1;
-        keeps.then_some(open)
+        let reusable = sent && self.read_answer(&mut connection, id, client_timeout, None, rng);
+        connection.requests += 1;
+        reusable.then_some(connection)
     }
 
-    fn send(&self, stream: &mut TcpStream, bytes: &[u8], dice: &mut ChaCha8Rng) -> bool {
-        if self.manner != ClientBehavior::WritesSlowly {
+    fn send(&self, stream: &mut TcpStream, bytes: &[u8], rng: &mut ChaCha8Rng) -> bool {
+        if self.behavior != ClientBehavior::WritesSlowly {
             return stream.write_all(bytes).is_ok();
         }
-        let pieces = dice.random_range(2..8);
+        let pieces = rng.random_range(2..8);
         bytes.chunks(bytes.len().div_ceil(pieces)).all(|piece| {
-            std::thread::sleep(Duration::from_millis(dice.random_range(1..60)));
+            std::thread::sleep(Duration::from_millis(rng.random_range(1..60)));
             stream.write_all(piece).is_ok()
         })
     }
 
-    /// Takes in an answer; whether the connection can carry another request.
+    /// Reads an answer. Returns whether the connection can be reused.
     fn read_answer(
         &self,
-        open: &mut Connection,
+        connection: &mut Connection,
         id: &str,
         client_timeout: Duration,
-        leaves: Option<Duration>,
-        dice: &mut ChaCha8Rng,
+        leave_after: Option<Duration>,
+        rng: &mut ChaCha8Rng,
     ) -> bool {
-        let attempt_started = Instant::now();
-        let (mut reader, mut some) = (ResponseReader::new(MAX_HEAD_BYTES), [0; 4 << 10]);
+        let answer_wait_start = Instant::now();
+        let (mut reader, mut buffer) = (ResponseReader::new(MAX_HEAD_BYTES), [0; 4 << 10]);
         let (mut status, mut first) = (0, None);
         let mut text = Vec::new();
-        let note = |end: RequestOutcome| {
-            self.record.with(|books| {
-                if let Some(ask) = books.requests.get_mut(id) {
-                    ask.end = end;
+        let record_outcome = |end: RequestOutcome| {
+            self.record.with(|record| {
+                if let Some(request) = record.requests.get_mut(id) {
+                    request.end = end;
                 }
             });
         };
         loop {
-            let by = match (leaves, first) {
-                (Some(leaves), _) => attempt_started + leaves,
-                (None, None) => attempt_started + client_timeout + ANSWER_GRACE,
-                (None, Some(_)) => attempt_started + MAX_STREAM_DURATION,
+            let deadline = match (leave_after, first) {
+                (Some(leave_after), _) => answer_wait_start + leave_after,
+                (None, None) => answer_wait_start + client_timeout + ANSWER_GRACE,
+                (None, Some(_)) => answer_wait_start + MAX_STREAM_DURATION,
             };
-            let left = by.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                let _ = open.stream.shutdown(std::net::Shutdown::Both);
+                let _ = connection.stream.shutdown(std::net::Shutdown::Both);
                 let now = self.record.now();
-                self.record.with(|books| {
-                    if let Some(ask) = books.requests.get_mut(id) {
-                        ask.left = leaves.is_some().then_some(now);
-                        if let (None, Some(first)) = (leaves, first) {
-                            ask.end = RequestOutcome::Answered { status, whole: false, first, at: now };
+                self.record.with(|record| {
+                    if let Some(request) = record.requests.get_mut(id) {
+                        request.left = leave_after.is_some().then_some(now);
+                        if let (None, Some(first)) = (leave_after, first) {
+                            request.end = RequestOutcome::Answered { status, whole: false, first, at: now };
                         }
                     }
                 });
                 return false;
             }
-            let _ = open.stream.set_read_timeout(Some(left.max(Duration::from_millis(1))));
-            let most = if self.manner == ClientBehavior::ReadsSlowly { 512 } else { some.len() };
-            let count = match open.stream.read(&mut some[..most]) {
+            let _ = connection.stream.set_read_timeout(Some(left.max(Duration::from_millis(1))));
+            let max_read = if self.behavior == ClientBehavior::ReadsSlowly { 512 } else { buffer.len() };
+            let count = match connection.stream.read(&mut buffer[..max_read]) {
                 Ok(count) => count,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -235,14 +241,14 @@
             };
             let now = self.record.now();
             if count == 0 {
-                note(match first {
+                record_outcome(match first {
                     Some(first) => RequestOutcome::Answered { status, whole: false, first, at: now },
                     None => RequestOutcome::Dropped { at: now },
                 });
                 return false;
             }
             let first_at = *first.get_or_insert(now);
-            reader.push(&some[..count]);
+            reader.push(&buffer[..count]);
             loop {
                 match reader.next_part() {
                     Ok(Some(Part::Head(s, _))) => status = s,
@@ -250,91 +256,101 @@
                         text.extend_from_slice(&bytes);
                         self.record_delayed_events(id, &mut text);
                     }
-                    Ok(Some(Part::End(keeps))) => {
-                        note(RequestOutcome::Answered { status, whole: true, first: first_at, at: now });
-                        return keeps;
+                    Ok(Some(Part::End(reusable))) => {
+                        record_outcome(RequestOutcome::Answered {
+                            status,
+                            whole: true,
+                            first: first_at,
+                            at: now,
+                        });
+                        return reusable;
                     }
                     Ok(None) => break,
                     Err(_) => {
-                        note(RequestOutcome::Answered { status: 0, whole: false, first: first_at, at: now });
+                        record_outcome(RequestOutcome::Answered {
+                            status: 0,
+                            whole: false,
+                            first: first_at,
+                            at: now,
+                        });
                         return false;
                     }
                 }
             }
-            if self.manner == ClientBehavior::ReadsSlowly {
-                pause(dice, 1, 40);
+            if self.behavior == ClientBehavior::ReadsSlowly {
+                pause(rng, 1, 40);
             }
         }
     }
 
-    /// How long events have been on their way, by the times that they carry.
+    /// Records how long events took from the engine to the client, by the write time that each event carries.
     fn record_delayed_events(&self, id: &str, text: &mut Vec<u8>) {
-        const MARK: &[u8] = b"{\"at\":";
+        const TIME_FIELD: &[u8] = b"{\"at\":";
         let now = self.record.now();
         while let Some(end) = text.windows(2).position(|w| w == b"\n\n") {
             let event: Vec<u8> = text.drain(..end + 2).collect();
-            let Some(at) = event.windows(MARK.len()).position(|w| w == MARK) else { continue };
-            let digits: String = event[at + MARK.len()..]
+            let Some(at) = event.windows(TIME_FIELD.len()).position(|w| w == TIME_FIELD) else { continue };
+            let digits: String = event[at + TIME_FIELD.len()..]
                 .iter()
                 .take_while(|b| b.is_ascii_digit())
                 .map(|b| *b as char)
                 .collect();
             let Ok(written) = digits.parse() else { continue };
-            let held = now.saturating_sub(Duration::from_micros(written));
-            self.record.with(|books| {
-                if let Some(ask) = books.requests.get_mut(id) {
-                    ask.most_held_back = ask.most_held_back.max(held);
+            let delay = now.saturating_sub(Duration::from_micros(written));
+            self.record.with(|record| {
+                if let Some(request) = record.requests.get_mut(id) {
+                    request.most_held_back = request.most_held_back.max(delay);
                 }
             });
         }
     }
 
-    /// Something that is no request, or part of one; it is owed an error or an end.
-    fn send_malformed(&self, dice: &mut ChaCha8Rng) {
+    /// Sends malformed or incomplete data, and records when an error or the end of the connection comes.
+    fn send_malformed(&self, rng: &mut ChaCha8Rng) {
         let whole = request(&format!("{}-bad", self.name), Class::Safe, self.client_timeout, false);
-        let up = b"GET /up HTTP/1.1\r\n\r\n";
-        let (bytes, goes) = match dice.random_range(0..7) {
-            0 => (whole[..dice.random_range(1..whole.len())].to_vec(), false),
+        let health_check = b"GET /up HTTP/1.1\r\n\r\n";
+        let (bytes, closes_at_once) = match rng.random_range(0..7) {
+            0 => (whole[..rng.random_range(1..whole.len())].to_vec(), false),
             1 => (b"\x16\x03\x01 noise\r\n\r\n".to_vec(), false),
             2 => (Vec::new(), false),
-            3 => (up.repeat(dice.random_range(50..3_000)), true),
-            4 => ([up.as_slice(), &whole[..whole.len() / 2]].concat(), false),
+            3 => (health_check.repeat(rng.random_range(50..3_000)), true),
+            4 => ([health_check.as_slice(), &whole[..whole.len() / 2]].concat(), false),
             5 => (whole.repeat(30), true),
             _ => (b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: -1\r\n\r\n".to_vec(), false),
         };
-        let Some(mut open) = self.connect() else { return };
+        let Some(mut connection) = self.connect() else { return };
         let connected = self.record.now();
-        let _ = open.stream.set_write_timeout(Some(CONNECT_TIMEOUT));
-        let _ = open.stream.write_all(&bytes);
-        if goes {
+        let _ = connection.stream.set_write_timeout(Some(CONNECT_TIMEOUT));
+        let _ = connection.stream.write_all(&bytes);
+        if closes_at_once {
             return;
         }
-        let (by, mut some) = (Instant::now() + MALFORMED_ANSWER_TIMEOUT, [0; 4 << 10]);
+        let (deadline, mut buffer) = (Instant::now() + MALFORMED_ANSWER_TIMEOUT, [0; 4 << 10]);
         let mut served_at = None;
-        let mut seen = Vec::new();
-        while served_at.is_none() && Instant::now() < by {
-            let left = by.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-            let _ = open.stream.set_read_timeout(Some(left));
-            match open.stream.read(&mut some) {
-                Ok(count) if count > 0 => seen.extend_from_slice(&some[..count]),
+        let mut received = Vec::new();
+        while served_at.is_none() && Instant::now() < deadline {
+            let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+            let _ = connection.stream.set_read_timeout(Some(left));
+            match connection.stream.read(&mut buffer) {
+                Ok(count) if count > 0 => received.extend_from_slice(&buffer[..count]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
                 _ => served_at = Some(self.record.now()),
             }
-            let is_error = |mark: &[u8]| seen.windows(mark.len()).any(|w| w == mark);
-            if is_error(b"HTTP/1.1 4") || is_error(b"HTTP/1.1 5") {
+            let contains = |mark: &[u8]| received.windows(mark.len()).any(|w| w == mark);
+            if contains(b"HTTP/1.1 4") || contains(b"HTTP/1.1 5") {
                 served_at = Some(self.record.now());
             }
         }
         let bad = BadClient { node: self.node, connected, served_at };
-        self.record.with(|books| books.bad_clients.push(bad));
+        self.record.with(|record| record.bad_clients.push(bad));
     }
 }
 
-fn pause(dice: &mut ChaCha8Rng, min_ms: u64, max_ms: u64) {
-    std::thread::sleep(Duration::from_millis(dice.random_range(min_ms..max_ms)));
+fn pause(rng: &mut ChaCha8Rng, min_ms: u64, max_ms: u64) {
+    std::thread::sleep(Duration::from_millis(rng.random_range(min_ms..max_ms)));
 }
 
-/// The bytes of a request; a long one has a body that no socket takes at once.
+/// The bytes of a request. A long one has a body of 200 KiB, which exceeds the socket buffers.
 fn request(id: &str, class: Class, client_timeout: Duration, long: bool) -> Vec<u8> {
     let pad = if long { "x".repeat(200 << 10) } else { String::new() };
     let body = format!("{{\"model\":\"m\",\"stream\":true,\"pad\":\"{pad}\"}}");
--- a/crates/pintally-soak/src/fault_layer.c
+++ b/crates/pintally-soak/src/fault_layer.c
@@ -1,7 +1,11 @@
-/* Loaded before the C library into a process under test: system calls on sockets fail for a moment or do part
- * of their work, each with a stated probability. PINTALLY_FAULTS is "seed permille"; PINTALLY_FAULTS_ONLY names the
- * one call that fails, or does a part of its work as "call:short", if not all do; PINTALLY_FAULTS_WHILE names a file, without which nothing fails. PINTALLY_CLOCK_SHIFT moves the
- * wall clock by so many seconds. */
+/* Loaded with LD_PRELOAD into a process under test. System calls on sockets fail with transient errors or transfer
+ * only a part of the data, with a configured probability:
+ *
+ *   PINTALLY_FAULTS        "seed permille": the seed, and how many of 1000 calls are affected.
+ *   PINTALLY_FAULTS_ONLY   Affects only this call: "call" makes it fail, "call:short" makes its transfers partial.
+ *                          Without it all calls are affected.
+ *   PINTALLY_FAULTS_WHILE  A file; calls are affected only while it exists. Without it they always are.
+ *   PINTALLY_CLOCK_SHIFT   Shifts the wall clock by this many seconds. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -14,23 +18,23 @@
 #include <time.h>
 #include <unistd.h>
 
-static uint64_t state;
+static uint64_t rng_state;
 static unsigned permille;
 
-static void begin(void) {
-    if (state != 0) return;
+static void init_rng(void) {
+    if (rng_state != 0) return;
     unsigned long seed = 1;
     const char *setting = getenv("PINTALLY_FAULTS");
     if (setting != NULL) sscanf(setting, "%lu %u", &seed, &permille);
-    state = seed * 0x9e3779b97f4a7c15u | 1;
+    rng_state = seed * 0x9e3779b97f4a7c15u | 1;
 }
 
 static uint32_t draw(uint32_t below) {
-    begin();
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (uint32_t)(state >> 32) % below;
+    init_rng();
+    rng_state ^= rng_state << 13;
+    rng_state ^= rng_state >> 7;
+    rng_state ^= rng_state << 17;
+    return (uint32_t)(rng_state >> 32) % below;
 }
 
 static int fails(const char *call) {
--- a/crates/pintally-soak/src/fault_layer.rs
+++ b/crates/pintally-soak/src/fault_layer.rs
@@ -1,12 +1,12 @@
-//! The library that makes system calls of a node fail for a moment: built once for each run, loaded before the
-//! C library.
+//! The `LD_PRELOAD` library that makes system calls of a node fail with transient errors. It is built once for each
+//! run.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 const SOURCE: &str = include_str!("fault_layer.c");
 
-/// Builds the library in a folder; none if this machine has no compiler for C.
+/// Builds the library in a directory. `None` if this machine has no C compiler.
 pub fn build(folder: &Path) -> Option<PathBuf> {
     let (source, library) = (folder.join("fault_layer.c"), folder.join("fault_layer.so"));
     std::fs::write(&source, SOURCE).ok()?;
--- a/crates/pintally-soak/src/invariants.rs
+++ b/crates/pintally-soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of a run, judged by its record.
+//! The invariants of a run, checked on its record.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,66 +6,67 @@
 use crate::record::{At, AttemptRecord, Class, ClientRequest, Incarnation, RequestOutcome, RunRecord};
 use crate::timing::Timing;
 
-/// A request has its final answer so long after its time at the latest.
+/// A request gets its final answer at most this long after its client timeout.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has left.
+/// An attempt may still start this long after its client has left.
 const CLIENT_LEFT_SLACK: Duration = Duration::from_millis(100);
-/// And tell so much more than is left.
+/// An attempt may overstate the remaining time by this much.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
-/// What the platform allows beside the settings' grace of drains, time of what is held, and window of repeats.
+/// What the platform allows in addition to the settings' drain grace, release time and deduplication window.
 const DRAIN_SLACK: Duration = Duration::from_millis(50);
 const RESERVATION_SLACK: Duration = Duration::from_millis(300);
 const WINDOW_SLACK: Duration = Duration::from_millis(150);
-/// What came so long after the signal to stop is owed an answer up to the kill.
-const STOPPED_FROM: Duration = Duration::from_millis(700);
-/// New connections come for so long after it.
+/// Requests that arrive later than this after SIGTERM must be answered before SIGKILL.
+const STOP_GRACE_START: Duration = Duration::from_millis(700);
+/// New connections are expected for this long after SIGTERM. Later requests may be dropped unread.
 const CONNECT_AFTER_STOP: Duration = Duration::from_millis(400);
-/// An event is passed on within this time.
+/// A node forwards a stream's event within this time.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
-/// One stream in so many may be late.
+/// One stream in this many may have a delayed event.
 const STREAMS_PER_DELAYED: usize = 20;
-/// A watch is opened so long after discovery is back at the latest: a quarter of the longest grace, and some time to ask.
+/// A node opens a watch at most this long after discovery is back: a quarter of the longest drain grace, and time for
+/// the request.
 const DISCOVERY_POLL_GRACE: Duration = Duration::from_millis(300);
-/// A bad client gets an error or an end within this time.
+/// A client that sends malformed data gets an error or the end of its connection within this time.
 const MALFORMED_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Which invariant was broken.
+/// The violated invariant. The `Debug` text is part of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
-    /// A request got no final answer, or too late.
+    /// A request got no final answer, or got it too late.
     Lost,
-    /// A request that must not run twice did, or two attempts were out at once.
+    /// A request that must not run twice did, or two attempts were in progress at the same time.
     Duplicate,
-    /// It was refused, or served as a failure, in a way that its effect does not allow.
+    /// A request that must run at most once was rejected after it had taken effect.
     RejectedAfterEffect,
     /// An attempt began after its client had left.
     AttemptAfterClientLeft,
     /// An attempt stated more remaining time to its engine than was left.
     RemainingTimeOverstated,
-    /// An attempt went to an engine that was known to drain or to be gone.
+    /// An attempt went to an engine after the node was notified that it drains or is gone.
     SentToDrainingEndpoint,
-    /// Something stayed held.
+    /// A read state was held too long.
     ReservationLeaked,
-    /// A stream that its engine had finished, or went on writing, was cut off.
+    /// A node cut a stream that its engine had finished or was still writing.
     StreamCut,
-    /// Too many streams had an event held back.
+    /// Too many streams had a delayed event.
     EventsDelayed,
-    /// A bad client was left without an error and without an end.
+    /// A client that sent malformed data got neither an error nor the end of its connection.
     BadClient,
-    /// A process crashed, was late or went over a limit.
+    /// A process crashed, was ready too late or exceeded a limit.
     Process,
-    /// A node itself counted something that is not permitted.
+    /// A node counted a guard violation itself.
     GuardViolation,
 }
 
-/// A broken invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which.
+    /// The invariant.
     pub kind: ViolationKind,
-    /// Whose: a request's id, a node.
+    /// The request id or the node.
     pub subject: String,
-    /// What was seen.
+    /// What was observed.
     pub details: String,
 }
 
@@ -75,27 +76,27 @@
     }
 }
 
-/// What a run is judged with: its books and how late threads of this machine were woken.
+/// Checks a run's record. The tolerance covers late wake-ups of threads on this machine.
 pub(crate) struct InvariantChecker<'a> {
-    pub(crate) books: &'a RunRecord,
-    pub(crate) late: Duration,
+    pub(crate) record: &'a RunRecord,
+    pub(crate) tolerance: Duration,
     pub(crate) timing: Timing,
 }
 
 impl InvariantChecker<'_> {
-    /// All violations.
-    pub(crate) fn verdict(&self) -> Vec<Violation> {
+    /// Returns all violations.
+    pub(crate) fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
-        for (id, ask) in &self.books.requests {
-            let attempt_started = self.books.attempt_started.get(id).map_or(&[][..], Vec::as_slice);
-            self.judge_answer(id, ask, attempt_started, &mut found);
-            self.judge_effects(id, ask, attempt_started, &mut found);
-            self.judge_attempts(id, ask, attempt_started, &mut found);
+        for (id, request) in &self.record.requests {
+            let attempts = self.record.attempts.get(id).map_or(&[][..], Vec::as_slice);
+            self.check_answer(id, request, attempts, &mut found);
+            self.check_effects(id, request, attempts, &mut found);
+            self.check_attempts(id, request, attempts, &mut found);
         }
-        self.judge_held(&mut found);
-        self.judge_streams(&mut found);
-        for bad in &self.books.bad_clients {
-            let by = bad.connected + MALFORMED_ANSWER_TIMEOUT + self.late;
+        self.check_held_states(&mut found);
+        self.check_streams(&mut found);
+        for bad in &self.record.bad_clients {
+            let by = bad.connected + MALFORMED_ANSWER_TIMEOUT + self.tolerance;
             if bad.served_at.is_none_or(|at| at > by) && !self.node_ended(bad.node, bad.connected, by) {
                 found.push(violation(
                     ViolationKind::BadClient,
@@ -104,228 +105,241 @@
                 ));
             }
         }
-        for (node, what) in &self.books.process_faults {
-            found.push(violation(ViolationKind::Process, format!("node {node}"), what.clone()));
+        for (node, fault) in &self.record.process_faults {
+            found.push(violation(ViolationKind::Process, format!("node {node}"), fault.clone()));
         }
-        for (node, what) in &self.books.denied {
-            found.push(violation(ViolationKind::GuardViolation, format!("node {node}"), what.clone()));
+        for (node, guard) in &self.record.guard_violations {
+            found.push(violation(ViolationKind::GuardViolation, format!("node {node}"), guard.clone()));
         }
         found
     }
 
     fn incarnation(&self, node: usize, at: At) -> Option<&Incarnation> {
-        self.books.incarnations.iter().rfind(|i| i.node == node && i.started <= at)
+        self.record.incarnations.iter().rfind(|i| i.node == node && i.started <= at)
     }
 
     /// Whether a node's process ended between two times.
     fn node_ended(&self, node: usize, from: At, to: At) -> bool {
-        let ended = self.books.incarnations.iter().filter(|i| i.node == node).filter_map(|i| i.ended);
-        ended.into_iter().any(|at| at >= from.saturating_sub(self.late) && at <= to + self.late)
+        let ended = self.record.incarnations.iter().filter(|i| i.node == node).filter_map(|i| i.ended);
+        ended.into_iter().any(|at| at >= from.saturating_sub(self.tolerance) && at <= to + self.tolerance)
     }
 
-    fn judge_answer(
+    fn check_answer(
         &self,
         id: &str,
-        ask: &ClientRequest,
-        attempt_started: &[AttemptRecord],
+        request: &ClientRequest,
+        attempts: &[AttemptRecord],
         found: &mut Vec<Violation>,
     ) {
-        let by = ask.sent + ask.client_timeout + ANSWER_SLACK + self.late;
-        let lost = |seen: String| violation(ViolationKind::Lost, id.into(), seen);
-        match ask.end {
+        let by = request.sent + request.client_timeout + ANSWER_SLACK + self.tolerance;
+        let lost = |details: String| violation(ViolationKind::Lost, id.into(), details);
+        match request.end {
             RequestOutcome::Unsent => {}
-            RequestOutcome::Open | RequestOutcome::Dropped { .. } if ask.left.is_some() => {}
+            RequestOutcome::Open | RequestOutcome::Dropped { .. } if request.left.is_some() => {}
             RequestOutcome::Open => {
-                if !self.excused_by_end(ask, by) {
-                    found.push(lost(format!("no answer: {ask:?}; {attempt_started:?}")));
+                if !self.lost_with_process(request, by) {
+                    found.push(lost(format!("no answer: {request:?}; {attempts:?}")));
                 }
             }
             RequestOutcome::Dropped { at } => {
-                let crossed = !ask.on_new_connection && attempt_started.is_empty();
-                let closing = self.incarnation(ask.node, ask.sent).and_then(|i| i.stop_requested_at);
-                let stops =
-                    closing.is_some_and(|notified| ask.sent + self.late >= notified + CONNECT_AFTER_STOP);
-                let unread = attempt_started.is_empty() && (stops || crossed);
-                if !unread && !self.excused_by_end(ask, at) {
+                let crossed_close = !request.on_new_connection && attempts.is_empty();
+                let stop_requested_at =
+                    self.incarnation(request.node, request.sent).and_then(|i| i.stop_requested_at);
+                let stopping = stop_requested_at
+                    .is_some_and(|stopped| request.sent + self.tolerance >= stopped + CONNECT_AFTER_STOP);
+                let may_be_unread = attempts.is_empty() && (stopping || crossed_close);
+                if !may_be_unread && !self.lost_with_process(request, at) {
                     found.push(lost(format!(
-                        "its connection ended without an answer: {ask:?}; {attempt_started:?}"
+                        "its connection ended without an answer: {request:?}; {attempts:?}"
                     )));
                 }
             }
             RequestOutcome::Answered { status, whole, first, at } => {
                 if first > by {
-                    found.push(lost(format!("answered {status} late: {ask:?}; {attempt_started:?}")));
+                    found.push(lost(format!("answered {status} late: {request:?}; {attempts:?}")));
                 }
-                let finished = attempt_started.iter().filter_map(|b| b.finished).max();
-                if let Some(finished) = finished.filter(|_| !whole && ask.left.is_none()) {
-                    if !self.excused_by_end(ask, at) {
+                let finished = attempts.iter().filter_map(|b| b.finished).max();
+                if let Some(finished) = finished.filter(|_| !whole && request.left.is_none()) {
+                    if !self.lost_with_process(request, at) {
                         found.push(violation(
                             ViolationKind::StreamCut,
                             id.into(),
-                            format!("finished at {finished:?}, and cut off: {ask:?}; {attempt_started:?}"),
+                            format!("finished at {finished:?}, and cut off: {request:?}; {attempts:?}"),
                         ));
                     }
                 }
-                // The client's stream is that of the last attempt that took effect; earlier ones were given up.
-                let own =
-                    attempt_started.iter().filter(|b| b.effect.is_some()).max_by_key(|b| b.attempt_started);
-                let cut = own.is_some_and(|b| b.cut_by_node.is_some());
-                if cut && !whole && ask.left.is_none() && ask.prompt_reader && !self.excused_by_end(ask, at) {
+                // The client receives the stream of the last attempt that took effect; the node gave up earlier ones.
+                let forwarded =
+                    attempts.iter().filter(|b| b.effect.is_some()).max_by_key(|b| b.attempt_started);
+                let cut = forwarded.is_some_and(|b| b.cut_by_node.is_some());
+                if cut
+                    && !whole
+                    && request.left.is_none()
+                    && request.prompt_reader
+                    && !self.lost_with_process(request, at)
+                {
                     found.push(violation(
                         ViolationKind::StreamCut,
                         id.into(),
-                        format!("cut off while its engine wrote: {ask:?}; {attempt_started:?}"),
+                        format!("cut off while its engine wrote: {request:?}; {attempts:?}"),
                     ));
                 }
             }
         }
     }
 
-    /// Whether the process that had a request was killed, or ended in the time that it is given.
-    fn excused_by_end(&self, ask: &ClientRequest, by: At) -> bool {
-        let Some(own) = self.incarnation(ask.node, ask.sent + self.late) else { return true };
-        let Some(ended) = own.ended.filter(|ended| *ended <= by + self.late) else { return false };
-        match own.stop_requested_at {
-            None => ended + self.late >= ask.sent,
-            // What came in the first moments after the signal may be left over at the kill.
-            Some(notified) => ask.sent <= notified + STOPPED_FROM + self.late,
+    /// Whether the process that had a request was killed, or ended within its grace period after SIGTERM.
+    fn lost_with_process(&self, request: &ClientRequest, by: At) -> bool {
+        let Some(incarnation) = self.incarnation(request.node, request.sent + self.tolerance) else {
+            return true;
+        };
+        let Some(ended) = incarnation.ended.filter(|ended| *ended <= by + self.tolerance) else {
+            return false;
+        };
+        match incarnation.stop_requested_at {
+            None => ended + self.tolerance >= request.sent,
+            // Requests that arrive shortly after SIGTERM may still be open at SIGKILL.
+            Some(stopped) => request.sent <= stopped + STOP_GRACE_START + self.tolerance,
         }
     }
 
-    fn judge_effects(
+    fn check_effects(
         &self,
         id: &str,
-        ask: &ClientRequest,
-        attempt_started: &[AttemptRecord],
+        request: &ClientRequest,
+        attempts: &[AttemptRecord],
         found: &mut Vec<Violation>,
     ) {
-        if let Some(second) = attempt_started.iter().find(|b| b.second_copy) {
+        if let Some(second) = attempts.iter().find(|b| b.second_copy) {
             found.push(violation(
                 ViolationKind::Duplicate,
                 id.into(),
-                format!("a second copy: {second:?}; {attempt_started:?}"),
+                format!("a second copy: {second:?}; {attempts:?}"),
             ));
         }
-        // A repeat counts by when it began: its engine may hang before the effect.
+        // Effects are compared by the arrival of their attempts, as an engine may hang before the effect.
         let effects: Vec<At> =
-            attempt_started.iter().filter(|b| b.effect.is_some()).map(|b| b.attempt_started).collect();
+            attempts.iter().filter(|b| b.effect.is_some()).map(|b| b.attempt_started).collect();
         let (Some(first), Some(last)) = (effects.iter().min(), effects.iter().max()) else { return };
-        let twice = match ask.class {
+        let ran_again = match request.class {
             Class::Safe => false,
             Class::Once => effects.len() > 1,
-            Class::Keyed => *last > *first + self.timing.keyed_window + WINDOW_SLACK + self.late,
+            Class::Keyed => *last > *first + self.timing.keyed_window + WINDOW_SLACK + self.tolerance,
         };
-        if twice {
+        if ran_again {
             found.push(violation(
                 ViolationKind::Duplicate,
                 id.into(),
-                format!("{:?}: {attempt_started:?}", ask.class),
+                format!("{:?}: {attempts:?}", request.class),
             ));
         }
-        if ask.class == Class::Once
-            && matches!(ask.end, RequestOutcome::Answered { status: 503 | 429, .. })
-            && ask.left.is_none()
+        if request.class == Class::Once
+            && matches!(request.end, RequestOutcome::Answered { status: 503 | 429, .. })
+            && request.left.is_none()
         {
             found.push(violation(
                 ViolationKind::RejectedAfterEffect,
                 id.into(),
-                format!("{ask:?}; {attempt_started:?}"),
+                format!("{request:?}; {attempts:?}"),
             ));
         }
     }
 
-    fn judge_attempts(
+    fn check_attempts(
         &self,
         id: &str,
-        ask: &ClientRequest,
-        attempt_started: &[AttemptRecord],
+        request: &ClientRequest,
+        attempts: &[AttemptRecord],
         found: &mut Vec<Violation>,
     ) {
-        for attempt in attempt_started {
-            if ask.left.is_some_and(|left| attempt.attempt_started > left + CLIENT_LEFT_SLACK + self.late) {
+        for attempt in attempts {
+            if request
+                .left
+                .is_some_and(|left| attempt.attempt_started > left + CLIENT_LEFT_SLACK + self.tolerance)
+            {
                 found.push(violation(
                     ViolationKind::AttemptAfterClientLeft,
                     id.into(),
-                    format!("{ask:?}; {attempt:?}"),
+                    format!("{request:?}; {attempt:?}"),
                 ));
             }
-            // A resent request's first sending is not known any more.
-            let left = (ask.sent + ask.client_timeout).saturating_sub(attempt.attempt_started);
+            // For a resent request, the time of the first send is not known any more.
+            let left = (request.sent + request.client_timeout).saturating_sub(attempt.attempt_started);
             let remaining_overstated = attempt
                 .remaining_stated
-                .is_some_and(|notified| notified > left + REMAINING_TIME_SLACK + self.late);
-            if remaining_overstated && !ask.resent {
+                .is_some_and(|stated| stated > left + REMAINING_TIME_SLACK + self.tolerance);
+            if remaining_overstated && !request.resent {
                 found.push(violation(
                     ViolationKind::RemainingTimeOverstated,
                     id.into(),
-                    format!("{ask:?}; {attempt:?}"),
+                    format!("{request:?}; {attempt:?}"),
                 ));
             }
             let notified = self
-                .books
+                .record
                 .notified
                 .iter()
                 .filter(|(node, engine, _)| *node == attempt.node && *engine == attempt.engine);
-            let counts = notified.map(|(_, _, at)| *at).min();
+            let notified_at = notified.map(|(_, _, at)| *at).min();
             let started = self.incarnation(attempt.node, attempt.head).map_or(At::ZERO, |i| i.started);
-            let could_ask = self.discovery_back(started);
-            if counts.is_some_and(|at| {
+            let discovery_reachable = self.discovery_back(started);
+            if notified_at.is_some_and(|at| {
                 attempt.head
-                    > self.discovery_back(at).max(could_ask)
+                    > self.discovery_back(at).max(discovery_reachable)
                         + self.timing.drain_grace
                         + DRAIN_SLACK
-                        + self.late
+                        + self.tolerance
             }) {
                 found.push(violation(
                     ViolationKind::SentToDrainingEndpoint,
                     id.into(),
-                    format!("notified at {counts:?}: {attempt:?}"),
+                    format!("notified at {notified_at:?}: {attempt:?}"),
                 ));
             }
         }
     }
 
-    /// The first moment from then on at which discovery could be asked, and stayed so for long enough to be: a process
-    /// that starts while it is down knows the list that it was given.
+    /// The first time from `at` on when discovery is reachable and stays so for at least `DISCOVERY_POLL_GRACE`. A
+    /// process that starts while discovery is down knows only the list in its configuration.
     fn discovery_back(&self, at: At) -> At {
-        let mut downs = self.books.discovery_down.clone();
+        let mut downs = self.record.discovery_down.clone();
         downs.sort_unstable();
         downs
             .iter()
             .fold(at, |at, (from, to)| if *from <= at + DISCOVERY_POLL_GRACE && at < *to { *to } else { at })
     }
 
-    fn judge_held(&self, found: &mut Vec<Violation>) {
-        for (id, held) in &self.books.held {
-            let Some(ask) = self.books.requests.get(id) else { continue };
-            // What a process held when it ended is no duty of its next one.
-            let from = ask.sent;
-            let to = from + ask.client_timeout + Duration::from_secs(10);
-            if held.longest > self.timing.release + RESERVATION_SLACK + self.late
-                && !self.node_ended(ask.node, from, to)
+    fn check_held_states(&self, found: &mut Vec<Violation>) {
+        for (id, held) in &self.record.held {
+            let Some(request) = self.record.requests.get(id) else { continue };
+            // A process is not responsible for states that its previous incarnation held.
+            let from = request.sent;
+            let to = from + request.client_timeout + Duration::from_secs(10);
+            if held.longest > self.timing.release + RESERVATION_SLACK + self.tolerance
+                && !self.node_ended(request.node, from, to)
             {
-                let seen =
-                    format!("for {:?}: {ask:?}; {:?}", held.longest, self.books.attempt_started.get(id));
-                found.push(violation(ViolationKind::ReservationLeaked, id.clone(), seen));
+                let details =
+                    format!("for {:?}: {request:?}; {:?}", held.longest, self.record.attempts.get(id));
+                found.push(violation(ViolationKind::ReservationLeaked, id.clone(), details));
             }
         }
     }
 
-    fn judge_streams(&self, found: &mut Vec<Violation>) {
+    fn check_streams(&self, found: &mut Vec<Violation>) {
         let streams: Vec<(&String, &ClientRequest)> = self
-            .books
+            .record
             .requests
             .iter()
             .filter(|(_, a)| a.prompt_reader && matches!(a.end, RequestOutcome::Answered { status: 200, .. }))
             .collect();
-        let late: Vec<&String> = streams
+        let delayed: Vec<&String> = streams
             .iter()
-            .filter(|(_, ask)| ask.most_held_back > MAX_EVENT_DELAY + self.late)
+            .filter(|(_, request)| request.most_held_back > MAX_EVENT_DELAY + self.tolerance)
             .map(|(id, _)| *id)
             .collect();
-        if late.len() * STREAMS_PER_DELAYED > streams.len() {
-            let seen = format!("{} of {} streams: {late:?}", late.len(), streams.len());
-            found.push(violation(ViolationKind::EventsDelayed, "all".into(), seen));
+        if delayed.len() * STREAMS_PER_DELAYED > streams.len() {
+            let details = format!("{} of {} streams: {delayed:?}", delayed.len(), streams.len());
+            found.push(violation(ViolationKind::EventsDelayed, "all".into(), details));
         }
     }
 }
--- a/crates/pintally-soak/src/lib.rs
+++ b/crates/pintally-soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! Soak runs of `pintally platform`: dozens of real processes on loopback, with the run's own engines,
-//! discovery and clients, under seeded faults that overlap in time.
+//! Soak runs of `pintally platform`: dozens of real processes on loopback, with mock engines, a mock
+//! discovery service and clients, under seeded faults that overlap in time.
 //!
-//! Everything that crosses a socket is recorded with its time; behind the run the record is judged by
-//! invariants (see [`Violation`]). The same seed draws the same faults and clients; what they meet depends
-//! on the machine, so a violation is followed by its request's id in the record and in the nodes' logs.
+//! Everything that crosses a socket is recorded with its time. After the run, invariants are checked on the
+//! record (see [`Violation`]). The same seed draws the same faults and clients, but timing depends on the
+//! machine, so a run is not reproducible: a violation names a request id, which can be traced in the record
+//! and in the nodes' logs.
 
 mod client;
 mod discovery;
--- a/crates/pintally-soak/src/mock_engine.rs
+++ b/crates/pintally-soak/src/mock_engine.rs
@@ -1,5 +1,5 @@
-//! An engine of a run: speaks the platform's protocol to each node at an address of its own, records what comes,
-//! and can drain, hang, vanish, reset and spoil its answers.
+//! A mock engine. It speaks the platform's protocol, listens for each node at a separate address, and records the
+//! attempts. It can hang, become unreachable, reset connections and send malformed answers.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -15,23 +15,23 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-use crate::record::{At, AttemptRecord, Record};
+use crate::record::{At, AttemptRecord, SharedRecord};
 use crate::run::spawn;
 
-/// Connections that may wait to be accepted: few, so that a machine that vanishes takes no more soon.
-const BACKLOG: i32 = 8;
-/// How often a thread that waits looks whether it may go on.
+/// The listen backlog. It is small, so that a vanished engine's backlog fills quickly and new connections time out.
+const LISTEN_BACKLOG: i32 = 8;
+/// How often a waiting thread checks whether it can continue.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a look for new connections lasts.
+/// How long one poll for new connections lasts.
 const ACCEPT_TIMEOUT: Timespec = Timespec { tv_sec: 0, tv_nsec: 20_000_000 };
-/// A connection that fills the backlog of a vanished machine has failed by then.
-const FILL_TIMEOUT: Duration = Duration::from_millis(25);
-/// In a row so many failures tell that the backlog is full.
-const FILL_FAILURES: u32 = 2;
-/// Nothing is waited for longer than this.
-const LONG: Duration = Duration::from_secs(30);
-
-/// What an engine does with a request, drawn anew for each.
+/// The connect timeout of the connections that fill a vanished engine's backlog.
+const BACKLOG_FILL_TIMEOUT: Duration = Duration::from_millis(25);
+/// The backlog counts as full after this many failed connections.
+const BACKLOG_FILL_FAILURES: u32 = 2;
+/// The read timeout of a silent connection.
+const SILENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// How an engine handles a request, drawn for each request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EngineBehavior {
     Healthy,
@@ -47,8 +47,8 @@
 }
 
 impl EngineBehavior {
-    fn draw(dice: &mut ChaCha8Rng) -> EngineBehavior {
-        match dice.random_range(0..120) {
+    fn draw(rng: &mut ChaCha8Rng) -> EngineBehavior {
+        match rng.random_range(0..120) {
             0 => EngineBehavior::DropsConnection,
             1 => EngineBehavior::Silent,
             2..4 => EngineBehavior::Rejects,
@@ -63,39 +63,39 @@
     }
 }
 
-/// The attempts that are out, by request, with a handle of each one's connection.
+/// The attempts in progress by request, each with a handle of its connection.
 #[derive(Default)]
-pub(crate) struct Outstanding(Mutex<HashMap<String, Vec<(u64, TcpStream)>>>);
+pub(crate) struct OpenAttempts(Mutex<HashMap<String, Vec<(u64, TcpStream)>>>);
 
-impl Outstanding {
-    /// Takes in an attempt; whether another one's connection is still open.
+impl OpenAttempts {
+    /// Adds an attempt. Returns whether another attempt of the request still has an open connection.
     fn register(&self, id: &str, key: u64, stream: &TcpStream) -> bool {
-        let mut all = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let out = all.entry(id.into()).or_default();
-        let others = out.iter().any(|(_, other)| !has_ended(other));
+        let mut open_attempts = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let attempts = open_attempts.entry(id.into()).or_default();
+        let others = attempts.iter().any(|(_, other)| !has_ended(other));
         if let Ok(own) = stream.try_clone() {
-            out.push((key, own));
+            attempts.push((key, own));
         }
         others
     }
 
     fn unregister(&self, id: &str, key: u64) {
-        let mut all = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(out) = all.get_mut(id) {
-            out.retain(|(own, _)| *own != key);
-            if out.is_empty() {
-                all.remove(id);
+        let mut open_attempts = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        if let Some(attempts) = open_attempts.get_mut(id) {
+            attempts.retain(|(own, _)| *own != key);
+            if attempts.is_empty() {
+                open_attempts.remove(id);
             }
         }
     }
 }
 
-/// Whether the peer has ended a connection, without waiting.
+/// Whether the peer has closed a connection. Does not block.
 fn has_ended(stream: &TcpStream) -> bool {
-    // Sockets' flags are shared by all handles of a connection, so the call itself must not block.
-    let mut some = [std::mem::MaybeUninit::uninit(); 1];
+    // The non-blocking flag is shared by all handles of a socket, so it is given with this call only.
+    let mut buffer = [std::mem::MaybeUninit::uninit(); 1];
     let flags = MSG_PEEK | MSG_DONTWAIT;
-    match SockRef::from(stream).recv_with_flags(&mut some, flags) {
+    match SockRef::from(stream).recv_with_flags(&mut buffer, flags) {
         Ok(count) => count == 0,
         Err(e) => e.kind() != ErrorKind::WouldBlock,
     }
@@ -104,35 +104,37 @@
 const MSG_PEEK: i32 = 0x02;
 const MSG_DONTWAIT: i32 = 0x40;
 
-/// An engine.
+/// A mock engine.
 pub(crate) struct Engine {
     pub(crate) name: String,
-    /// Where it listens for each node.
+    /// The listen address for each node.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// When it started, in Unix milliseconds; 0 if long ago.
+    /// The start time in Unix milliseconds; 0 for an engine that has been running since before the run.
     pub(crate) up_since_ms: u64,
-    record: Arc<Record>,
-    outstanding: Arc<Outstanding>,
+    record: Arc<SharedRecord>,
+    open_attempts: Arc<OpenAttempts>,
     hangs: AtomicBool,
     vanished: AtomicBool,
-    dead: AtomicBool,
-    /// Counts its disappearances: connections of an earlier one are over.
+    stopped: AtomicBool,
+    /// Incremented when the engine vanishes or stops. Connections of an earlier incarnation are dead.
     incarnation: AtomicU64,
-    /// Counts how often its connections were reset.
+    /// How often all connections were reset.
     resets: AtomicU64,
-    keys: AtomicU64,
-    fillers: Mutex<Vec<TcpStream>>,
-    open: Mutex<Vec<TcpStream>>,
+    /// The number of connections served so far.
+    connections: AtomicU64,
+    /// Connections that fill the backlog while the engine is vanished.
+    backlog_fillers: Mutex<Vec<TcpStream>>,
+    open_connections: Mutex<Vec<TcpStream>>,
     seed: u64,
 }
 
 impl Engine {
-    /// Begins to serve so many nodes.
+    /// Starts an engine that serves this many nodes.
     pub(crate) fn start(
         name: &str,
         nodes: usize,
-        record: &Arc<Record>,
-        outstanding: &Arc<Outstanding>,
+        record: &Arc<SharedRecord>,
+        open_attempts: &Arc<OpenAttempts>,
         up_since_ms: u64,
         seed: u64,
     ) -> std::io::Result<Arc<Engine>> {
@@ -143,15 +145,15 @@
             addresses,
             up_since_ms,
             record: record.clone(),
-            outstanding: outstanding.clone(),
+            open_attempts: open_attempts.clone(),
             hangs: AtomicBool::new(false),
             vanished: AtomicBool::new(false),
-            dead: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             incarnation: AtomicU64::new(0),
             resets: AtomicU64::new(0),
-            keys: AtomicU64::new(0),
-            fillers: Mutex::default(),
-            open: Mutex::default(),
+            connections: AtomicU64::new(0),
+            backlog_fillers: Mutex::default(),
+            open_connections: Mutex::default(),
             seed,
         });
         let own = engine.clone();
@@ -160,15 +162,15 @@
     }
 
     fn accept(self: Arc<Engine>, listeners: Vec<TcpListener>) {
-        let mut was_gone = false;
-        while !self.dead.load(Ordering::SeqCst) {
+        let mut was_vanished = false;
+        while !self.stopped.load(Ordering::SeqCst) {
             if self.vanished.load(Ordering::SeqCst) {
-                was_gone = true;
+                was_vanished = true;
                 std::thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            // What came up at a machine that was not there never came up.
-            if std::mem::take(&mut was_gone) {
+            // An unreachable machine accepts no connections, so those in the backlog are reset.
+            if std::mem::take(&mut was_vanished) {
                 while listeners.iter().any(|listener| listener.accept().is_ok_and(|new| reset(&new.0))) {}
             }
             let mut polled: Vec<PollFd<'_>> =
@@ -181,7 +183,7 @@
                     let own = self.clone();
                     spawn(move || {
                         own.serve(&stream, node);
-                        // Other handles of the connection are kept elsewhere: it ends here.
+                        // Other handles keep the socket open, so it is shut down explicitly.
                         let _ = stream.shutdown(Shutdown::Both);
                     });
                 }
@@ -189,11 +191,12 @@
         }
     }
 
-    fn lock<T>(all: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-        all.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+        mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// From now on nothing comes of it: connections stay open and say nothing, new ones never come up.
+    /// Makes the engine unreachable: open connections stay open without data, and new ones cannot be established, as
+    /// the backlog is filled.
     pub(crate) fn vanish(&self) {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.vanished.store(true, Ordering::SeqCst);
@@ -201,9 +204,9 @@
             for address in &self.addresses {
                 all.spawn(move || {
                     let mut failures = 0;
-                    while failures < FILL_FAILURES {
-                        match TcpStream::connect_timeout(address, FILL_TIMEOUT) {
-                            Ok(stream) => Self::lock(&self.fillers).push(stream),
+                    while failures < BACKLOG_FILL_FAILURES {
+                        match TcpStream::connect_timeout(address, BACKLOG_FILL_TIMEOUT) {
+                            Ok(stream) => Self::lock(&self.backlog_fillers).push(stream),
                             Err(_) => failures += 1,
                         }
                     }
@@ -212,100 +215,102 @@
         });
     }
 
-    /// It is back; what was open before is reset.
-    pub(crate) fn restart(&self) {
-        Self::lock(&self.fillers).clear();
+    /// Makes a vanished engine reachable again, and resets all earlier connections.
+    pub(crate) fn reappear(&self) {
+        Self::lock(&self.backlog_fillers).clear();
         self.reset_connections();
         self.vanished.store(false, Ordering::SeqCst);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub(crate) fn reset_connections(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
-        for stream in Self::lock(&self.open).drain(..) {
+        for stream in Self::lock(&self.open_connections).drain(..) {
             reset(&stream);
         }
     }
 
-    /// Its process ends: connections break and new ones are refused.
-    pub(crate) fn die(&self) {
+    /// Ends the engine: connections break and new ones are refused.
+    pub(crate) fn stop(&self) {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
-        self.dead.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         self.reset_connections();
     }
 
-    /// Its requests stand still, or go on.
-    pub(crate) fn hang(&self, hangs: bool) {
+    /// Pauses or resumes the processing of requests.
+    pub(crate) fn set_hanging(&self, hangs: bool) {
         self.hangs.store(hangs, Ordering::SeqCst);
     }
 
-    fn is_over(&self, incarnation: u64) -> bool {
+    fn has_vanished_since(&self, incarnation: u64) -> bool {
         self.incarnation.load(Ordering::SeqCst) != incarnation
     }
 
-    /// Waits while it hangs; whether the connection is still of use.
-    fn keeps_running(&self, stream: &TcpStream, incarnation: u64) -> bool {
+    /// Waits while the engine hangs. Returns whether the connection is still usable.
+    fn wait_while_hanging(&self, stream: &TcpStream, incarnation: u64) -> bool {
         while self.hangs.load(Ordering::SeqCst) {
-            if self.is_over(incarnation) || has_ended(stream) {
+            if self.has_vanished_since(incarnation) || has_ended(stream) {
                 return false;
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        !self.is_over(incarnation)
+        !self.has_vanished_since(incarnation)
     }
 
     fn serve(&self, mut stream: &TcpStream, node: usize) {
         let incarnation = self.incarnation.load(Ordering::SeqCst);
-        let (mut reader, mut some) = (RequestReader::new(1 << 16, 1 << 20), [0; 16 << 10]);
+        let (mut reader, mut buffer) = (RequestReader::new(1 << 16, 1 << 20), [0; 16 << 10]);
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
         if let Ok(own) = stream.try_clone() {
-            let mut open = Self::lock(&self.open);
+            let mut open = Self::lock(&self.open_connections);
             open.retain(|other| !has_ended(other));
             open.push(own);
         }
-        let key = self.keys.fetch_add(1, Ordering::SeqCst) << 16 | self.seed & 0xffff;
-        let mut dice = ChaCha8Rng::seed_from_u64(self.seed ^ key);
+        let key = self.connections.fetch_add(1, Ordering::SeqCst) << 16 | self.seed & 0xffff;
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ key);
         let mut head = self.record.now();
         loop {
             while let Ok(Some(request)) = reader.next_request() {
-                if self.is_over(incarnation) {
-                    return silent(stream);
+                if self.has_vanished_since(incarnation) {
+                    return stay_silent(stream);
                 }
                 if request.method == "DELETE" {
-                    if !self.release(stream, &request, &mut dice) {
+                    if !self.handle_release(stream, &request, &mut rng) {
                         return;
                     }
                     continue;
                 }
-                // A request is given up by closing its connection, whether it has been looked at or not.
-                if has_ended(stream) || !self.attempt(stream, &request, node, head, incarnation, &mut dice) {
+                // A node cancels a request by closing its connection, even before the engine has started it.
+                if has_ended(stream)
+                    || !self.handle_attempt(stream, &request, node, head, incarnation, &mut rng)
+                {
                     return;
                 }
             }
-            let resting = !reader.is_partial();
-            match stream.read(&mut some) {
+            let idle = !reader.is_partial();
+            match stream.read(&mut buffer) {
                 Ok(count) if count > 0 => {
-                    if resting {
+                    if idle {
                         head = self.record.now();
                     }
-                    reader.push(&some[..count]);
+                    reader.push(&buffer[..count]);
                 }
                 _ => return,
             }
         }
     }
 
-    /// A call that releases; whether the connection stays.
-    fn release(&self, mut stream: &TcpStream, request: &Request, dice: &mut ChaCha8Rng) -> bool {
+    /// Handles a release. Returns whether the connection stays open.
+    fn handle_release(&self, mut stream: &TcpStream, request: &Request, rng: &mut ChaCha8Rng) -> bool {
         if self.hangs.load(Ordering::SeqCst) {
-            silent(stream);
+            stay_silent(stream);
             return false;
         }
         let id = request.target.rsplit('/').next().unwrap_or("");
-        self.record.released(id);
-        // Some answers get lost, some come late.
-        match dice.random_range(0..20) {
+        self.record.release_states(id);
+        // One answer in 20 is lost, and one in 20 comes 120 ms late.
+        match rng.random_range(0..20) {
             0 => return false,
             1 => std::thread::sleep(Duration::from_millis(120)),
             _ => {}
@@ -313,125 +318,126 @@
         stream.write_all(&response(204, &[], b"")).is_ok()
     }
 
-    /// An attempt; whether the connection stays.
-    fn attempt(
+    /// Handles an attempt. Returns whether the connection stays open.
+    fn handle_attempt(
         &self,
         stream: &TcpStream,
         request: &Request,
         node: usize,
         head: At,
         incarnation: u64,
-        dice: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
     ) -> bool {
         let id = request.headers.get("x-txn").unwrap_or("").to_string();
-        let key = dice.random_range(0..u64::MAX);
+        let key = rng.random_range(0..u64::MAX);
         let resets = self.resets.load(Ordering::SeqCst);
-        let second_copy = self.outstanding.register(&id, key, stream);
-        let notified = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
-        let serve_write = self.name.starts_with('w');
-        let number = self.record.begins(
+        let second_copy = self.open_attempts.register(&id, key, stream);
+        let remaining_ms = request.headers.get("x-remaining-ms").and_then(|ms| ms.trim().parse().ok());
+        let is_writer = self.name.starts_with('w');
+        let index = self.record.begin_attempt(
             &id,
             AttemptRecord {
                 engine: self.name.clone(),
                 node,
                 head,
                 attempt_started: self.record.now(),
-                remaining_stated: notified.map(Duration::from_millis),
+                remaining_stated: remaining_ms.map(Duration::from_millis),
                 second_copy,
                 effect: None,
                 finished: None,
                 cut_by_node: None,
             },
         );
-        let work = Work { id: &id, number, incarnation, resets, key, over: Cell::new(false) };
-        let stays = if serve_write {
-            self.serve_write(stream, &work, dice)
+        let work = Work { id: &id, index, incarnation, resets, key, finished: Cell::new(false) };
+        let stays_open = if is_writer {
+            self.serve_write(stream, &work, rng)
         } else {
-            self.serve_read(stream, &work, dice)
+            self.serve_read(stream, &work, rng)
         };
-        self.finish(&work);
-        stays
+        self.finish_attempt(&work);
+        stays_open
     }
 
-    /// An attempt is over: from here on it is out nowhere.
-    fn finish(&self, work: &Work<'_>) {
-        if !work.over.replace(true) {
-            self.outstanding.unregister(work.id, work.key);
-            self.record.finish(work.id);
+    /// Marks an attempt as ended, once.
+    fn finish_attempt(&self, work: &Work<'_>) {
+        if !work.finished.replace(true) {
+            self.open_attempts.unregister(work.id, work.key);
+            self.record.end_attempt(work.id);
         }
     }
 
-    /// The whole answer of an attempt; it ends before its node can know that. Whether the connection stays.
+    /// Sends the complete answer of an attempt. The attempt is marked as ended first, as the node may start the next one
+    /// as soon as it has the answer. Returns whether the connection stays open.
     fn send_answer(&self, mut stream: &TcpStream, work: &Work<'_>, bytes: &[u8]) -> bool {
-        self.finish(work);
+        self.finish_attempt(work);
         stream.write_all(bytes).is_ok()
     }
 
-    /// Takes up an attempt after less than so many milliseconds: its manner, or, if nothing comes of it, whether the
-    /// connection stays.
+    /// Starts an attempt after a random delay below `within_ms`. Returns the behaviour drawn for it or, if the attempt is
+    /// over already, whether the connection stays open.
     fn start_work(
         &self,
         stream: &TcpStream,
         work: &Work<'_>,
         within_ms: u64,
-        dice: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
     ) -> Result<EngineBehavior, bool> {
-        std::thread::sleep(Duration::from_millis(dice.random_range(1..within_ms)));
-        if !self.keeps_running(stream, work.incarnation) {
-            silent(stream);
+        std::thread::sleep(Duration::from_millis(rng.random_range(1..within_ms)));
+        if !self.wait_while_hanging(stream, work.incarnation) {
+            stay_silent(stream);
             return Err(false);
         }
-        match EngineBehavior::draw(dice) {
+        match EngineBehavior::draw(rng) {
             EngineBehavior::Rejects => {
                 Err(self.send_answer(stream, work, &response(503, &[("X-Turned-Away", "1")], b"")))
             }
-            manner => Ok(manner),
+            behavior => Ok(behavior),
         }
     }
 
-    fn serve_read(&self, mut stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
-        let manner = match self.start_work(stream, work, 15, dice) {
-            Ok(manner) => manner,
-            Err(stays) => return stays,
+    fn serve_read(&self, mut stream: &TcpStream, work: &Work<'_>, rng: &mut ChaCha8Rng) -> bool {
+        let behavior = match self.start_work(stream, work, 15, rng) {
+            Ok(behavior) => behavior,
+            Err(stays_open) => return stays_open,
         };
-        // A read that was given up while it went on is dropped with its state.
+        // A read that was cancelled in the meantime leaves no state.
         if has_ended(stream) {
             return false;
         }
-        self.record.holds(work.id);
-        let whole = response(202, &[], b"{\"cached_tokens\":16}");
-        match manner {
+        self.record.hold_state(work.id);
+        let answer = response(202, &[], b"{\"cached_tokens\":16}");
+        match behavior {
             EngineBehavior::DropsConnection | EngineBehavior::BreaksStream => false,
             EngineBehavior::Silent => {
-                silent(stream);
+                stay_silent(stream);
                 false
             }
             EngineBehavior::Error => self.send_answer(stream, work, &response(500, &[], b"")),
             EngineBehavior::SecondAnswer => {
-                self.send_answer(stream, work, &whole);
+                self.send_answer(stream, work, &answer);
                 std::thread::sleep(Duration::from_millis(5));
-                stream.write_all(&whole).is_ok()
+                stream.write_all(&answer).is_ok()
             }
             EngineBehavior::MalformedAnswer => self.send_answer(stream, work, b"\x00\x01 noise\r\n\r\n"),
             EngineBehavior::Slow => {
                 std::thread::sleep(Duration::from_millis(250));
-                self.send_answer(stream, work, &whole)
+                self.send_answer(stream, work, &answer)
             }
             EngineBehavior::Trickles => {
-                let (last, before) = whole.split_last().unwrap_or((&0, &[]));
+                let (last, before) = answer.split_last().unwrap_or((&0, &[]));
                 before.iter().all(|byte| {
                     std::thread::sleep(Duration::from_millis(1));
                     stream.write_all(&[*byte]).is_ok()
                 }) && self.send_answer(stream, work, &[*last])
             }
-            EngineBehavior::Healthy | EngineBehavior::Rejects => self.send_answer(stream, work, &whole),
+            EngineBehavior::Healthy | EngineBehavior::Rejects => self.send_answer(stream, work, &answer),
         }
     }
 
-    fn serve_write(&self, stream: &TcpStream, work: &Work<'_>, dice: &mut ChaCha8Rng) -> bool {
-        let manner = match self.start_work(stream, work, 10, dice) {
-            Ok(manner) => manner,
-            Err(stays) => return stays,
+    fn serve_write(&self, stream: &TcpStream, work: &Work<'_>, rng: &mut ChaCha8Rng) -> bool {
+        let behavior = match self.start_work(stream, work, 10, rng) {
+            Ok(behavior) => behavior,
+            Err(stays_open) => return stays_open,
         };
         if !self.record.has_state(work.id) {
             return self.send_answer(stream, work, &response(410, &[("X-Turned-Away", "1")], b""));
@@ -439,13 +445,13 @@
         if has_ended(stream) {
             return false;
         }
-        self.record.fetched(work.id);
+        self.record.fetch_states(work.id);
         let now = self.record.now();
-        self.record.note(work.id, work.number, |attempt_started| attempt_started.effect = Some(now));
-        match manner {
+        self.record.update_attempt(work.id, work.index, |attempt| attempt.effect = Some(now));
+        match behavior {
             EngineBehavior::DropsConnection => return false,
             EngineBehavior::Silent => {
-                silent(stream);
+                stay_silent(stream);
                 return false;
             }
             EngineBehavior::Error => return self.send_answer(stream, work, &response(500, &[], b"")),
@@ -455,92 +461,96 @@
             EngineBehavior::Slow => std::thread::sleep(Duration::from_millis(350)),
             _ => {}
         }
-        self.stream_answer(stream, work, manner, dice)
+        self.stream_answer(stream, work, behavior, rng)
     }
 
-    /// Events, each with the time at which it was written, to the last chunk.
+    /// Streams an answer. Each event carries the time at which it was written.
     fn stream_answer(
         &self,
         mut stream: &TcpStream,
         work: &Work<'_>,
-        manner: EngineBehavior,
-        dice: &mut ChaCha8Rng,
+        behavior: EngineBehavior,
+        rng: &mut ChaCha8Rng,
     ) -> bool {
         let mut bytes = response_head(200, &[("content-type", "text/event-stream")]);
-        let events = dice.random_range(2..30);
-        let pad = "x".repeat(if dice.random_range(0..8) == 0 { 4 << 10 } else { 40 });
+        let events = rng.random_range(2..30);
+        let pad = "x".repeat(if rng.random_range(0..8) == 0 { 4 << 10 } else { 40 });
         for event in 0..events {
-            if !self.keeps_running(stream, work.incarnation) {
-                silent(stream);
+            if !self.wait_while_hanging(stream, work.incarnation) {
+                stay_silent(stream);
                 return false;
             }
             if event > 0 && has_ended(stream) {
-                return self.was_cut(work);
+                return self.record_cut(work);
             }
             let text = format!("data: {{\"at\":{},\"pad\":\"{pad}\"}}\n\n", self.record.now().as_micros());
             bytes.extend(chunk(text.as_bytes()));
             if stream.write_all(&bytes).is_err() {
-                return self.was_cut(work);
+                return self.record_cut(work);
             }
             bytes.clear();
-            match manner {
+            match behavior {
                 EngineBehavior::BreaksStream if event == events / 2 => return false,
                 EngineBehavior::Trickles if event == 1 => return trickle(stream),
-                _ => std::thread::sleep(Duration::from_millis(dice.random_range(2..60))),
+                _ => std::thread::sleep(Duration::from_millis(rng.random_range(2..60))),
             }
         }
         bytes.extend(chunk(b"data: [DONE]\n\n"));
         bytes.extend_from_slice(LAST_CHUNK);
         if !self.send_answer(stream, work, &bytes) {
-            return self.was_cut(work);
+            return self.record_cut(work);
         }
         let now = self.record.now();
-        self.record.note(work.id, work.number, |attempt_started| attempt_started.finished = Some(now));
-        if manner == EngineBehavior::SecondAnswer {
+        self.record.update_attempt(work.id, work.index, |attempt| attempt.finished = Some(now));
+        if behavior == EngineBehavior::SecondAnswer {
             std::thread::sleep(Duration::from_millis(8));
             return stream.write_all(&response(202, &[], b"{\"cached_tokens\":16}")).is_ok();
         }
         true
     }
 
-    fn was_cut(&self, work: &Work<'_>) -> bool {
-        let by_engine = self.is_over(work.incarnation) || self.resets.load(Ordering::SeqCst) != work.resets;
+    /// Records that the node cut a stream, unless the engine itself vanished or was reset.
+    fn record_cut(&self, work: &Work<'_>) -> bool {
+        let by_engine =
+            self.has_vanished_since(work.incarnation) || self.resets.load(Ordering::SeqCst) != work.resets;
         if !by_engine {
             let now = self.record.now();
-            self.record.note(work.id, work.number, |attempt_started| attempt_started.cut_by_node = Some(now));
+            self.record.update_attempt(work.id, work.index, |attempt| attempt.cut_by_node = Some(now));
         }
         false
     }
 }
 
-/// An attempt's request, its number among those of the request, and the engine's incarnation.
+/// An attempt that the engine is working on.
 struct Work<'a> {
+    /// The request id.
     id: &'a str,
-    number: usize,
+    /// The index among the request's attempts.
+    index: usize,
     incarnation: u64,
     resets: u64,
-    /// Its number among those that are out.
+    /// The key in `OpenAttempts`.
     key: u64,
-    /// It is out nowhere any more.
-    over: Cell<bool>,
+    /// The attempt has ended.
+    finished: Cell<bool>,
 }
 
 fn listen() -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
 }
 
-/// Ends a connection with a reset; that it did.
+/// Closes a connection with a reset. Always returns `true`, for use in conditions.
 fn reset(stream: &TcpStream) -> bool {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
     true
 }
 
-/// Byte after byte of an event that never ends.
+/// Sends an event that never ends, byte by byte, until the node closes the connection.
 fn trickle(mut stream: &TcpStream) -> bool {
     let _ = stream.write_all(b"ffff\r\ndata: {\"pad\":\"");
     while stream.write_all(b"x").is_ok() {
@@ -549,10 +559,10 @@
     false
 }
 
-/// Says nothing until the node gives up.
-fn silent(stream: &TcpStream) {
-    let _ = stream.set_read_timeout(Some(LONG));
-    let mut some = [0; 1024];
-    while matches!((&*stream).read(&mut some), Ok(count) if count > 0) {}
+/// Sends nothing until the node closes the connection.
+fn stay_silent(stream: &TcpStream) {
+    let _ = stream.set_read_timeout(Some(SILENT_READ_TIMEOUT));
+    let mut buffer = [0; 1024];
+    while matches!((&*stream).read(&mut buffer), Ok(count) if count > 0) {}
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/pintally-soak/src/node.rs
+++ b/crates/pintally-soak/src/node.rs
@@ -1,4 +1,4 @@
-//! A node of a run: a process of its own with limits, started, sent SIGTERM, killed, paused and measured.
+//! A node of a run: a process with resource limits, which is started, stopped, killed, paused and inspected.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -13,15 +13,15 @@
 use pintally_mock_engine::Port;
 use serde_json::{json, Value};
 
-use crate::record::{Incarnation, Record};
+use crate::record::{Incarnation, SharedRecord};
 use crate::timing::Timing;
 
-/// A node has to be ready by then.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A process has become the program by then.
-const STARTED_AFTER: Duration = Duration::from_millis(500);
-const POLL_EVERY: Duration = Duration::from_millis(10);
-const CALL_WITHIN: Duration = Duration::from_secs(2);
+/// A node must be ready within this time after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A child process has executed the program this long after its start.
+const EXEC_DELAY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const STATUS_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 pub(crate) const MEMORY_MB: u64 = 32;
 pub(crate) const SOCKETS: u64 = 256;
 
@@ -29,22 +29,22 @@
 pub(crate) struct Launch {
     pub(crate) program: PathBuf,
     pub(crate) folder: PathBuf,
-    /// The library that makes system calls fail, and how many of a thousand.
+    /// The library that makes system calls fail, and how many of 1000 calls fail.
     pub(crate) faults: Option<(PathBuf, u32)>,
     pub(crate) log_level: String,
     pub(crate) timing: Timing,
-    /// The wall clock of some nodes is off by so many seconds, where the library can be built.
-    pub(crate) clock_shift: i64,
+    /// The offset of some nodes' wall clocks, in seconds. It has an effect only if the library was built.
+    pub(crate) clock_shift_s: i64,
 }
 
-/// A node.
+/// A node and its process.
 pub(crate) struct Node {
     pub(crate) number: usize,
     pub(crate) address: SocketAddr,
     launch: Arc<Launch>,
-    record: Arc<Record>,
+    record: Arc<SharedRecord>,
     process: Mutex<Option<Child>>,
-    /// It has been sent SIGTERM: its end is no crash.
+    /// The process was sent SIGTERM, so its end is not a crash.
     stopping: AtomicBool,
     seed: u64,
     _port: Port,
@@ -54,7 +54,7 @@
     pub(crate) fn new(
         number: usize,
         launch: &Arc<Launch>,
-        record: &Arc<Record>,
+        record: &Arc<SharedRecord>,
         seed: u64,
     ) -> std::io::Result<Node> {
         let port = Port::hold()?;
@@ -79,7 +79,7 @@
         self.launch.folder.join(format!("node-{}.json", self.number))
     }
 
-    /// Writes its configuration.
+    /// Writes the configuration file.
     pub(crate) fn configure(
         &self,
         nodes: usize,
@@ -90,7 +90,7 @@
         std::fs::write(self.config_file(), config.to_string())
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub(crate) fn start(&self) -> std::io::Result<()> {
         let log = self.launch.folder.join(format!("node-{}.log", self.number));
         let log = File::options().create(true).append(true).open(log)?;
@@ -102,18 +102,18 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        // One half of the nodes has system calls that fail, and a third a wall clock that is off.
+        // System calls fail at every second node, and every third node has a shifted wall clock.
         if let Some((library, permille)) = self.launch.faults.as_ref() {
             let (seed, permille) = (self.seed ^ self.number as u64, permille * (self.number as u32 % 2));
             command.env("LD_PRELOAD", library).env("PINTALLY_FAULTS", format!("{seed} {permille}"));
             if self.number.is_multiple_of(3) {
-                command.env("PINTALLY_CLOCK_SHIFT", self.launch.clock_shift.to_string());
+                command.env("PINTALLY_CLOCK_SHIFT", self.launch.clock_shift_s.to_string());
             }
         }
         let child = command.spawn()?;
         let started = self.record.now();
-        self.record.with(|books| {
-            books.incarnations.push(Incarnation {
+        self.record.with(|record| {
+            record.incarnations.push(Incarnation {
                 node: self.number,
                 started,
                 stop_requested_at: None,
@@ -125,31 +125,31 @@
         Ok(())
     }
 
-    fn note(&self, what: impl FnOnce(&mut Incarnation)) {
-        self.record.with(|books| {
-            if let Some(own) = books.incarnations.iter_mut().rev().find(|i| i.node == self.number) {
-                what(own);
+    fn update_incarnation(&self, update: impl FnOnce(&mut Incarnation)) {
+        self.record.with(|record| {
+            if let Some(incarnation) = record.incarnations.iter_mut().rev().find(|i| i.node == self.number) {
+                update(incarnation);
             }
         });
     }
 
-    fn fault(&self, what: String) {
-        self.record.with(|books| books.process_faults.push((self.number, what)));
+    fn record_fault(&self, fault: String) {
+        self.record.with(|record| record.process_faults.push((self.number, fault)));
     }
 
-    /// Waits until it is ready.
-    pub(crate) fn until_ready(&self) {
-        let by = Instant::now() + READY_WITHIN;
-        while Instant::now() < by {
+    /// Waits until the node is ready.
+    pub(crate) fn wait_until_ready(&self) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < deadline {
             if self.get("/up").is_some_and(|(status, _)| status == 200) {
                 return;
             }
-            std::thread::sleep(POLL_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        self.fault("was not ready within 10 s".into());
+        self.record_fault("was not ready within 10 s".into());
     }
 
-    /// Its process, as the system numbers it.
+    /// The process id.
     pub(crate) fn pid(&self) -> Option<u32> {
         self.lock().as_ref().map(Child::id)
     }
@@ -160,106 +160,107 @@
         }
     }
 
-    /// Tells it to stop, gives it the time that the platform gives, and kills it if it has not ended.
+    /// Sends SIGTERM, waits for the platform's grace period, and kills the process if it has not ended.
     pub(crate) fn stop(&self, grace: Duration) {
         let now = self.record.now();
-        self.note(|own| own.stop_requested_at = Some(now));
+        self.update_incarnation(|incarnation| incarnation.stop_requested_at = Some(now));
         self.stopping.store(true, Ordering::SeqCst);
         self.signal("-TERM");
-        let by = Instant::now() + grace;
-        while Instant::now() < by {
+        let deadline = Instant::now() + grace;
+        while Instant::now() < deadline {
             let ended = self.lock().as_mut().map(Child::try_wait);
             if let Some(Ok(Some(status))) = ended {
                 let now = self.record.now();
-                self.note(|own| own.ended = Some(now));
+                self.update_incarnation(|incarnation| incarnation.ended = Some(now));
                 if !status.success() {
-                    self.fault(format!("ended with {status} after SIGTERM"));
+                    self.record_fault(format!("ended with {status} after SIGTERM"));
                 }
                 *self.lock() = None;
                 return;
             }
-            std::thread::sleep(POLL_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         self.kill();
     }
 
-    /// Kills its process.
+    /// Kills the process.
     pub(crate) fn kill(&self) {
         let Some(mut child) = self.lock().take() else { return };
         let now = self.record.now();
-        self.note(|own| own.ended = Some(now));
+        self.update_incarnation(|incarnation| incarnation.ended = Some(now));
         if let Ok(Some(status)) = child.try_wait() {
-            self.fault(format!("had ended with {status}"));
+            self.record_fault(format!("had ended with {status}"));
         }
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Looks at its process: whether it lives and keeps its limits.
+    /// Checks that the process is alive and within its limits.
     pub(crate) fn inspect(&self) {
         let mut process = self.lock();
         let Some(child) = process.as_mut().filter(|_| !self.stopping.load(Ordering::SeqCst)) else { return };
-        // A process that is being started still has its parent's memory and descriptors.
+        // Until it executes the program, a new process has its parent's memory and descriptors.
         let started = self
             .record
-            .with(|books| books.incarnations.iter().rfind(|i| i.node == self.number).map(|i| i.started));
-        if started.is_none_or(|at| self.record.now() < at + STARTED_AFTER) {
+            .with(|record| record.incarnations.iter().rfind(|i| i.node == self.number).map(|i| i.started));
+        if started.is_none_or(|at| self.record.now() < at + EXEC_DELAY) {
             return;
         }
         if let Ok(Some(status)) = child.try_wait() {
             *process = None;
             drop(process);
             let now = self.record.now();
-            self.note(|own| own.ended = Some(now));
-            return self.fault(format!("ended with {status} on its own"));
+            self.update_incarnation(|incarnation| incarnation.ended = Some(now));
+            return self.record_fault(format!("ended with {status} on its own"));
         }
         let pid = child.id();
         drop(process);
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let kilobytes = peak.and_then(|text| text.split_whitespace().next()?.parse::<u64>().ok());
-        if kilobytes.is_some_and(|kb| kb > MEMORY_MB << 10) {
-            self.fault(format!("has had {} MB of {MEMORY_MB}", kilobytes.unwrap_or(0) >> 10));
+        let peak_kb = peak.and_then(|text| text.split_whitespace().next()?.parse::<u64>().ok());
+        if peak_kb.is_some_and(|kb| kb > MEMORY_MB << 10) {
+            self.record_fault(format!("has had {} MB of {MEMORY_MB}", peak_kb.unwrap_or(0) >> 10));
         }
         let files = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count) as u64;
         if files > SOCKETS {
-            self.fault(format!("has {files} descriptors of {SOCKETS}"));
+            self.record_fault(format!("has {files} descriptors of {SOCKETS}"));
         }
     }
 
-    /// What it counted as not permitted, and whether it holds anything still.
-    pub(crate) fn audit(&self) {
-        let Some(page) = self.beliefs() else { return };
+    /// Records the guard violations that the node has counted.
+    pub(crate) fn record_guard_violations(&self) {
+        let Some(page) = self.status() else { return };
         let denied = page["denied"].as_object().into_iter().flatten();
         let denied: Vec<String> = denied.map(|(kind, count)| format!("{kind} {count}")).collect();
-        self.record.with(|books| books.denied.extend(denied.into_iter().map(|d| (self.number, d))));
+        self.record
+            .with(|record| record.guard_violations.extend(denied.into_iter().map(|d| (self.number, d))));
     }
 
-    /// How many requests it holds.
-    pub(crate) fn holds(&self) -> Option<u64> {
-        self.beliefs()?["held"].as_u64()
+    /// The number of requests for which the node holds a read state.
+    pub(crate) fn held_requests(&self) -> Option<u64> {
+        self.status()?["held"].as_u64()
     }
 
-    /// Its status page.
-    fn beliefs(&self) -> Option<Value> {
+    /// The node's status document.
+    fn status(&self) -> Option<Value> {
         let (_, page) = self.get("/pintally/beliefs")?;
         serde_json::from_slice(&page).ok()
     }
 
     fn get(&self, target: &str) -> Option<(u16, Vec<u8>)> {
-        let mut stream = TcpStream::connect_timeout(&self.address, CALL_WITHIN).ok()?;
-        stream.set_read_timeout(Some(CALL_WITHIN)).ok()?;
+        let mut stream = TcpStream::connect_timeout(&self.address, STATUS_CALL_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(STATUS_CALL_TIMEOUT)).ok()?;
         stream.write_all(format!("GET {target} HTTP/1.1\r\nConnection: close\r\n\r\n").as_bytes()).ok()?;
-        let (mut reader, mut some) = (ResponseReader::new(16 << 10), vec![0; 64 << 10]);
+        let (mut reader, mut buffer) = (ResponseReader::new(16 << 10), vec![0; 64 << 10]);
         let (mut status, mut body) = (0, Vec::new());
         loop {
             match reader.next_part().ok()? {
                 Some(Part::Head(s, _)) => status = s,
                 Some(Part::Body(bytes)) => body.extend(bytes),
                 Some(Part::End(_)) => return Some((status, body)),
-                None => match stream.read(&mut some).ok()? {
+                None => match stream.read(&mut buffer).ok()? {
                     0 => return None,
-                    count => reader.push(&some[..count]),
+                    count => reader.push(&buffer[..count]),
                 },
             }
         }
@@ -275,7 +276,7 @@
     }
 }
 
-/// Keeps a node's log for people to read.
+/// Copies the nodes' logs to a directory.
 pub(crate) fn keep_logs(folder: &Path, to: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(folder)?.flatten() {
--- a/crates/pintally-soak/src/run.rs
+++ b/crates/pintally-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: starts everything, plays the faults, and judges the record.
+//! A soak run: starts all processes and threads, injects the faults, and checks the invariants.
 
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -14,89 +14,92 @@
 use crate::client::{Client, ClientBehavior};
 use crate::discovery::Agent;
 use crate::fault_layer;
-use crate::injected_faults::{draw, FaultAction, InjectedFault};
+use crate::injected_faults::{draw_faults, FaultAction, InjectedFault};
 use crate::invariants::{InvariantChecker, Violation};
-use crate::mock_engine::{Engine, Outstanding};
+use crate::mock_engine::{Engine, OpenAttempts};
 use crate::node::{keep_logs, Launch, Node};
-use crate::record::{Record, RequestOutcome};
+use crate::record::{RequestOutcome, SharedRecord};
 use crate::timing::Timing;
 
-/// A wall clock may be off by so many seconds.
-const HOUR: i64 = 3_600;
-/// Threads of a run do little: a small stack is enough for hundreds of them.
-const STACK: usize = 256 << 10;
-/// Between SIGTERM and SIGKILL: the longest deadline, counted as 3 s at the most, and 0.7 s.
+/// The largest offset of a node's wall clock.
+const HOUR_SECONDS: i64 = 3_600;
+/// The stack size of a run's threads. A run has hundreds of threads, and each needs little stack.
+const THREAD_STACK_BYTES: usize = 256 << 10;
+/// The time between SIGTERM and SIGKILL: the longest deadline, of which the platform counts at most 3 s, plus 0.7 s.
 const STOP_GRACE: Duration = Duration::from_millis(2_500 + 700);
-/// How long after the last request what is held may take to be let go, and answers to come.
-const SETTLE: Duration = Duration::from_millis(4_500);
-/// What a note of the record may lag behind what it tells of.
-const MIN_LATENESS: Duration = Duration::from_millis(25);
-const INSPECT_EVERY: Duration = Duration::from_millis(150);
+/// How long after the last request the run waits for open_attempts answers and for held states to be released.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// How far a recorded time may lag behind the event, even on an idle machine.
+const MIN_TIMING_TOLERANCE: Duration = Duration::from_millis(25);
+/// How often each node's process is inspected.
+const INSPECT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a run is like.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program to run as `program platform`.
+    /// The executable; each node runs it with the `platform` subcommand.
     pub program: PathBuf,
-    /// Draws faults, clients and engines' behaviours.
+    /// The seed of the faults, the clients and the engines' behaviour.
     pub seed: u64,
-    /// How many nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// How many engines of each role.
+    /// The number of readers.
     pub readers: usize,
-    /// How many writers.
+    /// The number of writers.
     pub writers: usize,
-    /// For how long clients ask.
+    /// How long clients send requests.
     pub client_duration: Duration,
-    /// Of a thousand system calls on sockets so many fail for a moment, at every second node; 0: none.
+    /// Out of 1000 system calls on sockets, this many fail with a transient error, at every second node. 0 disables
+    /// this fault.
     pub faults_permille: u32,
-    /// Where to keep the nodes' logs, if anywhere.
+    /// The directory to which the nodes' logs are copied; `None` drops them.
     pub logs: Option<PathBuf>,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Requests that were sent whole, those that were served whole, and attempts that came to engines.
+    /// Requests that were sent completely.
     pub requests_sent: usize,
-    /// Served whole.
+    /// Requests that were served with a complete answer.
     pub requests_served: usize,
-    /// Attempts at engines.
+    /// Attempts that reached an engine.
     pub attempts: usize,
     /// Restarts and kills of nodes.
     pub restarts: usize,
-    /// How late threads of this machine were woken at the most.
+    /// The maximum delay with which threads were woken on this machine.
     pub max_wake_delay: Duration,
-    /// The faults that were played, with their times.
+    /// The injected faults, with their times.
     pub faults: Vec<String>,
-    /// What was broken.
+    /// The violations of invariants.
     pub violations: Vec<Violation>,
 }
 
-/// A thread with a small stack.
-pub(crate) fn spawn<T: Send + 'static>(what: impl FnOnce() -> T + Send + 'static) -> Option<JoinHandle<T>> {
-    std::thread::Builder::new().stack_size(STACK).spawn(what).ok()
+/// Starts a thread with a small stack.
+pub(crate) fn spawn<T: Send + 'static>(body: impl FnOnce() -> T + Send + 'static) -> Option<JoinHandle<T>> {
+    std::thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(body).ok()
 }
 
-/// Everything that a fault may touch.
-struct Stage {
-    record: Arc<Record>,
+/// The state of a run, as far as faults act on it.
+struct RunState {
+    record: Arc<SharedRecord>,
     nodes: Vec<Arc<Node>>,
     agents: Vec<Arc<Agent>>,
     engines: Mutex<BTreeMap<usize, Arc<Engine>>>,
-    outstanding: Arc<Outstanding>,
-    /// Numbers of engines that were never used.
+    open_attempts: Arc<OpenAttempts>,
+    /// The number of the last replacement engine; the number of engines before the first replacement.
     next_engine: Mutex<usize>,
     readers: usize,
-    /// Nodes with a stop, kill or reload under way.
-    busy: Mutex<Vec<usize>>,
+    /// Nodes with a stop, kill or reload in progress.
+    reserved_nodes: Mutex<Vec<usize>>,
 }
 
-fn lock<T>(all: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    all.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-fn member(engine: &Engine, node: usize, phase: &str) -> Value {
+/// The discovery entry of an engine, as one node sees it.
+fn discovery_entry(engine: &Engine, node: usize, phase: &str) -> Value {
     let flavor = if engine.name.starts_with('r') { "m1" } else { "m2" };
     json!({"id": engine.name, "host_port": engine.addresses[node], "locality": "a", "flavor": flavor, "cell": 1,
            "phase": phase, "size": 1.0, "up_since_ms": engine.up_since_ms})
@@ -106,16 +109,16 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Plays a run and judges it.
+/// Runs a soak test and checks its invariants.
 pub fn soak(options: &Options) -> std::io::Result<Report> {
     let folder = tempfile::tempdir()?;
-    let record = Arc::new(Record::new());
-    let outstanding = Arc::new(Outstanding::default());
+    let record = Arc::new(SharedRecord::new());
+    let open_attempts = Arc::new(OpenAttempts::default());
     let mut engines = BTreeMap::new();
     let names = (0..options.readers).map(|n| format!("r{n}"));
     for (number, name) in names.chain((0..options.writers).map(|n| format!("w{n}"))).enumerate() {
         let seed = options.seed << 16 | number as u64;
-        engines.insert(number, Engine::start(&name, options.nodes, &record, &outstanding, 0, seed)?);
+        engines.insert(number, Engine::start(&name, options.nodes, &record, &open_attempts, 0, seed)?);
     }
     let faults = match options.faults_permille {
         0 => None,
@@ -126,103 +129,106 @@
         folder: folder.path().into(),
         faults,
         timing: Timing::draw(options.seed),
-        clock_shift: [0, HOUR, -HOUR, 7, -7][options.seed as usize % 5],
+        clock_shift_s: [0, HOUR_SECONDS, -HOUR_SECONDS, 7, -7][options.seed as usize % 5],
         log_level: if options.logs.is_some() { "debug" } else { "info" }.into(),
     });
     let (mut nodes, mut agents) = (Vec::new(), Vec::new());
     for number in 0..options.nodes {
-        let members = engines.values().map(|engine| member(engine, number, "up")).collect();
+        let members = engines.values().map(|engine| discovery_entry(engine, number, "up")).collect();
         let agent = Agent::new(number, &record, members);
         let node = Node::new(number, &launch, &record, options.seed)?;
-        node.configure(options.nodes, agent.serve()?, &agent.known())?;
+        node.configure(options.nodes, agent.serve()?, &agent.full_list())?;
         node.start()?;
         nodes.push(Arc::new(node));
         agents.push(agent);
     }
-    let stage = Arc::new(Stage {
+    let run = Arc::new(RunState {
         record: record.clone(),
         nodes,
         agents,
         next_engine: Mutex::new(engines.len()),
         readers: options.readers,
         engines: Mutex::new(engines),
-        outstanding,
-        busy: Mutex::default(),
+        open_attempts,
+        reserved_nodes: Mutex::default(),
     });
-    stage.nodes.iter().for_each(|node| node.until_ready());
-    let late = measure_lateness(&record);
-    let inspector = inspect(&stage);
+    run.nodes.iter().for_each(|node| node.wait_until_ready());
+    let wake_delay_thread = measure_wake_delay(&record);
+    let inspector = start_inspector(&run);
     let from = Instant::now();
-    let clients = start_clients(&stage, options, from + options.client_duration);
-    play(&stage, options, from);
+    let clients = start_clients(&run, options, from + options.client_duration);
+    inject_faults(&run, options, from);
     clients.into_iter().flatten().for_each(|client| drop(client.join()));
-    settle(&stage);
-    record.close_held();
-    stage.nodes.iter().for_each(|node| node.audit());
-    record.set_over();
-    let late = late.and_then(|late| late.join().ok()).unwrap_or_default();
+    settle(&run);
+    record.close_held_states();
+    run.nodes.iter().for_each(|node| node.record_guard_violations());
+    record.end_run();
+    let max_wake_delay = wake_delay_thread.and_then(|thread| thread.join().ok()).unwrap_or_default();
     drop(inspector.map(JoinHandle::join));
     if let Some(to) = &options.logs {
         keep_logs(folder.path(), to)?;
     }
-    lock(&stage.engines).values().for_each(|engine| engine.die());
-    Ok(report(&stage, late, launch.timing))
+    lock(&run.engines).values().for_each(|engine| engine.stop());
+    Ok(report(&run, max_wake_delay, launch.timing))
 }
 
-fn report(stage: &Stage, max_wake_delay: Duration, timing: Timing) -> Report {
-    let books = stage.record.take_books();
-    // Threads of nodes are woken as late as those here.
+fn report(run: &RunState, max_wake_delay: Duration, timing: Timing) -> Report {
+    let record = run.record.take();
+    // Threads of the nodes are woken as late as those of this process, so the tolerance is twice the measured delay.
     let violations =
-        InvariantChecker { books: &books, late: max_wake_delay * 2 + MIN_LATENESS, timing }.verdict();
-    let requests_sent = books.requests.values().filter(|ask| ask.end != RequestOutcome::Unsent).count();
-    let whole =
+        InvariantChecker { record: &record, tolerance: max_wake_delay * 2 + MIN_TIMING_TOLERANCE, timing }
+            .violations();
+    let requests_sent = record.requests.values().filter(|ask| ask.end != RequestOutcome::Unsent).count();
+    let served =
         |end: &RequestOutcome| matches!(end, RequestOutcome::Answered { status: 200, whole: true, .. });
     Report {
         requests_sent,
-        requests_served: books.requests.values().filter(|ask| whole(&ask.end)).count(),
-        attempts: books.attempt_started.values().map(Vec::len).sum(),
-        restarts: books.incarnations.len().saturating_sub(stage.nodes.len()),
+        requests_served: record.requests.values().filter(|ask| served(&ask.end)).count(),
+        attempts: record.attempts.values().map(Vec::len).sum(),
+        restarts: record.incarnations.len().saturating_sub(run.nodes.len()),
         max_wake_delay,
-        faults: books.faults.iter().map(|(at, what)| format!("{:.2} s {what}", at.as_secs_f64())).collect(),
+        faults: record.faults.iter().map(|(at, what)| format!("{:.2} s {what}", at.as_secs_f64())).collect(),
         violations,
     }
 }
 
-/// How late threads of this machine are woken: a run that is not let go on accuses no node.
-fn measure_lateness(record: &Arc<Record>) -> Option<JoinHandle<Duration>> {
+/// Measures how late threads are woken on this machine. The delay is added to the invariants' time limits, so that a
+/// busy machine does not cause violations.
+fn measure_wake_delay(record: &Arc<SharedRecord>) -> Option<JoinHandle<Duration>> {
     let record = record.clone();
     spawn(move || {
-        let mut most = Duration::ZERO;
+        let mut max_delay = Duration::ZERO;
         while !record.is_over() {
             let from = Instant::now();
             std::thread::sleep(Duration::from_millis(5));
-            most = most.max(from.elapsed().saturating_sub(Duration::from_millis(6)));
+            max_delay = max_delay.max(from.elapsed().saturating_sub(Duration::from_millis(6)));
         }
-        most
+        max_delay
     })
 }
 
-fn inspect(stage: &Arc<Stage>) -> Option<JoinHandle<()>> {
-    let stage = stage.clone();
+/// Starts a thread that inspects the nodes' processes until the run is over.
+fn start_inspector(run: &Arc<RunState>) -> Option<JoinHandle<()>> {
+    let run = run.clone();
     spawn(move || {
-        while !stage.record.is_over() {
-            stage.nodes.iter().for_each(|node| node.inspect());
-            std::thread::sleep(INSPECT_EVERY);
+        while !run.record.is_over() {
+            run.nodes.iter().for_each(|node| node.inspect());
+            std::thread::sleep(INSPECT_INTERVAL);
         }
     })
 }
 
-fn start_clients(stage: &Arc<Stage>, options: &Options, until: Instant) -> Vec<Option<JoinHandle<()>>> {
+fn start_clients(run: &Arc<RunState>, options: &Options, until: Instant) -> Vec<Option<JoinHandle<()>>> {
     let mut clients = Vec::new();
-    for node in &stage.nodes {
-        for (at, manner) in ClientBehavior::ALL.into_iter().enumerate() {
+    for node in &run.nodes {
+        for (at, behavior) in ClientBehavior::ALL.into_iter().enumerate() {
             let client = Client {
                 node: node.number,
                 address: node.address,
-                manner,
-                name: format!("s{}-n{}-{manner:?}", options.seed, node.number),
+                behavior,
+                name: format!("s{}-n{}-{behavior:?}", options.seed, node.number),
                 seed: options.seed << 24 | (node.number as u64) << 8 | at as u64,
-                record: stage.record.clone(),
+                record: run.record.clone(),
                 until,
                 client_timeout: Timing::draw(options.seed).client_timeout,
             };
@@ -232,51 +238,53 @@
     clients
 }
 
-/// Plays the faults, each in a thread of its own, to the end of the last one.
-fn play(stage: &Arc<Stage>, options: &Options, from: Instant) {
-    let mut dice = ChaCha8Rng::seed_from_u64(options.seed);
+/// Injects the faults, each in its own thread, and waits until the last one is over.
+fn inject_faults(run: &Arc<RunState>, options: &Options, from: Instant) {
+    let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let mut threads = Vec::new();
-    for InjectedFault { at, what } in draw(&mut dice, options.client_duration) {
+    for InjectedFault { at, action } in draw_faults(&mut rng, options.client_duration) {
         std::thread::sleep((from + at).saturating_duration_since(Instant::now()));
-        let now = stage.record.now();
-        stage.record.with(|books| books.faults.push((now, format!("{what:?}"))));
-        let (own, seed) = (stage.clone(), dice.random_range(0..u64::MAX));
-        threads.push(spawn(move || own.inject(what, seed)));
+        let now = run.record.now();
+        run.record.with(|record| record.faults.push((now, format!("{action:?}"))));
+        let (own, seed) = (run.clone(), rng.random_range(0..u64::MAX));
+        threads.push(spawn(move || own.inject(action, seed)));
     }
     threads.into_iter().flatten().for_each(|thread| drop(thread.join()));
 }
 
-/// Waits until nothing is held any more, and for as long as what is held may take.
-fn settle(stage: &Stage) {
-    let by = Instant::now() + SETTLE;
-    while Instant::now() < by && stage.nodes.iter().any(|node| node.holds().is_some_and(|held| held > 0)) {
+/// Waits until no node holds a request, but at most for `SETTLE_TIMEOUT`, and then for 0.9 s more.
+fn settle(run: &RunState) {
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    while Instant::now() < deadline
+        && run.nodes.iter().any(|node| node.held_requests().is_some_and(|held| held > 0))
+    {
         std::thread::sleep(Duration::from_millis(50));
     }
     std::thread::sleep(Duration::from_millis(900));
 }
 
-impl Stage {
-    /// Keeps a node for one fault that ends or reloads its process; none if another has it.
-    fn reserve(&self, node: usize) -> Option<Reserved<'_>> {
+impl RunState {
+    /// Reserves a node for a fault that ends or reloads its process. `None` if another fault has reserved it.
+    fn reserve(&self, node: usize) -> Option<NodeReservation<'_>> {
         let node = node % self.nodes.len();
-        let mut busy = lock(&self.busy);
-        if busy.contains(&node) {
+        let mut reserved_nodes = lock(&self.reserved_nodes);
+        if reserved_nodes.contains(&node) {
             return None;
         }
-        busy.push(node);
-        Some(Reserved { stage: self, node })
+        reserved_nodes.push(node);
+        Some(NodeReservation { run: self, node })
     }
 
     fn engines(&self, numbers: &[usize]) -> Vec<Arc<Engine>> {
-        let all: Vec<Arc<Engine>> = lock(&self.engines).values().cloned().collect();
-        let mut at: Vec<usize> = numbers.iter().map(|n| n % all.len()).collect();
-        at.sort_unstable();
-        at.dedup();
-        at.into_iter().map(|n| all[n].clone()).collect()
+        let engines: Vec<Arc<Engine>> = lock(&self.engines).values().cloned().collect();
+        let mut indexes: Vec<usize> = numbers.iter().map(|n| n % engines.len()).collect();
+        indexes.sort_unstable();
+        indexes.dedup();
+        indexes.into_iter().map(|n| engines[n].clone()).collect()
     }
 
-    fn inject(&self, what: FaultAction, seed: u64) {
-        match what {
+    fn inject(&self, action: FaultAction, seed: u64) {
+        match action {
             FaultAction::Stop { node } => self.restart(node, None),
             FaultAction::Kill { node, down } => self.restart(node, Some(down)),
             FaultAction::Pause { node, span } => {
@@ -298,12 +306,12 @@
                 std::thread::sleep(span);
                 self.agents.iter().for_each(|agent| agent.set_down(false));
                 let to = self.record.now();
-                self.record.with(|books| books.discovery_down.push((from, to)));
+                self.record.with(|record| record.discovery_down.push((from, to)));
             }
             FaultAction::DiscoverySlow { span, late } => {
-                self.agents.iter().for_each(|agent| agent.set_slow(late));
+                self.agents.iter().for_each(|agent| agent.set_answer_delay(late));
                 std::thread::sleep(span);
-                self.agents.iter().for_each(|agent| agent.set_slow(Duration::ZERO));
+                self.agents.iter().for_each(|agent| agent.set_answer_delay(Duration::ZERO));
             }
             FaultAction::DiscoveryRefuses { span } => {
                 let from = self.record.now();
@@ -313,16 +321,16 @@
                 self.agents.iter().for_each(|agent| agent.set_refusing(false));
                 self.agents.iter().for_each(|agent| agent.set_down(false));
                 let to = self.record.now();
-                self.record.with(|books| books.discovery_down.push((from, to)));
+                self.record.with(|record| record.discovery_down.push((from, to)));
             }
-            FaultAction::WatchesSilent => self.agents.iter().for_each(|agent| agent.silence()),
-            FaultAction::WatchesReset => self.agents.iter().for_each(|agent| agent.reset()),
+            FaultAction::WatchesSilent => self.agents.iter().for_each(|agent| agent.silence_watches()),
+            FaultAction::WatchesReset => self.agents.iter().for_each(|agent| agent.reset_watches()),
             FaultAction::Replace { engine, after } => self.replace(engine, after, seed),
             FaultAction::Hang { engines, span } => {
                 let engines = self.engines(&engines);
-                engines.iter().for_each(|engine| engine.hang(true));
+                engines.iter().for_each(|engine| engine.set_hanging(true));
                 std::thread::sleep(span);
-                engines.iter().for_each(|engine| engine.hang(false));
+                engines.iter().for_each(|engine| engine.set_hanging(false));
             }
             FaultAction::Vanish { engines, span } => {
                 let engines = self.engines(&engines);
@@ -332,7 +340,7 @@
                     }
                 });
                 std::thread::sleep(span);
-                engines.iter().for_each(|engine| engine.restart());
+                engines.iter().for_each(|engine| engine.reappear());
             }
             FaultAction::Reset { engine } => {
                 self.engines(&[engine]).iter().for_each(|e| e.reset_connections());
@@ -347,11 +355,11 @@
         }
     }
 
-    /// Stops a node, or kills it, and starts it again.
-    fn restart(&self, node: usize, killed: Option<Duration>) {
+    /// Stops a node, or kills it and leaves it down for the given time, and starts it again.
+    fn restart(&self, node: usize, down_after_kill: Option<Duration>) {
         let Some(reserved) = self.reserve(node) else { return };
         let node = &self.nodes[reserved.node];
-        match killed {
+        match down_after_kill {
             None => node.stop(STOP_GRACE),
             Some(down) => {
                 node.kill();
@@ -359,11 +367,12 @@
             }
         }
         if node.start().is_ok() {
-            node.until_ready();
+            node.wait_until_ready();
         }
     }
 
-    /// Moves a node's discovery by a new configuration.
+    /// Reloads a node with a configuration that names a new discovery address. If `half_written`, the node gets the
+    /// signal while the file is still incomplete.
     fn reload(&self, node: usize, half_written: bool) {
         let Some(reserved) = self.reserve(node) else { return };
         let (node, agent) = (&self.nodes[reserved.node], &self.agents[reserved.node]);
@@ -374,50 +383,50 @@
             node.signal("-HUP");
             std::thread::sleep(Duration::from_millis(120));
         }
-        let _ = node.configure(self.nodes.len(), address, &agent.known());
+        let _ = node.configure(self.nodes.len(), address, &agent.full_list());
         if !half_written {
             node.signal("-HUP");
         }
-        agent.move_to_new_address();
+        agent.close_old_watches();
     }
 
-    /// An engine drains, ends and leaves the list; a new one takes its place, cold.
+    /// Drains an engine, removes it from the list and ends it. A new, cold engine replaces it.
     fn replace(&self, engine: usize, after: Duration, seed: u64) {
-        let Some((number, old)) = self.draining_candidate(engine) else { return };
-        let tell = |phase: &str| {
+        let Some((number, old)) = self.take_engine_to_drain(engine) else { return };
+        let publish = |phase: &str| {
             for (node, agent) in self.agents.iter().enumerate() {
-                agent.change(&member(&old, node, phase), true);
+                agent.publish_change(&discovery_entry(&old, node, phase), true);
             }
         };
-        tell("draining");
+        publish("draining");
         std::thread::sleep(after);
-        tell("removed");
-        let fresh = {
+        publish("removed");
+        let new_number = {
             let mut next = lock(&self.next_engine);
             *next += 1;
             *next
         };
-        let name = format!("{}{fresh}", &old.name[..1]);
+        let name = format!("{}{new_number}", &old.name[..1]);
         let nodes = self.nodes.len();
-        let started = Engine::start(&name, nodes, &self.record, &self.outstanding, unix_ms(), seed);
+        let started = Engine::start(&name, nodes, &self.record, &self.open_attempts, unix_ms(), seed);
         if let Ok(started) = started {
             for (node, agent) in self.agents.iter().enumerate() {
-                agent.change(&member(&started, node, "up"), false);
+                agent.publish_change(&discovery_entry(&started, node, "up"), false);
             }
-            lock(&self.engines).insert(number + 1_000 * fresh, started);
+            lock(&self.engines).insert(number + 1_000 * new_number, started);
         }
-        // What it still answers comes to its end.
+        // The old engine completes its open answers before it ends.
         std::thread::sleep(Duration::from_secs(3));
-        old.die();
+        old.stop();
     }
 
-    /// Takes an engine out of those that faults may touch, if enough of its role stay.
-    fn draining_candidate(&self, engine: usize) -> Option<(usize, Arc<Engine>)> {
+    /// Takes an engine out of the set that faults act on, if enough engines of its role remain.
+    fn take_engine_to_drain(&self, engine: usize) -> Option<(usize, Arc<Engine>)> {
         let mut engines = lock(&self.engines);
         let at = engine % engines.len();
         let (number, old) = engines.iter().nth(at).map(|(number, old)| (*number, old.clone()))?;
-        let like = engines.values().filter(|e| e.name[..1] == old.name[..1]).count();
-        if like <= self.readers / 2 + 1 {
+        let same_role = engines.values().filter(|e| e.name[..1] == old.name[..1]).count();
+        if same_role <= self.readers / 2 + 1 {
             return None;
         }
         engines.remove(&number);
@@ -425,14 +434,14 @@
     }
 }
 
-/// A node that one fault has to itself.
-struct Reserved<'a> {
-    stage: &'a Stage,
+/// The reservation of a node by one fault.
+struct NodeReservation<'a> {
+    run: &'a RunState,
     node: usize,
 }
 
-impl Drop for Reserved<'_> {
+impl Drop for NodeReservation<'_> {
     fn drop(&mut self) {
-        lock(&self.stage.busy).retain(|node| *node != self.node);
+        lock(&self.run.reserved_nodes).retain(|node| *node != self.node);
     }
 }
--- a/crates/pintally-soak/src/timing.rs
+++ b/crates/pintally-soak/src/timing.rs
@@ -1,33 +1,33 @@
-//! Times that the settings of a run's nodes name, drawn by its seed: some runs have little room.
+//! Durations in the settings of a run's nodes, drawn from the seed: some runs have tight limits.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What the settings name.
+/// The durations.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
     /// How long clients wait for a first token.
     pub(crate) client_timeout: Duration,
-    /// What is held is fetched or let go within this time.
+    /// A held state is fetched or released within this time.
     pub(crate) release: Duration,
-    /// Sends to an engine stop within this time of word of its drain.
+    /// A node stops sending attempts to an engine within this time after it was notified that the engine drains.
     pub(crate) drain_grace: Duration,
-    /// Repeats of a keyed request are dropped for so long.
+    /// The window in which repeats of a keyed request are deduplicated.
     pub(crate) keyed_window: Duration,
-    /// A connection to an engine is up within this time.
+    /// The timeout for connecting to an engine.
     pub(crate) connect: Duration,
 }
 
 impl Timing {
-    /// Every third seed has the usual times, the others shorter ones.
+    /// Every third seed has the default durations, the others have shorter ones.
     pub(crate) fn draw(seed: u64) -> Timing {
         if seed % 3 == 1 {
-            return Timing::usual();
+            return Timing::typical();
         }
-        let mut dice = ChaCha8Rng::seed_from_u64(seed ^ 0x7131);
-        let mut ms = |least: u64, most: u64| Duration::from_millis(dice.random_range(least..most));
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7131);
+        let mut ms = |min: u64, max: u64| Duration::from_millis(rng.random_range(min..max));
         Timing {
             client_timeout: ms(900, 2_500),
             release: ms(160, 500),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Those of a deployment with room.
-    pub(crate) fn usual() -> Timing {
+    /// The durations of a typical deployment.
+    pub(crate) fn typical() -> Timing {
         Timing {
             client_timeout: Duration::from_millis(2_500),
             release: Duration::from_millis(500),
