--- a/crates/pintally-cells/src/cells.rs
+++ b/crates/pintally-cells/src/cells.rs
@@ -106,6 +106,8 @@
         cells
     }
 
+    /// Puts a cells file in force: divides the node's slots and body capacity over its cells, and drops the state of
+    /// cells and moves that it does not list.
     fn set_file(&mut self, file: CellsFile) {
         let weights = file.cells.iter().map(|cell| (&cell.name, cell.weight));
         self.edge.divide(self.slots, self.body_capacity, weights);
@@ -183,21 +185,21 @@
         self.engine_health.record_health_check(now, engine);
     }
 
-    /// Records that the response to a request of a cell began, late or not, or will never begin.
+    /// Records whether the response to a request of a cell began late; a response that never begins counts as late.
     pub fn record_response(&mut self, now: Micros, cell: &CellName, late: bool) {
         self.overload.record_response(now, cell, late);
     }
 
     /// The state of each cell.
     pub fn status(&self, now: Micros) -> Vec<CellStatus> {
-        let borrowed = |name: &CellName| {
+        let borrowed_count = |name: &CellName| {
             self.engines.keys().filter(|engine| self.loans.borrower(engine) == Some(name)).count()
         };
         let status = |(name, health): (&CellName, &CellHealth)| CellStatus {
             cell: name.clone(),
             level: health.level(),
             capacity: health.capacity(),
-            borrowed: borrowed(name),
+            borrowed: borrowed_count(name),
             overloaded: self.overload.is_overloaded(now, name),
             failing: health.is_failing(),
         };
@@ -213,10 +215,11 @@
         self.file.moves.iter().map(|tenant_move| (tenant_move.tenant.clone(), share(tenant_move))).collect()
     }
 
-    /// When [`Cells::reassign`] must be called although nothing else has changed.
+    /// When [`Cells::reassign`] must be called next, even if neither the cells file nor the engines change until then;
+    /// `None` if it need not be.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let recovers = self.health.values().any(|health| health.level() != ServiceLevel::Normal);
-        let recovery = recovers.then(|| now.saturating_add(RECOVERY_INTERVAL_MICROS));
+        let is_recovering = self.health.values().any(|health| health.level() != ServiceLevel::Normal);
+        let recovery = is_recovering.then(|| now.saturating_add(RECOVERY_INTERVAL_MICROS));
         let needs_tick = self.engine_health.needs_tick(now) || self.overload.needs_tick(now);
         let observation = needs_tick.then(|| now.saturating_add(OBSERVATION_INTERVAL_MICROS));
         [self.loans.next_return(), recovery, observation].into_iter().flatten().min()
--- a/crates/pintally-cli/src/cells.rs
+++ b/crates/pintally-cli/src/cells.rs
@@ -112,7 +112,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The settings, the file of cells and its path.
+/// Reads the settings and the cells file. Returns them with the path of the cells file.
 fn load(files: &Files) -> Result<(NodeSettings, CellsFile, String), Failure> {
     let settings = NodeSettings::parse(&files.config, &read(&files.config)?).map_err(Failure::usage)?;
     let Some(path) = files.cells.clone().or(settings.cells_file.clone()) else {
@@ -125,6 +125,7 @@
     Ok((settings, cells, path))
 }
 
+/// Prints a table of the cells, and each migration with its progress.
 fn show(files: &Files) -> Result<ExitCode, Failure> {
     let (settings, file, _) = load(files)?;
     let names = |cells: &[CellName]| {
@@ -158,6 +159,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Computes the next version of the cells file by a step of a tenant's migration. Replaces the file if `write` is
+/// set, and prints the new version otherwise.
 fn apply_step(files: &Files, tenant: &str, step: MoveCommand, write: bool) -> Result<ExitCode, Failure> {
     let (settings, file, path) = load(files)?;
     if !settings.core.tenants.iter().any(|t| t.name == tenant) {
@@ -178,6 +181,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Prints the state of the cells at each node. The exit code is a failure if a node did not respond.
 fn status(nodes: &[SocketAddr]) -> Result<ExitCode, Failure> {
     let mut table = Table::new();
     table.set_header(["node", "cell", "level", "share of engines", "borrowed", ""]);
@@ -198,7 +202,7 @@
                 cell["borrowed"].to_string(),
                 ["strained", "failing"]
                     .into_iter()
-                    .filter(|w| cell[*w] == true)
+                    .filter(|flag| cell[*flag] == true)
                     .collect::<Vec<_>>()
                     .join(", "),
             ]);
--- a/crates/pintally-consensus/src/replica.rs
+++ b/crates/pintally-consensus/src/replica.rs
@@ -49,7 +49,8 @@
     vote_recovery: Option<VoteRecovery>,
     /// Whether the disk showed no sign of loss or corruption at the start.
     disk_intact: bool,
-    /// The longest log that others reported after a start: a candidate with a shorter one gets no vote.
+    /// The last position of the longest log that was found in the recovery of votes, until this replica's own
+    /// log reaches it. A candidate whose log ends before it gets no vote.
     min_log_position: LogPosition,
     leader: Option<ReplicaName>,
     /// No vote is granted before this time, because a leader was heard shortly before or may have been
@@ -145,7 +146,7 @@
         self.persistent.log.last()
     }
 
-    /// Whether this replica was restarted and does not vote yet.
+    /// Whether this replica has started and does not vote yet, because its recovery of votes is in progress.
     pub fn is_recovering_votes(&self) -> bool {
         self.vote_recovery.is_some()
     }
@@ -256,7 +257,7 @@
         self.replicas().iter().filter(|name| **name != self.settings.name).cloned().collect()
     }
 
-    /// Moves to a later term, in which this replica has not voted yet.
+    /// Adopts a term if it is later than the current one. This replica has not voted in the new term yet.
     fn adopt_term(&mut self, term: u64) {
         if term > self.persistent.current_term {
             self.persistent.current_term = term;
--- a/crates/pintally-host/src/host/attempts.rs
+++ b/crates/pintally-host/src/host/attempts.rs
@@ -70,6 +70,8 @@
         may_send(self.now, &facts, &known.facts()).map_err(NotSent::Denied)
     }
 
+    /// Checks the quota of retries and the reservation that a writer would fetch. A retry that is admitted uses up
+    /// quota, so this check runs only once no guard denies the attempt.
     fn check_retry_and_reservation(
         &mut self,
         number: RequestNumber,
@@ -87,6 +89,7 @@
         Ok(())
     }
 
+    /// Counts an attempt that was not sent and queues its outcome for the core.
     fn report_not_sent(
         &mut self,
         cell: &CellName,
@@ -149,6 +152,7 @@
         self.requests.mark_changed(number);
     }
 
+    /// Cancels an attempt, unless its first token has arrived.
     pub(super) fn cancel(&mut self, id: &RequestId, attempt: AttemptNumber, out: &mut Vec<Command>) {
         let Some(number) = self.requests.number(id) else { return };
         let in_flight = self.requests.get(number).and_then(|record| record.in_flight.as_ref());
@@ -221,6 +225,8 @@
         Some((in_flight.engine.clone(), in_flight.step))
     }
 
+    /// Handles the end of an attempt: records its outcome, gives the final answer if the outcome determines it, and
+    /// passes the outcome to the core.
     pub(super) fn on_attempt_ended(
         &mut self,
         number: RequestNumber,
@@ -244,7 +250,8 @@
         record.has_failed_attempt |= !matches!(outcome, Outcome::Read | Outcome::Served | Outcome::NeverSent);
         self.requests.mark_changed(number);
         if may_be_reserved {
-            // A call for older reservations would free the one that was just created.
+            // A pending release of the request's older reservations would also free the one that this attempt may
+            // have just created.
             self.withdraw_release(&id, 0, out);
         }
         self.record_engine_outcome(&cell, &ended.engine, outcome, out);
--- a/crates/pintally-kserve-node/src/decision_thread.rs
+++ b/crates/pintally-kserve-node/src/decision_thread.rs
@@ -186,7 +186,7 @@
     }
 
     /// Queues a background call. If too many calls wait, health checks and releases fail at once. Connection
-    /// probes are dropped, because nothing is known about the attempt.
+    /// probes are dropped, because a probe that was not made says nothing about the attempt.
     fn start_background_call(&mut self, command: Command) -> Option<Input> {
         let call = match command {
             Command::Release { name, engine, address, new_connection } => {
@@ -208,11 +208,11 @@
     }
 
     /// Sends a message to a request's thread; `false` if the thread is gone. The mailbox has capacity for all
-    /// messages that a request can have open.
+    /// messages to a request that can be unread at the same time.
     fn send_to_request(&mut self, request_number: RequestNumber, message: RequestMessage) -> bool {
         let Some(mailbox) = self.mailboxes.get(&request_number) else { return false };
         let sent = mailbox.sender.try_send(message).is_ok();
-        // Not a fault after a kill: the request threads may end before this one.
+        // After a kill this is expected, because the request threads may end before this one.
         if !sent && !self.shared.is_dead() {
             warn!(request_number, "request thread is gone: message dropped");
         }
@@ -276,6 +276,7 @@
         }
     }
 
+    /// Publishes the status of quotas and of outlier detection, once per interval.
     fn publish_quota(&mut self, shared: &Shared, now: Micros, host: &Host) {
         let enabled = shared.settings.quotas.is_some() || shared.settings.outlier_detection.is_some();
         if enabled && now >= self.quota_published_at + QUOTA_STATUS_INTERVAL_US {
--- a/crates/pintally-lab/src/world.rs
+++ b/crates/pintally-lab/src/world.rs
@@ -83,8 +83,11 @@
     events: BTreeMap<(Micros, u64), Event>,
     fleet: Fleet,
     specs: Vec<EngineSpec>,
+    /// The position of each engine in `specs`.
     index: HashMap<EngineId, usize>,
+    /// The state of each engine in the endpoint list.
     listing: Vec<EndpointState>,
+    /// When each engine was last started; `None` if it has run since the beginning.
     started: Vec<Option<Micros>>,
     nodes: Vec<Box<dyn Policy>>,
     wakes: BTreeSet<(Micros, usize)>,
@@ -227,12 +230,12 @@
             }
         }
         self.record.sort_by_key(|r| r.at);
-        let figures = self.specs.iter().map(|s| EngineLocation {
+        let locations = self.specs.iter().map(|s| EngineLocation {
             engine: s.id.clone(),
             zone: s.zone.clone(),
             rack: s.rack,
         });
-        (self.record, figures.collect(), self.overload_crashes)
+        (self.record, locations.collect(), self.overload_crashes)
     }
 
     fn schedule(&mut self, at: Micros, event: Event) {
@@ -254,9 +257,9 @@
             Event::NodeInput(node, input) => self.send_input(node, *input),
             Event::AttemptArrived(node, order) => self.start_attempt(node, *order),
             Event::ReleaseArrived(node, name, engine) => self.handle_release(node, name, engine),
-            Event::AttemptTimeout(node, number, attempt, whole) => {
+            Event::AttemptTimeout(node, number, attempt, for_whole_answer) => {
                 let attempt_in_flight = self.attempts.get(&(node, number, attempt));
-                if attempt_in_flight.is_some_and(|a| whole || !a.first_token) {
+                if attempt_in_flight.is_some_and(|a| for_whole_answer || !a.first_token) {
                     self.abort_attempt((node, number, attempt), Outcome::TimedOut);
                 }
             }
@@ -278,6 +281,7 @@
 
     // ---- clients ----
 
+    /// Sends a try of a client request to a random node, in the client's zone if that has nodes.
     fn send_request(&mut self, request_number: u64, retry: u32, draft: Rc<RequestDraft>) {
         let zones = self.scenario.zones.len();
         let nodes_in_zone: Vec<usize> = (0..self.nodes.len()).filter(|n| n % zones == draft.zone).collect();
@@ -371,7 +375,7 @@
         if let Some(old) = self.wake_by_node[node] {
             self.wakes.remove(&(old, node));
         }
-        // A wake time in the past is handled at the next step of the clock.
+        // A wake time in the past is replaced by the current time: the clock never runs backwards.
         let wake = self.nodes[node].next_wake().map(|at| at.max(self.now));
         if let Some(at) = wake {
             self.wakes.insert((at, node));
@@ -379,6 +383,7 @@
         self.wake_by_node[node] = wake;
     }
 
+    /// Carries out the commands of a node.
     fn execute(&mut self, node: usize, out: &mut Vec<Command>) {
         for command in out.drain(..) {
             match command {
@@ -399,9 +404,9 @@
                         self.now + order.timeout,
                         Event::AttemptTimeout(node, order.number, order.attempt, false),
                     );
-                    if let Some(whole) = order.completion_timeout {
+                    if let Some(completion_timeout) = order.completion_timeout {
                         self.schedule(
-                            self.now + whole,
+                            self.now + completion_timeout,
                             Event::AttemptTimeout(node, order.number, order.attempt, true),
                         );
                     }
@@ -557,6 +562,7 @@
         self.end_attempt(key, outcome, 0, None, 0);
     }
 
+    /// Ends an attempt. The node learns its outcome after `delay`.
     fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -611,7 +617,7 @@
                     Event::Fault(FaultAction::SetRunning(engine, true)),
                 );
             }
-            Notice::Read(id, kept) => {
+            Notice::Read(id, cached_tokens) => {
                 // A cancelled read may still complete. The engine then holds a state that no attempt wants: release it.
                 let Some(&key) = self.attempt_by_work.get(&id) else {
                     self.fleet.release(self.now, engine, id, &mut self.notices);
@@ -623,7 +629,7 @@
                 self.state_by_work.insert(id, (engine, state.clone()));
                 let (engine, node) = (self.specs[engine].id.clone(), format!("n{}", key.0));
                 self.record_event(AuditEvent::StateHeld { engine, node, request, state });
-                self.end_attempt(key, Outcome::Read, kept, Some(id), NETWORK_DELAY);
+                self.end_attempt(key, Outcome::Read, cached_tokens, Some(id), NETWORK_DELAY);
             }
             Notice::Started(id) => {
                 let Some(attempt_in_flight) =
@@ -658,9 +664,9 @@
                     self.record_event_at(at, AuditEvent::FirstChunk { request });
                 }
             }
-            Notice::Done(id, kept) => {
+            Notice::Done(id, cached_tokens) => {
                 if let Some(&key) = self.attempt_by_work.get(&id) {
-                    self.end_attempt(key, Outcome::Served, kept, None, NETWORK_DELAY);
+                    self.end_attempt(key, Outcome::Served, cached_tokens, None, NETWORK_DELAY);
                 }
             }
             Notice::Refused(id, why) => {
--- a/crates/pintally-platform-node/src/engine_io.rs
+++ b/crates/pintally-platform-node/src/engine_io.rs
@@ -51,7 +51,7 @@
         if let Some(EngineCall::ConnectionProbe { number, attempt }) = connection.call {
             return self.connection_probe_succeeded(key, number, attempt);
         }
-        if !self.may_still_start(key) {
+        if !self.check_may_still_start(key) {
             return;
         }
         self.refresh_remaining_time(key);
@@ -59,9 +59,9 @@
         self.write_engine(key);
     }
 
-    /// Whether the attempt on a newly established connection may still start, in case the connection took
-    /// long. An attempt that may not start is abandoned without being sent.
-    fn may_still_start(&mut self, key: ConnectionKey) -> bool {
+    /// Checks whether the attempt on a newly established connection may still be sent, because the connection
+    /// may have taken too long. If it may not, abandons the attempt and returns `false`.
+    fn check_may_still_start(&mut self, key: ConnectionKey) -> bool {
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get(key) else { return false };
         let Some(EngineCall::Attempt(call)) = &connection.call else { return true };
@@ -107,6 +107,8 @@
         self.set_interest(key, interest);
     }
 
+    /// Reads from a connection and handles the response events, until the input is drained, the connection is
+    /// paused or the maximum number of reads is reached.
     fn read_engine(&mut self, key: ConnectionKey) {
         let mut events = Vec::new();
         for _ in 0..MAX_READS_PER_ITERATION {
@@ -122,13 +124,14 @@
         }
     }
 
-    /// Reads once and parses the input; returns `None` if there is nothing to handle.
+    /// Reads once and parses the input. Returns `None` if there is nothing to handle: no input was available,
+    /// or this node has closed the connection.
     fn read_response(&mut self, key: ConnectionKey, events: &mut Vec<ResponseEvent>) -> Option<ReadProgress> {
         let now = self.clock.now();
         let labels = &self.config.settings.labels;
         let Some(Connection::Engine(connection)) = self.connections.get_mut(key) else { return None };
         if connection.call.is_none() {
-            // Input or a close on an idle connection: bytes there belong to no request.
+            // An idle connection has received bytes, which belong to no request, or was closed by the engine.
             self.close_engine(key);
             return None;
         }
@@ -160,9 +163,9 @@
     pub(crate) fn connection_failed(&mut self, key: ConnectionKey) {
         let now = self.clock.now();
         let Some(Connection::Engine(connection)) = self.connections.get(key) else { return };
-        // A refused probe does not confirm that the attempt was delivered. Guards against a reservation that
-        // is kept for an attempt at an engine that is gone: a machine that has restarted, or whose engine is
-        // down, refuses connections, and attempts that its engine had before get no response.
+        // A refused probe does not confirm that the attempt was delivered. A machine that has restarted, or
+        // whose engine is down, refuses connections, and attempts that its engine had before get no response.
+        // If a refusal counted as confirmation, a reservation would be kept for an attempt at such an engine.
         if matches!(connection.call, Some(EngineCall::ConnectionProbe { .. })) {
             return self.close_engine(key);
         }
--- a/crates/pintally-recovery/src/reservations/backup.rs
+++ b/crates/pintally-recovery/src/reservations/backup.rs
@@ -6,9 +6,9 @@
 
 use super::{Reservation, ReservationMessage, EXPIRY};
 
-/// Reservations that are stored for one node.
+/// Maximum number of reservations that are stored for one node.
 pub(super) const MAX_RESERVATIONS_PER_NODE: usize = 4_096;
-/// Reservations that are stored for all nodes.
+/// Maximum number of reservations that are stored for all nodes together.
 pub(super) const MAX_RESERVATIONS: usize = 65_536;
 
 /// The published reservations of one process of a node.
@@ -22,6 +22,7 @@
 }
 
 impl Publisher {
+    /// Whether the node has been dead for the release delay.
     fn is_due(&self, now: Micros, release_delay: Micros) -> bool {
         self.dead_since.is_some_and(|since| now >= since.saturating_add(release_delay))
     }
@@ -33,7 +34,7 @@
     publishers: BTreeMap<String, Publisher>,
     /// How long a node must be dead before its reservations are released.
     release_delay: Micros,
-    /// Reservations that are stored for all nodes.
+    /// The number of reservations that are stored now, for all nodes together.
     pub(super) stored: usize,
 }
 
@@ -83,9 +84,9 @@
         }
     }
 
-    /// Records that a process of a node is alive. If another process has published the reservations, that one
-    /// stays dead. The new process also releases its reservations if they were stored on disk; the second
-    /// release does no harm.
+    /// Records that a process of a node is alive. This does not concern reservations that another process of
+    /// the node has published: that process stays dead, and they are released when they are due. If they were
+    /// stored on disk, the new process releases them as well; the second release does no harm.
     pub fn node_up(&mut self, name: &str, process: u64) {
         let publisher = self.publishers.get_mut(name);
         if let Some(publisher) = publisher.filter(|publisher| publisher.process == process) {
--- a/crates/pintally-scenario/src/runner.rs
+++ b/crates/pintally-scenario/src/runner.rs
@@ -29,7 +29,8 @@
 
 /// Stack size of a client thread.
 const CLIENT_STACK_BYTES: usize = 160 << 10;
-/// Most clients that wait at the same time; further ones are not started, and a warning is logged.
+/// Maximum number of clients that wait at the same time. Further ones are not started, and a warning is
+/// logged.
 const MAX_CLIENTS: u64 = 20_000;
 
 /// Second octet of the loopback blocks for source addresses and for peer addresses of nodes.
@@ -42,7 +43,7 @@
     IpAddr::V4(Ipv4Addr::new(127, block, high, low))
 }
 
-/// Set in the numbers of flooding clients.
+/// The bit that is set in the numbers of flooding clients and in no others.
 const FLOOD_FLAG: u64 = 1 << 40;
 
 /// A node of the scenario, running or not.
@@ -100,11 +101,12 @@
     current_engines: BTreeMap<Target, String>,
     replaced: u64,
     starts: u64,
-    figures: Vec<EngineLocation>,
+    /// The locations of all engines of the run, for the audit.
+    engine_locations: Vec<EngineLocation>,
     /// Relays between nodes that are processes.
     relays: Option<relay::RelayHandle>,
     /// Reserve the nodes' peer ports while the nodes are down.
-    links: Vec<Port>,
+    peer_ports: Vec<Port>,
     /// Contains the nodes' files; deleted at the end of the run.
     _directory: TempDir,
 }
@@ -151,9 +153,9 @@
             current_engines: BTreeMap::new(),
             replaced: 0,
             starts: 0,
-            figures: Vec::new(),
+            engine_locations: Vec::new(),
             relays: None,
-            links: Vec::new(),
+            peer_ports: Vec::new(),
             _directory: directory,
         };
         runner.build_engines().map_err(|e| fail("an engine cannot listen", &e))?;
@@ -180,16 +182,16 @@
         for spec in engines::engine_specs(self.scenario) {
             let id = spec.id.clone();
             let engine = self.fleet.add(spec, false)?;
-            self.add_figures(&engine);
+            self.add_engine_location(&engine);
             self.publisher.set_entry(&engine, EndpointState::Serving, false);
             self.current_engines.insert(Target(id.clone()), id);
         }
         Ok(())
     }
 
-    fn add_figures(&mut self, engine: &Engine) {
+    fn add_engine_location(&mut self, engine: &Engine) {
         let (engine, zone, rack) = (engine.spec.id.clone(), engine.spec.zone.clone(), engine.spec.rack);
-        self.figures.push(EngineLocation { engine, zone, rack });
+        self.engine_locations.push(EngineLocation { engine, zone, rack });
     }
 
     /// Reserves the nodes' peer addresses and opens the relays, if the nodes have peers.
@@ -212,9 +214,16 @@
     }
 
     /// Sets a node's peer addresses, storage directory and storage fault.
-    fn set_peers_and_storage(&self, number: usize, at: Option<SocketAddr>, settings: &mut NodeSettings) {
-        if let (Some(peers), Some(at), Some(relays)) = (&mut settings.membership, at, &self.relays) {
-            peers.listen = at;
+    fn set_peers_and_storage(
+        &self,
+        number: usize,
+        peer_address: Option<SocketAddr>,
+        settings: &mut NodeSettings,
+    ) {
+        if let (Some(peers), Some(listen), Some(relays)) =
+            (&mut settings.membership, peer_address, &self.relays)
+        {
+            peers.listen = listen;
             let peer_addresses = (0..self.scenario.nodes)
                 .filter_map(|n| Some((format!("n{n}"), relays.address(n).filter(|_| n != number)?)));
             peers.address_overrides = peer_addresses.collect();
@@ -257,7 +266,7 @@
             self.nodes.push(NodeSlot { zone, settings: Arc::new(settings), _port: port, running: None });
             self.start_node(number)?;
         }
-        self.links = links.into_iter().map(|l| l.1).collect();
+        self.peer_ports = links.into_iter().map(|l| l.1).collect();
         Ok(())
     }
 
@@ -281,6 +290,7 @@
         Ok(())
     }
 
+    /// Schedules the actions of all faults of the scenario.
     fn build_script(&mut self) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5eed);
         let engines: Vec<(String, String, Option<String>)> = self
@@ -326,7 +336,7 @@
                     self.run_until(next_flood.min(next))?;
                     number += 1;
                     let draft = flood.next_request_of(&tenant);
-                    self.send(FLOOD_FLAG | number, draft);
+                    self.start_client(FLOOD_FLAG | number, draft);
                     let share = self.scenario.traffic.share_of(&tenant);
                     next_flood += flood.next_interval(factor * share);
                     continue;
@@ -335,7 +345,7 @@
             self.run_until(next)?;
             number += 1;
             let draft = self.traffic.next_request(self.hot_text_share);
-            self.send(number, draft);
+            self.start_client(number, draft);
             next += self.traffic.next_interval(self.rate);
         }
         let end = self.scenario.length + self.scenario.settle;
@@ -361,6 +371,7 @@
         }
     }
 
+    /// The engine that a target refers to now. A warning is logged if there is none.
     fn engine(&self, target: &Target) -> Option<Arc<Engine>> {
         let id = self.current_engines.get(target).unwrap_or(&target.0);
         let engine = self.fleet.engine(id);
@@ -378,7 +389,7 @@
     }
 
     fn apply(&mut self, action: Action) -> Result<(), RunError> {
-        let with = |runner: &Self, target: &Target, f: &dyn Fn(&mut mock_engine::Faults)| {
+        let set_fault = |runner: &Self, target: &Target, f: &dyn Fn(&mut mock_engine::Faults)| {
             if let Some(engine) = runner.engine(target) {
                 engine.fault(f);
             }
@@ -396,17 +407,17 @@
                 self.publisher.set_entry(&engine, EndpointState::Serving, true);
                 self.publish();
             }
-            Action::Hang(t, on) => with(self, &t, &|f| f.hang = on),
-            Action::Silent(t, on) => with(self, &t, &|f| f.silent = on),
-            Action::Slow(t, factor) => with(self, &t, &|f| f.slowdown = factor),
-            Action::SlowConnect(t, delay) => with(self, &t, &|f| f.connect_delay = delay),
-            Action::Links(t, factor) => with(self, &t, &|f| f.link_slowdown = factor),
-            Action::FailAfter(t, after) => with(self, &t, &|f| f.fail_after = after),
-            Action::FullFor(t, tenant) => with(self, &t, &|f| f.rejected_tenant = tenant.clone()),
-            Action::Stale(t, on) => with(self, &t, &|f| {
+            Action::Hang(t, on) => set_fault(self, &t, &|f| f.hang = on),
+            Action::Silent(t, on) => set_fault(self, &t, &|f| f.silent = on),
+            Action::Slow(t, factor) => set_fault(self, &t, &|f| f.slowdown = factor),
+            Action::SlowConnect(t, delay) => set_fault(self, &t, &|f| f.connect_delay = delay),
+            Action::Links(t, factor) => set_fault(self, &t, &|f| f.link_slowdown = factor),
+            Action::FailAfter(t, after) => set_fault(self, &t, &|f| f.fail_after = after),
+            Action::FullFor(t, tenant) => set_fault(self, &t, &|f| f.rejected_tenant = tenant.clone()),
+            Action::Stale(t, on) => set_fault(self, &t, &|f| {
                 f.reports = if on { ReportAccuracy::Stale } else { ReportAccuracy::Honest }
             }),
-            Action::Lie(t, on) => with(self, &t, &|f| {
+            Action::Lie(t, on) => set_fault(self, &t, &|f| {
                 f.reports = if on { ReportAccuracy::Idle } else { ReportAccuracy::Honest }
             }),
             Action::Forget(target) => {
@@ -524,7 +535,7 @@
         let id = format!("{}+{}", target.0, self.replaced);
         let spec = EngineSpec { id: id.clone(), ..old.spec.clone() };
         let new = self.fleet.add(spec, true).map_err(|e| RunError(format!("{id} cannot listen: {e}")))?;
-        self.add_figures(&new);
+        self.add_engine_location(&new);
         self.publisher.set_entry(&new, EndpointState::Serving, true);
         self.publisher.set_entry(&old, EndpointState::Draining, false);
         // From now on, faults that name the target affect the new engine; `~old` names the draining one.
@@ -534,6 +545,7 @@
         Ok(())
     }
 
+    /// Removes the old engine of a replacement: it is listed as gone, and stops at once.
     fn remove(&mut self, target: &Target) {
         let Some(id) = self.current_engines.remove(&Target(format!("{}~old", target.0))) else { return };
         let Some(old) = self.fleet.engine(&id) else { return };
@@ -542,7 +554,8 @@
         old.crash();
     }
 
-    fn send(&mut self, number: u64, draft: RequestDraft) {
+    /// Starts the thread of a client that makes one request.
+    fn start_client(&mut self, number: u64, draft: RequestDraft) {
         if self.clients.open.fetch_add(1, Ordering::AcqRel) >= MAX_CLIENTS {
             self.clients.open.fetch_sub(1, Ordering::AcqRel);
             warn!("too many waiting clients: a client is not started");
@@ -559,7 +572,7 @@
         }
     }
 
-    /// Shuts the nodes down gracefully, then the engines. Returns the engines' figures with the record, the
+    /// Shuts the nodes down gracefully, then the engines. Returns the engines' locations with the record, the
     /// number of attempts that found no node, and the duration.
     pub(crate) fn finish(mut self) -> ((Vec<EngineLocation>, Vec<Record>), u64, Duration) {
         let took = self.started_at.elapsed();
@@ -572,7 +585,7 @@
         // not contain the end of the engines.
         let record = self.fleet.recorder.take();
         self.fleet.shut_down();
-        ((self.figures, record), self.clients.no_node.load(Ordering::Relaxed), took)
+        ((self.engine_locations, record), self.clients.no_node.load(Ordering::Relaxed), took)
     }
 }
 
--- a/crates/pintally-sim/src/world.rs
+++ b/crates/pintally-sim/src/world.rs
@@ -33,9 +33,10 @@
 pub(crate) const RESTART_DELAY: Micros = 300 * MS;
 /// Time for remaining work after the last fault; then the final requests show that service has recovered.
 pub(crate) const SETTLE_TIME: Micros = 20_000 * MS;
-/// Number of final requests, a tenth of a second apart, and how many of them must be served. They are counted
-/// once restarted engines have had traffic for their warm-up time and 2 s.
+/// Number of final requests that are counted. They are sent a tenth of a second apart, once restarted engines
+/// have had traffic for their warm-up time and 2 s.
 pub(crate) const FINAL_REQUESTS: u64 = 30;
+/// How many of the final requests must be served.
 pub(crate) const MIN_FINAL_SERVED: u32 = 27;
 /// Lines of the trace that are kept.
 pub(crate) const MAX_TRACE_LINES: usize = 100_000;
@@ -46,12 +47,15 @@
     RequestDue(PlannedRequest),
     ClientDeadline(RequestKey),
     ClientLeaves(RequestKey),
-    /// The connection of an attempt is established, or was not in time.
+    /// The connection of an attempt is established.
     Connected(u64),
+    /// The time limit for the connection of an attempt expires.
     ConnectTimeout(u64),
-    /// The attempt's last byte reaches the engine; the engine has finished the first part of it, or all.
+    /// The attempt's last byte reaches the engine.
     Delivered(u64),
+    /// The engine has read the prompt, or begins the answer.
     FirstPartDone(u64),
+    /// The engine has finished the answer.
     AnswerDone(u64),
     /// A message about the attempt reaches the node.
     MessageReceived(u64, Message),
@@ -60,8 +64,9 @@
     Stalled(u64),
     /// The engine sees that the node has closed its connection.
     CloseSeen(u64),
-    /// A release call reaches its engine; a release call has been answered (`true`) or has failed.
+    /// A release call reaches its engine.
     ReleaseDelivered(u64),
+    /// A release call has been answered (`true`) or has failed (`false`).
     ReleaseEnded(u64, bool),
     ProbeAnswered(u64),
     EndpointList(usize, u32),
@@ -152,8 +157,8 @@
 pub fn play(plan: &Plan, mutation: Option<Mutation>) -> RunReport {
     let mut world = World::new(plan, mutation);
     world.run();
-    let about = world.checks.violation.as_ref().and_then(|b| b.request.clone());
-    let trace = match about {
+    let violating_request = world.checks.violation.as_ref().and_then(|v| v.request.clone());
+    let trace = match violating_request {
         Some(id) => world.trace.iter().filter(|l| l.contains(&id) || l.contains('#')).cloned().collect(),
         None => world.trace.iter().cloned().collect(),
     };
@@ -168,6 +173,7 @@
     }
 }
 
+/// The settings of a node of a plan.
 pub(crate) fn settings(plan: &Plan, number: usize, zone: usize) -> Arc<NodeSettings> {
     let background_call = plan.release_call_timeout_ms();
     let patience = plan.requests.iter().map(|a| a.patience_ms).max().unwrap_or(2_000).max(2_000);
@@ -271,9 +277,9 @@
         for request in &plan.requests {
             world.schedule_at(request.at_ms * MS, Event::RequestDue(request.clone()));
         }
-        for (number, t) in plan.faults.iter().enumerate() {
-            world.schedule_at(t.from_ms * MS, Event::FaultToggled(number, true));
-            world.schedule_at(t.to_ms * MS, Event::FaultToggled(number, false));
+        for (number, fault) in plan.faults.iter().enumerate() {
+            world.schedule_at(fault.from_ms * MS, Event::FaultToggled(number, true));
+            world.schedule_at(fault.to_ms * MS, Event::FaultToggled(number, false));
         }
         world.schedule_at(HELD_CHECK_INTERVAL, Event::CheckHeld);
         world.schedule_at(plan.last_event_ms() * MS + SETTLE_TIME, Event::FinalRequests);
@@ -309,14 +315,15 @@
             }
         }
         let incarnations: Vec<u32> = self.nodes.iter().map(|n| n.incarnation).collect();
-        let left =
+        let held_state =
             self.engines.iter().flat_map(|e| &e.held).find(|s| incarnations[s.owner.0] == s.owner.1).cloned();
-        if let Some(state) = left {
+        if let Some(state) = held_state {
             let what = format!("request {} holds a state at the end", state.request.0);
             self.checks.record_violation(Rule::Pinned, Some(&state.request), what);
         }
-        let never = self.checks.requests.values().find(|k| k.over == 0 && !k.node_died).map(|k| k.id.clone());
-        if let Some(id) = never {
+        let unfinished =
+            self.checks.requests.values().find(|k| k.over == 0 && !k.node_died).map(|k| k.id.clone());
+        if let Some(id) = unfinished {
             self.checks.record_violation(
                 Rule::Accounts,
                 Some(&id),
@@ -339,6 +346,7 @@
         self.schedule_at(self.now + after, event);
     }
 
+    /// Adds a line with the current time to the trace and to its digest.
     pub(crate) fn record(&mut self, line: String) {
         let line = format!("{:9.3} {line}", self.now as f64 / 1e6);
         self.digest.update(line.as_bytes());
@@ -396,9 +404,10 @@
                 }
             }
             Event::FinalRequests => {
-                let early = (self.plan.warm_ms + 2_000) / 100;
-                self.final_requests_from = self.now + early * 100 * MS;
-                for n in 0..early + FINAL_REQUESTS {
+                // Requests before the counted ones, which give restarted engines the traffic to warm up.
+                let warm_up_requests = (self.plan.warm_ms + 2_000) / 100;
+                self.final_requests_from = self.now + warm_up_requests * 100 * MS;
+                for n in 0..warm_up_requests + FINAL_REQUESTS {
                     let request = PlannedRequest {
                         at_ms: 0,
                         node: n as usize % self.nodes.len(),
--- a/src/policy/reader_choice.rs
+++ b/src/policy/reader_choice.rs
@@ -5,10 +5,11 @@
 use crate::interface::*;
 use crate::state::RequestState;
 
-/// Fewer expected cached tokens than this count as no match (the smallest cache block size in the paper).
+/// An engine with fewer expected cached tokens than this counts as one without a match. The value is the
+/// smallest cache block size in the paper.
 const MIN_MATCH_TOKENS: f64 = 16.0;
-/// Where a prefix has several replicas, a session leaves its own for another only if that one has this many
-/// times as many tokens in its cache.
+/// If a prefix has several replicas, a session switches from its own replica to another one only if the other
+/// is expected to have more than this many times as many tokens of the prompt in its cache.
 const REPLICA_SWITCH_FACTOR: f64 = 1.25;
 
 impl Router {
@@ -28,8 +29,9 @@
             let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
             !self.is_over_cap(now, &request.request, *index, uncached, shares) && wait(index) <= first_wait
         };
-        // If every reader is over its cap, the one with the shortest wait is chosen; if all are ejected, the
-        // one whose ejection ends first, since using none of them would do more harm.
+        // If every usable reader is over its cap, the one with the shortest wait is chosen. If no reader is
+        // usable, the one whose ejection ends first is chosen, if possible one that was not tried: using no
+        // reader at all would do more harm.
         let shortest_wait = |index: &usize| (self.is_overloaded(now, *index), wait(index));
         let earliest_ejection_end =
             |index: &usize| (request.tried.contains(index), self.engines[*index].ejected_until);
@@ -43,7 +45,7 @@
     /// the first where none has a match.
     fn best_match(&self, now: Micros, request: &RequestState, ring: &[usize]) -> usize {
         let preferred = ring.first().copied();
-        // Where a prefix has several replicas each session keeps its own, also if another was used later.
+        // If a prefix has several replicas, each session keeps its own, even if another one was used later.
         let several_replicas = self.prefix_demand(&request.request) > 1.0;
         let switch_factor = if several_replicas { REPLICA_SWITCH_FACTOR } else { 1.0 };
         let tokens_at = |&index: &usize| self.expected_cached_tokens(now, &request.request, index, preferred);
@@ -58,8 +60,9 @@
         best
     }
 
-    /// The readers of the ring that are not ejected, were not tried and do not reject the request's tenant;
-    /// for a shared prefix also without those behind a slow link, if others have capacity.
+    /// The readers of the ring that are not ejected, were not tried and do not reject the request's tenant.
+    /// For a shared prefix, readers whose states cannot reach a writer in time are left out as well, if
+    /// another reader has capacity.
     fn usable_readers(
         &self,
         now: Micros,
@@ -76,9 +79,9 @@
         if request.request.prefix.is_none() {
             return usable;
         }
-        // Guards against replicas behind a slow link in a rack with too few writers: their states cannot
-        // leave the rack in time. The other readers must not be overloaded with reads either: a link is
-        // slow for seconds, the queue would last longer.
+        // Avoids replicas behind a slow link in a rack with too few writers: the states that they read cannot
+        // leave the rack in time. They are avoided only while another reader has capacity: a link is slow for
+        // seconds, but the queue of an overloaded reader would last longer.
         let shares = self.even_shares(now);
         let has_capacity = |index: &usize| {
             let uncached = self.uncached_tokens(now, &request.request, *index, preferred);
